--- a/wingwood/transport/messenger.py
+++ b/wingwood/transport/messenger.py
@@ -31,6 +31,12 @@
 PostHandler = Callable[[Identity, Any], None]
 
 
+def wire_name(message_type: type[msgspec.Struct]) -> str:
+    """Name that travels with messages of this type: the class's own ``WIRE_NAME``, else the name of the class."""
+    name: str = vars(message_type).get("WIRE_NAME", message_type.__name__)
+    return name
+
+
 class TransportFault(msgspec.Struct, frozen=True):
     """Why a call has no reply. ``sent`` False: it did not reach the peer and never will."""
 
@@ -262,10 +268,10 @@
     def on_call(
         self, message_type: type[Message], handler: Callable[[Identity, Message], Awaitable[msgspec.Struct]]
     ) -> None:
-        self._call_handlers[message_type.__name__] = (message_type, handler)
+        self._call_handlers[wire_name(message_type)] = (message_type, handler)
 
     def on_post(self, message_type: type[Message], handler: Callable[[Identity, Message], None]) -> None:
-        self._post_handlers[message_type.__name__] = (message_type, handler)
+        self._post_handlers[wire_name(message_type)] = (message_type, handler)
 
     def start(self) -> Result[None, NetworkFault]:
         match self.context.network.listen(self.identity.internal, self._handle_stream):
@@ -300,7 +306,7 @@
                     return Failure(TransportFault("overloaded", False))
                 waiter: asyncio.Future[Result[msgspec.Raw, TransportFault]] = asyncio.get_running_loop().create_future()
                 body = msgspec.Raw(msgspec.msgpack.encode(message))
-                if not link.write(Envelope("call", number, type(message).__name__, body)):
+                if not link.write(Envelope("call", number, wire_name(type(message)), body)):
                     return Failure(TransportFault("overloaded", False))
                 sent = True
                 link.waiting[number] = waiter
@@ -324,7 +330,7 @@
 
     def post(self, address: Address, message: msgspec.Struct) -> None:
         link = self._link(address)
-        envelope = Envelope("post", 0, type(message).__name__, msgspec.Raw(msgspec.msgpack.encode(message)))
+        envelope = Envelope("post", 0, wire_name(type(message)), msgspec.Raw(msgspec.msgpack.encode(message)))
         link.post(envelope)
 
     def _link(self, address: Address) -> _Link:
@@ -386,7 +392,7 @@
             else:
                 answer = await handler(peer, message)
                 reply = Envelope(
-                    "reply", envelope.number, type(answer).__name__, msgspec.Raw(msgspec.msgpack.encode(answer))
+                    "reply", envelope.number, wire_name(type(answer)), msgspec.Raw(msgspec.msgpack.encode(answer))
                 )
         if not stream.closed():
             payload = frame(msgspec.msgpack.encode(reply))
