--- a/wingwood/tests/outer_names.py
+++ b/wingwood/tests/outer_names.py
@@ -253,8 +253,9 @@
     found: dict[str, set[str]] = {}
     for call in _calls():
         name = getattr(call.func, "attr", getattr(call.func, "id", ""))
-        if name in {"event", "_log", "log"} and call.args and _is_text(call.args[0]):
-            fields = found.setdefault(str(call.args[0].value), set())
+        first = call.args[0] if call.args else None
+        if name in {"event", "_log", "log"} and isinstance(first, ast.Constant) and isinstance(first.value, str):
+            fields = found.setdefault(first.value, set())
             fields.update(keyword.arg or "**" for keyword in call.keywords)
     return {event: sorted(fields) for event, fields in sorted(found.items())}
 
@@ -277,10 +278,6 @@
     return dict(sorted(found.items()))
 
 
-def _is_text(node: ast.expr) -> bool:
-    return isinstance(node, ast.Constant) and isinstance(node.value, str)
-
-
 def _calls() -> Iterator[ast.Call]:
     for top in SHIPPED:
         for path in sorted((ROOT / top).rglob("*.py")):
