--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -93,12 +93,12 @@
         Tenant(name=TenantName(f"tenant-{number}"), priority_class=ClassName("gold"), paid_rate=10.0)
         for number in range(TENANTS)
     ]
-    row["share_keepers_first_ms"] = 1e3 * timed(lambda: [shares.keeper_of(tenant.name) for tenant in tenants])
+    row["share_keepers_first_ms"] = 1e3 * timed(lambda: [shares.allocator_of(tenant.name) for tenant in tenants])
 
     def changed() -> None:
         membership.set(fewer)
         for tenant in tenants:
-            shares.keeper_of(tenant.name)
+            shares.allocator_of(tenant.name)
 
     row["share_keepers_ms"] = 1e3 * timed(changed)
     row["all_ms"] = row["session_map_ms"] + row["registry_ms"] + row["share_keepers_ms"]
--- a/bench/capacity/shares.py
+++ b/bench/capacity/shares.py
@@ -6,7 +6,7 @@
 import time
 
 from wingwood.identifiers import TenantName
-from wingwood.limits.messages import LeaseAsk
+from wingwood.limits.messages import LeaseRequest
 from wingwood.limits.shares import FleetShares
 from wingwood.limits.tests.share_fleet import ShareFleet, tenant
 from wingwood.transport.messenger import TcpMessenger
@@ -28,7 +28,7 @@
 
     async def counting(self: TcpMessenger, address, message, *rest):  # type: ignore[no-untyped-def]
         nonlocal asks
-        asks += isinstance(message, LeaseAsk)
+        asks += isinstance(message, LeaseRequest)
         return await original(self, address, message, *rest)
 
     TcpMessenger.call = counting  # type: ignore[method-assign, assignment]
@@ -69,13 +69,15 @@
         number = 0
         for name in names:
             number += 1
-            await shares._answer_ask(members[1], LeaseAsk(name, 1e6, tenants[0].burst, "calls", number, (1,)))
+            await shares._answer_lease_request(
+                members[1], LeaseRequest(name, 1e6, tenants[0].burst, "calls", number, (1,))
+            )
         asks = 5_000
         begun = time.process_time()
         for step in range(asks):
             number += 1
-            ask = LeaseAsk(names[step % count], 1e6, tenants[0].burst, "calls", number, (1,))
-            assert (await shares._answer_ask(members[1], ask)).granted == (True,)
+            ask = LeaseRequest(names[step % count], 1e6, tenants[0].burst, "calls", number, (1,))
+            assert (await shares._answer_lease_request(members[1], ask)).granted == (True,)
         rows.append({"tenants": count, "grant_us": (time.process_time() - begun) / asks * 1e6})
     return rows
 
--- a/bench/limits_bench.py
+++ b/bench/limits_bench.py
@@ -18,7 +18,7 @@
 from wingwood.bundle.model import Tenant
 from wingwood.context.real import RealClock
 from wingwood.identifiers import Address, DaemonName, Incarnation, Instant, Seconds, TenantName, Zone
-from wingwood.limits.messages import LeaseAsk, LeaseGrant
+from wingwood.limits.messages import LeaseGrant, LeaseRequest
 from wingwood.limits.shares import FleetShares
 from wingwood.limits.tests.share_fleet import Load, ShareFleet, tenant
 from wingwood.transport.frames import Identity
@@ -51,27 +51,27 @@
 
 def at_five(act: Callable[[World, ShareFleet, str], None]) -> Fault:
     def plan(world: World, fleet: ShareFleet) -> None:
-        world.at(5.0, lambda: act(world, fleet, fleet.keeper()))
+        world.at(5.0, lambda: act(world, fleet, fleet.allocator()))
 
     return plan
 
 
 def kill(world: World, fleet: ShareFleet, keeper: str) -> None:
-    fleet.mark_lost(keeper)
+    fleet.mark_unreachable(keeper)
     world.kill(keeper)
 
 
 def freeze(world: World, fleet: ShareFleet, keeper: str) -> None:
-    fleet.mark_lost(keeper)
+    fleet.mark_unreachable(keeper)
     world.freeze(keeper)
-    world.at(11.0, lambda: fleet.mark_well(keeper))
+    world.at(11.0, lambda: fleet.mark_recovered(keeper))
     world.at(11.0, lambda: world.wake(keeper))
 
 
 def cut(world: World, fleet: ShareFleet, keeper: str) -> None:
-    fleet.mark_lost(keeper)
+    fleet.mark_unreachable(keeper)
     wires = world.cut_off(keeper)
-    world.at(11.0, lambda: fleet.mark_well(keeper))
+    world.at(11.0, lambda: fleet.mark_recovered(keeper))
     world.at(11.0, lambda: world.heal(wires))
 
 
@@ -155,10 +155,10 @@
             fleet = run_case(seed, paid, load, fault, seconds)
             wait = max((call[3] for call in fleet.calls), default=0.0)
             click.echo(
-                f"{name:34} {seed:4} {fleet.of_paid(START, seconds):6.3f} {fleet.of_paid(START, START + 1):6.2f}"
-                f" {fleet.worst_window(START, seconds, 1.0):7.2f} {fleet.refused_part(START, seconds):8.3f}"
+                f"{name:34} {seed:4} {fleet.paid_ratio(START, seconds):6.3f} {fleet.paid_ratio(START, START + 1):6.2f}"
+                f" {fleet.max_paid_ratio(START, seconds, 1.0):7.2f} {fleet.refused_fraction(START, seconds):8.3f}"
                 f" {wait * 1000:9.1f} ms  "
-                + " ".join(f"{fleet.refused_part(second, second + 1):.2f}" for second in range(1, int(seconds)))
+                + " ".join(f"{fleet.refused_fraction(second, second + 1):.2f}" for second in range(1, int(seconds)))
             )
 
 
@@ -208,7 +208,7 @@
         assert isinstance(messenger.start(), Success)
     tenants = [_named(f"t{number}", 1e6) for number in range(100)]
     far, near = (
-        next(each for each in tenants if shares[0].keeper_of(each.name) == identity)
+        next(each for each in tenants if shares[0].allocator_of(each.name) == identity)
         for identity in reversed(identities)
     )
     for each in (far, near):
@@ -227,7 +227,7 @@
 
     await timed("call (with its part of the asks)", 10 * asks, lambda _: shares[0].take(far))
     keeper = identities[1]
-    ask = LeaseAsk(far.name, far.paid_rate, far.burst, far.unit, 1 << 40, (1,))
+    ask = LeaseRequest(far.name, far.paid_rate, far.burst, far.unit, 1 << 40, (1,))
 
     async def one_ask(number: int) -> object:
         numbered = msgspec.structs.replace(ask, number=(1 << 40) + number)
--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -39,7 +39,7 @@
     WorkerInstance,
     Zone,
 )
-from wingwood.limits.admission import PatienceAdmission
+from wingwood.limits.admission import DeadlineAdmission
 from wingwood.placement.award_placement import AwardPlacement
 from wingwood.placement.protocols import Choice, Placement, Turn
 from wingwood.placement.session_map import Entry, KeeperMap, LocalMap, session_key
@@ -363,7 +363,7 @@
 
 
 def shape_refuses(shape: Shape, choice: Choice) -> bool:
-    return shape.admission and PatienceAdmission().refuse(SERVICE, choice.first_token) is not None
+    return shape.admission and DeadlineAdmission().refuse(SERVICE, choice.first_token) is not None
 
 
 def _geometric(random: Random, mean: float) -> int:
--- a/emulator/router_slices.py
+++ b/emulator/router_slices.py
@@ -24,7 +24,7 @@
     WallTime,
     WorkerInstance,
 )
-from wingwood.ledger.protocols import CallKey, Claimed, Known, Unreachable
+from wingwood.ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
 from wingwood.limits.protocols import ShareRefused
 from wingwood.placement.protocols import Choice, NoWorker, Turn
 from wingwood.registry.protocols import Worker
@@ -95,13 +95,13 @@
     def refuse(self, service: Service, predicted_first_token: Seconds) -> ShareRefused | None:
         return None
 
-    def earned(self, service: Service, pool: PoolName | None = None) -> None: ...
+    def note_call(self, service: Service, pool: PoolName | None = None) -> None: ...
 
 
 class FreeLedger:
     """Grants every claim."""
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | Known | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
         return Claimed(TICKET)
 
     async def settle(self, key: CallKey, ticket: str, state: Literal["ran", "unknown", "not-run"]) -> bool:
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -19,8 +19,8 @@
 from ..forward.request_path import RequestPath
 from ..identifiers import Address, Incarnation, Instant, PoolName, Seconds, TenantName
 from ..ledger.client import RouterLedger
-from ..limits.admission import PatienceAdmission
-from ..limits.retry_budget import RetryBounds, ServiceRetryBudget
+from ..limits.admission import DeadlineAdmission
+from ..limits.retry_budget import RetryLimits, ServiceRetryBudget
 from ..limits.shares import FleetShares
 from ..limits.tolerance import QuotaTolerance
 from ..membership.client import MembershipClient
@@ -79,7 +79,7 @@
                 window=settings.quota_window, over=settings.quota_over, slack=settings.quota_slack
             ),
         )
-        retries = RetryBounds(ratio=settings.retry_ratio, slack=settings.retry_slack, window=settings.retry_window)
+        retries = RetryLimits(ratio=settings.retry_ratio, slack=settings.retry_slack, window=settings.retry_window)
         self.ledger = RouterLedger(context, self._identity.incarnation, self.control)
         self.metrics = CollectorRegistry()
         self._day_file = None if settings.record_file is None else DayFile(context, settings.record_file)
@@ -92,7 +92,7 @@
             self.ledger,
             self.placement,
             self.registry,
-            PatienceAdmission(),
+            DeadlineAdmission(),
             RequestMetrics(self.metrics),
             limits=path_limits(settings),
             recorder=None if self._day_file is None else DayRecorder(context.clock, self._day_file.write),
@@ -140,7 +140,7 @@
     async def drain(self) -> None:
         self._stopping = True
         await self.path.drain()
-        self.shares.give_all_back()
+        self.shares.return_allowances()
         await self.ledger.drain(Seconds(2.0))
         if self._day_file is not None:
             await self._day_file.flush()
--- a/wingwood/forward/policies/at_most_once.py
+++ b/wingwood/forward/policies/at_most_once.py
@@ -4,7 +4,7 @@
 
 from ...context.protocols import Context
 from ...identifiers import Instant, Seconds, TenantName
-from ...ledger.protocols import CallKey, Known, Ledger, Unreachable
+from ...ledger.protocols import AlreadyClaimed, CallKey, Ledger, Unreachable
 from ..formats import CallerFormat
 from ..limits import PathLimits
 from ..protocols import Answer, Forwarded, IncomingCall, Proceed, Refused, RunState
@@ -60,7 +60,7 @@
         claim = await self._ledger.claim(key, Seconds(min(self._limits.ledger_patience, patience)))
         self._away = isinstance(claim, Unreachable)
         match claim:
-            case Known(known):
+            case AlreadyClaimed(known):
                 reason, run, retry_after = _KNOWN[known]
                 return Refused(status=409, code=f"call-{known}", reason=reason, run=run, retry_after=retry_after)
             case Unreachable():
--- a/wingwood/forward/tests/stand_ins.py
+++ b/wingwood/forward/tests/stand_ins.py
@@ -37,7 +37,7 @@
     WorkerInstance,
     Zone,
 )
-from ...ledger.protocols import CallKey, Claimed, Known, Unreachable
+from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
 from ...limits.protocols import ShareRefused
 from ...placement.protocols import Choice, NoWorker, Turn
 from ...registry.protocols import Worker
@@ -100,7 +100,7 @@
         await asyncio.sleep(self.waits)
         return self.share_refused
 
-    def earned(self, service: Service, pool: PoolName | None = None) -> None:
+    def note_call(self, service: Service, pool: PoolName | None = None) -> None:
         self.earned_by.append(service.name)
 
     def take(self, service: Service, pool: PoolName | None = None) -> bool:
@@ -121,20 +121,20 @@
 
 class StandInLedger(FreeLedger):
     def __init__(self) -> None:
-        self.answer: Claimed | Known | Unreachable | None = None
+        self.answer: Claimed | AlreadyClaimed | Unreachable | None = None
         """In place of the table, when set."""
         self.table: dict[CallKey, str] = {}
         self.claims = 0
         self.waits = Seconds(0.0)
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | Known | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
         self.claims += 1
         await asyncio.sleep(self.waits)
         if self.answer is not None:
             return self.answer
         state = self.table.get(key)
         if state is not None:
-            return Known(state)  # type: ignore[arg-type]
+            return AlreadyClaimed(state)  # type: ignore[arg-type]
         self.table[key] = "running"
         return Claimed(TICKET)
 
--- a/wingwood/forward/tests/test_unreachable_ledger.py
+++ b/wingwood/forward/tests/test_unreachable_ledger.py
@@ -11,7 +11,7 @@
 from wingwood.context.protocols import Context
 
 from ...identifiers import Address, Instant, RequestId, Seconds
-from ...ledger.protocols import CallKey, Claimed, Known, Unreachable
+from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
 from ..caller_format import OwnCallerFormat
 from ..limits import PathLimits
 from ..policies.at_most_once import AtMostOncePolicy
@@ -29,7 +29,7 @@
         self.back = False
         self.claims = 0
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | Known | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
         self.claims += 1
         if self.back:
             return Claimed("ticket")
--- a/wingwood/ledger/client.py
+++ b/wingwood/ledger/client.py
@@ -11,7 +11,7 @@
 from ..context.protocols import Context
 from ..control.protocols import NotDecided
 from ..identifiers import Incarnation, Instant, Seconds
-from .protocols import CallKey, Claimed, Known, Unreachable
+from .protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
 from .state import (
     LEDGER_KIND,
     ClaimAnswer,
@@ -34,7 +34,7 @@
     ) -> Result[Reply, NotDecided]: ...
 
 
-class LedgerBounds(msgspec.Struct, frozen=True):
+class LedgerLimits(msgspec.Struct, frozen=True):
     batch: int = 256
     """Most claims, and most settles, in one call to the primary."""
     batches_in_flight: int = 4
@@ -88,19 +88,19 @@
         context: Context,
         incarnation: Incarnation,
         control: DecideClient,
-        bounds: LedgerBounds | None = None,
+        limits: LedgerLimits | None = None,
     ) -> None:
         self._context = context
         self._incarnation = incarnation
         self._control = control
-        self._bounds = bounds or LedgerBounds()
+        self._limits = limits or LedgerLimits()
         self._number = 0
         self._open: dict[int, _Claim] = {}
         self._claims_to_send: dict[int, _Claim] = {}
         self._settles: dict[int, _Settle] = {}
         """Not yet durable, by number; the last told state of a number counts."""
         self._settles_in_flight: set[int] = set()
-        self._batches = 0
+        self._batches_in_flight = 0
         self._pause: float = 0.0
         self._wake = asyncio.Event()
         self._stopping = False
@@ -109,31 +109,31 @@
     def start(self) -> None:
         if not self._running:
             self._running = True
-            self._context.tasks.spawn("ledger", self._work())
+            self._context.tasks.spawn("ledger", self._run())
 
     def unsettled(self) -> int:
         return len(self._settles)
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | Known | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
         """See ``Ledger``. A key whose call is running is asked again until ``timeout`` (seconds) is over."""
         self.start()
         deadline = Instant(self._context.clock.monotonic() + timeout)
         digest = call_digest(key)
         while True:
             answer = await self._claim_once(digest, deadline)
-            if not isinstance(answer, Known) or answer.state != "running":
+            if not isinstance(answer, AlreadyClaimed) or answer.state != "running":
                 return answer
             left = deadline - self._context.clock.monotonic()
-            if left <= 2 * self._bounds.running_poll:
+            if left <= 2 * self._limits.running_poll:
                 return answer
-            await self._context.clock.sleep(self._bounds.running_poll)
+            await self._context.clock.sleep(self._limits.running_poll)
 
-    async def _claim_once(self, digest: bytes, deadline: Instant) -> Claimed | Known | Unreachable:
+    async def _claim_once(self, digest: bytes, deadline: Instant) -> Claimed | AlreadyClaimed | Unreachable:
         if self._stopping:
             return Unreachable("the router is stopping")
-        if len(self._open) >= self._bounds.waiting:
+        if len(self._open) >= self._limits.waiting:
             return Unreachable("too many claims wait")
-        if len(self._settles) >= self._bounds.unsettled:
+        if len(self._settles) >= self._limits.unsettled:
             return Unreachable("too many outcomes are not yet recorded")
         self._number += 1
         claim = _Claim(self._number, digest, deadline)
@@ -160,7 +160,7 @@
             return Claimed(f"{self._incarnation}:{claim.number}")
         if answer == "closed" or answer == "full":  # noqa: PLR1714 (narrows the type)
             return Unreachable(f"the ledger refused the claim: {answer}")
-        return Known(answer)
+        return AlreadyClaimed(answer)
 
     async def settle(self, key: CallKey, ticket: str, state: Literal["ran", "unknown", "not-run"]) -> bool:
         """See ``Ledger``. Raises ValueError for a ticket that this router never got."""
@@ -170,7 +170,7 @@
             raise ValueError(f"{ticket!r} is not a ticket of this router")
         settle = _Settle(int(number), call_digest(key), state)
         self._queue(settle)
-        await asyncio.wait((settle.durable,), timeout=self._bounds.settle_wait)
+        await asyncio.wait((settle.durable,), timeout=self._limits.settle_wait)
         return settle.durable.done() and not settle.durable.cancelled()
 
     def settle_soon(self, key: CallKey, ticket: str, state: Literal["ran", "unknown", "not-run"]) -> None:
@@ -192,29 +192,29 @@
     def _queue(self, settle: _Settle) -> None:
         earlier = self._settles.get(settle.number)
         if earlier is not None:
-            settle.durable.add_done_callback(lambda _: _finish(earlier.durable))
+            settle.durable.add_done_callback(lambda _: _set_done(earlier.durable))
         self._settles[settle.number] = settle
         self._wake.set()
 
-    async def _work(self) -> None:
+    async def _run(self) -> None:
         while True:
             await self._wake.wait()
             self._wake.clear()
-            while self._batches < self._bounds.batches_in_flight and self._something_to_send():
+            while self._batches_in_flight < self._limits.batches_in_flight and self._has_unsent():
                 claims, settles = self._next_batch()
-                self._batches += 1
+                self._batches_in_flight += 1
                 self._context.tasks.spawn("ledger batch", self._send(claims, settles))
 
-    def _something_to_send(self) -> bool:
+    def _has_unsent(self) -> bool:
         return bool(self._claims_to_send) or len(self._settles) > len(self._settles_in_flight)
 
     def _next_batch(self) -> tuple[list[_Claim], list[_Settle]]:
-        claims = [self._claims_to_send.pop(number) for number in list(self._claims_to_send)[: self._bounds.batch]]
+        claims = [self._claims_to_send.pop(number) for number in list(self._claims_to_send)[: self._limits.batch]]
         for claim in claims:
             claim.sent = True
         settles: list[_Settle] = []
         for number, settle in self._settles.items():
-            if len(settles) >= self._bounds.batch:
+            if len(settles) >= self._limits.batch:
                 break
             if number not in self._settles_in_flight:
                 settles.append(settle)
@@ -228,7 +228,7 @@
             tuple(ClaimKey(claim.number, claim.key) for claim in claims),
             tuple(SettleKey(settle.number, settle.key, settle.state) for settle in settles),
         )
-        outcome = await self._control.decide(LEDGER_KIND, batch, LedgerAnswers, self._bounds.attempt)
+        outcome = await self._control.decide(LEDGER_KIND, batch, LedgerAnswers, self._limits.attempt)
         if isinstance(outcome, Success):
             self._pause = 0.0
             for claim, answer in zip(claims, outcome.unwrap().claims, strict=True):
@@ -237,19 +237,19 @@
             for settle in settles:
                 if self._settles.get(settle.number) is settle:
                     del self._settles[settle.number]
-                _finish(settle.durable)
+                _set_done(settle.durable)
         else:
-            self._pause = min(self._bounds.longest_pause, max(self._bounds.pause, self._pause * 2))
+            self._pause = min(self._limits.longest_pause, max(self._limits.pause, self._pause * 2))
             # Claims wait the short pause only; with none, settles alone back off further.
-            await self._context.clock.sleep(self._bounds.pause if claims else Seconds(self._pause))
+            await self._context.clock.sleep(self._limits.pause if claims else Seconds(self._pause))
             for claim in claims:
                 if claim.number in self._open:
                     self._claims_to_send[claim.number] = claim
         self._settles_in_flight.difference_update(settle.number for settle in settles)
-        self._batches -= 1
+        self._batches_in_flight -= 1
         self._wake.set()
 
 
-def _finish(future: asyncio.Future[None]) -> None:
+def _set_done(future: asyncio.Future[None]) -> None:
     if not future.done():
         future.set_result(None)
--- a/wingwood/ledger/protocols.py
+++ b/wingwood/ledger/protocols.py
@@ -21,7 +21,7 @@
     ticket: str
 
 
-class Known(msgspec.Struct, frozen=True):
+class AlreadyClaimed(msgspec.Struct, frozen=True):
     """The key was claimed before."""
 
     state: Literal["running", "ran", "unknown"]
@@ -34,7 +34,7 @@
 
 
 class Ledger(Protocol):
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | Known | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
         """Durable on two synced disks before ``Claimed`` is returned.
 
         After ``Unreachable`` a claim may exist that nobody runs; the implementation frees it when it
--- a/wingwood/ledger/state.py
+++ b/wingwood/ledger/state.py
@@ -21,7 +21,7 @@
 LEDGER_KIND = "ledger"
 RAN_BUCKETS = 4
 """Keys of calls that ran are forgotten by buckets, each a quarter of the retention wide."""
-LONGEST_RUNNING = Seconds(86_400.0)
+MAX_RUNNING_AGE_S = Seconds(86_400.0)
 """A claim that nobody ever settles is kept this long (its router died: the outcome stays unknown)."""
 
 ClaimAnswer = Literal["claimed", "running", "ran", "unknown", "closed", "full"]
@@ -64,20 +64,20 @@
 
 
 class Effect(msgspec.Struct, frozen=True, array_like=True):
-    what: Literal["claim", "ran", "unknown", "free", "close"]
+    kind: Literal["claim", "ran", "unknown", "free", "close"] = msgspec.field(name="what")
     number: int
     key: bytes
 
 
 class LedgerRecord(msgspec.Struct, frozen=True, array_like=True):
     time: int
-    """Ledger time in milliseconds; see ``LedgerState.time_now``."""
+    """Ledger time in milliseconds; see ``LedgerState.ledger_time``."""
     router: Incarnation
     floor: int
     effects: tuple[Effect, ...]
 
 
-class Held(msgspec.Struct, frozen=True, array_like=True):
+class HeldClaim(msgspec.Struct, frozen=True, array_like=True):
     """A claim that has not been settled as ``ran``; ``time`` is that of the claim or of ``unknown``."""
 
     router: Incarnation
@@ -98,7 +98,7 @@
 class LedgerSnapshot(msgspec.Struct, frozen=True, array_like=True):
     time: int
     expired_at: int
-    held: dict[bytes, Held]
+    held: dict[bytes, HeldClaim]
     ran: list[tuple[int, bytes]]
     """Start of each bucket, and its keys joined."""
     routers: dict[Incarnation, RouterFence]
@@ -126,23 +126,23 @@
         clock: Clock,
         retention: Seconds,
         is_member: Callable[[Incarnation], bool] | None = None,
-        most_entries: int = 2_000_000,
+        max_entries: int = 2_000_000,
     ) -> None:
         self._clock = clock
         self._retention = int(retention * 1000)
         self._is_member = is_member
-        self._most_entries = most_entries
-        self._forget()
+        self._max_entries = max_entries
+        self._reset()
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._time = 0
         self._expired_at = 0
         self._applied_at: Instant = self._clock.monotonic()
-        self._held: dict[bytes, Held] = {}
+        self._held: dict[bytes, HeldClaim] = {}
         self._ran: deque[tuple[int, set[bytes]]] = deque()
         self._routers: dict[Incarnation, RouterFence] = {}
 
-    def time_now(self) -> int:
+    def ledger_time(self) -> int:
         """Ledger time: what the records told, plus the own monotonic clock since the last of them.
 
         It stands still while no control daemon runs and never runs ahead of real time, so nothing
@@ -158,16 +158,16 @@
         fence = self._routers.get(command.router) or RouterFence()
         floor = max(fence.floor, command.floor)
         effects: list[Effect] = []
-        changed: dict[bytes, Held | Literal["ran"] | None] = {}
+        changed: dict[bytes, HeldClaim | Literal["ran"] | None] = {}
         closed: set[int] = set()
-        room = self._most_entries - self.entries()
+        room = self._max_entries - self.entries()
 
-        def find(key: bytes) -> Held | Literal["ran"] | None:
+        def find(key: bytes) -> HeldClaim | Literal["ran"] | None:
             return changed[key] if key in changed else self._find(key)
 
         for settle in command.settles:
             found = find(settle.key)
-            own = isinstance(found, Held) and (found.router, found.number) == (command.router, settle.number)
+            own = isinstance(found, HeldClaim) and (found.router, found.number) == (command.router, settle.number)
             # A record is written even when nothing changes: its being durable proves that the
             # earlier record which made this settle superfluous is durable too.
             if settle.state == "ran":
@@ -175,7 +175,7 @@
                 effects.append(Effect("ran", settle.number, settle.key))
             elif settle.state == "unknown":
                 if own:
-                    changed[settle.key] = Held(command.router, settle.number, "unknown", 0)
+                    changed[settle.key] = HeldClaim(command.router, settle.number, "unknown", 0)
                 effects.append(Effect("unknown", settle.number, settle.key))
             else:
                 if own:
@@ -188,9 +188,9 @@
             found = find(claim.key)
             if found == "ran":
                 answers.append("ran")
-            elif isinstance(found, Held):
+            elif isinstance(found, HeldClaim):
                 if (found.router, found.number) != (command.router, claim.number):
-                    answers.append(self._state_told(found))
+                    answers.append(self._visible_state(found))
                     # A second copy of this claim may come when the key is free again: nobody waits for it then.
                     effects.append(Effect("close", claim.number, claim.key))
                 elif found.state == "unknown":
@@ -206,55 +206,55 @@
                 effects.append(Effect("close", claim.number, claim.key))
             else:
                 room -= 1
-                changed[claim.key] = Held(command.router, claim.number, "running", 0)
+                changed[claim.key] = HeldClaim(command.router, claim.number, "running", 0)
                 answers.append("claimed")
                 effects.append(Effect("claim", claim.number, claim.key))
         reply = LedgerAnswers(tuple(answers))
         if not effects:
             return None, reply
-        return _record_encoder.encode(LedgerRecord(self.time_now(), command.router, floor, tuple(effects))), reply
+        return _record_encoder.encode(LedgerRecord(self.ledger_time(), command.router, floor, tuple(effects))), reply
 
-    def _state_told(self, held: Held) -> ClaimAnswer:
+    def _visible_state(self, held: HeldClaim) -> ClaimAnswer:
         if held.state == "unknown" or (self._is_member is not None and not self._is_member(held.router)):
             return "unknown"
         return "running"
 
-    def _find(self, key: bytes) -> Held | Literal["ran"] | None:
+    def _find(self, key: bytes) -> HeldClaim | Literal["ran"] | None:
         held = self._held.get(key)
         if held is not None:
             return held
         return "ran" if any(key in keys for _, keys in self._ran) else None
 
     def apply(self, record: bytes) -> None:
-        told = _record_decoder.decode(record)
-        self._time = max(self._time, told.time)
+        decoded = _record_decoder.decode(record)
+        self._time = max(self._time, decoded.time)
         self._applied_at = self._clock.monotonic()
-        fence = self._routers.get(told.router)
+        fence = self._routers.get(decoded.router)
         if fence is None:
-            fence = self._routers[told.router] = RouterFence()
+            fence = self._routers[decoded.router] = RouterFence()
         fence.time = self._time
-        if told.floor > fence.floor:
-            fence.floor = told.floor
+        if decoded.floor > fence.floor:
+            fence.floor = decoded.floor
             if fence.closed:
-                fence.closed = {number for number in fence.closed if number >= told.floor}
-        for effect in told.effects:
-            self._apply_effect(told.router, fence, effect)
+                fence.closed = {number for number in fence.closed if number >= decoded.floor}
+        for effect in decoded.effects:
+            self._apply_effect(decoded.router, fence, effect)
         self._expire()
 
     def _apply_effect(self, router: Incarnation, fence: RouterFence, effect: Effect) -> None:
         held = self._held.get(effect.key)
         own = held is not None and (held.router, held.number) == (router, effect.number)
-        if effect.what == "claim":
+        if effect.kind == "claim":
             if held is None:
-                self._held[effect.key] = Held(router, effect.number, "running", self._time)
-        elif effect.what == "ran":
+                self._held[effect.key] = HeldClaim(router, effect.number, "running", self._time)
+        elif effect.kind == "ran":
             self._held.pop(effect.key, None)
             self._ran_bucket().add(effect.key)
-        elif effect.what == "unknown":
+        elif effect.kind == "unknown":
             if own:
-                self._held[effect.key] = Held(router, effect.number, "unknown", self._time)
+                self._held[effect.key] = HeldClaim(router, effect.number, "unknown", self._time)
         else:
-            if own and effect.what == "free":
+            if own and effect.kind == "free":
                 del self._held[effect.key]
             if effect.number >= fence.floor:
                 fence.closed.add(effect.number)
@@ -272,7 +272,7 @@
         self._expired_at = self._time
         while self._ran and self._time - self._ran[0][0] >= self._retention + width:
             self._ran.popleft()
-        longest = max(self._retention, int(LONGEST_RUNNING * 1000))
+        longest = max(self._retention, int(MAX_RUNNING_AGE_S * 1000))
         for key, held in list(self._held.items()):
             if self._time - held.time >= (longest if held.state == "running" else self._retention):
                 del self._held[key]
@@ -293,14 +293,14 @@
         )
 
     def restore(self, snapshot: bytes | None) -> None:
-        self._forget()
+        self._reset()
         if snapshot is None:
             return
-        told = _snapshot_decoder.decode(snapshot)
-        self._time = told.time
-        self._expired_at = told.expired_at
-        self._held = told.held
-        for start, joined in told.ran:
+        decoded = _snapshot_decoder.decode(snapshot)
+        self._time = decoded.time
+        self._expired_at = decoded.expired_at
+        self._held = decoded.held
+        for start, joined in decoded.ran:
             keys = {joined[at : at + _DIGEST_BYTES] for at in range(0, len(joined), _DIGEST_BYTES)}
             self._ran.append((start, keys))
-        self._routers = told.routers
+        self._routers = decoded.routers
--- a/wingwood/ledger/tests/ledger_world.py
+++ b/wingwood/ledger/tests/ledger_world.py
@@ -1,6 +1,6 @@
 """Routers that claim and run calls, callers that give up and ask elsewhere, and an observer.
 
-The control core is either ``RoughControl`` (one that loses, delays, doubles and reorders commands and
+The control core is either ``FaultyControl`` (one that loses, delays, doubles and reorders commands and
 changes its primary, as roughly as the real one may) or the real one (see test_core).
 """
 
@@ -21,7 +21,7 @@
 from ...control.protocols import NotDecided
 from ...identifiers import IdempotencyKey, Incarnation, Instant, Seconds, ServiceName, TenantName, WallTime
 from ..client import DecideClient, RouterLedger
-from ..protocols import CallKey, Claimed, Known
+from ..protocols import AlreadyClaimed, CallKey, Claimed
 from ..state import LedgerBatch, LedgerState
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
@@ -38,23 +38,23 @@
 
     def __init__(self) -> None:
         self.runs: Counter[int] = Counter()
-        self.told_not_run: set[tuple[int, int]] = set()
+        self.answered_not_run: set[tuple[int, int]] = set()
         self.faults: list[str] = []
         self.claimed = 0
-        self.told: Counter[str] = Counter()
+        self.answers: Counter[str] = Counter()
 
     def run(self, now: float, key: int, attempt: int) -> None:
         self.runs[key] += 1
         if self.runs[key] > 1:
             self.faults.append(f"{now:.3f} call {key} ran twice")
-        if (key, attempt) in self.told_not_run:
+        if (key, attempt) in self.answered_not_run:
             self.faults.append(f"{now:.3f} call {key} attempt {attempt} ran after it was told not-run")
 
-    def tell(self, now: float, key: int, attempt: int, told: str) -> None:
-        self.told[told] += 1
-        if told == "not-run":
-            self.told_not_run.add((key, attempt))
-        if told == "ran" and not self.runs[key]:
+    def record_answer(self, now: float, key: int, attempt: int, answer: str) -> None:
+        self.answers[answer] += 1
+        if answer == "not-run":
+            self.answered_not_run.add((key, attempt))
+        if answer == "ran" and not self.runs[key]:
             self.faults.append(f"{now:.3f} call {key} was told as ran and has not run")
 
 
@@ -74,42 +74,42 @@
         raise AssertionError("the ledger's state does not wait")
 
 
-class RoughControl:
+class FaultyControl:
     """Runs commands in one ``LedgerState`` at a time; what it has acknowledged survives ``take_over``."""
 
-    def __init__(self, world: World, make_state: Callable[[], LedgerState], hasty: bool = False) -> None:
+    def __init__(self, world: World, make_state: Callable[[], LedgerState], acknowledges_early: bool = False) -> None:
         self._world = world
         self._make_state = make_state
-        self._hasty = hasty
+        self._acknowledges_early = acknowledges_early
         """A broken variant: answers before a record is durable."""
         self.state = make_state()
         self._log: list[bytes] = []
         self._durable = 0
         self._term = 0
-        self.rough = True
+        self.faults_enabled = True
 
     def take_over(self) -> None:
         """A new primary that has all that was acknowledged, and by chance some of the rest."""
         self._term += 1
-        kept = self._world.random.randint(self._durable, len(self._log))
-        self._log = self._log[:kept]
-        self._durable = kept
+        retained = self._world.random.randint(self._durable, len(self._log))
+        self._log = self._log[:retained]
+        self._durable = retained
         self.state = self._make_state()
-        if kept > 10:
+        if retained > 10:
             # As a journal that was rewritten: a snapshot, then the records after it.
             for record in self._log[:10]:
                 self.state.apply(record)
             snapshot = self.state.snapshot()
             self.state = self._make_state()
             self.state.restore(snapshot)
-        for record in self._log[10 if kept > 10 else 0 :]:
+        for record in self._log[10 if retained > 10 else 0 :]:
             self.state.apply(record)
 
     async def decide(
         self, kind: str, command: msgspec.Struct, reply_type: type[Reply], timeout: Seconds
     ) -> Result[Reply, NotDecided]:
         random = self._world.random
-        fate = random.random() if self.rough else 1.0
+        fate = random.random() if self.faults_enabled else 1.0
         lost = Failure(NotDecided("unknown", detail="no answer"))
         if fate < 0.05:
             await asyncio.sleep(timeout)
@@ -126,11 +126,11 @@
             self.state.apply(record)
             self._log.append(record)
         place = len(self._log)
-        if not self._hasty:
+        if not self._acknowledges_early:
             await asyncio.sleep(random.uniform(0.001, 0.02))
         if self._term != term:
             return lost
-        self._durable = max(self._durable, 0 if self._hasty else place)
+        self._durable = max(self._durable, 0 if self._acknowledges_early else place)
         if fate < 0.2:
             await asyncio.sleep(timeout)
             return lost
@@ -197,7 +197,7 @@
         deadline = context.clock.monotonic() + 3.0
         self._held[name].add((key, attempt))
         answer = await ledger.claim(call_key(key), Seconds(1.5))
-        if isinstance(answer, Known):
+        if isinstance(answer, AlreadyClaimed):
             self._held[name].discard((key, attempt))
             return answer.state
         if not isinstance(answer, Claimed):
@@ -221,9 +221,9 @@
         ledger.settle_soon(call_key(key), answer.ticket, "ran")
         return "answered"
 
-    async def call(self, key: int, attempt: int, name: str, patience: float) -> str:
+    async def call(self, key: int, attempt: int, name: str, timeout: float) -> str:
         """One try of a caller: what it was told, or "gave-up"."""
-        told: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        answer: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         serving: list[VirtualTask] = []
 
         async def serve() -> None:
@@ -231,16 +231,16 @@
             assert isinstance(task, VirtualTask)
             serving.append(task)
             outcome = await self._serve(name, key, attempt)
-            self.observer.tell(self.world.now, key, attempt, outcome)
-            if not told.done():
-                told.set_result(outcome)
+            self.observer.record_answer(self.world.now, key, attempt, outcome)
+            if not answer.done():
+                answer.set_result(outcome)
 
         if not self.world.processes[name].alive:
             return "gave-up"
         self.world.spawn(self.world.processes[name], serve(), "serve")
-        await asyncio.wait((told,), timeout=patience)
-        if told.done():
-            return told.result()
+        await asyncio.wait((answer,), timeout=timeout)
+        if answer.done():
+            return answer.result()
         for task in serving:
             task.cancel()
         return "gave-up"
--- a/wingwood/ledger/tests/test_client.py
+++ b/wingwood/ledger/tests/test_client.py
@@ -16,12 +16,12 @@
 from ...context.protocols import Context
 from ...control.protocols import NotDecided
 from ...identifiers import Incarnation, Seconds
-from ..client import DecideClient, LedgerBounds, RouterLedger
-from ..protocols import Claimed, Known, Unreachable
-from ..state import ClaimKey, Held, LedgerBatch, LedgerState
-from .ledger_world import RETENTION, LedgerRouters, MakeLedger, RoughControl, WorldClock, call_key
+from ..client import DecideClient, LedgerLimits, RouterLedger
+from ..protocols import AlreadyClaimed, Claimed, Unreachable
+from ..state import ClaimKey, HeldClaim, LedgerBatch, LedgerState
+from .ledger_world import RETENTION, FaultyControl, LedgerRouters, MakeLedger, WorldClock, call_key
 
-CALM = 20.0
+CALM_SECONDS = 20.0
 
 
 class ClientTest(unittest.TestCase):
@@ -30,14 +30,14 @@
         self.world.__enter__()
         self.addCleanup(self.world.close)
 
-    def routers(self, bounds: LedgerBounds | None = None) -> tuple[LedgerRouters, RoughControl]:
-        control = RoughControl(self.world, lambda: LedgerState(WorldClock(self.world), RETENTION))
-        control.rough = False
+    def routers(self, limits: LedgerLimits | None = None) -> tuple[LedgerRouters, FaultyControl]:
+        control = FaultyControl(self.world, lambda: LedgerState(WorldClock(self.world), RETENTION))
+        control.faults_enabled = False
         routers = LedgerRouters(
             self.world,
             2,
             lambda context, name: control,
-            lambda context, incarnation, decide: RouterLedger(context, incarnation, decide, bounds),
+            lambda context, incarnation, decide: RouterLedger(context, incarnation, decide, limits),
         )
         return routers, control
 
@@ -59,10 +59,10 @@
         claimed = self.on_router("r0", lambda ledger: ledger.claim(call_key(1), Seconds(1.0)))
         assert isinstance(claimed, Claimed)
         self.world.spawn(self.world.processes["r0"], self._settle_later(0.5, claimed.ticket), "settle")
-        began = self.world.now
+        started_at = self.world.now
         answer = self.on_router("r1", lambda ledger: ledger.claim(call_key(1), Seconds(2.0)))
-        self.assertEqual(answer, Known("ran"))
-        self.assertLess(self.world.now - began, 1.0)
+        self.assertEqual(answer, AlreadyClaimed("ran"))
+        self.assertLess(self.world.now - started_at, 1.0)
 
     async def _settle_later(self, seconds: float, ticket: str) -> None:
         await asyncio.sleep(seconds)
@@ -70,11 +70,11 @@
 
     def test_a_claim_is_answered_within_its_time_and_then_given_up(self) -> None:
         self.fleet, control = self.routers()
-        with mock.patch.object(RoughControl, "decide", _silent):
-            began = self.world.now
+        with mock.patch.object(FaultyControl, "decide", _silent):
+            started_at = self.world.now
             answer = self.on_router("r0", lambda ledger: ledger.claim(call_key(1), Seconds(1.0)))
             self.assertIsInstance(answer, Unreachable)
-            self.assertLess(self.world.now - began, 1.02)
+            self.assertLess(self.world.now - started_at, 1.02)
             self.assertEqual(self.fleet.ledgers["r0"].unsettled(), 1)
         self.world.run(3.0)
         self.assertEqual(self.fleet.ledgers["r0"].unsettled(), 0)
@@ -124,8 +124,8 @@
         self.assertLess(decide.call_count, 10)
 
     def test_waiting_claims_and_unsettled_outcomes_are_bounded(self) -> None:
-        self.fleet, _ = self.routers(LedgerBounds(waiting=3, unsettled=5))
-        with mock.patch.object(RoughControl, "decide", _silent):
+        self.fleet, _ = self.routers(LedgerLimits(waiting=3, unsettled=5))
+        with mock.patch.object(FaultyControl, "decide", _silent):
 
             async def many(ledger: RouterLedger) -> list[object]:
                 return list(await asyncio.gather(*(ledger.claim(call_key(key), Seconds(0.3)) for key in range(1, 11))))
@@ -147,19 +147,19 @@
         answer = self.on_router("r0", lambda ledger: ledger.claim(call_key(2), Seconds(1.0)))
         self.assertIsInstance(answer, Unreachable)
         answer = self.on_router("r1", lambda ledger: ledger.claim(call_key(1), Seconds(1.0)))
-        self.assertEqual(answer, Known("ran"))
+        self.assertEqual(answer, AlreadyClaimed("ran"))
 
 
-async def _silent(control: RoughControl, kind: str, command: object, reply_type: type, timeout: Seconds) -> object:
+async def _silent(control: FaultyControl, kind: str, command: object, reply_type: type, timeout: Seconds) -> object:
     await asyncio.sleep(timeout)
     return Failure(NotDecided("unknown"))
 
 
-def walk(
+def run_random_faults(
     seed: int,
     seconds: float = 30.0,
     state_type: type[LedgerState] = LedgerState,
-    hasty: bool = False,
+    acknowledges_early: bool = False,
     make_ledger: MakeLedger = RouterLedger,
 ) -> tuple[LedgerRouters, list[int]]:
     """Random faults for a while, then calm; the keys that stay blocked without a reason."""
@@ -168,7 +168,7 @@
         def make_state() -> LedgerState:
             return state_type(WorldClock(world), RETENTION, lambda router: routers.is_member(router))  # noqa: PLW0108
 
-        control = RoughControl(world, make_state, hasty)
+        control = FaultyControl(world, make_state, acknowledges_early)
         routers = LedgerRouters(world, 4, lambda context, name: control, make_ledger)
         routers.start_callers(12)
         random = world.random
@@ -189,45 +189,47 @@
                         world.wake(name)
 
                 world.at(world.now + random.uniform(0.5, 5.0), wake)
-        control.rough = False
+        control.faults_enabled = False
         for name in routers.names:
             world.wake(name)
         for task in world.loop_tasks():
             if task.get_name() == "caller":
                 task.cancel()
-        world.run(CALM)
+        world.run(CALM_SECONDS)
         blocked = routers.blocked_keys()
         if world.broken_invariants:
             raise AssertionError(world.broken_invariants[0])
         return routers, blocked
 
 
-class WalkTest(unittest.TestCase):
+class RandomFaultsTest(unittest.TestCase):
     def test_nothing_runs_twice_and_nothing_stays_blocked(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
-                routers, blocked = walk(seed)
+                routers, blocked = run_random_faults(seed)
                 self.assertEqual(routers.observer.faults, [])
                 self.assertEqual(blocked, [])
                 self.assertGreater(routers.observer.claimed, 200)
 
     def test_a_ledger_that_answers_before_a_claim_is_durable_is_caught(self) -> None:
-        self.assertTrue(any(walk(seed, hasty=True)[0].observer.faults for seed in range(3)))
+        self.assertTrue(any(run_random_faults(seed, acknowledges_early=True)[0].observer.faults for seed in range(3)))
 
     def test_a_ledger_that_grants_a_resent_claim_to_another_ticket_is_caught(self) -> None:
-        self.assertTrue(any(walk(seed, state_type=GrantsToAnyTicket)[0].observer.faults for seed in range(3)))
+        self.assertTrue(
+            any(run_random_faults(seed, state_type=GrantsToAnyTicket)[0].observer.faults for seed in range(3))
+        )
 
     def test_a_ledger_that_grants_freed_tickets_again_is_caught(self) -> None:
-        self.assertTrue(any(walk(seed, state_type=GrantsFreedTickets)[1] for seed in range(3)))
+        self.assertTrue(any(run_random_faults(seed, state_type=GrantsFreedTickets)[1] for seed in range(3)))
 
     def test_a_router_that_does_not_give_up_its_late_claims_is_caught(self) -> None:
-        self.assertTrue(any(walk(seed, make_ledger=NeverGivesUp)[1] for seed in range(3)))
+        self.assertTrue(any(run_random_faults(seed, make_ledger=NeverGivesUp)[1] for seed in range(3)))
 
 
 class GrantsToAnyTicket(LedgerState):
-    def _find(self, key: bytes) -> Held | Any:
+    def _find(self, key: bytes) -> HeldClaim | Any:
         held = super()._find(key)
-        if isinstance(held, Held) and self._asker is not None and held.router == self._asker.router:
+        if isinstance(held, HeldClaim) and self._asker is not None and held.router == self._asker.router:
             number = next((claim.number for claim in self._asker.claims if claim.key == key), held.number)
             return msgspec.structs.replace(held, number=number)
         return held
--- a/wingwood/ledger/tests/test_core.py
+++ b/wingwood/ledger/tests/test_core.py
@@ -56,7 +56,7 @@
         identity = Identity(DaemonName(name), Incarnation(name), "router", Zone("a"), address)
         return ControlClient(context, TcpMessenger(context, identity, KEY), lambda: self.control.seeds)
 
-    def strike(self) -> None:
+    def inject_fault(self) -> None:
         """One fault of a control machine or a router, healed by itself within seconds."""
         world, random = self.world, self.world.random
         assert self.routers is not None
@@ -88,7 +88,7 @@
             world.freeze(router)
             world.at(later, lambda: world.wake(router))
 
-    def walk(self, seconds: float, pause: float = 4.0) -> list[int]:
+    def run_random_faults(self, seconds: float, pause: float = 4.0) -> list[int]:
         """Faults under load, then calm; the keys that stay blocked without a reason."""
         assert self.routers is not None
         world = self.world
@@ -97,7 +97,7 @@
         while world.now < end:
             world.run(world.random.uniform(0.1, pause))
             if all(machine.powered for machine in world.machines.values()):
-                self.strike()
+                self.inject_fault()
         world.run(4.1)
         for name in (*self.routers.names, *CONTROLS):
             world.wake(name)
@@ -119,7 +119,7 @@
         for seed in (1, 2):
             with self.subTest(seed=seed):
                 fleet = LedgerFleet(seed)
-                blocked = fleet.walk(30.0)
+                blocked = fleet.run_random_faults(30.0)
                 assert fleet.routers is not None
                 self.assertEqual(fleet.routers.observer.faults, [])
                 self.assertEqual(blocked, [])
@@ -127,14 +127,14 @@
 
     def test_a_core_that_answers_before_its_backup_has_the_record_is_caught(self) -> None:
         def faults(seed: int) -> list[str]:
-            fleet = LedgerFleet(seed, core_type=HastyCore)
-            fleet.walk(20.0, 1.0)
+            fleet = LedgerFleet(seed, core_type=EarlyAcknowledgingCore)
+            fleet.run_random_faults(20.0, 1.0)
             assert fleet.routers is not None
             return fleet.routers.observer.faults
 
         self.assertTrue(any(any("twice" in fault for fault in faults(seed)) for seed in range(8)))
 
 
-class HastyCore(ReplicatedCore):
+class EarlyAcknowledgingCore(ReplicatedCore):
     async def _replicate(self, *arguments: Any) -> bool:
         return True
--- a/wingwood/ledger/tests/test_state.py
+++ b/wingwood/ledger/tests/test_state.py
@@ -7,7 +7,7 @@
 from ...identifiers import IdempotencyKey, Incarnation, Instant, Seconds, ServiceName, TenantName, WallTime
 from ..protocols import CallKey
 from ..state import (
-    LONGEST_RUNNING,
+    MAX_RUNNING_AGE_S,
     ClaimAnswer,
     ClaimKey,
     LedgerAnswers,
@@ -22,7 +22,7 @@
 NORTH, SOUTH = Incarnation("north"), Incarnation("south")
 
 
-class HandClock:
+class ManualClock:
     def __init__(self) -> None:
         self.now = 1000.0
 
@@ -42,7 +42,7 @@
 
 class LedgerStateTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.members = {NORTH, SOUTH}
         self.state = self.make()
         self.backup = self.make()
@@ -157,7 +157,7 @@
 
     def test_a_claim_never_settled_is_forgotten_after_a_day(self) -> None:
         self.claim(NORTH, 1)
-        self.clock.now += LONGEST_RUNNING + 1
+        self.clock.now += MAX_RUNNING_AGE_S + 1
         self.claim(SOUTH, 1, "tick")
         self.assertEqual(self.claim(SOUTH, 2), "claimed")
 
@@ -172,6 +172,6 @@
         self.assertEqual(self.claim(SOUTH, 2), "ran")
 
     def test_entries_are_bounded(self) -> None:
-        self.state = LedgerState(self.clock, RETENTION, None, most_entries=2)
+        self.state = LedgerState(self.clock, RETENTION, None, max_entries=2)
         answers = [self.claim(NORTH, number, f"key {number}") for number in (1, 2, 3)]
         self.assertEqual(answers, ["claimed", "claimed", "full"])
--- a/wingwood/limits/admission.py
+++ b/wingwood/limits/admission.py
@@ -9,14 +9,14 @@
 from .protocols import ShareRefused
 
 
-class PatienceAdmission:
+class DeadlineAdmission:
     """An ``Admission``: the predicted first token must fit into the callers' patience, less a margin."""
 
     def __init__(self, margin: float = 0.1) -> None:
-        self._part = 1.0 - margin
+        self._usable_fraction = 1.0 - margin
 
     def refuse(self, service: Service, predicted_first_token: Seconds) -> ShareRefused | None:
-        late = predicted_first_token - self._part * service.first_byte_patience
+        late = predicted_first_token - self._usable_fraction * service.first_byte_patience
         if not late > 0.0:
             return None
         # Capped: an infinite prediction says that nothing is known, not that nothing will ever run.
--- a/wingwood/limits/keepers.py
+++ b/wingwood/limits/allocator_selector.py
@@ -11,7 +11,7 @@
 from ..transport.frames import Identity
 
 
-class ShareKeepers:
+class AllocatorSelector:
     """Rendezvous over the routers, kept up to date by differences.
 
     A member more or less costs one hash per known tenant, not one per tenant and member.
@@ -20,21 +20,21 @@
     def __init__(self, membership: Membership, clock: Clock | None = None) -> None:
         self._membership = membership
         self._clock = clock
-        self._gone: dict[str, tuple[Identity, Instant]] = {}
+        self._departed: dict[str, tuple[Identity, Instant]] = {}
         """By name: a router that ceased to be a member and has not come back, and since when."""
         self._routers: dict[str, Identity] = {}
-        self._chosen: dict[TenantName, tuple[int, Identity]] = {}
+        self._allocators: dict[TenantName, tuple[int, Identity]] = {}
         self._deputies: dict[TenantName, Identity | None] = {}
-        self._changed = True
-        membership.on_change(self._mark_changed)
+        self._stale = True
+        membership.on_change(self._mark_stale)
 
-    def _mark_changed(self) -> None:
-        self._changed = True
+    def _mark_stale(self) -> None:
+        self._stale = True
 
-    def keeper(self, tenant: TenantName) -> Identity | None:
+    def allocator(self, tenant: TenantName) -> Identity | None:
         """None while no router is known."""
-        self._catch_up()
-        found = self._chosen.get(tenant)
+        self._refresh()
+        found = self._allocators.get(tenant)
         if found is None:
             if not self._routers:
                 return None
@@ -42,73 +42,75 @@
                 ((weight(tenant, key), router) for key, router in sorted(self._routers.items())),
                 key=lambda candidate: candidate[0],
             )
-            self._chosen[tenant] = found
+            self._allocators[tenant] = found
         return found[1]
 
     def deputy(self, tenant: TenantName) -> Identity | None:
         """Who keeps the share once the keeper is no member any more."""
-        self._catch_up()
+        self._refresh()
         if tenant not in self._deputies:
-            keeper = self.keeper(tenant)
-            others = [(weight(tenant, key), key) for key, router in sorted(self._routers.items()) if router != keeper]
+            allocator = self.allocator(tenant)
+            others = [
+                (weight(tenant, key), key) for key, router in sorted(self._routers.items()) if router != allocator
+            ]
             self._deputies[tenant] = self._routers[max(others)[1]] if others else None
         return self._deputies[tenant]
 
     def routers(self) -> list[Identity]:
         """Sorted; the last known ones while this daemon's view is empty."""
-        self._catch_up()
+        self._refresh()
         return [self._routers[key] for key in sorted(self._routers)]
 
     def count(self) -> int:
         """How many routers are known."""
-        self._catch_up()
+        self._refresh()
         return len(self._routers)
 
-    def gone(self, within: Seconds) -> list[Identity]:
+    def recently_departed(self, within: Seconds) -> list[Identity]:
         """Routers that were members so short a time ago and have not come back (in another life)."""
-        self._catch_up()
+        self._refresh()
         if self._clock is None:
             return []
         now = self._clock.monotonic()
-        for name in [name for name, (_, since) in self._gone.items() if now - since > within]:
-            del self._gone[name]
-        return [router for router, _ in self._gone.values()]
+        for name in [name for name, (_, since) in self._departed.items() if now - since > within]:
+            del self._departed[name]
+        return [router for router, _ in self._departed.values()]
 
-    def keeper_before(self, tenant: TenantName, missing: Sequence[Identity]) -> bool:
+    def may_have_been_allocator(self, tenant: TenantName, missing: Sequence[Identity]) -> bool:
         """Whether one of these would keep the share if it were a member, and so may have kept it before."""
-        keeper = self.keeper(tenant)
-        if keeper is None:
+        allocator = self.allocator(tenant)
+        if allocator is None:
             return bool(missing)
-        own = weight(tenant, f"{keeper.name}/{keeper.incarnation}")
+        own = weight(tenant, f"{allocator.name}/{allocator.incarnation}")
         return any(weight(tenant, f"{router.name}/{router.incarnation}") >= own for router in missing)
 
-    def _note_gone(self, before: dict[str, Identity], now: dict[str, Identity]) -> None:
+    def _record_departures(self, before: dict[str, Identity], now: dict[str, Identity]) -> None:
         present = {router.name for router in now.values()}
         if self._clock is None:
             return
         for router in before.values():
             if router.name not in present:
-                self._gone.setdefault(router.name, (router, self._clock.monotonic()))
+                self._departed.setdefault(router.name, (router, self._clock.monotonic()))
         for name in present:
-            self._gone.pop(name, None)
+            self._departed.pop(name, None)
 
-    def _catch_up(self) -> None:
-        if not self._changed:
+    def _refresh(self) -> None:
+        if not self._stale:
             return
-        self._changed = False
+        self._stale = False
         now = {f"{router.name}/{router.incarnation}": router for router in self._membership.routers()}
         if not now:
             return
         self._deputies.clear()
         before = self._routers
         self._routers = now
-        self._note_gone(before, now)
+        self._record_departures(before, now)
         added = sorted(key for key in now if key not in before)
-        gone = {key for key in before if key not in now}
-        for tenant, (best, router) in list(self._chosen.items()):
-            if f"{router.name}/{router.incarnation}" in gone:
-                del self._chosen[tenant]
+        departed = {key for key in before if key not in now}
+        for tenant, (best, router) in list(self._allocators.items()):
+            if f"{router.name}/{router.incarnation}" in departed:
+                del self._allocators[tenant]
                 continue
             rival = max(((weight(tenant, key), key) for key in added), default=None)
             if rival is not None and rival[0] > best:
-                self._chosen[tenant] = (rival[0], now[rival[1]])
+                self._allocators[tenant] = (rival[0], now[rival[1]])
--- a/wingwood/limits/bucket.py
+++ b/wingwood/limits/bucket.py
@@ -8,50 +8,50 @@
 
 
 class TokenBucket:
-    """Fills at ``rate`` per second up to ``most``; may be owed (below zero) down to ``-most``."""
+    """Fills at ``rate`` per second up to ``capacity``; may be owed (below zero) down to ``-capacity``."""
 
-    __slots__ = ("_at", "level", "most", "rate")
+    __slots__ = ("_at", "capacity", "level", "rate")
 
-    def __init__(self, rate: float, most: float, level: float, now: Instant) -> None:
+    def __init__(self, rate: float, capacity: float, level: float, now: Instant) -> None:
         self.rate = rate
-        self.most = most
-        self.level = min(level, most)
+        self.capacity = capacity
+        self.level = min(level, capacity)
         self._at = now
 
-    def fill(self, now: Instant) -> None:
-        self.level = min(self.most, self.level + max(0.0, now - self._at) * self.rate)
+    def refill(self, now: Instant) -> None:
+        self.level = min(self.capacity, self.level + max(0.0, now - self._at) * self.rate)
         self._at = max(self._at, now)
 
-    def change(self, rate: float, most: float, now: Instant) -> None:
+    def reconfigure(self, rate: float, capacity: float, now: Instant) -> None:
         """What was earned until now was earned at the old rate."""
-        if (rate, most) != (self.rate, self.most):
-            self.fill(now)
-            self.rate, self.most = rate, most
-            self.level = min(self.level, most)
+        if (rate, capacity) != (self.rate, self.capacity):
+            self.refill(now)
+            self.rate, self.capacity = rate, capacity
+            self.level = min(self.level, capacity)
 
     def take(self, wanted: int, now: Instant) -> int:
         """As many of ``wanted`` whole tokens as there are."""
-        self.fill(now)
+        self.refill(now)
         granted = max(0, min(wanted, int(self.level + 1e-9)))
         self.level -= granted
         return granted
 
-    def give(self, tokens: float, now: Instant) -> None:
+    def adjust(self, tokens: float, now: Instant) -> None:
         """Adds, or takes away when negative."""
-        self.fill(now)
-        self.level = max(-self.most, min(self.most, self.level + tokens))
+        self.refill(now)
+        self.level = max(-self.capacity, min(self.capacity, self.level + tokens))
 
     def wait(self, now: Instant, wanted: float = 1.0) -> Seconds:
         """Until ``wanted`` tokens are there."""
-        self.fill(now)
+        self.refill(now)
         return Seconds(max(0.0, (wanted - self.level) / self.rate)) if self.rate > 0 else Seconds(60.0)
 
 
-class RecentCount:
+class SlidingWindowCounter:
     """Events in a sliding window, in steps of a twentieth of a second."""
 
     __slots__ = ("_steps", "_total", "_window")
-    STEP = 0.05
+    STEP_S = 0.05
 
     def __init__(self, window: Seconds) -> None:
         self._window = window
@@ -59,19 +59,19 @@
         self._total = 0
 
     def add(self, now: Instant, count: int = 1) -> None:
-        if self._steps and now - self._steps[-1][0] < self.STEP:
+        if self._steps and now - self._steps[-1][0] < self.STEP_S:
             self._steps[-1][1] += count
         else:
-            self._forget(now)
+            self._drop_expired(now)
             self._steps.append([now, count])
         self._total += count
 
-    def _forget(self, now: Instant) -> None:
+    def _drop_expired(self, now: Instant) -> None:
         while self._steps and now - self._steps[0][0] > self._window:
             self._total -= int(self._steps.popleft()[1])
 
     def count(self, now: Instant, window: Seconds | None = None) -> int:
-        self._forget(now)
+        self._drop_expired(now)
         if window is None or window >= self._window:
             return self._total
         total = 0
@@ -81,9 +81,9 @@
             total += int(events)
         return total
 
-    def by_age(self, now: Instant, step: Seconds) -> tuple[int, ...]:
+    def counts_by_age(self, now: Instant, step: Seconds) -> tuple[int, ...]:
         """Counts of the events not older than one step, two steps and so on, as differences."""
-        self._forget(now)
+        self._drop_expired(now)
         counts: list[int] = []
         for at, events in reversed(self._steps):
             age = int(max(0.0, now - at) / step)
--- a/wingwood/limits/messages.py
+++ b/wingwood/limits/messages.py
@@ -2,20 +2,24 @@
 
 from __future__ import annotations
 
+from typing import ClassVar
+
 import msgspec
 
 from ..identifiers import Address, Seconds, TenantName
 
-RECENT = Seconds(4.0)
+RECENT_WINDOW_S = Seconds(4.0)
 """Over how long a router counts its own use to tell its need."""
 
 
-class LeaseAsk(msgspec.Struct, frozen=True, array_like=True):
+class LeaseRequest(msgspec.Struct, frozen=True, array_like=True):
     """A router asks a tenant's share keeper, or its deputy; answered by LeaseGrant.
 
     Amounts are in the tenant's unit.
     """
 
+    WIRE_NAME: ClassVar[str] = "LeaseAsk"
+
     tenant: TenantName
     paid_rate: float
     burst: Seconds
@@ -27,82 +31,96 @@
     """Of the calls that wait; none when the ask only tells of use."""
     used: int = 0
     """Used without a grant of this keeper since the last ask that it answered."""
-    need: float = 0.0
+    needed_rate: float = msgspec.field(name="need", default=0.0)
     """Per second: what the router would use by itself until it asks again."""
     saved: float = 0.0
     """What it keeps of that from before."""
-    poured: float = 0.0
+    transferred: float = msgspec.field(name="poured", default=0.0)
     """For a deputy's account: unused part of what the keeper let the router use by itself."""
 
 
-class KeeperView(msgspec.Struct, frozen=True, array_like=True):
+class AllocatorView(msgspec.Struct, frozen=True, array_like=True):
     """What a keeper knows of a tenant, for the next one."""
 
+    WIRE_NAME: ClassVar[str] = "KeeperView"
+
     used: float
     """By all routers in the last window."""
-    promised: float
+    promised_rate: float = msgspec.field(name="promised")
     """Per second: what all routers together may use by themselves."""
-    known: Seconds
+    covered_span: Seconds = msgspec.field(name="known")
     """How far back this reaches."""
     level: float
     """Of its bucket, less what the routers may have used since it heard of them."""
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True):
-    keeper: bool
+    is_allocator: bool = msgspec.field(name="keeper")
     """False: this router neither keeps the tenant's share nor stands in for who does."""
-    stands_in: bool = False
+    from_deputy: bool = msgspec.field(name="stands_in", default=False)
     """The grant comes from the deputy's account, and the keeper has to be told of it."""
     granted: tuple[bool, ...] = ()
     """For each of the asked calls."""
     wait: Seconds = Seconds(0.0)
     """When one was not granted: how long until it would be."""
-    allowed: float = 0.0
-    """Per second: what the router may use by itself from now on, for ``RouterShare.AUTONOMY``."""
-    plenty: bool = False
+    allowed_rate: float = msgspec.field(name="allowed", default=0.0)
+    """Per second: what the router may use by itself from now on, for ``RouterShare.AUTONOMY_S``."""
+    credit_available: bool = msgspec.field(name="plenty", default=False)
     """The bucket holds enough for credit."""
-    view: KeeperView | None = None
+    view: AllocatorView | None = None
     """None: the keeper has just begun."""
 
 
-class UseQuestion(msgspec.Struct, frozen=True, array_like=True):
+class UsageRequest(msgspec.Struct, frozen=True, array_like=True):
     """A new keeper asks each router what the tenant used lately; answered by UseAnswer."""
 
+    WIRE_NAME: ClassVar[str] = "UseQuestion"
+
     tenant: TenantName
     window: Seconds
     step: Seconds
 
 
-class UseAnswer(msgspec.Struct, frozen=True, array_like=True):
+class UsageReport(msgspec.Struct, frozen=True, array_like=True):
+    WIRE_NAME: ClassVar[str] = "UseAnswer"
+
     used: tuple[int, ...]
     """In each step of the window, the newest first."""
-    known: Seconds
+    covered_span: Seconds = msgspec.field(name="known")
     """How much of the window this router has been up."""
     level: float | None
     """From the keeper until now: what its bucket held; it grants no more."""
     number: int
     """The answerer's newest ask; what it asked until then is void, since its use is in this report."""
-    allowed: float = 0.0
+    allowed_rate: float = msgspec.field(name="allowed", default=0.0)
     saved: float = 0.0
     """What it may go on using by itself; see LeaseGrant and LeaseAsk."""
-    view: KeeperView | None = None
+    view: AllocatorView | None = None
     """The last that a keeper told, and how long ago."""
-    view_ago: Seconds = Seconds(0.0)
+    view_age: Seconds = msgspec.field(name="view_ago", default=Seconds(0.0))
 
 
-class AliveQuestion(msgspec.Struct, frozen=True, array_like=True):
+class ReachabilityRequest(msgspec.Struct, frozen=True, array_like=True):
     """Call to a third router: does the one at that address answer you? Reply: AliveAnswer."""
 
+    WIRE_NAME: ClassVar[str] = "AliveQuestion"
+
     address: Address
 
 
-class AliveAnswer(msgspec.Struct, frozen=True, array_like=True):
+class ReachabilityReply(msgspec.Struct, frozen=True, array_like=True):
+    WIRE_NAME: ClassVar[str] = "AliveAnswer"
+
     alive: bool
 
 
-class MemberQuestion(msgspec.Struct, frozen=True, array_like=True):
+class MembershipRequest(msgspec.Struct, frozen=True, array_like=True):
     """A keeper whose session is not proven asks another router whether it is still a member there."""
 
+    WIRE_NAME: ClassVar[str] = "MemberQuestion"
+
+
+class MembershipReply(msgspec.Struct, frozen=True, array_like=True):
+    WIRE_NAME: ClassVar[str] = "MemberAnswer"
 
-class MemberAnswer(msgspec.Struct, frozen=True, array_like=True):
-    known: bool
+    is_member: bool = msgspec.field(name="known")
--- a/wingwood/limits/protocols.py
+++ b/wingwood/limits/protocols.py
@@ -26,7 +26,7 @@
 class RetryBudget(Protocol):
     """Kept by pool: services that share one share its budget."""
 
-    def earned(self, service: Service, pool: PoolName | None = None) -> None:
+    def note_call(self, service: Service, pool: PoolName | None = None) -> None:
         """A call of the service came in; ``pool`` once it is chosen (None: by the service's split)."""
         ...
 
--- a/wingwood/limits/router_probes.py
+++ b/wingwood/limits/router_probes.py
@@ -12,15 +12,15 @@
 from ..identifiers import Incarnation, Instant, Seconds, TenantName
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger, TransportFault
-from .keepers import ShareKeepers
-from .kept_share import AUTONOMY
-from .messages import AliveAnswer, AliveQuestion, MemberAnswer, MemberQuestion
-from .share_bounds import ShareBounds
+from .allocator_selector import AllocatorSelector
+from .messages import MembershipReply, MembershipRequest, ReachabilityReply, ReachabilityRequest
+from .share_account import AUTONOMY_S
+from .share_limits import ShareLimits
 
-DOWN_COUNTS = Seconds(1.0)
+SILENCE_VALIDITY_S = Seconds(1.0)
 """A keeper found silent counts as down for so long."""
-ENDED_COUNTS = Seconds(6 * AUTONOMY)
-CONFIRMED_BY = 3
+ENDED_VALIDITY_S = Seconds(6 * AUTONOMY_S)
+MAX_CONFIRMING_ROUTERS = 3
 """Other routers that are asked whether they reach one that refuses connections."""
 
 
@@ -32,32 +32,34 @@
 class RouterProbes:
     """Asks routers for a sign of life and keeps what came of it."""
 
-    def __init__(self, context: Context, messenger: Messenger, keepers: ShareKeepers, bounds: ShareBounds) -> None:
+    def __init__(
+        self, context: Context, messenger: Messenger, selector: AllocatorSelector, limits: ShareLimits
+    ) -> None:
         self._context = context
         self._messenger = messenger
-        self._keepers = keepers
-        self._bounds = bounds
+        self._selector = selector
+        self._limits = limits
         self._pings: dict[Incarnation, _Ping] = {}
         self._pinging: dict[Incarnation, asyncio.Task[None]] = {}
         self._ended: dict[Incarnation, Instant] = {}
         """Processes that have ended, and when that was found."""
         self._confirming: set[Incarnation] = set()
         """Processes that refused a connection, after which other routers are asked now."""
-        messenger.on_call(AliveQuestion, self._on_alive)
+        messenger.on_call(ReachabilityRequest, self._answer_reachability_request)
 
     # Ended processes
 
     def has_ended(self, router: Identity) -> bool:
         return router.incarnation in self._ended
 
-    def note_ended(self, router: Identity, outcome: Result[Any, TransportFault]) -> None:
+    def check_ended(self, router: Identity, outcome: Result[Any, TransportFault]) -> None:
         """A machine that refuses connections has no such process any more, or a cut between it and this one does."""
         if isinstance(outcome, Failure):
             fault = outcome.failure()
             if fault.kind == "unreachable" and fault.detail.startswith("refused"):
-                self._start_confirming(router)
+                self._start_confirming_end(router)
 
-    def _start_confirming(self, router: Identity) -> None:
+    def _start_confirming_end(self, router: Identity) -> None:
         if router.incarnation not in self._confirming and not self.has_ended(router):
             self._confirming.add(router.incarnation)
             self._context.tasks.spawn(f"whether {router.name} has ended", self._confirm_ended(router))
@@ -65,46 +67,50 @@
     async def _confirm_ended(self, router: Identity) -> None:
         """It has ended if no other router reaches it, and at least one was asked with success."""
         own = self._messenger.identity.incarnation
-        others = [other for other in self._keepers.routers() if other.incarnation not in (own, router.incarnation)]
-        asked = self._context.random.sample(others, min(CONFIRMED_BY, len(others)))
-        answers = await asyncio.gather(*(self._ask_alive(other, router) for other in asked))
+        others = [other for other in self._selector.routers() if other.incarnation not in (own, router.incarnation)]
+        asked = self._context.random.sample(others, min(MAX_CONFIRMING_ROUTERS, len(others)))
+        answers = await asyncio.gather(*(self._request_reachability(other, router) for other in asked))
         self._confirming.discard(router.incarnation)
-        told = [answer for answer in answers if answer is not None]
-        if not any(told) and (told or not others):
+        answered = [answer for answer in answers if answer is not None]
+        if not any(answered) and (answered or not others):
             self._ended[router.incarnation] = self._now()
 
-    async def _ask_alive(self, other: Identity, router: Identity) -> bool | None:
-        question = AliveQuestion(router.internal)
-        outcome = await self._messenger.call(other.internal, question, AliveAnswer, Seconds(2 * self._bounds.ping))
+    async def _request_reachability(self, other: Identity, router: Identity) -> bool | None:
+        request = ReachabilityRequest(router.internal)
+        outcome = await self._messenger.call(
+            other.internal, request, ReachabilityReply, Seconds(2 * self._limits.ping_timeout)
+        )
         return outcome.unwrap().alive if isinstance(outcome, Success) else None
 
-    async def _on_alive(self, peer: Identity, question: AliveQuestion) -> AliveAnswer:
-        outcome = await self._messenger.call(question.address, MemberQuestion(), MemberAnswer, self._bounds.ping)
-        return AliveAnswer(isinstance(outcome, Success))
+    async def _answer_reachability_request(self, peer: Identity, request: ReachabilityRequest) -> ReachabilityReply:
+        outcome = await self._messenger.call(
+            request.address, MembershipRequest(), MembershipReply, self._limits.ping_timeout
+        )
+        return ReachabilityReply(isinstance(outcome, Success))
 
     def missing(self) -> list[Identity]:
         """Routers that left lately, have not come back and may still be running."""
-        return [router for router in self._keepers.gone(AUTONOMY) if not self.has_ended(router)]
+        return [router for router in self._selector.recently_departed(AUTONOMY_S) if not self.has_ended(router)]
 
-    # Silent keepers
+    # Silent selector
 
-    async def deputizes(self, tenant: TenantName) -> bool:
+    async def should_deputize(self, tenant: TenantName) -> bool:
         """Whether this router stands in for the keeper: it is the next in order, and no keeper answers it."""
         own = self._messenger.identity.incarnation
-        keeper, deputy = self._keepers.keeper(tenant), self._keepers.deputy(tenant)
-        if keeper is None or deputy is None or deputy.incarnation != own:
+        allocator, deputy = self._selector.allocator(tenant), self._selector.deputy(tenant)
+        if allocator is None or deputy is None or deputy.incarnation != own:
             return False
-        found, now = self._pings.get(keeper.incarnation), self._now()
-        if found is None or now - found.at > self._bounds.ping_counts:
-            pinging = self._start_ping(keeper)
-            if not self._is_down(keeper, now):  # Else what was found counts until the new answer.
-                await asyncio.wait((pinging,), timeout=self._bounds.ping)
-        return self._is_down(keeper, self._now())
-
-    def _is_down(self, keeper: Identity, now: Instant) -> bool:
+        found, now = self._pings.get(allocator.incarnation), self._now()
+        if found is None or now - found.at > self._limits.ping_validity:
+            pinging = self._start_ping(allocator)
+            if not self._is_silent(allocator, now):  # Else what was found counts until the new answer.
+                await asyncio.wait((pinging,), timeout=self._limits.ping_timeout)
+        return self._is_silent(allocator, self._now())
+
+    def _is_silent(self, allocator: Identity, now: Instant) -> bool:
         """Whether this router, as a deputy, has lately found that keeper silent."""
-        found = self._pings.get(keeper.incarnation)
-        return found is not None and found.silent and now - found.at <= DOWN_COUNTS
+        found = self._pings.get(allocator.incarnation)
+        return found is not None and found.silent and now - found.at <= SILENCE_VALIDITY_S
 
     def _start_ping(self, router: Identity) -> asyncio.Task[None]:
         """One at a time for each router."""
@@ -115,18 +121,20 @@
         return pinging
 
     async def _ping(self, router: Identity) -> None:
-        outcome = await self._messenger.call(router.internal, MemberQuestion(), MemberAnswer, self._bounds.ping)
+        outcome = await self._messenger.call(
+            router.internal, MembershipRequest(), MembershipReply, self._limits.ping_timeout
+        )
         self._pings[router.incarnation] = _Ping(self._now(), not isinstance(outcome, Success))
-        self.note_ended(router, outcome)
+        self.check_ended(router, outcome)
         self._pinging.pop(router.incarnation, None)
 
     # Upkeep
 
-    def forget_old(self, now: Instant) -> None:
+    def drop_expired(self, now: Instant) -> None:
         if self._pings:
-            members = {router.incarnation for router in self._keepers.routers()}
+            members = {router.incarnation for router in self._selector.routers()}
             self._pings = {router: ping for router, ping in self._pings.items() if router in members}
-        for incarnation in [key for key, found in self._ended.items() if now - found > ENDED_COUNTS]:
+        for incarnation in [key for key, found in self._ended.items() if now - found > ENDED_VALIDITY_S]:
             del self._ended[incarnation]
 
     def ping_missing(self) -> None:
--- a/wingwood/limits/router_share.py
+++ b/wingwood/limits/router_share.py
@@ -9,35 +9,35 @@
 
 from ..bundle.model import Tenant
 from ..identifiers import Incarnation, Instant, Seconds
-from .bucket import RecentCount, TokenBucket
-from .kept_share import ACCRUE, AUTONOMY
-from .messages import RECENT, KeeperView, LeaseAsk, LeaseGrant, UseAnswer
+from .bucket import SlidingWindowCounter, TokenBucket
+from .messages import RECENT_WINDOW_S, AllocatorView, LeaseGrant, LeaseRequest, UsageReport
 from .protocols import ShareRefused
-from .takeover import STEP
-from .tolerance import QuotaPlan, QuotaTolerance, plan_of_tenant
+from .share_account import ACCRUAL_LIMIT_S, AUTONOMY_S
+from .takeover import REPORT_STEP_S
+from .tolerance import QuotaPlan, QuotaTolerance, make_tenant_plan
 
-LEAST_CALLS = 2
+MIN_RECENT_CALLS = 2
 """A router that had fewer calls of the tenant lately (RECENT) is allowed nothing by itself."""
-IDLE = Seconds(1.5)
+IDLE_S = Seconds(1.5)
 """Without a call for this long it gives back what it was allowed."""
-SETTLE = Seconds(0.25)
+SETTLE_DELAY_S = Seconds(0.25)
 """What was used by itself is told to the keeper so long after its last answer."""
-YOUNG = Seconds(3.0)
+NO_CREDIT_AFTER_START_S = Seconds(3.0)
 """A router that just started doesn't know how many others there are, and so takes nothing on credit."""
-CREDIT_CALLS = 1.0
+MIN_CREDIT_CALLS = 1.0
 """On credit a router may always let one call through, if the tenant's unit is calls ..."""
-CREDIT_EVERY = Seconds(4.0)
+CREDIT_CALL_INTERVAL_S = Seconds(4.0)
 """... and another one after this long, while the keeper is out of reach."""
 
 
-SPARE = Seconds(1.0)
+SPARE_GRANT_LIFETIME_S = Seconds(1.0)
 """A grant whose call did not wait for it may be used so long by another call."""
 
 
-class _Spare(msgspec.Struct):
+class _SpareGrant(msgspec.Struct):
     until: Instant
     left: int
-    stands_in: bool
+    from_deputy: bool
     """It came from a deputy, so the keeper has to be told when it is used."""
 
 
@@ -50,7 +50,7 @@
         self.cost = cost
         self.outcome = outcome
 
-    def tell(self, outcome: ShareRefused | str) -> None:
+    def resolve(self, outcome: ShareRefused | str) -> None:
         if not self.outcome.done():
             self.outcome.set_result(outcome)
 
@@ -62,56 +62,56 @@
         self._tolerance = tolerance
         self._started = started
         self.tenant = tenant
-        self.plan: QuotaPlan = plan_of_tenant(tenant, tolerance)
-        self.accepted = RecentCount(Seconds(max(RECENT, tolerance.window) + STEP))
-        self._calls = RecentCount(RECENT)
-        self.offered_at = now
-        self.own = TokenBucket(0.0, 0.0, 0.0, now)
+        self.plan: QuotaPlan = make_tenant_plan(tenant, tolerance)
+        self.accepted = SlidingWindowCounter(Seconds(max(RECENT_WINDOW_S, tolerance.window) + REPORT_STEP_S))
+        self._calls = SlidingWindowCounter(RECENT_WINDOW_S)
+        self.last_call_at = now
+        self.allowance = TokenBucket(0.0, 0.0, 0.0, now)
         """What the keeper allows this router to use by itself."""
         self.credit = TokenBucket(0.0, 0.0, 0.0, now)
         self._routers = routers
-        self._fit_credit(now)
-        self.credit.level = self.credit.most
-        self._spare: list[_Spare] = []
+        self._resize_credit(now)
+        self.credit.level = self.credit.capacity
+        self._spare: list[_SpareGrant] = []
         self.unsettled = 0
         """Used without a grant of the keeper, and not yet told to it."""
         self.reports = 0
         """Counts the answers to new keepers, which hold what was unsettled until then."""
-        self.contact: Instant | None = None
+        self.last_contact: Instant | None = None
         """When the last ask that the keeper answered was sent."""
-        self.plenty = False
+        self.credit_available = False
         """The keeper's bucket holds enough for credit, as far as this router was told."""
-        self.told: KeeperView | None = None
+        self.latest_view: AllocatorView | None = None
         """The last that a keeper told of the whole."""
-        self.told_at = now
+        self.latest_view_at = now
         self.waiters: deque[Waiter] = deque()
-        self.asking = False
-        self.settling = False
-        self.empty_until = Instant(0.0)
+        self.request_active = False
+        self.settle_scheduled = False
+        self.bucket_empty_until = Instant(0.0)
         self.next_probe = Instant(0.0)
         self.unreachable_since: Instant | None = None
         """Neither the keeper nor its deputy answers."""
-        self.deputy_of: Incarnation | None = None
+        self.deputized_allocator: Incarnation | None = None
         """The keeper in whose place the deputy is asked."""
-        self.deputy_stands = False
+        self.granted_by_deputy = False
         """The last grant came from a deputy's account; what may be used here is poured into that."""
-        self.lost = False
+        self.allocator_silent = False
         """The keeper does not answer, whether or not its deputy does."""
 
     def update(self, tenant: Tenant, routers: int, now: Instant) -> None:
         if tenant is self.tenant and routers == self._routers:
             return
         self.tenant, self._routers = tenant, routers
-        self.plan = plan_of_tenant(tenant, self._tolerance)
-        self._fit_credit(now)
+        self.plan = make_tenant_plan(tenant, self._tolerance)
+        self._resize_credit(now)
 
-    def _fit_credit(self, now: Instant) -> None:
+    def _resize_credit(self, now: Instant) -> None:
         """Half of an equal part, which comes again once per window, makes the whole part at most."""
-        most = 0.5 * self.plan.credit / max(1, self._routers)
-        rate = most / self._tolerance.window
+        capacity = 0.5 * self.plan.credit / max(1, self._routers)
+        rate = capacity / self._tolerance.window
         if self.tenant.unit == "calls":
-            most, rate = max(most, CREDIT_CALLS), max(rate, CREDIT_CALLS / CREDIT_EVERY)
-        self.credit.change(rate, most, now)
+            capacity, rate = max(capacity, MIN_CREDIT_CALLS), max(rate, MIN_CREDIT_CALLS / CREDIT_CALL_INTERVAL_S)
+        self.credit.reconfigure(rate, capacity, now)
 
     # Taking
 
@@ -120,21 +120,25 @@
         if self._take_spare(cost, now):
             return True
         self._expire(now)
-        self.own.fill(now)
-        self.credit.fill(now)
-        on_credit = self.plenty if self.contact is not None else self.lost
-        on_credit = on_credit and now - self._started >= YOUNG and (self.lost or self.plan.credit > 0.0)
-        own = max(0.0, self.own.level)
-        if cost > own + (self.credit.level if on_credit else 0.0) + 1e-6:
+        self.allowance.refill(now)
+        self.credit.refill(now)
+        on_credit = self.credit_available if self.last_contact is not None else self.allocator_silent
+        on_credit = (
+            on_credit
+            and now - self._started >= NO_CREDIT_AFTER_START_S
+            and (self.allocator_silent or self.plan.credit > 0.0)
+        )
+        allowance = max(0.0, self.allowance.level)
+        if cost > allowance + (self.credit.level if on_credit else 0.0) + 1e-6:
             return False
-        self.own.level = own - min(own, cost)
-        self.credit.level -= max(0.0, cost - own)
+        self.allowance.level = allowance - min(allowance, cost)
+        self.credit.level -= max(0.0, cost - allowance)
         self.unsettled += cost
         self.count(cost, now)
         return True
 
-    def keep_spare(self, cost: int, stands_in: bool, now: Instant) -> None:
-        self._spare.append(_Spare(Instant(now + SPARE), cost, stands_in))
+    def add_spare(self, cost: int, from_deputy: bool, now: Instant) -> None:
+        self._spare.append(_SpareGrant(Instant(now + SPARE_GRANT_LIFETIME_S), cost, from_deputy))
 
     def _take_spare(self, cost: int, now: Instant) -> bool:
         if not self._spare:
@@ -144,7 +148,7 @@
         if fitting is None:
             return False
         fitting.left -= cost
-        self.unsettled += cost if fitting.stands_in else 0
+        self.unsettled += cost if fitting.from_deputy else 0
         self.count(cost, now)
         return True
 
@@ -152,42 +156,42 @@
         self.accepted.add(now, cost)
         self._calls.add(now)
 
-    def wait_for_own(self, cost: int, now: Instant) -> Seconds:
+    def time_until_allowance(self, cost: int, now: Instant) -> Seconds:
         """How long until a call would fit into what the router may use by itself."""
-        if self.own.rate > 0:
-            return self.own.wait(now, cost)
-        return self.credit.wait(now, cost) if self.lost else Seconds(60.0)
+        if self.allowance.rate > 0:
+            return self.allowance.wait(now, cost)
+        return self.credit.wait(now, cost) if self.allocator_silent else Seconds(60.0)
 
     def _expire(self, now: Instant) -> None:
-        if self.contact is not None and now - self.contact > AUTONOMY:
-            self.own.change(0.0, 0.0, now)
+        if self.last_contact is not None and now - self.last_contact > AUTONOMY_S:
+            self.allowance.reconfigure(0.0, 0.0, now)
 
     # Asking
 
-    def need(self, now: Instant) -> float:
-        if now - self.offered_at > IDLE or self._calls.count(now) < LEAST_CALLS:
+    def needed_rate(self, now: Instant) -> float:
+        if now - self.last_call_at > IDLE_S or self._calls.count(now) < MIN_RECENT_CALLS:
             return 0.0
-        return self.accepted.count(now, RECENT) / RECENT
+        return self.accepted.count(now, RECENT_WINDOW_S) / RECENT_WINDOW_S
 
-    def has_to_tell(self, now: Instant) -> bool:
-        return self.unsettled > 0 or (self.own.rate > 0 and now - self.offered_at > IDLE)
+    def has_unreported_use(self, now: Instant) -> bool:
+        return self.unsettled > 0 or (self.allowance.rate > 0 and now - self.last_call_at > IDLE_S)
 
-    def ask(self, number: int, costs: tuple[int, ...], deputized: bool, now: Instant) -> LeaseAsk:
+    def make_request(self, number: int, costs: tuple[int, ...], to_deputy: bool, now: Instant) -> LeaseRequest:
         """Until the answer the router goes on with the smaller of what it was allowed and what it now needs.
 
-        The keeper counts with that from when it has the ask, which a deputy (``deputized``) does not pass on.
+        The keeper counts with that from when it has the ask, which a deputy (``to_deputy``) does not pass on.
         """
-        need = self.need(now)
+        needed_rate = self.needed_rate(now)
         self._expire(now)
-        self.own.fill(now)
-        if not deputized:
-            self._allow(min(self.own.rate, need), now)
-        tenant, poured = self.tenant, 0.0
+        self.allowance.refill(now)
+        if not to_deputy:
+            self._set_allowed_rate(min(self.allowance.rate, needed_rate), now)
+        tenant, transferred = self.tenant, 0.0
         used, self.unsettled = self.unsettled, 0
-        saved = max(0.0, self.own.level)
-        if self.deputy_stands:
-            poured, self.own.level = saved, 0.0
-        return LeaseAsk(
+        saved = max(0.0, self.allowance.level)
+        if self.granted_by_deputy:
+            transferred, self.allowance.level = saved, 0.0
+        return LeaseRequest(
             tenant.name,
             tenant.paid_rate,
             tenant.burst,
@@ -195,50 +199,50 @@
             number,
             costs,
             used,
-            need,
+            needed_rate,
             saved,
-            poured,
+            transferred,
         )
 
-    def note_answer(self, grant: LeaseGrant, sent: Instant, credit_back: float, now: Instant) -> None:
+    def apply_grant(self, grant: LeaseGrant, sent: Instant, credit_back: float, now: Instant) -> None:
         """The keeper (no deputy) answered."""
-        self.contact = sent
-        self.lost = False
-        self._allow(grant.allowed, now)
-        self.credit.give(credit_back, now)
-        self.plenty = grant.plenty
+        self.last_contact = sent
+        self.allocator_silent = False
+        self._set_allowed_rate(grant.allowed_rate, now)
+        self.credit.adjust(credit_back, now)
+        self.credit_available = grant.credit_available
         if grant.view is not None:
-            self.told, self.told_at = grant.view, now
+            self.latest_view, self.latest_view_at = grant.view, now
 
-    def note_lost(self, now: Instant) -> None:
-        if not self.lost:
-            self.lost = True
-            self.own.change(self.own.rate, self.own.rate * AUTONOMY, now)
+    def mark_allocator_silent(self, now: Instant) -> None:
+        if not self.allocator_silent:
+            self.allocator_silent = True
+            self.allowance.reconfigure(self.allowance.rate, self.allowance.rate * AUTONOMY_S, now)
 
     def credit_used(self, now: Instant) -> float:
-        self.credit.fill(now)
-        return max(0.0, self.credit.most - self.credit.level)
+        self.credit.refill(now)
+        return max(0.0, self.credit.capacity - self.credit.level)
 
-    def _allow(self, rate: float, now: Instant) -> None:
-        self.own.change(rate, rate * (AUTONOMY if self.lost else ACCRUE), now)
+    def _set_allowed_rate(self, rate: float, now: Instant) -> None:
+        self.allowance.reconfigure(rate, rate * (AUTONOMY_S if self.allocator_silent else ACCRUAL_LIMIT_S), now)
 
     # Reporting
 
-    def report(self, window: Seconds, step: Seconds, known: Seconds, number: int, now: Instant) -> UseAnswer:
+    def report(self, window: Seconds, step: Seconds, covered_span: Seconds, number: int, now: Instant) -> UsageReport:
         """To a new keeper; what was unsettled is in it."""
         self._expire(now)
-        self.own.fill(now)
+        self.allowance.refill(now)
         self.unsettled = 0
         self.reports += 1
-        steps = self.accepted.by_age(now, step)[: int(window / step) + 1]
-        ago = Seconds(now - self.told_at)
-        return UseAnswer(
+        steps = self.accepted.counts_by_age(now, step)[: int(window / step) + 1]
+        ago = Seconds(now - self.latest_view_at)
+        return UsageReport(
             steps,
-            known,
+            covered_span,
             None,
             number,
-            self.own.rate,
-            max(0.0, self.own.level),
-            self.told,
+            self.allowance.rate,
+            max(0.0, self.allowance.level),
+            self.latest_view,
             ago,
         )
--- a/wingwood/limits/shares.py
+++ b/wingwood/limits/shares.py
@@ -8,17 +8,17 @@
 from ..membership.protocols import Membership
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
-from .keeper_standing import KeeperStanding
-from .keepers import ShareKeepers
-from .messages import LeaseAsk, LeaseGrant, MemberQuestion, UseAnswer, UseQuestion
+from .allocator_selector import AllocatorSelector
+from .allocator_status import AllocatorStatus
+from .messages import LeaseGrant, LeaseRequest, MembershipRequest, UsageReport, UsageRequest
 from .protocols import ShareRefused
 from .router_probes import RouterProbes
-from .share_bounds import ShareBounds
-from .share_keeper import ShareKeeper, TenantInForce
-from .share_user import ENDLESS, ShareUser
+from .share_allocator import ShareAllocator, TenantInForce
+from .share_client import MAX_RETRY_AFTER_S, ShareClient
+from .share_limits import ShareLimits
 from .tolerance import QuotaTolerance
 
-SWEEP_EVERY = Seconds(0.5)
+SWEEP_INTERVAL_S = Seconds(0.5)
 
 
 class FleetShares:
@@ -33,74 +33,74 @@
         messenger: Messenger,
         membership: Membership,
         tenant_in_force: TenantInForce | None = None,
-        bounds: ShareBounds | None = None,
+        limits: ShareLimits | None = None,
         tolerance: QuotaTolerance | None = None,
     ) -> None:
-        bounds, tolerance = bounds or ShareBounds(), tolerance or QuotaTolerance()
+        limits, tolerance = limits or ShareLimits(), tolerance or QuotaTolerance()
         self._context = context
-        self._keepers = ShareKeepers(membership, context.clock)
-        self._standing = KeeperStanding(context, messenger, membership, self._keepers, bounds)
-        self._user = ShareUser(context, messenger, self._keepers, self._answer_ask, bounds, tolerance)
-        self._keeper = ShareKeeper(
+        self._selector = AllocatorSelector(membership, context.clock)
+        self._status = AllocatorStatus(context, messenger, membership, self._selector, limits)
+        self._client = ShareClient(context, messenger, self._selector, self._answer_lease_request, limits, tolerance)
+        self._allocator = ShareAllocator(
             context,
             messenger,
-            self._keepers,
-            self._standing,
-            RouterProbes(context, messenger, self._keepers, bounds),
+            self._selector,
+            self._status,
+            RouterProbes(context, messenger, self._selector, limits),
             tenant_in_force or (lambda _: None),
-            self._use_of,
-            bounds,
+            self._report_usage,
+            limits,
             tolerance,
         )
-        self._sweeping = False
-        messenger.on_call(LeaseAsk, self._answer_ask)
-        messenger.on_call(UseQuestion, self._answer_use)
-        messenger.on_call(MemberQuestion, self._standing.answer_member)
+        self._started = False
+        messenger.on_call(LeaseRequest, self._answer_lease_request)
+        messenger.on_call(UsageRequest, self._answer_usage_request)
+        messenger.on_call(MembershipRequest, self._status.answer_membership_request)
 
     def start(self) -> None:
         """Starts settling what was used; ``take`` does it too."""
-        if not self._sweeping:
-            self._sweeping = True
-            self._standing.begin()
+        if not self._started:
+            self._started = True
+            self._status.start()
             self._context.tasks.spawn("shares sweep", self._sweep())
 
     async def take(self, tenant: Tenant, cost: int = 1) -> ShareRefused | None:
-        """See ``Shares``. Waits at most ``ShareBounds.wait``, and only for what was not allowed before."""
+        """See ``Shares``. Waits at most ``ShareLimits.call_timeout``, and only for what was not allowed before."""
         self.start()
         if not tenant.limited or cost <= 0:
             return None
         if tenant.paid_rate <= 0:
-            return ShareRefused(ENDLESS)
-        return await self._user.take(tenant, cost)
+            return ShareRefused(MAX_RETRY_AFTER_S)
+        return await self._client.take(tenant, cost)
 
-    def give_all_back(self) -> None:
+    def return_allowances(self) -> None:
         """At the router's stop."""
-        self._user.give_all_back()
+        self._client.return_allowances()
 
-    def keeper_of(self, tenant: TenantName) -> Identity | None:
+    def allocator_of(self, tenant: TenantName) -> Identity | None:
         """Which router keeps the tenant's share, as this one sees it."""
-        return self._keepers.keeper(tenant)
+        return self._selector.allocator(tenant)
 
     def deputy_of(self, tenant: TenantName) -> Identity | None:
-        return self._keepers.deputy(tenant)
+        return self._selector.deputy(tenant)
 
     async def _sweep(self) -> None:
         while True:
-            await self._context.clock.sleep(SWEEP_EVERY)
+            await self._context.clock.sleep(SWEEP_INTERVAL_S)
             now = self._context.clock.monotonic()
-            self._keeper.notice_gap(now)
-            self._keeper.sweep(now)
-            self._user.sweep(now)
-            await self._standing.confirm_if_needed(now)
+            self._allocator.reset_after_gap(now)
+            self._allocator.sweep(now)
+            self._client.sweep(now)
+            await self._status.confirm_if_needed(now)
 
     # Messages
 
-    async def _answer_ask(self, asker: Identity, ask: LeaseAsk) -> LeaseGrant:
+    async def _answer_lease_request(self, requester: Identity, request: LeaseRequest) -> LeaseGrant:
         self.start()
-        return await self._keeper.answer(asker, ask)
+        return await self._allocator.answer(requester, request)
 
-    async def _answer_use(self, peer: Identity, question: UseQuestion) -> UseAnswer:
-        return self._keeper.hand_over(question.tenant, self._use_of(question))
+    async def _answer_usage_request(self, peer: Identity, request: UsageRequest) -> UsageReport:
+        return self._allocator.hand_over(request.tenant, self._report_usage(request))
 
-    def _use_of(self, question: UseQuestion) -> UseAnswer:
-        return self._user.use_of(question)
+    def _report_usage(self, request: UsageRequest) -> UsageReport:
+        return self._client.report_usage(request)
--- a/wingwood/limits/tests/share_fleet.py
+++ b/wingwood/limits/tests/share_fleet.py
@@ -9,21 +9,21 @@
 from wingwood.bundle.model import Tenant
 from wingwood.context.protocols import Context
 from wingwood.identifiers import ClassName, DaemonName, Incarnation, Instant, Seconds, TenantName, Zone
-from wingwood.limits.share_bounds import ShareBounds
+from wingwood.limits.share_limits import ShareLimits
 from wingwood.limits.shares import FleetShares
 from wingwood.limits.tolerance import QuotaTolerance
 from wingwood.transport.frames import Identity
 from wingwood.transport.messenger import TcpMessenger
 
 PORT = 7000
-LOST_AFTER = 2.0
-Cost = Callable[[Random], int]
+REMOVED_AFTER_S = 2.0
+CallCost = Callable[[Random], int]
 """Of one call."""
 Load = Callable[[int, float], float]
 """Offered calls per second at a router (by number) at a time of the world."""
 
 
-class HeldMembership:
+class FakeMembership:
     """Membership as the fleet below decides it, learnt with every heartbeat."""
 
     def __init__(self) -> None:
@@ -65,26 +65,26 @@
         routers: int,
         tenant: Tenant,
         load: Load,
-        most_rate: float,
-        bounds: ShareBounds | None = None,
+        max_rate: float,
+        limits: ShareLimits | None = None,
         tolerance: QuotaTolerance | None = None,
-        cost: Cost = lambda _: 1,
+        cost: CallCost = lambda _: 1,
     ) -> None:
-        self.bounds = bounds
+        self.limits = limits
         self.tolerance = tolerance
         self.cost = cost
         self.uses: list[tuple[float, int]] = []
         """(time, cost) of each accepted call, in the order of time."""
-        self.owed: list[tuple[float, int]] = []
+        self.offered_uses: list[tuple[float, int]] = []
         """The same of all calls, refused ones too."""
         self.world = world
         self.tenant = tenant
         self.rates = [(0.0, tenant.paid_rate)]
         self.load = load
-        self.most_rate = most_rate
+        self.max_rate = max_rate
         self.calls: list[tuple[float, int, bool, float]] = []
         self.identities: dict[str, Identity] = {}
-        self.lost: dict[str, float] = {}
+        self.unreachable_since: dict[str, float] = {}
         """Since when a router does not reach control (killed, frozen or cut off)."""
         self.control_down = False
         self.shares: dict[str, FleetShares] = {}
@@ -107,62 +107,62 @@
             messenger = TcpMessenger(context, identity, b"fleet key")
             messenger.start()
             self.messengers[name] = messenger
-            membership = HeldMembership()
+            membership = FakeMembership()
             self.shares[name] = FleetShares(
-                context, messenger, membership, lambda _: self.tenant, self.bounds, self.tolerance
+                context, messenger, membership, lambda _: self.tenant, self.limits, self.tolerance
             )
-            self.lost.pop(name, None)
+            self.unreachable_since.pop(name, None)
             self.identities[name] = identity
             context.tasks.spawn("heartbeat", self._heartbeat(context, name, membership))
             context.tasks.spawn("load", self._offer(context, number, self.shares[name]))
 
         self.world.start(name, main, zone=machine.zone)
 
-    def keeper(self) -> str:
+    def allocator(self) -> str:
         """Name of the router that keeps the tenant's share, as the routers that are well see it."""
-        well = next(name for name in sorted(self.shares) if name not in self.lost)
-        found = self.shares[well].keeper_of(self.tenant.name)
+        healthy = next(name for name in sorted(self.shares) if name not in self.unreachable_since)
+        found = self.shares[healthy].allocator_of(self.tenant.name)
         assert found is not None
         return found.name
 
     def deputy(self) -> str:
         """Name of the router next in order after the keeper."""
-        well = next(name for name in sorted(self.shares) if name not in self.lost)
-        found = self.shares[well].deputy_of(self.tenant.name)
+        healthy = next(name for name in sorted(self.shares) if name not in self.unreachable_since)
+        found = self.shares[healthy].deputy_of(self.tenant.name)
         assert found is not None
         return found.name
 
-    def mark_lost(self, name: str) -> None:
-        self.lost[name] = self.world.now
+    def mark_unreachable(self, name: str) -> None:
+        self.unreachable_since[name] = self.world.now
 
-    def mark_well(self, name: str) -> None:
-        self.lost.pop(name, None)
+    def mark_recovered(self, name: str) -> None:
+        self.unreachable_since.pop(name, None)
 
-    async def _heartbeat(self, context: Context, name: str, membership: HeldMembership) -> None:
+    async def _heartbeat(self, context: Context, name: str, membership: FakeMembership) -> None:
         while True:
-            if name not in self.lost and not self.control_down:
+            if name not in self.unreachable_since and not self.control_down:
                 now = self.world.now
                 members = [
                     self.identities[other]
                     for other in sorted(self.identities)
-                    if now - self.lost.get(other, now) <= LOST_AFTER
+                    if now - self.unreachable_since.get(other, now) <= REMOVED_AFTER_S
                 ]
                 membership.learn(members, context.clock.monotonic())
             await context.clock.sleep(Seconds(context.random.uniform(0.4, 0.6)))
 
     async def _offer(self, context: Context, number: int, shares: FleetShares) -> None:
         while True:
-            await context.clock.sleep(Seconds(context.random.expovariate(self.most_rate)))
-            if context.random.random() * self.most_rate < self.load(number, self.world.now):
+            await context.clock.sleep(Seconds(context.random.expovariate(self.max_rate)))
+            if context.random.random() * self.max_rate < self.load(number, self.world.now):
                 context.tasks.spawn("call", self._call(number, shares, self.cost(context.random)))
 
     async def _call(self, number: int, shares: FleetShares, cost: int = 1) -> None:
-        began = self.world.now
-        self.owed.append((began, cost))
+        started_at = self.world.now
+        self.offered_uses.append((started_at, cost))
         refused = await shares.take(self.tenant, cost)
         if refused is None:
             self.uses.append((self.world.now, cost))
-        self.calls.append((began, number, refused is None, self.world.now - began))
+        self.calls.append((started_at, number, refused is None, self.world.now - started_at))
 
     def accepted(self, start: float, end: float) -> int:
         return sum(1 for at, _, accepted, _ in self.calls if accepted and start <= at < end)
@@ -170,7 +170,7 @@
     def offered(self, start: float, end: float) -> int:
         return sum(1 for at, _, _, _ in self.calls if start <= at < end)
 
-    def of_paid(self, start: float, end: float) -> float:
+    def paid_ratio(self, start: float, end: float) -> float:
         """Accepted calls as a part of what is paid for that time."""
         return self.accepted(start, end) / self.paid(start, end)
 
@@ -186,11 +186,11 @@
             for (since, rate), until in zip(self.rates, ends, strict=True)
         )
 
-    def refused_part(self, start: float, end: float) -> float:
+    def refused_fraction(self, start: float, end: float) -> float:
         offered = self.offered(start, end)
         return 1.0 - self.accepted(start, end) / offered if offered else 0.0
 
-    def most_used(self, window: float, start: float = 0.0) -> int:
+    def max_used(self, window: float, start: float = 0.0) -> int:
         """Highest use in any sliding window after ``start``, over all routers."""
         most = used = oldest = 0
         uses = [(at, cost) for at, cost in self.uses if at >= start]
@@ -202,10 +202,12 @@
             most = max(most, used)
         return most
 
-    def worst_window(self, start: float, end: float, width: float) -> float:
-        """Highest ``of_paid`` over any window of that width, in steps of a tenth of it."""
+    def max_paid_ratio(self, start: float, end: float, width: float) -> float:
+        """Highest ``paid_ratio`` over any window of that width, in steps of a tenth of it."""
         steps = int((end - start - width) / (width / 10)) + 1
-        return max(self.of_paid(start + step * width / 10, start + step * width / 10 + width) for step in range(steps))
+        return max(
+            self.paid_ratio(start + step * width / 10, start + step * width / 10 + width) for step in range(steps)
+        )
 
 
 def tenant(paid_rate: float, burst: float = 1.0) -> Tenant:
--- a/wingwood/limits/tests/test_retry_budget.py
+++ b/wingwood/limits/tests/test_retry_budget.py
@@ -10,13 +10,13 @@
 
 from ...bundle.model import PoolShare, Service
 from ...identifiers import Instant, PoolName, Seconds, ServiceName, WallTime
-from ..retry_budget import MOST_SAVED, MOST_SHARE, RetryBounds, ServiceRetryBudget
+from ..retry_budget import MAX_RETRY_RATIO, MAX_SAVED_RETRIES, RetryLimits, ServiceRetryBudget
 
 RATIO = 0.2
 WINDOW = 10.0
 
 
-class HeldClock:
+class ManualClock:
     """A clock that stands where it is put."""
 
     def __init__(self, now: float = 0.0) -> None:
@@ -38,25 +38,25 @@
 
 class RetryBudgetTest(unittest.TestCase):
     def budget(self, slack: float | None = None, routers: int = 11) -> ServiceRetryBudget:
-        bounds = RetryBounds() if slack is None else RetryBounds(ratio=RATIO, slack=slack, window=Seconds(WINDOW))
-        self.clock = HeldClock()
-        return ServiceRetryBudget(self.clock, lambda: routers, bounds)
+        limits = RetryLimits() if slack is None else RetryLimits(ratio=RATIO, slack=slack, window=Seconds(WINDOW))
+        self.clock = ManualClock()
+        return ServiceRetryBudget(self.clock, lambda: routers, limits)
 
     def test_tries_stay_under_a_fifth_of_the_calls_at_every_moment(self) -> None:
         for share in (0.15, 0.9):
             budget, tries = self.budget(), 0
             for calls in range(1, 500):
-                budget.earned(service(share))
+                budget.note_call(service(share))
                 tries += budget.take(service(share))
                 self.assertLess(tries, calls / 5)
-            self.assertGreater(tries, 450 * min(share, MOST_SHARE))
+            self.assertGreater(tries, 450 * min(share, MAX_RETRY_RATIO))
 
     def test_a_long_calm_saves_up_little_and_a_pool_pays_only_for_itself(self) -> None:
         budget = self.budget()
         for _ in range(10_000):
-            budget.earned(service())
+            budget.note_call(service())
         self.assertFalse(budget.take(service(pool="cards")))
-        self.assertEqual(sum(budget.take(service()) for _ in range(100)), int(MOST_SAVED))
+        self.assertEqual(sum(budget.take(service()) for _ in range(100)), int(MAX_SAVED_RETRIES))
 
     def test_the_slack_is_there_after_a_calm_time_without_any_call(self) -> None:
         budget = self.budget(slack=62.0)
@@ -73,11 +73,11 @@
         split = service(split=(PoolShare(PoolName("a"), 90), PoolShare(PoolName("b"), 10)))
         budget = self.budget()
         for _ in range(60):
-            budget.earned(split)
+            budget.note_call(split)
         self.assertFalse(budget.take(split, PoolName("b")))
         self.assertTrue(budget.take(split, PoolName("a")))
         for _ in range(10):
-            budget.earned(split, PoolName("b"))
+            budget.note_call(split, PoolName("b"))
         self.assertTrue(budget.take(split, PoolName("b")))
 
 
@@ -85,20 +85,20 @@
     """Budgets of all routers; keeps when each call came and each further try was made."""
 
     def __init__(self, routers: int, slack: float) -> None:
-        self.clock = HeldClock()
-        self.bounds = RetryBounds(ratio=RATIO, slack=slack, window=Seconds(WINDOW))
+        self.clock = ManualClock()
+        self.limits = RetryLimits(ratio=RATIO, slack=slack, window=Seconds(WINDOW))
         self.members = routers
         self.budgets = [self.new_budget() for _ in range(routers)]
         self.calls: list[float] = []
         self.tries: list[float] = []
 
     def new_budget(self) -> ServiceRetryBudget:
-        return ServiceRetryBudget(self.clock, lambda: self.members, self.bounds)
+        return ServiceRetryBudget(self.clock, lambda: self.members, self.limits)
 
     def offer(self, number: int) -> None:
         """A call, all of whose tries fail."""
         treated = service(retry_share=RATIO)
-        self.budgets[number].earned(treated)
+        self.budgets[number].note_call(treated)
         self.calls.append(self.clock.now)
         for _ in range(3):
             if self.budgets[number].take(treated):
@@ -151,7 +151,7 @@
                 world.budgets = [world.new_budget() for _ in range(11)]
                 if start_full:
                     for budget in world.budgets:
-                        budget._began = Instant(world.clock.now - 60.0)
+                        budget._started_at = Instant(world.clock.now - 60.0)
             return world.worst()
 
         self.assertLessEqual(worst(start_full=False), 62.0)
--- /dev/null
+++ b/wingwood/limits/tests/test_share_account.py
@@ -0,0 +1,209 @@
+"""A keeper's two limits, what it inherits, and a deputy's account (docs/DESIGN.md section 14.1)."""
+
+from __future__ import annotations
+
+import unittest
+from random import Random
+from unittest import mock
+
+from ...identifiers import Address, DaemonName, Incarnation, Instant, Seconds, TenantName, Zone
+from ...transport.frames import Identity
+from ..deputy_account import DeputyAccount
+from ..messages import AllocatorView, LeaseRequest, UsageReport
+from ..share_account import AUTONOMY_S, REQUEST_LAG_S, TOTALS_MAX_AGE_S, ShareAccount, _RouterRecord
+from ..takeover import merge_reports
+from ..tolerance import CREDIT_FRACTION, LAG_FRACTION, QuotaPlan, QuotaTolerance, make_plan
+
+WINDOW = Seconds(8.0)
+TOLERANCE = QuotaTolerance(window=WINDOW, over=0.1, slack=72_000.0)
+RATE = 100_000.0
+
+
+def plan(rate: float = RATE, tolerance: QuotaTolerance = TOLERANCE) -> QuotaPlan:
+    return make_plan(rate, Seconds(1.0), "tokens", tolerance)
+
+
+def router(number: int) -> Identity:
+    return Identity(
+        DaemonName(f"r{number}"), Incarnation(f"i{number}"), "router", Zone("a"), Address("127.0.0.1", number)
+    )
+
+
+def request(number: int, *costs: int, used: int = 0, needed_rate: float = 0.0, saved: float = 0.0) -> LeaseRequest:
+    return LeaseRequest(TenantName("estate"), RATE, Seconds(1.0), "tokens", number, costs, used, needed_rate, saved)
+
+
+def at(seconds: float) -> Instant:
+    return Instant(seconds)
+
+
+class PlanTest(unittest.TestCase):
+    def test_the_parts_make_the_bound(self) -> None:
+        for rate in (29_000.0, RATE, 436_000.0):
+            for slack in (72_000.0, 110_000.0):
+                parts = plan(rate, QuotaTolerance(window=WINDOW, over=0.1, slack=slack))
+                bound = (rate * WINDOW + rate) * 1.1 + slack
+                whole = parts.max_window_use + parts.credit + parts.reserve + LAG_FRACTION * (bound - 9.0 * rate)
+                self.assertLessEqual(whole, bound + 1e-6)
+                self.assertGreater(whole, 0.99 * bound, "a reserve of more than a bucket would be no use")
+                self.assertGreaterEqual(parts.bucket, max(rate, 45_000.0), "a large call has to fit")
+                self.assertAlmostEqual(parts.credit, CREDIT_FRACTION * (bound - 9.0 * rate))
+
+    def test_without_tolerance_the_bucket_is_the_burst(self) -> None:
+        self.assertEqual(make_plan(100.0, Seconds(1.0), "calls", QuotaTolerance()).bucket, 100.0)
+        self.assertEqual(make_plan(2.0, Seconds(1.0), "calls", QuotaTolerance()).bucket, 5.0)
+
+
+class ManyRoutersTest(unittest.TestCase):
+    """Above ``EXACT_TOTALS_MAX_ROUTERS`` routers their parts are not added up for each ask."""
+
+    ROUTERS = 300
+
+    def test_sums_are_never_below_what_the_routers_may_use_and_hardly_above(self) -> None:
+        random = Random(5)
+        account = ShareAccount(plan(), WINDOW, plan().bucket, at(0.0))
+        account.reports_requested = True
+        now, numbers = 0.0, dict.fromkeys(range(self.ROUTERS), 0)
+        for step in range(2500):
+            now += random.choice((0.0, 0.001, 0.003, 0.02, 0.2 if step % 500 == 0 else 0.002))
+            number = random.randrange(self.ROUTERS)
+            numbers[number] += 1
+            may_rise = random.random() < 0.95
+            account.settle(
+                router(number),
+                request(
+                    numbers[number],
+                    used=random.randrange(50),
+                    needed_rate=random.choice((0.0, RATE / 100)),
+                    saved=random.choice((0.0, 30.0)),
+                ),
+                at(now),
+                may_rise,
+            )
+            account.grant((random.randrange(100),), at(now), unproven=not may_rise)
+            now += random.choice((0.0, 0.004))
+            unproven = random.random() < 0.1
+            in_bucket, in_window = account.available(at(now), unproven)
+            promised_rate = account.promised_rate(at(now))
+            account._totals = None
+            exact_bucket, exact_window = account.available(at(now), unproven)
+            exact_promised = account.promised_rate(at(now))
+            self.assertLessEqual(in_bucket, exact_bucket + 1e-6)
+            self.assertLessEqual(in_window, exact_window + 1e-6)
+            self.assertLessEqual(exact_promised, promised_rate + 1e-6)
+            slack = RATE * (TOTALS_MAX_AGE_S + REQUEST_LAG_S)
+            self.assertGreaterEqual(in_bucket, exact_bucket - slack)
+            self.assertGreaterEqual(in_window, exact_window - slack)
+
+    def test_an_ask_costs_the_same_with_a_thousand_routers(self) -> None:
+        account = ShareAccount(plan(), WINDOW, plan().bucket, at(0.0))
+        account.reports_requested = True
+        for number in range(1000):
+            account.settle(router(number), request(1, needed_rate=100.0), at(0.0), True)
+        original = _RouterRecord.may_have_used
+        with mock.patch.object(_RouterRecord, "may_have_used", autospec=True, side_effect=original) as counted:
+            for number in range(100):
+                account.settle(router(number), request(2, 50, needed_rate=100.0), at(0.001), True)
+                account.grant((50,), at(0.001), unproven=False)
+                account.available(at(0.001), unproven=False)
+        self.assertLess(counted.call_count, 5000)
+
+
+class KeptShareTest(unittest.TestCase):
+    def setUp(self) -> None:
+        self.account = ShareAccount(plan(), WINDOW, plan().bucket, at(0.0))
+        self.account.reports_requested = True
+
+    def test_calls_are_granted_whole_or_not(self) -> None:
+        granted, wait = self.account.grant((40_000, 200_000, 200), at(0.0), unproven=False)
+        self.assertEqual(granted, (True, False, True))
+        self.assertGreater(wait, 0.0)
+
+    def test_a_call_larger_than_the_bucket_is_granted_when_that_is_nearly_full(self) -> None:
+        self.assertEqual(self.account.grant((int(plan().bucket) + 10_000,), at(0.0), unproven=False)[0], (True,))
+        self.assertEqual(self.account.grant((int(plan().bucket) + 10_000,), at(0.1), unproven=False)[0], (False,))
+
+    def test_allowances_never_sum_to_more_than_the_rate(self) -> None:
+        allowed_rate = [
+            self.account.settle(router(number), request(1, needed_rate=30_000.0), at(0.0), True) for number in range(5)
+        ]
+        self.assertEqual(allowed_rate, [30_000.0, 30_000.0, 30_000.0, 10_000.0, 0.0])
+        self.account.settle(router(0), request(2, needed_rate=0.0), at(0.1), True)
+        self.assertEqual(self.account.settle(router(4), request(2, needed_rate=30_000.0), at(0.2), True), 30_000.0)
+
+    def test_without_a_proven_session_allowances_do_not_rise(self) -> None:
+        self.assertEqual(self.account.settle(router(1), request(1, needed_rate=30_000.0), at(0.0), False), 0.0)
+
+    def test_a_silent_router_counts_in_the_window_until_its_allowance_ends(self) -> None:
+        self.account.settle(router(1), request(1, needed_rate=50_000.0), at(0.0), True)
+        empty = plan().max_window_use
+        self.assertAlmostEqual(self.account.available(at(4.0), unproven=False)[1], empty - 200_000.0)
+        self.assertAlmostEqual(self.account.available(at(AUTONOMY_S), unproven=False)[1], empty - 400_000.0)
+        self.assertAlmostEqual(self.account.available(at(AUTONOMY_S + 8.0), unproven=False)[1], empty)
+        self.account.settle(router(1), request(2, used=10_000, needed_rate=0.0), at(20.0), True)
+        self.assertAlmostEqual(self.account.available(at(20.0), unproven=False)[1], empty - 10_000.0)
+
+    def test_a_full_window_ends_allowances(self) -> None:
+        self.account.charge(plan().max_window_use - 1_000, at(0.0))
+        self.assertLess(self.account.settle(router(1), request(1, needed_rate=50_000.0), at(0.0), True), 2_000.0)
+        self.account.charge(1_000, at(0.0))
+        self.assertEqual(self.account.settle(router(1), request(2, needed_rate=50_000.0), at(0.1), True), 0.0)
+
+    def test_a_late_ask_is_void_and_an_earlier_life_is_forgotten(self) -> None:
+        self.account.settle(router(1), request(5, needed_rate=50_000.0), at(0.0), True)
+        self.assertTrue(self.account.is_outdated(router(1), request(5)))
+        self.assertFalse(self.account.is_outdated(router(1), request(6)))
+        again = Identity(DaemonName("r1"), Incarnation("later"), "router", Zone("a"), Address("127.0.0.1", 1))
+        self.assertEqual(self.account.settle(again, request(1, needed_rate=RATE), at(1.0), True), RATE)
+
+    def test_a_lower_limit_begins_with_an_empty_window_and_a_higher_one_does_not(self) -> None:
+        self.account.charge(300_000, at(0.0))
+        self.account.change_plan(plan(2 * RATE), at(1.0))
+        self.assertEqual(self.account.used.count(at(1.0)), 300_000)
+        self.account.change_plan(plan(RATE / 2), at(2.0))
+        self.assertEqual(self.account.used.count(at(2.0)), 0)
+
+
+class InheritanceTest(unittest.TestCase):
+    def report(
+        self, *used: int, covered_span: float = 8.0, view: AllocatorView | None = None, ago: float = 0.0
+    ) -> UsageReport:
+        return UsageReport(used, Seconds(covered_span), None, 1, view=view, view_age=Seconds(ago))
+
+    def test_reports_are_summed_by_age(self) -> None:
+        inherited = merge_reports([self.report(1, 2), self.report(10, 0, 30)], WINDOW)
+        self.assertEqual(inherited.steps, (11, 2, 30))
+        self.assertEqual((inherited.unreported, inherited.span), (0.0, 8.0))
+
+    def test_use_of_a_allocator_that_has_ended_is_known_from_its_view(self) -> None:
+        view = AllocatorView(used=500_000.0, promised_rate=RATE, covered_span=Seconds(30.0), level=20_000.0)
+        inherited = merge_reports([self.report(0, 100_000, 200_000, view=view)], WINDOW)
+        self.assertEqual(inherited.unreported, 200_000.0)
+        self.assertEqual(inherited.promised_rate, RATE)
+
+    def test_a_young_fleet_has_saved_up_little_and_an_old_one_a_full_bucket(self) -> None:
+        young = merge_reports([self.report(covered_span=0.5), self.report(covered_span=3.0)], WINDOW)
+        self.assertAlmostEqual(young.level(RATE, 150_000.0), 50_000.0)
+        self.assertAlmostEqual(merge_reports([self.report()], WINDOW).level(RATE, 150_000.0), 150_000.0)
+
+    def test_a_young_router_does_not_hide_what_an_older_one_was_told(self) -> None:
+        view = AllocatorView(used=0.0, promised_rate=0.0, covered_span=Seconds(30.0), level=90_000.0)
+        inherited = merge_reports([self.report(covered_span=0.5), self.report(view=view, ago=0.2)], WINDOW)
+        self.assertAlmostEqual(inherited.level(RATE, 150_000.0), 150_000.0)
+
+
+class StandInTest(unittest.TestCase):
+    def test_grants_the_reserve_and_what_is_poured_in(self) -> None:
+        account = DeputyAccount(plan(), WINDOW, at(0.0))
+        at_once = int(0.8 * plan().reserve)
+        self.assertEqual(account.grant((at_once, 1_000), 0.0, at(0.0)), (True, False))
+        self.assertEqual(account.grant((1_000, 1_000), 1_500.0, at(0.0)), (True, False))
+        whole = sum(sum(account.grant((100,), 0.0, at(step / 100))) * 100 for step in range(1, 800))
+        self.assertLess(at_once + 1_000 + whole, plan().reserve + 1_500)
+        self.assertGreater(whole, 0.15 * plan().reserve)
+
+    def test_what_was_poured_in_is_void_after_a_pause(self) -> None:
+        account = DeputyAccount(plan(), WINDOW, at(0.0))
+        account.grant((int(0.8 * plan().reserve),), 0.0, at(0.0))
+        account.grant((), 50_000.0, at(0.0))
+        self.assertEqual(account.grant((30_000,), 0.0, at(2.5)), (False,))
--- a/wingwood/limits/tests/test_parts.py
+++ b/wingwood/limits/tests/test_share_components.py
@@ -18,10 +18,10 @@
 )
 from ...membership.rendezvous import ranked
 from ...transport.frames import Identity
-from ..admission import PatienceAdmission
-from ..bucket import RecentCount, TokenBucket
-from ..keepers import ShareKeepers
-from .share_fleet import HeldMembership
+from ..admission import DeadlineAdmission
+from ..allocator_selector import AllocatorSelector
+from ..bucket import SlidingWindowCounter, TokenBucket
+from .share_fleet import FakeMembership
 
 
 def service(retry_share: float = 0.15, patience: float = 4.0) -> Service:
@@ -35,7 +35,7 @@
 
 class TokenBucketTest(unittest.TestCase):
     def test_fills_at_its_rate_up_to_its_size_and_gives_whole_tokens(self) -> None:
-        bucket = TokenBucket(rate=10.0, most=5.0, level=0.0, now=Instant(0.0))
+        bucket = TokenBucket(rate=10.0, capacity=5.0, level=0.0, now=Instant(0.0))
         self.assertEqual(bucket.take(1, Instant(0.09)), 0)
         self.assertAlmostEqual(bucket.wait(Instant(0.09)), 0.01)
         self.assertEqual(bucket.take(3, Instant(0.25)), 2)
@@ -43,17 +43,17 @@
         self.assertEqual(bucket.take(1, Instant(99.0)), 0, "a clock that seems to go back earns nothing")
 
     def test_what_is_owed_is_bounded_and_a_new_rate_counts_from_its_moment(self) -> None:
-        bucket = TokenBucket(rate=10.0, most=5.0, level=0.0, now=Instant(0.0))
-        bucket.give(-100.0, Instant(0.0))
+        bucket = TokenBucket(rate=10.0, capacity=5.0, level=0.0, now=Instant(0.0))
+        bucket.adjust(-100.0, Instant(0.0))
         self.assertEqual(bucket.level, -5.0)
-        bucket.change(1.0, 5.0, Instant(0.5))
+        bucket.reconfigure(1.0, 5.0, Instant(0.5))
         self.assertEqual(bucket.level, 0.0)
         self.assertEqual(bucket.take(9, Instant(2.5)), 2)
 
 
 class RecentCountTest(unittest.TestCase):
     def test_forgets_what_is_older_than_the_window(self) -> None:
-        recent = RecentCount(Seconds(1.0))
+        recent = SlidingWindowCounter(Seconds(1.0))
         for tenth in range(30):
             recent.add(Instant(tenth / 10))
         self.assertIn(recent.count(Instant(2.95)), (10, 11))
@@ -63,17 +63,17 @@
 
 class ShareKeepersTest(unittest.TestCase):
     def test_following_the_differences_chooses_as_a_fresh_choice_would(self) -> None:
-        membership = HeldMembership()
-        keepers = ShareKeepers(membership)
+        membership = FakeMembership()
+        selector = AllocatorSelector(membership)
         tenants = [TenantName(f"tenant {number}") for number in range(50)]
-        self.assertIsNone(keepers.keeper(tenants[0]))
+        self.assertIsNone(selector.allocator(tenants[0]))
         for members in ((1, 2, 3), (1, 3, 4, 5), (4, 5), (1, 2, 3, 4, 5, 6, 7), (7,)):
             routers = [router(number) for number in members]
             membership.learn(routers, Instant(0.0))
             for name in tenants:
                 expected = ranked(name, routers, lambda each: f"{each.name}/{each.incarnation}")
-                self.assertEqual(keepers.keeper(name), expected[0])
-                self.assertEqual(keepers.deputy(name), expected[1] if len(expected) > 1 else None)
+                self.assertEqual(selector.allocator(name), expected[0])
+                self.assertEqual(selector.deputy(name), expected[1] if len(expected) > 1 else None)
 
 
 def router(number: int) -> Identity:
@@ -82,7 +82,7 @@
 
 class AdmissionTest(unittest.TestCase):
     def test_refuses_what_comes_too_late_for_its_callers(self) -> None:
-        admission = PatienceAdmission()
+        admission = DeadlineAdmission()
         self.assertIsNone(admission.refuse(service(patience=4.0), Seconds(3.5)))
         refused = admission.refuse(service(patience=4.0), Seconds(9.6))
         assert refused is not None
--- a/wingwood/limits/tests/test_shares.py
+++ b/wingwood/limits/tests/test_shares.py
@@ -11,14 +11,14 @@
 from simulation import NetworkShape, World
 
 from ...identifiers import Instant
-from ..messages import UseAnswer, UseQuestion
-from ..share_bounds import ShareBounds
+from ..deputy_account import DeputyAccount
+from ..messages import UsageReport, UsageRequest
+from ..share_limits import ShareLimits
 from ..shares import FleetShares
-from ..stand_in import StandIn
 from .share_fleet import Load, ShareFleet, tenant
 
 ROUTERS = 11
-SECONDS = 12.0
+RUN_SECONDS = 12.0
 PAID = 100.0
 
 
@@ -41,156 +41,156 @@
         most: float,
         fault: Callable[[World, ShareFleet, str], None] | None = None,
         paid: float = PAID,
-        bounds: ShareBounds | None = None,
+        limits: ShareLimits | None = None,
     ) -> ShareFleet:
         """The fault strikes the tenant's keeper at 5.0."""
         with World(seed=4) as world:
-            fleet = ShareFleet(world, ROUTERS, tenant(paid), load, most, bounds)
+            fleet = ShareFleet(world, ROUTERS, tenant(paid), load, most, limits)
             world.run(5.0)
             if fault is not None:
-                fault(world, fleet, fleet.keeper())
-            world.run_until(SECONDS)
+                fault(world, fleet, fleet.allocator())
+            world.run_until(RUN_SECONDS)
             self.assertEqual(world.broken_invariants, [])
             return fleet
 
     def test_what_is_paid_for_is_not_refused_wherever_it_lands(self) -> None:
         for load, most in ((even(90), 9), (one(90), 90), (roaming(90), 90)):
             fleet = self.run_fleet(load, most)
-            self.assertLess(fleet.refused_part(1.0, SECONDS), 0.01)
+            self.assertLess(fleet.refused_fraction(1.0, RUN_SECONDS), 0.01)
 
     def test_what_is_not_paid_for_is_refused_wherever_it_lands(self) -> None:
         for load, most in ((even(200), 20), (one(200), 200), (roaming(200), 200)):
             fleet = self.run_fleet(load, most)
-            self.assertLess(fleet.of_paid(1.0, SECONDS), 1.1)
-            self.assertLess(fleet.worst_window(3.0, SECONDS, 2.0), 1.1)
-            self.assertGreater(fleet.of_paid(3.0, SECONDS), 0.95)
+            self.assertLess(fleet.paid_ratio(1.0, RUN_SECONDS), 1.1)
+            self.assertLess(fleet.max_paid_ratio(3.0, RUN_SECONDS, 2.0), 1.1)
+            self.assertGreater(fleet.paid_ratio(3.0, RUN_SECONDS), 0.95)
 
     def test_a_crowd_at_the_start_of_the_fleet_finds_no_free_burst(self) -> None:
         fleet = self.run_fleet(even(2000, start=0.0), 182)
         self.assertLess(fleet.accepted(0.0, 1.0), 1.1 * PAID)
-        self.assertLess(fleet.worst_window(0.0, SECONDS, 1.0), 1.2)
+        self.assertLess(fleet.max_paid_ratio(0.0, RUN_SECONDS, 1.0), 1.2)
 
-    def test_keepers_that_answer_slowly_while_the_fleet_starts_refuse_nobody(self) -> None:
+    def test_allocators_that_answer_slowly_while_the_fleet_starts_refuse_nobody(self) -> None:
         """A first ask makes the connection, so it takes two ways there and back, longer than an ask usually may."""
         slow = NetworkShape(same_zone=0.015, between_zones=0.015)
         with World(4, slow) as world:
             fleet = ShareFleet(world, ROUTERS, tenant(PAID), even(50, start=1.0), 5)
             world.run(2.5)
-            self.assertLess(fleet.refused_part(1.0, 2.0), 0.05)
+            self.assertLess(fleet.refused_fraction(1.0, 2.0), 0.05)
 
     def test_a_small_tenant_gets_its_share(self) -> None:
         fleet = self.run_fleet(even(6), 1, paid=2.0)
-        self.assertAlmostEqual(fleet.of_paid(2.0, SECONDS), 1.0, delta=0.25)
+        self.assertAlmostEqual(fleet.paid_ratio(2.0, RUN_SECONDS), 1.0, delta=0.25)
 
-    def test_a_killed_keeper(self) -> None:
-        def kill(world: World, fleet: ShareFleet, keeper: str) -> None:
-            fleet.mark_lost(keeper)
-            world.kill(keeper)
+    def test_a_killed_allocator(self) -> None:
+        def kill(world: World, fleet: ShareFleet, allocator: str) -> None:
+            fleet.mark_unreachable(allocator)
+            world.kill(allocator)
 
-        self.assertLess(self.run_fleet(even(90), 9, kill).refused_part(5.0, SECONDS), 0.03)
-        self.assertLess(self.run_fleet(even(200), 20, kill).worst_window(3.0, SECONDS, 3.0), 1.15)
+        self.assertLess(self.run_fleet(even(90), 9, kill).refused_fraction(5.0, RUN_SECONDS), 0.03)
+        self.assertLess(self.run_fleet(even(200), 20, kill).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.15)
 
-    def test_a_killed_keeper_of_a_small_tenant_well_below_its_share(self) -> None:
-        def kill(world: World, fleet: ShareFleet, keeper: str) -> None:
-            fleet.mark_lost(keeper)
-            world.kill(keeper)
+    def test_a_killed_allocator_of_a_small_tenant_well_below_its_share(self) -> None:
+        def kill(world: World, fleet: ShareFleet, allocator: str) -> None:
+            fleet.mark_unreachable(allocator)
+            world.kill(allocator)
 
-        self.assertLess(self.run_fleet(even(4), 1, kill, paid=8.0).refused_part(5.0, SECONDS), 0.02)
-        self.assertLess(self.run_fleet(even(16), 2, kill, paid=8.0).worst_window(4.0, SECONDS, 3.0), 1.2)
+        self.assertLess(self.run_fleet(even(4), 1, kill, paid=8.0).refused_fraction(5.0, RUN_SECONDS), 0.02)
+        self.assertLess(self.run_fleet(even(16), 2, kill, paid=8.0).max_paid_ratio(4.0, RUN_SECONDS, 3.0), 1.2)
 
-    def test_a_deputy_does_not_stand_in_for_a_keeper_that_others_reach(self) -> None:
-        def cut(world: World, fleet: ShareFleet, keeper: str) -> None:
+    def test_a_deputy_does_not_stand_in_for_a_allocator_that_others_reach(self) -> None:
+        def cut(world: World, fleet: ShareFleet, allocator: str) -> None:
             """Five routers with the deputy, five with the keeper; all remain members."""
-            others = [name for name in sorted(fleet.shares) if name not in (keeper, fleet.deputy())]
+            others = [name for name in sorted(fleet.shares) if name not in (allocator, fleet.deputy())]
             for name in (fleet.deputy(), *others[:4]):
-                world.cut(keeper, name)
-
-        self.assertLess(self.run_fleet(even(200), 20, cut).worst_window(5.0, SECONDS, 3.0), 1.6)
-        with mock.patch.object(StandIn, "grant", _all_granted):
-            self.assertGreater(self.run_fleet(even(200), 20, cut).worst_window(5.0, SECONDS, 3.0), 1.6)
-
-    def test_a_killed_keeper_of_a_fleet_too_large_to_be_asked(self) -> None:
-        def kill(world: World, fleet: ShareFleet, keeper: str) -> None:
-            fleet.mark_lost(keeper)
-            world.kill(keeper)
-
-        bounds = ShareBounds(most_gathered=3)
-        self.assertLess(self.run_fleet(even(90), 9, kill, bounds=bounds).refused_part(5.0, SECONDS), 0.03)
-        self.assertLess(self.run_fleet(even(200), 20, kill, bounds=bounds).worst_window(3.0, SECONDS, 3.0), 1.15)
-
-    def test_a_frozen_keeper_that_wakes(self) -> None:
-        def freeze(world: World, fleet: ShareFleet, keeper: str) -> None:
-            fleet.mark_lost(keeper)
-            world.freeze(keeper)
-            world.at(9.0, lambda: fleet.mark_well(keeper))
-            world.at(9.0, lambda: world.wake(keeper))
-
-        self.assertLess(self.run_fleet(even(90), 9, freeze).refused_part(5.0, SECONDS), 0.03)
-        self.assertLess(self.run_fleet(even(200), 20, freeze).worst_window(3.0, SECONDS, 3.0), 1.15)
-
-    def test_a_keeper_that_is_cut_off_and_comes_back(self) -> None:
-        def cut(world: World, fleet: ShareFleet, keeper: str) -> None:
-            fleet.mark_lost(keeper)
-            wires = world.cut_off(keeper)
-            world.at(9.0, lambda: fleet.mark_well(keeper))
+                world.cut(allocator, name)
+
+        self.assertLess(self.run_fleet(even(200), 20, cut).max_paid_ratio(5.0, RUN_SECONDS, 3.0), 1.6)
+        with mock.patch.object(DeputyAccount, "grant", _all_granted):
+            self.assertGreater(self.run_fleet(even(200), 20, cut).max_paid_ratio(5.0, RUN_SECONDS, 3.0), 1.6)
+
+    def test_a_killed_allocator_of_a_fleet_too_large_to_be_asked(self) -> None:
+        def kill(world: World, fleet: ShareFleet, allocator: str) -> None:
+            fleet.mark_unreachable(allocator)
+            world.kill(allocator)
+
+        limits = ShareLimits(max_gathering_routers=3)
+        self.assertLess(self.run_fleet(even(90), 9, kill, limits=limits).refused_fraction(5.0, RUN_SECONDS), 0.03)
+        self.assertLess(self.run_fleet(even(200), 20, kill, limits=limits).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.15)
+
+    def test_a_frozen_allocator_that_wakes(self) -> None:
+        def freeze(world: World, fleet: ShareFleet, allocator: str) -> None:
+            fleet.mark_unreachable(allocator)
+            world.freeze(allocator)
+            world.at(9.0, lambda: fleet.mark_recovered(allocator))
+            world.at(9.0, lambda: world.wake(allocator))
+
+        self.assertLess(self.run_fleet(even(90), 9, freeze).refused_fraction(5.0, RUN_SECONDS), 0.03)
+        self.assertLess(self.run_fleet(even(200), 20, freeze).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.15)
+
+    def test_a_allocator_that_is_cut_off_and_comes_back(self) -> None:
+        def cut(world: World, fleet: ShareFleet, allocator: str) -> None:
+            fleet.mark_unreachable(allocator)
+            wires = world.cut_off(allocator)
+            world.at(9.0, lambda: fleet.mark_recovered(allocator))
             world.at(9.0, lambda: world.heal(wires))
 
-        self.assertLess(self.run_fleet(even(90), 9, cut).refused_part(5.0, SECONDS), 0.03)
+        self.assertLess(self.run_fleet(even(90), 9, cut).refused_fraction(5.0, RUN_SECONDS), 0.03)
         # The cut-off router goes on with at most its part: up to two elevenths here.
-        self.assertLess(self.run_fleet(even(200), 20, cut).worst_window(3.0, SECONDS, 3.0), 1.25)
+        self.assertLess(self.run_fleet(even(200), 20, cut).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.25)
 
-    def test_without_control_the_keepers_go_on(self) -> None:
-        def control_down(world: World, fleet: ShareFleet, keeper: str) -> None:
+    def test_without_control_the_allocators_go_on(self) -> None:
+        def control_down(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.control_down = True
 
-        self.assertLess(self.run_fleet(one(90), 90, control_down).refused_part(5.0, SECONDS), 0.01)
-        self.assertLess(self.run_fleet(even(200), 20, control_down).worst_window(3.0, SECONDS, 3.0), 1.1)
+        self.assertLess(self.run_fleet(one(90), 90, control_down).refused_fraction(5.0, RUN_SECONDS), 0.01)
+        self.assertLess(self.run_fleet(even(200), 20, control_down).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.1)
 
     def test_routers_that_join_take_shares_over_without_a_burst(self) -> None:
         moved: list[bool] = []
 
-        def join(world: World, fleet: ShareFleet, keeper: str) -> None:
+        def join(world: World, fleet: ShareFleet, allocator: str) -> None:
             for number in range(ROUTERS, ROUTERS + 20):
                 fleet.join(number)
-            world.at(8.0, lambda: moved.append(fleet.keeper() != keeper))
+            world.at(8.0, lambda: moved.append(fleet.allocator() != allocator))
 
-        self.assertLess(self.run_fleet(even(90), 9, join).refused_part(5.0, SECONDS), 0.03)
-        self.assertLess(self.run_fleet(even(200), 20, join).worst_window(3.0, SECONDS, 3.0), 1.1)
+        self.assertLess(self.run_fleet(even(90), 9, join).refused_fraction(5.0, RUN_SECONDS), 0.03)
+        self.assertLess(self.run_fleet(even(200), 20, join).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.1)
         self.assertEqual(moved, [True, True], "else nothing was tried")
 
     def test_a_new_paid_rate_counts_at_once(self) -> None:
-        def halve(world: World, fleet: ShareFleet, keeper: str) -> None:
+        def halve(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.change(tenant(PAID / 2))
 
         fleet = self.run_fleet(even(200), 20, halve)
-        self.assertLess(fleet.of_paid(5.5, SECONDS), 1.1)
-        self.assertGreater(fleet.of_paid(5.5, SECONDS), 0.95)
+        self.assertLess(fleet.paid_ratio(5.5, RUN_SECONDS), 1.1)
+        self.assertGreater(fleet.paid_ratio(5.5, RUN_SECONDS), 0.95)
 
-    def test_a_keeper_that_forgets_to_ask_what_was_used_would_be_caught(self) -> None:
-        def kill(world: World, fleet: ShareFleet, keeper: str) -> None:
-            fleet.mark_lost(keeper)
-            world.kill(keeper)
+    def test_a_allocator_that_forgets_to_ask_what_was_used_would_be_caught(self) -> None:
+        def kill(world: World, fleet: ShareFleet, allocator: str) -> None:
+            fleet.mark_unreachable(allocator)
+            world.kill(allocator)
 
-        self.assertLess(self.run_fleet(even(200), 20, kill).worst_window(4.0, SECONDS, 1.0), 1.25)
-        with mock.patch.object(FleetShares, "_use_of", _nothing_used):
+        self.assertLess(self.run_fleet(even(200), 20, kill).max_paid_ratio(4.0, RUN_SECONDS, 1.0), 1.25)
+        with mock.patch.object(FleetShares, "_report_usage", _report_nothing_used):
             fleet = self.run_fleet(even(200), 20, kill)
-        self.assertGreater(fleet.worst_window(4.0, SECONDS, 1.0), 1.25)
+        self.assertGreater(fleet.max_paid_ratio(4.0, RUN_SECONDS, 1.0), 1.25)
 
-    def test_calls_wait_for_a_silent_keeper_at_most_a_tenth_of_a_second(self) -> None:
-        def freeze(world: World, fleet: ShareFleet, keeper: str) -> None:
-            fleet.mark_lost(keeper)
-            world.freeze(keeper)
+    def test_calls_wait_for_a_silent_allocator_at_most_a_tenth_of_a_second(self) -> None:
+        def freeze(world: World, fleet: ShareFleet, allocator: str) -> None:
+            fleet.mark_unreachable(allocator)
+            world.freeze(allocator)
 
         fleet = self.run_fleet(even(90), 9, freeze)
         self.assertLess(max(call[3] for call in fleet.calls), 0.11)
 
 
-def _all_granted(account: StandIn, costs: Sequence[int], poured: float, now: Instant) -> tuple[bool, ...]:
+def _all_granted(account: DeputyAccount, costs: Sequence[int], transferred: float, now: Instant) -> tuple[bool, ...]:
     return tuple(True for _ in costs)
 
 
-_use_of = FleetShares._use_of
+_report_usage = FleetShares._report_usage
 
 
-def _nothing_used(shares: FleetShares, question: UseQuestion) -> UseAnswer:
-    return msgspec.structs.replace(_use_of(shares, question), used=(), view=None)
+def _report_nothing_used(shares: FleetShares, request: UsageRequest) -> UsageReport:
+    return msgspec.structs.replace(_report_usage(shares, request), used=(), view=None)
--- a/wingwood/limits/tests/test_sparse_calls.py
+++ b/wingwood/limits/tests/test_sparse_calls.py
@@ -21,14 +21,14 @@
         self.assertTrue(fleet.world.wait_for(lambda: len(fleet.calls) > before, 1.0, every=0.01))
         return fleet.calls[-1][2]
 
-    def test_the_next_call_after_the_cut_asks_the_keeper_again(self) -> None:
+    def test_the_next_call_after_the_cut_asks_the_allocator_again(self) -> None:
         with World(seed=4) as world:
             fleet = ShareFleet(world, 11, tenant(25.0), lambda router, now: 0.0, 1.0)
             world.run(3.0)
-            keeper, deputy = fleet.keeper(), fleet.deputy()
-            caller = next(name for name in sorted(fleet.shares) if name not in (keeper, deputy))
+            allocator, deputy = fleet.allocator(), fleet.deputy()
+            caller = next(name for name in sorted(fleet.shares) if name not in (allocator, deputy))
             # It is the one caller's way to both that fails, as after a cut whose old connections are dead.
-            cuts = [world.cut(caller, other) for other in (keeper, deputy)]
+            cuts = [world.cut(caller, other) for other in (allocator, deputy)]
             self.accepted_at(fleet, caller)
             for cut in cuts:
                 world.heal(cut)
@@ -40,9 +40,9 @@
         with World(seed=4) as world:
             fleet = ShareFleet(world, 11, tenant(25.0), lambda router, now: 0.0, 1.0)
             world.run(3.0)
-            keeper, deputy = fleet.keeper(), fleet.deputy()
-            caller = next(name for name in sorted(fleet.shares) if name not in (keeper, deputy))
-            for other in (keeper, deputy):
+            allocator, deputy = fleet.allocator(), fleet.deputy()
+            caller = next(name for name in sorted(fleet.shares) if name not in (allocator, deputy))
+            for other in (allocator, deputy):
                 world.cut(caller, other)
             self.accepted_at(fleet, caller)
             for _ in range(3):
--- a/wingwood/limits/tests/test_token_quota.py
+++ b/wingwood/limits/tests/test_token_quota.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from ..kept_share import KeptShare, _Asker, _Missing
-from ..takeover import Inheritance
+from ..share_account import ShareAccount, _MissingRouters, _RouterRecord
+from ..takeover import InheritedUsage
 from .token_quota import Case, Outcome, run_case
 
 RUN_EACH_ALONE = True
 
-FLOOD = 6.5
+FLOOD_FACTOR = 6.5
 CALM = Case()
-FLOODED = Case(rate=430_000.0, flood=FLOOD, flood_from=16.0)
+FLOODED = Case(rate=430_000.0, flood=FLOOD_FACTOR, flood_from=16.0)
 """The flood begins together with the fault, when the bucket is full."""
 
 
@@ -29,67 +29,67 @@
         for rate in (30_000.0, 430_000.0):
             for landing in ("even", "uneven", "one"):
                 outcome = run_case(msgspec.structs.replace(CALM, rate=rate, landing=landing), 11)
-                self.assertEqual(outcome.refused_owed, 0.0, (rate, landing))
+                self.assertEqual(outcome.refused_within_bucket, 0.0, (rate, landing))
                 self.assertLess(outcome.longest_wait, 0.02)
-                self.assertLess(outcome.of_bound, 0.85)
+                self.assertLess(outcome.fraction_of_bound, 0.85)
 
     def test_a_flooding_tenant_uses_its_whole_limit_and_no_more(self) -> None:
         for rate in (30_000.0, 430_000.0):
             for landing in ("even", "one"):
-                outcome = run_case(Case(rate=rate, flood=FLOOD, landing=landing), 12)
-                self.assertGreater(outcome.flood_used, 0.97, (rate, landing))
-                self.assertLess(outcome.of_bound, 1.0)
-                self.assertEqual(outcome.refused_owed, 0.0)
+                outcome = run_case(Case(rate=rate, flood=FLOOD_FACTOR, landing=landing), 12)
+                self.assertGreater(outcome.flood_used_fraction, 0.97, (rate, landing))
+                self.assertLess(outcome.fraction_of_bound, 1.0)
+                self.assertEqual(outcome.refused_within_bucket, 0.0)
 
     def test_everything_killed_at_once_comes_back_within_the_limit(self) -> None:
         calm = run_case(faulted("all killed", CALM), 13)
-        self.assertEqual(calm.refused_owed, 0.0)
-        self.assertLess(run_case(faulted("all killed", flood_from=12.0), 13).of_bound, 1.0)
+        self.assertEqual(calm.refused_within_bucket, 0.0)
+        self.assertLess(run_case(faulted("all killed", flood_from=12.0), 13).fraction_of_bound, 1.0)
 
     def test_a_lower_limit_counts_from_now_on_and_refuses_nothing_below_it(self) -> None:
-        outcome = run_case(Case(rate=150_000.0, part=0.5, fault="limit lowered"), 14)
+        outcome = run_case(Case(rate=150_000.0, offered_fraction=0.5, fault="limit lowered"), 14)
         self.assertLess(outcome.refused, 0.01)
 
 
-class LostKeeperTest(unittest.TestCase):
+class LostAllocatorTest(unittest.TestCase):
     """What is refused below the limit; the bound is looked at in ``BoundTest``."""
 
     def refused(self, fault: str, rate: float) -> float:
         return run_case(faulted(fault, CALM, rate=rate), 21).refused
 
-    def test_a_keeper_that_ends_is_hardly_noticed(self) -> None:
+    def test_a_allocator_that_ends_is_hardly_noticed(self) -> None:
         for rate in (30_000.0, 430_000.0):
-            self.assertLess(self.refused("keeper killed", rate), 0.01)
+            self.assertLess(self.refused("allocator killed", rate), 0.01)
             self.assertLess(self.refused("deputy killed", rate), 0.01)
 
-    def test_a_silent_keeper_costs_little(self) -> None:
-        for fault in ("keeper frozen", "keeper without power", "keeper cut off"):
+    def test_a_silent_allocator_costs_little(self) -> None:
+        for fault in ("allocator frozen", "allocator without power", "allocator cut off"):
             self.assertLess(self.refused(fault, 430_000.0), 0.03, fault)
 
 
 class BoundTest(unittest.TestCase):
     def check(self, fault: str, rate: float = 430_000.0, seed: int = 31) -> Outcome:
         outcome = run_case(faulted(fault, rate=rate), seed)
-        self.assertLess(outcome.of_bound, 1.0, (fault, rate))
+        self.assertLess(outcome.fraction_of_bound, 1.0, (fault, rate))
         self.assertLessEqual(outcome.longest_wait, 0.101)
         return outcome
 
-    def test_keeper_cut_off(self) -> None:
-        self.check("keeper cut off")
-        self.check("keeper and another cut off for long")
+    def test_allocator_cut_off(self) -> None:
+        self.check("allocator cut off")
+        self.check("allocator and another cut off for long")
 
-    def test_a_keeper_that_refuses_some_but_lives(self) -> None:
+    def test_a_allocator_that_refuses_some_but_lives(self) -> None:
         """The flood comes after the cut has healed: nobody takes the keeper's place meanwhile, nor goes on with it."""
         for flood_from in (17.0, 19.0, 24.0):
-            outcome = run_case(faulted("keeper refuses some", flood_from=flood_from, flood_until=32.0), 31)
-            self.assertLess(outcome.of_bound, 1.0, flood_from)
+            outcome = run_case(faulted("allocator refuses some", flood_from=flood_from, flood_until=32.0), 31)
+            self.assertLess(outcome.fraction_of_bound, 1.0, flood_from)
 
     def test_others_cut_off(self) -> None:
         self.check("two others cut off")
 
-    def test_keeper_cut_from_some(self) -> None:
-        self.check("keeper cut from some")
-        self.check("keeper cut from some", 30_000.0)
+    def test_allocator_cut_from_some(self) -> None:
+        self.check("allocator cut from some")
+        self.check("allocator cut from some", 30_000.0)
 
     def test_split_fleet(self) -> None:
         self.check("split 4 to 7")
@@ -99,7 +99,7 @@
         self.check("split 8 to 3, the fewer with control", 30_000.0)
 
     def test_frozen_and_killed(self) -> None:
-        for fault in ("keeper and deputy frozen", "keeper frozen briefly", "keeper without power"):
+        for fault in ("allocator and deputy frozen", "allocator frozen briefly", "allocator without power"):
             self.check(fault)
 
     def test_restarts(self) -> None:
@@ -113,32 +113,32 @@
 class BrokenTest(unittest.TestCase):
     """Each leaves out one part of the arithmetic, and the checker of windows has to notice."""
 
-    def test_a_keeper_that_counts_nothing_for_silent_routers(self) -> None:
-        def nothing(asker: _Asker, now: float, window: float, longest: float) -> float:
+    def test_a_allocator_that_counts_nothing_for_silent_routers(self) -> None:
+        def nothing(requester: _RouterRecord, now: float, window: float, longest: float) -> float:
             return 0.0
 
-        case = faulted("keeper cut from some", flood_from=12.0)
-        with mock.patch.object(_Asker, "may_have_used", nothing):
-            self.assertGreater(run_case(case, 41).of_bound, 1.0)
-        self.assertLess(run_case(case, 41).of_bound, 1.0)
+        case = faulted("allocator cut from some", flood_from=12.0)
+        with mock.patch.object(_RouterRecord, "may_have_used", nothing):
+            self.assertGreater(run_case(case, 41).fraction_of_bound, 1.0)
+        self.assertLess(run_case(case, 41).fraction_of_bound, 1.0)
 
-    def test_a_new_keeper_that_counts_nothing_for_missing_ones(self) -> None:
+    def test_a_new_allocator_that_counts_nothing_for_missing_ones(self) -> None:
         case = faulted("split 8 to 3, the fewer with control")
-        with mock.patch.object(_Missing, "may_have_used", lambda *_: 0.0):
-            self.assertGreater(run_case(case, 42).of_bound, 1.0)
-        self.assertLess(run_case(case, 42).of_bound, 1.0)
+        with mock.patch.object(_MissingRouters, "may_have_used", lambda *_: 0.0):
+            self.assertGreater(run_case(case, 42).fraction_of_bound, 1.0)
+        self.assertLess(run_case(case, 42).fraction_of_bound, 1.0)
 
-    def test_a_new_keeper_that_begins_with_a_full_bucket_and_no_past(self) -> None:
-        begin = KeptShare.begin
+    def test_a_new_allocator_that_begins_with_a_full_bucket_and_no_past(self) -> None:
+        take_over = ShareAccount.take_over
 
-        def forgetful(kept: KeptShare, *given: Any) -> None:
-            begin(kept, *given)
-            kept.used.clear()
+        def forgetful(account: ShareAccount, *given: Any) -> None:
+            take_over(account, *given)
+            account.used.clear()
 
         case = faulted("restarts in turn")
         with (
-            mock.patch.object(Inheritance, "level", lambda inherited, rate, most: most),
-            mock.patch.object(KeptShare, "begin", forgetful),
+            mock.patch.object(InheritedUsage, "level", lambda inherited, rate, most: most),
+            mock.patch.object(ShareAccount, "take_over", forgetful),
         ):
-            self.assertGreater(run_case(case, 43).of_bound, 1.0)
-        self.assertLess(run_case(case, 43).of_bound, 1.0)
+            self.assertGreater(run_case(case, 43).fraction_of_bound, 1.0)
+        self.assertLess(run_case(case, 43).fraction_of_bound, 1.0)
--- a/wingwood/limits/tolerance.py
+++ b/wingwood/limits/tolerance.py
@@ -10,22 +10,22 @@
 from ..bundle.model import Tenant
 from ..identifiers import Seconds
 
-CREDIT_PART = 0.1
+CREDIT_FRACTION = 0.1
 """Part of the tolerance that the routers together may use before their keeper knows of it."""
-RESERVE_PART = 0.35
+RESERVE_FRACTION = 0.35
 """Part of the tolerance at least for keepers that know nothing yet and for deputies; the rest enlarges the bucket."""
-LAG_PART = 0.15
+LAG_FRACTION = 0.15
 """Part that is kept free: in a window that fills, routers go on by themselves until their next ask is answered."""
-USEFUL_BUCKET = Seconds(1.0)
+MAX_BUCKET_GROWTH_S = Seconds(1.0)
 """Worth of the paid rate by which the bucket is enlarged at most ..."""
-LARGE_CALL = 45_000.0
+LARGE_CALL_TOKENS = 45_000.0
 """... or this much, if that is more (tokens of one large call); what is left over goes to the reserve."""
-LEAST_RESERVE = Seconds(0.05)
+MIN_RESERVE_S = Seconds(0.05)
 """Worth of the paid rate that such a keeper may always grant."""
-SMALL_BUCKET_CALLS = 5.0
+MIN_BUCKET_CALLS = 5.0
 """Calls that also a small tenant may save up (but never more than five seconds' worth): with
 less, a tenant well below its rate would be refused for the mere unevenness of its calls."""
-SMALL_BUCKET = Seconds(5.0)
+MIN_BUCKET_S = Seconds(5.0)
 
 
 class QuotaTolerance(msgspec.Struct, frozen=True, kw_only=True):
@@ -45,7 +45,7 @@
     rate: float
     bucket: float
     """Most that the tenant's bucket saves up."""
-    most: float
+    max_window_use: float
     """Most that a keeper lets be used in one window, by what it knows.
 
     Where nothing is tolerated a second burst, as what routers use by themselves counts for more than it is.
@@ -56,23 +56,25 @@
     """What a keeper that knows nothing yet, or a deputy, may grant."""
 
 
-def plan_of(paid_rate: float, burst: Seconds, unit: str, tolerance: QuotaTolerance) -> QuotaPlan:
+def make_plan(paid_rate: float, burst: Seconds, unit: str, tolerance: QuotaTolerance) -> QuotaPlan:
     saved = paid_rate * burst
     over = tolerance.over * (paid_rate * tolerance.window + saved) + tolerance.slack
-    credit, lag = CREDIT_PART * over, LAG_PART * over
-    enlarged = min(over - credit - lag - RESERVE_PART * over, max(paid_rate * USEFUL_BUCKET, LARGE_CALL))
+    credit, lag = CREDIT_FRACTION * over, LAG_FRACTION * over
+    enlarged = min(
+        over - credit - lag - RESERVE_FRACTION * over, max(paid_rate * MAX_BUCKET_GROWTH_S, LARGE_CALL_TOKENS)
+    )
     reserve = over - credit - lag - enlarged
-    smallest = min(SMALL_BUCKET_CALLS, paid_rate * SMALL_BUCKET) if unit == "calls" else 0.0
-    least_reserve = max(1.0, LEAST_RESERVE * paid_rate, smallest)
+    smallest = min(MIN_BUCKET_CALLS, paid_rate * MIN_BUCKET_S) if unit == "calls" else 0.0
+    least_reserve = max(1.0, MIN_RESERVE_S * paid_rate, smallest)
     bucket = max(1.0, saved + enlarged, smallest)
     return QuotaPlan(
         rate=paid_rate,
         bucket=bucket,
-        most=paid_rate * tolerance.window + (bucket if over > 0.0 else 2.0 * bucket),
+        max_window_use=paid_rate * tolerance.window + (bucket if over > 0.0 else 2.0 * bucket),
         credit=credit,
         reserve=min(bucket, max(reserve, least_reserve)),
     )
 
 
-def plan_of_tenant(tenant: Tenant, tolerance: QuotaTolerance) -> QuotaPlan:
-    return plan_of(tenant.paid_rate, tenant.burst, tenant.unit, tolerance)
+def make_tenant_plan(tenant: Tenant, tolerance: QuotaTolerance) -> QuotaPlan:
+    return make_plan(tenant.paid_rate, tenant.burst, tenant.unit, tolerance)
