--- a/wingwood/ledger/state.py
+++ b/wingwood/ledger/state.py
@@ -1,8 +1,9 @@
-"""What the control core keeps of calls that may not be repeated (docs/DESIGN.md section 13).
+"""The control core's state of calls that must not be repeated (docs/DESIGN.md section 13).
 
-One ``LedgerState`` runs in each control daemon as an applier of kind ``ledger``. A router sends
-batches; each claim carries a number that the router never uses twice, so that (router, number)
-is its ticket. All changes go through records, so the backup and a restart hold the same state.
+Each control daemon runs one ``LedgerState`` as an applier of kind ``ledger``. Routers send batches of
+claims and settles. Each claim carries a number that its router never uses twice, so that
+(router, number) is its ticket. All changes go through records, so that the backup and a restarted
+daemon hold the same state.
 """
 
 from __future__ import annotations
@@ -20,35 +21,39 @@
 
 LEDGER_KIND = "ledger"
 RAN_BUCKETS = 4
-"""Keys of calls that ran are forgotten by buckets, each a quarter of the retention wide."""
+"""Keys of calls that ran are removed in buckets, each of which spans a quarter of the retention time."""
 MAX_RUNNING_AGE_S = Seconds(86_400.0)
-"""A claim that nobody ever settles is kept this long (its router died: the outcome stays unknown)."""
+"""A claim that is never settled, because its router failed, is retained this long; its outcome stays unknown."""
 
 ClaimAnswer = Literal["claimed", "running", "ran", "unknown", "closed", "full"]
 SettledState = Literal["ran", "unknown", "not-run"]
 
 
 def call_digest(key: CallKey) -> bytes:
-    """16 bytes that stand for the key, so that neither frames nor journals hold callers' keys."""
+    """Returns a 16-byte digest of the key, so that neither frames nor journals contain callers' keys."""
     return hashlib.blake2b(msgspec.msgpack.encode(key), digest_size=16, person=b"wingwood-ledger").digest()
 
 
 class ClaimKey(msgspec.Struct, frozen=True, array_like=True):
+    """A claim: its number at the router, and the digest of its key."""
+
     number: int
     key: bytes
 
 
 class SettleKey(msgspec.Struct, frozen=True, array_like=True):
+    """A settle: the number and key digest of the claim, and the outcome of the call."""
+
     number: int
     key: bytes
     state: SettledState
 
 
 class LedgerBatch(msgspec.Struct, frozen=True, array_like=True):
-    """Command of kind ``ledger``: what one router asks and tells.
+    """Command of kind ``ledger``: claims and settles of one router.
 
-    ``floor``: the router will take no more answer for a claim numbered below it. Claims below the
-    recorded floor are never granted, however late they come.
+    The router accepts no more answers for claims numbered below ``floor``. Claims below the recorded
+    floor are never granted, however late they arrive.
     """
 
     router: Incarnation
@@ -58,27 +63,34 @@
 
 
 class LedgerAnswers(msgspec.Struct, frozen=True, array_like=True):
-    """Reply: one answer per claim, in their order. All settles of the batch are durable."""
+    """Reply to a LedgerBatch: one answer per claim, in order. All settles of the batch are then durable."""
 
     claims: tuple[ClaimAnswer, ...] = ()
 
 
 class Effect(msgspec.Struct, frozen=True, array_like=True):
+    """One change of the state within a record."""
+
     kind: Literal["claim", "ran", "unknown", "free", "close"] = msgspec.field(name="what")
     number: int
     key: bytes
 
 
 class LedgerRecord(msgspec.Struct, frozen=True, array_like=True):
+    """A replicated record: the changes that one batch of a router made."""
+
     time: int
-    """Ledger time in milliseconds; see ``LedgerState.ledger_time``."""
+    """Ledger time in milliseconds, see ``LedgerState.ledger_time``."""
     router: Incarnation
     floor: int
     effects: tuple[Effect, ...]
 
 
 class HeldClaim(msgspec.Struct, frozen=True, array_like=True):
-    """A claim that has not been settled as ``ran``; ``time`` is that of the claim or of ``unknown``."""
+    """A claim that was not settled as ``ran``.
+
+    ``time`` is the ledger time of the claim or, in state ``unknown``, of that settle.
+    """
 
     router: Incarnation
     number: int
@@ -87,20 +99,22 @@
 
 
 class RouterFence(msgspec.Struct, array_like=True):
-    """Which numbers of a router may never be granted any more."""
+    """The claim numbers of a router that must never be granted any more."""
 
     floor: int = 0
     closed: set[int] = msgspec.field(default_factory=set)
-    """Freed or given up, at or above the floor."""
+    """Numbers at or above the floor that were freed or abandoned."""
     time: int = 0
 
 
 class LedgerSnapshot(msgspec.Struct, frozen=True, array_like=True):
+    """The complete state of the ledger."""
+
     time: int
     expired_at: int
     held: dict[bytes, HeldClaim]
     ran: list[tuple[int, bytes]]
-    """Start of each bucket, and its keys joined."""
+    """For each bucket, its start in ledger time and its concatenated key digests."""
     routers: dict[Incarnation, RouterFence]
 
 
@@ -111,10 +125,10 @@
 
 
 class LedgerState:
-    """The ledger's state and its rules; an ``Applier`` of the control core.
+    """The ledger's state and its rules, as an ``Applier`` of the control core.
 
-    ``is_member``: whether a router's session stands, asked only to tell ``running`` from
-    ``unknown`` in an answer; no record depends on it.
+    ``is_member`` returns whether a router's session is valid. It is used only to distinguish
+    ``running`` from ``unknown`` in an answer; no record depends on it.
     """
 
     kind = LEDGER_KIND
@@ -143,10 +157,11 @@
         self._routers: dict[Incarnation, RouterFence] = {}
 
     def ledger_time(self) -> int:
-        """Ledger time: what the records told, plus the own monotonic clock since the last of them.
+        """Returns the ledger time in milliseconds.
 
-        It stands still while no control daemon runs and never runs ahead of real time, so nothing
-        is forgotten early whatever the machines' wall clocks say.
+        It is the time of the latest record, plus the time on this daemon's monotonic clock since that
+        record was applied. It stops while no control daemon runs and never runs ahead of real time, so
+        that nothing is removed too early, whatever the machines' wall clocks show.
         """
         return self._time + max(0, int((self._clock.monotonic() - self._applied_at) * 1000))
 
@@ -168,8 +183,8 @@
         for settle in command.settles:
             found = find(settle.key)
             own = isinstance(found, HeldClaim) and (found.router, found.number) == (command.router, settle.number)
-            # A record is written even when nothing changes: its being durable proves that the
-            # earlier record which made this settle superfluous is durable too.
+            # A record is written even when nothing changes: once it is durable, so is the earlier
+            # record that made this settle redundant.
             if settle.state == "ran":
                 changed[settle.key] = "ran"
                 effects.append(Effect("ran", settle.number, settle.key))
@@ -191,12 +206,12 @@
             elif isinstance(found, HeldClaim):
                 if (found.router, found.number) != (command.router, claim.number):
                     answers.append(self._visible_state(found))
-                    # A second copy of this claim may come when the key is free again: nobody waits for it then.
+                    # A duplicate of this claim may arrive when the key is free again; nobody waits for it then.
                     effects.append(Effect("close", claim.number, claim.key))
                 elif found.state == "unknown":
                     answers.append("unknown")
                 else:
-                    # Sent again by its owner; the record makes the answer wait until the claim is durable.
+                    # Resent by its owner; the record delays the answer until the claim is durable.
                     answers.append("claimed")
                     effects.append(Effect("claim", claim.number, claim.key))
             elif claim.number < floor or claim.number in fence.closed or claim.number in closed:
--- a/wingwood/ledger/tests/test_client.py
+++ b/wingwood/ledger/tests/test_client.py
@@ -124,7 +124,7 @@
         self.assertLess(decide.call_count, 10)
 
     def test_waiting_claims_and_unsettled_outcomes_are_bounded(self) -> None:
-        self.fleet, _ = self.routers(LedgerLimits(waiting=3, unsettled=5))
+        self.fleet, _ = self.routers(LedgerLimits(max_waiting_claims=3, max_unsettled=5))
         with mock.patch.object(FaultyControl, "decide", _silent):
 
             async def many(ledger: RouterLedger) -> list[object]:
--- a/wingwood/limits/admission.py
+++ b/wingwood/limits/admission.py
@@ -1,4 +1,4 @@
-"""Refusing at once what would come too late (docs/DESIGN.md section 14)."""
+"""Refusal of calls whose first token would come too late for the caller (docs/DESIGN.md section 14)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class DeadlineAdmission:
-    """An ``Admission``: the predicted first token must fit into the callers' patience, less a margin."""
+    """An ``Admission`` that refuses a call predicted to miss the service's ``first_byte_patience`` less a margin.
+
+    ``margin`` is the fraction of that time limit that is subtracted from it.
+    """
 
     def __init__(self, margin: float = 0.1) -> None:
         self._usable_fraction = 1.0 - margin
@@ -19,5 +22,6 @@
         late = predicted_first_token - self._usable_fraction * service.first_byte_patience
         if not late > 0.0:
             return None
-        # Capped: an infinite prediction says that nothing is known, not that nothing will ever run.
+        # Retry-after is capped at 30 s: an infinite prediction means that no estimate exists,
+        # not that the call could never run.
         return ShareRefused(Seconds(min(30.0, max(0.5, late)) if math.isfinite(late) else 30.0))
--- a/wingwood/limits/allocator_selector.py
+++ b/wingwood/limits/allocator_selector.py
@@ -1,4 +1,4 @@
-"""Which router keeps which tenant's share (docs/DESIGN.md section 14)."""
+"""Selection of the router that allocates a tenant's share (docs/DESIGN.md section 14)."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 
 
 class AllocatorSelector:
-    """Rendezvous over the routers, kept up to date by differences.
+    """Selects each tenant's share allocator and deputy among the routers by rendezvous hashing.
 
-    A member more or less costs one hash per known tenant, not one per tenant and member.
+    Selections are updated incrementally: a router that joins or leaves costs one hash per known
+    tenant, not one per tenant and router.
     """
 
     def __init__(self, membership: Membership, clock: Clock | None = None) -> None:
         self._membership = membership
         self._clock = clock
         self._departed: dict[str, tuple[Identity, Instant]] = {}
-        """By name: a router that ceased to be a member and has not come back, and since when."""
+        """Routers, by name, that left the membership and have not returned, with the time at which they left."""
         self._routers: dict[str, Identity] = {}
         self._allocators: dict[TenantName, tuple[int, Identity]] = {}
         self._deputies: dict[TenantName, Identity | None] = {}
@@ -32,7 +33,7 @@
         self._stale = True
 
     def allocator(self, tenant: TenantName) -> Identity | None:
-        """None while no router is known."""
+        """Returns the router that allocates the tenant's share, or None while no router is known."""
         self._refresh()
         found = self._allocators.get(tenant)
         if found is None:
@@ -46,7 +47,7 @@
         return found[1]
 
     def deputy(self, tenant: TenantName) -> Identity | None:
-        """Who keeps the share once the keeper is no member any more."""
+        """Returns the router that becomes allocator when the present one leaves; None without another router."""
         self._refresh()
         if tenant not in self._deputies:
             allocator = self.allocator(tenant)
@@ -57,17 +58,17 @@
         return self._deputies[tenant]
 
     def routers(self) -> list[Identity]:
-        """Sorted; the last known ones while this daemon's view is empty."""
+        """Returns the routers in sorted order; while this daemon's membership view is empty, the last known ones."""
         self._refresh()
         return [self._routers[key] for key in sorted(self._routers)]
 
     def count(self) -> int:
-        """How many routers are known."""
+        """Returns the number of known routers."""
         self._refresh()
         return len(self._routers)
 
     def recently_departed(self, within: Seconds) -> list[Identity]:
-        """Routers that were members so short a time ago and have not come back (in another life)."""
+        """Returns routers that left the membership at most ``within`` seconds ago and did not return or restart."""
         self._refresh()
         if self._clock is None:
             return []
@@ -77,7 +78,7 @@
         return [router for router, _ in self._departed.values()]
 
     def may_have_been_allocator(self, tenant: TenantName, missing: Sequence[Identity]) -> bool:
-        """Whether one of these would keep the share if it were a member, and so may have kept it before."""
+        """Returns whether a ``missing`` router may have been the allocator: it would be, if it were a member."""
         allocator = self.allocator(tenant)
         if allocator is None:
             return bool(missing)
--- a/wingwood/limits/allocator_status.py
+++ b/wingwood/limits/allocator_status.py
@@ -1,4 +1,4 @@
-"""Whether a router may still act as a keeper of shares (docs/DESIGN.md section 14.1)."""
+"""Checks whether a router may still act as a share allocator (docs/DESIGN.md section 14.1)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,11 @@
 
 
 class AllocatorStatus:
-    """By the own session with control and, while no control daemon answers, by other routers' agreement."""
+    """Decides whether this router may allocate shares.
+
+    The decision rests on the router's session with control and, while no control daemon answers, on
+    the agreement of other routers that this router is still a member.
+    """
 
     def __init__(
         self,
@@ -37,18 +41,21 @@
         self._confirmed_until = Instant(0.0)
         self._last_check_at = context.clock.monotonic()
         self._confirmed_by_routers_only = False
-        """Since the session was last proven this keeper has gone on by other routers' agreement."""
+        """Since the session was last proven, this allocator has continued on the agreement of other routers alone."""
 
     def start(self) -> None:
-        """This router looks for gaps from now on."""
+        """Starts the measurement of gaps between two checks."""
         self._last_check_at = self._context.clock.monotonic()
 
     def is_session_proven(self, now: Instant) -> bool:
-        """The session was proven so lately that this keeper is surely not cut off."""
+        """Returns whether the session was proven so recently that this allocator is certainly not partitioned off."""
         return self._session_fresh(now, self._limits.session_proven_max_age)
 
     def detect_gap(self, now: Instant) -> bool:
-        """Whether another keeper may have granted since the last look: after a freeze, a cut, or a lost session."""
+        """Returns whether another allocator may have granted leases since the last check.
+
+        This is possible after this process was frozen, was partitioned, or lost its session.
+        """
         proven = self._session_fresh(now, self._limits.session_confirm_age)
         returned = proven and self._confirmed_by_routers_only
         self._confirmed_by_routers_only = not proven
@@ -58,7 +65,11 @@
         return not confirmed or returned or frozen
 
     async def confirm_if_needed(self, now: Instant) -> None:
-        """While no control daemon answers, keepers go on if most routers still count them in."""
+        """Asks other routers for confirmation when the session was not proven recently.
+
+        While no control daemon answers, an allocator continues if a majority of the routers that it
+        asks still regard it as a member.
+        """
         if not self._session_fresh(now, 0.5 * self._limits.session_confirm_age):
             await self._confirm()
 
@@ -73,7 +84,7 @@
             self._confirmed_until = Instant(asked_at + self._limits.confirmation_validity)
 
     async def _request_membership(self, router: Identity) -> bool | None:
-        """Whether that router counts this one in; None: no answer."""
+        """Returns whether that router regards this one as a member, or None when it does not answer."""
         outcome = await self._messenger.call(
             router.internal, MembershipRequest(), MembershipReply, MEMBERSHIP_TIMEOUT_S
         )
--- a/wingwood/limits/bucket.py
+++ b/wingwood/limits/bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets and counts of recent use (docs/DESIGN.md section 14)."""
+"""Token buckets and sliding-window counters of recent use (docs/DESIGN.md section 14)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class TokenBucket:
-    """Fills at ``rate`` per second up to ``capacity``; may be owed (below zero) down to ``-capacity``."""
+    """A bucket that refills at ``rate`` tokens per second up to ``capacity``.
+
+    Its level may go below zero, down to ``-capacity``, when tokens are charged that it did not hold.
+    """
 
     __slots__ = ("_at", "capacity", "level", "rate")
 
@@ -23,32 +26,32 @@
         self._at = max(self._at, now)
 
     def reconfigure(self, rate: float, capacity: float, now: Instant) -> None:
-        """What was earned until now was earned at the old rate."""
+        """Sets a new rate and capacity, after refilling at the old rate up to ``now``."""
         if (rate, capacity) != (self.rate, self.capacity):
             self.refill(now)
             self.rate, self.capacity = rate, capacity
             self.level = min(self.level, capacity)
 
     def take(self, wanted: int, now: Instant) -> int:
-        """As many of ``wanted`` whole tokens as there are."""
+        """Removes up to ``wanted`` whole tokens and returns how many were removed."""
         self.refill(now)
         granted = max(0, min(wanted, int(self.level + 1e-9)))
         self.level -= granted
         return granted
 
     def adjust(self, tokens: float, now: Instant) -> None:
-        """Adds, or takes away when negative."""
+        """Adds ``tokens`` to the level, or removes them when negative, within ``-capacity`` and ``capacity``."""
         self.refill(now)
         self.level = max(-self.capacity, min(self.capacity, self.level + tokens))
 
     def wait(self, now: Instant, wanted: float = 1.0) -> Seconds:
-        """Until ``wanted`` tokens are there."""
+        """Returns the seconds until the bucket holds ``wanted`` tokens, or 60 s when it does not refill."""
         self.refill(now)
         return Seconds(max(0.0, (wanted - self.level) / self.rate)) if self.rate > 0 else Seconds(60.0)
 
 
 class SlidingWindowCounter:
-    """Events in a sliding window, in steps of a twentieth of a second."""
+    """Counts events within a sliding window, grouped into steps of a twentieth of a second."""
 
     __slots__ = ("_steps", "_total", "_window")
     STEP_S = 0.05
@@ -82,7 +85,7 @@
         return total
 
     def counts_by_age(self, now: Instant, step: Seconds) -> tuple[int, ...]:
-        """Counts of the events not older than one step, two steps and so on, as differences."""
+        """Returns how many events fall into each age step of length ``step``, the most recent step first."""
         self._drop_expired(now)
         counts: list[int] = []
         for at, events in reversed(self._steps):
@@ -96,5 +99,5 @@
         self._total = 0
 
     def rate(self, now: Instant) -> float:
-        """Per second over the window."""
+        """Returns the average number of events per second over the window."""
         return self.count(now) / self._window
--- a/wingwood/limits/deputy_account.py
+++ b/wingwood/limits/deputy_account.py
@@ -1,4 +1,4 @@
-"""A deputy's account while a share's keeper is silent (docs/DESIGN.md section 14.1)."""
+"""The account from which a deputy grants while a share's allocator is silent (docs/DESIGN.md section 14.1)."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class DeputyAccount:
-    """The reserve, and what its askers pour in.
+    """Holds the reserve of the quota plan, plus the unused allowances that requesting routers transfer.
 
-    What is poured in the keeper has already allowed them, so both together never grant more than
-    the keeper's own limit and the reserve.
+    The allocator has already allowed the routers what they transfer, so that the allocator and the
+    deputy together never grant more than the allocator's own limit plus the reserve.
     """
 
     TRANSFER_LIFETIME_S = Seconds(2.0)
-    """Without an ask for this long, what was poured in is void."""
+    """Transferred allowances are discarded when no lease request arrives for this long."""
     IMMEDIATE_FRACTION = 0.8
-    """Part of the reserve that is granted at once; the rest comes over one window."""
+    """Fraction of the reserve that may be granted immediately; the rest becomes available over one window."""
 
     def __init__(self, plan: QuotaPlan, window: Seconds, now: Instant) -> None:
         refill = (1.0 - self.IMMEDIATE_FRACTION) * plan.reserve / window
@@ -28,6 +28,7 @@
         self._last_request_at = now
 
     def grant(self, costs: Sequence[int], transferred: float, now: Instant) -> tuple[bool, ...]:
+        """Adds ``transferred`` to the account and returns, for each cost, whether the call is granted."""
         self._reserve.refill(now)
         if now - self._last_request_at > self.TRANSFER_LIFETIME_S:
             self._transferred = 0.0
--- a/wingwood/limits/messages.py
+++ b/wingwood/limits/messages.py
@@ -1,4 +1,4 @@
-"""What routers say to each other about paid shares (docs/DESIGN.md section 14)."""
+"""Messages between routers about paid shares (docs/DESIGN.md section 14)."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from ..identifiers import Address, Seconds, TenantName
 
 RECENT_WINDOW_S = Seconds(4.0)
-"""Over how long a router counts its own use to tell its need."""
+"""Time over which a router averages its own use to report its needed rate."""
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A router asks a tenant's share keeper, or its deputy; answered by LeaseGrant.
+    """Request of a router to a tenant's share allocator, or to its deputy; the reply is a LeaseGrant.
 
-    Amounts are in the tenant's unit.
+    Amounts are in the tenant's unit (calls or tokens).
     """
 
     WIRE_NAME: ClassVar[str] = "LeaseAsk"
@@ -24,55 +24,57 @@
     paid_rate: float
     burst: Seconds
     unit: str
-    """Rate, burst and unit as the asker's bundle has them; the keeper's own bundle goes first."""
+    """Rate, burst and unit according to the requester's bundle; the allocator's own bundle takes precedence."""
     number: int
-    """Counts the asker's asks; one that comes after a later one lay in buffers and is void."""
+    """Sequence number of the requester's requests; one that arrives after a later one was delayed and is ignored."""
     costs: tuple[int, ...]
-    """Of the calls that wait; none when the ask only tells of use."""
+    """Costs of the waiting calls; empty when the request only reports use."""
     used: int = 0
-    """Used without a grant of this keeper since the last ask that it answered."""
+    """Amount used without a grant of this allocator since the last request that it answered."""
     needed_rate: float = msgspec.field(name="need", default=0.0)
-    """Per second: what the router would use by itself until it asks again."""
+    """Rate per second that the router expects to use on its own until its next request."""
     saved: float = 0.0
-    """What it keeps of that from before."""
+    """Unused part of the allowance that the router has accumulated so far."""
     transferred: float = msgspec.field(name="poured", default=0.0)
-    """For a deputy's account: unused part of what the keeper let the router use by itself."""
+    """Unused allowance from the allocator that the router transfers to the deputy's account."""
 
 
 class AllocatorView(msgspec.Struct, frozen=True, array_like=True):
-    """What a keeper knows of a tenant, for the next one."""
+    """An allocator's knowledge of a tenant's use, for the allocator that takes over from it."""
 
     WIRE_NAME: ClassVar[str] = "KeeperView"
 
     used: float
-    """By all routers in the last window."""
+    """Amount used by all routers in the last window."""
     promised_rate: float = msgspec.field(name="promised")
-    """Per second: what all routers together may use by themselves."""
+    """Rate per second that all routers together may use on their own."""
     covered_span: Seconds = msgspec.field(name="known")
-    """How far back this reaches."""
+    """How far back this knowledge reaches, in seconds."""
     level: float
-    """Of its bucket, less what the routers may have used since it heard of them."""
+    """Level of the allocator's bucket, less what the routers may have used since their last requests."""
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True):
+    """Reply to a LeaseRequest."""
+
     is_allocator: bool = msgspec.field(name="keeper")
-    """False: this router neither keeps the tenant's share nor stands in for who does."""
+    """False when this router is neither the allocator of the tenant's share nor its acting deputy."""
     from_deputy: bool = msgspec.field(name="stands_in", default=False)
-    """The grant comes from the deputy's account, and the keeper has to be told of it."""
+    """True when the grant comes from the deputy's account, so that its use must be reported to the allocator."""
     granted: tuple[bool, ...] = ()
-    """For each of the asked calls."""
+    """For each requested call, in the order of ``costs``, whether it was granted."""
     wait: Seconds = Seconds(0.0)
-    """When one was not granted: how long until it would be."""
+    """When a call was not granted, the seconds until it could be."""
     allowed_rate: float = msgspec.field(name="allowed", default=0.0)
-    """Per second: what the router may use by itself from now on, for ``RouterShare.AUTONOMY_S``."""
+    """Rate per second that the router may use on its own from now on, for ``share_account.AUTONOMY_S``."""
     credit_available: bool = msgspec.field(name="plenty", default=False)
-    """The bucket holds enough for credit."""
+    """True when the bucket holds enough for the routers to use credit."""
     view: AllocatorView | None = None
-    """None: the keeper has just begun."""
+    """None while the allocator is still collecting reports after a takeover."""
 
 
 class UsageRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A new keeper asks each router what the tenant used lately; answered by UseAnswer."""
+    """Request of a new allocator to each router for the tenant's recent use; the reply is a UsageReport."""
 
     WIRE_NAME: ClassVar[str] = "UseQuestion"
 
@@ -82,26 +84,30 @@
 
 
 class UsageReport(msgspec.Struct, frozen=True, array_like=True):
+    """Reply to a UsageRequest: what the tenant used at this router."""
+
     WIRE_NAME: ClassVar[str] = "UseAnswer"
 
     used: tuple[int, ...]
-    """In each step of the window, the newest first."""
+    """Amount used in each step of the window, the latest step first."""
     covered_span: Seconds = msgspec.field(name="known")
-    """How much of the window this router has been up."""
+    """Seconds of the window during which this router has been running."""
     level: float | None
-    """From the keeper until now: what its bucket held; it grants no more."""
+    """Bucket level, if this router was the allocator until now; it then stops granting. None otherwise."""
     number: int
-    """The answerer's newest ask; what it asked until then is void, since its use is in this report."""
+    """Number of the sender's latest lease request; earlier ones are outdated, as this report includes their use."""
     allowed_rate: float = msgspec.field(name="allowed", default=0.0)
+    """Rate per second that the router may continue to use on its own; see LeaseGrant."""
     saved: float = 0.0
-    """What it may go on using by itself; see LeaseGrant and LeaseAsk."""
+    """Unused part of the allowance that the router has accumulated; see LeaseRequest."""
     view: AllocatorView | None = None
-    """The last that a keeper told, and how long ago."""
+    """The latest view that an allocator sent to this router."""
     view_age: Seconds = msgspec.field(name="view_ago", default=Seconds(0.0))
+    """Seconds since ``view`` was received."""
 
 
 class ReachabilityRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Call to a third router: does the one at that address answer you? Reply: AliveAnswer."""
+    """Asks a third router whether the router at ``address`` answers it; the reply is a ReachabilityReply."""
 
     WIRE_NAME: ClassVar[str] = "AliveQuestion"
 
@@ -109,18 +115,22 @@
 
 
 class ReachabilityReply(msgspec.Struct, frozen=True, array_like=True):
+    """Reply to a ReachabilityRequest."""
+
     WIRE_NAME: ClassVar[str] = "AliveAnswer"
 
     alive: bool
 
 
 class MembershipRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A keeper whose session is not proven asks another router whether it is still a member there."""
+    """Asks another router whether it still regards the sender as a member; also used to check that it answers."""
 
     WIRE_NAME: ClassVar[str] = "MemberQuestion"
 
 
 class MembershipReply(msgspec.Struct, frozen=True, array_like=True):
+    """Reply to a MembershipRequest."""
+
     WIRE_NAME: ClassVar[str] = "MemberAnswer"
 
     is_member: bool = msgspec.field(name="known")
--- a/wingwood/limits/retry_budget.py
+++ b/wingwood/limits/retry_budget.py
@@ -1,4 +1,4 @@
-"""How many tries beyond the first a router may make (docs/DESIGN.md section 14.2)."""
+"""Limits how many retries (tries beyond the first) a router may make (docs/DESIGN.md section 14.2)."""
 
 from __future__ import annotations
 
@@ -11,40 +11,42 @@
 from ..identifiers import Instant, PoolName, Seconds
 
 MAX_RETRY_RATIO = 0.19
-"""Whatever the bundle says, tries beyond the first stay under a fifth, where no other ratio is given."""
+"""Default ratio of retries to calls, whatever the bundle says: retries stay below a fifth of the calls."""
 MAX_SAVED_RETRIES = 3.0
-"""Tries that a router may save up where no slack is given, so that an hour's calm does not pay for a storm."""
+"""Retries that a router may accumulate when no slack is set, so that a calm hour does not pay for a retry storm."""
 SAVED_FRACTION = 0.4
-"""Part of the slack that all routers together may have saved up."""
+"""Fraction of the slack that all routers together may have accumulated."""
 EARNED_FRACTION = 0.1
-"""Part of the slack that all routers together earn per window without any call.
+"""Fraction of the slack that all routers together earn per window without any call.
 
-The half that is left is for fleets that come back in two parts, each of which knows only of itself.
+The remaining half is for fleets that restart in two parts, each of which knows only its own routers.
 """
 
 
 class RetryLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Over the whole fleet: tries beyond the first in any ``window`` <= ``ratio`` x calls in it + ``slack``."""
+    """The bound over the whole fleet: retries in any ``window`` <= ``ratio`` x calls in that window + ``slack``."""
 
     ratio: float = MAX_RETRY_RATIO
     slack: float | None = None
-    """Tries. None: no figure is given; each router saves up ``MAX_SAVED_RETRIES`` from its calls alone."""
+    """Number of retries; when None, each router accumulates up to ``MAX_SAVED_RETRIES``, from its calls alone."""
     window: Seconds = Seconds(10.0)
 
 
 class _PoolAccount(msgspec.Struct):
-    """One pool's account."""
+    """The retries that one account has accumulated, and when it was last updated."""
 
     tries: float
     at: Instant
 
 
 class ServiceRetryBudget:
-    """A ``RetryBudget`` that each router keeps for itself without a message: by pool where a slack is given, which
-    is the pool's, else by service and pool, so that no service spends what another one earned.
+    """A ``RetryBudget`` that each router holds on its own, without messages to other routers.
 
-    A call earns its service's ``retry_share`` of a try (at most ``RetryLimits.ratio``). Of the slack
-    each router has an equal part, which it saves up from nothing, so that a start brings no new one.
+    When a slack is set, it belongs to the pool, and accounts are held per pool. Otherwise they are
+    held per service and pool, so that no service spends what another one has earned.
+
+    A call earns its service's ``retry_share`` of a retry (at most ``RetryLimits.ratio``). Each router
+    has an equal part of the slack, which it accumulates from zero, so that a restart adds no slack.
     """
 
     def __init__(self, clock: Clock, routers: Callable[[], int], limits: RetryLimits | None = None) -> None:
@@ -53,7 +55,7 @@
         self._limits = limits or RetryLimits()
         self._started_at = clock.monotonic()
         self._max_routers = 1
-        """The most ever known: those cut off go on with the part they had."""
+        """The highest number of routers ever known; routers that are partitioned off retain their previous part."""
         self._accounts: dict[str, _PoolAccount] = {}
 
     def note_call(self, service: Service, pool: PoolName | None = None) -> None:
@@ -75,7 +77,7 @@
         return pool if self._limits.slack is not None else f"{service.name}/{pool}"
 
     def _refilled(self, name: str) -> _PoolAccount:
-        """The name with what time has earned until now."""
+        """Returns the account ``name`` after adding what it has earned by the passage of time."""
         now = self._clock.monotonic()
         self._max_routers = max(self._max_routers, self._routers())
         account = self._accounts.setdefault(name, _PoolAccount(0.0, self._started_at))
@@ -86,14 +88,17 @@
         return account
 
     def _max_saved(self) -> float:
-        """At least one try, or a fleet of more routers than its slack could never retry."""
+        """Returns the most retries that an account may hold.
+
+        This is at least one, as a fleet with more routers than slack could otherwise never retry.
+        """
         if self._limits.slack is None:
             return MAX_SAVED_RETRIES
         return max(1.0, SAVED_FRACTION * self._limits.slack / self._max_routers)
 
 
 def _pool_weights(service: Service, pool: PoolName | None) -> list[tuple[PoolName, float]]:
-    """Which pools a call counts for, and with what weight; a split call of which nothing is known, for all."""
+    """Returns the pools that a call counts for, with weights; before a split call is placed, all pools of its split."""
     if pool is not None:
         return [(pool, 1.0)]
     total_weight = sum(share.weight for share in service.split)
--- a/wingwood/limits/router_probes.py
+++ b/wingwood/limits/router_probes.py
@@ -1,4 +1,4 @@
-"""Which routers are silent or have ended, as a deputy or a new keeper finds by asking (docs/DESIGN.md section 14.1)."""
+"""Probes by which a deputy or a new allocator finds silent and ended routers (docs/DESIGN.md section 14.1)."""
 
 from __future__ import annotations
 
@@ -18,19 +18,22 @@
 from .share_limits import ShareLimits
 
 SILENCE_VALIDITY_S = Seconds(1.0)
-"""A keeper found silent counts as down for so long."""
+"""An allocator that did not answer a ping is regarded as silent for this long."""
 ENDED_VALIDITY_S = Seconds(6 * AUTONOMY_S)
+"""How long a process is remembered as ended."""
 MAX_CONFIRMING_ROUTERS = 3
-"""Other routers that are asked whether they reach one that refuses connections."""
+"""Number of other routers that are asked whether they reach a router that refuses connections."""
 
 
 class _Ping(msgspec.Struct, frozen=True):
+    """Result of a ping."""
+
     at: Instant
     silent: bool
 
 
 class RouterProbes:
-    """Asks routers for a sign of life and keeps what came of it."""
+    """Pings routers and stores the results."""
 
     def __init__(
         self, context: Context, messenger: Messenger, selector: AllocatorSelector, limits: ShareLimits
@@ -42,9 +45,9 @@
         self._pings: dict[Incarnation, _Ping] = {}
         self._pinging: dict[Incarnation, asyncio.Task[None]] = {}
         self._ended: dict[Incarnation, Instant] = {}
-        """Processes that have ended, and when that was found."""
+        """Processes that have ended, with the time at which this was detected."""
         self._confirming: set[Incarnation] = set()
-        """Processes that refused a connection, after which other routers are asked now."""
+        """Processes that refused a connection and about which other routers are being asked."""
         messenger.on_call(ReachabilityRequest, self._answer_reachability_request)
 
     # Ended processes
@@ -53,7 +56,10 @@
         return router.incarnation in self._ended
 
     def check_ended(self, router: Identity, outcome: Result[Any, TransportFault]) -> None:
-        """A machine that refuses connections has no such process any more, or a cut between it and this one does."""
+        """Starts to confirm that a router has ended if ``outcome`` is a refused connection.
+
+        Either the machine no longer runs the process, or a network partition resets connections to it.
+        """
         if isinstance(outcome, Failure):
             fault = outcome.failure()
             if fault.kind == "unreachable" and fault.detail.startswith("refused"):
@@ -65,7 +71,10 @@
             self._context.tasks.spawn(f"whether {router.name} has ended", self._confirm_ended(router))
 
     async def _confirm_ended(self, router: Identity) -> None:
-        """It has ended if no other router reaches it, and at least one was asked with success."""
+        """Records the router as ended if no other router reaches it and at least one of them answered.
+
+        A router that has no other router to ask records it as well.
+        """
         own = self._messenger.identity.incarnation
         others = [other for other in self._selector.routers() if other.incarnation not in (own, router.incarnation)]
         asked = self._context.random.sample(others, min(MAX_CONFIRMING_ROUTERS, len(others)))
@@ -89,13 +98,13 @@
         return ReachabilityReply(isinstance(outcome, Success))
 
     def missing(self) -> list[Identity]:
-        """Routers that left lately, have not come back and may still be running."""
+        """Returns routers that left recently, have not returned and may still be running."""
         return [router for router in self._selector.recently_departed(AUTONOMY_S) if not self.has_ended(router)]
 
-    # Silent selector
+    # Silent allocators
 
     async def should_deputize(self, tenant: TenantName) -> bool:
-        """Whether this router stands in for the keeper: it is the next in order, and no keeper answers it."""
+        """Returns whether this router is the deputy and must act, because the allocator does not answer it."""
         own = self._messenger.identity.incarnation
         allocator, deputy = self._selector.allocator(tenant), self._selector.deputy(tenant)
         if allocator is None or deputy is None or deputy.incarnation != own:
@@ -103,17 +112,17 @@
         found, now = self._pings.get(allocator.incarnation), self._now()
         if found is None or now - found.at > self._limits.ping_validity:
             pinging = self._start_ping(allocator)
-            if not self._is_silent(allocator, now):  # Else what was found counts until the new answer.
+            if not self._is_silent(allocator, now):  # Otherwise the stored result counts until the new answer.
                 await asyncio.wait((pinging,), timeout=self._limits.ping_timeout)
         return self._is_silent(allocator, self._now())
 
     def _is_silent(self, allocator: Identity, now: Instant) -> bool:
-        """Whether this router, as a deputy, has lately found that keeper silent."""
+        """Returns whether this router, as a deputy, has recently found that allocator silent."""
         found = self._pings.get(allocator.incarnation)
         return found is not None and found.silent and now - found.at <= SILENCE_VALIDITY_S
 
     def _start_ping(self, router: Identity) -> asyncio.Task[None]:
-        """One at a time for each router."""
+        """Starts a ping, or returns the one that is already in progress for this router."""
         pinging = self._pinging.get(router.incarnation)
         if pinging is None:
             pinging = asyncio.get_running_loop().create_task(self._ping(router))
@@ -128,7 +137,7 @@
         self.check_ended(router, outcome)
         self._pinging.pop(router.incarnation, None)
 
-    # Upkeep
+    # Maintenance
 
     def drop_expired(self, now: Instant) -> None:
         if self._pings:
@@ -138,7 +147,10 @@
             del self._ended[incarnation]
 
     def ping_missing(self) -> None:
-        """A keeper leaves room for what routers that are missing may still use, until they have ended."""
+        """Pings the missing routers.
+
+        An allocator reserves what missing routers may still use until they are known to have ended.
+        """
         for router in self.missing():
             self._start_ping(router)
 
--- a/wingwood/limits/router_share.py
+++ b/wingwood/limits/router_share.py
@@ -1,4 +1,4 @@
-"""What a router holds of one tenant's share (docs/DESIGN.md section 14.1)."""
+"""A router's part of one tenant's share (docs/DESIGN.md section 14.1)."""
 
 from __future__ import annotations
 
@@ -17,32 +17,33 @@
 from .tolerance import QuotaPlan, QuotaTolerance, make_tenant_plan
 
 MIN_RECENT_CALLS = 2
-"""A router that had fewer calls of the tenant lately (RECENT) is allowed nothing by itself."""
+"""A router with fewer calls of the tenant within ``RECENT_WINDOW_S`` requests no allowance."""
 IDLE_S = Seconds(1.5)
-"""Without a call for this long it gives back what it was allowed."""
+"""A router without a call for this long returns its allowance."""
 SETTLE_DELAY_S = Seconds(0.25)
-"""What was used by itself is told to the keeper so long after its last answer."""
+"""Use without a grant is reported to the allocator this long after its last answer."""
 NO_CREDIT_AFTER_START_S = Seconds(3.0)
-"""A router that just started doesn't know how many others there are, and so takes nothing on credit."""
+"""A router that has just started does not know how many others there are, so it uses no credit for this long."""
 MIN_CREDIT_CALLS = 1.0
-"""On credit a router may always let one call through, if the tenant's unit is calls ..."""
+"""Calls that a router may always admit on credit, if the tenant's unit is calls."""
 CREDIT_CALL_INTERVAL_S = Seconds(4.0)
-"""... and another one after this long, while the keeper is out of reach."""
-
+"""Interval after which the credit allows another such call while the allocator is unreachable."""
 
 SPARE_GRANT_LIFETIME_S = Seconds(1.0)
-"""A grant whose call did not wait for it may be used so long by another call."""
+"""A grant whose call no longer waits may be used by another call for this long."""
 
 
 class _SpareGrant(msgspec.Struct):
+    """A grant whose call no longer waits for it."""
+
     until: Instant
     left: int
     from_deputy: bool
-    """It came from a deputy, so the keeper has to be told when it is used."""
+    """True when a deputy granted it, so that its use must be reported to the allocator."""
 
 
 class Waiter:
-    """A call that waits for its keeper."""
+    """A call that waits for the answer of the share allocator."""
 
     __slots__ = ("cost", "outcome")
 
@@ -56,7 +57,7 @@
 
 
 class RouterShare:
-    """Counts of one tenant's use here, and what may be used without asking."""
+    """Counts one tenant's use at this router and holds what may be used without a request."""
 
     def __init__(self, tenant: Tenant, tolerance: QuotaTolerance, routers: int, started: Instant, now: Instant) -> None:
         self._tolerance = tolerance
@@ -67,22 +68,22 @@
         self._calls = SlidingWindowCounter(RECENT_WINDOW_S)
         self.last_call_at = now
         self.allowance = TokenBucket(0.0, 0.0, 0.0, now)
-        """What the keeper allows this router to use by itself."""
+        """What the allocator allows this router to use on its own."""
         self.credit = TokenBucket(0.0, 0.0, 0.0, now)
         self._routers = routers
         self._resize_credit(now)
         self.credit.level = self.credit.capacity
         self._spare: list[_SpareGrant] = []
         self.unsettled = 0
-        """Used without a grant of the keeper, and not yet told to it."""
+        """Amount used without a grant of the allocator and not yet reported to it."""
         self.reports = 0
-        """Counts the answers to new keepers, which hold what was unsettled until then."""
+        """Number of usage reports sent to new allocators; each includes what was unsettled until then."""
         self.last_contact: Instant | None = None
-        """When the last ask that the keeper answered was sent."""
+        """Time at which the last request that the allocator answered was sent."""
         self.credit_available = False
-        """The keeper's bucket holds enough for credit, as far as this router was told."""
+        """Whether the allocator's bucket holds enough for credit, according to the last grant."""
         self.latest_view: AllocatorView | None = None
-        """The last that a keeper told of the whole."""
+        """The latest view of the whole fleet's use that an allocator sent."""
         self.latest_view_at = now
         self.waiters: deque[Waiter] = deque()
         self.request_active = False
@@ -90,13 +91,13 @@
         self.bucket_empty_until = Instant(0.0)
         self.next_probe = Instant(0.0)
         self.unreachable_since: Instant | None = None
-        """Neither the keeper nor its deputy answers."""
+        """Time since which neither the allocator nor its deputy answers; None while one of them does."""
         self.deputized_allocator: Incarnation | None = None
-        """The keeper in whose place the deputy is asked."""
+        """The allocator in whose place requests go to the deputy; None while they go to the allocator."""
         self.granted_by_deputy = False
-        """The last grant came from a deputy's account; what may be used here is poured into that."""
+        """True when the last grant came from a deputy's account; the allowance is then transferred to that account."""
         self.allocator_silent = False
-        """The keeper does not answer, whether or not its deputy does."""
+        """True when the allocator does not answer, whether or not its deputy does."""
 
     def update(self, tenant: Tenant, routers: int, now: Instant) -> None:
         if tenant is self.tenant and routers == self._routers:
@@ -106,7 +107,10 @@
         self._resize_credit(now)
 
     def _resize_credit(self, now: Instant) -> None:
-        """Half of an equal part, which comes again once per window, makes the whole part at most."""
+        """Sets the credit to half of this router's equal part.
+
+        It refills once per window, so that at most the full equal part is used in a window.
+        """
         capacity = 0.5 * self.plan.credit / max(1, self._routers)
         rate = capacity / self._tolerance.window
         if self.tenant.unit == "calls":
@@ -116,7 +120,10 @@
     # Taking
 
     def take(self, cost: int, now: Instant) -> bool:
-        """Without asking: what the keeper allowed before, and where it does no harm on credit."""
+        """Charges the call without a request; returns whether it fits.
+
+        The call may use spare grants, the allowance and, where credit is available, the credit.
+        """
         if self._take_spare(cost, now):
             return True
         self._expire(now)
@@ -157,7 +164,7 @@
         self._calls.add(now)
 
     def time_until_allowance(self, cost: int, now: Instant) -> Seconds:
-        """How long until a call would fit into what the router may use by itself."""
+        """Returns the seconds until a call would fit into what the router may use on its own."""
         if self.allowance.rate > 0:
             return self.allowance.wait(now, cost)
         return self.credit.wait(now, cost) if self.allocator_silent else Seconds(60.0)
@@ -166,9 +173,10 @@
         if self.last_contact is not None and now - self.last_contact > AUTONOMY_S:
             self.allowance.reconfigure(0.0, 0.0, now)
 
-    # Asking
+    # Requests
 
     def needed_rate(self, now: Instant) -> float:
+        """Returns the rate per second that this router needs, or 0 when it had few or no recent calls."""
         if now - self.last_call_at > IDLE_S or self._calls.count(now) < MIN_RECENT_CALLS:
             return 0.0
         return self.accepted.count(now, RECENT_WINDOW_S) / RECENT_WINDOW_S
@@ -177,9 +185,11 @@
         return self.unsettled > 0 or (self.allowance.rate > 0 and now - self.last_call_at > IDLE_S)
 
     def make_request(self, number: int, costs: tuple[int, ...], to_deputy: bool, now: Instant) -> LeaseRequest:
-        """Until the answer the router goes on with the smaller of what it was allowed and what it now needs.
+        """Makes a lease request and resets the unsettled amount, which the request reports.
 
-        The keeper counts with that from when it has the ask, which a deputy (``to_deputy``) does not pass on.
+        Until the answer, the router continues with the smaller of its allowed rate and its needed rate.
+        The allocator assumes this once it has the request. A deputy (``to_deputy``) does not forward the
+        request, so the allowed rate then stays unchanged.
         """
         needed_rate = self.needed_rate(now)
         self._expire(now)
@@ -205,7 +215,7 @@
         )
 
     def apply_grant(self, grant: LeaseGrant, sent: Instant, credit_back: float, now: Instant) -> None:
-        """The keeper (no deputy) answered."""
+        """Applies a grant of the allocator (not of a deputy)."""
         self.last_contact = sent
         self.allocator_silent = False
         self._set_allowed_rate(grant.allowed_rate, now)
@@ -229,7 +239,7 @@
     # Reporting
 
     def report(self, window: Seconds, step: Seconds, covered_span: Seconds, number: int, now: Instant) -> UsageReport:
-        """To a new keeper; what was unsettled is in it."""
+        """Returns the usage report for a new allocator, which includes and resets the unsettled amount."""
         self._expire(now)
         self.allowance.refill(now)
         self.unsettled = 0
--- a/wingwood/limits/share_account.py
+++ b/wingwood/limits/share_account.py
@@ -1,4 +1,4 @@
-"""What the keeper of a tenant's share knows (docs/DESIGN.md section 14.1)."""
+"""The allocator's account of one tenant's share (docs/DESIGN.md section 14.1)."""
 
 from __future__ import annotations
 
@@ -15,45 +15,50 @@
 from .tolerance import QuotaPlan
 
 ACCRUAL_LIMIT_S = Seconds(0.3)
-"""A router that reaches its keeper saves up so much of what it may use by itself."""
+"""A router that reaches its allocator accumulates at most this many seconds of its allowed rate."""
 AUTONOMY_S = Seconds(10.0)
-"""So long after its keeper's last answer a router may use by itself what it was allowed."""
+"""A router may use its allowed rate for this long after the allocator's last answer."""
 MAX_LOAD_SKEW = 3.0
-"""So many times an equal part of the calls may come to the missing routers."""
+"""The missing routers may receive up to this many times an equal part of the calls."""
 DETECTION_DELAY_S = Seconds(2.5)
-"""So long a router may be missing before another keeper begins."""
+"""A router may be missing for this long before another allocator starts."""
 CONTACT_INTERVAL_S = Seconds(1.0)
-"""A router that reaches its keeper tells within this what it used."""
+"""A router that reaches its allocator reports its use within this time."""
 REQUEST_LAG_S = Seconds(0.05)
-"""Longest that an ask is on its way in calm times; the router goes on by itself meanwhile."""
+"""Longest transit time of a request under normal conditions; the router uses its allowance meanwhile."""
 LARGE_CALL_BUCKET_FRACTION = 0.8
-"""A call that costs more than this part of the bucket is granted when that much is there."""
+"""A call that costs more than this fraction of the bucket is granted when the bucket holds that fraction."""
 WINDOW_FULL_RETRY_S = Seconds(0.25)
+"""Shortest retry time of a call that does not fit into the window."""
 NARROW_WINDOW_S = Seconds(0.35)
-"""With less room in the window than this is worth at the paid rate, the routers are allowed less by themselves."""
+"""The routers' allowances shrink when the window has less room than the paid rate uses in this time."""
 UNPROVEN_WINDOW_FRACTION = 0.25
-"""Part of the bucket that counts in the window of a keeper whose session is not proven."""
+"""Fraction of the bucket that an allocator without a proven session adds to its window."""
 UNPROVEN_RESERVED_FRACTION = 0.5
-"""Part of the bucket that a keeper whose session is not proven leaves alone."""
+"""Fraction of the bucket that an allocator without a proven session does not grant."""
 TOTALS_MAX_AGE_S = Seconds(0.02)
-"""With many routers their parts are added up anew at most this often; in between the sum is an upper bound."""
+"""Age up to which the totals over many routers are reused; meanwhile they are extrapolated to an upper bound."""
 EXACT_TOTALS_MAX_ROUTERS = 32
-"""Fewer routers are added up for each ask."""
+"""With at most this many routers, the totals are computed for each request."""
 
 
 class _RouterRecord(msgspec.Struct):
-    """A router, as its newest ask left it."""
+    """State of a router according to its latest request."""
 
     name: DaemonName
     latest_number: int
     last_request_at: Instant
     allowed_rate: float = 0.0
     previous_allowed_rate: float = 0.0
-    """What it goes on with until it has the newest answer; see ``RouterShare.request``."""
+    """Rate that it uses until it has the latest answer; see ``RouterShare.make_request``."""
     saved: float = 0.0
+    """Unused part of its allowance that it has accumulated."""
 
     def may_have_used(self, now: Instant, window: Seconds, max_duration: Seconds) -> float:
-        """Most that it can have used by itself in the last ``window``, going on for ``max_duration`` after its ask."""
+        """Returns the most that it can have used on its own in the last ``window``.
+
+        It is assumed to use its allowed rate for at most ``max_duration`` after its request.
+        """
         end = min(now, self.last_request_at + max_duration)
         age = max(0.0, end - max(self.last_request_at, now - window))
         return (self.saved if now - self.last_request_at <= window else 0.0) + max(
@@ -62,21 +67,22 @@
 
 
 class _RouterTotals(msgspec.Struct):
-    """The parts of all routers added up at one instant."""
+    """Totals over all routers at one instant."""
 
     at: Instant
     unproven: bool
+    """Whether the totals are for an allocator without a proven session."""
     bucket_part: float = 0.0
-    """Of the bucket: what they may have saved up, and what they may use while an ask is on its way."""
+    """Part of the bucket that they may have accumulated or may use while a request is in transit."""
     window_part: float = 0.0
-    """Of the window: what they may have used since they were heard."""
+    """Part of the window that they may have used since their last requests."""
     promised_rate: float = 0.0
-    """Per second: what they may use by themselves."""
+    """Rate per second that they may use on their own."""
     growth_rate: float = 0.0
     """Per second: what ``bucket_part`` and ``window_part`` grow by at most."""
 
     def add(self, record: _RouterRecord, window: Seconds, sign: float = 1.0) -> None:
-        """Adds the router's part, or takes it out."""
+        """Adds the router's part, or subtracts it when ``sign`` is -1."""
         max_duration = Seconds(1e9) if self.unproven else AUTONOMY_S
         if self.at <= record.last_request_at + AUTONOMY_S:
             self.promised_rate += sign * record.allowed_rate
@@ -90,13 +96,13 @@
 
 
 class _MissingRouters(msgspec.Struct, frozen=True):
-    """Routers that a new keeper cannot reach and that may be running."""
+    """Routers that a new allocator cannot reach and that may still be running."""
 
     since: Instant
     burst: float
-    """Most that they can have used lately without anybody knowing."""
+    """Most that they can have used recently without a report."""
     allowed_rate: float
-    """Per second: what they may go on using by themselves, for AUTONOMY."""
+    """Rate per second that they may continue to use on their own, for ``AUTONOMY_S``."""
 
     def may_have_used(self, now: Instant, window: Seconds) -> float:
         age = min(now, self.since + AUTONOMY_S) - max(self.since, now - window)
@@ -106,8 +112,9 @@
 class ShareAccount:
     """One tenant's bucket and window.
 
-    A call is granted when the bucket holds it beyond what the routers saved up, and when the window
-    has room beyond all that routers which have not been heard of may have used by themselves.
+    A call is granted when the bucket covers its cost in addition to what the routers have accumulated,
+    and when the window has room for it in addition to all that routers may have used on their own
+    since their last requests.
     """
 
     def __init__(self, plan: QuotaPlan, window: Seconds, level: float, now: Instant) -> None:
@@ -116,9 +123,13 @@
         self.bucket = TokenBucket(plan.rate, plan.bucket, level, now)
         self.used = SlidingWindowCounter(Seconds(window + SlidingWindowCounter.STEP_S))
         self.gathering: asyncio.Future[None] | None = None
+        """Completed when the usage reports of the routers have been collected; None when none are awaited."""
         self.reports_requested = False
-        """Else nobody was asked. The bucket, which began at the reserve, isn't charged for what was used before;
-        what a router has saved up, the keeper before had set aside."""
+        """Whether usage reports were requested at the start of the account.
+
+        If not, the bucket starts at the reserve and is not charged for use before the start. What a router has
+        accumulated was set aside by the previous allocator.
+        """
         self.granted_while_gathering = 0.0
         self.routers: dict[Incarnation, _RouterRecord] = {}
         self._missing: _MissingRouters | None = None
@@ -126,7 +137,7 @@
         self._totals: _RouterTotals | None = None
 
     def change_plan(self, plan: QuotaPlan, now: Instant) -> None:
-        """A lower limit counts from now on, so what was used under the higher one is forgotten."""
+        """Applies a new plan; a lower limit takes effect from now on, so the use under the higher one is discarded."""
         if plan == self.plan:
             return
         if plan.max_window_use < self.plan.max_window_use:
@@ -145,15 +156,18 @@
         return record is not None and request.number <= record.latest_number
 
     def settle(self, requester: Identity, request: LeaseRequest, now: Instant, may_rise: bool) -> float:
-        """Charges what the router used by itself; what it may use from now on."""
+        """Charges what the router used on its own; returns the rate per second that it may use from now on.
+
+        ``may_rise`` False (the session is not proven): the allowed rate may fall but not rise.
+        """
         record = self.routers.get(requester.incarnation)
         has_history = self.reports_requested or record is not None
         if record is None:
             for incarnation in [key for key, other in self.routers.items() if other.name == requester.name]:
-                del self.routers[incarnation]  # Its earlier life.
+                del self.routers[incarnation]  # Record of the process before its restart.
             record = self.routers[requester.incarnation] = _RouterRecord(requester.name, request.number, now)
             self._totals = None
-        if self.gathering is None:  # Else it is in the router's report.
+        if self.gathering is None:  # Otherwise the router's usage report includes it.
             self.used.add(now, request.used)
             self.bucket.adjust(-self._amount_to_charge(record, request) if has_history else request.saved, now)
         totals = self._current_totals(now, unproven=not may_rise)
@@ -173,14 +187,15 @@
         return record.allowed_rate
 
     def promised_rate(self, now: Instant) -> float:
-        """Per second: what all routers may use by themselves."""
+        """Returns the rate per second that all routers together may use on their own."""
         unproven = False if self._totals is None else self._totals.unproven
         return self._current_totals(now, unproven).promised_rate
 
     def _current_totals(self, now: Instant, unproven: bool) -> _RouterTotals:
-        """All routers' parts: of this instant with few routers, else of one at most ``TOTALS_MAX_AGE_S`` ago.
+        """Returns the totals over all routers.
 
-        A part grows by at most its ``rate`` since then, and what was promised only runs out.
+        With few routers they are computed for this instant, otherwise they are at most ``TOTALS_MAX_AGE_S``
+        old. Since then, the parts have grown by at most ``growth_rate``, and the promised rate has not grown.
         """
         totals = self._totals
         max_age = TOTALS_MAX_AGE_S if len(self.routers) > EXACT_TOTALS_MAX_ROUTERS else 0.0
@@ -192,11 +207,17 @@
         return totals
 
     def clear_missing(self) -> None:
-        """The processes of which nothing was known use nothing any more, and did not grant after they were asked."""
+        """Drops the estimate for missing routers.
+
+        Their processes have ended, so they use nothing and granted nothing after reports were requested.
+        """
         self._missing = None
 
     def _amount_to_charge(self, record: _RouterRecord, request: LeaseRequest) -> float:
-        """What the bucket is charged; what a router used while it was cut off counted in the window alone."""
+        """Returns the amount to charge to the bucket.
+
+        What a router used while it was partitioned off is counted in the window only.
+        """
         return min(
             request.used,
             record.saved
@@ -205,7 +226,10 @@
         )
 
     def grant(self, costs: Sequence[int], now: Instant, unproven: bool) -> tuple[tuple[bool, ...], Seconds]:
-        """Which calls fit, and how long until the first that does not."""
+        """Charges the calls that fit.
+
+        Returns which calls were granted, and the seconds until the first refused one could fit.
+        """
         granted: list[bool] = []
         wait = Seconds(0.0)
         in_bucket, in_window = self.available(now, unproven)
@@ -223,10 +247,11 @@
         return tuple(granted), wait
 
     def available(self, now: Instant, unproven: bool) -> tuple[float, float]:
-        """In the bucket and in the window.
+        """Returns the amounts available in the bucket and in the window.
 
-        ``unproven``: the session with control is not proven, so another keeper may be granting; then only the
-        rate counts, and routers that are not heard of may go on for good.
+        ``unproven`` means that the session with control is not proven, so that another allocator may be
+        granting. Then the window is limited to the paid rate and ``UNPROVEN_WINDOW_FRACTION`` of the bucket,
+        and silent routers are assumed to use their allowance without end.
         """
         self.bucket.refill(now)
         totals = self._current_totals(now, unproven)
@@ -251,7 +276,7 @@
             self._totals = None
 
     def view(self, in_bucket: float, now: Instant) -> AllocatorView | None:
-        """For the next keeper; None while this one doesn't know it."""
+        """Returns the view for the next allocator, or None while usage reports are still awaited."""
         if self.gathering is not None:
             return None
         covered_span = Seconds(now - self._known_since)
@@ -264,10 +289,10 @@
         allocator_missing: bool,
         now: Instant,
     ) -> None:
-        """Takes over from the keeper before, by what the routers report.
+        """Takes over from the previous allocator, based on the routers' usage reports.
 
-        ``missing`` routers may be running although nothing is heard of them. If the keeper before is one of
-        them, it can have granted a part of its bucket since anybody heard of it.
+        ``missing`` is the number of silent routers that may still be running. If the previous allocator may
+        be one of them (``allocator_missing``), it can have granted a part of its bucket without a report.
         """
         received = [(router, answer) for router, answer in answers if answer is not None]
         inherited = merge_reports([answer for _, answer in received], self.window)
@@ -288,7 +313,7 @@
     def _estimate_missing(
         self, inherited: InheritedUsage, present: int, missing: int, allocator_missing: bool, now: Instant
     ) -> _MissingRouters:
-        # Most of the routers may agree on another allocator, which then grants as well.
+        # A majority of the routers may have selected another allocator, which then grants as well.
         promised_rate = self.plan.rate if missing >= present else min(self.plan.rate, inherited.promised_rate)
         allowed_rate = max(0.0, promised_rate - inherited.reported_allowed_rate)
         burst = self.plan.bucket * min(1.0, MAX_LOAD_SKEW * missing / (missing + present)) if allocator_missing else 0.0
--- a/wingwood/limits/share_allocator.py
+++ b/wingwood/limits/share_allocator.py
@@ -1,4 +1,4 @@
-"""The keeper's side of paid shares: grants, and taking a share over from its keeper before (docs/DESIGN.md 14.1)."""
+"""The allocator's side of paid shares: grants of leases and takeover of a share (docs/DESIGN.md section 14.1)."""
 
 from __future__ import annotations
 
@@ -25,15 +25,16 @@
 
 USAGE_TIMEOUT_S = Seconds(0.3)
 CLOSED_AFTER_HANDOVER_S = Seconds(1.0)
-"""A keeper that has told its bucket to the next one grants nothing for so long."""
+"""An allocator that has handed its bucket over to the next one grants nothing for this long."""
 
 TenantInForce = Callable[[TenantName], Tenant | None]
+"""Returns the tenant according to the bundle in force, or None when the bundle does not have it."""
 OwnUsage = Callable[[UsageRequest], UsageReport]
-"""What this router itself used."""
+"""Returns this router's own usage report."""
 
 
 class ShareAllocator:
-    """The shares that this router keeps, and those for whose keeper it stands in."""
+    """Grants leases on the shares that this router allocates, and on those for which it is the acting deputy."""
 
     def __init__(
         self,
@@ -61,12 +62,13 @@
         self._closed_until: dict[TenantName, Instant] = {}
         self._resting_until = Instant(0.0)
 
-    # Asks
+    # Lease requests
 
     async def answer(self, requester: Identity, request: LeaseRequest) -> LeaseGrant:
+        """Answers a lease request as allocator, as acting deputy, or by declining it."""
         if not self._is_allocator_of(request.tenant, self._now()):
             is_deputy = await self._probes.should_deputize(request.tenant)
-            if not self._is_allocator_of(request.tenant, self._now()):  # Else the allocator has ended.
+            if not self._is_allocator_of(request.tenant, self._now()):  # Otherwise the allocator has ended.
                 return self._grant_as_deputy(request) if is_deputy else LeaseGrant(False)
         now = self._now()
         plan = self._plan(request)
@@ -89,7 +91,11 @@
     async def _grant_after_reports(
         self, account: ShareAccount, costs: Sequence[int], unproven: bool
     ) -> tuple[tuple[bool, ...], Seconds]:
-        """As ``ShareAccount.grant``; what does not fit is tried again when a new keeper has heard from the others."""
+        """Grants as ``ShareAccount.grant``, with a second attempt for refused calls.
+
+        The second attempt is made when a new allocator has collected the usage reports, or after 0.8 of
+        the hedge delay.
+        """
         granted, wait = account.grant(costs, self._now(), unproven)
         if account.gathering is None or all(granted):
             return granted, wait
@@ -114,7 +120,7 @@
             )
         return LeaseGrant(True, True, account.grant(request.costs, request.transferred, now))
 
-    # Which shares
+    # Selection
 
     def _is_allocator_of(self, tenant: TenantName, now: Instant) -> bool:
         allocator = self._selector.allocator(tenant)
@@ -127,16 +133,18 @@
         return now >= max(self._resting_until, self._closed_until.get(tenant, 0.0))
 
     def reset_after_gap(self, now: Instant) -> None:
-        """After a freeze or a cut another keeper may have granted: begin anew from the routers' reports.
+        """Discards all accounts after a gap, during which another allocator may have granted.
 
-        The rest lets asks go by that were waiting in buffers and whose askers have long gone on.
+        A gap is a freeze, a partition or a lost session. The accounts start again from the routers' usage
+        reports. Until ``rest_after_gap`` has passed, requests are declined: those that waited in buffers
+        come from routers that have long continued without them.
         """
         if self._status.detect_gap(now):
             self._accounts.clear()
             self._resting_until = Instant(now + self._limits.rest_after_gap)
 
     def sweep(self, now: Instant) -> None:
-        """Drops what is kept no longer or no longer counts, and asks after routers that are missing."""
+        """Drops accounts, routers and probe results that are no longer needed, and pings missing routers."""
         for tenant, account in list(self._accounts.items()):
             self._is_allocator_of(tenant, now)
             account.drop_silent_routers(now)
@@ -146,7 +154,7 @@
         for tenant in [tenant for tenant, until in self._closed_until.items() if until <= now]:
             del self._closed_until[tenant]
 
-    # From one allocator to the next
+    # Takeover
 
     def _open_account(self, tenant: TenantName, plan: QuotaPlan, now: Instant) -> ShareAccount:
         account = self._accounts[tenant] = ShareAccount(plan, self._tolerance.window, plan.reserve, now)
@@ -157,7 +165,7 @@
         return account
 
     async def _gather_reports(self, tenant: TenantName, account: ShareAccount, done: asyncio.Future[None]) -> None:
-        """A new keeper asks the routers what the tenant used and may go on using."""
+        """Collects the routers' usage reports and takes the share over on their basis."""
         try:
             routers = [router for router in self._selector.routers() if not self._probes.has_ended(router)]
             request = UsageRequest(tenant, account.window, REPORT_STEP_S)
@@ -185,7 +193,7 @@
         return outcome.unwrap() if isinstance(outcome, Success) else None
 
     def hand_over(self, tenant: TenantName, own_use: UsageReport) -> UsageReport:
-        """Another router keeps the share from now on: adds to what this one used what its bucket held."""
+        """Hands the share over to a new allocator: returns this router's usage report with its bucket level added."""
         now = self._now()
         account = self._accounts.pop(tenant, None)
         if account is None:
--- a/wingwood/limits/share_client.py
+++ b/wingwood/limits/share_client.py
@@ -1,4 +1,4 @@
-"""A router's side of paid shares: takes from what it was allowed, asks the keeper for more (docs/DESIGN.md 14.1)."""
+"""A router's side of paid shares: it uses its allowance and requests more (docs/DESIGN.md section 14.1)."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 from .tolerance import QuotaTolerance
 
 MAX_RETRY_AFTER_S = Seconds(60.0)
-"""Longest wait that a refused caller is told."""
+"""Longest retry time that a refused caller is given."""
 MAX_EMPTY_PAUSES = 2.5
-"""An empty bucket is asked again after at most so many times ``ShareLimits.empty_bucket_pause``."""
+"""An empty bucket gets the next request after at most this many times ``ShareLimits.empty_bucket_pause``."""
 GRANTED, FALLBACK = "token", "fallback"
-"""What a waiting call is told: it was granted one, or must make do with what is here."""
+"""Outcomes of a waiting call: it was granted, or it must use what this router may use without a request."""
 
 AnswerLeaseRequest = Callable[[Identity, LeaseRequest], Awaitable[LeaseGrant]]
-"""This router's own answer as a keeper."""
+"""Answers a lease request at this router, when it is itself the allocator."""
 
 
 class SentRequest(msgspec.Struct, frozen=True, eq=False):
-    """An ask under way."""
+    """A lease request in progress."""
 
     share: RouterShare
     request: LeaseRequest
     waiters: Sequence[Waiter]
     allocator: Identity
     to_deputy: bool
-    """It goes to the keeper's deputy."""
+    """Whether it was sent to the allocator's deputy."""
     reports: int
-    """``RouterShare.reports`` when it was sent: a later report holds what the ask tells of use."""
+    """``RouterShare.reports`` when it was sent; a later usage report includes the use that the request reports."""
     credit_used: float
     at: Instant
 
 
 class ShareClient:
-    """What this router uses of all tenants' shares."""
+    """Takes calls from all tenants' shares at this router."""
 
     def __init__(
         self,
@@ -69,10 +69,14 @@
         self._started = context.clock.monotonic()
         self._request_count = 0
 
-    # Taking
+    # Calls
 
     async def take(self, tenant: Tenant, cost: int) -> ShareRefused | None:
-        """Waits at most ``ShareLimits.call_timeout``, and only for what was not allowed before."""
+        """Charges a call to the tenant's share; returns None when it is admitted, else the refusal.
+
+        Only a call that does not fit into the allowance waits for the allocator, for at most
+        ``ShareLimits.call_timeout`` (``startup_call_timeout`` during the startup period).
+        """
         now = self._now()
         share = self._share_of(tenant, now)
         share.last_call_at = now
@@ -123,10 +127,13 @@
             if waiter in share.waiters:
                 share.waiters.remove(waiter)
 
-    # When to request
+    # Scheduling of requests
 
     def _schedule_settle(self, share: RouterShare) -> None:
-        """One ask for all that is used meanwhile; at once when the last answer is a while ago."""
+        """Schedules one request that reports all use until then.
+
+        It is sent immediately when the last answered request is at least ``SETTLE_DELAY_S`` old.
+        """
         if share.request_active or share.settle_scheduled:
             return
         share.settle_scheduled = True
@@ -158,7 +165,7 @@
     # One request
 
     async def _send_one_request(self, share: RouterShare) -> bool:
-        """One question to the keeper; whether there is need for another at once."""
+        """Sends one request to the allocator or its deputy; returns whether another is needed immediately."""
         now = self._now()
         if not share.waiters and not share.has_unreported_use(now) and share.unreachable_since is None:
             return False
@@ -184,7 +191,10 @@
         return SentRequest(share, request, waiters, allocator, to_deputy, reports, credit_used, now)
 
     async def _send_to_router(self, sent: SentRequest, router: Identity) -> LeaseGrant | None:
-        """The answer, or None after ``ShareLimits.hedge_delay``; a keeper's later one is still noted when it comes."""
+        """Returns the grant, or None after a failure or the hedge delay.
+
+        A grant of the allocator that arrives later is still applied.
+        """
         if router.incarnation == self._messenger.identity.incarnation:
             return await self._answer_lease_request(router, sent.request)
         limits, starting = self._limits, self._is_starting()
@@ -200,17 +210,17 @@
         outcome = call.result()
         return outcome.unwrap() if isinstance(outcome, Success) else None
 
-    # What comes of it
+    # Answers
 
     def _handle_no_grant(self, sent: SentRequest, declined: bool) -> bool:
-        """The router asked did not answer, or is no keeper. Whether the deputy is to be asked at once."""
+        """Handles a router that did not answer or declined; returns whether the deputy must be asked immediately."""
         share, now = sent.share, self._now()
         if share.reports == sent.reports:
             share.unsettled += sent.request.used
-        if declined:  # Who declines has not taken it.
+        if declined:  # A router that declines has not accepted the transfer.
             share.allowance.level += sent.request.transferred
         share.granted_by_deputy = False
-        # The deputy is requested_from at once in the allocator's place; when it declines too, the allocator is next.
+        # The deputy is asked immediately in the allocator's place; if it fails too, the allocator is next.
         share.deputized_allocator = None if sent.to_deputy else sent.allocator.incarnation
         share.mark_allocator_silent(now)
         if sent.to_deputy:
@@ -245,7 +255,7 @@
         self._resolve_waiters(sent, grant, now)
 
     def _resolve_waiters(self, sent: SentRequest, grant: LeaseGrant, now: Instant) -> None:
-        """Tells the calls that were asked for."""
+        """Resolves the calls that waited for this request."""
         share, refused = sent.share, False
         if not all(grant.granted) and not grant.from_deputy:
             share.credit_available = False
@@ -262,7 +272,7 @@
             share.bucket_empty_until = Instant(now + pauses * self._limits.empty_bucket_pause)
 
     def _resolve_granted(self, share: RouterShare, waiter: Waiter, from_deputy: bool, now: Instant) -> None:
-        """The grant of a call that did not wait is kept for the next."""
+        """Resolves a granted call; if it no longer waits, its grant is stored for another call."""
         if waiter.outcome.done():
             share.add_spare(waiter.cost, from_deputy, now)
             return
@@ -272,7 +282,7 @@
         waiter.resolve(GRANTED)
 
     def _take_from_allowance(self, share: RouterShare, waiter: Waiter, now: Instant) -> bool:
-        """A call that was not granted may still fit into what the router may use by itself."""
+        """Admits a call that was not granted if it fits into what the router may use on its own."""
         taken = share.take(waiter.cost, now)
         if taken:
             waiter.resolve(GRANTED)
@@ -284,7 +294,10 @@
         return ShareRefused(Seconds(min(MAX_RETRY_AFTER_S, wait)))
 
     def _mark_unreachable(self, share: RouterShare, now: Instant) -> None:
-        """From now on only what may be used without asking counts, until the keeper has answered an ask."""
+        """Marks allocator and deputy as unreachable and makes waiting calls fall back to the allowance and credit.
+
+        Until a request is answered, only what may be used without a request is available.
+        """
         share.mark_allocator_silent(now)
         if share.unreachable_since is None:
             share.unreachable_since = now
@@ -293,10 +306,10 @@
         while share.waiters:
             share.waiters.popleft().resolve(FALLBACK)
 
-    # Telling of use
+    # Reports of use
 
     def sweep(self, now: Instant) -> None:
-        """Tells keepers what they do not know yet, and forgets tenants without calls."""
+        """Reports unreported use to the allocators and drops the state of tenants without calls."""
         for share in list(self._shares.values()):
             if share.has_unreported_use(now):
                 self._start_requesting(share, now)
@@ -308,7 +321,7 @@
         return not busy and now - share.last_call_at > AUTONOMY_S
 
     def return_allowances(self) -> None:
-        """At the router's stop."""
+        """Reports unreported use and returns the allowances, when the router stops."""
         now = self._now()
         for share in self._shares.values():
             share.last_call_at = Instant(float("-inf"))
@@ -316,7 +329,7 @@
                 self._start_requesting(share, now)
 
     def report_usage(self, request: UsageRequest) -> UsageReport:
-        """For a new keeper; what was unsettled is in it."""
+        """Returns the usage report for a new allocator, which includes the unsettled use."""
         now = self._now()
         covered_span = Seconds(min(request.window, now - self._started))
         share = self._shares.get(request.tenant)
--- a/wingwood/limits/shares.py
+++ b/wingwood/limits/shares.py
@@ -22,9 +22,9 @@
 
 
 class FleetShares:
-    """A ``Shares`` over all routers; each is also the keeper of some tenants.
+    """A ``Shares`` over all routers, each of which is also the allocator of some tenants' shares.
 
-    ``tenant_in_force`` gives the keeper its own bundle's view of a tenant (None: not there).
+    ``tenant_in_force`` returns a tenant according to the allocator's own bundle (None: the bundle lacks it).
     """
 
     def __init__(
@@ -58,14 +58,14 @@
         messenger.on_call(MembershipRequest, self._status.answer_membership_request)
 
     def start(self) -> None:
-        """Starts settling what was used; ``take`` does it too."""
+        """Starts the periodic task that reports use and removes old state; ``take`` starts it too."""
         if not self._started:
             self._started = True
             self._status.start()
             self._context.tasks.spawn("shares sweep", self._sweep())
 
     async def take(self, tenant: Tenant, cost: int = 1) -> ShareRefused | None:
-        """See ``Shares``. Waits at most ``ShareLimits.call_timeout``, and only for what was not allowed before."""
+        """See ``Shares``; waits only for what exceeds the allowance, see ``ShareClient.take``."""
         self.start()
         if not tenant.limited or cost <= 0:
             return None
@@ -74,14 +74,15 @@
         return await self._client.take(tenant, cost)
 
     def return_allowances(self) -> None:
-        """At the router's stop."""
+        """Reports unreported use and returns the allowances, when the router stops."""
         self._client.return_allowances()
 
     def allocator_of(self, tenant: TenantName) -> Identity | None:
-        """Which router keeps the tenant's share, as this one sees it."""
+        """Returns the allocator of the tenant's share according to this router's membership view."""
         return self._selector.allocator(tenant)
 
     def deputy_of(self, tenant: TenantName) -> Identity | None:
+        """Returns the deputy of that allocator according to this router's membership view."""
         return self._selector.deputy(tenant)
 
     async def _sweep(self) -> None:
--- a/wingwood/limits/takeover.py
+++ b/wingwood/limits/takeover.py
@@ -1,4 +1,4 @@
-"""What a new keeper makes of the routers' reports (docs/DESIGN.md section 14.1)."""
+"""Evaluation of the routers' usage reports by a new allocator (docs/DESIGN.md section 14.1)."""
 
 from __future__ import annotations
 
@@ -11,31 +11,34 @@
 from .messages import AllocatorView, UsageReport
 
 REPORT_STEP_S = Seconds(0.5)
-"""Of the reports of past use."""
+"""Length of the time steps in reports of past use."""
 
 
 class InheritedUsage(msgspec.Struct, frozen=True):
-    """A tenant's recent use, as the reports and the last keeper's own view tell it."""
+    """A tenant's recent use according to the routers' reports and the previous allocator's view."""
 
     steps: tuple[int, ...]
-    """Reported use in each STEP, the newest first."""
+    """Reported use in each step of ``REPORT_STEP_S``, the latest first."""
     unreported: float
-    """Use that the last keeper knew of and no report holds: that of processes which have ended or don't answer."""
+    """Use known to the previous allocator but not reported, by processes that have ended or do not answer."""
     span: Seconds
-    """How far back all this reaches."""
+    """How far back this information reaches, in seconds."""
     handed_over_level: float | None
-    """What the last keeper's bucket held, from itself."""
+    """Level of the previous allocator's bucket, reported by that allocator itself; None without such a report."""
     reported_allowed_rate: float
-    """Per second: what the reporting routers may go on using by themselves."""
+    """Rate per second that the reporting routers may continue to use on their own."""
     promised_rate: float
-    """Per second: what the last keeper had allowed all routers together."""
+    """Rate per second that the previous allocator had allowed all routers together."""
     viewed_level: float | None
-    """What the last keeper's bucket held, as it last told a router ..."""
+    """Level of the previous allocator's bucket according to its latest view; None without a view."""
     view_age: Seconds
-    """... so long ago."""
+    """Seconds since a router received that view."""
 
     def level(self, rate: float, capacity: float) -> float:
-        """What a bucket that began anywhere above zero holds at least, if use without a report was even."""
+        """Returns the level that a bucket with these parameters holds at least.
+
+        The bucket may have started at any level from zero, and unreported use is spread evenly over the span.
+        """
         if self.handed_over_level is not None:
             return min(capacity, self.handed_over_level)
         steps = math.ceil(self.span / REPORT_STEP_S)
@@ -51,6 +54,7 @@
 
 
 def merge_reports(reports: Sequence[UsageReport], window: Seconds) -> InheritedUsage:
+    """Combines the routers' usage reports and the latest view of the previous allocator among them."""
     steps = _sum_steps([report.used for report in reports])
     handed_over_levels = [report.level for report in reports if report.level is not None]
     span = min((report.covered_span for report in reports), default=Seconds(0.0))
@@ -87,6 +91,6 @@
 
 
 def _unreported(view: AllocatorView, ago: Seconds, steps: Sequence[int], window: Seconds) -> float:
-    """The view's part that is still in the window, less what the reports hold of that time."""
+    """Returns the use in the view that still falls into the window, less the use that was reported for that time."""
     older = sum(steps[int(ago / REPORT_STEP_S) :])
     return max(0.0, view.used * (1.0 - ago / window) - older)
--- a/wingwood/limits/tests/test_share_account.py
+++ b/wingwood/limits/tests/test_share_account.py
@@ -175,7 +175,7 @@
         self.assertEqual(inherited.steps, (11, 2, 30))
         self.assertEqual((inherited.unreported, inherited.span), (0.0, 8.0))
 
-    def test_use_of_a_allocator_that_has_ended_is_known_from_its_view(self) -> None:
+    def test_use_of_an_allocator_that_has_ended_is_known_from_its_view(self) -> None:
         view = AllocatorView(used=500_000.0, promised_rate=RATE, covered_span=Seconds(30.0), level=20_000.0)
         inherited = merge_reports([self.report(0, 100_000, 200_000, view=view)], WINDOW)
         self.assertEqual(inherited.unreported, 200_000.0)
--- a/wingwood/limits/tests/test_shares.py
+++ b/wingwood/limits/tests/test_shares.py
@@ -98,7 +98,7 @@
         self.assertLess(self.run_fleet(even(4), 1, kill, paid=8.0).refused_fraction(5.0, RUN_SECONDS), 0.02)
         self.assertLess(self.run_fleet(even(16), 2, kill, paid=8.0).max_paid_ratio(4.0, RUN_SECONDS, 3.0), 1.2)
 
-    def test_a_deputy_does_not_stand_in_for_a_allocator_that_others_reach(self) -> None:
+    def test_a_deputy_does_not_stand_in_for_an_allocator_that_others_reach(self) -> None:
         def cut(world: World, fleet: ShareFleet, allocator: str) -> None:
             """Five routers with the deputy, five with the keeper; all remain members."""
             others = [name for name in sorted(fleet.shares) if name not in (allocator, fleet.deputy())]
@@ -128,7 +128,7 @@
         self.assertLess(self.run_fleet(even(90), 9, freeze).refused_fraction(5.0, RUN_SECONDS), 0.03)
         self.assertLess(self.run_fleet(even(200), 20, freeze).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.15)
 
-    def test_a_allocator_that_is_cut_off_and_comes_back(self) -> None:
+    def test_an_allocator_that_is_cut_off_and_comes_back(self) -> None:
         def cut(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.mark_unreachable(allocator)
             wires = world.cut_off(allocator)
@@ -166,7 +166,7 @@
         self.assertLess(fleet.paid_ratio(5.5, RUN_SECONDS), 1.1)
         self.assertGreater(fleet.paid_ratio(5.5, RUN_SECONDS), 0.95)
 
-    def test_a_allocator_that_forgets_to_ask_what_was_used_would_be_caught(self) -> None:
+    def test_an_allocator_that_forgets_to_ask_what_was_used_would_be_caught(self) -> None:
         def kill(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.mark_unreachable(allocator)
             world.kill(allocator)
--- a/wingwood/limits/tests/test_token_quota.py
+++ b/wingwood/limits/tests/test_token_quota.py
@@ -57,7 +57,7 @@
     def refused(self, fault: str, rate: float) -> float:
         return run_case(faulted(fault, CALM, rate=rate), 21).refused
 
-    def test_a_allocator_that_ends_is_hardly_noticed(self) -> None:
+    def test_an_allocator_that_ends_is_hardly_noticed(self) -> None:
         for rate in (30_000.0, 430_000.0):
             self.assertLess(self.refused("allocator killed", rate), 0.01)
             self.assertLess(self.refused("deputy killed", rate), 0.01)
@@ -78,7 +78,7 @@
         self.check("allocator cut off")
         self.check("allocator and another cut off for long")
 
-    def test_a_allocator_that_refuses_some_but_lives(self) -> None:
+    def test_an_allocator_that_refuses_some_but_lives(self) -> None:
         """The flood comes after the cut has healed: nobody takes the keeper's place meanwhile, nor goes on with it."""
         for flood_from in (17.0, 19.0, 24.0):
             outcome = run_case(faulted("allocator refuses some", flood_from=flood_from, flood_until=32.0), 31)
@@ -113,7 +113,7 @@
 class BrokenTest(unittest.TestCase):
     """Each leaves out one part of the arithmetic, and the checker of windows has to notice."""
 
-    def test_a_allocator_that_counts_nothing_for_silent_routers(self) -> None:
+    def test_an_allocator_that_counts_nothing_for_silent_routers(self) -> None:
         def nothing(requester: _RouterRecord, now: float, window: float, longest: float) -> float:
             return 0.0
 
--- a/wingwood/limits/tolerance.py
+++ b/wingwood/limits/tolerance.py
@@ -1,6 +1,6 @@
-"""What a tenant's quota allows in any window, and how much of it each kind of use may take.
+"""A tenant's quota in any window, and how it is divided among the kinds of use.
 
-Arithmetic and proof: docs/DESIGN.md section 14.1.
+The arithmetic and its proof are in docs/DESIGN.md section 14.1.
 """
 
 from __future__ import annotations
@@ -11,27 +11,30 @@
 from ..identifiers import Seconds
 
 CREDIT_FRACTION = 0.1
-"""Part of the tolerance that the routers together may use before their keeper knows of it."""
+"""Fraction of the tolerance that the routers together may use before they report it to the allocator."""
 RESERVE_FRACTION = 0.35
-"""Part of the tolerance at least for keepers that know nothing yet and for deputies; the rest enlarges the bucket."""
+"""Least fraction of the tolerance for deputies and for allocators without reports; the rest enlarges the bucket."""
 LAG_FRACTION = 0.15
-"""Part that is kept free: in a window that fills, routers go on by themselves until their next ask is answered."""
+"""Fraction that stays free: while a window fills, routers use their allowance until their next request is answered."""
 MAX_BUCKET_GROWTH_S = Seconds(1.0)
-"""Worth of the paid rate by which the bucket is enlarged at most ..."""
+"""Seconds of the paid rate by which the bucket is enlarged at most, or ``LARGE_CALL_TOKENS`` if that is more."""
 LARGE_CALL_TOKENS = 45_000.0
-"""... or this much, if that is more (tokens of one large call); what is left over goes to the reserve."""
+"""Tokens of one large call; the tolerance beyond this enlargement of the bucket is added to the reserve."""
 MIN_RESERVE_S = Seconds(0.05)
-"""Worth of the paid rate that such a keeper may always grant."""
+"""Seconds of the paid rate that a deputy, or an allocator without reports, may always grant."""
 MIN_BUCKET_CALLS = 5.0
-"""Calls that also a small tenant may save up (but never more than five seconds' worth): with
-less, a tenant well below its rate would be refused for the mere unevenness of its calls."""
+"""Calls that even a small tenant may accumulate (but never more than ``MIN_BUCKET_S`` of its rate).
+
+With less, a tenant well below its rate would be refused only because its calls are uneven.
+"""
 MIN_BUCKET_S = Seconds(5.0)
+"""Seconds of the paid rate that limit the ``MIN_BUCKET_CALLS`` of a small tenant."""
 
 
 class QuotaTolerance(msgspec.Struct, frozen=True, kw_only=True):
-    """Use in any ``window`` may come to (rate x window + burst) x (1 + ``over``) + ``slack``.
+    """Use in any ``window`` may reach (rate x window + burst) x (1 + ``over``) + ``slack``.
 
-    ``slack`` is in the tenants' unit. The default tolerates nothing beyond rate and burst.
+    ``slack`` is in the tenant's unit. The default tolerates nothing beyond rate and burst.
     """
 
     window: Seconds = Seconds(8.0)
@@ -40,23 +43,24 @@
 
 
 class QuotaPlan(msgspec.Struct, frozen=True):
-    """One tenant's figures, in its unit (calls or tokens)."""
+    """The amounts of one tenant's quota, in its unit (calls or tokens)."""
 
     rate: float
     bucket: float
-    """Most that the tenant's bucket saves up."""
+    """Capacity of the tenant's bucket."""
     max_window_use: float
-    """Most that a keeper lets be used in one window, by what it knows.
+    """Most use in one window that an allocator permits, by what it knows.
 
-    Where nothing is tolerated a second burst, as what routers use by themselves counts for more than it is.
+    Without a tolerance it includes a second burst, as the use of the routers' allowances is overestimated.
     """
     credit: float
-    """Most that all routers together use on credit, at most once more per window while cut off."""
+    """Most that all routers together use on credit, and at most once more per window while partitioned off."""
     reserve: float
-    """What a keeper that knows nothing yet, or a deputy, may grant."""
+    """Amount that a deputy, or an allocator without reports, may grant."""
 
 
 def make_plan(paid_rate: float, burst: Seconds, unit: str, tolerance: QuotaTolerance) -> QuotaPlan:
+    """Divides a tenant's rate, burst and tolerance among bucket, window, credit and reserve."""
     saved = paid_rate * burst
     over = tolerance.over * (paid_rate * tolerance.window + saved) + tolerance.slack
     credit, lag = CREDIT_FRACTION * over, LAG_FRACTION * over
