--- a/wingwood/ledger/client.py
+++ b/wingwood/ledger/client.py
@@ -186,7 +186,10 @@
         self._queue(_Settle(int(ticket.rpartition(":")[2]), call_digest(key), state))
 
     async def drain(self, timeout: Seconds) -> int:
-        """Stops accepting claims and waits until all outcomes are durable; returns how many are not after ``timeout``."""
+        """Stops accepting claims and waits up to ``timeout`` for all outcomes to be durable.
+
+        Returns the number of outcomes that are not.
+        """
         self._stopping = True
         self._wake.set()
         deadline = self._context.clock.monotonic() + timeout
--- a/wingwood/ledger/tests/ledger_world.py
+++ b/wingwood/ledger/tests/ledger_world.py
@@ -1,7 +1,7 @@
-"""Routers that claim and run calls, callers that give up and ask elsewhere, and an observer.
+"""Routers that claim and run calls, callers that give up and retry elsewhere, and an observer.
 
-The control core is either ``FaultyControl`` (one that loses, delays, doubles and reorders commands and
-changes its primary, as roughly as the real one may) or the real one (see test_core).
+The control core is either ``FaultyControl``, which loses, delays, duplicates and reorders commands and changes
+its primary, as the real one may at worst, or the real one (see test_core).
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Observer:
-    """Sees what callers were told and what workers ran. ``faults`` lists what must never happen."""
+    """Records the answers to callers and the runs at workers; ``faults`` lists violations of at-most-once."""
 
     def __init__(self) -> None:
         self.runs: Counter[int] = Counter()
@@ -48,18 +48,18 @@
         if self.runs[key] > 1:
             self.faults.append(f"{now:.3f} call {key} ran twice")
         if (key, attempt) in self.answered_not_run:
-            self.faults.append(f"{now:.3f} call {key} attempt {attempt} ran after it was told not-run")
+            self.faults.append(f"{now:.3f} call {key} attempt {attempt} ran after it was answered not-run")
 
     def record_answer(self, now: float, key: int, attempt: int, answer: str) -> None:
         self.answers[answer] += 1
         if answer == "not-run":
             self.answered_not_run.add((key, attempt))
         if answer == "ran" and not self.runs[key]:
-            self.faults.append(f"{now:.3f} call {key} was told as ran and has not run")
+            self.faults.append(f"{now:.3f} call {key} was answered as ran and has not run")
 
 
 class WorldClock:
-    """For a state that is called from many processes, whose own clocks differ."""
+    """The clock of the simulated world, for a state that is called by processes whose own clocks differ."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -68,20 +68,20 @@
         return Instant(self._world.now)
 
     def wall(self) -> WallTime:
-        raise AssertionError("no decision rests on wall time")
+        raise AssertionError("the ledger must not read the wall clock")
 
     async def sleep(self, seconds: Seconds) -> None:
-        raise AssertionError("the ledger's state does not wait")
+        raise AssertionError("the ledger's state must not sleep")
 
 
 class FaultyControl:
-    """Runs commands in one ``LedgerState`` at a time; what it has acknowledged survives ``take_over``."""
+    """Runs commands in one ``LedgerState`` at a time; acknowledged records survive ``take_over``."""
 
     def __init__(self, world: World, make_state: Callable[[], LedgerState], acknowledges_early: bool = False) -> None:
         self._world = world
         self._make_state = make_state
         self._acknowledges_early = acknowledges_early
-        """A broken variant: answers before a record is durable."""
+        """Selects a broken variant that answers before a record is durable."""
         self.state = make_state()
         self._log: list[bytes] = []
         self._durable = 0
@@ -89,14 +89,14 @@
         self.faults_enabled = True
 
     def take_over(self) -> None:
-        """A new primary that has all that was acknowledged, and by chance some of the rest."""
+        """Replaces the primary by one with all acknowledged records and a random part of the others."""
         self._term += 1
         retained = self._world.random.randint(self._durable, len(self._log))
         self._log = self._log[:retained]
         self._durable = retained
         self.state = self._make_state()
         if retained > 10:
-            # As a journal that was rewritten: a snapshot, then the records after it.
+            # Restores as from a rewritten journal: a snapshot, then the records after it.
             for record in self._log[:10]:
                 self.state.apply(record)
             snapshot = self.state.snapshot()
@@ -139,7 +139,7 @@
         return Success(msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=reply_type))
 
     def _late(self, command: msgspec.Struct) -> None:
-        """A command that lay in some buffer, or its second copy."""
+        """Runs a command that was delayed in a buffer, or its duplicate."""
         record, _ = self.state.decide(command)
         if record is not None:
             self.state.apply(record)
@@ -147,7 +147,7 @@
 
 
 class LedgerRouters:
-    """Routers ``r0``... and callers with keys of their own; keys are sometimes sent to two routers at once."""
+    """Routers ``r0``, ``r1``... and callers, each call with its own key; some calls go to two routers at once."""
 
     def __init__(
         self,
@@ -164,7 +164,7 @@
         self.incarnations: dict[str, Incarnation] = {}
         self.keys = 0
         self.crashed_keys: set[int] = set()
-        """Keys that a router held when it was killed: their outcome may stay unknown."""
+        """Keys whose calls a router was serving when it was killed; their outcome may stay unknown."""
         self._held: dict[str, set[tuple[int, int]]] = {}
         self.names = [f"r{number}" for number in range(routers)]
         for name in self.names:
@@ -191,7 +191,7 @@
         self.world.restart(name)
 
     async def _serve(self, name: str, key: int, attempt: int) -> str:
-        """What a router does with a call that may not be repeated; its outcome as the caller is told."""
+        """Serves a call that must not be repeated, as a router does; returns the outcome that the caller gets."""
         process, ledger = self.world.processes[name], self.ledgers[name]
         context = self.world.context_for(process)
         deadline = context.clock.monotonic() + 3.0
@@ -222,7 +222,7 @@
         return "answered"
 
     async def call(self, key: int, attempt: int, name: str, timeout: float) -> str:
-        """One try of a caller: what it was told, or "gave-up"."""
+        """Makes one try of a caller; returns its answer, or "gave-up"."""
         answer: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         serving: list[VirtualTask] = []
 
@@ -246,7 +246,7 @@
         return "gave-up"
 
     async def caller(self) -> None:
-        """Calls without end, each retried once elsewhere when it was not answered."""
+        """Makes calls without end, each retried once at another router when it failed or was not answered."""
         random = self.world.random
         while True:
             self.keys += 1
@@ -263,7 +263,10 @@
             self.world.loop.create_task(self.caller(), name="caller")
 
     def blocked_keys(self) -> list[int]:
-        """Asked in calm: keys that no router holds and that still can't be run, though they never ran."""
+        """Returns the keys that cannot be claimed although they never ran and no killed router held them.
+
+        It is called after the faults have ended.
+        """
         blocked: list[int] = []
         process = self.world.processes[self.names[0]]
         ledger = self.ledgers[self.names[0]]
--- a/wingwood/ledger/tests/test_client.py
+++ b/wingwood/ledger/tests/test_client.py
@@ -1,4 +1,8 @@
-"""The routers' side of the ledger, over a control core that behaves roughly (docs/DESIGN.md section 13)."""
+"""The routers' ledger client, over a control core with faults (docs/DESIGN.md section 13).
+
+Commands that are lost, delayed or duplicated, routers that freeze or restart, and callers that leave must
+neither make a call run twice nor leave a key blocked that nobody runs.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +48,7 @@
     def on_router(
         self, name: str, work: Callable[[RouterLedger], Coroutine[Any, Any, Any]], within: float = 30.0
     ) -> Any:
-        """Runs it inside that router's process."""
+        """Runs ``work`` inside that router's process and returns its result."""
         results: list[Any] = []
 
         async def run() -> None:
@@ -54,7 +58,7 @@
         self.assertTrue(self.world.wait_for(lambda: bool(results), within, every=0.005))
         return results[0]
 
-    def test_a_retry_elsewhere_waits_a_little_for_the_outcome(self) -> None:
+    def test_a_retry_at_another_router_waits_briefly_for_the_outcome(self) -> None:
         self.fleet, _ = self.routers()
         claimed = self.on_router("r0", lambda ledger: ledger.claim(call_key(1), Seconds(1.0)))
         assert isinstance(claimed, Claimed)
@@ -68,7 +72,7 @@
         await asyncio.sleep(seconds)
         self.assertTrue(await self.fleet.ledgers["r0"].settle(call_key(1), ticket, "ran"))
 
-    def test_a_claim_is_answered_within_its_time_and_then_given_up(self) -> None:
+    def test_a_claim_without_an_answer_times_out_and_is_freed(self) -> None:
         self.fleet, control = self.routers()
         with mock.patch.object(FaultyControl, "decide", _silent):
             started_at = self.world.now
@@ -81,7 +85,7 @@
         late = LedgerBatch(self.fleet.incarnations["r0"], 1, (ClaimKey(1, b"k" * 16),))
         self.assertEqual(control.state.decide(late)[1].claims, ("closed",))  # type: ignore[attr-defined]
 
-    def test_a_caller_that_goes_away_leaves_no_claim_behind(self) -> None:
+    def test_a_cancelled_claim_is_freed(self) -> None:
         self.fleet, control = self.routers()
 
         async def claim_and_leave(ledger: RouterLedger) -> bool:
@@ -96,7 +100,7 @@
         answer = self.on_router("r1", lambda ledger: ledger.claim(call_key(1), Seconds(1.0)))
         self.assertIsInstance(answer, Claimed)
 
-    def test_a_claim_answered_while_the_router_was_frozen_is_not_taken(self) -> None:
+    def test_an_answer_that_arrived_while_the_router_was_frozen_is_not_accepted(self) -> None:
         self.fleet, control = self.routers()
         answers: list[object] = []
 
@@ -112,7 +116,7 @@
         self.assertIsInstance(answers[0], Unreachable)
         self.assertEqual(control.state.entries(), 0)
 
-    def test_many_claims_at_once_travel_in_few_batches(self) -> None:
+    def test_simultaneous_claims_are_sent_in_few_batches(self) -> None:
         self.fleet, control = self.routers()
         with mock.patch.object(control.state, "decide", wraps=control.state.decide) as decide:
 
@@ -134,7 +138,7 @@
                 self.assertTrue(all(isinstance(answer, Unreachable) for answer in self.on_router("r0", many)))
             self.assertLessEqual(self.fleet.ledgers["r0"].unsettled(), 5 + 3)
 
-    def test_draining_waits_for_the_outcomes_and_takes_no_more_claims(self) -> None:
+    def test_draining_waits_for_outcomes_and_refuses_claims(self) -> None:
         self.fleet, _ = self.routers()
         claimed = self.on_router("r0", lambda ledger: ledger.claim(call_key(1), Seconds(1.0)))
         assert isinstance(claimed, Claimed)
@@ -162,7 +166,7 @@
     acknowledges_early: bool = False,
     make_ledger: MakeLedger = RouterLedger,
 ) -> tuple[LedgerRouters, list[int]]:
-    """Random faults for a while, then calm; the keys that stay blocked without a reason."""
+    """Injects random faults, then lets the fleet recover; returns the routers and the keys that stay blocked."""
     with World(seed) as world:
 
         def make_state() -> LedgerState:
@@ -211,18 +215,18 @@
                 self.assertEqual(blocked, [])
                 self.assertGreater(routers.observer.claimed, 200)
 
-    def test_a_ledger_that_answers_before_a_claim_is_durable_is_caught(self) -> None:
+    def test_a_ledger_that_answers_before_a_claim_is_durable_is_detected(self) -> None:
         self.assertTrue(any(run_random_faults(seed, acknowledges_early=True)[0].observer.faults for seed in range(3)))
 
-    def test_a_ledger_that_grants_a_resent_claim_to_another_ticket_is_caught(self) -> None:
+    def test_a_ledger_that_grants_a_claim_to_another_ticket_is_detected(self) -> None:
         self.assertTrue(
             any(run_random_faults(seed, state_type=GrantsToAnyTicket)[0].observer.faults for seed in range(3))
         )
 
-    def test_a_ledger_that_grants_freed_tickets_again_is_caught(self) -> None:
+    def test_a_ledger_that_grants_freed_tickets_again_is_detected(self) -> None:
         self.assertTrue(any(run_random_faults(seed, state_type=GrantsFreedTickets)[1] for seed in range(3)))
 
-    def test_a_router_that_does_not_give_up_its_late_claims_is_caught(self) -> None:
+    def test_a_router_that_does_not_free_its_late_claims_is_detected(self) -> None:
         self.assertTrue(any(run_random_faults(seed, make_ledger=NeverGivesUp)[1] for seed in range(3)))
 
 
--- a/wingwood/ledger/tests/test_core.py
+++ b/wingwood/ledger/tests/test_core.py
@@ -1,4 +1,8 @@
-"""The ledger in the real control core, under faults of control machines and routers (docs/DESIGN.md section 13)."""
+"""The ledger in the real control core, under faults of control machines and routers (docs/DESIGN.md section 13).
+
+Kills, freezes, power failures and partitions change the primary while calls are claimed. No call may run
+twice, and no key that nobody runs may stay blocked.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 
 class LedgerFleet:
-    """Three control daemons with the ledger, and routers that reach them over the simulated network."""
+    """Three control daemons with the ledger, and routers that call them over the simulated network."""
 
     def __init__(self, seed: int, routers: int = 4, core_type: type[ReplicatedCore] = ReplicatedCore) -> None:
         self.routers: LedgerRouters | None = None
@@ -57,7 +61,7 @@
         return ControlClient(context, TcpMessenger(context, identity, KEY), lambda: self.control.seeds)
 
     def inject_fault(self) -> None:
-        """One fault of a control machine or a router, healed by itself within seconds."""
+        """Injects one random fault of a control machine or a router, which ends within seconds."""
         world, random = self.world, self.world.random
         assert self.routers is not None
         choice, control = random.random(), random.choice(CONTROLS)
@@ -89,7 +93,7 @@
             world.at(later, lambda: world.wake(router))
 
     def run_random_faults(self, seconds: float, pause: float = 4.0) -> list[int]:
-        """Faults under load, then calm; the keys that stay blocked without a reason."""
+        """Injects faults under load, then lets the fleet recover; returns the keys that stay blocked."""
         assert self.routers is not None
         world = self.world
         self.routers.start_callers(8)
@@ -125,7 +129,7 @@
                 self.assertEqual(blocked, [])
                 self.assertGreater(fleet.routers.observer.claimed, 100)
 
-    def test_a_core_that_answers_before_its_backup_has_the_record_is_caught(self) -> None:
+    def test_a_core_that_answers_before_its_backup_has_the_record_is_detected(self) -> None:
         def faults(seed: int) -> list[str]:
             fleet = LedgerFleet(seed, core_type=EarlyAcknowledgingCore)
             fleet.run_random_faults(20.0, 1.0)
--- a/wingwood/ledger/tests/test_state.py
+++ b/wingwood/ledger/tests/test_state.py
@@ -1,4 +1,7 @@
-"""The ledger's rules, record by record (docs/DESIGN.md section 13)."""
+"""The rules of the ledger's state, record by record (docs/DESIGN.md section 13).
+
+Resent, late or duplicated claims and settles must not grant a key twice, nor free the claim of another.
+"""
 
 from __future__ import annotations
 
@@ -30,10 +33,10 @@
         return Instant(self.now)
 
     def wall(self) -> WallTime:
-        raise AssertionError("no decision rests on wall time")
+        raise AssertionError("the ledger must not read the wall clock")
 
     async def sleep(self, seconds: Seconds) -> None:
-        raise AssertionError("the ledger's state does not wait")
+        raise AssertionError("the ledger's state must not sleep")
 
 
 def digest(name: str) -> bytes:
@@ -63,9 +66,9 @@
 
     def settle(self, router: Incarnation, number: int, state: SettledState, key: str = "a", floor: int = 0) -> None:
         record, _ = self.run_batch(LedgerBatch(router, floor, (), (SettleKey(number, digest(key), state),)))
-        self.assertIsNotNone(record, "a settle is acknowledged only behind a record")
+        self.assertIsNotNone(record, "a settle may be acknowledged only after a record")
 
-    def test_one_claim_wins_and_others_learn_its_state(self) -> None:
+    def test_one_claim_is_granted_and_others_get_its_state(self) -> None:
         self.assertEqual(self.claim(NORTH, 1), "claimed")
         self.assertEqual(self.claim(SOUTH, 1), "running")
         self.assertEqual(self.claim(NORTH, 2), "running")
@@ -77,21 +80,21 @@
         claims = (ClaimKey(1, digest("a")), ClaimKey(2, digest("a")))
         self.assertEqual(self.run_batch(LedgerBatch(NORTH, 1, claims))[1], ("claimed", "running"))
 
-    def test_a_claim_sent_again_is_claimed_again_but_only_behind_a_record(self) -> None:
+    def test_a_resent_claim_is_granted_again_only_after_a_record(self) -> None:
         self.claim(NORTH, 1)
         record, answers = self.run_batch(LedgerBatch(NORTH, 1, (ClaimKey(1, digest("a")),)))
         self.assertEqual(answers, ("claimed",))
         self.assertIsNotNone(record, "without a record the answer could come before the claim is durable")
 
-    def test_not_run_frees_the_key_but_never_for_the_freed_ticket(self) -> None:
+    def test_not_run_frees_the_key_except_for_the_freed_ticket(self) -> None:
         self.claim(NORTH, 1)
         self.settle(NORTH, 1, "not-run")
         self.assertEqual(self.claim(NORTH, 1), "closed")
         self.assertEqual(self.claim(SOUTH, 1), "claimed")
         self.settle(NORTH, 1, "not-run")
-        self.assertEqual(self.claim(NORTH, 2), "running", "a settle sent again frees nobody else's claim")
+        self.assertEqual(self.claim(NORTH, 2), "running", "a resent settle must not free another claim")
 
-    def test_a_claim_that_comes_after_it_was_given_up_is_not_granted(self) -> None:
+    def test_a_claim_that_arrives_after_its_not_run_settle_is_not_granted(self) -> None:
         self.settle(NORTH, 7, "not-run")
         self.assertEqual(self.claim(NORTH, 7), "closed")
         self.settle(NORTH, 8, "not-run", floor=9)
@@ -99,19 +102,19 @@
         self.assertEqual(self.claim(NORTH, 8, "other key"), "closed")
         self.assertEqual(self.claim(NORTH, 9), "claimed")
 
-    def test_the_second_copy_of_an_answered_claim_is_not_granted(self) -> None:
+    def test_a_duplicate_of_an_answered_claim_is_not_granted(self) -> None:
         self.claim(NORTH, 1)
         self.assertEqual(self.claim(SOUTH, 5), "running")
         self.settle(NORTH, 1, "not-run")
         self.assertEqual(self.claim(SOUTH, 5), "closed")
         self.assertEqual(self.claim(SOUTH, 6), "claimed")
 
-    def test_given_up_and_claimed_in_one_batch(self) -> None:
+    def test_a_claim_and_its_not_run_settle_in_one_batch(self) -> None:
         batch = LedgerBatch(NORTH, 1, (ClaimKey(1, digest("a")),), (SettleKey(1, digest("a"), "not-run"),))
         self.assertEqual(self.run_batch(batch)[1], ("closed",))
         self.assertEqual(self.claim(SOUTH, 1), "claimed")
 
-    def test_the_outcome_of_a_lost_router_is_unknown_and_may_still_be_told(self) -> None:
+    def test_the_outcome_at_a_lost_router_is_unknown_and_may_still_be_settled(self) -> None:
         self.claim(NORTH, 1)
         self.members.remove(NORTH)
         self.assertEqual(self.claim(SOUTH, 1), "unknown")
@@ -127,7 +130,7 @@
         self.settle(NORTH, 1, "unknown")
         self.assertEqual(self.claim(SOUTH, 1), "ran")
 
-    def test_backup_and_restored_snapshot_answer_alike(self) -> None:
+    def test_backup_and_restored_snapshot_give_the_same_answers(self) -> None:
         for number in range(1, 40):
             self.claim(NORTH, number, f"key {number}")
             if number % 3:
@@ -142,7 +145,7 @@
         restored.restore(None)
         self.assertEqual(restored.entries(), 0)
 
-    def test_outcomes_are_kept_for_the_retention_and_forgotten_soon_after(self) -> None:
+    def test_outcomes_are_retained_for_the_retention_time_and_then_removed(self) -> None:
         self.claim(NORTH, 1)
         self.settle(NORTH, 1, "ran")
         self.claim(NORTH, 2, "b")
@@ -153,15 +156,15 @@
         self.clock.now += RETENTION * 0.5
         self.claim(SOUTH, 4, "tock")
         self.assertEqual((self.claim(SOUTH, 5), self.claim(SOUTH, 6, "b")), ("claimed", "claimed"))
-        self.assertEqual(self.claim(SOUTH, 7, "tick"), "running", "what may still run is kept")
+        self.assertEqual(self.claim(SOUTH, 7, "tick"), "running", "a call that may still run must be retained")
 
-    def test_a_claim_never_settled_is_forgotten_after_a_day(self) -> None:
+    def test_a_claim_that_is_never_settled_is_removed_after_a_day(self) -> None:
         self.claim(NORTH, 1)
         self.clock.now += MAX_RUNNING_AGE_S + 1
         self.claim(SOUTH, 1, "tick")
         self.assertEqual(self.claim(SOUTH, 2), "claimed")
 
-    def test_time_stands_still_while_nothing_runs(self) -> None:
+    def test_ledger_time_stops_while_no_daemon_runs(self) -> None:
         self.claim(NORTH, 1)
         self.settle(NORTH, 1, "ran")
         snapshot = self.state.snapshot()
--- a/wingwood/limits/tests/share_fleet.py
+++ b/wingwood/limits/tests/share_fleet.py
@@ -1,4 +1,4 @@
-"""Routers with shares only, on simulated time, under Poisson load (for tests and bench/limits_bench.py)."""
+"""Routers that run only the paid shares, in simulated time under Poisson load (for tests and bench/limits_bench.py)."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 
 PORT = 7000
 REMOVED_AFTER_S = 2.0
+"""A router that does not reach control is removed from the membership after this long."""
 CallCost = Callable[[Random], int]
-"""Of one call."""
+"""Draws the cost of one call."""
 Load = Callable[[int, float], float]
-"""Offered calls per second at a router (by number) at a time of the world."""
+"""Returns the offered calls per second for a router's number and a time of the simulated world."""
 
 
 class FakeMembership:
-    """Membership as the fleet below decides it, learnt with every heartbeat."""
+    """A fake membership that is set by ``ShareFleet`` with every heartbeat."""
 
     def __init__(self) -> None:
         self._members: list[Identity] = []
@@ -57,7 +58,10 @@
 
 
 class ShareFleet:
-    """Routers ``r0``, ``r1``...; ``calls`` holds (time, router, accepted, seconds waited) of every call."""
+    """Routers ``r0``, ``r1``... that charge one tenant's calls to its paid share.
+
+    ``calls`` holds (time, router, accepted, seconds waited) for every call.
+    """
 
     def __init__(
         self,
@@ -74,9 +78,9 @@
         self.tolerance = tolerance
         self.cost = cost
         self.uses: list[tuple[float, int]] = []
-        """(time, cost) of each accepted call, in the order of time."""
+        """(time, cost) of each accepted call, in time order."""
         self.offered_uses: list[tuple[float, int]] = []
-        """The same of all calls, refused ones too."""
+        """(time, cost) of each offered call, including refused ones."""
         self.world = world
         self.tenant = tenant
         self.rates = [(0.0, tenant.paid_rate)]
@@ -85,7 +89,7 @@
         self.calls: list[tuple[float, int, bool, float]] = []
         self.identities: dict[str, Identity] = {}
         self.unreachable_since: dict[str, float] = {}
-        """Since when a router does not reach control (killed, frozen or cut off)."""
+        """Time since which a router does not reach control, because it is killed, frozen or partitioned off."""
         self.control_down = False
         self.shares: dict[str, FleetShares] = {}
         self.messengers: dict[str, TcpMessenger] = {}
@@ -119,14 +123,14 @@
         self.world.start(name, main, zone=machine.zone)
 
     def allocator(self) -> str:
-        """Name of the router that keeps the tenant's share, as the routers that are well see it."""
+        """Returns the name of the tenant's share allocator according to a healthy router."""
         healthy = next(name for name in sorted(self.shares) if name not in self.unreachable_since)
         found = self.shares[healthy].allocator_of(self.tenant.name)
         assert found is not None
         return found.name
 
     def deputy(self) -> str:
-        """Name of the router next in order after the keeper."""
+        """Returns the name of the allocator's deputy according to a healthy router."""
         healthy = next(name for name in sorted(self.shares) if name not in self.unreachable_since)
         found = self.shares[healthy].deputy_of(self.tenant.name)
         assert found is not None
@@ -171,11 +175,11 @@
         return sum(1 for at, _, _, _ in self.calls if start <= at < end)
 
     def paid_ratio(self, start: float, end: float) -> float:
-        """Accepted calls as a part of what is paid for that time."""
+        """Returns the accepted calls divided by the calls paid for in that time."""
         return self.accepted(start, end) / self.paid(start, end)
 
     def change(self, tenant: Tenant) -> None:
-        """A new bundle is in force with another paid rate."""
+        """Puts a tenant with another paid rate into force, as a new bundle does."""
         self.tenant = tenant
         self.rates.append((self.world.now, tenant.paid_rate))
 
@@ -191,7 +195,7 @@
         return 1.0 - self.accepted(start, end) / offered if offered else 0.0
 
     def max_used(self, window: float, start: float = 0.0) -> int:
-        """Highest use in any sliding window after ``start``, over all routers."""
+        """Returns the highest use, over all routers, in any sliding window after ``start``."""
         most = used = oldest = 0
         uses = [(at, cost) for at, cost in self.uses if at >= start]
         for at, cost in uses:
@@ -203,7 +207,7 @@
         return most
 
     def max_paid_ratio(self, start: float, end: float, width: float) -> float:
-        """Highest ``paid_ratio`` over any window of that width, in steps of a tenth of it."""
+        """Returns the highest ``paid_ratio`` of any window of that width, in steps of a tenth of the width."""
         steps = int((end - start - width) / (width / 10)) + 1
         return max(
             self.paid_ratio(start + step * width / 10, start + step * width / 10 + width) for step in range(steps)
--- a/wingwood/limits/tests/test_retry_budget.py
+++ b/wingwood/limits/tests/test_retry_budget.py
@@ -1,4 +1,8 @@
-"""Retry budgets of single routers and of whole fleets (docs/DESIGN.md section 14.2)."""
+"""Retry budgets of single routers and of complete fleets (docs/DESIGN.md section 14.2).
+
+Failing workers make routers retry, which adds load. Routers hold their budgets without messages, so after
+restarts and changes of membership their retries together must still stay within the fleet's bound.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 
 
 class ManualClock:
-    """A clock that stands where it is put."""
+    """A clock whose time the test sets."""
 
     def __init__(self, now: float = 0.0) -> None:
         self.now = now
@@ -29,7 +33,7 @@
         return WallTime(self.now)
 
     async def sleep(self, seconds: Seconds) -> None:
-        raise AssertionError("nothing here waits")
+        raise AssertionError("a retry budget does not sleep")
 
 
 def service(retry_share: float = 0.15, pool: str = "model", split: tuple[PoolShare, ...] = ()) -> Service:
@@ -42,7 +46,7 @@
         self.clock = ManualClock()
         return ServiceRetryBudget(self.clock, lambda: routers, limits)
 
-    def test_tries_stay_under_a_fifth_of_the_calls_at_every_moment(self) -> None:
+    def test_retries_always_stay_below_a_fifth_of_the_calls(self) -> None:
         for share in (0.15, 0.9):
             budget, tries = self.budget(), 0
             for calls in range(1, 500):
@@ -51,20 +55,20 @@
                 self.assertLess(tries, calls / 5)
             self.assertGreater(tries, 450 * min(share, MAX_RETRY_RATIO))
 
-    def test_a_long_calm_saves_up_little_and_a_pool_pays_only_for_itself(self) -> None:
+    def test_a_long_calm_accumulates_few_retries_and_pools_have_separate_accounts(self) -> None:
         budget = self.budget()
         for _ in range(10_000):
             budget.note_call(service())
         self.assertFalse(budget.take(service(pool="cards")))
         self.assertEqual(sum(budget.take(service()) for _ in range(100)), int(MAX_SAVED_RETRIES))
 
-    def test_the_slack_is_there_after_a_calm_time_without_any_call(self) -> None:
+    def test_the_slack_accumulates_without_any_call(self) -> None:
         budget = self.budget(slack=62.0)
-        self.assertFalse(budget.take(service()), "nothing at the start")
+        self.assertFalse(budget.take(service()), "a budget starts empty")
         self.clock.now = 60.0
         self.assertEqual(sum(budget.take(service()) for _ in range(100)), int(0.4 * 62 / 11))
 
-    def test_a_large_fleet_has_at_least_one_try_a_router(self) -> None:
+    def test_a_large_fleet_has_at_least_one_retry_per_router(self) -> None:
         budget = self.budget(slack=200.0, routers=400)
         self.clock.now = 600.0
         self.assertEqual(sum(budget.take(service()) for _ in range(100)), 1)
@@ -82,7 +86,7 @@
 
 
 class _Fleet:
-    """Budgets of all routers; keeps when each call came and each further try was made."""
+    """Budgets of all routers, with the times of all calls and retries."""
 
     def __init__(self, routers: int, slack: float) -> None:
         self.clock = ManualClock()
@@ -96,16 +100,16 @@
         return ServiceRetryBudget(self.clock, lambda: self.members, self.limits)
 
     def offer(self, number: int) -> None:
-        """A call, all of whose tries fail."""
-        treated = service(retry_share=RATIO)
-        self.budgets[number].note_call(treated)
+        """Offers a call of which all tries fail."""
+        budgeted = service(retry_share=RATIO)
+        self.budgets[number].note_call(budgeted)
         self.calls.append(self.clock.now)
         for _ in range(3):
-            if self.budgets[number].take(treated):
+            if self.budgets[number].take(budgeted):
                 self.tries.append(self.clock.now)
 
     def worst(self) -> float:
-        """Highest excess of tries over the ratio in any window, counting only the window's own calls."""
+        """Returns the most retries beyond the ratio in any window, counting only that window's calls."""
         worst = 0.0
         for end, last in enumerate(self.tries):
             start = last - WINDOW
@@ -134,13 +138,15 @@
             world.clock.now += random_.expovariate(40.0 if random_.random() < 0.9 else 1.0)
             while waiting and waiting[0] < world.clock.now:
                 waiting.pop(0)
-                share = random_.choice((0.2, 1.0))  # Some routers, or all at once.
+                share = random_.choice(
+                    (0.2, 1.0)
+                )  # Restarts a fifth of the routers on average, or all of them at once.
                 world.members = random_.choice((routers, (routers + 1) // 2))
                 world.budgets = [world.new_budget() if random_.random() < share else budget for budget in world.budgets]
             world.offer(random_.randrange(routers))
         self.assertLessEqual(world.worst(), slack)
 
-    def test_a_budget_that_starts_full_would_be_caught(self) -> None:
+    def test_a_budget_that_starts_full_is_detected(self) -> None:
         def worst(start_full: bool) -> float:
             world = _Fleet(11, 62.0)
             world.clock.now = 60.0
--- a/wingwood/limits/tests/test_share_account.py
+++ b/wingwood/limits/tests/test_share_account.py
@@ -1,4 +1,7 @@
-"""A keeper's two limits, what it inherits, and a deputy's account (docs/DESIGN.md section 14.1)."""
+"""An allocator's bucket and window, usage taken over from its predecessor, and a deputy's account.
+
+A mistake here lets a tenant exceed its quota or refuses calls below it (docs/DESIGN.md section 14.1).
+"""
 
 from __future__ import annotations
 
@@ -38,15 +41,15 @@
 
 
 class PlanTest(unittest.TestCase):
-    def test_the_parts_make_the_bound(self) -> None:
+    def test_the_parts_add_up_to_the_bound(self) -> None:
         for rate in (29_000.0, RATE, 436_000.0):
             for slack in (72_000.0, 110_000.0):
                 parts = plan(rate, QuotaTolerance(window=WINDOW, over=0.1, slack=slack))
                 bound = (rate * WINDOW + rate) * 1.1 + slack
-                whole = parts.max_window_use + parts.credit + parts.reserve + LAG_FRACTION * (bound - 9.0 * rate)
-                self.assertLessEqual(whole, bound + 1e-6)
-                self.assertGreater(whole, 0.99 * bound, "a reserve of more than a bucket would be no use")
-                self.assertGreaterEqual(parts.bucket, max(rate, 45_000.0), "a large call has to fit")
+                total = parts.max_window_use + parts.credit + parts.reserve + LAG_FRACTION * (bound - 9.0 * rate)
+                self.assertLessEqual(total, bound + 1e-6)
+                self.assertGreater(total, 0.99 * bound, "a reserve above the bucket's capacity would be wasted")
+                self.assertGreaterEqual(parts.bucket, max(rate, 45_000.0), "a large call must fit into the bucket")
                 self.assertAlmostEqual(parts.credit, CREDIT_FRACTION * (bound - 9.0 * rate))
 
     def test_without_tolerance_the_bucket_is_the_burst(self) -> None:
@@ -55,11 +58,11 @@
 
 
 class ManyRoutersTest(unittest.TestCase):
-    """Above ``EXACT_TOTALS_MAX_ROUTERS`` routers their parts are not added up for each ask."""
+    """Above ``EXACT_TOTALS_MAX_ROUTERS`` routers, totals are extrapolated instead of computed for each request."""
 
     ROUTERS = 300
 
-    def test_sums_are_never_below_what_the_routers_may_use_and_hardly_above(self) -> None:
+    def test_totals_are_upper_bounds_close_to_the_exact_totals(self) -> None:
         random = Random(5)
         account = ShareAccount(plan(), WINDOW, plan().bucket, at(0.0))
         account.reports_requested = True
@@ -95,7 +98,7 @@
             self.assertGreaterEqual(in_bucket, exact_bucket - slack)
             self.assertGreaterEqual(in_window, exact_window - slack)
 
-    def test_an_ask_costs_the_same_with_a_thousand_routers(self) -> None:
+    def test_a_request_does_not_visit_each_of_a_thousand_routers(self) -> None:
         account = ShareAccount(plan(), WINDOW, plan().bucket, at(0.0))
         account.reports_requested = True
         for number in range(1000):
@@ -109,21 +112,21 @@
         self.assertLess(counted.call_count, 5000)
 
 
-class KeptShareTest(unittest.TestCase):
+class ShareAccountTest(unittest.TestCase):
     def setUp(self) -> None:
         self.account = ShareAccount(plan(), WINDOW, plan().bucket, at(0.0))
         self.account.reports_requested = True
 
-    def test_calls_are_granted_whole_or_not(self) -> None:
+    def test_calls_are_granted_completely_or_not_at_all(self) -> None:
         granted, wait = self.account.grant((40_000, 200_000, 200), at(0.0), unproven=False)
         self.assertEqual(granted, (True, False, True))
         self.assertGreater(wait, 0.0)
 
-    def test_a_call_larger_than_the_bucket_is_granted_when_that_is_nearly_full(self) -> None:
+    def test_a_call_larger_than_the_bucket_is_granted_from_a_nearly_full_bucket(self) -> None:
         self.assertEqual(self.account.grant((int(plan().bucket) + 10_000,), at(0.0), unproven=False)[0], (True,))
         self.assertEqual(self.account.grant((int(plan().bucket) + 10_000,), at(0.1), unproven=False)[0], (False,))
 
-    def test_allowances_never_sum_to_more_than_the_rate(self) -> None:
+    def test_allowances_together_never_exceed_the_rate(self) -> None:
         allowed_rate = [
             self.account.settle(router(number), request(1, needed_rate=30_000.0), at(0.0), True) for number in range(5)
         ]
@@ -134,7 +137,7 @@
     def test_without_a_proven_session_allowances_do_not_rise(self) -> None:
         self.assertEqual(self.account.settle(router(1), request(1, needed_rate=30_000.0), at(0.0), False), 0.0)
 
-    def test_a_silent_router_counts_in_the_window_until_its_allowance_ends(self) -> None:
+    def test_a_silent_router_is_counted_in_the_window_until_its_allowance_expires(self) -> None:
         self.account.settle(router(1), request(1, needed_rate=50_000.0), at(0.0), True)
         empty = plan().max_window_use
         self.assertAlmostEqual(self.account.available(at(4.0), unproven=False)[1], empty - 200_000.0)
@@ -143,20 +146,20 @@
         self.account.settle(router(1), request(2, used=10_000, needed_rate=0.0), at(20.0), True)
         self.assertAlmostEqual(self.account.available(at(20.0), unproven=False)[1], empty - 10_000.0)
 
-    def test_a_full_window_ends_allowances(self) -> None:
+    def test_a_full_window_reduces_allowances_to_zero(self) -> None:
         self.account.charge(plan().max_window_use - 1_000, at(0.0))
         self.assertLess(self.account.settle(router(1), request(1, needed_rate=50_000.0), at(0.0), True), 2_000.0)
         self.account.charge(1_000, at(0.0))
         self.assertEqual(self.account.settle(router(1), request(2, needed_rate=50_000.0), at(0.1), True), 0.0)
 
-    def test_a_late_ask_is_void_and_an_earlier_life_is_forgotten(self) -> None:
+    def test_a_late_request_is_outdated_and_a_restart_replaces_the_record(self) -> None:
         self.account.settle(router(1), request(5, needed_rate=50_000.0), at(0.0), True)
         self.assertTrue(self.account.is_outdated(router(1), request(5)))
         self.assertFalse(self.account.is_outdated(router(1), request(6)))
         again = Identity(DaemonName("r1"), Incarnation("later"), "router", Zone("a"), Address("127.0.0.1", 1))
         self.assertEqual(self.account.settle(again, request(1, needed_rate=RATE), at(1.0), True), RATE)
 
-    def test_a_lower_limit_begins_with_an_empty_window_and_a_higher_one_does_not(self) -> None:
+    def test_only_a_lowered_limit_starts_with_an_empty_window(self) -> None:
         self.account.charge(300_000, at(0.0))
         self.account.change_plan(plan(2 * RATE), at(1.0))
         self.assertEqual(self.account.used.count(at(1.0)), 300_000)
@@ -164,7 +167,7 @@
         self.assertEqual(self.account.used.count(at(2.0)), 0)
 
 
-class InheritanceTest(unittest.TestCase):
+class InheritedUsageTest(unittest.TestCase):
     def report(
         self, *used: int, covered_span: float = 8.0, view: AllocatorView | None = None, ago: float = 0.0
     ) -> UsageReport:
@@ -175,34 +178,34 @@
         self.assertEqual(inherited.steps, (11, 2, 30))
         self.assertEqual((inherited.unreported, inherited.span), (0.0, 8.0))
 
-    def test_use_of_an_allocator_that_has_ended_is_known_from_its_view(self) -> None:
+    def test_use_at_an_ended_allocator_is_derived_from_its_view(self) -> None:
         view = AllocatorView(used=500_000.0, promised_rate=RATE, covered_span=Seconds(30.0), level=20_000.0)
         inherited = merge_reports([self.report(0, 100_000, 200_000, view=view)], WINDOW)
         self.assertEqual(inherited.unreported, 200_000.0)
         self.assertEqual(inherited.promised_rate, RATE)
 
-    def test_a_young_fleet_has_saved_up_little_and_an_old_one_a_full_bucket(self) -> None:
-        young = merge_reports([self.report(covered_span=0.5), self.report(covered_span=3.0)], WINDOW)
-        self.assertAlmostEqual(young.level(RATE, 150_000.0), 50_000.0)
+    def test_the_bucket_level_follows_from_the_time_that_reports_cover(self) -> None:
+        recent = merge_reports([self.report(covered_span=0.5), self.report(covered_span=3.0)], WINDOW)
+        self.assertAlmostEqual(recent.level(RATE, 150_000.0), 50_000.0)
         self.assertAlmostEqual(merge_reports([self.report()], WINDOW).level(RATE, 150_000.0), 150_000.0)
 
-    def test_a_young_router_does_not_hide_what_an_older_one_was_told(self) -> None:
+    def test_a_report_of_a_recently_started_router_does_not_shorten_a_longer_view(self) -> None:
         view = AllocatorView(used=0.0, promised_rate=0.0, covered_span=Seconds(30.0), level=90_000.0)
         inherited = merge_reports([self.report(covered_span=0.5), self.report(view=view, ago=0.2)], WINDOW)
         self.assertAlmostEqual(inherited.level(RATE, 150_000.0), 150_000.0)
 
 
-class StandInTest(unittest.TestCase):
-    def test_grants_the_reserve_and_what_is_poured_in(self) -> None:
+class DeputyAccountTest(unittest.TestCase):
+    def test_grants_the_reserve_and_transferred_allowances(self) -> None:
         account = DeputyAccount(plan(), WINDOW, at(0.0))
         at_once = int(0.8 * plan().reserve)
         self.assertEqual(account.grant((at_once, 1_000), 0.0, at(0.0)), (True, False))
         self.assertEqual(account.grant((1_000, 1_000), 1_500.0, at(0.0)), (True, False))
-        whole = sum(sum(account.grant((100,), 0.0, at(step / 100))) * 100 for step in range(1, 800))
-        self.assertLess(at_once + 1_000 + whole, plan().reserve + 1_500)
-        self.assertGreater(whole, 0.15 * plan().reserve)
+        total = sum(sum(account.grant((100,), 0.0, at(step / 100))) * 100 for step in range(1, 800))
+        self.assertLess(at_once + 1_000 + total, plan().reserve + 1_500)
+        self.assertGreater(total, 0.15 * plan().reserve)
 
-    def test_what_was_poured_in_is_void_after_a_pause(self) -> None:
+    def test_transferred_allowances_expire_without_requests(self) -> None:
         account = DeputyAccount(plan(), WINDOW, at(0.0))
         account.grant((int(0.8 * plan().reserve),), 0.0, at(0.0))
         account.grant((), 50_000.0, at(0.0))
--- a/wingwood/limits/tests/test_share_components.py
+++ b/wingwood/limits/tests/test_share_components.py
@@ -1,4 +1,4 @@
-"""Buckets, counts, keepers, retry budgets and admission (docs/DESIGN.md section 14)."""
+"""Token buckets, sliding-window counters, allocator selection and admission (docs/DESIGN.md section 14)."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 
 
 class TokenBucketTest(unittest.TestCase):
-    def test_fills_at_its_rate_up_to_its_size_and_gives_whole_tokens(self) -> None:
+    def test_refills_at_its_rate_up_to_its_capacity_and_gives_whole_tokens(self) -> None:
         bucket = TokenBucket(rate=10.0, capacity=5.0, level=0.0, now=Instant(0.0))
         self.assertEqual(bucket.take(1, Instant(0.09)), 0)
         self.assertAlmostEqual(bucket.wait(Instant(0.09)), 0.01)
         self.assertEqual(bucket.take(3, Instant(0.25)), 2)
         self.assertEqual(bucket.take(9, Instant(100.0)), 5)
-        self.assertEqual(bucket.take(1, Instant(99.0)), 0, "a clock that seems to go back earns nothing")
+        self.assertEqual(bucket.take(1, Instant(99.0)), 0, "a clock that goes back must not refill the bucket")
 
-    def test_what_is_owed_is_bounded_and_a_new_rate_counts_from_its_moment(self) -> None:
+    def test_a_negative_level_is_bounded_and_a_new_rate_applies_from_its_change(self) -> None:
         bucket = TokenBucket(rate=10.0, capacity=5.0, level=0.0, now=Instant(0.0))
         bucket.adjust(-100.0, Instant(0.0))
         self.assertEqual(bucket.level, -5.0)
@@ -51,8 +51,8 @@
         self.assertEqual(bucket.take(9, Instant(2.5)), 2)
 
 
-class RecentCountTest(unittest.TestCase):
-    def test_forgets_what_is_older_than_the_window(self) -> None:
+class SlidingWindowCounterTest(unittest.TestCase):
+    def test_drops_events_older_than_the_window(self) -> None:
         recent = SlidingWindowCounter(Seconds(1.0))
         for tenth in range(30):
             recent.add(Instant(tenth / 10))
@@ -61,8 +61,8 @@
         self.assertEqual(recent.count(Instant(9.0)), 0)
 
 
-class ShareKeepersTest(unittest.TestCase):
-    def test_following_the_differences_chooses_as_a_fresh_choice_would(self) -> None:
+class AllocatorSelectorTest(unittest.TestCase):
+    def test_incremental_updates_select_the_same_routers_as_a_full_ranking(self) -> None:
         membership = FakeMembership()
         selector = AllocatorSelector(membership)
         tenants = [TenantName(f"tenant {number}") for number in range(50)]
@@ -81,7 +81,7 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    def test_refuses_what_comes_too_late_for_its_callers(self) -> None:
+    def test_refuses_calls_whose_first_token_would_come_too_late(self) -> None:
         admission = DeadlineAdmission()
         self.assertIsNone(admission.refuse(service(patience=4.0), Seconds(3.5)))
         refused = admission.refuse(service(patience=4.0), Seconds(9.6))
--- a/wingwood/limits/tests/test_shares.py
+++ b/wingwood/limits/tests/test_shares.py
@@ -1,4 +1,8 @@
-"""Paid shares over eleven routers on simulated time (docs/DESIGN.md section 14)."""
+"""Paid shares over eleven routers in simulated time (docs/DESIGN.md section 14).
+
+Calls of a tenant arrive at any router, while its allocator is killed, frozen, partitioned off or replaced.
+Paid calls must then not be refused, and no time window may admit many more calls than are paid for.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +47,7 @@
         paid: float = PAID,
         limits: ShareLimits | None = None,
     ) -> ShareFleet:
-        """The fault strikes the tenant's keeper at 5.0."""
+        """Runs a fleet and injects the fault into the tenant's allocator at 5.0 s."""
         with World(seed=4) as world:
             fleet = ShareFleet(world, ROUTERS, tenant(paid), load, most, limits)
             world.run(5.0)
@@ -53,25 +57,25 @@
             self.assertEqual(world.broken_invariants, [])
             return fleet
 
-    def test_what_is_paid_for_is_not_refused_wherever_it_lands(self) -> None:
+    def test_paid_calls_are_not_refused_at_any_router(self) -> None:
         for load, most in ((even(90), 9), (one(90), 90), (roaming(90), 90)):
             fleet = self.run_fleet(load, most)
             self.assertLess(fleet.refused_fraction(1.0, RUN_SECONDS), 0.01)
 
-    def test_what_is_not_paid_for_is_refused_wherever_it_lands(self) -> None:
+    def test_unpaid_calls_are_refused_at_any_router(self) -> None:
         for load, most in ((even(200), 20), (one(200), 200), (roaming(200), 200)):
             fleet = self.run_fleet(load, most)
             self.assertLess(fleet.paid_ratio(1.0, RUN_SECONDS), 1.1)
             self.assertLess(fleet.max_paid_ratio(3.0, RUN_SECONDS, 2.0), 1.1)
             self.assertGreater(fleet.paid_ratio(3.0, RUN_SECONDS), 0.95)
 
-    def test_a_crowd_at_the_start_of_the_fleet_finds_no_free_burst(self) -> None:
+    def test_a_crowd_at_the_start_of_the_fleet_gets_no_extra_burst(self) -> None:
         fleet = self.run_fleet(even(2000, start=0.0), 182)
         self.assertLess(fleet.accepted(0.0, 1.0), 1.1 * PAID)
         self.assertLess(fleet.max_paid_ratio(0.0, RUN_SECONDS, 1.0), 1.2)
 
-    def test_allocators_that_answer_slowly_while_the_fleet_starts_refuse_nobody(self) -> None:
-        """A first ask makes the connection, so it takes two ways there and back, longer than an ask usually may."""
+    def test_slow_allocators_at_the_start_of_the_fleet_cause_few_refusals(self) -> None:
+        """The first request also makes the connection: its two round trips exceed the usual request timeout."""
         slow = NetworkShape(same_zone=0.015, between_zones=0.015)
         with World(4, slow) as world:
             fleet = ShareFleet(world, ROUTERS, tenant(PAID), even(50, start=1.0), 5)
@@ -98,9 +102,9 @@
         self.assertLess(self.run_fleet(even(4), 1, kill, paid=8.0).refused_fraction(5.0, RUN_SECONDS), 0.02)
         self.assertLess(self.run_fleet(even(16), 2, kill, paid=8.0).max_paid_ratio(4.0, RUN_SECONDS, 3.0), 1.2)
 
-    def test_a_deputy_does_not_stand_in_for_an_allocator_that_others_reach(self) -> None:
+    def test_a_deputy_grants_little_while_other_routers_reach_the_allocator(self) -> None:
         def cut(world: World, fleet: ShareFleet, allocator: str) -> None:
-            """Five routers with the deputy, five with the keeper; all remain members."""
+            """Partitions the allocator from its deputy and four of the other nine routers; all remain members."""
             others = [name for name in sorted(fleet.shares) if name not in (allocator, fleet.deputy())]
             for name in (fleet.deputy(), *others[:4]):
                 world.cut(allocator, name)
@@ -109,7 +113,7 @@
         with mock.patch.object(DeputyAccount, "grant", _all_granted):
             self.assertGreater(self.run_fleet(even(200), 20, cut).max_paid_ratio(5.0, RUN_SECONDS, 3.0), 1.6)
 
-    def test_a_killed_allocator_of_a_fleet_too_large_to_be_asked(self) -> None:
+    def test_a_killed_allocator_in_a_fleet_too_large_for_usage_requests(self) -> None:
         def kill(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.mark_unreachable(allocator)
             world.kill(allocator)
@@ -118,7 +122,7 @@
         self.assertLess(self.run_fleet(even(90), 9, kill, limits=limits).refused_fraction(5.0, RUN_SECONDS), 0.03)
         self.assertLess(self.run_fleet(even(200), 20, kill, limits=limits).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.15)
 
-    def test_a_frozen_allocator_that_wakes(self) -> None:
+    def test_a_frozen_allocator_that_resumes(self) -> None:
         def freeze(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.mark_unreachable(allocator)
             world.freeze(allocator)
@@ -128,7 +132,7 @@
         self.assertLess(self.run_fleet(even(90), 9, freeze).refused_fraction(5.0, RUN_SECONDS), 0.03)
         self.assertLess(self.run_fleet(even(200), 20, freeze).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.15)
 
-    def test_an_allocator_that_is_cut_off_and_comes_back(self) -> None:
+    def test_an_allocator_that_is_partitioned_off_and_returns(self) -> None:
         def cut(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.mark_unreachable(allocator)
             wires = world.cut_off(allocator)
@@ -136,10 +140,10 @@
             world.at(9.0, lambda: world.heal(wires))
 
         self.assertLess(self.run_fleet(even(90), 9, cut).refused_fraction(5.0, RUN_SECONDS), 0.03)
-        # The cut-off router goes on with at most its part: up to two elevenths here.
+        # The partitioned router continues with at most its part, here up to two elevenths.
         self.assertLess(self.run_fleet(even(200), 20, cut).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.25)
 
-    def test_without_control_the_allocators_go_on(self) -> None:
+    def test_allocators_continue_without_control(self) -> None:
         def control_down(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.control_down = True
 
@@ -147,18 +151,20 @@
         self.assertLess(self.run_fleet(even(200), 20, control_down).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.1)
 
     def test_routers_that_join_take_shares_over_without_a_burst(self) -> None:
-        moved: list[bool] = []
+        allocator_moved: list[bool] = []
 
         def join(world: World, fleet: ShareFleet, allocator: str) -> None:
             for number in range(ROUTERS, ROUTERS + 20):
                 fleet.join(number)
-            world.at(8.0, lambda: moved.append(fleet.allocator() != allocator))
+            world.at(8.0, lambda: allocator_moved.append(fleet.allocator() != allocator))
 
         self.assertLess(self.run_fleet(even(90), 9, join).refused_fraction(5.0, RUN_SECONDS), 0.03)
         self.assertLess(self.run_fleet(even(200), 20, join).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.1)
-        self.assertEqual(moved, [True, True], "else nothing was tried")
+        self.assertEqual(
+            allocator_moved, [True, True], "the share must move to another allocator in both runs, or nothing is tested"
+        )
 
-    def test_a_new_paid_rate_counts_at_once(self) -> None:
+    def test_a_new_paid_rate_takes_effect_immediately(self) -> None:
         def halve(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.change(tenant(PAID / 2))
 
@@ -166,7 +172,7 @@
         self.assertLess(fleet.paid_ratio(5.5, RUN_SECONDS), 1.1)
         self.assertGreater(fleet.paid_ratio(5.5, RUN_SECONDS), 0.95)
 
-    def test_an_allocator_that_forgets_to_ask_what_was_used_would_be_caught(self) -> None:
+    def test_an_allocator_without_usage_reports_is_detected(self) -> None:
         def kill(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.mark_unreachable(allocator)
             world.kill(allocator)
--- a/wingwood/limits/tests/test_sparse_calls.py
+++ b/wingwood/limits/tests/test_sparse_calls.py
@@ -1,4 +1,8 @@
-"""A tenant whose calls come seldom, after its keeper was out of reach for a moment (docs/DESIGN.md section 14)."""
+"""A tenant with rare calls, after its allocator was briefly unreachable (docs/DESIGN.md section 14).
+
+The router had marked the allocator as unreachable. With calls seconds apart, it must still ask the
+allocator again, and the credit must refill in between, or every later call would be refused.
+"""
 
 from __future__ import annotations
 
@@ -21,13 +25,13 @@
         self.assertTrue(fleet.world.wait_for(lambda: len(fleet.calls) > before, 1.0, every=0.01))
         return fleet.calls[-1][2]
 
-    def test_the_next_call_after_the_cut_asks_the_allocator_again(self) -> None:
+    def test_calls_after_a_partition_reach_the_allocator_again(self) -> None:
         with World(seed=4) as world:
             fleet = ShareFleet(world, 11, tenant(25.0), lambda router, now: 0.0, 1.0)
             world.run(3.0)
             allocator, deputy = fleet.allocator(), fleet.deputy()
             caller = next(name for name in sorted(fleet.shares) if name not in (allocator, deputy))
-            # It is the one caller's way to both that fails, as after a cut whose old connections are dead.
+            # Only this router loses both, as after a partition that left dead connections.
             cuts = [world.cut(caller, other) for other in (allocator, deputy)]
             self.accepted_at(fleet, caller)
             for cut in cuts:
@@ -36,7 +40,7 @@
                 world.run(Seconds(10.0))
                 self.assertTrue(self.accepted_at(fleet, caller), f"refused at {world.now}")
 
-    def test_the_fallback_part_is_earned_while_nobody_calls(self) -> None:
+    def test_credit_refills_between_rare_calls(self) -> None:
         with World(seed=4) as world:
             fleet = ShareFleet(world, 11, tenant(25.0), lambda router, now: 0.0, 1.0)
             world.run(3.0)
--- a/wingwood/limits/tests/token_quota.py
+++ b/wingwood/limits/tests/token_quota.py
@@ -1,4 +1,4 @@
-"""Token quotas of a fleet under faults: loads, faults and a checker of windows (for tests and the bench)."""
+"""Simulated runs of a fleet with token quotas: loads, faults, and the check of use in sliding windows."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 ROUTERS = 11
 START_AT = 4.0
-"""Traffic starts."""
+"""Time at which traffic starts, in seconds of simulated time."""
 FAULT_AT = 16.0
 RUN_SECONDS = 34.0
 WINDOW = 8.0
 MEAN_COST = 6_500.0
-"""Of ``call_cost``, roughly; only loads are made from it."""
+"""Approximate mean of ``call_cost``, used only to compute loads."""
 Fault = Callable[[World, ShareFleet], None]
 
 
@@ -44,12 +44,12 @@
 
 
 def bound(rate: float, slack: float, burst: float = 1.0) -> float:
-    """What the users' rule allows in any window."""
+    """Returns the use that the quota rule allows in any window of ``WINDOW`` seconds."""
     return (rate * WINDOW + rate * burst) * 1.1 + slack
 
 
 def call_cost(random: Random) -> int:
-    """Three quarters are long prompts, some of 40,000 tokens; the rest are chats and plain calls."""
+    """Draws the tokens of a call: three quarters are long prompts of up to 40,000, the rest chats and plain calls."""
     kind = random.random()
     if kind < 0.76:
         return min(40_000, int(4_000 + random.expovariate(1 / 4_200)))
@@ -57,10 +57,14 @@
 
 
 class Case(msgspec.Struct, frozen=True):
-    """One run; ``offered_fraction`` of the paid rate is offered, and ``flood`` times that for a while."""
+    """Parameters of one run.
+
+    The load is ``offered_fraction`` of the paid rate, and ``flood`` times that between ``flood_from`` and
+    ``flood_until``.
+    """
 
     fault: str = "none"
-    """One of FAULTS."""
+    """A key of FAULTS."""
     rate: float = 150_000.0
     slack: float = 72_000.0
     routers: int = ROUTERS
@@ -68,20 +72,20 @@
     flood: float = 1.0
     flood_from: float = 12.0
     flood_until: float = 26.0
-    landing: str = "even"
+    arrival: str = "even"
 
 
 def load_of(case: Case) -> tuple[Load, float]:
-    """Calls per second at each router, and the most of it."""
+    """Returns the load at each router in calls per second, and its maximum."""
     calls = case.offered_fraction * case.rate / MEAN_COST
 
     def at(router: int, now: float) -> float:
         if now < START_AT or router >= case.routers:
             return 0.0
         times = case.flood if case.flood_from <= now < case.flood_until else 1.0
-        if case.landing == "one":
+        if case.arrival == "one":
             return calls * times if router == 3 else 0.0
-        if case.landing == "uneven":
+        if case.arrival == "uneven":
             return calls * times * 2.0 * (router + 1) / (case.routers * (case.routers + 1))
         return calls * times / case.routers
 
@@ -89,15 +93,17 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
+    """Measurements of one run."""
+
     fraction_of_bound: float
-    """Highest use in a window as a part of the bound; the rule holds up to 1."""
+    """Highest use in any window, divided by the bound; the quota rule holds up to 1."""
     refused: float
-    """Part of the calls after START that were refused."""
+    """Fraction of the calls after ``START_AT`` that were refused."""
     refused_within_bucket: float
-    """Part of the owed calls, as a bucket of rate and burst reckons them over all calls, that were refused."""
+    """Fraction of tokens refused among those that a bucket of rate and burst admits when fed all calls."""
     flood_used_fraction: float
-    """Use during the flood as a part of the paid rate."""
-    longest_wait: float
+    """Use during the flood, divided by what the paid rate allows in that time."""
+    max_wait: float
 
 
 def run_case(case: Case, seed: int) -> Outcome:
@@ -121,7 +127,10 @@
 
 
 def refused_within_bucket(fleet: ShareFleet, rate: float) -> float:
-    """What a bucket of the rate and one second's burst would have let in and the fleet did not, in tokens."""
+    """Returns the fraction of tokens that the fleet refused among those admitted by a bucket of rate and burst.
+
+    The burst is one second of the rate.
+    """
     level, at, within_bucket = rate, 0.0, 0
     for started_at, cost in fleet.offered_uses:
         level = min(rate, level + (started_at - at) * rate)
@@ -168,7 +177,7 @@
 
 
 def cut_off(*names: str, cut: float = 6.0) -> Fault:
-    """Each alone: from the others and from control, but not from its callers and workers."""
+    """Partitions each router off from the other routers and control, but not from its callers and workers."""
 
     def apply_fault(world: World, fleet: ShareFleet) -> None:
         for router in [_named(fleet, name) for name in names]:
@@ -180,7 +189,7 @@
 
 
 def split(first: Sequence[int], cut: float = 8.0) -> Fault:
-    """The routers of these numbers lose control and all others, but not one another."""
+    """Partitions the routers with these numbers off from control and the other routers, but not from each other."""
 
     def apply_fault(world: World, fleet: ShareFleet) -> None:
         names = sorted(fleet.shares)
@@ -201,7 +210,7 @@
 
 
 def cut_from_some(world: World, fleet: ShareFleet) -> None:
-    """The keeper is cut from its deputy and four others; all remain members."""
+    """Partitions the allocator from its deputy and four other routers; all remain members."""
     allocator, deputy = fleet.allocator(), fleet.deputy()
     others = [name for name in sorted(fleet.shares) if name not in (allocator, deputy)]
     cuts = [world.cut(allocator, name) for name in (deputy, *others[:4])]
@@ -210,7 +219,7 @@
 
 
 def refused_at_some(world: World, fleet: ShareFleet) -> None:
-    """A cut that answers with resets stands between the keeper and two others, its deputy among them."""
+    """Makes the allocator refuse connections from its deputy and one other router, as a partition with resets does."""
     allocator, deputy = fleet.allocator(), fleet.deputy()
     other = next(name for name in sorted(fleet.shares) if name not in (allocator, deputy))
     address = fleet.identities[allocator].internal
@@ -249,7 +258,7 @@
 
 
 def lower_limit(world: World, fleet: ShareFleet) -> None:
-    """To seven tenths; a tenant that used half of the old limit stays below the new one."""
+    """Lowers the rate to seven tenths; a tenant that used half of the old limit stays below the new one."""
     fleet.change(token_tenant(0.7 * fleet.tenant.paid_rate))
 
 
