--- a/bench/limits_bench.py
+++ b/bench/limits_bench.py
@@ -91,7 +91,7 @@
 
 
 def halve(world: World, fleet: ShareFleet, keeper: str) -> None:
-    fleet.change(tenant(fleet.tenant.paid_rate / 2))
+    fleet.change_tenant(tenant(fleet.tenant.paid_rate / 2))
 
 
 CASES: list[tuple[str, float, Load, Fault]] = [
--- a/wingwood/ledger/tests/test_client.py
+++ b/wingwood/ledger/tests/test_client.py
@@ -227,7 +227,7 @@
         self.assertTrue(any(run_random_faults(seed, state_type=GrantsFreedTickets)[1] for seed in range(3)))
 
     def test_a_router_that_does_not_free_its_late_claims_is_detected(self) -> None:
-        self.assertTrue(any(run_random_faults(seed, make_ledger=NeverGivesUp)[1] for seed in range(3)))
+        self.assertTrue(any(run_random_faults(seed, make_ledger=NeverFreesLateClaims)[1] for seed in range(3)))
 
 
 class GrantsToAnyTicket(LedgerState):
@@ -253,7 +253,7 @@
         return super().decide(msgspec.structs.replace(command, floor=0))
 
 
-class NeverGivesUp(RouterLedger):
+class NeverFreesLateClaims(RouterLedger):
     def __init__(self, context: Context, incarnation: Incarnation, control: DecideClient) -> None:
         super().__init__(context, incarnation, control)
         self._queue_settle = self._queue
--- a/wingwood/limits/bucket.py
+++ b/wingwood/limits/bucket.py
@@ -44,7 +44,7 @@
         self.refill(now)
         self.level = max(-self.capacity, min(self.capacity, self.level + tokens))
 
-    def wait(self, now: Instant, wanted: float = 1.0) -> Seconds:
+    def seconds_until(self, now: Instant, wanted: float = 1.0) -> Seconds:
         """Returns the seconds until the bucket holds ``wanted`` tokens, or 60 s when it does not refill."""
         self.refill(now)
         return Seconds(max(0.0, (wanted - self.level) / self.rate)) if self.rate > 0 else Seconds(60.0)
--- a/wingwood/limits/router_share.py
+++ b/wingwood/limits/router_share.py
@@ -166,8 +166,8 @@
     def time_until_allowance(self, cost: int, now: Instant) -> Seconds:
         """Returns the seconds until a call would fit into what the router may use on its own."""
         if self.allowance.rate > 0:
-            return self.allowance.wait(now, cost)
-        return self.credit.wait(now, cost) if self.allocator_silent else Seconds(60.0)
+            return self.allowance.seconds_until(now, cost)
+        return self.credit.seconds_until(now, cost) if self.allocator_silent else Seconds(60.0)
 
     def _expire(self, now: Instant) -> None:
         if self.last_contact is not None and now - self.last_contact > AUTONOMY_S:
--- a/wingwood/limits/tests/share_fleet.py
+++ b/wingwood/limits/tests/share_fleet.py
@@ -178,7 +178,7 @@
         """Returns the accepted calls divided by the calls paid for in that time."""
         return self.accepted(start, end) / self.paid(start, end)
 
-    def change(self, tenant: Tenant) -> None:
+    def change_tenant(self, tenant: Tenant) -> None:
         """Puts a tenant with another paid rate into force, as a new bundle does."""
         self.tenant = tenant
         self.rates.append((self.world.now, tenant.paid_rate))
--- a/wingwood/limits/tests/test_share_components.py
+++ b/wingwood/limits/tests/test_share_components.py
@@ -37,7 +37,7 @@
     def test_refills_at_its_rate_up_to_its_capacity_and_gives_whole_tokens(self) -> None:
         bucket = TokenBucket(rate=10.0, capacity=5.0, level=0.0, now=Instant(0.0))
         self.assertEqual(bucket.take(1, Instant(0.09)), 0)
-        self.assertAlmostEqual(bucket.wait(Instant(0.09)), 0.01)
+        self.assertAlmostEqual(bucket.seconds_until(Instant(0.09)), 0.01)
         self.assertEqual(bucket.take(3, Instant(0.25)), 2)
         self.assertEqual(bucket.take(9, Instant(100.0)), 5)
         self.assertEqual(bucket.take(1, Instant(99.0)), 0, "a clock that goes back must not refill the bucket")
--- a/wingwood/limits/tests/test_shares.py
+++ b/wingwood/limits/tests/test_shares.py
@@ -166,7 +166,7 @@
 
     def test_a_new_paid_rate_takes_effect_immediately(self) -> None:
         def halve(world: World, fleet: ShareFleet, allocator: str) -> None:
-            fleet.change(tenant(PAID / 2))
+            fleet.change_tenant(tenant(PAID / 2))
 
         fleet = self.run_fleet(even(200), 20, halve)
         self.assertLess(fleet.paid_ratio(5.5, RUN_SECONDS), 1.1)
--- a/wingwood/limits/tests/token_quota.py
+++ b/wingwood/limits/tests/token_quota.py
@@ -259,7 +259,7 @@
 
 def lower_limit(world: World, fleet: ShareFleet) -> None:
     """Lowers the rate to seven tenths; a tenant that used half of the old limit stays below the new one."""
-    fleet.change(token_tenant(0.7 * fleet.tenant.paid_rate))
+    fleet.change_tenant(token_tenant(0.7 * fleet.tenant.paid_rate))
 
 
 def _named(fleet: ShareFleet, name: str) -> str:
