--- a/wingwood/forward/caller_connection.py
+++ b/wingwood/forward/caller_connection.py
@@ -71,18 +71,18 @@
 
         Raises StreamClosedError when the head is too large, which is then refused, or when the connection is closed.
         """
-        bound = self.edge.bounds().head_bytes
+        max_head_bytes = self.edge.bounds().head_bytes
         searched = 0
         while (found := _HEAD_END.search(self._input, max(0, searched - 3))) is None:
             searched = len(self._input)
-            if searched > bound + self._first_line_bytes():
+            if searched > max_head_bytes + self._first_line_bytes():
                 break
             await self._wait_for_input()
             if self.idle:
                 self.idle, self.reading_call = False, True
                 self.start_phase_timeout(self.edge.bounds().head_timeout, "headers")
-        if found is None or found.end() > bound + self._first_line_bytes():
-            self.refuse(Refused(status=431, code="headers-too-large", reason=f"headers above {bound} bytes"))
+        if found is None or found.end() > max_head_bytes + self._first_line_bytes():
+            self.refuse(Refused(status=431, code="headers-too-large", reason=f"headers above {max_head_bytes} bytes"))
             raise StreamClosedError
         return self._take_input(found.end())
 
--- a/wingwood/forward/caller_request.py
+++ b/wingwood/forward/caller_request.py
@@ -50,7 +50,7 @@
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
         assert isinstance(start_line, httputil.RequestStartLine)
-        limits, bound = self._edge.limits, self._edge.bounds().body_bytes
+        limits, max_bytes = self._edge.limits, self._edge.bounds().body_bytes
         self._head_received_at = self._edge.context.clock.monotonic()
         self._start_line = start_line
         self._headers = tuple(headers.get_all())
@@ -61,17 +61,17 @@
             headers.pop("Connection", None)
         length = headers.get("Content-Length", "")
         expected = int(length) if length.isascii() and length.isdigit() and len(length) < 16 else 0
-        if expected > bound or len(length) >= 16:
-            self._refuse(Refused(status=413, code="body-too-large", reason=f"bodies above {bound} bytes"))
+        if expected > max_bytes or len(length) >= 16:
+            self._refuse(Refused(status=413, code="body-too-large", reason=f"bodies above {max_bytes} bytes"))
         elif self._hold(expected):
             self._caller.start_phase_timeout(limits.body_timeout + expected / limits.body_bytes_per_second, "body")
         return None
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         self._body += chunk
-        bound = self._edge.bounds().body_bytes
-        if len(self._body) > bound:
-            self._refuse(Refused(status=413, code="body-too-large", reason=f"bodies above {bound} bytes"))
+        max_bytes = self._edge.bounds().body_bytes
+        if len(self._body) > max_bytes:
+            self._refuse(Refused(status=413, code="body-too-large", reason=f"bodies above {max_bytes} bytes"))
         elif len(self._body) > self._held:
             self._hold(len(self._body))
         return None
--- a/wingwood/forward/policies/forwarding.py
+++ b/wingwood/forward/policies/forwarding.py
@@ -461,7 +461,7 @@
         self._stop("caller-gone")
 
     def _set_move_within_stream(self, reader: BodyReader) -> None:
-        """Sets when a resumable stream moves to another worker, before its caller gives up, if this one falls silent."""
+        """Sets when a resumable stream moves to another worker, before its caller gives up, if this one is silent."""
         self._move_at = None
         if isinstance(reader, ResumableStream) and not reader.ended and self._call.progress is not None:
             self._move_at = Instant(self._last_chunk_at + _MOVE_AFTER_FRACTION * self._silence_limit)
@@ -478,7 +478,7 @@
         elif self._writing and now >= self._last_chunk_at + self._limits.caller_write_timeout:
             self._stop("caller-slow")  # Otherwise it would occupy a slot of the worker.
         elif not self._caller.started and now >= self._first_byte_deadline:
-            self._stop("patience")  # Refused now, before the callers give up.
+            self._stop("patience")  # The refusal is sent while the callers still wait.
         elif self._move_at is not None and now >= self._move_at and not self._writing:
             self._move_at = None
             if self._policy.reserve_retry(self._call):
--- a/wingwood/forward/protocols.py
+++ b/wingwood/forward/protocols.py
@@ -32,13 +32,17 @@
         """Sets the only callback, run when ``disconnected`` is set (at once if it is set already); None removes it."""
         ...
 
-    async def start(self, status: int, headers: tuple[tuple[str, str], ...]) -> None: ...
+    async def start(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
+        """Sends status and headers; must be called once, before ``write``."""
+        ...
 
     async def write(self, chunk: bytes) -> None:
         """Sends part of the body; returns when the caller's connection has taken it (back-pressure)."""
         ...
 
-    async def finish(self) -> None: ...
+    async def finish(self) -> None:
+        """Marks the end of a complete answer."""
+        ...
 
     def abort(self) -> None:
         """Closes the connection in a way that a reader can tell from the end of a complete answer."""
--- a/wingwood/forward/tests/fakes.py
+++ b/wingwood/forward/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A router's request path with stand-ins for the other slices, in simulated time, and badly behaved workers."""
+"""A router's request path in simulated time, with fakes of the other slices, scripted workers and callers."""
 
 from __future__ import annotations
 
@@ -77,12 +77,14 @@
 
 
 class FakeBundle(HeldBundle):
+    """A bundle in force that a test can replace, remove or make unproven (``serving``)."""
+
     def __init__(self) -> None:
         super().__init__(bundle_of())
 
 
 class FakeLimits(FreeLimits):
-    """Shares, retry budget and admission."""
+    """Paid shares, retry budget and admission; a test sets what they refuse and reads what they were asked."""
 
     def __init__(self) -> None:
         self.share_refused: ShareRefused | None = None
@@ -92,7 +94,7 @@
         self.shares_taken = 0
         self.costs: list[int] = []
         self.delay = Seconds(0.0)
-        """How long taking a share takes."""
+        """How long ``take_share`` waits before it answers."""
 
     async def take_share(self, tenant: Tenant, cost: int) -> ShareRefused | None:
         self.shares_taken += 1
@@ -120,12 +122,15 @@
 
 
 class FakeLedger(FreeLedger):
+    """A ledger with one table, which a test can make slow or unreachable."""
+
     def __init__(self) -> None:
         self.answer: Claimed | Known | Unreachable | None = None
-        """In place of the table, when set."""
+        """If set, the answer to every claim; the table is then not used."""
         self.table: dict[CallKey, str] = {}
         self.claims = 0
         self.delay = Seconds(0.0)
+        """How long ``claim`` waits before it answers."""
 
     async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | Known | Unreachable:
         self.claims += 1
@@ -148,7 +153,7 @@
 
 
 class FakePlacement(ReadyWorkers):
-    """Remembers what it was asked and told."""
+    """Placement and registry: offers the workers of the test and records what was asked and reported."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -183,7 +188,7 @@
 
 
 class FakeOutcomes:
-    """What the registry is told of turns, as ``(what, instance)``."""
+    """Records the reports about turns as ``(outcome, instance)``; refuses turns at ``refusing_turns``."""
 
     def __init__(self) -> None:
         self.reported: list[tuple[str, str]] = []
@@ -209,6 +214,8 @@
 
 
 class Request(msgspec.Struct):
+    """A request as a scripted worker received it, at the virtual time ``at``."""
+
     head: str
     body: bytes
     at: float
@@ -222,6 +229,7 @@
 
 
 Script = Callable[[BaseIOStream, Request], Awaitable[None]]
+"""Answers one request on the connection."""
 
 OK = b"HTTP/1.1 200 OK\r\n"
 CHUNKED = OK + b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -229,11 +237,15 @@
 
 
 def chunk(data: bytes) -> bytes:
+    """Returns ``data`` as one chunk of the chunked transfer encoding."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def sends(*steps: bytes | float, keep_open: bool = False) -> Script:
-    """Sends the bytes, sleeps the numbers (virtual seconds), then closes unless it keeps the connection open."""
+    """Returns a script that sends the bytes, sleeps for the numbers (virtual seconds), then closes the connection.
+
+    With ``keep_open`` it leaves the connection open until the router closes it.
+    """
 
     async def script(stream: BaseIOStream, request: Request) -> None:
         for step in steps:
@@ -248,6 +260,7 @@
 
 
 def streams(events: int, pause: float = 0.01) -> Script:
+    """Returns a script that streams so many events, each after ``pause`` seconds, and the end marker."""
     steps: list[bytes | float] = [CHUNKED]
     for number in range(events):
         steps += [pause, chunk(b"data: %d\n\n" % number)]
@@ -255,20 +268,23 @@
 
 
 def responds(body: bytes, status: str = "200 OK", *headers: str) -> Script:
+    """Returns a script that answers with a body of known length."""
     lines = "".join(f"{header}\r\n" for header in headers)
     return sends(f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{lines}\r\n".encode() + body)
 
 
 class ScriptedWorker:
+    """A worker in a process of its own that answers each request by a script, and so can misbehave in any way."""
+
     def __init__(self, world: World, name: str, script: Script) -> None:
         self.world = world
         self.requests: list[Request] = []
         self.connections = 0
         self.closed_by_router: list[float] = []
-        """When the router closed a connection before the script had ended."""
+        """Virtual times at which the router closed a connection before the script had ended."""
         self.script = script
         self.keep_alive = False
-        """Connections stay open for further requests, unless the script closes them."""
+        """Whether connections stay open for further requests, unless the script closes them."""
         self.process: Process = world.start(name, self._main)
         self.worker = Worker(
             instance=WorkerInstance(f"{name}-1"),
@@ -300,16 +316,19 @@
 
 
 class Reply(msgspec.Struct):
-    """What a caller saw."""
+    """An answer as a caller received it."""
 
     status: int
     headers: dict[str, str]
     raw: bytes
-    """All bytes after the head."""
+    """All bytes after the head, in their transfer encoding."""
     complete: bool
+    """Whether the framing of the answer showed its end."""
     at: float
+    """Virtual time at which the answer ended."""
 
     def body(self) -> bytes:
+        """Returns the body without its transfer encoding."""
         if self.headers.get("transfer-encoding") != "chunked":
             return self.raw
         body, rest = b"", self.raw
@@ -324,18 +343,19 @@
 
 
 class Caller:
-    """One connection of a caller; reads what comes, as it comes."""
+    """One connection of a caller; ``seen`` lists the received parts of bodies with their virtual times."""
 
     def __init__(self, world: World, stream: BaseIOStream) -> None:
         self.world = world
         self.stream = stream
         self.seen: list[tuple[float, bytes]] = []
-        stream.set_close_callback(lambda: None)  # Else tornado would not notice a close between reads.
+        stream.set_close_callback(lambda: None)  # Without a callback tornado does not notice a close between reads.
 
     def send(self, data: bytes) -> None:
         self.stream.write(data).add_done_callback(lambda future: future.cancelled() or future.exception())
 
     async def reply(self, without_body: bool = False) -> Reply:
+        """Reads one answer, as far as it is received before the connection is closed."""
         head = (await self.stream.read_until(b"\r\n\r\n")).decode("latin-1")
         first, *lines = head[:-4].split("\r\n")
         headers = {line.partition(":")[0].lower(): line.partition(":")[2].strip() for line in lines}
@@ -348,9 +368,9 @@
             elif "content-length" in headers:
                 left = int(headers["content-length"])
                 while left:
-                    piece = await self.stream.read_bytes(left, partial=True)
-                    self._saw(reply, piece)
-                    left -= len(piece)
+                    data = await self.stream.read_bytes(left, partial=True)
+                    self._received(reply, data)
+                    left -= len(data)
                 reply.complete = True
             else:
                 reply.raw = await self.stream.read_until_close()
@@ -366,15 +386,15 @@
             if int(line, 16) == 0:
                 reply.complete = True
                 return
-            self._saw(reply, line + data)
+            self._received(reply, line + data)
 
-    def _saw(self, reply: Reply, piece: bytes) -> None:
-        self.seen.append((self.world.now, piece))
-        reply.raw += piece
+    def _received(self, reply: Reply, data: bytes) -> None:
+        self.seen.append((self.world.now, data))
+        reply.raw += data
 
 
 class PendingHttpClient:
-    """An HTTP client that sends nothing: a test asks ``may_write`` at the moment that it wants."""
+    """An HTTP client that sends nothing, so that a test can call ``may_write`` of an exchange when it chooses."""
 
     def __init__(self) -> None:
         self.exchanges: list[Exchange] = []
@@ -385,7 +405,7 @@
 
 
 class PathWorld:
-    """A router with its request path; ``start`` it, then send calls."""
+    """A router process with its request path and fakes of the other slices; it runs from the start."""
 
     def __init__(
         self,
@@ -443,6 +463,7 @@
         assert isinstance(self.path.start(), Success)
 
     def worker(self, name: str, script: Script) -> ScriptedWorker:
+        """Starts a worker and offers it to placement."""
         worker = ScriptedWorker(self.world, name, script)
         self.placement.workers.append(worker.worker)
         self.world.run(0.001)
@@ -460,7 +481,7 @@
         return caller
 
     def call(self, path: str = "/chat", body: bytes = b"{}", **headers: str) -> Reply:
-        """Sends one call and waits for its answer."""
+        """Sends one call on a new connection and waits for its answer."""
 
         async def run() -> Reply:
             return await (await self.send(request(path, body, **headers))).reply()
@@ -468,6 +489,7 @@
         return self.world.complete(run())
 
     def log_lines(self) -> list[dict[str, object]]:
+        """Returns the fields of the router's log events ``call``, one for each call that has ended."""
         return [event.fields for event in self.world.events if event.source == "router" and event.name == "call"]
 
 
@@ -475,6 +497,7 @@
 
 
 def request(path: str = "/chat", body: bytes = b"{}", method: str = "POST", **headers: str) -> bytes:
+    """Returns a well-formed call; a header with an empty value is left out, underscores in names become hyphens."""
     fields = {"Host": "router", "Authorization": f"Bearer {KEY}", "Content-Length": str(len(body))}
     fields.update({name.replace("_", "-"): value for name, value in headers.items()})
     lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
--- a/wingwood/forward/tests/test_caller_edge.py
+++ b/wingwood/forward/tests/test_caller_edge.py
@@ -1,4 +1,8 @@
-"""The callers' side: bounds, refusals, keep-alive, old and careless callers (docs/DESIGN.md section 12.3)."""
+"""The caller edge: limits, refusals, connection reuse, draining (docs/DESIGN.md section 12.3).
+
+Guards against callers that exhaust the router (floods of headers, bodies or connections, slow senders), requests that
+are accepted without authentication, and calls that are lost without an answer when a router is full or drains.
+"""
 
 from __future__ import annotations
 
@@ -49,7 +53,7 @@
         self.assertEqual(self.world.broken_invariants, [])
 
     def exchange(self, *parts: bytes | float) -> tuple[Reply, float, bool]:
-        """Sends the parts with pauses; the answer, when it came, and whether the connection stayed open."""
+        """Sends the parts with pauses; returns the answer, its time and whether the connection stayed open."""
 
         async def run() -> tuple[Reply, float, bool]:
             caller = await self.path.connect()
@@ -71,6 +75,7 @@
         return self.world.complete(run())
 
     def refused(self, code: str, status: int, *parts: bytes | float) -> float:
+        """Checks that the router refuses the parts and closes the connection; returns the time of the refusal."""
         reply, seconds, stays = self.exchange(*parts)
         self.assertEqual((reply.status, reply.json()["code"], reply.json()["run"]), (status, code, "not-run"))
         self.assertEqual(reply.headers["wingwood-answer"], "router")
@@ -109,7 +114,7 @@
         self.refused("body-too-large", 413, head, *[chunk(b"x" * 1000)] * 11)
         self.assertEqual(self.exchange(request("/plain", body=b"x" * 10_000))[0].status, 200)
 
-    def test_bodies_held_at_one_time_are_bounded(self) -> None:
+    def test_total_size_of_held_bodies_is_limited(self) -> None:
         async def run() -> tuple[int, int]:
             callers = [await self.path.send(request("/plain", body=b"x" * 10_000)[:-1]) for _ in range(2)]
             refused = await (await self.path.send(request("/plain", body=b"x" * 10_000))).reply()
@@ -131,7 +136,7 @@
             drip += [b"x", 1.0]
         self.assertLess(self.refused("too-slow", 408, *drip), SMALL.body_timeout + 1)
 
-    def test_connections_are_bounded_and_idle_ones_end(self) -> None:
+    def test_connections_are_limited_and_idle_ones_are_closed(self) -> None:
         async def run() -> list[Caller]:
             return [await self.path.connect() for _ in range(20)]
 
@@ -169,8 +174,8 @@
         self.assertEqual(self.path.call().json()["code"], "bundle-not-proven")
         self.assertEqual(self.path.limits.shares_taken, 1)
 
-    def test_refused_calls_never_tell_not_run_of_a_key_the_ledger_was_not_asked_about(self) -> None:
-        """Its first call may have run on another router."""
+    def test_run_is_unknown_for_a_key_that_the_ledger_was_not_asked_about(self) -> None:
+        """An earlier call with this idempotency key may have run on another router."""
         self.path.limits.share_refused = ShareRefused(Seconds(2.5))
         reply = self.path.call("/cards", b"{}", Idempotency_Key="k")
         self.assertEqual((reply.status, reply.json()["run"], reply.headers["retry-after"]), (429, "unknown", "3"))
@@ -178,7 +183,7 @@
         self.assertEqual(self.path.call("/plain", b"{}", Idempotency_Key="k").json()["run"], "not-run")
         self.assertEqual(self.path.call("/chat").json()["run"], "not-run")
 
-    def test_too_late_for_the_callers_patience(self) -> None:
+    def test_call_with_a_late_predicted_first_token_is_refused(self) -> None:
         self.path.limits.too_late = ShareRefused(Seconds(1.0))
         reply = self.path.call()
         self.assertEqual((reply.status, reply.json()["code"]), (503, "too-late"))
@@ -209,7 +214,7 @@
 
         self.assertEqual(self.world.complete(run()), ["one", "two"])
 
-    def test_old_callers_get_an_end_they_can_read(self) -> None:
+    def test_answer_to_http_1_0_ends_by_closing(self) -> None:
         self.worker.script = streams(3)
         data = request(Connection="keep-alive").replace(b"HTTP/1.1", b"HTTP/1.0")
         reply, _, stays = self.exchange(data)
@@ -218,7 +223,7 @@
         self.assertNotEqual(reply.headers.get("connection", "").lower(), "keep-alive")
         self.assertFalse(stays)
 
-    def test_caller_that_asks_for_the_end_gets_it(self) -> None:
+    def test_connection_close_is_respected(self) -> None:
         reply, _, stays = self.exchange(request("/plain", Connection="close"))
         self.assertEqual((reply.status, reply.headers["connection"], stays), (200, "close", False))
 
@@ -229,12 +234,12 @@
         if reply.status == 200:
             self.assertEqual((self.worker.requests[0].body, stays), (b"abcde", True))
         else:
-            self.assertEqual(reply.status, 400)  # Tornado takes no chunk extensions.
+            self.assertEqual(reply.status, 400)  # Tornado does not accept chunk extensions.
         data = head + chunk(b"ab") + chunk(b"cde") + b"0\r\n\r\n"
         reply, _, stays = self.exchange(*[data[index : index + 1] for index in range(len(data))])
         self.assertEqual((reply.status, self.worker.requests[-1].body, stays), (200, b"abcde", True))
 
-    def test_sender_that_waits_to_continue(self) -> None:
+    def test_caller_that_expects_100_continue(self) -> None:
         async def run() -> Reply:
             caller = await self.path.send(request("/plain", body=b"hello", Expect="100-continue")[:-5])
             self.assertIn(b" 100 ", await caller.stream.read_until(b"\r\n\r\n"))
@@ -251,7 +256,7 @@
         self.assertTrue(all(len(name) == 16 for name in given))
         self.assertEqual(self.path.call("/plain", b"{}", X_Request_Id="r-1").headers["x-request-id"], "r-1")
 
-    def test_caller_gone_while_it_sends(self) -> None:
+    def test_caller_disconnects_while_it_sends(self) -> None:
         async def run() -> None:
             caller = await self.path.send(request("/plain", body=b"x" * 9000)[:-10])
             await asyncio.sleep(0.1)
@@ -263,8 +268,10 @@
         self.assertEqual(self.path.path._edge.connections(), 0)
 
 
-class Crowds(EdgeCase):
-    def test_full_router_refuses_at_once_and_keeps_room_for_other_tenants(self) -> None:
+class CrowdedRouter(EdgeCase):
+    """One tenant's flood must not keep out the calls of others."""
+
+    def test_flooded_router_refuses_at_once_and_leaves_room_for_other_tenants(self) -> None:
         self.worker.script = sends(1.0, CHUNKED + chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
 
         async def run() -> tuple[list[int], list[int]]:
@@ -321,7 +328,7 @@
         self.assertTrue(whole.complete)
         self.assertLess(now, 4.0)
 
-    def test_calls_that_came_while_a_draining_router_was_frozen_are_answered(self) -> None:
+    def test_calls_that_arrive_while_a_draining_router_is_frozen_are_answered(self) -> None:
         self.world.spawn(self.path.router, self.path.path.drain(), "drain")
         self.world.run(0.01)
         self.world.freeze("router")
@@ -330,7 +337,7 @@
         self.world.wake("router")
         self.assertEqual(self.world.complete(caller.reply()).status, 200)
 
-    def test_drain_breaks_off_visibly_what_does_not_end_in_time(self) -> None:
+    def test_drain_visibly_aborts_what_does_not_end_in_time(self) -> None:
         self.worker.script = streams(10_000, pause=0.1)
 
         async def run() -> tuple[Reply, float]:
@@ -346,7 +353,7 @@
         self.world.run(0.2)
         self.assertEqual(self.path.path.in_flight(), 0)
 
-    def test_call_that_has_no_answer_when_the_router_stops_is_told_so(self) -> None:
+    def test_call_without_answer_is_refused_when_the_router_stops(self) -> None:
         self.worker.script = sends(keep_open=True)
         self.path.bundle.bundle = bundle_of([msgspec.structs.replace(PLAIN, first_byte_patience=Seconds(20.0))])
 
@@ -360,7 +367,7 @@
         self.world.run(0.2)
         self.assertEqual((len(self.worker.closed_by_router), self.path.path.in_flight()), (1, 0))
 
-    def test_slow_slices_do_not_leave_callers_silent(self) -> None:
+    def test_slow_shares_or_ledger_do_not_leave_callers_unanswered(self) -> None:
         for path, slow, run in (("/plain", self.path.limits, "not-run"), ("/cards", self.path.ledger, "unknown")):
             slow.delay = Seconds(30.0)
             reply = self.path.call(path, b"{}", Idempotency_Key="k")
@@ -371,7 +378,7 @@
         self.assertEqual((self.worker.connections, self.path.ledger.table), (0, {}))
         self.assertEqual([line["status"] for line in self.path.log_lines()], [504, 504])
 
-    def test_chain_is_visible_and_each_call_leaves_a_line_and_a_record(self) -> None:
+    def test_chain_is_described_and_each_call_is_logged_and_recorded(self) -> None:
         self.assertEqual(
             [name for name, _ in self.path.path.describe()],
             [
@@ -391,10 +398,10 @@
         self.path.call("/plain?secret=1", b"the body", Prefix="shared/private-session")
         line = self.path.log_lines()[0]
         self.assertEqual((line["tenant"], line["service"], line["outcome"]), ("estate", "plain", "answered"))
-        told = str(line) + self.path.recorded[0].decode()
+        written = str(line) + self.path.recorded[0].decode()
         for secret in (KEY, "the body", "private-session", "secret=1"):
-            self.assertNotIn(secret, told)
-        self.assertIn('"body_bytes":8', told)
+            self.assertNotIn(secret, written)
+        self.assertIn('"body_bytes":8', written)
         self.assertEqual(
             self.path.metrics.get_sample_value("wingwood_calls_total", {"service": "plain", "outcome": "answered"}), 1
         )
--- a/wingwood/forward/tests/test_event_scanner.py
+++ b/wingwood/forward/tests/test_event_scanner.py
@@ -1,4 +1,7 @@
-"""The scanner of event streams, split anywhere (docs/DESIGN.md section 12.1)."""
+"""The scanner of event streams (docs/DESIGN.md section 12.1).
+
+Guards against an end marker that is missed, or found where there is none, depending on where chunks split the stream.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,13 @@
 from ..worker_format import END_MARKER
 
 
-class Scanner(unittest.TestCase):
+class EventScannerTest(unittest.TestCase):
     def scan(self, stream: bytes, size: int) -> tuple[bytes, int, bool]:
         scanner = EventScanner(END_MARKER)
         taken = b"".join(scanner.feed(stream[at : at + size]).forward for at in range(0, len(stream), size))
         return taken, scanner.events, scanner.ended
 
-    def test_splits(self) -> None:
+    def test_result_does_not_depend_on_the_chunk_size(self) -> None:
         long = b"data: " + b"[DONE]" * 50 + b"\n\n"
         odd = b": comment\n\nevent: x\ndata: 1\ndata: [DONE]\n\nid: 7\n\n" + long + b"data:[DONE] not\n\n"
         for stream, events in (
--- a/wingwood/forward/tests/test_event_streams.py
+++ b/wingwood/forward/tests/test_event_streams.py
@@ -1,4 +1,7 @@
-"""Readers of bodies: whole events, ids, what is whole, split anywhere (docs/DESIGN.md section 12.5)."""
+"""Readers of streams: complete events, ids and ends, wherever chunks split them (docs/DESIGN.md section 12.5).
+
+Guards against events that are passed on in part, twice or not at all, and truncated streams that look complete.
+"""
 
 from __future__ import annotations
 
@@ -18,48 +21,48 @@
 ENDS = [len(b"".join(EVENTS[:count])) for count in range(5)]
 
 
-def given(reader: BodyReader, stream: bytes, size: int) -> bytes:
+def fed(reader: BodyReader, stream: bytes, size: int) -> bytes:
     return b"".join(reader.feed(stream[at : at + size]) for at in range(0, len(stream), size))
 
 
 class Resumable(unittest.TestCase):
-    def test_whole_events_pass_wherever_the_stream_is_split(self) -> None:
+    def test_complete_events_pass_wherever_the_stream_is_split(self) -> None:
         for size in SIZES:
             progress = StreamProgress()
             reader = ResumableStream(progress, None)
-            self.assertEqual(given(reader, LINES, size), LINES)
+            self.assertEqual(fed(reader, LINES, size), LINES)
             self.assertEqual((reader.events, progress.last_event, progress.can_resume), (3, 7, True))
             self.assertTrue(reader.is_complete("close"))
 
-    def test_nothing_of_a_torn_event_passes(self) -> None:
-        for cut in range(len(LINES) + 1):
+    def test_no_part_of_an_incomplete_event_passes(self) -> None:
+        for length in range(len(LINES) + 1):
             reader = ResumableStream(StreamProgress(), None)
-            passed = reader.feed(LINES[:cut])
-            self.assertEqual(len(passed), max(end for end in ENDS if end <= cut), cut)
-            self.assertEqual(reader.is_complete("close"), cut in ENDS)
-            self.assertEqual(passed + reader.remainder(), LINES[:cut])
+            passed = reader.feed(LINES[:length])
+            self.assertEqual(len(passed), max(end for end in ENDS if end <= length), length)
+            self.assertEqual(reader.is_complete("close"), length in ENDS)
+            self.assertEqual(passed + reader.remainder(), LINES[:length])
 
-    def test_events_given_before_are_dropped(self) -> None:
+    def test_events_that_were_sent_before_are_dropped(self) -> None:
         for size in SIZES:
             for last, rest in ((0, LINES), (1, LINES[ENDS[1] :]), (2, LINES[ENDS[2] :]), (7, EVENTS[2])):
                 progress = StreamProgress(last)
-                self.assertEqual(given(ResumableStream(progress, None), LINES, size), rest, (size, last))
+                self.assertEqual(fed(ResumableStream(progress, None), LINES, size), rest, (size, last))
 
-    def test_blank_lines_between_events_pass_and_are_no_torn_event(self) -> None:
+    def test_blank_lines_between_events_pass_and_are_no_incomplete_event(self) -> None:
         stream = b"data: a\n\n\nid: 2\ndata: b\n\n\n"
         for size in SIZES:
             reader = ResumableStream(StreamProgress(), None)
-            self.assertEqual(given(reader, stream, size) + reader.remainder(), stream, size)
+            self.assertEqual(fed(reader, stream, size) + reader.remainder(), stream, size)
             self.assertTrue(reader.is_complete("close"), size)
 
-    def test_data_without_a_number_can_not_be_continued(self) -> None:
+    def test_stream_with_an_event_without_id_can_not_be_resumed(self) -> None:
         for event in (b"data: x\n\n", b"id: x\ndata: x\n\n", b"data\n\n"):
             progress = StreamProgress()
             reader = ResumableStream(progress, None)
             self.assertEqual(reader.feed(b"id: 1\ndata: a\n\n" + event), b"id: 1\ndata: a\n\n" + event)
             self.assertFalse(progress.can_resume)
 
-    def test_endless_events_are_not_held(self) -> None:
+    def test_events_beyond_the_size_limit_are_not_held(self) -> None:
         progress = StreamProgress()
         reader = ResumableStream(progress, None)
         passed = sum(len(reader.feed(b"x" * 100_000)) for _ in range(12))
@@ -70,33 +73,33 @@
         stream = LINES + b"data: [DONE]\n\n"
         for size in SIZES:
             reader = ResumableStream(StreamProgress(), b"[DONE]")
-            self.assertEqual(given(reader, stream + b"stray\n\n", size), stream)
+            self.assertEqual(fed(reader, stream + b"stray\n\n", size), stream)
             self.assertTrue(reader.is_complete("chunked") and reader.ended)
             self.assertEqual(reader.events, 3)
             reader = ResumableStream(StreamProgress(), b"[DONE]")
-            given(reader, stream[:-1], size)
+            fed(reader, stream[:-1], size)
             self.assertFalse(reader.is_complete("chunked"))
 
 
 class Unmarked(unittest.TestCase):
-    def test_blank_lines_are_no_events_wherever_the_stream_is_split(self) -> None:
+    def test_blank_lines_are_not_counted_as_events(self) -> None:
         for size in SIZES:
             reader = UnmarkedStream()
-            given(reader, b"data: a\n\n\n\ndata: b\r\n\r\n", size)
+            fed(reader, b"data: a\n\n\n\ndata: b\r\n\r\n", size)
             self.assertEqual(reader.events, 2, size)
 
-    def test_counts_events_and_knows_their_ends(self) -> None:
+    def test_counts_events_and_recognises_their_ends(self) -> None:
         for size in SIZES:
-            for cut in range(len(LINES) + 1):
+            for length in range(len(LINES) + 1):
                 reader = UnmarkedStream()
-                self.assertEqual(given(reader, LINES[:cut], size), LINES[:cut])
-                self.assertEqual(reader.is_complete("close"), cut in ENDS, cut)
+                self.assertEqual(fed(reader, LINES[:length], size), LINES[:length])
+                self.assertEqual(reader.is_complete("close"), length in ENDS, length)
                 self.assertTrue(reader.is_complete("chunked"))
             self.assertEqual(reader.events, 4)
 
 
-class Numbers(unittest.TestCase):
-    def test_ids_are_whole_numbers(self) -> None:
-        told = {"12": 12, " 7 ": 7, "": None, "-1": None, "1.5": None, "x": None, "1" * 30: None}
-        self.assertEqual({value: parse_event_id(value) for value in told}, told)
+class EventIds(unittest.TestCase):
+    def test_ids_are_non_negative_integers(self) -> None:
+        ids = {"12": 12, " 7 ": 7, "": None, "-1": None, "1.5": None, "x": None, "1" * 30: None}
+        self.assertEqual({value: parse_event_id(value) for value in ids}, ids)
         self.assertIsNone(parse_event_id(None))
--- a/wingwood/forward/tests/test_forwarding.py
+++ b/wingwood/forward/tests/test_forwarding.py
@@ -1,4 +1,8 @@
-"""Calls through the chain to badly behaved workers, in simulated time (docs/DESIGN.md section 12.5)."""
+"""Calls through the whole chain to workers that misbehave, in simulated time (docs/DESIGN.md section 12.5).
+
+Guards against truncated answers that look complete, calls that run twice or after their caller has disconnected,
+and callers that are left without an answer when a worker fails, is silent or disappears.
+"""
 
 from __future__ import annotations
 
@@ -48,8 +52,10 @@
         return self.path.worker(name, script)  # type: ignore[arg-type]
 
 
-class WholeAnswers(PathCase):
-    def test_stream_goes_through_piece_by_piece(self) -> None:
+class CompleteAnswers(PathCase):
+    """Answers of workers that behave are forwarded unchanged and without delay."""
+
+    def test_stream_is_forwarded_chunk_by_chunk(self) -> None:
         worker = self.worker(streams(20, pause=0.05))
 
         async def run() -> Caller:
@@ -84,7 +90,7 @@
         self.assertNotIn("wingwood-answer", reply.headers)
         self.assertEqual(self.path.placement.finishes, [("w1-1", "refused", 0)])
 
-    def test_hop_by_hop_headers_stay_on_their_side(self) -> None:
+    def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
         worker = self.worker(responds(b"x", "200 OK", "Connection: X-Hop", "X-Hop: 1", "Keep-Alive: 5", "X-End: 1"))
         given = {"Connection": "X-Mine", "X-Mine": "1", "TE": "trailers", "X-Rest": "1", "Accept-Encoding": "gzip"}
         reply = self.path.call("/plain", b"{}", **given)
@@ -103,7 +109,7 @@
         reply = self.path.call()
         self.assertEqual((reply.body(), reply.complete), (EVENT + DONE, True))
 
-    def test_stream_ended_by_closing_is_whole_with_its_marker_only(self) -> None:
+    def test_stream_ended_by_closing_is_complete_only_with_its_end_marker(self) -> None:
         self.worker(sends(OK + b"Content-Type: text/event-stream\r\n\r\n", EVENT, DONE))
         self.assertTrue(self.path.call().complete)
         self.path.placement.workers.clear()
@@ -123,7 +129,7 @@
 
         self.world.complete(run())
 
-    def test_pieces_of_a_slow_head_are_not_kept_for_its_first_event(self) -> None:
+    def test_head_is_not_held_back_until_a_late_first_event(self) -> None:
         self.worker(sends(CHUNKED, 1.0, chunk(EVENT + DONE) + b"0\r\n\r\n"))
 
         async def run() -> None:
@@ -134,7 +140,7 @@
 
         self.world.complete(run())
 
-    def test_slow_caller_holds_the_worker_back(self) -> None:
+    def test_slow_caller_slows_the_worker_down(self) -> None:
         sent: list[int] = []
 
         async def script(stream: object, _: object) -> None:
@@ -158,7 +164,9 @@
 
 
 class BrokenAnswers(PathCase):
-    def cut(self, script: object, path: str = "/chat") -> None:
+    """An answer that breaks off must not look complete to its caller."""
+
+    def assert_truncated(self, script: object, path: str = "/chat") -> None:
         self.worker(script)
         reply = self.path.call(path)
         self.assertEqual(reply.status, 200)
@@ -166,7 +174,7 @@
         self.assertEqual(self.path.placement.finishes[-1][1], "broken")
         self.assertEqual(self.path.log_lines()[-1]["run"], "unknown")
 
-    def test_no_cut_at_any_byte_looks_whole(self) -> None:
+    def test_answer_truncated_at_any_byte_never_looks_complete(self) -> None:
         self.path.limits.budget = 0
         stream = EVENT + b"data: 2\r\n\r\n" + DONE
         answers = (
@@ -184,31 +192,31 @@
                 self.assertEqual(looks_whole, cut >= len(answer) - stray, answer[:cut])
             self.path.placement.workers.clear()
 
-    def test_break_in_the_middle_of_an_event(self) -> None:
-        self.cut(sends(CHUNKED, chunk(EVENT), 0.1, b"20\r\ndata: ha"))
+    def test_connection_breaks_in_the_middle_of_an_event(self) -> None:
+        self.assert_truncated(sends(CHUNKED, chunk(EVENT), 0.1, b"20\r\ndata: ha"))
 
-    def test_clean_end_without_marker(self) -> None:
-        self.cut(sends(CHUNKED, chunk(EVENT), 0.1, b"0\r\n\r\n"))
+    def test_clean_end_without_end_marker(self) -> None:
+        self.assert_truncated(sends(CHUNKED, chunk(EVENT), 0.1, b"0\r\n\r\n"))
 
     def test_clean_end_in_the_middle_of_an_event(self) -> None:
-        self.cut(sends(CHUNKED, chunk(EVENT + b"data: [DONE]\n"), 0.1, b"0\r\n\r\n"))
+        self.assert_truncated(sends(CHUNKED, chunk(EVENT + b"data: [DONE]\n"), 0.1, b"0\r\n\r\n"))
 
-    def test_break_short_of_its_length(self) -> None:
-        self.cut(sends(OK + b"Content-Length: 100\r\n\r\n", b"short", 0.1), "/plain")
+    def test_connection_breaks_before_the_declared_length(self) -> None:
+        self.assert_truncated(sends(OK + b"Content-Length: 100\r\n\r\n", b"short", 0.1), "/plain")
 
-    def test_marker_without_the_end_of_the_chunks(self) -> None:
-        self.cut(sends(CHUNKED, chunk(EVENT + DONE), 0.1))
+    def test_end_marker_without_the_last_chunk(self) -> None:
+        self.assert_truncated(sends(CHUNKED, chunk(EVENT + DONE), 0.1))
 
-    def test_marker_and_then_silence(self) -> None:
-        self.cut(sends(CHUNKED, chunk(EVENT + DONE), keep_open=True))
+    def test_silence_after_the_end_marker(self) -> None:
+        self.assert_truncated(sends(CHUNKED, chunk(EVENT + DONE), keep_open=True))
         self.assertLess(self.world.now, 2.0)
 
-    def test_silence_after_the_first_piece(self) -> None:
-        self.cut(sends(CHUNKED, chunk(EVENT), keep_open=True))
+    def test_silence_after_the_first_chunk(self) -> None:
+        self.assert_truncated(sends(CHUNKED, chunk(EVENT), keep_open=True))
         self.assertEqual(self.path.placement.suspects, ["w1-1"])
         self.assertAlmostEqual(self.world.now, CHAT.silence_patience, delta=0.5)
 
-    def test_deadline_cuts_a_long_stream(self) -> None:
+    def test_deadline_aborts_a_long_stream(self) -> None:
         self.path.bundle.bundle = bundle_of([msgspec.structs.replace(CHAT, deadline=Seconds(2.0))])
         self.worker(streams(1000, pause=0.1))
         reply = self.path.call()
@@ -222,7 +230,7 @@
             (reply.status, reply.json()["code"], reply.json()["run"]), (502, "answer-without-end", "unknown")
         )
 
-    def test_silence_is_answered_before_the_callers_patience_ends(self) -> None:
+    def test_silent_worker_is_answered_for_before_the_wait_limit(self) -> None:
         self.path.limits.budget = 0
         self.worker(sends(keep_open=True))
         reply = self.path.call()
@@ -235,7 +243,9 @@
 
 
 class FurtherTries(PathCase):
-    def two(
+    """When a call is tried on a second worker, and when it must not be."""
+
+    def call_with_two_workers(
         self, first: object, path: str = "/chat", **headers: str
     ) -> tuple[ScriptedWorker, ScriptedWorker, int, str]:
         one, two = self.worker(first, "w1"), self.worker(streams(3) if path == "/chat" else responds(b"two"), "w2")
@@ -243,26 +253,26 @@
         return one, two, reply.status, str(reply.headers.get("wingwood-worker") or reply.json()["run"])
 
     def test_closed_without_answer_is_tried_on_another_worker(self) -> None:
-        one, two, status, by = self.two(sends())
+        one, two, status, by = self.call_with_two_workers(sends())
         self.assertEqual((len(one.requests), len(two.requests), status, by), (1, 1, 200, "w2-1"))
         self.assertEqual([outcome for _, outcome, _ in self.path.placement.finishes], ["broken", "whole"])
         self.assertEqual(self.path.limits.budget, 9)
 
     def test_no_try_without_budget(self) -> None:
         self.path.limits.budget = 0
-        _, two, status, run = self.two(sends())
+        _, two, status, run = self.call_with_two_workers(sends())
         self.assertEqual((len(two.requests), status, run), (0, 502, "unknown"))
 
-    def test_break_between_head_and_first_piece_is_tried_again(self) -> None:
-        _, _, status, by = self.two(sends(CHUNKED, 0.02))
+    def test_connection_that_breaks_between_head_and_first_chunk_is_tried_again(self) -> None:
+        _, _, status, by = self.call_with_two_workers(sends(CHUNKED, 0.02))
         self.assertEqual((status, by), (200, "w2-1"))
 
-    def test_nothing_is_tried_again_once_the_caller_has_something(self) -> None:
-        _, two, status, by = self.two(sends(CHUNKED, chunk(EVENT)))
+    def test_no_further_try_once_the_caller_has_part_of_the_answer(self) -> None:
+        _, two, status, by = self.call_with_two_workers(sends(CHUNKED, chunk(EVENT)))
         self.assertEqual((status, by, len(two.requests)), (200, "w1-1", 0))
 
     def test_silent_worker_is_given_up_while_there_is_time_for_another(self) -> None:
-        one, _, status, by = self.two(sends(keep_open=True))
+        one, _, status, by = self.call_with_two_workers(sends(keep_open=True))
         self.assertEqual((status, by, len(one.requests)), (200, "w2-1", 1))
         self.assertLess(self.world.now, CHAT.first_byte_patience)
         self.assertEqual((len(one.closed_by_router), self.path.limits.budget), (1, 9))
@@ -275,21 +285,25 @@
         self.assertEqual((self.path.limits.budget, self.path.placement.suspects), (10, ["w1-1"]))
         self.assertEqual(self.path.log_lines()[0]["tries"], 1)
 
-    def test_worker_that_is_not_confirmed_is_left_out(self) -> None:
+    def test_worker_that_is_not_confirmed_is_not_used(self) -> None:
         self.path.placement.not_confirmed.add("w1-1")
-        one, _, status, by = self.two(streams(3))
+        one, _, status, by = self.call_with_two_workers(streams(3))
         self.assertEqual((one.connections, status, by), (0, 200, "w2-1"))
 
-    def test_another_instance_did_not_run_it(self) -> None:
-        _, _, status, by = self.two(responds(b"", "412 Precondition Failed"), "/cards", Idempotency_Key="k")
+    def test_call_answered_by_another_instance_is_tried_again(self) -> None:
+        _, _, status, by = self.call_with_two_workers(
+            responds(b"", "412 Precondition Failed"), "/cards", Idempotency_Key="k"
+        )
         self.assertEqual((status, by), (200, "w2-1"))
 
-    def test_not_run_by_the_worker(self) -> None:
-        _, _, status, by = self.two(responds(b"", "503 Draining", "Not-Run: true"), "/cards", Idempotency_Key="k")
+    def test_call_reported_as_not_run_is_tried_again(self) -> None:
+        _, _, status, by = self.call_with_two_workers(
+            responds(b"", "503 Draining", "Not-Run: true"), "/cards", Idempotency_Key="k"
+        )
         self.assertEqual((status, by), (200, "w2-1"))
 
-    def test_plain_503_is_an_answer(self) -> None:
-        _, two, status, by = self.two(responds(b"", "503 Busy"))
+    def test_503_without_not_run_is_forwarded(self) -> None:
+        _, two, status, by = self.call_with_two_workers(responds(b"", "503 Busy"))
         self.assertEqual((status, by, len(two.requests)), (503, "w1-1", 0))
 
     def test_calls_that_may_not_be_repeated_run_on_no_second_worker(self) -> None:
@@ -301,7 +315,7 @@
         ):
             with self.subTest():
                 self.setUp()
-                _, two, status, run = self.two(script, "/cards", Idempotency_Key="k")
+                _, two, status, run = self.call_with_two_workers(script, "/cards", Idempotency_Key="k")
                 self.assertIn(status, (502, 504))
                 self.assertEqual((len(two.requests), run), (0, "unknown"))
                 self.assertEqual(list(self.path.ledger.table.values()), ["unknown"])
@@ -314,8 +328,10 @@
         )
 
 
-class LeavingCallers(PathCase):
-    def leave_after(self, script: object, seconds: float, extra: bytes = b"") -> ScriptedWorker:
+class DisconnectingCallers(PathCase):
+    """A call whose caller disconnects is cancelled at its worker at once, so that it occupies no slot."""
+
+    def disconnect_after(self, script: object, seconds: float, extra: bytes = b"") -> ScriptedWorker:
         worker = self.worker(script)
 
         async def run() -> None:
@@ -333,15 +349,15 @@
         return worker
 
     def test_before_the_answer(self) -> None:
-        self.leave_after(sends(keep_open=True), 0.5)
+        self.disconnect_after(sends(keep_open=True), 0.5)
 
     def test_within_the_answer(self) -> None:
-        self.leave_after(streams(1000), 0.5)
+        self.disconnect_after(streams(1000), 0.5)
 
     def test_with_bytes_beyond_the_request(self) -> None:
-        self.leave_after(sends(keep_open=True), 0.5, extra=b"\r\nPOST /chat")
+        self.disconnect_after(sends(keep_open=True), 0.5, extra=b"\r\nPOST /chat")
 
-    def test_caller_that_takes_no_byte_is_cut(self) -> None:
+    def test_caller_that_reads_nothing_is_disconnected(self) -> None:
         for deadline, cut_at in ((60.0, 10.0), (3.0, 3.0)):
             with self.subTest(deadline=deadline):
                 self.setUp()
@@ -356,7 +372,11 @@
 
 
 class FrozenRouters(PathCase):
-    """A router that wakes must not send a call whose caller left, whose deadline passed or whose key was removed."""
+    """After a freeze, a router must not send a call that became invalid meanwhile.
+
+    The process stops between accepting the call and sending it. Until it runs again, the caller may have disconnected,
+    the deadline may have passed, and the key, the service or the proof of the bundle may have been lost.
+    """
 
     def freeze_before_sending(self, seconds: float, leave: bool, meanwhile: object = None) -> ScriptedWorker:
         self.path.limits.delay = Seconds(0.2)
@@ -378,13 +398,13 @@
         self.world.run(2.0)
         return worker
 
-    def test_control_a_short_freeze_changes_nothing(self) -> None:
+    def test_call_is_sent_after_a_short_freeze(self) -> None:
         self.assertEqual(len(self.freeze_before_sending(0.5, leave=False).requests), 1)
 
-    def test_caller_left(self) -> None:
+    def test_caller_disconnected(self) -> None:
         self.assertEqual(self.freeze_before_sending(0.5, leave=True).requests, [])
 
-    def test_patience_passed(self) -> None:
+    def test_wait_limit_passed(self) -> None:
         self.assertEqual(self.freeze_before_sending(CHAT.first_byte_patience + 1, leave=False).requests, [])
         self.assertEqual(self.path.log_lines()[0]["run"], "not-run")
 
@@ -408,7 +428,7 @@
         self.assertEqual(self.freeze_before_sending(0.5, leave=False, meanwhile=lose).requests, [])
 
     def may_write_after(self, seconds: float, stall: float, gone: bool = False, **service: object) -> bool:
-        """Whether a call that was ready to be written before a freeze may be after it, before anything else ran."""
+        """Returns what the last check before sending says right after a freeze, before the event loop has run."""
         client = PendingHttpClient()
         with World(seed=3) as world:
             world.http_client = lambda network, tasks: client
@@ -429,13 +449,13 @@
 
     def test_last_check_before_the_first_byte(self) -> None:
         self.assertTrue(self.may_write_after(0.05, stall=0.1))
-        self.assertFalse(self.may_write_after(0.2, stall=0.1), "who left meanwhile is not known yet")
+        self.assertFalse(self.may_write_after(0.2, stall=0.1), "disconnections during the freeze are not known yet")
         self.assertTrue(self.may_write_after(3.0, stall=100.0))
-        self.assertFalse(self.may_write_after(4.0, stall=100.0), "the callers' patience")
+        self.assertFalse(self.may_write_after(4.0, stall=100.0), "the service's wait limit has passed")
         self.assertFalse(self.may_write_after(3.0, stall=100.0, deadline=2.0))
         self.assertFalse(self.may_write_after(0.05, stall=100.0, gone=True))
 
-    def test_call_that_met_a_standstill_is_sent_after_all(self) -> None:
+    def test_call_during_a_freeze_is_sent_after_it(self) -> None:
         worker = self.worker(streams(3))
         callers: list[Caller] = []
         for step in range(20):
@@ -450,7 +470,9 @@
 
 
 class NonRepeatable(PathCase):
-    def test_runs_once_and_the_retry_is_told(self) -> None:
+    """Calls that may not be repeated run at most once for each idempotency key."""
+
+    def test_call_runs_once_and_its_repetition_is_refused(self) -> None:
         worker = self.worker(responds(b"card"))
         self.assertEqual(self.path.call("/cards", Idempotency_Key="k").raw, b"card")
         reply = self.path.call("/cards", Idempotency_Key="k")
@@ -459,7 +481,7 @@
         self.assertEqual(len(worker.requests), 2)
         self.assertEqual(worker.requests[0].header("Idempotency-Key"), "k")
 
-    def test_key_is_needed(self) -> None:
+    def test_idempotency_key_is_required(self) -> None:
         worker = self.worker(responds(b"card"))
         for key in ("", "x" * 300):
             reply = self.path.call("/cards", Idempotency_Key=key)
@@ -474,7 +496,7 @@
         self.world.run(0.1)
         self.assertEqual(self.path.ledger.table, {})
 
-    def test_caller_that_left_leaves_the_run_unknown(self) -> None:
+    def test_run_is_unknown_after_the_caller_disconnected(self) -> None:
         worker = self.worker(sends(keep_open=True))
 
         async def run() -> None:
@@ -486,7 +508,7 @@
         self.world.run(0.5)
         self.assertEqual((len(worker.requests), list(self.path.ledger.table.values())), (1, ["unknown"]))
 
-    def test_caller_that_left_during_the_claim_frees_the_key(self) -> None:
+    def test_caller_that_disconnects_during_the_claim_frees_the_key(self) -> None:
         self.path.ledger.delay = Seconds(1.0)
         worker = self.worker(responds(b"card"))
 
@@ -499,14 +521,14 @@
         self.world.run(2.0)
         self.assertEqual((worker.requests, self.path.ledger.table), ([], {}))
 
-    def test_caller_that_left_before_the_claim_costs_none(self) -> None:
+    def test_no_claim_for_a_caller_that_has_disconnected(self) -> None:
         self.path.limits.delay = Seconds(1.0)
         self.world.complete(self.path.send(request("/cards", Idempotency_Key="k"))).stream.close()
         self.world.run(2.0)
         self.assertEqual((self.path.ledger.claims, len(self.path.log_lines())), (0, 1))
 
-    def test_ledger_that_can_not_be_asked(self) -> None:
-        """The call is not sent; whether an earlier one of its key ran is not known, so not-run is not said."""
+    def test_unreachable_ledger(self) -> None:
+        """The call is not sent, but ``not-run`` may not be reported: an earlier call with the key may have run."""
         self.path.ledger.answer = Unreachable()
         worker = self.worker(responds(b"card"))
         reply = self.path.call("/cards", Idempotency_Key="k")
--- a/wingwood/forward/tests/test_fuzzed_requests.py
+++ b/wingwood/forward/tests/test_fuzzed_requests.py
@@ -1,4 +1,8 @@
-"""Whatever a caller sends, the edge answers or closes, wherever it is split (docs/DESIGN.md section 12.3)."""
+"""Random requests: the edge answers or closes, however the data is split (docs/DESIGN.md section 12.3).
+
+Guards against input that raises an exception in the router, leaves a connection open, or is read differently when it
+arrives in parts.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +22,8 @@
 from .fakes import KEY, PathWorld, request, responds
 
 LIMITS = PathLimits(head_bytes=2048, body_bytes=10_000, max_held_body_bytes=25_000, max_in_flight=8, max_connections=20)
-LONGEST = 30.0
-"""Seconds until every connection that sends no more has been answered and closed."""
+MAX_WAIT_SECONDS = 30.0
+"""Time within which every connection that sends nothing more has been answered and closed."""
 
 first_lines = st.sampled_from(
     [b"POST /plain HTTP/1.1"] * 6
@@ -80,15 +84,16 @@
 )
 sent = st.lists(requests, min_size=1, max_size=2).map(b"".join)
 places = st.lists(st.integers(0, 600), max_size=5)
+"""Offsets at which the data is split; taken modulo its length."""
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
-    bounds = [0, *sorted(place % (len(data) + 1) for place in at), len(data)]
+def split_at(data: bytes, at: list[int]) -> list[bytes]:
+    bounds = [0, *sorted(offset % (len(data) + 1) for offset in at), len(data)]
     return [data[start:end] for start, end in itertools.pairwise(bounds)]
 
 
 def play(data: bytes, at: list[int]) -> tuple[list[bytes], list[bytes], list[str]]:
-    """The answers' first lines, the bodies that the worker got, and exceptions that escaped."""
+    """Returns the first lines of the answers, the bodies that the worker received, and uncaught exceptions."""
     with World(seed=31) as world:
         path = PathWorld(world, LIMITS)
         worker = path.worker("w1", responds(b"ok"))
@@ -105,17 +110,17 @@
                     return
 
             reading = asyncio.ensure_future(read())
-            for chunk in cut(data, at):
+            for chunk in split_at(data, at):
                 if caller.stream.closed():
                     break
                 caller.send(chunk)
                 await asyncio.sleep(0.002)
-            await asyncio.wait((reading,), timeout=LONGEST)
+            await asyncio.wait((reading,), timeout=MAX_WAIT_SECONDS)
             caller.stream.close()
             await reading
             return bytes(received)
 
-        received = world.complete(run(), within=LONGEST + 10.0)
+        received = world.complete(run(), within=MAX_WAIT_SECONDS + 10.0)
         lines = [line for line in received.split(b"\r\n") if line.startswith(b"HTTP/1.1 ")]
         world.run(1.0)
         assert path.path.in_flight() == 0
@@ -130,8 +135,10 @@
         self.assertEqual(split[2], [])
         self.assertEqual(split, whole)
 
-    def test_an_edge_that_seeks_the_end_of_a_head_in_new_bytes_alone_is_caught(self) -> None:
-        async def forgetful(self: CallerConnection, regex: bytes, max_bytes: int) -> bytes:
+    def test_check_finds_an_edge_that_seeks_the_end_of_a_head_in_new_bytes_only(self) -> None:
+        """Such an edge misses an end that is split between two reads; it shows that the check above can fail."""
+
+        async def search_new_bytes_only(self: CallerConnection, regex: bytes, max_bytes: int) -> bytes:
             seen = 0
             while (end := self._input.find(b"\r\n\r\n", seen)) < 0:
                 seen = len(self._input)
@@ -141,7 +148,7 @@
         data = request("/plain")
         splits = range(data.index(b"\r\n\r\n"), data.index(b"\r\n\r\n") + 5)
         self.assertEqual([play(data, [at]) for at in splits], [play(data, [])] * len(splits))
-        with mock.patch.object(CallerConnection, "read_until_regex", forgetful):
+        with mock.patch.object(CallerConnection, "read_until_regex", search_new_bytes_only):
             self.assertNotEqual([play(data, [at]) for at in splits], [play(data, [])] * len(splits))
 
 
--- a/wingwood/forward/tests/test_fuzzed_streams.py
+++ b/wingwood/forward/tests/test_fuzzed_streams.py
@@ -1,4 +1,4 @@
-"""Readers of bodies come to the same on any bytes, wherever these are split (docs/DESIGN.md section 12.5)."""
+"""Random streams: the result of a reader does not depend on the chunks (docs/DESIGN.md section 12.5)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ..protocols import StreamProgress
 
 MARKER = b"[DONE]"
-pieces_of_streams = st.one_of(
+parts_of_streams = st.one_of(
     st.sampled_from(
         [
             b"data: x\n\n",
@@ -39,17 +39,18 @@
     ),
     st.binary(max_size=6),
 )
-streams = st.lists(pieces_of_streams, max_size=8).map(b"".join)
+streams = st.lists(parts_of_streams, max_size=8).map(b"".join)
 places = st.lists(st.integers(0, 400), max_size=8)
+"""Offsets at which the data is split; taken modulo its length."""
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
-    bounds = [0, *sorted(place % (len(data) + 1) for place in at), len(data)]
+def split_at(data: bytes, at: list[int]) -> list[bytes]:
+    bounds = [0, *sorted(offset % (len(data) + 1) for offset in at), len(data)]
     return [data[start:end] for start, end in itertools.pairwise(bounds)]
 
 
 def read(reader: BodyReader, chunks: list[bytes]) -> tuple[object, ...]:
-    """All that a caller gets of a body that ends whole, and what is known of it."""
+    """Returns what a caller gets of a body whose framing ends cleanly, and what the reader found in it."""
     passed = b"".join(reader.feed(chunk) for chunk in chunks if chunk)
     whole = [reader.is_complete("close"), reader.is_complete("chunked")]
     return passed + reader.remainder(), reader.events, reader.ended, whole
@@ -57,9 +58,10 @@
 
 class FuzzedStreams(unittest.TestCase):
     def same(self, make: Callable[[], BodyReader], data: bytes, at: list[int]) -> tuple[object, ...]:
-        found = read(make(), cut(data, at))
+        """Checks that split data, the whole and single bytes give the same result, and returns that."""
+        found = read(make(), split_at(data, at))
         self.assertEqual(found, read(make(), [data] if data else []))
-        self.assertEqual(found, read(make(), [data[place : place + 1] for place in range(len(data))]))
+        self.assertEqual(found, read(make(), [data[offset : offset + 1] for offset in range(len(data))]))
         return found
 
     @settings(max_examples=300, deadline=None, derandomize=True)
--- a/wingwood/forward/tests/test_paid_share.py
+++ b/wingwood/forward/tests/test_paid_share.py
@@ -1,4 +1,7 @@
-"""What a call is charged, and which calls are charged nothing (docs/DESIGN.md section 14)."""
+"""Charges to tenants' paid shares (docs/DESIGN.md section 14).
+
+Guards against calls that are charged a wrong cost, and against charges for calls without a tenant.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +51,7 @@
         self.assertEqual(self.apply(limits), Forwarded(200))
         self.assertEqual((limits.shares_taken, limits.earned_by), (0, ["chat"]))
 
-    def test_a_refused_call_is_told_when_to_come_back_and_counts_as_a_call(self) -> None:
+    def test_a_refused_call_gets_a_retry_time_and_adds_to_the_retry_budget(self) -> None:
         limits = FakeLimits()
         limits.share_refused = ShareRefused(Seconds(0.3))
         answer = self.apply(limits, tenant=TENANT, quota_cost=40_000)
--- a/wingwood/forward/tests/test_real_sockets.py
+++ b/wingwood/forward/tests/test_real_sockets.py
@@ -1,4 +1,7 @@
-"""The request path on real sockets with the curl client: what the simulator can't show (docs/DESIGN.md section 12)."""
+"""The request path on real sockets with the curl client (docs/DESIGN.md section 12).
+
+Covers what the simulator does not model: socket options, resets, unread input at a close, limits on descriptors.
+"""
 
 from __future__ import annotations
 
@@ -42,8 +45,8 @@
 class RealPath(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.sent = asyncio.Event()
-        self.left = asyncio.Event()
-        """The router closed its connection to the worker."""
+        self.closed_by_router = asyncio.Event()
+        """Set when the router has closed its connection to the worker."""
         self.script: Script
         self.worker_server, worker_port = await self.bind(self.serve)
         worker = Worker(
@@ -114,7 +117,7 @@
             await reader.readexactly(2)
             await self.script(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
-            self.left.set()
+            self.closed_by_router.set()
         except asyncio.CancelledError:
             return
         finally:
@@ -137,7 +140,7 @@
         writer.write(data)
         return reader, writer
 
-    async def test_streamed_call_and_the_next_on_the_same_connection(self) -> None:
+    async def test_streamed_calls_in_turn_on_one_connection(self) -> None:
         self.sends(CHUNKED, chunk(EVENT), chunk(DONE), b"0\r\n\r\n")
         async with asyncio.timeout(5):
             reader, writer = await self.send(request())
@@ -148,8 +151,8 @@
                 self.assertTrue(body.endswith(DONE + b"\r\n0\r\n\r\n"))
                 writer.write(request())
 
-    async def test_pieces_leave_at_once_on_every_call_of_a_connection(self) -> None:
-        """Tornado turns Nagle's algorithm on again after the first."""
+    async def test_chunks_are_sent_at_once_in_every_call_of_a_connection(self) -> None:
+        """Tornado turns Nagle's algorithm on again after the first call of a connection, which delays small chunks."""
         self.sends(OK + b"Content-Length: 2\r\n\r\nok")
         async with asyncio.timeout(5):
             reader, writer = await self.send(request("/plain"))
@@ -160,26 +163,26 @@
                 self.assertTrue(raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
                 writer.write(request("/plain"))
 
-    async def test_first_piece_comes_while_the_worker_goes_on(self) -> None:
+    async def test_first_chunk_arrives_before_the_answer_ends(self) -> None:
         self.sends(CHUNKED, chunk(EVENT), keep_open=True)
         async with asyncio.timeout(5):
             reader, writer = await self.send(request())
             await reader.readuntil(EVENT)
             async with asyncio.timeout(0.1):
                 writer.close()
-                await self.left.wait()
+                await self.closed_by_router.wait()
 
-    async def test_caller_that_left_in_silence_ends_the_call_at_the_worker(self) -> None:
+    async def test_caller_that_disconnects_before_the_answer_ends_the_call_at_the_worker(self) -> None:
         self.sends(keep_open=True)
         async with asyncio.timeout(5):
             _, writer = await self.send(request())
             await self.sent.wait()
             async with asyncio.timeout(0.1):
                 writer.close()
-                await self.left.wait()
+                await self.closed_by_router.wait()
 
-    async def test_sender_of_a_large_body_can_read_why(self) -> None:
-        """It reads only when all is sent; a close with unread bytes would reset the connection under it."""
+    async def test_sender_of_a_large_body_can_read_the_refusal(self) -> None:
+        """The caller reads only after sending all; closing with unread input would reset the connection before that."""
         loop = asyncio.get_running_loop()
         with socket.socket() as raw:
             raw.setblocking(False)
@@ -188,7 +191,7 @@
                 await loop.sock_sendall(raw, request(Content_Length="50000000") + b"x" * 20_000_000)
                 self.assertIn(b"body-too-large", await loop.sock_recv(raw, 65536))
 
-    async def test_callers_leave_descriptors_for_workers(self) -> None:
+    async def test_callers_can_not_use_all_descriptors(self) -> None:
         self.sends(OK + b"Content-Length: 2\r\n\r\nok")
         self.path._edge._max_connections = 2
         async with asyncio.timeout(5):
@@ -197,14 +200,14 @@
         self.assertEqual(heads, [b"200", b"200", b"503"])
         self.assertLess(RealNetwork().most_connections() * 0.4 * 2, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
-    async def test_cut_answer_has_no_end(self) -> None:
+    async def test_aborted_answer_has_no_last_chunk(self) -> None:
         self.sends(CHUNKED, chunk(EVENT))
         async with asyncio.timeout(5):
             reader, _ = await self.send(request())
             self.assertFalse((await reader.read()).endswith(b"0\r\n\r\n"))
 
-    async def test_cut_answer_of_an_old_caller_ends_in_an_error(self) -> None:
-        """Its end is the end of the connection, so a plain close would look whole."""
+    async def test_aborted_answer_to_http_1_0_ends_with_a_reset(self) -> None:
+        """Such an answer ends by closing, so a regular close would make an aborted one look complete."""
         self.sends(CHUNKED, chunk(EVENT), keep_open=True)
         async with asyncio.timeout(5):
             reader, _ = await self.send(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
@@ -213,7 +216,7 @@
             with self.assertRaises(ConnectionResetError):
                 await reader.read()
 
-    async def test_many_streams_side_by_side_keep_their_own_pieces(self) -> None:
+    async def test_concurrent_streams_are_not_mixed_up(self) -> None:
         async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             number = len(marks)
             marks.append(number)
@@ -237,7 +240,7 @@
         seen = set()
         for body in bodies:
             events = [line for line in body.split(b"\r\n") if line.startswith(b"data: ")]
-            told = [event for piece in events for event in piece.split(b"\n\n") if event]
-            self.assertEqual((len(told), told[-1], len(set(told[:-1]))), (51, b"data: [DONE]", 1))
-            seen.add(told[0])
+            received = [event for part in events for event in part.split(b"\n\n") if event]
+            self.assertEqual((len(received), received[-1], len(set(received[:-1]))), (51, b"data: [DONE]", 1))
+            seen.add(received[0])
         self.assertEqual(len(seen), 60)
--- a/wingwood/forward/tests/test_starting.py
+++ b/wingwood/forward/tests/test_starting.py
@@ -1,4 +1,8 @@
-"""Calls at a router that may not serve yet (docs/DESIGN.md section 12.4)."""
+"""Calls at a router that can not serve yet (docs/DESIGN.md section 12.4).
+
+While most of a fleet starts, calls reach routers without bundle or workers. They must wait a little, but neither so
+long that the caller has no time left nor when the router has been up for long.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 
 
 class CallersWithTimeout(DefaultCallerFormat):
-    """Callers that tell how long they wait."""
+    """A format in which every caller states the same timeout."""
 
     def __init__(self, patience: Seconds) -> None:
         self._timeout = patience
@@ -31,7 +35,7 @@
 
 class StartingTest(unittest.TestCase):
     def start(self, caller_format: CallerFormat | None = None) -> PathWorld:
-        """A router without a bundle, and a worker that answers."""
+        """Starts a router whose bundle is not proven, and a worker that answers."""
         world = World(seed=21).__enter__()
         self.addCleanup(world.close)
         formats = Formats(caller=caller_format or DefaultCallerFormat(), worker=DefaultWorkerFormat())
@@ -79,7 +83,7 @@
         self.assertEqual(reply.json()["run"], "not-run")
         self.assertAlmostEqual(seconds, WAIT, delta=0.05)
 
-    def test_a_caller_with_little_time_is_told_while_it_can_still_go_elsewhere(self) -> None:
+    def test_a_caller_with_little_time_is_refused_while_it_can_still_try_another_router(self) -> None:
         timeout = Seconds(1.0)
         reply, seconds = self.reply_and_time(self.start(CallersWithTimeout(timeout)))
         self.assertEqual(reply.status, 503)
@@ -101,7 +105,7 @@
         self.assertEqual(reply.status, 503)
         self.assertLess(seconds, 0.05)
 
-    def test_a_caller_that_leaves_is_forgotten(self) -> None:
+    def test_a_call_ends_when_its_caller_disconnects(self) -> None:
         path = self.start()
 
         async def run() -> Caller:
--- a/wingwood/forward/tests/test_unreachable_ledger.py
+++ b/wingwood/forward/tests/test_unreachable_ledger.py
@@ -1,4 +1,7 @@
-"""Calls that may not be repeated while the ledger cannot be reached (docs/DESIGN.md section 12.4)."""
+"""Calls that may not be repeated while the ledger is unreachable (docs/DESIGN.md section 12.4).
+
+If each of them waited for the ledger, callers would wait in vain and have no time left for another try.
+"""
 
 from __future__ import annotations
 
@@ -18,20 +21,20 @@
 from ..protocols import Answer, Forwarded, IncomingCall, Refused
 from .fakes import CARDS, bundle_of
 
-HASTY = msgspec.structs.replace(CARDS, first_byte_patience=Seconds(2.0))
+SHORT_WAIT = msgspec.structs.replace(CARDS, first_byte_patience=Seconds(2.0))
 
 
-class AbsentLedger:
-    """Takes as long as it may, then cannot say; until it is ``back``."""
+class UnreachableLedger:
+    """Answers no claim within its timeout until ``reachable`` is set."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.back = False
+        self.reachable = False
         self.claims = 0
 
     async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | Known | Unreachable:
         self.claims += 1
-        if self.back:
+        if self.reachable:
             return Claimed("ticket")
         await self.context.clock.sleep(timeout)
         return Unreachable("away")
@@ -47,7 +50,7 @@
 
         async def main(context: Context) -> None:
             self.context = context
-            self.ledger = AbsentLedger(context)
+            self.ledger = UnreachableLedger(context)
             self.policy = AtMostOncePolicy(context, cast(Any, self.ledger), PathLimits(), DefaultCallerFormat())
 
         self.world.start("r1", main)
@@ -55,7 +58,7 @@
         self.number = 0
 
     def call(self) -> None:
-        """One call; its answer and how long that took come into ``answers``."""
+        """Starts one call; its duration and its answer are appended to ``answers``."""
         self.number += 1
         key = f"key-{self.number}"
 
@@ -70,7 +73,7 @@
                 peer=Address("10.0.0.9", 1),
                 received_at=Instant(now),
                 caller=cast(Any, None),
-                service=HASTY,
+                service=SHORT_WAIT,
                 tenant=next(iter(bundle_of().tenants.values())),
             )
 
@@ -82,7 +85,7 @@
 
         self.world.spawn(self.world.processes["r1"], run(), "call")
 
-    def test_the_first_is_refused_well_within_its_patience_and_later_ones_at_once(self) -> None:
+    def test_the_first_call_is_refused_within_its_wait_limit_and_later_ones_at_once(self) -> None:
         self.call()
         self.world.run(2.1)
         waited, answer = self.answers.pop()
@@ -95,13 +98,13 @@
         self.world.run(2.0)
         self.assertEqual(len(self.answers), 40)
         at_once = [waited for waited, _ in self.answers if waited < 0.01]
-        self.assertGreater(len(at_once), 30, "only a probe now and then waits")
+        self.assertGreater(len(at_once), 30, "only probes wait for the ledger")
         self.assertTrue(all(isinstance(each, Refused) and each.retry_after for _, each in self.answers))
 
-    def test_service_is_back_soon_after_the_ledger_is(self) -> None:
+    def test_calls_are_served_soon_after_the_ledger_is_reachable_again(self) -> None:
         self.call()
         self.world.run(3.0)
-        self.ledger.back = True
+        self.ledger.reachable = True
         self.answers.clear()
         for _ in range(20):
             self.call()
