--- a/wingwood/forward/limits.py
+++ b/wingwood/forward/limits.py
@@ -36,7 +36,9 @@
     ledger_timeout: Seconds = Seconds(2.0)
     """Longest wait for the ledger's answer to a claim."""
     ledger_timeout_share: float = 0.75
-    """Limit on the same wait, as a fraction of the service's wait limit; the rest of it is left for the call itself."""
+    """The wait for the ledger is also limited to this fraction of the service's wait limit.
+
+    The rest of the wait limit is left for the call itself."""
     ledger_probe_interval: Seconds = Seconds(0.5)
     """While the ledger is unreachable, one call in each interval asks it and the others are refused."""
     head_hold_time: Seconds = Seconds(0.05)
--- a/wingwood/forward/policies/forwarding.py
+++ b/wingwood/forward/policies/forwarding.py
@@ -191,10 +191,10 @@
         self._exchange.cancel()
 
     def _request(self) -> HttpRequest:
-        left = Seconds(self._call.deadline - self._started_at)
+        time_left = Seconds(self._call.deadline - self._started_at)
         return msgspec.structs.replace(
-            self._format.request(self._call, self._choice.worker, left),
-            connect_timeout=Seconds(min(self._limits.connect_timeout, max(0.001, left))),
+            self._format.request(self._call, self._choice.worker, time_left),
+            connect_timeout=Seconds(min(self._limits.connect_timeout, max(0.001, time_left))),
             last_check=self._may_write,
             reuse=self._limits.reuse,
             reuse_within=None if self._service.repeatable else self._limits.non_repeatable_reuse_within,
@@ -234,14 +234,18 @@
         silent_since = (
             self._call.received_at if progress is None or progress.last_sent_at is None else progress.last_sent_at
         )
-        ends = min(self._call.deadline, silent_since + self._silence_limit)
+        callers_give_up_at = min(self._call.deadline, silent_since + self._silence_limit)
         if not self._resumes:
-            ends = min(ends, self._call.received_at + self._service.first_byte_patience, self._first_byte_deadline)
-        left = ends - self._started_at
+            callers_give_up_at = min(
+                callers_give_up_at,
+                self._call.received_at + self._service.first_byte_patience,
+                self._first_byte_deadline,
+            )
+        time_left = callers_give_up_at - self._started_at
         predicted = self._choice.first_token
-        slow_after = max(_MOVE_AFTER_FRACTION * left, 2.0 * predicted)
-        if slow_after < left - max(predicted, 0.1 * left):
-            self._move_at = Instant(self._started_at + slow_after)
+        move_after = max(_MOVE_AFTER_FRACTION * time_left, 2.0 * predicted)
+        if move_after < time_left - max(predicted, 0.1 * time_left):
+            self._move_at = Instant(self._started_at + move_after)
 
     def _without_answer(self, fault: HttpFault) -> Answer:
         """Returns how a try ended of whose answer the caller was sent nothing."""
--- a/wingwood/forward/policies/starting.py
+++ b/wingwood/forward/policies/starting.py
@@ -34,18 +34,20 @@
         self._limits = limits
         self._format = caller_format
         self._started_at = clock.monotonic()
-        self._has_served = False
+        self._was_ready = False
 
     async def apply(self, call: IncomingCall, proceed: Proceed) -> Answer:
         wait_end = self._wait_end(call)
-        while not self._may_serve() and self._clock.monotonic() < wait_end and not call.caller.disconnected.is_set():
+        while (
+            not self._has_been_ready() and self._clock.monotonic() < wait_end and not call.caller.disconnected.is_set()
+        ):
             await self._clock.sleep(_POLL_INTERVAL_SECONDS)
         return await proceed(call)
 
-    def _may_serve(self) -> bool:
+    def _has_been_ready(self) -> bool:
         """Returns whether the router could serve calls at any time since its start, even if it can not any more."""
-        self._has_served = self._has_served or self._can_serve()
-        return self._has_served
+        self._was_ready = self._was_ready or self._can_serve()
+        return self._was_ready
 
     def _wait_end(self, call: IncomingCall) -> Instant:
         wait_ends = [self._started_at + STARTUP_SECONDS, call.received_at + self._limits.startup_wait]
--- a/wingwood/forward/protocols.py
+++ b/wingwood/forward/protocols.py
@@ -13,6 +13,7 @@
 from ..placement.protocols import Choice, PromptPart, Turn
 
 RunState = Literal["not-run", "unknown", "ran"]
+"""Whether a call ran on a worker; ``unknown`` when it was sent and no complete answer was received."""
 
 
 class CallerStream(Protocol):
@@ -90,13 +91,16 @@
     loop_last_ran: Instant = Instant(0.0)
     """When the event loop was last known to run: a caller that disconnected before is known to have disconnected."""
     bundle: Bundle | None = None
+    """The bundle by which the call was accepted."""
     service: Service | None = None
     tenant: Tenant | None = None
     deadline: Instant = Instant(float("inf"))
+    """When the call ends at the latest."""
     prompt: Prompt = Prompt()
     urgency: int = 5
     """Order of placement among waiting calls: 0 goes first, 9 last."""
     turn: Turn | None = None
+    """The call as placement sees it; the same in all tries."""
     tries: int = 0
     """How many tries sent at least part of the call to a worker."""
     possible_runs: int = 0
@@ -110,6 +114,7 @@
     excluded: tuple[WorkerInstance, ...] = ()
     """Workers that a further try must not use."""
     choice: Choice | None = None
+    """The worker that placement chose for the current try."""
     worker_outcome: Literal["whole", "refused", "broken", "cancelled"] = "cancelled"
     """How the current try ended, as reported to placement."""
     on_first_chunk: Callable[[Seconds], None] = lambda after: None
@@ -199,7 +204,9 @@
 
 
 Answer = Forwarded | Aborted | Refused | NotAnswered
+"""How a policy ended a call, or a try of it."""
 Proceed = Callable[[IncomingCall], Awaitable[Answer]]
+"""Runs the rest of the chain for a call."""
 RefusalSender = Callable[[IncomingCall, Refused], Coroutine[Any, Any, None]]
 """Sends the caller an answer made by the router."""
 
@@ -209,4 +216,6 @@
 
     name: str
 
-    async def apply(self, call: IncomingCall, proceed: Proceed) -> Answer: ...
+    async def apply(self, call: IncomingCall, proceed: Proceed) -> Answer:
+        """Handles the call and returns how it ended."""
+        ...
--- a/wingwood/forward/tests/fakes.py
+++ b/wingwood/forward/tests/fakes.py
@@ -114,6 +114,8 @@
 
 
 class FakeShares(FreeShares):
+    """The ``Shares`` interface of ``FakeLimits``, whose own ``take`` is that of the retry budget."""
+
     def __init__(self, limits: FakeLimits) -> None:
         self._limits = limits
 
@@ -158,10 +160,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.finishes: list[tuple[str, str, int]] = []
+        """Worker instance, outcome and generated tokens of each turn that has finished."""
         self.turns: list[Turn] = []
         self.running = 0
+        """Turns that were placed and have not finished."""
         self.suspects: list[str] = []
+        """Instances that were reported as unresponsive."""
         self.not_confirmed: set[str] = set()
+        """Instances that ``confirm`` rejects."""
 
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
         self.turns.append(turn)
--- a/wingwood/forward/tests/test_caller_edge.py
+++ b/wingwood/forward/tests/test_caller_edge.py
@@ -319,13 +319,13 @@
             with self.assertRaises(StreamClosedError):
                 await idle.stream.read_bytes(1)
             self.assertLess(self.world.now, 1.5)
-            whole = await running.reply()
+            complete = await running.reply()
             await drained
-            return early, whole, early, self.world.now
+            return early, complete, early, self.world.now
 
-        early, whole, _, now = self.world.complete(run())
+        early, complete, _, now = self.world.complete(run())
         self.assertEqual((early.status, early.headers["connection"]), (200, "close"))
-        self.assertTrue(whole.complete)
+        self.assertTrue(complete.complete)
         self.assertLess(now, 4.0)
 
     def test_calls_that_arrive_while_a_draining_router_is_frozen_are_answered(self) -> None:
--- a/wingwood/forward/tests/test_forwarding.py
+++ b/wingwood/forward/tests/test_forwarding.py
@@ -185,11 +185,11 @@
         )
         for path, answer, stray in answers:
             worker = self.worker(sends(), f"w{len(self.world.processes)}")
-            for cut in range(len(answer) + 1):
-                worker.script = sends(answer[:cut])
+            for length in range(len(answer) + 1):
+                worker.script = sends(answer[:length])
                 reply = self.path.call(path)
-                looks_whole = reply.status == 200 and reply.complete
-                self.assertEqual(looks_whole, cut >= len(answer) - stray, answer[:cut])
+                looks_complete = reply.status == 200 and reply.complete
+                self.assertEqual(looks_complete, length >= len(answer) - stray, answer[:length])
             self.path.placement.workers.clear()
 
     def test_connection_breaks_in_the_middle_of_an_event(self) -> None:
@@ -340,10 +340,10 @@
             caller.stream.close()
 
         self.world.complete(run())
-        left = self.world.now
+        disconnected_at = self.world.now
         self.world.run(1.0)
         self.assertEqual(len(worker.closed_by_router), 1)
-        self.assertLess(worker.closed_by_router[0] - left, 0.1)
+        self.assertLess(worker.closed_by_router[0] - disconnected_at, 0.1)
         self.assertEqual(self.path.placement.finishes, [("w1-1", "cancelled", self.path.placement.finishes[0][2])])
         self.assertEqual(self.path.path.in_flight(), 0)
         return worker
@@ -358,15 +358,15 @@
         self.disconnect_after(sends(keep_open=True), 0.5, extra=b"\r\nPOST /chat")
 
     def test_caller_that_reads_nothing_is_disconnected(self) -> None:
-        for deadline, cut_at in ((60.0, 10.0), (3.0, 3.0)):
+        for deadline, disconnected_at in ((60.0, 10.0), (3.0, 3.0)):
             with self.subTest(deadline=deadline):
                 self.setUp()
                 self.path.bundle.bundle = bundle_of([msgspec.structs.replace(CHAT, deadline=Seconds(deadline))])
-                pieces = [chunk(b"data: %s\n\n" % (b"x" * 16000))] * 200
-                worker = self.worker(sends(CHUNKED, *pieces, keep_open=True))
+                events = [chunk(b"data: %s\n\n" % (b"x" * 16000))] * 200
+                worker = self.worker(sends(CHUNKED, *events, keep_open=True))
                 caller = self.world.complete(self.path.send(request()))
                 self.world.run(12.0)
-                self.assertAlmostEqual(worker.closed_by_router[0], cut_at, delta=0.2)
+                self.assertAlmostEqual(worker.closed_by_router[0], disconnected_at, delta=0.2)
                 self.assertEqual((self.path.path.in_flight(), self.path.placement.finishes[0][1]), (0, "cancelled"))
                 self.assertFalse(caller.stream.closed())
 
@@ -378,7 +378,8 @@
     the deadline may have passed, and the key, the service or the proof of the bundle may have been lost.
     """
 
-    def freeze_before_sending(self, seconds: float, leave: bool, meanwhile: object = None) -> ScriptedWorker:
+    def freeze_before_sending(self, seconds: float, disconnect: bool, meanwhile: object = None) -> ScriptedWorker:
+        """Freezes the router for so long while a call waits for its share; ``meanwhile`` runs in the freeze."""
         self.path.limits.delay = Seconds(0.2)
         worker = self.worker(streams(3))
 
@@ -389,7 +390,7 @@
         self.world.run(0.1)
         self.world.freeze("router")
         self.world.run(seconds / 2)
-        if leave:
+        if disconnect:
             caller.stream.close()
         if callable(meanwhile):
             meanwhile()
@@ -399,35 +400,35 @@
         return worker
 
     def test_call_is_sent_after_a_short_freeze(self) -> None:
-        self.assertEqual(len(self.freeze_before_sending(0.5, leave=False).requests), 1)
+        self.assertEqual(len(self.freeze_before_sending(0.5, disconnect=False).requests), 1)
 
     def test_caller_disconnected(self) -> None:
-        self.assertEqual(self.freeze_before_sending(0.5, leave=True).requests, [])
+        self.assertEqual(self.freeze_before_sending(0.5, disconnect=True).requests, [])
 
     def test_wait_limit_passed(self) -> None:
-        self.assertEqual(self.freeze_before_sending(CHAT.first_byte_patience + 1, leave=False).requests, [])
+        self.assertEqual(self.freeze_before_sending(CHAT.first_byte_patience + 1, disconnect=False).requests, [])
         self.assertEqual(self.path.log_lines()[0]["run"], "not-run")
 
     def test_key_removed(self) -> None:
         def remove() -> None:
             self.path.bundle.bundle = bundle_of(keys=())
 
-        self.assertEqual(self.freeze_before_sending(0.5, leave=False, meanwhile=remove).requests, [])
+        self.assertEqual(self.freeze_before_sending(0.5, disconnect=False, meanwhile=remove).requests, [])
         self.assertEqual(self.path.log_lines()[0]["outcome"], "key-unknown")
 
     def test_service_may_no_longer_be_repeated(self) -> None:
         def change() -> None:
             self.path.bundle.bundle = bundle_of([msgspec.structs.replace(CHAT, repeatable=False)])
 
-        self.assertEqual(self.freeze_before_sending(0.5, leave=False, meanwhile=change).requests, [])
+        self.assertEqual(self.freeze_before_sending(0.5, disconnect=False, meanwhile=change).requests, [])
 
     def test_proof_of_the_bundle_lost(self) -> None:
         def lose() -> None:
             self.path.bundle.serving = False
 
-        self.assertEqual(self.freeze_before_sending(0.5, leave=False, meanwhile=lose).requests, [])
+        self.assertEqual(self.freeze_before_sending(0.5, disconnect=False, meanwhile=lose).requests, [])
 
-    def may_write_after(self, seconds: float, stall: float, gone: bool = False, **service: object) -> bool:
+    def may_write_after(self, seconds: float, stall: float, disconnected: bool = False, **service: object) -> bool:
         """Returns what the last check before sending says right after a freeze, before the event loop has run."""
         client = PendingHttpClient()
         with World(seed=3) as world:
@@ -439,7 +440,7 @@
             world.run(0.1)
             world.freeze("router")
             world.run(seconds)
-            if gone:
+            if disconnected:
                 next(iter(path.path._calls.values())).caller.disconnected.set()
             world.loop.running_life = path.router.life
             try:
@@ -453,7 +454,7 @@
         self.assertTrue(self.may_write_after(3.0, stall=100.0))
         self.assertFalse(self.may_write_after(4.0, stall=100.0), "the service's wait limit has passed")
         self.assertFalse(self.may_write_after(3.0, stall=100.0, deadline=2.0))
-        self.assertFalse(self.may_write_after(0.05, stall=100.0, gone=True))
+        self.assertFalse(self.may_write_after(0.05, stall=100.0, disconnected=True))
 
     def test_call_during_a_freeze_is_sent_after_it(self) -> None:
         worker = self.worker(streams(3))
--- a/wingwood/forward/tests/test_starting.py
+++ b/wingwood/forward/tests/test_starting.py
@@ -26,8 +26,8 @@
 class CallersWithTimeout(DefaultCallerFormat):
     """A format in which every caller states the same timeout."""
 
-    def __init__(self, patience: Seconds) -> None:
-        self._timeout = patience
+    def __init__(self, timeout: Seconds) -> None:
+        self._timeout = timeout
 
     def caller_timeout(self, call: IncomingCall) -> Seconds | None:
         return self._timeout
