--- a/wingwood/forward/timed_connection.py
+++ b/wingwood/forward/timed_connection.py
@@ -22,7 +22,7 @@
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._phase_end: float | None = None
-        self._idle_since = 0.0
+        self._phase_start = 0.0
         self._waiting_for: str | None = None
 
     @abstractmethod
@@ -47,8 +47,8 @@
         if seconds is None or self.shut:
             self._phase_end = None
             return
-        self._idle_since = self._loop.time()
-        self._phase_end = self._idle_since + seconds
+        self._phase_start = self._loop.time()
+        self._phase_end = self._phase_start + seconds
         if self._timer is None or self._timer.when() > self._phase_end:
             self.cancel_timeout()
             self._timer = self._loop.call_at(self._phase_end, self._timeout_expired)
@@ -77,7 +77,7 @@
 
     def _idle_end(self) -> float:
         """Returns when the idle time ends by the present limits: a newer bundle may allow a longer idle time."""
-        return self._idle_since + self.idle_timeout()
+        return self._phase_start + self.idle_timeout()
 
     def _close_if_idle(self, phase_end: float) -> None:
         self._timer = None
