--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -19,7 +19,7 @@
     Zone,
 )
 from wingwood.limits.shares import FleetShares
-from wingwood.placement.session_map import Entry, KeeperMap, KeeperRing, session_key
+from wingwood.placement.session_map import DistributedMap, Entry, OwnerRing, session_key
 from wingwood.registry.worker_registry import WorkerRegistry
 from wingwood.settings.model import DaemonSettings
 
@@ -36,21 +36,21 @@
 
 def entry(now: Instant) -> Entry:
     return Entry(
-        pool=PoolName("p"), holder=WorkerInstance("model-00001-1234"), tokens=3000, own_tokens=1000, touched_at=now
+        pool=PoolName("p"), holder=WorkerInstance("model-00001-1234"), tokens=3000, own_tokens=1000, last_used_at=now
     )
 
 
-def filled_map(context: Context, membership: FixedMembership, own: int, kept: int, recent: int) -> KeeperMap:
+def filled_map(context: Context, membership: FixedMembership, own: int, kept: int, recent: int) -> DistributedMap:
     """A keeper's map with keys that are really its own."""
     identity = membership.routers()[own]
-    held = KeeperMap(context, DeafMessenger(identity), membership)
+    held = DistributedMap(context, DeafMessenger(identity), membership)
     now = context.clock.monotonic()
     number = 0
-    while len(held._kept.by_key) < kept:
+    while len(held._stored.by_key) < kept:
         key = session_key(PoolName("p"), SessionId(f"session-{number}"))
         number += 1
-        if any(router.incarnation == identity.incarnation for router in held._pair(key)):
-            held._keep(key, entry(now))
+        if any(router.incarnation == identity.incarnation for router in held._owners_of(key)):
+            held._store(key, entry(now))
         elif len(held._recent.by_key) < recent:
             held._recent.put(key, entry(now))
     return held
@@ -74,13 +74,13 @@
     all_routers = routers(count, zones=14)
     fewer = all_routers[:-1]
     row: Row = {"routers": count}
-    row["ring_ms"] = 1e3 * min(timed(lambda: KeeperRing(all_routers)) for _ in range(3))
+    row["ring_ms"] = 1e3 * min(timed(lambda: OwnerRing(all_routers)) for _ in range(3))
     membership = FixedMembership(all_routers)
     held = filled_map(context, membership, 0, KEPT, RECENT)
     gc.collect()
     row["session_map_ms"] = 1e3 * timed(lambda: membership.set(fewer))
-    row["handed_over"] = len(held._to_hand_over)
-    held._to_hand_over.clear()
+    row["handed_over"] = len(held._pending_handover)
+    held._pending_handover.clear()
     own = DeafMessenger(all_routers[0])
     membership = FixedMembership(all_routers)
     registry = WorkerRegistry(context, own, membership, settings())
--- a/bench/capacity/prefixes.py
+++ b/bench/capacity/prefixes.py
@@ -10,7 +10,7 @@
 from itertools import accumulate
 
 from wingwood.identifiers import Instant, PoolName, WorkerInstance
-from wingwood.placement.kept_prefixes import SHARED_MOST, SharedPrefixes
+from wingwood.placement.cached_prefixes import MAX_SHARED_PARTS, SharedPrefixes
 
 from .common import Row
 from .planned import PLANNED
@@ -46,7 +46,7 @@
         gc.collect()
         tracemalloc.start()
         parts = SharedPrefixes()
-        held = min(number, SHARED_MOST)
+        held = min(number, MAX_SHARED_PARTS)
         for turn in range(8 * held):
             name = (f"shared-{turn % held}", f"session-{turn}")
             parts.sent(PoolName("p"), name, turn, 3000, WorkerInstance(f"model-{turn // held}"), Instant(0.0))
@@ -57,7 +57,7 @@
         rows.append(
             {
                 "prefixes": number,
-                "bound_today": SHARED_MOST,
+                "bound_today": MAX_SHARED_PARTS,
                 "part_bytes": weight,
                 "known_even": even,
                 "known_skewed": skewed,
--- a/bench/engine_model.py
+++ b/bench/engine_model.py
@@ -15,7 +15,7 @@
 
 from wingwood.identifiers import Address, PoolName, WorkerInstance, Zone
 from wingwood.placement.protocols import PromptPart
-from wingwood.placement.told_parts import Chain, chains
+from wingwood.placement.sent_chains import Chain, chains
 from wingwood.registry.protocols import Worker, WorkerLoad
 
 QUIET_STEPS = 8
--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -42,7 +42,7 @@
 from wingwood.limits.admission import PatienceAdmission
 from wingwood.placement.award_placement import AwardPlacement
 from wingwood.placement.protocols import Choice, Placement, Turn
-from wingwood.placement.session_map import Entry, KeeperMap, LocalMap, session_key
+from wingwood.placement.session_map import DistributedMap, Entry, LocalMap, session_key
 from wingwood.placement.settings import AwardSettings
 from wingwood.registry.protocols import Worker, WorkerLoad
 from wingwood.registry.tests.fleet import POOL as FEED_POOL
@@ -199,11 +199,11 @@
         membership = cast(Any, self.membership)
         session_map: Any = {"local": LocalMap, "hash": NoMap}.get(shape.session_map, lambda: None)()
         if session_map is None:
-            session_map = KeeperMap(context, messenger, membership)
+            session_map = DistributedMap(context, messenger, membership)
         placement = HintLosing(context, membership, cast(Any, registry), registry, session_map, shape.settings)
         placement.lost_share = shape.unhinted
         if not isinstance(session_map, NoMap):
-            session_map.on_keep = placement.kept_here
+            session_map.on_entry_stored = placement.entry_stored
         return placement
 
     def go(self) -> dict[str, float]:
@@ -401,11 +401,11 @@
         },
         "small-cache": {name: change(shape, cache_tokens=40_000) for name, shape in policies.items()},
         "expect": {
-            f"for {window:.0f} s": change(base, settings=AwardSettings(expect_for=Seconds(window)))
+            f"for {window:.0f} s": change(base, settings=AwardSettings(expected_turn_lifetime=Seconds(window)))
             for window in (5.0, 10.0, 20.0, 40.0)
         },
         "ahead": {
-            f"cost {cost} {name}": change(shape, settings=AwardSettings(ahead_cost=cost))
+            f"cost {cost} {name}": change(shape, settings=AwardSettings(next_turn_wait_weight=cost))
             for name, shape in (
                 ("today", base),
                 (
@@ -416,13 +416,15 @@
             for cost in (0.0, 0.03, 0.1, 0.3)
         },
         "first": {
-            f"crowd {crowd} drawn {drawn}": change(base, settings=AwardSettings(crowd_cost=crowd, candidates=drawn))
+            f"crowd {crowd} drawn {drawn}": change(
+                base, settings=AwardSettings(mean_wait_weight=crowd, candidates=drawn)
+            )
             for crowd in (0.1, 0.5, 2.0)
             for drawn in (2, 3, 6)
         },
         "spread": {
             f"slots {share} bound {bound}": change(
-                base, hot_share=0.9, settings=AwardSettings(prefix_slots=share, bounded_load=bound)
+                base, hot_share=0.9, settings=AwardSettings(prefix_slot_share=share, load_bound=bound)
             )
             for share in (0.25, 0.5, 1.0)
             for bound in (1.1, 1.25, 1.6)
@@ -481,8 +483,8 @@
     tracemalloc.start()
     for number in range(sessions):
         key = session_key(POOL, SessionId(f"session-{number}"))
-        entry = Entry(pool=POOL, holder=WorkerInstance("w0"), tokens=3000, own_tokens=1000, touched_at=Instant(0.0))
-        cast(KeeperMap, placement._map)._keep(key, entry)
+        entry = Entry(pool=POOL, holder=WorkerInstance("w0"), tokens=3000, own_tokens=1000, last_used_at=Instant(0.0))
+        cast(DistributedMap, placement._map)._store(key, entry)
     gc.collect()
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/bench/placement_parts.py
+++ b/bench/placement_parts.py
@@ -168,7 +168,7 @@
     def record(self, key: int, entry: Entry) -> None:
         pass
 
-    def keeps(self, key: int) -> bool:
+    def owns(self, key: int) -> bool:
         return False
 
 
--- a/bench/told_placement_bench.py
+++ b/bench/told_placement_bench.py
@@ -33,8 +33,8 @@
 )
 from wingwood.placement.award_placement import AwardPlacement
 from wingwood.placement.protocols import Choice, Placement, PromptPart, Turn
-from wingwood.placement.queue_keepers import RouterQueueKeepers
-from wingwood.placement.session_map import KeeperMap, LocalMap
+from wingwood.placement.queue_owners import RouterQueueOwners
+from wingwood.placement.session_map import DistributedMap, LocalMap
 from wingwood.placement.settings import AwardSettings
 from wingwood.registry.protocols import Worker
 from wingwood.transport.frames import Identity
@@ -138,9 +138,9 @@
         open_workers = [w for w in self._workers if w.up and w.instance not in excluded]
         best = min(open_workers, key=cost)
         first_token = cost(best) * best.engine.prefill_per_token + 0.03
-        return Success(Choice(worker=best.announced(POOL), how="policy", first_token=Seconds(first_token)))
+        return Success(Choice(worker=best.announced(POOL), method="policy", first_token=Seconds(first_token)))
 
-    def begun(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
+    def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
         pass
 
     def finished(self, turn: Turn, choice: Choice, outcome: Any, generated: int, first: Seconds | None) -> None:
@@ -226,7 +226,7 @@
             case "award-no-map":
                 session_map = NoMap()
             case _:
-                session_map = KeeperMap(context, messenger, membership)
+                session_map = DistributedMap(context, messenger, membership)
         alone = self.shape.policy == "award-alone"
         placement = AwardPlacement(
             context,
@@ -236,10 +236,10 @@
             session_map,
             self.shape.settings,
             None if self.shape.policy == "award-guessed" else identity.zone,
-            None if alone else RouterQueueKeepers(context, messenger, membership),
+            None if alone else RouterQueueOwners(context, messenger, membership),
         )
         if not isinstance(session_map, NoMap):
-            session_map.on_keep = placement.kept_here
+            session_map.on_entry_stored = placement.entry_stored
         return placement
 
     def go(self) -> dict[str, float]:
@@ -355,7 +355,7 @@
             return stream, 0.0, choice
         await asyncio.sleep(way)
         after = Seconds(self.loop.time() - sent)
-        placement.begun(turn, choice, after)
+        placement.first_token_received(turn, choice, after)
         await stream.end
         placement.finished(turn, choice, "whole", turn.generate_tokens, after)
         return stream, choice.first_token, choice
@@ -436,15 +436,15 @@
     "no session map: each router's own records": ("award-local", {}),
     "no session map and no records": ("award-no-map", {}),
     "sizes not told": ("award-guessed", {}),
-    "long streams not kept apart": ("award", {"apart_most": 0.0}),
-    "no cost of reading shared parts again": ("award", {"reread_cost": 0.0}),
+    "long streams not kept apart": ("award", {"max_reserved_share": 0.0}),
+    "no cost of reading shared parts again": ("award", {"repeated_prefill_weight": 0.0}),
     "no cost of risked objectives and pauses": ("award", {"risk_cost": 0.0}),
-    "no harm to streams beside": ("award", {"harm": 0.0}),
-    "no trust in a prefix's first worker": ("award", {"home_trust": 0.0}),
-    "a prefix never spreads": ("award", {"prefix_use": 1e6}),
-    "no margin for the holder": ("award", {"told_move_gain": 0.0}),
-    "one worker drawn beside": ("award", {"drawn_beside": 1}),
-    "other zones cost nothing": ("award", {"other_zone": 0.0}),
+    "no harm to streams beside": ("award", {"stream_delay_weight": 0.0}),
+    "no trust in a prefix's first worker": ("award", {"first_worker_cache_probability": 0.0}),
+    "a prefix never spreads": ("award", {"prefix_prefill_share": 1e6}),
+    "no margin for the holder": ("award", {"min_move_gain_with_sizes": 0.0}),
+    "one worker drawn beside": ("award", {"extra_candidates": 1}),
+    "other zones cost nothing": ("award", {"other_zone_cost": 0.0}),
 }
 """Each mechanism switched off alone: the policy and the settings that do so."""
 
@@ -483,7 +483,7 @@
             await asyncio.sleep(0.08)
             began = time.process_time()
             choice = (await placement.choose(turn, ())).unwrap()
-            placement.begun(turn, choice, Seconds(0.05))
+            placement.first_token_received(turn, choice, Seconds(0.05))
             placement.finished(turn, choice, "whole", generate, Seconds(0.05))
             times.append(time.process_time() - began)
 
--- a/emulator/router_slices.py
+++ b/emulator/router_slices.py
@@ -118,10 +118,10 @@
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
         for worker in self.workers:
             if worker.instance not in excluded:
-                return Success(Choice(worker=worker, how="award", first_token=self.first_token))
+                return Success(Choice(worker=worker, method="award", first_token=self.first_token))
         return Failure(NoWorker("none-ready", Seconds(2.0)))
 
-    def begun(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None: ...
+    def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None: ...
 
     def finished(
         self,
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -28,7 +28,7 @@
 from ..operator_api.reading import HealthReport, ReadRoutes
 from ..operator_api.server import OperatorServer
 from ..placement.award_placement import AwardPlacement
-from ..placement.policies import placement_of
+from ..placement.policies import create_placement
 from ..registry.protocols import Worker
 from ..registry.worker_registry import WorkerRegistry
 from ..settings.model import DaemonSettings
@@ -69,7 +69,7 @@
         )
         self.control = ControlClient(context, self.messenger, self._control_addresses)
         self.registry = WorkerRegistry(context, self.messenger, self.membership, settings)
-        self.placement = placement_of(context, self.messenger, self.membership, self.registry, settings)
+        self.placement = create_placement(context, self.messenger, self.membership, self.registry, settings)
         self.shares = FleetShares(
             context,
             self.messenger,
--- a/wingwood/forward/policies/forwarding.py
+++ b/wingwood/forward/policies/forwarding.py
@@ -148,7 +148,7 @@
             call.worker_outcome = "refused"
             reason = "the chosen worker takes no turns now"
             return NotAnswered(code="worker-not-ready", reason=reason, run="not-run", counts=False)
-        call.worker, call.how = choice.worker.instance, choice.how
+        call.worker, call.how = choice.worker.instance, choice.method
         self._dark_at = Instant(self._started + max(self._limits.dark_after, _FAR_TOO_SLOW * choice.first_token))
         self._set_slow()
         self._exchange = self._policy.context.http.start(self._request())
--- a/wingwood/forward/policies/placement.py
+++ b/wingwood/forward/policies/placement.py
@@ -47,7 +47,7 @@
         call.choice = choice
         call.worker_outcome = "cancelled"
         call.try_first_token_after = None
-        call.on_first_piece = partial(self._placement.begun, turn, choice)
+        call.on_first_piece = partial(self._placement.first_token_received, turn, choice)
         tokens_before = call.generated_tokens
         try:
             return await self._on(call, choice, proceed)
--- a/wingwood/placement/bids.py
+++ b/wingwood/placement/bids.py
@@ -24,7 +24,7 @@
 class Bidder(Protocol):
     """Costs in seconds: what a turn waits and prefills, and the harm that it does to others."""
 
-    def kept_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
+    def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
         """Tokens of the turn's prompt that the worker probably keeps."""
         ...
 
@@ -42,11 +42,11 @@
         """For a turn that is here. ``entry`` only where its holder is ready and keeps something."""
         ...
 
-    def bid_ahead(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
+    def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
         """For a turn to come."""
         ...
 
-    def soonest(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
+    def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
         """The least time to the first token at the workers that a bid would compare."""
         ...
 
@@ -55,12 +55,18 @@
         ...
 
     def ended(
-        self, turn: Turn, worker: Worker, uncached: int, waited: float, first_token: Seconds | None, whole: Seconds
+        self,
+        turn: Turn,
+        worker: Worker,
+        uncached: int,
+        predicted_wait: float,
+        first_token: Seconds | None,
+        duration: Seconds,
     ) -> None:
-        """The turn ended whole after ``whole`` seconds."""
+        """The turn ended whole after ``duration`` seconds."""
         ...
 
-    def left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
+    def turn_left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
         """The turn left the worker, however it ended."""
         ...
 
@@ -70,26 +76,26 @@
 class Pressure:
     """How much a wait counts: the less a tenant pays, the more, so that it leaves a crowded worker first."""
 
-    def __init__(self, most: float) -> None:
-        self._most = most
-        self._top: dict[PoolName, float] = {}
+    def __init__(self, max_pressure: float) -> None:
+        self._max_pressure = max_pressure
+        self._highest_weight: dict[PoolName, float] = {}
 
-    def seen(self, pool: PoolName, weight: float) -> None:
-        self._top[pool] = max(weight, 0.999 * self._top.get(pool, 0.0))
+    def observe(self, pool: PoolName, weight: float) -> None:
+        self._highest_weight[pool] = max(weight, 0.999 * self._highest_weight.get(pool, 0.0))
 
     def of(self, pool: PoolName, weight: float) -> float:
-        return min(self._most, max(1.0, self._top.get(pool, weight) / max(weight, 1e-9)))
+        return min(self._max_pressure, max(1.0, self._highest_weight.get(pool, weight) / max(weight, 1e-9)))
 
 
 def queued_cost(
-    wait: float, prefill: float, beside: float, *, pressure: float, risked_from: float, risk_cost: float
+    wait: float, prefill: float, other_cost: float, *, pressure: float, risk_threshold: float, risk_cost: float
 ) -> float:
     """Seconds that a turn at one worker costs, whoever knows the wait there (docs/DESIGN.md section 11.5).
 
-    ``beside``: all but wait and prefill. What these go beyond ``risked_from`` counts ``risk_cost`` times more.
+    ``other_cost``: all but wait and prefill. What these go beyond ``risk_threshold`` counts ``risk_cost`` times more.
     """
-    risked = max(0.0, wait + prefill - risked_from)
-    return wait * pressure + prefill + beside + risk_cost * risked
+    risk_excess = max(0.0, wait + prefill - risk_threshold)
+    return wait * pressure + prefill + other_cost + risk_cost * risk_excess
 
 
 def cheapest(bids: Sequence[tuple[float, Worker]], holder: WorkerInstance | None, margin: Seconds) -> Worker:
--- a/wingwood/placement/kept_prefixes.py
+++ b/wingwood/placement/cached_prefixes.py
@@ -8,10 +8,10 @@
 
 from ..identifiers import Instant, PoolName, Seconds, WorkerInstance
 
-SHARED_MOST = 2_000
-SAMPLE_MOST = 25_000
-HALF_LIFE = Seconds(10.0)
-SESSIONS_TO_KNOW = 2
+MAX_SHARED_PARTS = 2_000
+MAX_SAMPLED_SESSIONS = 25_000
+DEMAND_HALF_LIFE_S = Seconds(10.0)
+MIN_SESSIONS = 2
 """A part counts as shared once that many sessions came with it."""
 
 
@@ -28,7 +28,7 @@
 class SharedPrefixes:
     """The parts of ``Prefix`` before the session id: their sizes, where they were sent, how asked for they are."""
 
-    def __init__(self, half_life: Seconds = HALF_LIFE) -> None:
+    def __init__(self, half_life: Seconds = DEMAND_HALF_LIFE_S) -> None:
         self._half_life = half_life
         self._parts: OrderedDict[tuple[PoolName, tuple[str, ...]], _SharedPart] = OrderedDict()
 
@@ -41,11 +41,11 @@
             part = self._parts.get(name)
             if part is None:
                 part = self._parts[name] = _SharedPart(prompt, set(), {}, 0.0, now)
-                while len(self._parts) > SHARED_MOST:
+                while len(self._parts) > MAX_SHARED_PARTS:
                     self._parts.popitem(last=False)
             self._parts.move_to_end(name)
             part.tokens = min(part.tokens, prompt)
-            if len(part.sessions) < SESSIONS_TO_KNOW:
+            if len(part.sessions) < MIN_SESSIONS:
                 part.sessions.add(key)
             part.touched[instance] = now
             part.rate = self._rate(part, now) + 0.693 / self._half_life
@@ -59,15 +59,15 @@
         """Size of the longest known shared part of a prefix with its session id."""
         for length in range(len(prefix) - 1, 0, -1):
             part = self._parts.get((pool, prefix[:length]))
-            if part is not None and len(part.sessions) >= SESSIONS_TO_KNOW:
+            if part is not None and len(part.sessions) >= MIN_SESSIONS:
                 return part.tokens
         return 0
 
-    def kept(self, pool: PoolName, prefix: tuple[str, ...], instance: WorkerInstance, since: Instant) -> int:
+    def cached_tokens(self, pool: PoolName, prefix: tuple[str, ...], instance: WorkerInstance, since: Instant) -> int:
         """Tokens of the longest shared part sent to the worker at ``since`` or later."""
         for length in range(len(prefix) - 1, 0, -1):
             part = self._parts.get((pool, prefix[:length]))
-            if part is None or len(part.sessions) < SESSIONS_TO_KNOW:
+            if part is None or len(part.sessions) < MIN_SESSIONS:
                 continue
             if part.touched.get(instance, Instant(-1e18)) >= since:
                 return part.tokens
@@ -92,7 +92,7 @@
     def __init__(self) -> None:
         self._sampled: dict[PoolName, OrderedDict[int, tuple[int, Instant]]] = {}
         self._total: dict[PoolName, int] = {}
-        self._dropped_at: dict[PoolName, Instant] = {}
+        self._evicted_at: dict[PoolName, Instant] = {}
 
     def touched(self, pool: PoolName, key: int, own_tokens: int, at: Instant, sampled_capacity: float) -> None:
         """``sampled_capacity``: the pool's KV cache tokens, times the share of sessions that is sampled here."""
@@ -103,12 +103,12 @@
             total -= known[0]
         sample[key] = (own_tokens, at)
         total += own_tokens
-        while (total > sampled_capacity or len(sample) > SAMPLE_MOST) and len(sample) > 1:
-            _, (tokens, touched_at) = sample.popitem(last=False)
+        while (total > sampled_capacity or len(sample) > MAX_SAMPLED_SESSIONS) and len(sample) > 1:
+            _, (tokens, last_used_at) = sample.popitem(last=False)
             total -= tokens
-            self._dropped_at[pool] = max(touched_at, self._dropped_at.get(pool, touched_at))
+            self._evicted_at[pool] = max(last_used_at, self._evicted_at.get(pool, last_used_at))
         self._total[pool] = total
 
-    def kept_since(self, pool: PoolName) -> Instant:
+    def cached_since(self, pool: PoolName) -> Instant:
         """What was touched before this instant counts as dropped."""
-        return self._dropped_at.get(pool, Instant(-1e18))
+        return self._evicted_at.get(pool, Instant(-1e18))
--- a/wingwood/placement/guessed_bids.py
+++ b/wingwood/placement/estimated_size_bids.py
@@ -10,7 +10,7 @@
 from ..membership.protocols import Membership
 from ..registry.protocols import Worker
 from .bids import Forecast, Pressure, cheapest
-from .kept_prefixes import EvictionModel, SharedPrefixes
+from .cached_prefixes import EvictionModel, SharedPrefixes
 from .prefix_order import PrefixOrders
 from .protocols import Turn
 from .session_map import Entry
@@ -18,7 +18,7 @@
 from .worker_estimates import Workload
 
 
-class GuessedBids:
+class EstimatedSizeBids:
     """A ``Bidder`` (docs/DESIGN.md sections 11.3 to 11.5)."""
 
     def __init__(
@@ -39,16 +39,16 @@
         self._shared = SharedPrefixes()
         self._evictions = EvictionModel()
 
-    def session_kept(self, key: int, entry: Entry, capacity: int) -> None:
+    def session_stored(self, key: int, entry: Entry, capacity: int) -> None:
         """This router keeps the session's entry. ``capacity``: KV cache tokens of the whole pool."""
         routers = max(2, len(self._membership.routers()))
-        self._evictions.touched(entry.pool, key, entry.own_tokens, entry.touched_at, capacity * 2 / routers)
+        self._evictions.touched(entry.pool, key, entry.own_tokens, entry.last_used_at, capacity * 2 / routers)
 
-    def kept_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
-        since = self._evictions.kept_since(worker.pool)
-        if entry is not None and entry.holder == worker.instance and entry.touched_at >= since:
+    def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
+        since = self._evictions.cached_since(worker.pool)
+        if entry is not None and entry.holder == worker.instance and entry.last_used_at >= since:
             return min(entry.tokens, turn.prompt_tokens)
-        return min(turn.prompt_tokens, self._shared.kept(worker.pool, turn.prefix, worker.instance, since))
+        return min(turn.prompt_tokens, self._shared.cached_tokens(worker.pool, turn.prefix, worker.instance, since))
 
     def session_tokens(self, turn: Turn, tokens: int) -> int:
         return tokens
@@ -61,11 +61,11 @@
         return Forecast(uncached, self._workload.first_token(worker, uncached))
 
     def bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
-        compared = self._candidates(turn, entry, ready)
-        bids = [(self._cost_now(turn, entry, worker), worker) for worker in compared]
-        return cheapest(bids, None if entry is None else entry.holder, self._settings.move_gain)
+        candidates = self._candidates(turn, entry, ready)
+        bids = [(self._cost_now(turn, entry, worker), worker) for worker in candidates]
+        return cheapest(bids, None if entry is None else entry.holder, self._settings.min_move_gain)
 
-    def soonest(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
+    def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
         return min(self.forecast(turn, entry, worker).first_token for worker in ready)
 
     def _candidates(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Sequence[Worker]:
@@ -82,52 +82,60 @@
         now = self._context.clock.monotonic()
         routers = max(1, len(self._membership.routers()))
         slots = sum(worker.slots for worker in ready) / len(ready)
-        turn_seconds = self._workload.figures(order[0]).turn
+        turn_seconds = self._workload.estimates(order[0]).turn_duration
         side_by_side = self._shared.demand(pool, turn.prefix, now) * routers * turn_seconds
-        count = min(len(order), max(2, math.ceil(side_by_side / (self._settings.prefix_slots * slots))))
+        count = min(len(order), max(2, math.ceil(side_by_side / (self._settings.prefix_slot_share * slots))))
         fullness = [self._workload.load(worker) / worker.slots for worker in order]
-        bound = max(self._settings.bounded_load * sum(fullness) / len(fullness), 1.0 / slots)
+        bound = max(self._settings.load_bound * sum(fullness) / len(fullness), 1.0 / slots)
         while count < len(order) and all(full > bound for full in fullness[:count]):
             count += 1
         return order[:count]
 
     def _cost_now(self, turn: Turn, entry: Entry | None, worker: Worker) -> float:
         mean_wait = self._workload.mean_wait(worker, self._workload.load(worker))
-        return self._cost(turn, entry, worker, self._workload.wait(worker) + self._settings.crowd_cost * mean_wait)
+        return self._cost(
+            turn, entry, worker, self._workload.wait(worker) + self._settings.mean_wait_weight * mean_wait
+        )
 
-    def bid_ahead(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
+    def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
         """The holder against a few drawn others, so that routers do not all move to one."""
         others = [worker for worker in ready if worker.instance != entry.holder]
-        compared = self._context.random.sample(others, min(self._settings.candidates, len(others)))
-        compared.extend(worker for worker in ready if worker.instance == entry.holder)
-        turning = self._workload.turning(ready)
+        candidates = self._context.random.sample(others, min(self._settings.candidates, len(others)))
+        candidates.extend(worker for worker in ready if worker.instance == entry.holder)
+        active_share = self._workload.active_share(ready)
         bids = []
-        for worker in compared:
-            mean_wait = self._workload.mean_wait(worker, self._workload.load_ahead(worker, turning))
-            bids.append((self._cost(turn, entry, worker, self._settings.ahead_cost * mean_wait), worker))
-        return cheapest(bids, entry.holder, self._settings.move_gain)
+        for worker in candidates:
+            mean_wait = self._workload.mean_wait(worker, self._workload.expected_load(worker, active_share))
+            bids.append((self._cost(turn, entry, worker, self._settings.next_turn_wait_weight * mean_wait), worker))
+        return cheapest(bids, entry.holder, self._settings.min_move_gain)
 
     def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
         now = self._context.clock.monotonic()
         self._shared.sent(worker.pool, turn.prefix, key, turn.prompt_tokens, worker.instance, now)
 
     def ended(
-        self, turn: Turn, worker: Worker, uncached: int, waited: float, first_token: Seconds | None, whole: Seconds
+        self,
+        turn: Turn,
+        worker: Worker,
+        uncached: int,
+        predicted_wait: float,
+        first_token: Seconds | None,
+        duration: Seconds,
     ) -> None:
-        self._workload.learn(worker, uncached, waited, first_token, whole)
+        self._workload.learn(worker, uncached, predicted_wait, first_token, duration)
 
-    def left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
+    def turn_left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
         pass
 
     def forget(self, instance: WorkerInstance) -> None:
         self._shared.forget(instance)
 
-    def kept_since(self, pool: PoolName) -> Instant:
-        return self._evictions.kept_since(pool)
+    def cached_since(self, pool: PoolName) -> Instant:
+        return self._evictions.cached_since(pool)
 
     def _uncached(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
-        return max(0, turn.prompt_tokens - self.kept_tokens(turn, entry, worker))
+        return max(0, turn.prompt_tokens - self.cached_tokens(turn, entry, worker))
 
     def _cost(self, turn: Turn, entry: Entry | None, worker: Worker, wait: float) -> float:
-        prefill = self._uncached(turn, entry, worker) * self._workload.figures(worker).per_token
+        prefill = self._uncached(turn, entry, worker) * self._workload.estimates(worker).seconds_per_token
         return wait * self._pressure.of(worker.pool, turn.weight) + prefill
--- a/wingwood/placement/long_streams.py
+++ b/wingwood/placement/long_streams.py
@@ -21,18 +21,18 @@
 from .prefix_order import PrefixOrders
 from .protocols import Turn
 
-LONG_STREAM_TOKENS = 400
+LONG_STREAM_MIN_TOKENS = 400
 """Generated tokens from which a stream counts as long ..."""
-PROMPT_RATIO = 2.0
+MAX_PROMPT_RATIO = 2.0
 """... where its prompt has at most so many times its generated tokens."""
-FILLED_TO = 0.75
+MAX_STREAM_SLOT_SHARE = 0.75
 """Share of a worker's slots that long streams may take there."""
-SPREAD_TO = 0.68
+TARGET_STREAM_SLOT_SHARE = 0.68
 """Mean share of the slots that long streams take at the workers that they share."""
-DRAWN = 2
-KEPT_APART_FOR = Seconds(10.0)
+SAMPLED_WORKERS = 2
+RESERVATION_PERIOD_S = Seconds(10.0)
 """How long after the last long stream of a pool its first worker is still kept free."""
-OVERFULL_WAIT = Seconds(0.12)
+OVERFLOW_WAIT_S = Seconds(0.12)
 """Other turns go to the workers of long streams too when they would wait longer everywhere else."""
 
 
@@ -46,15 +46,15 @@
         exchange: EngagementExchange,
         orders: PrefixOrders,
         queues: PrefillQueues,
-        apart_most: float,
+        max_reserved_share: float,
     ) -> None:
-        """``apart_most``: share of a pool's workers that other turns leave alone at most."""
+        """``max_reserved_share``: share of a pool's workers that other turns leave alone at most."""
         self._clock = clock
         self._random = random
         self._exchange = exchange
         self._orders = orders
         self._queues = queues
-        self._apart_most = apart_most
+        self._max_reserved_share = max_reserved_share
         self._running: dict[RequestId, WorkerInstance] = {}
         self._own: Counter[WorkerInstance] = Counter()
         self._last_seen: dict[PoolName, Instant] = {}
@@ -62,14 +62,14 @@
     def is_long(self, turn: Turn) -> bool:
         """Only where sizes are told."""
         if (
-            not (turn.parts and self._apart_most)
-            or turn.generate_tokens < LONG_STREAM_TOKENS
+            not (turn.parts and self._max_reserved_share)
+            or turn.generate_tokens < LONG_STREAM_MIN_TOKENS
             or not turn.service.streaming
         ):
             return False
-        return turn.prompt_tokens <= PROMPT_RATIO * turn.generate_tokens
+        return turn.prompt_tokens <= MAX_PROMPT_RATIO * turn.generate_tokens
 
-    def begun(self, turn: Turn, worker: Worker) -> None:
+    def started(self, turn: Turn, worker: Worker) -> None:
         if self.is_long(turn):
             self._running[turn.request] = worker.instance
             self._own[worker.instance] += 1
@@ -86,7 +86,7 @@
         """This router's long streams there; told to the other routers."""
         return self._own[instance]
 
-    def at(self, worker: Worker) -> float:
+    def stream_count(self, worker: Worker) -> float:
         """Long streams of all routers there."""
         return self._own[worker.instance] + self._exchange.elsewhere(worker.instance).streams
 
@@ -99,49 +99,49 @@
         if self.is_long(turn):
             self._last_seen[pool] = now
             return self._with_room(turn, order) or ready
-        return self._others(order, now) or ready
+        return self._unreserved(order, now) or ready
 
     def pick(self, candidates: Sequence[Worker]) -> Worker:
         """The worker for a long stream: of two drawn ones the one with fewer of them."""
-        drawn = self._random.sample(list(candidates), min(DRAWN, len(candidates)))
-        return min(drawn, key=self.at)
+        drawn = self._random.sample(list(candidates), min(SAMPLED_WORKERS, len(candidates)))
+        return min(drawn, key=self.stream_count)
 
     def _with_room(self, turn: Turn, order: Sequence[Worker]) -> Sequence[Worker]:
         """Those of the workers that long streams share now that can take one more; else the next one that can."""
-        shared = self._shared_by(order)
+        shared = self._shared_worker_count(order)
         found: list[Worker] = []
         for place, worker in enumerate(order):
             if found and place >= shared:
                 break
-            if self._takes(turn, worker):
+            if self._can_take(turn, worker):
                 found.append(worker)
         return found
 
-    def _shared_by(self, order: Sequence[Worker]) -> int:
+    def _shared_worker_count(self, order: Sequence[Worker]) -> int:
         """How many workers the long streams of all routers need."""
-        streams = sum(self.at(worker) for worker in order)
-        return math.ceil(streams / (SPREAD_TO * order[0].slots))
+        streams = sum(self.stream_count(worker) for worker in order)
+        return math.ceil(streams / (TARGET_STREAM_SLOT_SHARE * order[0].slots))
 
-    def _takes(self, turn: Turn, worker: Worker) -> bool:
+    def _can_take(self, turn: Turn, worker: Worker) -> bool:
         """Whether it has room and is not behind with its prompts."""
-        if self.at(worker) >= FILLED_TO * worker.slots:
+        if self.stream_count(worker) >= MAX_STREAM_SLOT_SHARE * worker.slots:
             return False
         objective = turn.service.latency_objective
         return objective is None or self._queues.first_token(worker, turn.prompt_tokens) <= objective
 
-    def _others(self, order: Sequence[Worker], now: Instant) -> Sequence[Worker]:
-        apart = self._kept_apart(order, now)
-        others = [worker for worker in order if worker.instance not in apart]
-        if others and min(self._queues.wait(worker) for worker in others) <= OVERFULL_WAIT:
+    def _unreserved(self, order: Sequence[Worker], now: Instant) -> Sequence[Worker]:
+        reserved = self._reserved_workers(order, now)
+        others = [worker for worker in order if worker.instance not in reserved]
+        if others and min(self._queues.wait(worker) for worker in others) <= OVERFLOW_WAIT_S:
             return others
         return []
 
-    def _kept_apart(self, order: Sequence[Worker], now: Instant) -> set[WorkerInstance]:
+    def _reserved_workers(self, order: Sequence[Worker], now: Instant) -> set[WorkerInstance]:
         """Workers in the order of the streams' filling, as long as they hold some."""
-        most = int(self._apart_most * len(order))
-        lately = now - self._last_seen.get(order[0].pool, Instant(float("-inf"))) <= KEPT_APART_FOR
-        apart: set[WorkerInstance] = set()
+        most = int(self._max_reserved_share * len(order))
+        recently_seen = now - self._last_seen.get(order[0].pool, Instant(float("-inf"))) <= RESERVATION_PERIOD_S
+        reserved: set[WorkerInstance] = set()
         for place, worker in enumerate(order[:most]):
-            if self.at(worker) >= 1.0 or (place == 0 and lately):
-                apart.add(worker.instance)
-        return apart
+            if self.stream_count(worker) >= 1.0 or (place == 0 and recently_seen):
+                reserved.add(worker.instance)
+        return reserved
--- a/wingwood/placement/messages.py
+++ b/wingwood/placement/messages.py
@@ -1,85 +1,103 @@
-"""What routers tell each other about sessions and prefill queues (docs/DESIGN.md sections 11.2 and 11.12)."""
+"""Messages between routers about sessions and prefill queues (docs/DESIGN.md sections 11.2 and 11.12)."""
 
 from __future__ import annotations
 
+from typing import ClassVar
+
 import msgspec
 
 from ..identifiers import PoolName, Seconds, WorkerInstance
 
 
-class SessionNote(msgspec.Struct, frozen=True, array_like=True):
-    """Where a session's prefix probably is (claim), and who won its next turn (award).
+class SessionRecord(msgspec.Struct, frozen=True, array_like=True):
+    """Names the worker that probably caches a session's prefix (claim) and the winner of its next turn (award).
 
-    Times are ages and remaining seconds, never instants of another process.
+    Times are ages and remaining seconds, because instants of one process's clock mean nothing to another process.
     """
 
+    WIRE_NAME: ClassVar[str] = "SessionNote"
+
     key: int
-    """64 bits of the digest over pool and session; a collision costs a misplaced turn, no more."""
+    """64 bits of the digest over pool and session id. A collision only misplaces a turn."""
     pool: PoolName
     holder: WorkerInstance
+    """The worker that last ran a turn of the session."""
     tokens: int
-    """Kept at the holder, shared parts included; 0 when nothing is known."""
+    """Number of tokens that the holder caches, including shared parts; 0 when nothing is known."""
     own_tokens: int
-    """Without the shared parts."""
+    """Number of cached tokens that belong to this session alone, without the shared parts."""
     age: Seconds
-    """Since the holder last ran a turn of it."""
+    """Seconds since the holder last ran a turn of the session."""
     winner: WorkerInstance = WorkerInstance("")
-    """Empty: no award."""
+    """The worker that won the award; empty when there is no award."""
     award_left: Seconds = Seconds(0.0)
+    """Seconds until the award expires."""
     weight: float = 1.0
+    """Weight of the priority class of the session's tenant."""
 
 
-class KeepNotes(msgspec.Struct, frozen=True):
-    """Post to the keeper and its stand-in: new notes, or notes handed over after a change of members."""
+class StoreSessionRecords(msgspec.Struct, frozen=True):
+    """Post to the owner and the replica of the keys: new records, or records handed over after a membership change."""
 
-    notes: tuple[SessionNote, ...]
+    WIRE_NAME: ClassVar[str] = "KeepNotes"
+
+    records: tuple[SessionRecord, ...] = msgspec.field(name="notes")
 
 
 class LookUpSession(msgspec.Struct, frozen=True, array_like=True):
-    """Call to the keeper. Reply: SessionFound."""
+    """Call to the owner or the replica of a key. The reply is ``SessionFound``."""
 
     key: int
 
 
 class SessionFound(msgspec.Struct, frozen=True, array_like=True):
-    note: SessionNote | None
-    newcomer: bool
-    """The answerer became a keeper of the key only a moment ago; its None says little."""
+    """Reply to ``LookUpSession``."""
+
+    record: SessionRecord | None = msgspec.field(name="note")
+    """The stored record; None when the replying router has none."""
+    is_new_owner: bool = msgspec.field(name="newcomer")
+    """Whether the replying router became an owner of the key so recently that it may not have the record yet."""
 
 
 class QueueOffer(msgspec.Struct, frozen=True, array_like=True):
-    """One worker that a turn may go to."""
+    """One worker that a turn may be sent to."""
 
     worker: WorkerInstance
     prefill: Seconds
-    """How long its prompt takes there."""
-    beside: float
-    """What going there costs in seconds beside the wait in the prefill queue and the prefill."""
+    """Seconds that the worker needs to prefill the turn's prompt."""
+    other_cost: float = msgspec.field(name="beside")
+    """Cost of this worker in seconds, apart from the wait in the prefill queue and the prefill itself."""
 
 
 class JoinQueue(msgspec.Struct, frozen=True, array_like=True):
-    """Call to the keeper of the offered workers' queues. Reply: QueueJoined."""
+    """Call to the queue owner of the offered workers. The reply is ``QueueJoined``."""
 
     pool: PoolName
     offers: tuple[QueueOffer, ...]
     pressure: float
-    """How much a second of waiting counts."""
-    risked_from: Seconds
-    """A wait and prefill beyond this count ``risk_cost`` times more."""
+    """Cost of one second of waiting, in seconds."""
+    risk_threshold: Seconds = msgspec.field(name="risked_from")
+    """The part of wait and prefill that exceeds this many seconds counts an additional ``risk_cost`` times."""
     risk_cost: float
+    """Weight of each second beyond ``risk_threshold``."""
     awarded: bool = False
-    """The first offer is the award's winner: it takes the turn unless wait and prefill there go beyond the risk."""
+    """Whether the first offer is the award's winner.
+
+    The winner takes the turn unless its wait and prefill exceed ``risk_threshold``.
+    """
 
 
 class QueueJoined(msgspec.Struct, frozen=True, array_like=True):
+    """Reply to ``JoinQueue``."""
+
     offer: int
-    """Which one was taken."""
+    """Index of the offer that was chosen."""
     wait: Seconds
-    """Until its prefill begins."""
+    """Seconds until the worker starts to prefill the turn's prompt."""
 
 
 class QueueEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Post to the keeper: so much more (or, negative, less) is to be prefilled at a worker."""
+    """Post to a queue owner: a worker's prefill queue grew by ``prefill`` seconds, or shrank where it is negative."""
 
     pool: PoolName
     worker: WorkerInstance
--- a/wingwood/placement/plain_policies.py
+++ b/wingwood/placement/plain_policies.py
@@ -44,20 +44,20 @@
     ) -> Result[Choice, NoWorker]:
         ready = [worker for worker in self._registry.ready(pool) if worker.instance not in excluded]
         open_workers = [worker for worker in ready if not self._workload.is_full(worker)]
-        for worker in self._order(turn, self._workload.willing(open_workers)) if open_workers else ():
+        for worker in self._order(turn, self._workload.accepting(open_workers)) if open_workers else ():
             if await self._registry.confirm(worker):
                 first_token = self._workload.first_token(worker, turn.prompt_tokens)
-                waited = self._workload.wait(worker)
-                self._placed[(turn.request, worker.instance)] = (self._context.clock.monotonic(), waited)
+                predicted_wait = self._workload.wait(worker)
+                self._placed[(turn.request, worker.instance)] = (self._context.clock.monotonic(), predicted_wait)
                 self._workload.begin(worker.instance)
                 return Success(
-                    Choice(worker=worker, how="policy", first_token=first_token, uncached_tokens=turn.prompt_tokens)
+                    Choice(worker=worker, method="policy", first_token=first_token, uncached_tokens=turn.prompt_tokens)
                 )
         if ready and not open_workers:
-            return Failure(NoWorker("all-full", min(self._workload.room_after(worker) for worker in ready)))
+            return Failure(NoWorker("all-full", min(self._workload.time_until_room(worker) for worker in ready)))
         return Failure(NoWorker("none-ready", Seconds(1.0)))
 
-    def begun(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
+    def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
         pass
 
     def finished(
@@ -71,13 +71,13 @@
         placed = self._placed.pop((turn.request, choice.worker.instance), None)
         if placed is None:
             return
-        since, waited = placed
+        since, predicted_wait = placed
         self._workload.end(choice.worker.instance)
         if outcome == "refused":
             self._workload.refused(choice.worker.instance)
         elif outcome == "whole":
             seconds = self._context.clock.monotonic() - since
-            self._workload.learn(choice.worker, choice.uncached_tokens, waited, first_token_after, seconds)
+            self._workload.learn(choice.worker, choice.uncached_tokens, predicted_wait, first_token_after, seconds)
 
 
 class RoundRobin(_PlainPlacement):
--- a/wingwood/placement/policies.py
+++ b/wingwood/placement/policies.py
@@ -10,11 +10,11 @@
 from .award_placement import AwardPlacement
 from .plain_policies import LeastLoaded, RoundRobin, StickyByHash
 from .protocols import Placement
-from .queue_keepers import RouterQueueKeepers
-from .session_map import KeeperMap
+from .queue_owners import RouterQueueOwners
+from .session_map import DistributedMap
 
 
-def placement_of(
+def create_placement(
     context: Context,
     messenger: Messenger,
     membership: Membership,
@@ -30,7 +30,7 @@
         case "sticky":
             return StickyByHash(context, registry, registry)
         case "award":
-            session_map = KeeperMap(context, messenger, membership)
+            session_map = DistributedMap(context, messenger, membership)
             placement = AwardPlacement(
                 context,
                 membership,
@@ -38,7 +38,7 @@
                 registry,
                 session_map,
                 zone=settings.zone,
-                queue_keepers=RouterQueueKeepers(context, messenger, membership),
+                queue_owners=RouterQueueOwners(context, messenger, membership),
             )
-            session_map.on_keep = placement.kept_here
+            session_map.on_entry_stored = placement.entry_stored
             return placement
--- a/wingwood/placement/prefill_estimates.py
+++ b/wingwood/placement/prefill_estimates.py
@@ -15,36 +15,36 @@
 from ..identifiers import Instant, PoolName, RequestId, Seconds, WorkerInstance
 from ..registry.protocols import EngagementExchange, Worker
 from .bids import Forecast
-from .decaying import DecayingRate
-from .worker_estimates import FIGURES_MOST
+from .decaying_rate import DecayingRate
+from .worker_estimates import MAX_WORKER_ESTIMATES
 
-FLOW_HALF_LIFE = Seconds(1.5)
-FLOW_LEAST = 1.0
-SAMPLES = 40
-SAMPLED_SHARE = 0.25
+FLOW_HALF_LIFE_S = Seconds(1.5)
+MIN_FLOW_TOKENS_PER_S = 1.0
+MAX_SAMPLES = 40
+SAMPLE_QUANTILE = 0.25
 """The quantile of recent samples taken for a turn that did not wait."""
-SHORT_PROMPT = 600
+SHORT_PROMPT_TOKENS = 600
 """Tokens up to which a prompt's prefill is lost in the base time."""
-LONG_PROMPT = 1500
+LONG_PROMPT_TOKENS = 1500
 """Tokens from which a first token says how fast the prefill is."""
-BASE_AT_FIRST = Seconds(0.03)
-PER_TOKEN_AT_FIRST = 4e-6
-PER_TOKEN_LEAST, PER_TOKEN_MOST = 2e-7, 1e-3
-USE_MOST = 0.95
-OVERLOAD_GROWTH = 1.0
+INITIAL_BASE_LATENCY_S = Seconds(0.03)
+INITIAL_SECONDS_PER_TOKEN = 4e-6
+MIN_SECONDS_PER_TOKEN, MAX_SECONDS_PER_TOKEN = 2e-7, 1e-3
+MAX_UTILIZATION = 0.95
+OVERLOAD_GROWTH_RATE = 1.0
 """Seconds that a queue grows for each second's worth of prompts beyond what is prefilled in one."""
-SIZE_FOLD = 0.02
-SLOW_FOLD = 0.15
-SLOW_FROM = 1.5
+SIZE_SAMPLE_WEIGHT = 0.02
+SLOWNESS_SAMPLE_WEIGHT = 0.15
+SLOW_THRESHOLD = 1.5
 """Observed over predicted first tokens above which a worker counts as slow."""
-SLOW_MOST = 6.0
-SLOW_HALF_LIFE = Seconds(6.0)
+MAX_SLOWNESS = 6.0
+SLOWNESS_HALF_LIFE_S = Seconds(6.0)
 """Without new samples a worker's slowness is forgotten, since nobody tries it otherwise."""
-LEAST_FREE = 0.1
+MIN_FREE_CACHE_SHARE = 0.1
 """Share of a cache that running turns leave to kept parts at least."""
-KEPT_FOR_EVERY = Seconds(0.1)
+CACHE_RETENTION_UPDATE_S = Seconds(0.1)
 """How often it is worked out anew for a worker how long it keeps parts."""
-OVERDUE_FROM = 2.0
+OVERDUE_FORECAST_RATIO = 2.0
 """Times its forecast after which a first token counts as overdue."""
 
 
@@ -54,32 +54,32 @@
     since: Instant
     tokens: float
     forecast: float
-    slow: float
+    slowness: float
     """The worker's slowness that the forecast reckoned with."""
 
 
 class _WorkerPrefill(msgspec.Struct):
-    flow: DecayingRate = msgspec.field(default_factory=lambda: DecayingRate(FLOW_HALF_LIFE))
+    flow: DecayingRate = msgspec.field(default_factory=lambda: DecayingRate(FLOW_HALF_LIFE_S))
     """Own uncached tokens a second."""
     pending: OrderedDict[RequestId, _Pending] = msgspec.field(default_factory=OrderedDict)
     pending_tokens: float = 0.0
-    slow: float = 1.0
-    slow_at: Instant = Instant(0.0)
-    kept_for: Seconds = Seconds(0.0)
-    kept_for_at: Instant = Instant(float("-inf"))
+    slowness: float = 1.0
+    slowness_at: Instant = Instant(0.0)
+    cache_retention: Seconds = Seconds(0.0)
+    cache_retention_at: Instant = Instant(float("-inf"))
 
 
 class _PoolPrefill(msgspec.Struct):
-    bases: deque[float] = msgspec.field(default_factory=lambda: deque(maxlen=SAMPLES))
-    rates: deque[float] = msgspec.field(default_factory=lambda: deque(maxlen=SAMPLES))
-    base: float = BASE_AT_FIRST
-    per_token: float = PER_TOKEN_AT_FIRST
-    mean: float = 4000.0
+    base_samples: deque[float] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    rate_samples: deque[float] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    base_latency: float = INITIAL_BASE_LATENCY_S
+    seconds_per_token: float = INITIAL_SECONDS_PER_TOKEN
+    mean_tokens: float = 4000.0
     """Uncached tokens of a turn."""
-    mean_square: float = 4000.0**2 * 2
+    mean_square_tokens: float = 4000.0**2 * 2
     parts_share: float = 0.5
     """Of the uncached tokens: those of told parts, which are kept for others."""
-    held: float = 6000.0
+    held_tokens: float = 6000.0
     """Tokens that a running turn holds."""
 
 
@@ -91,12 +91,16 @@
         self._exchange = exchange
         self._workers: OrderedDict[WorkerInstance, _WorkerPrefill] = OrderedDict()
         self._pools: dict[PoolName, _PoolPrefill] = {}
-        self._first_tokens_told = False
+        self._first_tokens_reported = False
 
     # --- counting -----------------------------------------------------------------------------
 
-    def sent(self, request: RequestId, worker: Worker, forecast: Forecast, part_tokens: int, held: int) -> None:
-        """A turn goes to a worker. ``part_tokens``: of the uncached tokens those of told parts; ``held``: in all."""
+    def sent(self, request: RequestId, worker: Worker, forecast: Forecast, part_tokens: int, held_tokens: int) -> None:
+        """Records that a turn is sent to a worker.
+
+        ``part_tokens``: number of uncached tokens that belong to parts with a reported size. ``held_tokens``: number
+        of tokens that the turn holds in the worker's cache in all.
+        """
         now = self._clock.monotonic()
         uncached = forecast.uncached
         prefill = self._worker(worker.instance)
@@ -104,26 +108,26 @@
         prefill.pending[request] = _Pending(now, uncached, forecast.first_token, self._slowness(worker))
         prefill.pending_tokens += uncached
         pool = self._pool(worker.pool)
-        pool.mean += SIZE_FOLD * (uncached - pool.mean)
-        pool.mean_square += SIZE_FOLD * (uncached * uncached - pool.mean_square)
-        pool.held += SIZE_FOLD * (held - pool.held)
+        pool.mean_tokens += SIZE_SAMPLE_WEIGHT * (uncached - pool.mean_tokens)
+        pool.mean_square_tokens += SIZE_SAMPLE_WEIGHT * (uncached * uncached - pool.mean_square_tokens)
+        pool.held_tokens += SIZE_SAMPLE_WEIGHT * (held_tokens - pool.held_tokens)
         if uncached > 0:
-            pool.parts_share += SIZE_FOLD * (part_tokens / uncached - pool.parts_share)
+            pool.parts_share += SIZE_SAMPLE_WEIGHT * (part_tokens / uncached - pool.parts_share)
 
-    def first_token_came(self, request: RequestId, worker: Worker, after: Seconds) -> None:
+    def first_token_received(self, request: RequestId, worker: Worker, after: Seconds) -> None:
         """Prefilled; teaches how fast the workers are."""
-        self._first_tokens_told = True
-        pending = self._take(request, worker.instance)
+        self._first_tokens_reported = True
+        pending = self._remove_pending(request, worker.instance)
         if pending is not None:
             self._learn(worker, pending, after)
 
     def ended(self, request: RequestId, worker: Worker, first_token_after: Seconds | None) -> None:
         """The turn left its worker; nothing is learnt where its first token was told before."""
-        pending = self._take(request, worker.instance)
+        pending = self._remove_pending(request, worker.instance)
         if pending is not None and first_token_after is not None:
             self._learn(worker, pending, first_token_after)
 
-    def _take(self, request: RequestId, instance: WorkerInstance) -> _Pending | None:
+    def _remove_pending(self, request: RequestId, instance: WorkerInstance) -> _Pending | None:
         prefill = self._workers.get(instance)
         pending = None if prefill is None else prefill.pending.pop(request, None)
         if prefill is not None and pending is not None:
@@ -137,17 +141,17 @@
         """Own uncached tokens a second that go to the worker; told to the other routers."""
         prefill = self._workers.get(instance)
         flow = 0.0 if prefill is None else prefill.flow.read(self._clock.monotonic())
-        return flow if flow >= FLOW_LEAST else 0.0
+        return flow if flow >= MIN_FLOW_TOKENS_PER_S else 0.0
 
     # --- predicting ---------------------------------------------------------------------------
 
     def prefill(self, worker: Worker, tokens: float) -> float:
         """Seconds to prefill so many tokens there, without a wait."""
-        return tokens * self._pool(worker.pool).per_token * self._slowness(worker)
+        return tokens * self._pool(worker.pool).seconds_per_token * self._slowness(worker)
 
-    def base(self, worker: Worker) -> float:
+    def base_latency(self, worker: Worker) -> float:
         """Seconds to the first token of a prompt that neither waits nor has anything to prefill."""
-        return self._pool(worker.pool).base
+        return self._pool(worker.pool).base_latency
 
     def wait(self, worker: Worker) -> float:
         """Seconds until the prompts that are there are prefilled."""
@@ -156,7 +160,7 @@
         others = self.queue_wait(worker, self._exchange.elsewhere(worker.instance).prefill)
         if prefill is None or not prefill.pending:
             return others
-        own = prefill.pending_tokens * pool.per_token * self._slowness(worker)
+        own = prefill.pending_tokens * pool.seconds_per_token * self._slowness(worker)
         return max(own + others, self._overdue(prefill))
 
     def overdue(self, worker: Worker) -> float:
@@ -172,67 +176,67 @@
     def queue_wait(self, worker: Worker, flow: float) -> float:
         """Mean wait behind a flow of so many tokens a second."""
         pool = self._pool(worker.pool)
-        per_token = pool.per_token * self._slowness(worker)
-        use = flow * per_token
-        capped = min(USE_MOST, use)
-        residual = 0.5 * pool.mean_square / max(1.0, pool.mean) * per_token
-        return capped / (1.0 - capped) * residual + max(0.0, use - USE_MOST) * OVERLOAD_GROWTH
+        seconds_per_token = pool.seconds_per_token * self._slowness(worker)
+        use = flow * seconds_per_token
+        capped = min(MAX_UTILIZATION, use)
+        residual = 0.5 * pool.mean_square_tokens / max(1.0, pool.mean_tokens) * seconds_per_token
+        return capped / (1.0 - capped) * residual + max(0.0, use - MAX_UTILIZATION) * OVERLOAD_GROWTH_RATE
 
     def first_token(self, worker: Worker, uncached: float) -> float:
         """Seconds; without a wait for a free slot."""
-        return self.wait(worker) + self._pool(worker.pool).base + self.prefill(worker, uncached)
+        return self.wait(worker) + self._pool(worker.pool).base_latency + self.prefill(worker, uncached)
 
-    def kept_for(self, worker: Worker) -> Seconds:
+    def cache_retention(self, worker: Worker) -> Seconds:
         """How long the worker keeps an unused part: until new parts have filled what running turns leave free."""
         prefill = self._worker(worker.instance)
         now = self._clock.monotonic()
-        if now - prefill.kept_for_at >= KEPT_FOR_EVERY:
+        if now - prefill.cache_retention_at >= CACHE_RETENTION_UPDATE_S:
             pool = self._pool(worker.pool)
             elsewhere = self._exchange.elsewhere(worker.instance)
-            free = worker.cache_tokens - (elsewhere.running + len(prefill.pending)) * pool.held
+            free = worker.cache_tokens - (elsewhere.running + len(prefill.pending)) * pool.held_tokens
             flow = (elsewhere.prefill + self.flow(worker.instance)) * pool.parts_share
-            prefill.kept_for = Seconds(max(LEAST_FREE * worker.cache_tokens, free) / max(1.0, flow))
-            prefill.kept_for_at = now
-        return prefill.kept_for
+            prefill.cache_retention = Seconds(max(MIN_FREE_CACHE_SHARE * worker.cache_tokens, free) / max(1.0, flow))
+            prefill.cache_retention_at = now
+        return prefill.cache_retention
 
     def _overdue(self, prefill: _WorkerPrefill) -> float:
         """A worker that lets its oldest prompt wait will let the next one wait as long, or is gone."""
-        if not self._first_tokens_told:
+        if not self._first_tokens_reported:
             return 0.0
         oldest = next(iter(prefill.pending.values()))
-        return max(0.0, self._clock.monotonic() - oldest.since - OVERDUE_FROM * oldest.forecast)
+        return max(0.0, self._clock.monotonic() - oldest.since - OVERDUE_FORECAST_RATIO * oldest.forecast)
 
     # --- learning -----------------------------------------------------------------------------
 
     def _learn(self, worker: Worker, pending: _Pending, after: Seconds) -> None:
         pool = self._pool(worker.pool)
-        if pending.tokens <= SHORT_PROMPT:
-            pool.bases.append(after)
-            pool.base = _low_quantile(pool.bases)
-        elif pending.tokens >= LONG_PROMPT:
-            sample = (after - pool.base) / pending.tokens
-            pool.rates.append(min(PER_TOKEN_MOST, max(PER_TOKEN_LEAST, sample)))
-            pool.per_token = _low_quantile(pool.rates)
+        if pending.tokens <= SHORT_PROMPT_TOKENS:
+            pool.base_samples.append(after)
+            pool.base_latency = _low_quantile(pool.base_samples)
+        elif pending.tokens >= LONG_PROMPT_TOKENS:
+            sample = (after - pool.base_latency) / pending.tokens
+            pool.rate_samples.append(min(MAX_SECONDS_PER_TOKEN, max(MIN_SECONDS_PER_TOKEN, sample)))
+            pool.seconds_per_token = _low_quantile(pool.rate_samples)
         prefill = self._worker(worker.instance)
-        sample = pending.slow * after / max(pending.forecast, 0.5 * pool.base)
-        prefill.slow = self._decayed(prefill)
-        prefill.slow += SLOW_FOLD * (min(SLOW_MOST, sample) - prefill.slow)
-        prefill.slow_at = self._clock.monotonic()
+        sample = pending.slowness * after / max(pending.forecast, 0.5 * pool.base_latency)
+        prefill.slowness = self._decayed(prefill)
+        prefill.slowness += SLOWNESS_SAMPLE_WEIGHT * (min(MAX_SLOWNESS, sample) - prefill.slowness)
+        prefill.slowness_at = self._clock.monotonic()
 
     def _slowness(self, worker: Worker) -> float:
         """1.0 for a worker like the others."""
         prefill = self._workers.get(worker.instance)
-        return 1.0 if prefill is None or prefill.slow <= SLOW_FROM else self._decayed(prefill)
+        return 1.0 if prefill is None or prefill.slowness <= SLOW_THRESHOLD else self._decayed(prefill)
 
     def _decayed(self, prefill: _WorkerPrefill) -> float:
-        age = self._clock.monotonic() - prefill.slow_at
-        return float(1.0 + (prefill.slow - 1.0) * 0.5 ** (max(0.0, age) / SLOW_HALF_LIFE))
+        age = self._clock.monotonic() - prefill.slowness_at
+        return float(1.0 + (prefill.slowness - 1.0) * 0.5 ** (max(0.0, age) / SLOWNESS_HALF_LIFE_S))
 
     def _worker(self, instance: WorkerInstance) -> _WorkerPrefill:
         prefill = self._workers.get(instance)
         if prefill is None:
             prefill = self._workers[instance] = _WorkerPrefill()
-            if len(self._workers) > FIGURES_MOST:
+            if len(self._workers) > MAX_WORKER_ESTIMATES:
                 self._workers.popitem(last=False)
         return prefill
 
@@ -244,4 +248,4 @@
 
 
 def _low_quantile(samples: deque[float]) -> float:
-    return sorted(samples)[int(SAMPLED_SHARE * len(samples))]
+    return sorted(samples)[int(SAMPLE_QUANTILE * len(samples))]
--- a/wingwood/placement/prefix_order.py
+++ b/wingwood/placement/prefix_order.py
@@ -9,16 +9,16 @@
 from ..membership.rendezvous import ranked
 from ..registry.protocols import Worker
 
-ORDERS_MOST = 4_000
-KEPT_ORDER_MOST = 2
+MAX_CACHED_ORDERS = 4_000
+MAX_CACHED_ORDER_RATIO = 2
 """An order over more workers serves a part of them too, as long as it isn't so many times longer."""
 
 
 class PrefixOrders:
     """Rendezvous orders, the most lately used kept."""
 
-    def __init__(self, most: int = ORDERS_MOST) -> None:
-        self._most = most
+    def __init__(self, max_orders: int = MAX_CACHED_ORDERS) -> None:
+        self._max_orders = max_orders
         self._orders: OrderedDict[tuple[str, ...], tuple[WorkerInstance, ...]] = OrderedDict()
 
     def order(self, pool: PoolName, prefix: tuple[str, ...], ready: Sequence[Worker]) -> list[Worker]:
@@ -26,10 +26,14 @@
         name = (pool, *prefix)
         by_instance = {worker.instance: worker for worker in ready}
         order = self._orders.get(name)
-        if order is None or len(order) > KEPT_ORDER_MOST * len(by_instance) or not by_instance.keys() <= set(order):
+        if (
+            order is None
+            or len(order) > MAX_CACHED_ORDER_RATIO * len(by_instance)
+            or not by_instance.keys() <= set(order)
+        ):
             order = tuple(ranked("\n".join(name), sorted(by_instance), str))
             self._orders[name] = order
-            if len(self._orders) > self._most:
+            if len(self._orders) > self._max_orders:
                 self._orders.popitem(last=False)
         self._orders.move_to_end(name)
         return [by_instance[instance] for instance in order if instance in by_instance]
--- a/wingwood/placement/protocols.py
+++ b/wingwood/placement/protocols.py
@@ -1,4 +1,4 @@
-"""Where a turn goes, as the request path sees it (docs/DESIGN.md section 11)."""
+"""Interface of placement for the request path: choosing the worker of a turn (docs/DESIGN.md section 11)."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """One part of a prompt; the same id is the same text wherever all parts before it are the same too."""
+    """One part of a prompt. Equal ids stand for equal text only where all preceding parts are equal too."""
 
     part: str
     tokens: int
 
 
 class Turn(msgspec.Struct, frozen=True, kw_only=True):
-    """One call, as far as its placement is concerned."""
+    """The properties of one call that its placement depends on."""
 
     request: RequestId
     service: Service
     tenant: TenantName
     weight: float
-    """Of the tenant's priority class."""
+    """Weight of the tenant's priority class."""
     prefix: tuple[str, ...]
-    """Parts of the ``Prefix`` header, shared parts first; the last is the session id; empty without a header."""
+    """Parts of the ``Prefix`` header: shared parts first, the session id last. Empty without a header."""
     prompt_tokens: int
-    """Told by the caller, else estimated from the body's length."""
+    """Size of the prompt as the caller reported it, otherwise estimated from the length of the body."""
     parts: tuple[PromptPart, ...] = ()
-    """The parts of ``prefix`` with their sizes, where callers tell them."""
+    """The parts of ``prefix`` with their sizes; empty where the caller reports no sizes."""
     generate_tokens: int = 0
-    """Most tokens that the answer may have, where callers tell it."""
+    """The most tokens that the answer may have; 0 where the caller does not report it."""
     urgency: int = 5
-    """0 goes first, 9 last."""
+    """Priority of the call: 0 is the most urgent, 9 the least."""
     deadline: Instant | None = None
-    """When the caller gives the call up."""
+    """Instant at which the caller gives up the call; None without a deadline."""
 
     @property
     def session(self) -> SessionId | None:
@@ -47,26 +47,40 @@
 
 
 class Choice(msgspec.Struct, frozen=True, kw_only=True):
+    """The worker that was chosen for a turn."""
+
     worker: Worker
-    how: Literal["award", "claim", "bid", "hash", "policy"]
-    """Why: an award of a past hint, a guess that it keeps the prefix, a fresh bid, the fallback, a plain policy."""
+    method: Literal["award", "claim", "bid", "hash", "policy"] = msgspec.field(name="how")
+    """The kind of decision that led to the worker.
+
+    award: an award recorded at an earlier hint; claim: the worker probably caches the prefix; bid: the worker won
+    a new bid; hash: the fallback on which all routers agree; policy: a policy that ignores sessions.
+    """
     first_token: Seconds
-    """Predicted time to its first token."""
+    """Predicted seconds until the first token of the answer."""
     uncached_tokens: int = 0
+    """Predicted number of prompt tokens that the worker has to prefill."""
 
 
 class NoWorker(msgspec.Struct, frozen=True):
+    """Why no worker could be chosen, and after how many seconds the caller may retry."""
+
     reason: Literal["none-ready", "all-full"]
     retry_after: Seconds
 
 
 class Placement(Protocol):
+    """Chooses a worker for each turn. There is one per router."""
+
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
-        """The worker for this turn; it is counted as running there until ``finished``."""
+        """Chooses a worker other than the excluded ones; the turn counts as running there until ``finished``."""
         ...
 
-    def begun(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
-        """The first piece of the turn's answer came, so long after it was sent; its prompt waits no more."""
+    def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
+        """Reports the first chunk of the answer, received ``first_token_after`` seconds after the turn was sent.
+
+        The turn's prompt no longer waits for its prefill.
+        """
         ...
 
     def finished(
@@ -77,5 +91,9 @@
         generated_tokens: int,
         first_token_after: Seconds | None,
     ) -> None:
-        """The turn left its worker. ``whole`` is the hint of the session's next turn: bid and record the award."""
+        """Reports that the turn left its worker.
+
+        A complete answer (``whole``) is the hint of the session's next turn: placement bids for that turn and
+        records the award.
+        """
         ...
--- a/wingwood/placement/queue_keepers.py
+++ b/wingwood/placement/queue_owners.py
@@ -25,18 +25,18 @@
 from ..transport.messenger import Messenger
 from .bids import queued_cost
 from .messages import JoinQueue, QueueEntry, QueueJoined, QueueOffer
-from .passed_over import PassedOver
+from .unresponsive_routers import UnresponsiveRouters
 
-GROUP_WORKERS = 16
+WORKERS_PER_GROUP = 16
 """Workers of a pool that one keeper serves, about."""
-ASK_TIMEOUT = Seconds(0.015)
-KEEPERS_ASKED = 2
+ASK_TIMEOUT_S = Seconds(0.015)
+OWNERS_ASKED = 2
 """The keeper and its stand-in."""
-QUEUES_MOST = 30_000
-NUMBERS_MOST = 30_000
+MAX_QUEUES = 30_000
+MAX_CACHED_NUMBERS = 30_000
 
 
-class QueueKeepers(Protocol):
+class QueueOwners(Protocol):
     def group(self, worker: Worker, ready: Sequence[Worker], pool_size: int) -> Sequence[Worker]:
         """Of these workers of its pool, which has so many in all, those that have the worker's keeper."""
         ...
@@ -50,7 +50,7 @@
         ...
 
 
-class NoQueueKeepers:
+class NoQueueOwners:
     """Each router goes by what it knows itself."""
 
     def group(self, worker: Worker, ready: Sequence[Worker], pool_size: int) -> Sequence[Worker]:
@@ -77,7 +77,7 @@
         free_at = self._clock.monotonic() + self.wait(entry.worker) + entry.prefill
         self._free_at[entry.worker] = Instant(free_at)
         self._free_at.move_to_end(entry.worker)
-        if len(self._free_at) > QUEUES_MOST:
+        if len(self._free_at) > MAX_QUEUES:
             self._free_at.popitem(last=False)
 
     def join(self, question: JoinQueue) -> QueueJoined:
@@ -90,7 +90,7 @@
 
     def _award_stands(self, question: JoinQueue) -> bool:
         winner = question.offers[0]
-        return question.awarded and self.wait(winner.worker) + winner.prefill <= question.risked_from
+        return question.awarded and self.wait(winner.worker) + winner.prefill <= question.risk_threshold
 
     def _cheapest(self, question: JoinQueue) -> int:
         costs = [self._cost(question, offer) for offer in question.offers]
@@ -100,58 +100,58 @@
         return queued_cost(
             self.wait(offer.worker),
             offer.prefill,
-            offer.beside,
+            offer.other_cost,
             pressure=question.pressure,
-            risked_from=question.risked_from,
+            risk_threshold=question.risk_threshold,
             risk_cost=question.risk_cost,
         )
 
 
-class RouterQueueKeepers:
-    """A ``QueueKeepers`` over the fleet's routers: asks, and answers for the groups that this router keeps."""
+class RouterQueueOwners:
+    """A ``QueueOwners`` over the fleet's routers: asks, and answers for the groups that this router keeps."""
 
     def __init__(self, context: Context, messenger: Messenger, membership: Membership) -> None:
         self._messenger = messenger
         self._membership = membership
         self._times = PrefillQueueTimes(context.clock)
-        self._groups: dict[PoolName, int] = {}
+        self._group_counts: dict[PoolName, int] = {}
         """Groups of each pool, by its ready workers."""
-        self._keepers: dict[tuple[PoolName, int], tuple[Identity, ...]] = {}
-        self._passed_over = PassedOver(context.clock)
+        self._owners: dict[tuple[PoolName, int], tuple[Identity, ...]] = {}
+        self._unresponsive = UnresponsiveRouters(context.clock)
         messenger.on_call(JoinQueue, self._on_join)
         messenger.on_post(QueueEntry, self._on_entry)
-        membership.on_change(self._keepers.clear)
+        membership.on_change(self._owners.clear)
 
     def group(self, worker: Worker, ready: Sequence[Worker], pool_size: int) -> Sequence[Worker]:
         pool = worker.pool
-        groups = self._groups[pool] = max(1, -(-pool_size // GROUP_WORKERS))
-        if groups == 1:
+        group_count = self._group_counts[pool] = max(1, -(-pool_size // WORKERS_PER_GROUP))
+        if group_count == 1:
             return ready
         number = self._group_of(pool, worker.instance)
         return [other for other in ready if self._group_of(pool, other.instance) == number]
 
     async def join(self, question: JoinQueue) -> QueueJoined | None:
-        for keeper in self._keepers_of(question.pool, question.offers[0].worker):
-            if self._is_me(keeper):
+        for owner in self._owners_of(question.pool, question.offers[0].worker):
+            if self._is_self(owner):
                 return self._times.join(question)
-            if self._passed_over.holds(keeper.incarnation):
+            if self._unresponsive.contains(owner.incarnation):
                 continue
-            reply = await self._messenger.call(keeper.internal, question, QueueJoined, ASK_TIMEOUT)
+            reply = await self._messenger.call(owner.internal, question, QueueJoined, ASK_TIMEOUT_S)
             if isinstance(reply, Success):
                 joined: QueueJoined = reply.unwrap()
                 if joined.offer < len(question.offers):
                     return joined
-            self._passed_over.add(keeper.incarnation)
+            self._unresponsive.add(owner.incarnation)
         return None
 
     def entered(self, entry: QueueEntry) -> None:
-        keeper = next(iter(self._keepers_of(entry.pool, entry.worker)), None)
-        if keeper is None:
+        owner = next(iter(self._owners_of(entry.pool, entry.worker)), None)
+        if owner is None:
             return
-        if self._is_me(keeper):
+        if self._is_self(owner):
             self._times.enter(entry)
         else:
-            self._messenger.post(keeper.internal, entry)
+            self._messenger.post(owner.internal, entry)
 
     # --- keeping ------------------------------------------------------------------------------
 
@@ -163,25 +163,25 @@
 
     # --- who keeps ----------------------------------------------------------------------------
 
-    def _is_me(self, router: Identity) -> bool:
+    def _is_self(self, router: Identity) -> bool:
         return router.incarnation == self._messenger.identity.incarnation
 
     def _group_of(self, pool: PoolName, worker: WorkerInstance) -> int:
-        groups = self._groups.get(pool, 1)
-        if groups == 1:
+        group_count = self._group_counts.get(pool, 1)
+        if group_count == 1:
             return 0
-        return _number(worker) % groups
+        return _number(worker) % group_count
 
-    def _keepers_of(self, pool: PoolName, worker: WorkerInstance) -> tuple[Identity, ...]:
+    def _owners_of(self, pool: PoolName, worker: WorkerInstance) -> tuple[Identity, ...]:
         name = (pool, self._group_of(pool, worker))
-        keepers = self._keepers.get(name)
-        if keepers is None:
+        owners = self._owners.get(name)
+        if owners is None:
             order = ranked(f"queue {name[0]} {name[1]}", self._membership.routers(), lambda router: router.name)
-            keepers = self._keepers[name] = tuple(order[:KEEPERS_ASKED])
-        return keepers
+            owners = self._owners[name] = tuple(order[:OWNERS_ASKED])
+        return owners
 
 
-@lru_cache(NUMBERS_MOST)
+@lru_cache(MAX_CACHED_NUMBERS)
 def _number(worker: WorkerInstance) -> int:
     """By which all routers share the workers out among the groups."""
     return int.from_bytes(hashlib.blake2b(worker.encode(), digest_size=8).digest(), "big")
--- a/wingwood/placement/told_bids.py
+++ b/wingwood/placement/reported_size_bids.py
@@ -16,23 +16,23 @@
 from .prefill_estimates import PrefillQueues
 from .prefix_order import PrefixOrders
 from .protocols import PromptPart, Turn
-from .queue_keepers import QueueKeepers
-from .recurrence import Recurrence
+from .queue_owners import QueueOwners
+from .sent_chains import KnownChains, SentChains
 from .session_map import Entry
+from .session_recurrence import SessionRecurrence
 from .settings import AwardSettings
-from .told_parts import KnownChains, ToldParts
 from .worker_estimates import Workload
 
-AFFINITY_LEAST = Seconds(0.002)
+MIN_AFFINITY_PREFILL_S = Seconds(0.002)
 """A prefix whose prefill takes less than this is worth no detour."""
-QUEUED_LEAST = Seconds(0.003)
+MIN_QUEUED_PREFILL_S = Seconds(0.003)
 """A prompt whose prefill takes less than this doesn't ask the queue keeper."""
-ENTERED_MOST = 20_000
-NEVER_RISKED = 1e6
+MAX_ENTERED_TURNS = 20_000
+NO_RISK_THRESHOLD_S = 1e6
 """Seconds."""
 
 
-class Joined(msgspec.Struct, frozen=True):
+class QueueChoice(msgspec.Struct, frozen=True):
     """The worker that the queue keeper picked."""
 
     worker: Worker
@@ -48,26 +48,26 @@
     """Tokens."""
     slot_wait: float
     """Seconds."""
-    reread_cost: float
+    repeated_prefill_cost: float
     """Seconds."""
 
 
-class _Homes(msgspec.Struct, frozen=True):
+class _PrefixWorkers(msgspec.Struct, frozen=True):
     """The workers of a prompt's prefix."""
 
     workers: Sequence[Worker]
     """The first of its order, as many as its demand needs and one more."""
-    leant_to: Sequence[Worker]
+    preferred: Sequence[Worker]
     """Those to which all routers lean where nobody is known to keep the prefix."""
     shared_tokens: int
 
-    def among(self, ready: Sequence[Worker]) -> _Homes:
+    def among(self, ready: Sequence[Worker]) -> _PrefixWorkers:
         instances = {worker.instance for worker in ready}
         workers = [worker for worker in self.workers if worker.instance in instances]
         return msgspec.structs.replace(self, workers=workers)
 
 
-class ToldBids:
+class ReportedSizeBids:
     """A ``Bidder``."""
 
     def __init__(
@@ -76,63 +76,65 @@
         membership: Membership,
         workload: Workload,
         queues: PrefillQueues,
-        recurrence: Recurrence,
+        session_recurrence: SessionRecurrence,
         pressure: Pressure,
         orders: PrefixOrders,
         zone: Zone | None,
         settings: AwardSettings,
-        keepers: QueueKeepers,
+        queue_owners: QueueOwners,
     ) -> None:
         self._context = context
         self._membership = membership
         self._workload = workload
         self._queues = queues
-        self._recurrence = recurrence
+        self._recurrence = session_recurrence
         self._pressure = pressure
         self._orders = orders
         self._zone = zone
         self._settings = settings
-        self._keepers = keepers
+        self._queue_owners = queue_owners
         self._entered: dict[RequestId, QueueEntry] = {}
         """Turns under way that a queue keeper counted in."""
-        self._parts = ToldParts()
+        self._parts = SentChains()
         self._workers: dict[PoolName, int] = {}
 
-    # --- what is kept -------------------------------------------------------------------------
+    # --- what is cached -------------------------------------------------------------------------
 
-    def kept_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
-        return self._kept(turn, entry, worker, self._known(worker.pool, turn))
+    def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
+        return self._cached_tokens(turn, entry, worker, self._known(worker.pool, turn))
 
     def _known(self, pool: PoolName, turn: Turn) -> KnownChains:
         return self._parts.known(pool, self._reused(turn), self._context.clock.monotonic())
 
-    def _kept(self, turn: Turn, entry: Entry | None, worker: Worker, known: KnownChains) -> int:
-        kept_for = self._queues.kept_for(worker)
+    def _cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker, known: KnownChains) -> int:
+        cache_retention = self._queues.cache_retention(worker)
         routers = len(self._membership.routers())
-        kept = known.kept(worker.instance, kept_for, (routers - 1) / self._workers.get(worker.pool, 1))
-        if entry is not None and entry.holder == worker.instance and known.now - entry.touched_at <= kept_for:
-            kept = max(kept, min(entry.tokens, _told(turn.parts)))
-        return min(turn.prompt_tokens, int(kept))
+        cached = known.cached_tokens(
+            worker.instance, cache_retention, (routers - 1) / self._workers.get(worker.pool, 1)
+        )
+        if entry is not None and entry.holder == worker.instance and known.now - entry.last_used_at <= cache_retention:
+            cached = max(cached, min(entry.tokens, _total_tokens(turn.parts)))
+        return min(turn.prompt_tokens, int(cached))
 
-    def _likely_kept(self, shared_tokens: int, known: KnownChains) -> float:
+    def _probably_cached(self, shared_tokens: int, known: KnownChains) -> float:
         """At the workers to which all lean.
 
         The chains in use come to be kept at every worker, so that reading them there once is no reason to
         put the next prompt elsewhere; the others may have sent the rest of the prompt before.
         """
         in_use = known.tokens()
-        return in_use + self._settings.home_trust * max(0, shared_tokens - in_use)
+        return in_use + self._settings.first_worker_cache_probability * max(0, shared_tokens - in_use)
 
     def session_tokens(self, turn: Turn, tokens: int) -> int:
         """What no part tells of is never asked for again."""
-        return min(tokens, _told(turn.parts))
+        return min(tokens, _total_tokens(turn.parts))
 
     def own_tokens(self, pool: PoolName, turn: Turn, tokens: int) -> int:
         return turn.parts[-1].tokens
 
     def _reused(self, turn: Turn) -> tuple[PromptPart, ...]:
         """The parts that may come again: without the last one where it is each request's own."""
-        return turn.parts if self._recurrence.comes_back(turn.service.name) else turn.parts[:-1]
+        return turn.parts if self._recurrence.sessions_recur(turn.service.name) else turn.parts[:-1]
 
     def _shared(self, turn: Turn, worker: Worker) -> tuple[PromptPart, ...]:
         """The parts by which all routers agree on the workers of a prompt that nobody is known to keep.
@@ -141,129 +143,134 @@
         go to as many workers as there are turns. It counts where the parts before it are those of very many turns:
         a single first part, or more demand than one worker serves.
         """
-        if self._recurrence.tried(turn.service.name):
+        if self._recurrence.has_enough_turns(turn.service.name):
             return self._reused(turn)
         before = turn.parts[:-1]
-        is_common = len(before) < 2 or self._use(turn, before, worker) > self._settings.prefix_use
+        is_common = len(before) < 2 or self._prefill_share(turn, before, worker) > self._settings.prefix_prefill_share
         return turn.parts if is_common else before
 
     # --- bids ---------------------------------------------------------------------------------
 
     def forecast(self, turn: Turn, entry: Entry | None, worker: Worker) -> Forecast:
-        uncached = turn.prompt_tokens - self.kept_tokens(turn, entry, worker)
+        uncached = turn.prompt_tokens - self.cached_tokens(turn, entry, worker)
         first_token = self._workload.wait(worker) + self._queues.first_token(worker, uncached)
         return Forecast(uncached, Seconds(first_token))
 
     def bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
         """By what this router knows of the queues."""
-        offers = self._offers(turn, entry, self._homes(turn, entry, ready), ready)
-        bids = [(self._offered_cost(turn, offer), offer.worker) for offer in offers]
-        return cheapest(bids, None if entry is None else entry.holder, self._settings.told_move_gain)
+        offers = self._offers(turn, entry, self._find_prefix_workers(turn, entry, ready), ready)
+        bids = [(self._offer_cost(turn, offer), offer.worker) for offer in offers]
+        return cheapest(bids, None if entry is None else entry.holder, self._settings.min_move_gain_with_sizes)
 
     async def join(
         self, turn: Turn, entry: Entry | None, ready: Sequence[Worker], winner: Worker | None = None
-    ) -> Joined | None:
+    ) -> QueueChoice | None:
         """By what the queue keeper knows; None where there is little to prefill, or no keeper answers.
 
         ``winner``: that of a standing award, which takes the turn unless its queue risks the objective.
         """
-        if self._queues.prefill(ready[0], turn.prompt_tokens) < QUEUED_LEAST:
+        if self._queues.prefill(ready[0], turn.prompt_tokens) < MIN_QUEUED_PREFILL_S:
             return None
-        homes = self._homes(turn, entry, ready)
-        first = winner or _holder(entry, ready) or next(iter(homes.workers), None) or self._context.random.choice(ready)
-        grouped = self._keepers.group(first, ready, self._workload.pool_size(first.pool))
-        offers = self._offers(turn, entry, homes.among(grouped), grouped, first)
+        prefix_workers = self._find_prefix_workers(turn, entry, ready)
+        first = (
+            winner
+            or _holder(entry, ready)
+            or next(iter(prefix_workers.workers), None)
+            or self._context.random.choice(ready)
+        )
+        grouped = self._queue_owners.group(first, ready, self._workload.pool_size(first.pool))
+        offers = self._offers(turn, entry, prefix_workers.among(grouped), grouped, first)
         pool = ready[0].pool
         question = JoinQueue(
             pool=pool,
             offers=tuple(self._queue_offer(turn, offer) for offer in offers),
             pressure=self._pressure.of(pool, turn.weight),
-            risked_from=self._risked_from(turn, ready[0]),
+            risk_threshold=self._risk_threshold(turn, ready[0]),
             risk_cost=self._settings.risk_cost,
             awarded=winner is not None,
         )
-        joined = await self._keepers.join(question)
-        if joined is None:
+        queue_choice = await self._queue_owners.join(question)
+        if queue_choice is None:
             return None
-        offer = offers[joined.offer]
-        prefill = question.offers[joined.offer].prefill
-        self._note_entered(turn.request, QueueEntry(pool, offer.worker.instance, prefill))
-        first_token = offer.slot_wait + joined.wait + self._queues.base(offer.worker) + prefill
-        return Joined(offer.worker, Forecast(int(offer.uncached), Seconds(first_token)))
+        offer = offers[queue_choice.offer]
+        prefill = question.offers[queue_choice.offer].prefill
+        self._remember_entered(turn.request, QueueEntry(pool, offer.worker.instance, prefill))
+        first_token = offer.slot_wait + queue_choice.wait + self._queues.base_latency(offer.worker) + prefill
+        return QueueChoice(offer.worker, Forecast(int(offer.uncached), Seconds(first_token)))
 
-    def _homes(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> _Homes:
+    def _find_prefix_workers(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> _PrefixWorkers:
         shared = self._shared(turn, ready[0]) if entry is None else self._reused(turn)
         workers = self._prefix_workers(turn, shared, ready, 1)
-        leant_to = workers[: max(1, len(workers) - 1)] if entry is None else []
-        return _Homes(workers, leant_to, _told(shared))
+        preferred = workers[: max(1, len(workers) - 1)] if entry is None else []
+        return _PrefixWorkers(workers, preferred, _total_tokens(shared))
 
     def _offers(
         self,
         turn: Turn,
         entry: Entry | None,
-        homes: _Homes,
+        prefix_workers: _PrefixWorkers,
         ready: Sequence[Worker],
         first: Worker | None = None,
     ) -> list[_Offer]:
         """That of the first worker, of the prefix's own ones, of the holder, and of a few drawn ones."""
-        drawn = self._settings.drawn_beside if homes.workers else self._settings.told_candidates
-        compared = self._compared(entry, homes.workers, drawn, ready)
+        drawn = self._settings.extra_candidates if prefix_workers.workers else self._settings.candidates_with_sizes
+        candidates = self._candidates(entry, prefix_workers.workers, drawn, ready)
         if first is not None:
-            compared = [first, *(worker for worker in compared if worker.instance != first.instance)]
+            candidates = [first, *(worker for worker in candidates if worker.instance != first.instance)]
         known = self._known(ready[0].pool, turn)
-        likely_kept = self._likely_kept(homes.shared_tokens, known)
+        probably_cached = self._probably_cached(prefix_workers.shared_tokens, known)
         offers = []
-        for worker in compared:
+        for worker in candidates:
             load = self._workload.load(worker)
-            kept = float(self._kept(turn, entry, worker, known))
-            if worker in homes.leant_to:
-                kept = max(kept, likely_kept)
+            cached = float(self._cached_tokens(turn, entry, worker, known))
+            if worker in prefix_workers.preferred:
+                cached = max(cached, probably_cached)
             slot_wait = self._workload.wait_at(worker, load)
-            again = self._reread_cost(turn, worker, homes.shared_tokens - kept)
-            offers.append(_Offer(worker, load, turn.prompt_tokens - kept, slot_wait, again))
+            again = self._repeated_prefill_cost(turn, worker, prefix_workers.shared_tokens - cached)
+            offers.append(_Offer(worker, load, turn.prompt_tokens - cached, slot_wait, again))
         return offers
 
     def _queue_offer(self, turn: Turn, offer: _Offer) -> QueueOffer:
         worker = offer.worker
         prefill = self._queues.prefill(worker, offer.uncached)
         waits = offer.slot_wait + self._queues.overdue(worker)
-        beside = self._pressure.of(worker.pool, turn.weight) * waits + self._beside(worker, prefill, offer.load)
-        return QueueOffer(worker.instance, Seconds(prefill), beside + offer.reread_cost)
+        other_cost = self._pressure.of(worker.pool, turn.weight) * waits + self._other_cost(worker, prefill, offer.load)
+        return QueueOffer(worker.instance, Seconds(prefill), other_cost + offer.repeated_prefill_cost)
 
-    def _offered_cost(self, turn: Turn, offer: _Offer) -> float:
+    def _offer_cost(self, turn: Turn, offer: _Offer) -> float:
         wait = offer.slot_wait + self._queues.wait(offer.worker)
-        return self._cost(turn, offer.worker, offer.uncached, wait, offer.load) + offer.reread_cost
+        return self._cost(turn, offer.worker, offer.uncached, wait, offer.load) + offer.repeated_prefill_cost
 
-    def soonest(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
-        homes = self._prefix_workers(turn, self._reused(turn), ready, 1)
-        compared = self._compared(entry, homes, self._settings.told_candidates, ready)
-        return min(self.forecast(turn, entry, worker).first_token for worker in compared)
+    def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
+        prefix_workers = self._prefix_workers(turn, self._reused(turn), ready, 1)
+        candidates = self._candidates(entry, prefix_workers, self._settings.candidates_with_sizes, ready)
+        return min(self.forecast(turn, entry, worker).first_token for worker in candidates)
 
-    def bid_ahead(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
+    def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
         """By the flows of prompts, since the queues of this moment are gone when the turn comes.
 
         A prefix in such demand that it has several workers of its own takes turns among them.
         """
-        homes = self._prefix_workers(turn, self._reused(turn), ready, 0)
-        drawn = 0 if len(homes) > 1 else self._settings.drawn_beside
-        compared = self._compared(entry, homes, drawn, ready)
+        prefix_workers = self._prefix_workers(turn, self._reused(turn), ready, 0)
+        drawn = 0 if len(prefix_workers) > 1 else self._settings.extra_candidates
+        candidates = self._candidates(entry, prefix_workers, drawn, ready)
         stays = entry.holder if drawn else None
         if not drawn:
-            compared = self._context.random.sample(compared, 2)
+            candidates = self._context.random.sample(candidates, 2)
         known = self._known(ready[0].pool, turn)
         bids = []
-        for worker in compared:
+        for worker in candidates:
             load = self._workload.load(worker)
-            uncached = turn.prompt_tokens - self._kept(turn, entry, worker, known)
+            uncached = turn.prompt_tokens - self._cached_tokens(turn, entry, worker, known)
             wait = self._workload.mean_wait(worker, load) + self._queues.mean_wait(worker)
             bids.append((self._cost(turn, worker, uncached, wait, load), worker))
-        return cheapest(bids, stays, self._settings.told_move_gain)
+        return cheapest(bids, stays, self._settings.min_move_gain_with_sizes)
 
-    def _compared(
-        self, entry: Entry | None, homes: Sequence[Worker], drawn: int, ready: Sequence[Worker]
+    def _candidates(
+        self, entry: Entry | None, prefix_workers: Sequence[Worker], drawn: int, ready: Sequence[Worker]
     ) -> list[Worker]:
         """Each once: the holder, the given ones and some drawn."""
-        found = list(homes)
+        found = list(prefix_workers)
         holder = _holder(entry, ready)
         if holder is not None:
             found.append(holder)
@@ -276,36 +283,38 @@
         return queued_cost(
             wait,
             prefill,
-            self._beside(worker, prefill, load),
+            self._other_cost(worker, prefill, load),
             pressure=self._pressure.of(worker.pool, turn.weight),
-            risked_from=self._risked_from(turn, worker),
+            risk_threshold=self._risk_threshold(turn, worker),
             risk_cost=self._settings.risk_cost,
         )
 
-    def _beside(self, worker: Worker, prefill: float, load: float) -> float:
+    def _other_cost(self, worker: Worker, prefill: float, load: float) -> float:
         """Seconds: for the streams that run beside the prefill, and for the way."""
-        way = 0.0 if self._zone is None or worker.zone == self._zone else self._settings.other_zone
-        return self._settings.harm * prefill * load + way
+        way = 0.0 if self._zone is None or worker.zone == self._zone else self._settings.other_zone_cost
+        return self._settings.stream_delay_weight * prefill * load + way
 
-    def _risked_from(self, turn: Turn, worker: Worker) -> Seconds:
+    def _risk_threshold(self, turn: Turn, worker: Worker) -> Seconds:
         """A wait and prefill beyond this risk the latency objective, or a pause of the streams that run beside."""
-        risked_from = NEVER_RISKED
+        risk_threshold = NO_RISK_THRESHOLD_S
         objective, pause = turn.service.latency_objective, turn.service.longest_pause
         if objective is not None:
-            risked_from = min(risked_from, objective * self._settings.objective_risked - self._queues.base(worker))
+            risk_threshold = min(
+                risk_threshold, objective * self._settings.objective_risk_share - self._queues.base_latency(worker)
+            )
         if pause is not None and turn.service.streaming:
-            risked_from = min(risked_from, pause * self._settings.pause_risked)
-        return Seconds(max(0.0, risked_from))
+            risk_threshold = min(risk_threshold, pause * self._settings.pause_risk_share)
+        return Seconds(max(0.0, risk_threshold))
 
-    def _reread_cost(self, turn: Turn, worker: Worker, tokens: float) -> float:
+    def _repeated_prefill_cost(self, turn: Turn, worker: Worker, tokens: float) -> float:
         """Seconds: what prefilling shared parts once more is worth avoiding, beyond the time that it takes here.
 
         Other turns wait behind it, and the part takes the place of another part in this worker's cache. It isn't
         worth the latency objective.
         """
-        cost = self._settings.reread_cost * self._queues.prefill(worker, max(0.0, tokens))
+        cost = self._settings.repeated_prefill_weight * self._queues.prefill(worker, max(0.0, tokens))
         objective = turn.service.latency_objective
-        return cost if objective is None else min(cost, objective * self._settings.objective_risked)
+        return cost if objective is None else min(cost, objective * self._settings.objective_risk_share)
 
     def _prefix_workers(
         self, turn: Turn, parts: tuple[PromptPart, ...], ready: Sequence[Worker], more: int
@@ -313,31 +322,39 @@
         """The first in the rendezvous order of these parts of the prompt: as many as their demand fills."""
         pool = ready[0].pool
         self._workers[pool] = len(ready)
-        if not parts or self._queues.prefill(ready[0], _told(parts)) < AFFINITY_LEAST:
+        if not parts or self._queues.prefill(ready[0], _total_tokens(parts)) < MIN_AFFINITY_PREFILL_S:
             return []
         order = self._orders.order(pool, tuple(part.part for part in parts), ready)
-        return order[: max(1, math.ceil(self._use(turn, parts, order[0]) / self._settings.prefix_use)) + more]
+        return order[
+            : max(1, math.ceil(self._prefill_share(turn, parts, order[0]) / self._settings.prefix_prefill_share)) + more
+        ]
 
-    def _use(self, turn: Turn, parts: tuple[PromptPart, ...], worker: Worker) -> float:
+    def _prefill_share(self, turn: Turn, parts: tuple[PromptPart, ...], worker: Worker) -> float:
         """The share of this worker's prefill time that all routers' turns with these parts would take."""
         demand = self._parts.demand(worker.pool, parts, self._context.clock.monotonic())
-        rest = max(0, turn.prompt_tokens - _told(parts))
+        rest = max(0, turn.prompt_tokens - _total_tokens(parts))
         return demand * max(1, len(self._membership.routers())) * self._queues.prefill(worker, rest)
 
     # --- what happened ------------------------------------------------------------------------
 
     def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
-        part_tokens = max(0, forecast.uncached - max(0, turn.prompt_tokens - _told(turn.parts)))
-        held = turn.prompt_tokens + turn.generate_tokens
-        self._queues.sent(turn.request, worker, forecast, part_tokens, held)
+        part_tokens = max(0, forecast.uncached - max(0, turn.prompt_tokens - _total_tokens(turn.parts)))
+        held_tokens = turn.prompt_tokens + turn.generate_tokens
+        self._queues.sent(turn.request, worker, forecast, part_tokens, held_tokens)
         self._parts.sent(worker.pool, self._reused(turn), worker.instance, self._context.clock.monotonic())
 
     def ended(
-        self, turn: Turn, worker: Worker, uncached: int, waited: float, first_token: Seconds | None, whole: Seconds
+        self,
+        turn: Turn,
+        worker: Worker,
+        uncached: int,
+        predicted_wait: float,
+        first_token: Seconds | None,
+        duration: Seconds,
     ) -> None:
-        self._workload.learn_turn(worker, whole)
+        self._workload.learn_turn(worker, duration)
 
-    def left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
+    def turn_left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
         self._queues.ended(request, worker, first_token)
         self._entered.pop(request, None)
 
@@ -345,20 +362,20 @@
         """The worker never saw the turn."""
         entry = self._entered.pop(request, None)
         if entry is not None:
-            self._keepers.entered(QueueEntry(entry.pool, entry.worker, Seconds(-entry.prefill)))
+            self._queue_owners.entered(QueueEntry(entry.pool, entry.worker, Seconds(-entry.prefill)))
 
     def enter(self, turn: Turn, worker: Worker, uncached: int) -> None:
         """A turn goes to a worker without a question to its queue keeper, who is told of it."""
         prefill = self._queues.prefill(worker, uncached)
-        if prefill >= QUEUED_LEAST:
+        if prefill >= MIN_QUEUED_PREFILL_S:
             entry = QueueEntry(worker.pool, worker.instance, Seconds(prefill))
-            self._note_entered(turn.request, entry)
-            self._keepers.entered(entry)
+            self._remember_entered(turn.request, entry)
+            self._queue_owners.entered(entry)
 
-    def _note_entered(self, request: RequestId, entry: QueueEntry) -> None:
+    def _remember_entered(self, request: RequestId, entry: QueueEntry) -> None:
         """Bounded, since a call that is cancelled while it is placed never ends."""
         self._entered[request] = entry
-        if len(self._entered) > ENTERED_MOST:
+        if len(self._entered) > MAX_ENTERED_TURNS:
             del self._entered[next(iter(self._entered))]
 
     def forget(self, instance: WorkerInstance) -> None:
@@ -372,5 +389,5 @@
     return next((worker for worker in ready if worker.instance == entry.holder), None)
 
 
-def _told(parts: Sequence[PromptPart]) -> int:
+def _total_tokens(parts: Sequence[PromptPart]) -> int:
     return sum(part.tokens for part in parts)
--- a/wingwood/placement/told_parts.py
+++ b/wingwood/placement/sent_chains.py
@@ -14,13 +14,13 @@
 import msgspec
 
 from ..identifiers import Instant, PoolName, Seconds, WorkerInstance
-from .decaying import DecayingRate
+from .decaying_rate import DecayingRate
 from .protocols import PromptPart
 
-CHAINS_MOST = 6_000
+MAX_CHAINS = 6_000
 """About 500 B each."""
-DEMAND_HALF_LIFE = Seconds(5.0)
-DEMAND_SEEN = 0.4
+DEMAND_HALF_LIFE_S = Seconds(5.0)
+MIN_DEMAND_PER_S = 0.4
 """Own turns a second below which a chain's rate says nothing yet: three turns within a half-life."""
 
 NEVER = Instant(-math.inf)
@@ -28,19 +28,19 @@
 Chain = tuple[str, ...]
 
 
-class _Sent(msgspec.Struct):
+class _SentChain(msgspec.Struct):
     """One chain: where this router last sent it when, and how often it is asked for."""
 
-    touched: dict[WorkerInstance, Instant]
+    sent_at: dict[WorkerInstance, Instant]
     demand: DecayingRate
 
 
-class ToldParts:
+class SentChains:
     """Least recently sent chains go first when there are too many."""
 
-    def __init__(self, most: int = CHAINS_MOST) -> None:
-        self._most = most
-        self._chains: OrderedDict[tuple[PoolName, Chain], _Sent] = OrderedDict()
+    def __init__(self, max_chains: int = MAX_CHAINS) -> None:
+        self._max_chains = max_chains
+        self._chains: OrderedDict[tuple[PoolName, Chain], _SentChain] = OrderedDict()
 
     def sent(self, pool: PoolName, parts: tuple[PromptPart, ...], instance: WorkerInstance, now: Instant) -> None:
         """A turn with these parts went to a worker."""
@@ -48,16 +48,16 @@
             name = (pool, chain)
             sent = self._chains.get(name)
             if sent is None:
-                sent = self._chains[name] = _Sent({}, DecayingRate(DEMAND_HALF_LIFE))
-                if len(self._chains) > self._most:
+                sent = self._chains[name] = _SentChain({}, DecayingRate(DEMAND_HALF_LIFE_S))
+                if len(self._chains) > self._max_chains:
                     self._chains.popitem(last=False)
             self._chains.move_to_end(name)
-            sent.touched[instance] = now
+            sent.sent_at[instance] = now
             sent.demand.add(1.0, now)
 
     def forget(self, instance: WorkerInstance) -> None:
         for sent in self._chains.values():
-            sent.touched.pop(instance, None)
+            sent.sent_at.pop(instance, None)
 
     def demand(self, pool: PoolName, parts: tuple[PromptPart, ...], now: Instant) -> float:
         """Own turns a second with this whole chain."""
@@ -67,17 +67,17 @@
     def known(self, pool: PoolName, parts: tuple[PromptPart, ...], now: Instant) -> KnownChains:
         """What this router knows of a prompt's chains, for comparing workers."""
         known = []
-        for chain, upto in chains(parts):
+        for chain, tokens_up_to in chains(parts):
             sent = self._chains.get((pool, chain))
             if sent is None:
                 break
-            known.append(_KnownChain(upto, sent.touched, sent.demand.read(now)))
+            known.append(_KnownChain(tokens_up_to, sent.sent_at, sent.demand.read(now)))
         return KnownChains(tuple(known), now)
 
 
 class _KnownChain(msgspec.Struct, frozen=True):
-    upto: int
-    touched: dict[WorkerInstance, Instant]
+    tokens_up_to: int
+    sent_at: dict[WorkerInstance, Instant]
     demand: float
 
 
@@ -89,24 +89,24 @@
 
     def tokens(self) -> int:
         """Of the longest one."""
-        return self.chains[-1].upto if self.chains else 0
+        return self.chains[-1].tokens_up_to if self.chains else 0
 
-    def kept(self, instance: WorkerInstance, kept_for: Seconds, elsewhere: float) -> float:
-        """Tokens of the prompt that the worker probably keeps.
+    def cached_tokens(self, instance: WorkerInstance, cache_retention: Seconds, other_turns_per_turn: float) -> float:
+        """Expected number of the prompt's tokens that the worker caches.
 
-        ``kept_for``: for how long it keeps an unused chain. ``elsewhere``: how many turns the other routers
-        send to this one worker for each turn of this router, whichever worker that goes to.
+        ``cache_retention``: seconds for which the worker caches an unused chain. ``other_turns_per_turn``: number of
+        turns that the other routers send to this worker for each turn that this router sends to any worker.
         """
         tokens = 0.0
-        since = self.now - kept_for
+        since = self.now - cache_retention
         for chain in self.chains:
-            if chain.touched.get(instance, NEVER) >= since:
-                tokens = float(chain.upto)
+            if chain.sent_at.get(instance, NEVER) >= since:
+                tokens = float(chain.tokens_up_to)
                 continue
-            if chain.demand < DEMAND_SEEN:
+            if chain.demand < MIN_DEMAND_PER_S:
                 break
-            came = chain.demand * elsewhere * min(kept_for, DEMAND_HALF_LIFE)
-            tokens += (chain.upto - tokens) * -math.expm1(-came)
+            expected_turns = chain.demand * other_turns_per_turn * min(cache_retention, DEMAND_HALF_LIFE_S)
+            tokens += (chain.tokens_up_to - tokens) * -math.expm1(-expected_turns)
         return tokens
 
 
--- a/wingwood/placement/session_map.py
+++ b/wingwood/placement/session_map.py
@@ -18,22 +18,22 @@
 from ..membership.protocols import Membership
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
-from .messages import KeepNotes, LookUpSession, SessionFound, SessionNote
-from .passed_over import PassedOver
+from .messages import LookUpSession, SessionFound, SessionRecord, StoreSessionRecords
+from .unresponsive_routers import UnresponsiveRouters
 
-CHANGED_ONE_BY_ONE = 16
-POINTS_EACH = 64
+MAX_INCREMENTAL_CHANGES = 16
+POINTS_PER_ROUTER = 64
 """A router's points on the ring; its share of the sessions varies by about an eighth."""
-LOOK_UP_TIMEOUT = Seconds(0.015)
+LOOKUP_TIMEOUT_S = Seconds(0.015)
 """For each of the two that are asked: a turn waits for its map entry at most twice as long."""
-NEWCOMER_FOR = Seconds(3.0)
-ENTRIES_MOST = 25_000
-RECENT_MOST = 10_000
-RECENT_FOR = Seconds(300.0)
-CLAIM_FOR = Seconds(3600.0)
+NEW_OWNER_PERIOD_S = Seconds(3.0)
+MAX_ENTRIES = 25_000
+MAX_RECENT_ENTRIES = 10_000
+RECENT_RETENTION_S = Seconds(300.0)
+CLAIM_RETENTION_S = Seconds(3600.0)
 """A prefix not used for so long is no longer in any KV cache."""
-HANDED_OVER_AT_ONCE = 200
-HAND_OVER_PAUSE = Seconds(0.05)
+HANDOVER_BATCH_SIZE = 200
+HANDOVER_PAUSE_S = Seconds(0.05)
 
 
 def session_key(pool: PoolName, session: SessionId) -> int:
@@ -47,7 +47,7 @@
     holder: WorkerInstance
     tokens: int
     own_tokens: int
-    touched_at: Instant
+    last_used_at: Instant
     winner: WorkerInstance = WorkerInstance("")
     award_until: Instant = Instant(0.0)
     weight: float = 1.0
@@ -60,15 +60,15 @@
 
     def record(self, key: int, entry: Entry) -> None: ...
 
-    def recall(self, key: int) -> Entry | None:
+    def find_local(self, key: int) -> Entry | None:
         """What this router recorded itself; asks nobody."""
         ...
 
-    def remember(self, key: int, entry: Entry) -> None:
+    def record_local(self, key: int, entry: Entry) -> None:
         """Records for this router alone."""
         ...
 
-    def keeps(self, key: int) -> bool:
+    def owns(self, key: int) -> bool:
         """Whether this router is the one that counts the session."""
         ...
 
@@ -80,16 +80,16 @@
 class RecentEntries:
     """Entries by key, newest last, bounded in number and age."""
 
-    def __init__(self, most: int, kept_for: Seconds) -> None:
-        self._most = most
-        self._kept_for = kept_for
+    def __init__(self, max_entries: int, retention: Seconds) -> None:
+        self._max_entries = max_entries
+        self._kept_for = retention
         self.by_key: OrderedDict[int, Entry] = OrderedDict()
 
     def put(self, key: int, entry: Entry) -> None:
         self.by_key[key] = entry
         self.by_key.move_to_end(key)
-        oldest = entry.touched_at - self._kept_for
-        while len(self.by_key) > self._most or next(iter(self.by_key.values())).touched_at < oldest:
+        oldest = entry.last_used_at - self._kept_for
+        while len(self.by_key) > self._max_entries or next(iter(self.by_key.values())).last_used_at < oldest:
             self.by_key.popitem(last=False)
 
     def get(self, key: int) -> Entry | None:
@@ -100,47 +100,47 @@
     """Only this router's own entries; for comparison on the bench."""
 
     def __init__(self) -> None:
-        self._entries = RecentEntries(ENTRIES_MOST, CLAIM_FOR)
-        self.on_keep: Callable[[int, Entry], None] = lambda key, entry: None
+        self._entries = RecentEntries(MAX_ENTRIES, CLAIM_RETENTION_S)
+        self.on_entry_stored: Callable[[int, Entry], None] = lambda key, entry: None
 
     async def find(self, key: int) -> Entry | Unreachable | None:
         return self._entries.get(key)
 
     def record(self, key: int, entry: Entry) -> None:
         self._entries.put(key, entry)
-        self.on_keep(key, entry)
+        self.on_entry_stored(key, entry)
 
-    def recall(self, key: int) -> Entry | None:
+    def find_local(self, key: int) -> Entry | None:
         return self._entries.get(key)
 
-    def remember(self, key: int, entry: Entry) -> None:
+    def record_local(self, key: int, entry: Entry) -> None:
         self._entries.put(key, entry)
 
-    def keeps(self, key: int) -> bool:
+    def owns(self, key: int) -> bool:
         return True
 
 
-class KeeperRing:
+class OwnerRing:
     """Who keeps which keys: the next two different routers on a ring of 64 bits.
 
     A router that comes or goes changes only the keys beside its own points; the stand-in of one that
     went has its place. Finding a pair costs a binary search, also with a thousand routers.
     """
 
-    def __init__(self, routers: Sequence[Identity] = (), before: KeeperRing | None = None) -> None:
+    def __init__(self, routers: Sequence[Identity] = (), before: OwnerRing | None = None) -> None:
         """``before``: the ring to start from; a few changes to it cost little."""
         self.routers = tuple(routers)
         self._points = array("Q")
         self._owners = array("L")
         self._numbers: dict[str, int] = {}
         names = {router.name for router in routers}
-        if before is not None and len(names ^ before._numbers.keys()) <= CHANGED_ONE_BY_ONE:
+        if before is not None and len(names ^ before._numbers.keys()) <= MAX_INCREMENTAL_CHANGES:
             self._points, self._owners = before._points[:], before._owners[:]
             self._numbers = dict(before._numbers)
             for name in sorted(self._numbers.keys() - names):
                 self._remove(name)
         added = sorted(names - self._numbers.keys())
-        if len(added) <= CHANGED_ONE_BY_ONE:
+        if len(added) <= MAX_INCREMENTAL_CHANGES:
             for name in added:
                 self._insert(name)
         else:
@@ -177,31 +177,31 @@
 
 
 def _points(name: str) -> Iterator[int]:
-    for part in range(POINTS_EACH // 8):
+    for part in range(POINTS_PER_ROUTER // 8):
         digest = hashlib.blake2b(f"{name}\n{part}".encode()).digest()
         for at in range(0, 64, 8):
             yield int.from_bytes(digest[at : at + 8], "big")
 
 
-class KeeperMap:
+class DistributedMap:
     """One keeper and one stand-in for each key, agreed on by the list of routers alone."""
 
     def __init__(self, context: Context, messenger: Messenger, membership: Membership) -> None:
         self._context = context
         self._messenger = messenger
         self._membership = membership
-        self._kept = RecentEntries(ENTRIES_MOST, CLAIM_FOR)
-        self._recent = RecentEntries(RECENT_MOST, RECENT_FOR)
+        self._stored = RecentEntries(MAX_ENTRIES, CLAIM_RETENTION_S)
+        self._recent = RecentEntries(MAX_RECENT_ENTRIES, RECENT_RETENTION_S)
         """What this router recorded itself, wherever it is kept."""
-        self._ring = KeeperRing()
-        self._rings_before: list[tuple[Instant, KeeperRing]] = []
+        self._ring = OwnerRing()
+        self._previous_rings: list[tuple[Instant, OwnerRing]] = []
         """Rings of the last while, with the instant at which each ended."""
-        self._passed_over = PassedOver(context.clock)
-        self._handing_over = False
-        self._to_hand_over: OrderedDict[tuple[int, Address], None] = OrderedDict()
-        self.on_keep: Callable[[int, Entry], None] = lambda key, entry: None
-        messenger.on_post(KeepNotes, self._keep_notes)
-        messenger.on_call(LookUpSession, self._look_up)
+        self._unresponsive = UnresponsiveRouters(context.clock)
+        self._handover_running = False
+        self._pending_handover: OrderedDict[tuple[int, Address], None] = OrderedDict()
+        self.on_entry_stored: Callable[[int, Entry], None] = lambda key, entry: None
+        messenger.on_post(StoreSessionRecords, self._on_store_records)
+        messenger.on_call(LookUpSession, self._on_look_up)
         membership.on_change(self._members_changed)
         self._members_changed()
 
@@ -209,24 +209,24 @@
 
     async def find(self, key: int) -> Entry | Unreachable | None:
         answered = sure = False
-        for keeper in self._pair(key):
-            if keeper.incarnation == self._messenger.identity.incarnation:
-                entry, newcomer = self._kept.get(key), self._is_newcomer(key)
+        for owner in self._owners_of(key):
+            if owner.incarnation == self._messenger.identity.incarnation:
+                entry, is_new_owner = self._stored.get(key), self._is_new_owner(key)
             else:
-                if self._passed_over.holds(keeper.incarnation):
+                if self._unresponsive.contains(owner.incarnation):
                     continue
-                reply = await self._messenger.call(keeper.internal, LookUpSession(key), SessionFound, LOOK_UP_TIMEOUT)
+                reply = await self._messenger.call(owner.internal, LookUpSession(key), SessionFound, LOOKUP_TIMEOUT_S)
                 if not isinstance(reply, Success):
-                    self._passed_over.add(keeper.incarnation)
+                    self._unresponsive.add(owner.incarnation)
                     continue
                 found: SessionFound = reply.unwrap()
-                entry = None if found.note is None else self._entry(found.note)
-                newcomer = found.newcomer
+                entry = None if found.record is None else self._to_entry(found.record)
+                is_new_owner = found.is_new_owner
             if entry is not None:
                 own = self._recent.get(key)
-                return own if own is not None and own.touched_at > entry.touched_at else entry
+                return own if own is not None and own.last_used_at > entry.last_used_at else entry
             answered = True
-            if not newcomer:
+            if not is_new_owner:
                 sure = True
                 break
         own = self._recent.get(key)
@@ -236,77 +236,77 @@
 
     def record(self, key: int, entry: Entry) -> None:
         self._recent.put(key, entry)
-        for keeper in self._pair(key):
-            if keeper.incarnation == self._messenger.identity.incarnation:
-                self._keep(key, entry)
+        for owner in self._owners_of(key):
+            if owner.incarnation == self._messenger.identity.incarnation:
+                self._store(key, entry)
             else:
-                self._messenger.post(keeper.internal, KeepNotes((self._note(key, entry),)))
+                self._messenger.post(owner.internal, StoreSessionRecords((self._to_record(key, entry),)))
 
-    def recall(self, key: int) -> Entry | None:
+    def find_local(self, key: int) -> Entry | None:
         return self._recent.get(key)
 
-    def remember(self, key: int, entry: Entry) -> None:
+    def record_local(self, key: int, entry: Entry) -> None:
         self._recent.put(key, entry)
 
-    def keeps(self, key: int) -> bool:
-        pair = self._pair(key)
+    def owns(self, key: int) -> bool:
+        pair = self._owners_of(key)
         return bool(pair) and pair[0].incarnation == self._messenger.identity.incarnation
 
     # --- keeping ------------------------------------------------------------------------------
 
-    def _keep(self, key: int, entry: Entry) -> None:
-        known = self._kept.get(key)
-        if known is None or entry.touched_at >= known.touched_at:
-            self._kept.put(key, entry)
-            self.on_keep(key, entry)
+    def _store(self, key: int, entry: Entry) -> None:
+        known = self._stored.get(key)
+        if known is None or entry.last_used_at >= known.last_used_at:
+            self._stored.put(key, entry)
+            self.on_entry_stored(key, entry)
 
-    def _keep_notes(self, peer: Identity, message: KeepNotes) -> None:
-        for note in message.notes:
-            self._keep(note.key, self._entry(note))
+    def _on_store_records(self, peer: Identity, message: StoreSessionRecords) -> None:
+        for record in message.records:
+            self._store(record.key, self._to_entry(record))
 
-    async def _look_up(self, peer: Identity, question: LookUpSession) -> SessionFound:
-        entry = self._kept.get(question.key)
-        note = None if entry is None else self._note(question.key, entry)
-        return SessionFound(note, self._is_newcomer(question.key))
+    async def _on_look_up(self, peer: Identity, question: LookUpSession) -> SessionFound:
+        entry = self._stored.get(question.key)
+        record = None if entry is None else self._to_record(question.key, entry)
+        return SessionFound(record, self._is_new_owner(question.key))
 
-    def _is_newcomer(self, key: int) -> bool:
+    def _is_new_owner(self, key: int) -> bool:
         """Whether this router became a keeper of the key only a moment ago and may lack what was recorded before."""
         now = self._context.clock.monotonic()
-        while self._rings_before and now - self._rings_before[0][0] > NEWCOMER_FOR:
-            del self._rings_before[0]
+        while self._previous_rings and now - self._previous_rings[0][0] > NEW_OWNER_PERIOD_S:
+            del self._previous_rings[0]
         own = self._messenger.identity.incarnation
-        return any(all(router.incarnation != own for router in ring.pair(key)) for _, ring in self._rings_before)
+        return any(all(router.incarnation != own for router in ring.pair(key)) for _, ring in self._previous_rings)
 
-    def _note(self, key: int, entry: Entry) -> SessionNote:
+    def _to_record(self, key: int, entry: Entry) -> SessionRecord:
         now = self._context.clock.monotonic()
-        return SessionNote(
+        return SessionRecord(
             key=key,
             pool=entry.pool,
             holder=entry.holder,
             tokens=entry.tokens,
             own_tokens=entry.own_tokens,
-            age=Seconds(max(0.0, now - entry.touched_at)),
+            age=Seconds(max(0.0, now - entry.last_used_at)),
             winner=entry.winner if entry.award_until > now else WorkerInstance(""),
             award_left=Seconds(max(0.0, entry.award_until - now)),
             weight=entry.weight,
         )
 
-    def _entry(self, note: SessionNote) -> Entry:
+    def _to_entry(self, record: SessionRecord) -> Entry:
         now = self._context.clock.monotonic()
         return Entry(
-            pool=note.pool,
-            holder=WorkerInstance(sys.intern(note.holder)),
-            tokens=note.tokens,
-            own_tokens=note.own_tokens,
-            touched_at=Instant(now - note.age),
-            winner=WorkerInstance(sys.intern(note.winner)),
-            award_until=Instant(now + note.award_left),
-            weight=note.weight,
+            pool=record.pool,
+            holder=WorkerInstance(sys.intern(record.holder)),
+            tokens=record.tokens,
+            own_tokens=record.own_tokens,
+            last_used_at=Instant(now - record.age),
+            winner=WorkerInstance(sys.intern(record.winner)),
+            award_until=Instant(now + record.award_left),
+            weight=record.weight,
         )
 
     # --- members ------------------------------------------------------------------------------
 
-    def _pair(self, key: int) -> tuple[Identity, ...]:
+    def _owners_of(self, key: int) -> tuple[Identity, ...]:
         return self._ring.pair(key)
 
     def _members_changed(self) -> None:
@@ -315,32 +315,32 @@
         before = self._ring
         if routers == before.routers:
             return
-        self._ring = KeeperRing(routers, before)
-        self._rings_before.append((self._context.clock.monotonic(), before))
+        self._ring = OwnerRing(routers, before)
+        self._previous_rings.append((self._context.clock.monotonic(), before))
         own = self._messenger.identity.incarnation
         members = {router.incarnation for router in routers}
-        for entries, everything in ((self._kept, True), (self._recent, False)):
+        for entries, everything in ((self._stored, True), (self._recent, False)):
             for key in reversed(entries.by_key):
                 old = {router.incarnation for router in before.pair(key)}
                 if not everything and old & members:
                     continue
                 for router in self._ring.pair(key):
                     if router.incarnation not in old and router.incarnation != own:
-                        self._to_hand_over[(key, router.internal)] = None
-        if self._to_hand_over and not self._handing_over:
-            self._handing_over = True
+                        self._pending_handover[(key, router.internal)] = None
+        if self._pending_handover and not self._handover_running:
+            self._handover_running = True
             self._context.tasks.spawn("hand over sessions", self._hand_over())
 
     async def _hand_over(self) -> None:
         """Newest first, a bounded batch at a time."""
-        while self._to_hand_over:
-            batches: dict[Address, list[SessionNote]] = {}
-            for _ in range(min(HANDED_OVER_AT_ONCE, len(self._to_hand_over))):
-                (key, address), _ = self._to_hand_over.popitem(last=False)
-                entry = self._kept.get(key) or self._recent.get(key)
-                if entry is not None and any(router.internal == address for router in self._pair(key)):
-                    batches.setdefault(address, []).append(self._note(key, entry))
-            for address, notes in sorted(batches.items()):
-                self._messenger.post(address, KeepNotes(tuple(notes)))
-            await self._context.clock.sleep(HAND_OVER_PAUSE)
-        self._handing_over = False
+        while self._pending_handover:
+            batches: dict[Address, list[SessionRecord]] = {}
+            for _ in range(min(HANDOVER_BATCH_SIZE, len(self._pending_handover))):
+                (key, address), _ = self._pending_handover.popitem(last=False)
+                entry = self._stored.get(key) or self._recent.get(key)
+                if entry is not None and any(router.internal == address for router in self._owners_of(key)):
+                    batches.setdefault(address, []).append(self._to_record(key, entry))
+            for address, records in sorted(batches.items()):
+                self._messenger.post(address, StoreSessionRecords(tuple(records)))
+            await self._context.clock.sleep(HANDOVER_PAUSE_S)
+        self._handover_running = False
--- a/wingwood/placement/settings.py
+++ b/wingwood/placement/settings.py
@@ -1,4 +1,4 @@
-"""What the award policy can be set to, with defaults chosen on the bench (docs/DESIGN.md section 11.7)."""
+"""Settings of the award policy, with defaults chosen on the bench (docs/DESIGN.md section 11.7)."""
 
 from __future__ import annotations
 
@@ -8,51 +8,56 @@
 
 
 class AwardSettings(msgspec.Struct, frozen=True, kw_only=True):
-    award_for: Seconds = Seconds(300.0)
-    """How long an award stands; after that the entry is only a claim."""
-    expect_for: Seconds = Seconds(20.0)
-    """How long after its last turn a session counts as coming back to its award's winner."""
-    ahead_cost: float = 0.03
-    """Weight of the mean wait foreseen for a turn to come, against the prefill spared."""
-    crowd_cost: float = 0.1
-    """The same for a turn that is here, beside the wait for a free slot, which counts in full."""
-    patience_share: float = 0.8
-    """Of the callers' patience: an award is passed over when its winner's first token would take longer."""
-    objective_risked: float = 0.5
-    """Of the latency objective: an award is passed over when its winner's first token would take longer ..."""
-    objective_met: float = 0.35
-    """... and another's would come within this share of it. Forecasts are means: half of it is often missed."""
-    pressure_most: float = 4.0
-    """How much more fullness may count for the class that pays least."""
-    move_gain: Seconds = Seconds(0.1)
-    """A session moves only for a gain above this."""
-    told_move_gain: Seconds = Seconds(0.01)
-    """The same where callers tell the sizes of the prompt's parts."""
-    bounded_load: float = 1.25
-    """A shared prefix goes on to its next worker above this multiple of the mean fullness."""
-    prefix_slots: float = 0.25
-    """Share of a worker's slots that one shared prefix may take before it spreads to one more worker."""
-    prefix_use: float = 0.15
-    """Share of a worker's prefill time that one told prefix may take before it spreads to one more worker."""
-    home_trust: float = 0.8
-    """How probable it is that the first worker in a prefix's rendezvous order keeps what nobody is known to keep."""
-    reread_cost: float = 8.0
-    """Weight of prefilling shared parts again that another worker probably keeps, beyond the time that it takes."""
-    pause_risked: float = 0.35
-    """Of the longest pause on time: a prefill queue of this length risks it for the streams that run beside."""
+    """Weights, limits and lifetimes of the award policy."""
+
+    award_lifetime: Seconds = Seconds(300.0)
+    """Seconds after which an award expires; the entry is then only a claim."""
+    expected_turn_lifetime: Seconds = Seconds(20.0)
+    """Seconds after its last turn during which a session counts as returning to its award's winner."""
+    next_turn_wait_weight: float = 0.03
+    """Weight of the mean wait predicted for a session's next turn, against the prefill that is saved."""
+    mean_wait_weight: float = 0.1
+    """Weight of the mean wait for a turn that has arrived, besides the wait for a free slot, which counts in full."""
+    timeout_share: float = 0.8
+    """An award is passed over when its winner's first token would take more than this share of the callers' timeout."""
+    objective_risk_share: float = 0.5
+    """An award may be passed over when its winner's first token takes more than this share of the latency objective.
+
+    Forecasts are means: an objective of which the forecast takes half is often missed.
+    """
+    objective_met_share: float = 0.35
+    """The award is then passed over if another worker's first token takes at most this share of the objective."""
+    max_pressure: float = 4.0
+    """Upper bound of the factor by which waiting costs more for the class that pays least."""
+    min_move_gain: Seconds = Seconds(0.1)
+    """A session moves to another worker only for a gain of more than this many seconds."""
+    min_move_gain_with_sizes: Seconds = Seconds(0.01)
+    """The same bound where callers report the sizes of the prompt's parts."""
+    load_bound: float = 1.25
+    """A shared prefix spreads to its next worker where load per slot exceeds the mean load per slot this many times."""
+    prefix_slot_share: float = 0.25
+    """Share of a worker's slots that one shared prefix may occupy before it spreads to one more worker."""
+    prefix_prefill_share: float = 0.15
+    """Share of a worker's prefill time that one prefix of reported size may use before it spreads to another worker."""
+    first_worker_cache_probability: float = 0.8
+    """Probability that the first worker in a prefix's rendezvous order caches it when no worker is known to do so."""
+    repeated_prefill_weight: float = 8.0
+    """Weight of prefilling shared parts that another worker probably caches, beyond the time that the prefill takes."""
+    pause_risk_share: float = 0.35
+    """Share of a service's longest pause; a longer prefill queue risks such a pause in the streams that run there."""
     risk_cost: float = 8.0
-    """Weight of the time by which a wait and prefill go beyond what risks objective or pause."""
-    harm: float = 0.2
-    """Weight of the time by which a prefill holds up each stream that runs beside it."""
-    other_zone: Seconds = Seconds(0.003)
-    """What a worker in another zone costs: the way there and back, and its bytes."""
-    apart_most: float = 0.34
-    """Share of a pool's workers that other turns leave to long streams at most; 0: they are not kept apart."""
+    """Weight of the seconds by which wait and prefill exceed the threshold that risks the objective or a pause."""
+    stream_delay_weight: float = 0.2
+    """Weight of the seconds by which a prefill delays each stream that runs on the same worker."""
+    other_zone_cost: Seconds = Seconds(0.003)
+    """Cost in seconds of a worker in another zone: the round trip and the transfer of its bytes."""
+    max_reserved_share: float = 0.34
+    """Largest share of a pool's workers that is reserved for long streams; 0 turns the reservation off."""
     candidates: int = 3
-    """Workers drawn for a session without a shared prefix."""
-    told_candidates: int = 5
-    """The same where callers tell sizes: then the wait is foreseen well enough to compare more."""
-    drawn_beside: int = 2
-    """Workers drawn beside those that probably keep the prompt."""
-    less_urgent_places: float = 0.85
-    """Of the places of a pool: those open to turns less urgent than the most urgent of late."""
+    """Number of workers drawn at random for a session without a shared prefix."""
+    candidates_with_sizes: int = 5
+    """The same number where callers report sizes: the wait is then predicted well enough to compare more workers."""
+    extra_candidates: int = 2
+    """Number of workers drawn at random in addition to those that probably cache the prompt."""
+    less_urgent_share: float = 0.85
+    """Share of a pool's places that is open to turns less urgent than the most urgent recent ones."""
--- a/wingwood/placement/tests/one_router.py
+++ b/wingwood/placement/tests/one_router.py
@@ -51,17 +51,17 @@
     return tuple(PromptPart(name, int(tokens)) for name, tokens in pairs)
 
 
-def told_turn(parts: str, own: int = 2900, service: Service = SUMMARY, **fields: Any) -> Turn:
+def sized_turn(parts: str, own: int = 2900, service: Service = SUMMARY, **fields: Any) -> Turn:
     """``own``: tokens that no part tells of."""
-    told = parts_of(parts)
+    reported = parts_of(parts)
     turn = Turn(
         request=RequestId(f"q{next(REQUESTS)}"),
         service=service,
         tenant=TenantName("t"),
         weight=1.0,
-        prefix=tuple(part.part for part in told),
-        prompt_tokens=own + sum(part.tokens for part in told),
-        parts=told,
+        prefix=tuple(part.part for part in reported),
+        prompt_tokens=own + sum(part.tokens for part in reported),
+        parts=reported,
         generate_tokens=68,
     )
     return msgspec.structs.replace(turn, **fields)
@@ -99,7 +99,7 @@
             )
             for number in range(workers)
         ]
-        self.told: dict[WorkerInstance, Engagement] = {}
+        self.reported: dict[WorkerInstance, Engagement] = {}
         self.unconfirmed: set[WorkerInstance] = set()
         context = Context(
             clock=cast(Any, self.clock),
@@ -130,7 +130,7 @@
         self.count = count
 
     def elsewhere(self, instance: WorkerInstance) -> Engagement:
-        return self.told.get(instance, Engagement())
+        return self.reported.get(instance, Engagement())
 
     def routers(self) -> Sequence[Identity]:
         return cast(Sequence[Identity], (None,) * 11)
@@ -149,7 +149,7 @@
     def end(self, turn: Turn, choice: Choice, first_token: float = 0.05) -> None:
         """The turn's first token comes and it ends whole, a little later."""
         self.clock.now += first_token
-        self.placement.begun(turn, choice, Seconds(first_token))
+        self.placement.first_token_received(turn, choice, Seconds(first_token))
         self.clock.now += 0.02
         self.placement.finished(turn, choice, "whole", turn.generate_tokens, Seconds(first_token))
 
@@ -160,7 +160,7 @@
 
     def engage(self, instance: WorkerInstance, running: float = 0.0, prefill: float = 0.0) -> None:
         """The other routers tell of the worker."""
-        self.told[instance] = Engagement(running, 0.0, prefill)
+        self.reported[instance] = Engagement(running, 0.0, prefill)
 
     def engage_all(self, running: float = 0.0, prefill: float = 0.0) -> None:
         for worker in self.workers:
@@ -169,8 +169,8 @@
     def teach(self, per_token: float = 1 / 300_000, base: float = 0.03) -> None:
         """First tokens from which the placement learns the engines' speed."""
         for number in range(30):
-            self.take(told_turn(f"chat:47 t{number}:30", 100), base)
+            self.take(sized_turn(f"chat:47 t{number}:30", 100), base)
             self.clock.now += 1.0
-            turn = told_turn(f"x{number}:3000 y{number}:3000", 3000)
+            turn = sized_turn(f"x{number}:3000 y{number}:3000", 3000)
             self.take(turn, base + 9000 * per_token)
             self.clock.now += 1.0
--- a/wingwood/placement/tests/test_award_placement.py
+++ b/wingwood/placement/tests/test_award_placement.py
@@ -13,9 +13,9 @@
 from wingwood.bundle.model import Service
 from wingwood.identifiers import PoolName, RequestId, Seconds, ServiceName, SessionId, TenantName, WorkerInstance
 from wingwood.placement.award_placement import AwardPlacement
-from wingwood.placement.messages import KeepNotes, SessionNote
+from wingwood.placement.messages import SessionRecord, StoreSessionRecords
 from wingwood.placement.protocols import Choice, NoWorker, Turn
-from wingwood.placement.session_map import Entry, KeeperMap, session_key
+from wingwood.placement.session_map import DistributedMap, Entry, session_key
 from wingwood.placement.settings import AwardSettings
 from wingwood.registry.protocols import Engagement
 from wingwood.registry.tests.fleet import POOL, Fleet
@@ -41,7 +41,7 @@
     def __init__(self, world: World, count: int = 6, workers: int = 4, settings: AwardSettings | None = None) -> None:
         super().__init__(world, count)
         self.placements: dict[str, AwardPlacement] = {}
-        self.maps: dict[str, KeeperMap] = {}
+        self.maps: dict[str, DistributedMap] = {}
         self.renewing: dict[str, EmulatedWorker] = {}
         for name, router in sorted(self.routers.items()):
             self.place(name, settings)
@@ -54,11 +54,11 @@
         router = self.routers[name]
 
         async def make() -> bool:
-            session_map = self.maps[name] = KeeperMap(router.context, router.messenger, router.membership)
+            session_map = self.maps[name] = DistributedMap(router.context, router.messenger, router.membership)
             self.placements[name] = AwardPlacement(
                 router.context, router.membership, router.registry, router.registry, session_map, settings
             )
-            session_map.on_keep = self.placements[name].kept_here
+            session_map.on_entry_stored = self.placements[name].entry_stored
             return True
 
         self.inside(name, make)
@@ -92,10 +92,10 @@
         self.world.run(0.02)
         return choice
 
-    def keepers(self, prefix: str) -> list[str]:
+    def owners(self, prefix: str) -> list[str]:
         key = session_key(POOL, turn_of(prefix).session or "")  # type: ignore[arg-type]
         session_map = next(self.maps[name] for name in sorted(self.maps) if name in self.roster.identities)
-        return [str(identity.name) for identity in session_map._pair(key)]
+        return [str(identity.name) for identity in session_map._owners_of(key)]
 
     def expect_sessions(self, router: str, instance: WorkerInstance, count: int) -> None:
         """As if so many more sessions were awarded there; the next call moves them."""
@@ -132,10 +132,10 @@
         fleet = self.fleet()
         for session in range(6):
             first = fleet.take("r0", f"s{session}")
-            self.assertEqual(first.how, "bid")
+            self.assertEqual(first.method, "bid")
             for router in ("r1", "r4", "r0"):
                 again = fleet.take(router, f"s{session}", 2100)
-                self.assertEqual((again.how, again.worker.instance), ("award", first.worker.instance))
+                self.assertEqual((again.method, again.worker.instance), ("award", first.worker.instance))
             self.assertLess(again.uncached_tokens, 200)
 
     def test_award_is_void_when_its_worker_drains_restarts_or_is_excluded(self) -> None:
@@ -152,23 +152,23 @@
                 turn = turn_of("s", 2100)
                 choice = fleet.choose("r3", turn, (winner.instance,) if change == "exclude" else ())
                 assert isinstance(choice, Choice)
-                self.assertNotEqual((choice.how, choice.worker.instance), ("award", winner.instance))
+                self.assertNotEqual((choice.method, choice.worker.instance), ("award", winner.instance))
                 self.assertGreater(choice.uncached_tokens, 2000)
                 if change != "restart":
                     self.assertNotEqual(choice.worker.instance, winner.instance)
 
     def test_award_expires_and_leaves_a_claim(self) -> None:
-        fleet = self.fleet(award_for=Seconds(5.0))
+        fleet = self.fleet(award_lifetime=Seconds(5.0))
         winner = fleet.take("r0", "s").worker
         fleet.run(6.3)
         for router in fleet.others_than():
             again = fleet.choose(router, turn_of("s", 2100))
             assert isinstance(again, Choice)
-            self.assertEqual((again.how, again.worker.instance), ("claim", winner.instance))
+            self.assertEqual((again.method, again.worker.instance), ("claim", winner.instance))
 
     def test_session_stays_for_a_gain_below_the_margin(self) -> None:
         for gain, stays in ((0.5, True), (0.0, False)):
-            fleet = self.fleet(move_gain=Seconds(gain), ahead_cost=1.0)
+            fleet = self.fleet(min_move_gain=Seconds(gain), next_turn_wait_weight=1.0)
             first = fleet.take("r0", "s", 200).worker.instance
             held = fleet.choose("r0", turn := turn_of("s", 300))
             assert isinstance(held, Choice)
@@ -185,7 +185,7 @@
         fleet.take("r1", "s", 2100, outcome="refused")
         self.assertNotEqual(fleet.take("r1", "s", 2100, outcome="refused").worker.instance, winner)
         at_other = fleet.take("r2", "s", 2100)
-        self.assertEqual((at_other.how, at_other.worker.instance), ("award", winner), "no claim without a run")
+        self.assertEqual((at_other.method, at_other.worker.instance), ("award", winner), "no claim without a run")
         for _ in fleet.renewing:
             fleet.take("r3", "t", outcome="refused")
         self.assertIsInstance(fleet.choose("r3", turn_of("t")), Choice, "a worker that refused is better than none")
@@ -203,17 +203,17 @@
         fleet.world.run(0.1)
         choice = fleet.choose("r1", turn_of("s"))
         assert isinstance(choice, Choice)
-        self.assertEqual((choice.how, choice.uncached_tokens), ("bid", 2000))
+        self.assertEqual((choice.method, choice.uncached_tokens), ("bid", 2000))
 
     def test_award_gives_way_where_its_winner_would_outlast_the_callers_patience(self) -> None:
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker.instance
-        for turns, how in ((10, "award"), (21, "bid")):
+        for turns, method in ((10, "award"), (21, "bid")):
             for _ in range(turns):
                 fleet.placements["r1"]._workload.begin(winner)
             choice = fleet.choose("r1", turn_of("s", 2100))
             assert isinstance(choice, Choice)
-            self.assertEqual((choice.how, choice.worker.instance == winner), (how, how == "award"))
+            self.assertEqual((choice.method, choice.worker.instance == winner), (method, method == "award"))
 
     def test_prefix_that_the_model_counts_as_dropped_is_prefilled(self) -> None:
         fleet = self.fleet()
@@ -224,8 +224,8 @@
         async def others_come() -> bool:
             now = fleet.routers["r1"].context.clock.monotonic()
             for key in range(100):
-                placement.kept_here(
-                    key, Entry(pool=POOL, holder=WorkerInstance("x"), tokens=0, own_tokens=4000, touched_at=now)
+                placement.entry_stored(
+                    key, Entry(pool=POOL, holder=WorkerInstance("x"), tokens=0, own_tokens=4000, last_used_at=now)
                 )
             return True
 
@@ -238,19 +238,19 @@
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker.instance
         key = session_key(POOL, SessionId("s"))
-        old = SessionNote(
+        old = SessionRecord(
             key, POOL, WorkerInstance("old"), 100, 100, Seconds(9.0), WorkerInstance("old"), Seconds(99.0)
         )
-        for name in fleet.keepers("s"):
-            fleet.maps[name]._keep_notes(fleet.routers["r0"].identity, KeepNotes((old,)))
+        for name in fleet.owners("s"):
+            fleet.maps[name]._on_store_records(fleet.routers["r0"].identity, StoreSessionRecords((old,)))
         choice = fleet.choose("r2", turn_of("s", 2100))
         assert isinstance(choice, Choice)
-        self.assertEqual((choice.how, choice.worker.instance), ("award", winner))
+        self.assertEqual((choice.method, choice.worker.instance), ("award", winner))
 
     def test_own_newer_record_counts_before_the_keepers(self) -> None:
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker.instance
-        router = fleet.others_than(*fleet.keepers("s"))[0]
+        router = fleet.others_than(*fleet.owners("s"))[0]
         fleet.routers[router].messenger.post = lambda *_: None  # type: ignore[method-assign]
         turn = turn_of("s", 2100)
         moved = fleet.choose(router, turn, (winner,))
@@ -258,37 +258,37 @@
         fleet.finish(router, turn, moved)
         again = fleet.choose(router, turn_of("s", 2200))
         assert isinstance(again, Choice)
-        self.assertEqual((again.how, again.worker.instance), ("award", moved.worker.instance))
+        self.assertEqual((again.method, again.worker.instance), ("award", moved.worker.instance))
 
     def test_turn_without_a_hint_follows_the_claim(self) -> None:
         fleet = self.fleet()
         first = fleet.take("r0", "s", outcome="broken")
         again = fleet.take("r1", "s", 2100)
-        self.assertEqual((again.how, again.worker.instance), ("claim", first.worker.instance))
+        self.assertEqual((again.method, again.worker.instance), ("claim", first.worker.instance))
 
     def test_stand_in_answers_for_a_frozen_keeper(self) -> None:
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker
-        keeper, stand_in = fleet.keepers("s")
-        fleet.world.freeze(keeper)
-        asker = fleet.others_than(keeper, stand_in)[0]
+        owner, replica = fleet.owners("s")
+        fleet.world.freeze(owner)
+        asker = fleet.others_than(owner, replica)[0]
         before = fleet.world.now
         again = fleet.take(asker, "s", 2100)
-        self.assertEqual((again.how, again.worker.instance), ("award", winner.instance))
+        self.assertEqual((again.method, again.worker.instance), ("award", winner.instance))
         self.assertLess(fleet.world.now - before, 0.1)
 
     def test_all_routers_agree_when_no_keeper_answers(self) -> None:
         fleet = self.fleet()
-        pair = fleet.keepers("fresh")
+        pair = fleet.owners("fresh")
         for name in pair:
             fleet.world.freeze(name)
         chosen = [fleet.choose(name, turn_of("fresh")) for name in fleet.others_than(*pair)]
-        self.assertEqual({choice.how for choice in chosen if isinstance(choice, Choice)}, {"hash"})
+        self.assertEqual({choice.method for choice in chosen if isinstance(choice, Choice)}, {"hash"})
         self.assertEqual(len({choice.worker.instance for choice in chosen if isinstance(choice, Choice)}), 1)
 
     def test_two_frozen_keepers_cost_a_turn_their_time_outs_once(self) -> None:
         fleet = self.fleet()
-        pair = fleet.keepers("fresh")
+        pair = fleet.owners("fresh")
         for name in pair:
             fleet.world.freeze(name)
         asker = fleet.others_than(*pair)[0]
@@ -304,27 +304,27 @@
         fleet = self.fleet()
         winners = {f"s{number}": fleet.take(f"r{number % 6}", f"s{number}").worker.instance for number in range(12)}
         for _ in range(3):
-            lost = fleet.keepers("s0")[0]
+            lost = fleet.owners("s0")[0]
             fleet.lose(lost)
             fleet.run(1.0)
         for session, winner in winners.items():
             for router in fleet.others_than():
                 choice = fleet.choose(router, turn_of(session, 2100))
                 assert isinstance(choice, Choice)
-                self.assertEqual((choice.how, choice.worker.instance), ("award", winner))
+                self.assertEqual((choice.method, choice.worker.instance), ("award", winner))
 
     def test_newcomer_without_the_map_does_not_hide_what_is_known(self) -> None:
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker.instance
-        keeper, stand_in = fleet.keepers("s")
-        fleet.world.restart(keeper)
+        owner, replica = fleet.owners("s")
+        fleet.world.restart(owner)
         fleet.world.run(0.01)
-        fleet.place(keeper, None)
-        fleet.routers[keeper].registry.watch(POOL)
-        for router in fleet.others_than(keeper, stand_in):
+        fleet.place(owner, None)
+        fleet.routers[owner].registry.watch(POOL)
+        for router in fleet.others_than(owner, replica):
             choice = fleet.choose(router, turn_of("s", 2100))
             assert isinstance(choice, Choice)
-            self.assertEqual((choice.how, choice.worker.instance), ("award", winner))
+            self.assertEqual((choice.method, choice.worker.instance), ("award", winner))
 
     def test_the_class_that_pays_less_leaves_a_crowded_worker_first(self) -> None:
         fleet = self.fleet()
@@ -365,7 +365,7 @@
             ready = fleet.routers["r0"].registry.ready(POOL)
 
             async def candidates() -> list[object]:
-                return list(placement._guessed.prefix_candidates(turn_of("lease/new"), ready))  # noqa: B023
+                return list(placement._estimated_bids.prefix_candidates(turn_of("lease/new"), ready))  # noqa: B023
 
             sizes.append(len(fleet.inside("r0", candidates)))
         self.assertEqual(sizes, [2, 4])
@@ -378,7 +378,7 @@
             workers.add(choice.worker.instance)
             fleet.run(5.0)
         self.assertLessEqual(len(workers), 2)
-        self.assertEqual(choice.how, "claim")
+        self.assertEqual(choice.method, "claim")
         self.assertLess(choice.uncached_tokens, 1000)
 
     def test_full_and_missing_workers_are_told_apart(self) -> None:
@@ -396,20 +396,20 @@
         self.assertEqual(missing, NoWorker("none-ready", Seconds(1.0)))
 
     def test_awarded_sessions_count_at_the_winner_until_their_next_award_or_for_a_while(self) -> None:
-        fleet = self.fleet(expect_for=Seconds(5.0))
-        keeper = fleet.keepers("s")[0]
+        fleet = self.fleet(expected_turn_lifetime=Seconds(5.0))
+        owner = fleet.owners("s")[0]
         winner = fleet.take("r0", "s").worker.instance
-        self.assertEqual(fleet.placements[keeper]._workload.own(winner).expected, 1.0)
+        self.assertEqual(fleet.placements[owner]._workload.own(winner).expected, 1.0)
         fleet.take("r1", "s", 2100)
         fleet.run(1.5)
         expected = [fleet.placements[name]._workload.own(winner).expected for name in fleet.others_than()]
         self.assertEqual(sum(expected), 1.0)
-        other = fleet.others_than(keeper)[0]
+        other = fleet.others_than(owner)[0]
         self.assertEqual(fleet.inside(other, lambda: fleet.elsewhere(other, winner)).expected, 1.0)
         fleet.run(4.0)
-        number = next(n for n in range(999) if fleet.keepers(f"t{n}")[0] == keeper)
+        number = next(n for n in range(999) if fleet.owners(f"t{n}")[0] == owner)
         gone = fleet.take("r0", f"t{number}").worker.instance
-        self.assertEqual(fleet.placements[keeper]._workload.own(winner).expected, float(gone == winner))
+        self.assertEqual(fleet.placements[owner]._workload.own(winner).expected, float(gone == winner))
 
     def test_router_counts_are_seen_by_the_others(self) -> None:
         fleet = self.fleet()
--- a/wingwood/placement/tests/test_kept_prefixes.py
+++ b/wingwood/placement/tests/test_cached_prefixes.py
@@ -3,7 +3,7 @@
 import unittest
 
 from wingwood.identifiers import Instant, PoolName, WorkerInstance
-from wingwood.placement.kept_prefixes import EvictionModel, SharedPrefixes
+from wingwood.placement.cached_prefixes import EvictionModel, SharedPrefixes
 
 POOL = PoolName("chat")
 LONG_AGO = Instant(-1e9)
@@ -23,12 +23,12 @@
         shared = SharedPrefixes()
         for key, session in enumerate("ab"):
             shared.sent(POOL, ("root", "lease", session), key, 3000, WORKER, Instant(5.0))
-        self.assertEqual(shared.kept(POOL, ("root", "lease", "c"), WORKER, LONG_AGO), 3000)
-        self.assertEqual(shared.kept(POOL, ("root", "x", "c"), WORKER, LONG_AGO), 3000)
-        self.assertEqual(shared.kept(POOL, ("root", "lease", "c"), OTHER, LONG_AGO), 0)
-        self.assertEqual(shared.kept(POOL, ("root", "lease", "c"), WORKER, Instant(6.0)), 0)
+        self.assertEqual(shared.cached_tokens(POOL, ("root", "lease", "c"), WORKER, LONG_AGO), 3000)
+        self.assertEqual(shared.cached_tokens(POOL, ("root", "x", "c"), WORKER, LONG_AGO), 3000)
+        self.assertEqual(shared.cached_tokens(POOL, ("root", "lease", "c"), OTHER, LONG_AGO), 0)
+        self.assertEqual(shared.cached_tokens(POOL, ("root", "lease", "c"), WORKER, Instant(6.0)), 0)
         shared.forget(WORKER)
-        self.assertEqual(shared.kept(POOL, ("root", "lease", "c"), WORKER, LONG_AGO), 0)
+        self.assertEqual(shared.cached_tokens(POOL, ("root", "lease", "c"), WORKER, LONG_AGO), 0)
 
     def test_demand_decays(self) -> None:
         shared = SharedPrefixes()
@@ -44,12 +44,12 @@
         model = EvictionModel()
         for step in range(10):
             model.touched(POOL, step, 100, Instant(step), 1000.0)
-        self.assertLess(model.kept_since(POOL), 0.0)
+        self.assertLess(model.cached_since(POOL), 0.0)
         model.touched(POOL, 0, 100, Instant(10.0), 1000.0)
-        self.assertLess(model.kept_since(POOL), 0.0)
+        self.assertLess(model.cached_since(POOL), 0.0)
         model.touched(POOL, 11, 250, Instant(11.0), 1000.0)
-        self.assertEqual(model.kept_since(POOL), 3.0)
-        self.assertLess(model.kept_since(PoolName("other")), 0.0)
+        self.assertEqual(model.cached_since(POOL), 3.0)
+        self.assertLess(model.cached_since(PoolName("other")), 0.0)
 
 
 if __name__ == "__main__":
--- a/wingwood/placement/tests/test_long_streams.py
+++ b/wingwood/placement/tests/test_long_streams.py
@@ -6,22 +6,22 @@
 from collections import Counter
 
 from wingwood.identifiers import Seconds, WorkerInstance
-from wingwood.placement.long_streams import FILLED_TO, KEPT_APART_FOR, SPREAD_TO
+from wingwood.placement.long_streams import MAX_STREAM_SLOT_SHARE, RESERVATION_PERIOD_S, TARGET_STREAM_SLOT_SHARE
 from wingwood.placement.protocols import Choice, Turn
 from wingwood.placement.settings import AwardSettings
 from wingwood.registry.protocols import Engagement
 
-from .one_router import POOL, OneRouter, told_turn
+from .one_router import POOL, OneRouter, sized_turn
 
 SLOTS = 32
 
 
 def chat(number: int) -> Turn:
-    return told_turn(f"chat:47 thread{number}:30", 140, generate_tokens=3000)
+    return sized_turn(f"chat:47 thread{number}:30", 140, generate_tokens=3000)
 
 
 def summary(number: int) -> Turn:
-    return told_turn(f"kind{number % 4}:2500 subject{number}:3800")
+    return sized_turn(f"kind{number % 4}:2500 subject{number}:3800")
 
 
 class LongStreamsTest(unittest.TestCase):
@@ -35,16 +35,19 @@
         for number in range(count):
             turn = chat(number)
             begun.append((turn, self.router.choose(turn)))
-            self.router.placement.begun(*begun[-1], Seconds(0.02))
+            self.router.placement.first_token_received(*begun[-1], Seconds(0.02))
         return begun
 
     def test_long_streams_share_as_few_workers_as_they_need(self) -> None:
-        room = int(FILLED_TO * SLOTS)
+        room = int(MAX_STREAM_SLOT_SHARE * SLOTS)
         workers = Counter(choice.worker.instance for _, choice in self.start(room + 3))
         self.assertEqual(len(workers), 2)
         self.assertLessEqual(max(workers.values()), room)
         few = OneRouter()
-        self.assertEqual(len({few.choose(chat(number)).worker.instance for number in range(int(SPREAD_TO * SLOTS))}), 1)
+        self.assertEqual(
+            len({few.choose(chat(number)).worker.instance for number in range(int(TARGET_STREAM_SLOT_SHARE * SLOTS))}),
+            1,
+        )
 
     def test_routers_that_do_not_see_each_others_new_streams_fill_no_worker_beyond_its_slots(self) -> None:
         routers = [OneRouter(workers=30, seed=seed) for seed in range(30)]
@@ -52,19 +55,19 @@
         streams = Counter({worker.instance: 20 for worker in order[:5]})
         for router in routers:
             for instance, count in streams.items():
-                router.told[instance] = Engagement(count, 0.0, 0.0, count)
+                router.reported[instance] = Engagement(count, 0.0, 0.0, count)
         streams.update([router.choose(chat(number)).worker.instance for number, router in enumerate(routers)])
         self.assertEqual(len(streams), 5)
         self.assertLessEqual(max(streams.values()), SLOTS)
 
     def test_award_of_a_long_stream_stands_while_its_winner_has_room(self) -> None:
         for worker in self.router.workers:
-            self.router.told[worker.instance] = Engagement(9.0, 0.0, 0.0, 9.0)
+            self.router.reported[worker.instance] = Engagement(9.0, 0.0, 0.0, 9.0)
         first = chat(1)
         self.router.end(first, self.router.choose(first))
         winner = self.router.choose(chat(1))
-        self.assertEqual(winner.how, "award")
-        self.router.told[winner.worker.instance] = Engagement(24.0, 0.0, 0.0, 24.0)
+        self.assertEqual(winner.method, "award")
+        self.router.reported[winner.worker.instance] = Engagement(24.0, 0.0, 0.0, 24.0)
         self.assertNotEqual(self.router.choose(chat(1)).worker, winner.worker)
 
     def test_all_routers_fill_the_same_worker_first(self) -> None:
@@ -72,7 +75,7 @@
         self.assertEqual(len(chosen), 1)
 
     def test_long_prompts_leave_the_workers_of_long_streams_alone(self) -> None:
-        streaming = {choice.worker.instance for _, choice in self.start(int(FILLED_TO * SLOTS) + 3)}
+        streaming = {choice.worker.instance for _, choice in self.start(int(MAX_STREAM_SLOT_SHARE * SLOTS) + 3)}
         for worker in self.router.workers:
             if worker.instance not in streaming:
                 self.router.engage(worker.instance, 26.0)  # As full, so that not the load keeps prompts away.
@@ -82,13 +85,13 @@
 
     def test_streams_that_other_routers_told_of_count_as_well(self) -> None:
         first = self.router.choose(chat(1)).worker.instance
-        self.router.told[first] = Engagement(24.0, 0.0, 0.0, 24.0)
+        self.router.reported[first] = Engagement(24.0, 0.0, 0.0, 24.0)
         self.assertNotEqual(self.router.choose(chat(2)).worker.instance, first)
 
     def test_long_prompts_come_back_some_time_after_the_last_long_stream(self) -> None:
         (turn, choice), *_ = self.start(1)
         self.router.end(turn, choice)
-        self.router.clock.now += KEPT_APART_FOR + 1.0
+        self.router.clock.now += RESERVATION_PERIOD_S + 1.0
         taken = {self.router.take(summary(number)).worker.instance for number in range(120)}
         self.assertIn(choice.worker.instance, taken)
 
@@ -102,10 +105,10 @@
 
     def test_most_workers_stay_open_to_other_turns(self) -> None:
         for worker in self.router.workers:
-            self.router.told[worker.instance] = Engagement(2.0, 0.0, 0.0, 2.0)
+            self.router.reported[worker.instance] = Engagement(2.0, 0.0, 0.0, 2.0)
         self.start(1)
         taken = {self.router.take(summary(number)).worker.instance for number in range(200)}
-        self.assertGreaterEqual(len(taken), 9 - int(AwardSettings().apart_most * 9))
+        self.assertGreaterEqual(len(taken), 9 - int(AwardSettings().max_reserved_share * 9))
 
     def test_worker_that_is_behind_with_its_prompts_gets_no_long_stream(self) -> None:
         first = self.router.choose(chat(1)).worker.instance
@@ -120,7 +123,7 @@
 
     def test_counts_are_told_and_end_with_the_stream(self) -> None:
         (turn, choice), *_ = self.start(1)
-        told: dict[WorkerInstance, Engagement] = self.router.count(choice.worker.pool)
-        self.assertEqual(told[choice.worker.instance].streams, 1.0)
+        reported: dict[WorkerInstance, Engagement] = self.router.count(choice.worker.pool)
+        self.assertEqual(reported[choice.worker.instance].streams, 1.0)
         self.router.placement.finished(turn, choice, "broken", 0, None)
         self.assertEqual(self.router.count(choice.worker.pool).get(choice.worker.instance, Engagement()).streams, 0.0)
--- a/wingwood/placement/tests/test_plain_policies.py
+++ b/wingwood/placement/tests/test_plain_policies.py
@@ -10,7 +10,7 @@
 from simulation.world import World
 from wingwood.identifiers import Seconds, WorkerInstance
 from wingwood.placement.plain_policies import LeastLoaded, RoundRobin, StickyByHash
-from wingwood.placement.policies import placement_of
+from wingwood.placement.policies import create_placement
 from wingwood.placement.protocols import Choice, NoWorker, Placement, Turn
 from wingwood.registry.tests.fleet import POOL, Fleet
 from wingwood.settings.model import DaemonSettings
@@ -35,7 +35,7 @@
                 operator_keys=(),
                 balancing=balancing,  # type: ignore[arg-type]
             )
-            placements[name] = placement_of(
+            placements[name] = create_placement(
                 router.context, router.messenger, router.membership, router.registry, settings
             )
         for worker in self.workers:
@@ -115,7 +115,7 @@
             fleet.announce(worker)
         fleet.world.run(0.1)
         choices = [self.choose(fleet, placements["r0"], turn_of("s/x")) for _ in range(6)]
-        self.assertEqual({choice.how for choice in choices}, {"policy"})
+        self.assertEqual({choice.method for choice in choices}, {"policy"})
         counts = [sum(choice.worker.instance == worker.instance for choice in choices) for worker in self.workers]
         self.assertEqual(counts, [2, 2, 2])
         self.assertEqual(choices[0].worker.pool, POOL)
--- a/wingwood/placement/tests/test_prefill_estimates.py
+++ b/wingwood/placement/tests/test_prefill_estimates.py
@@ -31,12 +31,12 @@
 class PrefillQueuesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock()
-        self.told = Engagement()
+        self.reported = Engagement()
         self.queues = PrefillQueues(cast(Any, self.clock), cast(Any, self))
         self.sent = 0
 
     def elsewhere(self, instance: WorkerInstance) -> Engagement:
-        return self.told
+        return self.reported
 
     def send(self, uncached: int, worker: Worker = WORKER) -> RequestId:
         self.sent += 1
@@ -49,7 +49,7 @@
         for _ in range(times):
             request = self.send(uncached, worker)
             self.clock.now += after
-            self.queues.first_token_came(request, worker, Seconds(after))
+            self.queues.first_token_received(request, worker, Seconds(after))
             self.clock.now += 2.0
 
     def learn(self) -> None:
@@ -70,7 +70,7 @@
         requests = [self.send(9000) for _ in range(3)]
         self.assertAlmostEqual(self.queues.wait(WORKER) - before, 27_000 * PER_TOKEN, delta=0.01)
         self.assertEqual(self.queues.wait(OTHER), before)
-        self.queues.first_token_came(requests[0], WORKER, Seconds(0.05))
+        self.queues.first_token_received(requests[0], WORKER, Seconds(0.05))
         self.queues.ended(requests[1], WORKER, None)
         self.assertAlmostEqual(self.queues.wait(WORKER) - before, 9000 * PER_TOKEN, delta=0.01)
         self.queues.ended(requests[0], WORKER, Seconds(0.05))
@@ -81,7 +81,7 @@
         self.learn()
         waits = []
         for use in (0.0, 0.3, 0.6, 0.9, 1.5):
-            self.told = Engagement(0.0, 0.0, use / PER_TOKEN)
+            self.reported = Engagement(0.0, 0.0, use / PER_TOKEN)
             waits.append(self.queues.wait(WORKER))
         self.assertEqual(waits[0], 0.0)
         for before, after in itertools.pairwise(waits[1:]):
@@ -113,15 +113,15 @@
 
     def test_parts_are_kept_for_as_long_as_the_inflow_takes_to_fill_the_cache(self) -> None:
         self.learn()
-        self.told = Engagement(4.0, 0.0, 100_000.0)
+        self.reported = Engagement(4.0, 0.0, 100_000.0)
         self.clock.now += 60.0
-        slow = self.queues.kept_for(WORKER)
-        self.told = Engagement(4.0, 0.0, 200_000.0)
+        slow = self.queues.cache_retention(WORKER)
+        self.reported = Engagement(4.0, 0.0, 200_000.0)
         self.clock.now += 1.0
-        self.assertAlmostEqual(self.queues.kept_for(WORKER), slow / 2, delta=0.1 * slow)
-        self.told = Engagement(30.0, 0.0, 200_000.0)
+        self.assertAlmostEqual(self.queues.cache_retention(WORKER), slow / 2, delta=0.1 * slow)
+        self.reported = Engagement(30.0, 0.0, 200_000.0)
         self.clock.now += 1.0
-        self.assertLess(self.queues.kept_for(WORKER), 0.4 * slow, "running turns hold memory too")
+        self.assertLess(self.queues.cache_retention(WORKER), 0.4 * slow, "running turns hold memory too")
 
 
 if __name__ == "__main__":
--- a/wingwood/placement/tests/test_told_turns.py
+++ b/wingwood/placement/tests/test_reported_sizes.py
@@ -9,16 +9,16 @@
 
 from wingwood.bundle.model import PoolShare, Service
 from wingwood.identifiers import Instant, Seconds, ServiceName, WorkerInstance
-from wingwood.placement.recurrence import SAMPLED_KEYS, TRIED_FIRST
 from wingwood.placement.session_map import Entry, LocalMap, Unreachable
-from wingwood.placement.worker_estimates import FULL_AT
+from wingwood.placement.session_recurrence import MIN_OBSERVED_TURNS, SAMPLED_ONE_IN
+from wingwood.placement.worker_estimates import FULL_TURNS_PER_SLOT
 
-from .one_router import OTHER_POOL, POOL, SUMMARY, OneRouter, told_turn
+from .one_router import OTHER_POOL, POOL, SUMMARY, OneRouter, sized_turn
 
-PREFILL_OF_A_MOMENT = 250_000.0
+HEAVY_PREFILL_FLOW = 250_000.0
 """Tokens a second that keep an engine of ``OneRouter.teach`` busy for five sixths of the time."""
 
-SHORT_QUEUE = 120_000.0
+LIGHT_PREFILL_FLOW = 120_000.0
 """Tokens a second that keep such an engine busy for two fifths of the time."""
 
 
@@ -43,9 +43,9 @@
         self.router.teach()
 
     def test_next_turn_goes_to_the_award_and_prefills_only_what_is_new(self) -> None:
-        first = self.router.take(told_turn("kind:2500 subject:3800", 3000))
-        again = self.router.take(told_turn("kind:2500 subject:3800", 1700))
-        self.assertEqual((again.how, again.worker), ("award", first.worker))
+        first = self.router.take(sized_turn("kind:2500 subject:3800", 3000))
+        again = self.router.take(sized_turn("kind:2500 subject:3800", 1700))
+        self.assertEqual((again.method, again.worker), ("award", first.worker))
         self.assertEqual((first.uncached_tokens, again.uncached_tokens), (9300, 1700))
 
     def test_first_turns_of_a_prefix_go_to_one_worker_at_every_router(self) -> None:
@@ -53,53 +53,53 @@
             chosen = set()
             for seed in range(6):
                 router = OneRouter(seed=seed)
-                chosen.add(router.choose(told_turn(f"kind:2500 {subject}:3800")).worker.instance)
+                chosen.add(router.choose(sized_turn(f"kind:2500 {subject}:3800")).worker.instance)
             self.assertEqual(len(chosen), 1)
 
     def test_subjects_spread_over_the_workers(self) -> None:
         counts = Counter(
-            self.router.take(told_turn(f"kind:2500 subject{number}:3800")).worker.instance for number in range(180)
+            self.router.take(sized_turn(f"kind:2500 subject{number}:3800")).worker.instance for number in range(180)
         )
         self.assertEqual(len(counts), 9)
         self.assertLess(max(counts.values()), 45)
 
     def test_crowded_winner_is_left_where_another_meets_the_objective(self) -> None:
-        winner = self.router.take(told_turn("kind:2500 subject:3800")).worker
-        self.router.engage(winner.instance, 8.0, PREFILL_OF_A_MOMENT)
-        left = self.router.choose(told_turn("kind:2500 subject:3800"))
-        self.assertNotEqual((left.how, left.worker), ("award", winner))
+        winner = self.router.take(sized_turn("kind:2500 subject:3800")).worker
+        self.router.engage(winner.instance, 8.0, HEAVY_PREFILL_FLOW)
+        left = self.router.choose(sized_turn("kind:2500 subject:3800"))
+        self.assertNotEqual((left.method, left.worker), ("award", winner))
         self.assertLess(left.first_token, 0.1)
 
     def test_crowded_winner_keeps_the_turn_where_all_are_crowded_or_no_objective_is_set(self) -> None:
-        winner = self.router.take(told_turn("kind:2500 subject:3800")).worker
-        self.router.engage_all(8.0, PREFILL_OF_A_MOMENT)
-        kept = self.router.choose(told_turn("kind:2500 subject:3800"))
-        self.assertEqual((kept.how, kept.worker), ("award", winner))
+        winner = self.router.take(sized_turn("kind:2500 subject:3800")).worker
+        self.router.engage_all(8.0, HEAVY_PREFILL_FLOW)
+        kept = self.router.choose(sized_turn("kind:2500 subject:3800"))
+        self.assertEqual((kept.method, kept.worker), ("award", winner))
         self.router.engage_all()
-        self.router.engage(winner.instance, 8.0, PREFILL_OF_A_MOMENT)
+        self.router.engage(winner.instance, 8.0, HEAVY_PREFILL_FLOW)
         service = msgspec.structs.replace(SUMMARY, latency_objective=None)
-        unhurried = self.router.choose(told_turn("kind:2500 subject:3800", service=service))
-        self.assertEqual((unhurried.how, unhurried.worker), ("award", winner))
+        unhurried = self.router.choose(sized_turn("kind:2500 subject:3800", service=service))
+        self.assertEqual((unhurried.method, unhurried.worker), ("award", winner))
 
     def test_award_goes_to_another_worker_where_the_holder_stays_crowded(self) -> None:
-        turn = told_turn("kind:2500 subject:3800")
+        turn = sized_turn("kind:2500 subject:3800")
         choice = self.router.choose(turn)
-        self.router.engage(choice.worker.instance, 8.0, PREFILL_OF_A_MOMENT)
+        self.router.engage(choice.worker.instance, 8.0, HEAVY_PREFILL_FLOW)
         self.router.end(turn, choice)
         self.router.engage(choice.worker.instance)
-        again = self.router.choose(told_turn("kind:2500 subject:3800"))
-        self.assertEqual(again.how, "award")
+        again = self.router.choose(sized_turn("kind:2500 subject:3800"))
+        self.assertEqual(again.method, "award")
         self.assertNotEqual(again.worker, choice.worker)
 
     def test_award_stays_with_the_holder_for_a_small_gain(self) -> None:
         for number in range(8):
-            turn = told_turn(f"kind:2500 subject{number}:3800")
+            turn = sized_turn(f"kind:2500 subject{number}:3800")
             choice = self.router.choose(turn)
             self.router.engage(choice.worker.instance, 2.0, 60_000.0)
             self.router.end(turn, choice)
-            next_turn = told_turn(f"kind:2500 subject{number}:3800")
+            next_turn = sized_turn(f"kind:2500 subject{number}:3800")
             again = self.router.choose(next_turn)
-            self.assertEqual((again.how, again.worker), ("award", choice.worker))
+            self.assertEqual((again.method, again.worker), ("award", choice.worker))
             self.router.end(next_turn, again)
             self.router.engage_all()
 
@@ -107,7 +107,7 @@
         uncached: Counter[WorkerInstance] = Counter()
         counts: Counter[WorkerInstance] = Counter()
         for _ in range(80):
-            choice = self.router.take(told_turn("kind:2500 hot:3800"))
+            choice = self.router.take(sized_turn("kind:2500 hot:3800"))
             counts[choice.worker.instance] += 1
             uncached[choice.worker.instance] += choice.uncached_tokens > 5000
             self.router.clock.now += 0.2
@@ -117,71 +117,71 @@
         self.assertLessEqual(max(uncached.values()), 1)
 
     def test_turns_side_by_side_leave_the_award_standing(self) -> None:
-        turn = told_turn("kind:2500 subject:3800")
+        turn = sized_turn("kind:2500 subject:3800")
         holder = self.router.choose(turn)
-        self.router.engage(holder.worker.instance, 8.0, PREFILL_OF_A_MOMENT)
+        self.router.engage(holder.worker.instance, 8.0, HEAVY_PREFILL_FLOW)
         self.router.end(turn, holder)
         self.router.engage(holder.worker.instance)
-        choices = [self.router.choose(told_turn("kind:2500 subject:3800")) for _ in range(3)]
-        self.assertEqual([choice.how for choice in choices], ["award"] * 3)
+        choices = [self.router.choose(sized_turn("kind:2500 subject:3800")) for _ in range(3)]
+        self.assertEqual([choice.method for choice in choices], ["award"] * 3)
         self.assertEqual(len({choice.worker.instance for choice in choices} - {holder.worker.instance}), 1)
 
     def test_part_that_the_engine_has_dropped_is_prefilled(self) -> None:
-        turn = told_turn("kind:2500 subject:3800")
+        turn = sized_turn("kind:2500 subject:3800")
         winner = self.router.take(turn).worker
         self.router.engage_all(2.0, 90_000.0)
         self.router.clock.now += 30.0
-        again = self.router.choose(told_turn("kind:2500 subject:3800"))
+        again = self.router.choose(sized_turn("kind:2500 subject:3800"))
         self.assertEqual(again.worker, winner)
         self.assertGreater(again.uncached_tokens, 2900 + 3700)
 
     def test_own_zone_is_taken_for_short_prompts_with_little_to_spare(self) -> None:
-        zones = Counter(self.router.take(told_turn(f"chat:47 t{n}:30", 140)).worker.zone for n in range(60))
+        zones = Counter(self.router.take(sized_turn(f"chat:47 t{n}:30", 140)).worker.zone for n in range(60))
         self.assertGreater(zones["a"], 35)  # type: ignore[index]
 
     def test_less_crowded_worker_takes_the_chat(self) -> None:
         busy = {f"w{number}" for number in range(0, 9, 2)}
         for name in busy:
-            self.router.engage(WorkerInstance(name), 6.0, PREFILL_OF_A_MOMENT)
-        chosen = [self.router.choose(told_turn(f"chat:47 t{n}:30", 140)).worker.instance for n in range(30)]
+            self.router.engage(WorkerInstance(name), 6.0, HEAVY_PREFILL_FLOW)
+        chosen = [self.router.choose(sized_turn(f"chat:47 t{n}:30", 140)).worker.instance for n in range(30)]
         self.assertLessEqual(sum(instance in busy for instance in chosen), 3)
 
     def test_worker_that_has_gone_is_forgotten(self) -> None:
-        winner = self.router.take(told_turn("kind:2500 subject:3800")).worker
+        winner = self.router.take(sized_turn("kind:2500 subject:3800")).worker
         self.router.workers.remove(winner)
         self.router.changed(msgspec.structs.replace(winner, state="gone"))
-        again = self.router.take(told_turn("kind:2500 subject:3800"))
+        again = self.router.take(sized_turn("kind:2500 subject:3800"))
         self.assertEqual(again.uncached_tokens, 2900 + 6300)
-        self.assertEqual(self.router.choose(told_turn("kind:2500 subject:3800")).how, "award")
+        self.assertEqual(self.router.choose(sized_turn("kind:2500 subject:3800")).method, "award")
 
 
 class LookUpsTest(unittest.TestCase):
     def test_sessions_that_never_come_back_are_hardly_asked_or_told_of(self) -> None:
         session_map = CountingMap()
         router = OneRouter(session_map=session_map)
-        for number in range(TRIED_FIRST + 400):
-            if number == TRIED_FIRST:
+        for number in range(MIN_OBSERVED_TURNS + 400):
+            if number == MIN_OBSERVED_TURNS:
                 session_map.asked = session_map.told = 0
-            router.take(told_turn(f"kind:2500 own{number}:2900", 0))
-        self.assertLess(session_map.asked, 400 / SAMPLED_KEYS * 1.6)
-        self.assertGreater(session_map.asked, 400 / SAMPLED_KEYS * 0.5)
-        self.assertLess(session_map.told, 2 * 400 / SAMPLED_KEYS * 1.6)
+            router.take(sized_turn(f"kind:2500 own{number}:2900", 0))
+        self.assertLess(session_map.asked, 400 / SAMPLED_ONE_IN * 1.6)
+        self.assertGreater(session_map.asked, 400 / SAMPLED_ONE_IN * 0.5)
+        self.assertLess(session_map.told, 2 * 400 / SAMPLED_ONE_IN * 1.6)
 
     def test_sessions_that_come_back_are_asked_for_each_time(self) -> None:
         session_map = CountingMap()
         router = OneRouter(session_map=session_map)
         for number in range(300):
-            router.take(told_turn(f"kind:2500 subject{number % 100}:3800"))
+            router.take(sized_turn(f"kind:2500 subject{number % 100}:3800"))
         self.assertEqual(session_map.asked, 300)
 
     def test_sessions_that_begin_to_come_back_are_followed_again(self) -> None:
         router = OneRouter(session_map=CountingMap())
-        for number in range(TRIED_FIRST + 100):
-            router.take(told_turn(f"kind:2500 own{number}:2900", 0))
-        self.assertFalse(router.placement._recurrence.comes_back(SUMMARY.name))
+        for number in range(MIN_OBSERVED_TURNS + 100):
+            router.take(sized_turn(f"kind:2500 own{number}:2900", 0))
+        self.assertFalse(router.placement._recurrence.sessions_recur(SUMMARY.name))
         for number in range(1200):
-            router.take(told_turn(f"kind:2500 again{number % 40}:2900", 0))
-        self.assertTrue(router.placement._recurrence.comes_back(SUMMARY.name))
+            router.take(sized_turn(f"kind:2500 again{number % 40}:2900", 0))
+        self.assertTrue(router.placement._recurrence.sessions_recur(SUMMARY.name))
 
     def test_turns_that_share_all_but_their_own_part_go_to_one_worker_before_anything_is_learnt(self) -> None:
         for subject in ("s1", "s2", "s3", "s4"):
@@ -189,7 +189,7 @@
             for seed in range(6):
                 router = OneRouter(seed=seed)
                 router.teach()
-                choice = router.choose(told_turn(f"kind:2500 {subject}:3800 own{seed}:2900", 0))
+                choice = router.choose(sized_turn(f"kind:2500 {subject}:3800 own{seed}:2900", 0))
                 chosen.add(choice.worker.instance)
             self.assertEqual(len(chosen), 1)
 
@@ -198,16 +198,16 @@
         for seed in range(6):
             router = OneRouter(seed=seed)
             router.teach()
-            home = router.choose(told_turn("kind:2500 subject:3800 own:2900", 0)).worker
-            router.engage(home.instance, 2.0, SHORT_QUEUE)
-            readers.add(router.choose(told_turn("kind:2500 subject:3800 other:2900", 0)).worker.instance)
+            home = router.choose(sized_turn("kind:2500 subject:3800 own:2900", 0)).worker
+            router.engage(home.instance, 2.0, LIGHT_PREFILL_FLOW)
+            readers.add(router.choose(sized_turn("kind:2500 subject:3800 other:2900", 0)).worker.instance)
         self.assertEqual(len(readers), 1)
 
     def test_parts_of_one_request_alone_do_not_count_as_kept(self) -> None:
         router = OneRouter()
-        for number in range(TRIED_FIRST + 100):
-            router.take(told_turn(f"kind:2500 own{number}:2900", 0))
-        turn = told_turn("kind:2500 fresh:2900", 0)
+        for number in range(MIN_OBSERVED_TURNS + 100):
+            router.take(sized_turn(f"kind:2500 own{number}:2900", 0))
+        turn = sized_turn("kind:2500 fresh:2900", 0)
         self.assertLess(abs(router.choose(turn).uncached_tokens - 2900), 600)
 
 
@@ -224,32 +224,34 @@
     def test_calls_go_to_the_pools_by_weight_and_sessions_return(self) -> None:
         pools: Counter[str] = Counter()
         for number in range(200):
-            first = self.router.take(told_turn(self.turn(number), service=self.service))
-            again = self.router.take(told_turn(self.turn(number), service=self.service))
+            first = self.router.take(sized_turn(self.turn(number), service=self.service))
+            again = self.router.take(sized_turn(self.turn(number), service=self.service))
             pools[first.worker.pool] += 1
-            self.assertEqual((again.how, again.worker), ("award", first.worker))
+            self.assertEqual((again.method, again.worker), ("award", first.worker))
         self.assertAlmostEqual(pools[OTHER_POOL] / 200, 0.25, delta=0.08)
 
     def test_pool_without_a_ready_worker_is_passed_over(self) -> None:
         del self.router.workers[6:]
         for number in range(20):
-            choice = self.router.choose(told_turn(self.turn(number), service=self.service))
+            choice = self.router.choose(sized_turn(self.turn(number), service=self.service))
             self.assertEqual(choice.worker.pool, POOL)
 
     def test_full_pool_is_passed_over_and_all_full_beats_none_ready(self) -> None:
         for worker in self.router.workers[:6]:
-            self.router.engage(worker.instance, FULL_AT * worker.slots)
+            self.router.engage(worker.instance, FULL_TURNS_PER_SLOT * worker.slots)
         for number in range(20):
-            choice = self.router.choose(told_turn(self.turn(number), service=self.service))
+            choice = self.router.choose(sized_turn(self.turn(number), service=self.service))
             self.assertEqual(choice.worker.pool, OTHER_POOL)
         del self.router.workers[6:]
         for number in range(20):
-            self.assertEqual(self.router.refusal(told_turn(self.turn(number), service=self.service)).reason, "all-full")
+            self.assertEqual(
+                self.router.refusal(sized_turn(self.turn(number), service=self.service)).reason, "all-full"
+            )
 
     def test_second_attempt_goes_to_another_worker_of_any_pool(self) -> None:
         pools: Counter[str] = Counter()
         for number in range(100):
-            turn = told_turn(self.turn(number), service=self.service)
+            turn = sized_turn(self.turn(number), service=self.service)
             first = self.router.choose(turn)
             second = self.router.choose(turn, (first.worker.instance,))
             self.assertNotEqual(first.worker, second.worker)
@@ -257,11 +259,11 @@
         self.assertGreater(min(pools[POOL], pools[OTHER_POOL]), 8)
 
     def test_session_of_a_pool_that_left_the_service_goes_to_the_new_one(self) -> None:
-        first = self.router.take(told_turn(self.turn(1)))
+        first = self.router.take(sized_turn(self.turn(1)))
         moved = msgspec.structs.replace(SUMMARY, pool=OTHER_POOL)
-        choice = self.router.choose(told_turn(self.turn(1), service=moved))
+        choice = self.router.choose(sized_turn(self.turn(1), service=moved))
         self.assertEqual((first.worker.pool, choice.worker.pool), (POOL, OTHER_POOL))
-        self.assertNotEqual(choice.how, "award")
+        self.assertNotEqual(choice.method, "award")
 
 
 class RefusalsTest(unittest.TestCase):
@@ -274,31 +276,31 @@
 
     def test_turn_that_cannot_make_its_deadline_is_refused_where_queues_stand(self) -> None:
         self.router.engage_all(120.0, 900_000.0)
-        refusal = self.router.refusal(told_turn("kind:2500 s:3800", deadline=self.hurried(0.5)))
+        refusal = self.router.refusal(sized_turn("kind:2500 s:3800", deadline=self.hurried(0.5)))
         self.assertEqual(refusal.reason, "all-full")
         self.assertGreater(refusal.retry_after, 0.1)
 
     def test_turn_that_only_misses_its_objective_is_served(self) -> None:
         self.router.engage_all(20.0, 400_000.0)
-        choice = self.router.choose(told_turn("kind:2500 s:3800", deadline=self.hurried(2.0)))
+        choice = self.router.choose(sized_turn("kind:2500 s:3800", deadline=self.hurried(2.0)))
         self.assertGreater(choice.first_token, 0.2)
 
     def test_nothing_is_refused_while_under_half_of_the_places_are_taken(self) -> None:
         self.router.engage_all(10.0, 900_000.0)
-        choice = self.router.choose(told_turn("kind:2500 s:3800", deadline=self.hurried(0.1)))
+        choice = self.router.choose(sized_turn("kind:2500 s:3800", deadline=self.hurried(0.1)))
         self.assertGreater(choice.first_token, 0.1)
 
     def test_less_urgent_turns_are_refused_first(self) -> None:
         chat = Service(name=ServiceName("chat"), pool=POOL, latency_objective=Seconds(0.15))
-        self.router.engage_all(0.9 * FULL_AT * 32)
-        self.assertIn("w", self.router.choose(told_turn("c:47 t:30", 140, chat, urgency=2)).worker.instance)
-        self.assertEqual(self.router.refusal(told_turn("kind:2500 s:3800", urgency=6)).reason, "all-full")
-        self.router.engage_all(FULL_AT * 32)
-        self.assertEqual(self.router.refusal(told_turn("c:47 t:30", 140, chat, urgency=2)).reason, "all-full")
+        self.router.engage_all(0.9 * FULL_TURNS_PER_SLOT * 32)
+        self.assertIn("w", self.router.choose(sized_turn("c:47 t:30", 140, chat, urgency=2)).worker.instance)
+        self.assertEqual(self.router.refusal(sized_turn("kind:2500 s:3800", urgency=6)).reason, "all-full")
+        self.router.engage_all(FULL_TURNS_PER_SLOT * 32)
+        self.assertEqual(self.router.refusal(sized_turn("c:47 t:30", 140, chat, urgency=2)).reason, "all-full")
 
     def test_the_only_kind_of_turns_has_all_places(self) -> None:
-        self.router.engage_all(0.9 * FULL_AT * 32)
-        self.router.choose(told_turn("kind:2500 s:3800"))
+        self.router.engage_all(0.9 * FULL_TURNS_PER_SLOT * 32)
+        self.router.choose(sized_turn("kind:2500 s:3800"))
 
 
 class PlainPoolTest(unittest.TestCase):
@@ -307,7 +309,7 @@
         self.service = Service(name=ServiceName("status"), pool=POOL, kind="plain", streaming=False)
 
     def choose(self, excluded: tuple[WorkerInstance, ...] = ()) -> str:
-        return self.router.choose(told_turn("", 150, self.service), excluded).worker.instance
+        return self.router.choose(sized_turn("", 150, self.service), excluded).worker.instance
 
     def test_own_zone_first_between_equal_loads(self) -> None:
         self.assertEqual([self.choose() for _ in range(1)], ["w0"])
--- a/wingwood/placement/tests/test_worker_estimates.py
+++ b/wingwood/placement/tests/test_worker_estimates.py
@@ -44,9 +44,9 @@
         self.elsewhere = Elsewhere()
         self.workload = Workload(self.elsewhere, self.elsewhere, RealClock(), Seconds(20.0))
 
-    def learn(self, times: int, uncached: int, waited: float, first_token: float, turn: float) -> None:
+    def learn(self, times: int, uncached: int, predicted_wait: float, first_token: float, turn: float) -> None:
         for _ in range(times):
-            self.workload.learn(WORKER, uncached, waited, Seconds(first_token), turn)
+            self.workload.learn(WORKER, uncached, predicted_wait, Seconds(first_token), turn)
 
     def test_prefill_rate_and_base_are_learnt_from_turns_that_did_not_wait(self) -> None:
         self.learn(60, 0, 0.0, 0.1, 1.0)
@@ -64,9 +64,9 @@
         """Else waits would make turns look long, and long turns foretell longer waits, without end."""
         self.elsewhere.running = 6.0
         for _ in range(100):
-            waited = self.workload.wait(WORKER)
-            self.learn(1, 0, waited, 0.05 + waited, 1.0 + waited)
-        self.assertAlmostEqual(self.workload.figures(WORKER).turn, 1.0, delta=0.1)
+            predicted_wait = self.workload.wait(WORKER)
+            self.learn(1, 0, predicted_wait, 0.05 + predicted_wait, 1.0 + predicted_wait)
+        self.assertAlmostEqual(self.workload.estimates(WORKER).turn_duration, 1.0, delta=0.1)
 
     def test_waits_that_differ_from_the_forecast_correct_it(self) -> None:
         self.elsewhere.running = 6.0
--- a/wingwood/placement/passed_over.py
+++ b/wingwood/placement/unresponsive_routers.py
@@ -5,20 +5,20 @@
 from ..context.protocols import Clock
 from ..identifiers import Incarnation, Instant, Seconds
 
-PASSED_OVER_FOR = Seconds(1.0)
+SKIP_PERIOD_S = Seconds(1.0)
 
 
-class PassedOver:
+class UnresponsiveRouters:
     """By incarnation: a router that was started again is asked at once."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._until: dict[Incarnation, Instant] = {}
 
-    def holds(self, router: Incarnation) -> bool:
+    def contains(self, router: Incarnation) -> bool:
         return self._until.get(router, Instant(0.0)) > self._clock.monotonic()
 
     def add(self, router: Incarnation) -> None:
         now = self._clock.monotonic()
         self._until = {known: until for known, until in self._until.items() if until > now}
-        self._until[router] = Instant(now + PASSED_OVER_FOR)
+        self._until[router] = Instant(now + SKIP_PERIOD_S)
--- a/wingwood/placement/urgency.py
+++ b/wingwood/placement/urgency.py
@@ -6,7 +6,7 @@
 
 from ..identifiers import Instant, PoolName, Seconds
 
-REMEMBERED_FOR = Seconds(20.0)
+URGENCY_RETENTION_S = Seconds(20.0)
 
 
 class _MostUrgent(msgspec.Struct):
@@ -17,13 +17,13 @@
 class UrgentPlaces:
     """Turns less urgent than the most urgent of late see fewer places, so that they are refused first."""
 
-    def __init__(self, less_urgent_places: float) -> None:
-        self._less_urgent_places = less_urgent_places
+    def __init__(self, less_urgent_share: float) -> None:
+        self._less_urgent_places = less_urgent_share
         self._most_urgent: dict[PoolName, _MostUrgent] = {}
 
-    def seen(self, pool: PoolName, urgency: int, now: Instant) -> None:
+    def observe(self, pool: PoolName, urgency: int, now: Instant) -> None:
         most = self._most_urgent.get(pool)
-        if most is None or urgency <= most.urgency or now - most.at > REMEMBERED_FOR:
+        if most is None or urgency <= most.urgency or now - most.at > URGENCY_RETENTION_S:
             self._most_urgent[pool] = _MostUrgent(urgency, now)
 
     def share(self, pool: PoolName, urgency: int) -> float:
