--- a/wingwood/placement/award_placement.py
+++ b/wingwood/placement/award_placement.py
@@ -1,4 +1,8 @@
-"""The award policy: hint, bid, award, and the real turn (docs/DESIGN.md section 11)."""
+"""The award policy: it places turns by awards, claims and bids (docs/DESIGN.md section 11).
+
+The end of a turn is the hint of the session's next turn: the router bids for that turn at once and records the winner
+as the award.
+"""
 
 from __future__ import annotations
 
@@ -31,24 +35,29 @@
 
 Method = Literal["award", "claim", "bid", "hash", "policy"]
 UNSENT_WITHIN_S = Seconds(0.002)
-"""A turn that admission refuses is cancelled in the moment in which it was placed."""
+"""A turn cancelled within this time never reached its worker: admission refuses a turn as soon as it is placed."""
 NONE_READY_RETRY_S = Seconds(1.0)
 OTHER_ZONE_TURNS = 0.5
-"""In pools without sessions: between equal loads the own zone's worker is taken, and not otherwise."""
+"""Number of turns added to the load of a worker in another zone, in pools without sessions.
+
+Half a turn prefers the worker of the router's own zone only between equal loads.
+"""
 Outcome = Literal["whole", "refused", "broken", "cancelled"]
 
 
 class _Placed(msgspec.Struct, frozen=True):
+    """A turn that was placed and has not finished."""
+
     since: Instant
     predicted_wait: float
     claimed: bool
-    """Whether the placing made this worker the session's holder in the map."""
+    """Whether placing the turn recorded this worker as the session's holder in the map."""
     known: Entry | None
-    """What the map held before."""
+    """The entry that the map held before the turn was placed."""
 
 
 class AwardPlacement:
-    """Placement on awards, claims and bids. One per router."""
+    """A ``Placement`` that uses awards, claims and bids. There is one per router."""
 
     def __init__(
         self,
@@ -61,9 +70,9 @@
         zone: Zone | None = None,
         queue_owners: QueueOwners | None = None,
     ) -> None:
-        """``zone``: the router's own, whose workers are preferred a little; None: no preference.
+        """``zone``: the router's own zone, whose workers are slightly preferred; None: no preference.
 
-        ``queue_owners``: None: this router goes by what it knows itself of the prefill queues.
+        ``queue_owners``: None: the router uses only what it knows itself about the prefill queues.
         """
         self._context = context
         self._membership = membership
@@ -99,18 +108,18 @@
         )
         self._placed: dict[tuple[RequestId, WorkerInstance], _Placed] = {}
         self.counts: Counter[str] = Counter()
-        """Choices by how, awards recorded, moves, and lookups that reached no keeper; for metrics."""
+        """Counts of choices by method, recorded awards, moves and lookups that no owner answered; for metrics."""
         registry.on_change(self._worker_changed)
 
     def entry_stored(self, key: int, entry: Entry) -> None:
-        """The session map tells of each entry that this router keeps: an even sample for the eviction model."""
+        """Callback of the session map for each entry stored at this router: an even sample for the eviction model."""
         if self._map.owns(key):
             self._workload.expect(key, entry.winner or entry.holder, entry.last_used_at)
         capacity = sum(worker.cache_tokens for worker in self._registry.ready(entry.pool))
         if capacity:
             self._estimated_bids.session_stored(key, entry, capacity)
 
-    # --- the real turn ------------------------------------------------------------------------
+    # --- placing a turn -----------------------------------------------------------------------
 
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
         refusal: NoWorker | None = None
@@ -183,14 +192,14 @@
         return choice
 
     def _winner(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker | None:
-        """The standing award's, as long as it is ready and not too crowded."""
+        """Returns the winner of the unexpired award if it is ready and not too crowded."""
         if entry is None or entry.award_until <= self._context.clock.monotonic():
             return None
         winner = next((worker for worker in ready if worker.instance == entry.winner), None)
         return winner if winner is not None and self._winner_in_time(turn, entry, winner, ready) else None
 
     async def _bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Choice:
-        """The session's holder counts only where it is ready and keeps something of the prompt."""
+        """Bids for the turn; the session's holder counts only if it is ready and caches a part of the prompt."""
         if self._long_streams.is_long(turn):
             return self._stream_choice(turn, entry, self._long_streams.pick(ready))
         bidder = self._bidder(turn)
@@ -207,18 +216,18 @@
         return Choice(worker=worker, method=method, first_token=forecast.first_token, uncached_tokens=forecast.uncached)
 
     def _stream_choice(self, turn: Turn, entry: Entry | None, worker: Worker) -> Choice:
-        """A long stream's worker follows from the streams there, not from what its prompt costs."""
+        """Returns the choice of a long stream's worker, which depends on the streams there and not on the prompt."""
         method: Method = "claim" if entry is not None and entry.holder == worker.instance else "bid"
         choice = self._choice(turn, entry, worker, method)
         self._reported_bids.enter(turn, worker, choice.uncached_tokens)
         return choice
 
     def _winner_in_time(self, turn: Turn, entry: Entry | None, winner: Worker, ready: Sequence[Worker]) -> bool:
-        """Whether the award's winner may keep the turn though it may be crowded.
+        """Returns whether the award's winner takes the turn even though it may be crowded.
 
-        It may not where the callers' patience would not outlast the wait, since admission would refuse what
-        others can run; nor where it would probably miss the latency objective that another worker would meet,
-        as far as sizes are told: forecasts from guessed sizes are too rough for that.
+        It does not where its first token would exceed the callers' timeout: admission would then refuse a turn that
+        other workers could run. Where sizes are reported, it does not either if it would probably miss a latency
+        objective that another worker would meet; forecasts from estimated sizes are too rough for that.
         """
         bidder = self._bidder(turn)
         first_token = bidder.forecast(turn, entry, winner).first_token
@@ -237,7 +246,7 @@
         return Choice(worker=worker, method=method, first_token=forecast.first_token, uncached_tokens=forecast.uncached)
 
     def _misses_deadline(self, turn: Turn, choice: Choice, ready: Sequence[Worker]) -> bool:
-        """Whether the caller will have given up by the first token, and the pool is busy enough to say so."""
+        """Returns whether the first token would come after the caller's deadline while the pool is busy."""
         if turn.deadline is None or self._context.clock.monotonic() + choice.first_token <= turn.deadline:
             return False
         return self._workload.is_busy(ready)
@@ -263,15 +272,19 @@
         self._workload.begin(worker.instance)
 
     def _is_claim(self, turn: Turn, known: Entry | None, choice: Choice) -> bool:
-        """Turns of a session that run side by side leave its standing award as it is, where sizes are told."""
+        """Returns whether the placement records the chosen worker as the session's holder.
+
+        Where sizes are reported, a turn placed by the award leaves the award unchanged, so that several turns of a
+        session can run concurrently under it.
+        """
         if known is None or not (turn.parts and choice.method == "award"):
             return known is None or known.holder != choice.worker.instance
         return False
 
-    # --- the end of a turn, and the hint ------------------------------------------------------
+    # --- end of a turn, and its hint ----------------------------------------------------------
 
     def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
-        """The turn's first piece came from its worker, so many seconds after it was sent."""
+        """Teaches the prefill estimates the time to the first token, where sizes are reported."""
         if turn.parts:
             self._queues.first_token_received(turn.request, choice.worker, first_token_after)
 
@@ -307,14 +320,14 @@
             self.hint(turn, worker, bidder.session_tokens(turn, turn.prompt_tokens + generated_tokens))
 
     def _unclaim(self, turn: Turn, worker: Worker, known: Entry | None) -> None:
-        """The worker never saw the turn: what was known before holds again."""
+        """Restores the entry that was known before, because the worker never received the turn."""
         assert turn.session is not None
         now = self._context.clock.monotonic()
         entry = self._entry(turn, worker, 0, now) if known is None else msgspec.structs.replace(known, last_used_at=now)
         self._record(turn, session_key(worker.pool, turn.session), entry)
 
     def hint(self, turn: Turn, holder: Worker, tokens: int) -> None:
-        """The session's next turn is near: bid for it, record the award."""
+        """Bids for the session's next turn, which is expected soon, and records the award."""
         assert turn.session is not None
         now = self._context.clock.monotonic()
         key = session_key(holder.pool, turn.session)
@@ -349,25 +362,31 @@
             weight=turn.weight,
         )
 
-    # --- without a session --------------------------------------------------------------------
+    # --- turns without a session --------------------------------------------------------------
 
     def _agreed_worker(self, key: int, ready: Sequence[Worker]) -> Worker:
-        """What every router picks without asking: rendezvous over the ready workers that are not full."""
+        """Returns the worker that every router picks without a lookup, by rendezvous over the ready workers.
+
+        Full workers are skipped unless all are full.
+        """
         order = ranked(f"{key:x}", ready, lambda worker: worker.instance)
         return next((worker for worker in order if not self._workload.is_full(worker)), order[0])
 
     def _least_loaded(self, ready: Sequence[Worker]) -> Worker:
-        """Of a few drawn ones, in drawn order: idle ones share the calls, whatever their names."""
+        """Returns the least loaded of a few workers drawn at random, or of all if the drawn ones have no free slot.
+
+        Ties go to the worker drawn first, so that idle workers share the calls regardless of their names.
+        """
         drawn = self._context.random.sample(list(ready), min(self._settings.candidates, len(ready)))
-        best = min(drawn, key=self._fullness)
+        best = min(drawn, key=self._load_per_slot)
         if self._workload.load(best) < best.slots:
             return best
-        return min(self._context.random.sample(list(ready), len(ready)), key=self._fullness)
+        return min(self._context.random.sample(list(ready), len(ready)), key=self._load_per_slot)
 
-    def _fullness(self, worker: Worker) -> float:
-        """Load per slot; a worker of another zone seems to run a part of a turn more."""
-        away = self._zone is not None and worker.zone != self._zone
-        return (self._workload.load(worker) + away * OTHER_ZONE_TURNS) / worker.slots
+    def _load_per_slot(self, worker: Worker) -> float:
+        """Returns the load per slot; the load of a worker in another zone is increased by ``OTHER_ZONE_TURNS``."""
+        in_other_zone = self._zone is not None and worker.zone != self._zone
+        return (self._workload.load(worker) + in_other_zone * OTHER_ZONE_TURNS) / worker.slots
 
     def _worker_changed(self, worker: Worker) -> None:
         if worker.state == "gone":
@@ -377,7 +396,7 @@
 
 
 def _more_informative(first: NoWorker | None, second: NoWorker) -> NoWorker:
-    """Of the refusals of several pools: one that has workers says more than one that has none."""
+    """Returns the refusal that says more: one from a pool with ready workers, and the one with the shorter wait."""
     if first is None or first.reason == "none-ready":
         return second
     return first if second.reason == "none-ready" or first.retry_after <= second.retry_after else second
--- a/wingwood/placement/bids.py
+++ b/wingwood/placement/bids.py
@@ -1,4 +1,4 @@
-"""What the award policy asks when it compares workers (docs/DESIGN.md section 11.5)."""
+"""Interface and costs by which the award policy compares workers (docs/DESIGN.md section 11.5)."""
 
 from __future__ import annotations
 
@@ -14,44 +14,50 @@
 
 
 class Forecast(msgspec.Struct, frozen=True):
-    """Of one turn at one worker."""
+    """Forecast for one turn at one worker."""
 
     uncached: int
-    """Prompt tokens that it has to prefill."""
+    """Number of prompt tokens that the worker has to prefill."""
     first_token: Seconds
+    """Seconds until the first token of the answer."""
 
 
 class Bidder(Protocol):
-    """Costs in seconds: what a turn waits and prefills, and the harm that it does to others."""
+    """Compares workers by costs in seconds: a turn's wait and prefill, and the delay that it causes to other turns."""
 
     def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
-        """Tokens of the turn's prompt that the worker probably keeps."""
+        """Returns the number of tokens of the turn's prompt that the worker probably caches."""
         ...
 
     def session_tokens(self, turn: Turn, tokens: int) -> int:
-        """Of a turn that ended with so many tokens: those that the session's next prompt may find kept."""
+        """Returns how many of the ``tokens`` of a finished turn the session's next prompt may find cached."""
         ...
 
     def own_tokens(self, pool: PoolName, turn: Turn, tokens: int) -> int:
-        """The same without the parts that other sessions share."""
+        """Returns the same number without the parts that other sessions share."""
         ...
 
-    def forecast(self, turn: Turn, entry: Entry | None, worker: Worker) -> Forecast: ...
+    def forecast(self, turn: Turn, entry: Entry | None, worker: Worker) -> Forecast:
+        """Predicts the prefill and the first token of the turn at the worker."""
+        ...
 
     def bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
-        """For a turn that is here. ``entry`` only where its holder is ready and keeps something."""
+        """Returns the best worker for a turn that has arrived.
+
+        ``entry`` is given only if its holder is ready and caches a part of the prompt.
+        """
         ...
 
     def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
-        """For a turn to come."""
+        """Returns the best worker for the session's next turn."""
         ...
 
     def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
-        """The least time to the first token at the workers that a bid would compare."""
+        """Returns the shortest time to the first token among the workers that a bid would compare."""
         ...
 
     def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
-        """The turn goes to the worker."""
+        """Records that the turn is sent to the worker."""
         ...
 
     def ended(
@@ -63,18 +69,20 @@
         first_token: Seconds | None,
         duration: Seconds,
     ) -> None:
-        """The turn ended whole after ``duration`` seconds."""
+        """Records that the turn's answer was complete after ``duration`` seconds."""
         ...
 
     def turn_left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
-        """The turn left the worker, however it ended."""
+        """Records that the turn left the worker, with any outcome."""
         ...
 
-    def forget(self, instance: WorkerInstance) -> None: ...
+    def forget(self, instance: WorkerInstance) -> None:
+        """Drops all records of a worker that was removed."""
+        ...
 
 
 class Pressure:
-    """How much a wait counts: the less a tenant pays, the more, so that it leaves a crowded worker first."""
+    """Factor by which waiting costs more for tenants that pay less, so that they leave a crowded worker first."""
 
     def __init__(self, max_pressure: float) -> None:
         self._max_pressure = max_pressure
@@ -90,16 +98,17 @@
 def queued_cost(
     wait: float, prefill: float, other_cost: float, *, pressure: float, risk_threshold: float, risk_cost: float
 ) -> float:
-    """Seconds that a turn at one worker costs, whoever knows the wait there (docs/DESIGN.md section 11.5).
+    """Returns the cost in seconds of a turn at one worker (docs/DESIGN.md section 11.5).
 
-    ``other_cost``: all but wait and prefill. What these go beyond ``risk_threshold`` counts ``risk_cost`` times more.
+    ``wait`` comes from this router's estimate or from the queue owner. ``other_cost``: all costs except wait and
+    prefill. The part of wait and prefill beyond ``risk_threshold`` counts an additional ``risk_cost`` times.
     """
     risk_excess = max(0.0, wait + prefill - risk_threshold)
     return wait * pressure + prefill + other_cost + risk_cost * risk_excess
 
 
 def cheapest(bids: Sequence[tuple[float, Worker]], holder: WorkerInstance | None, margin: Seconds) -> Worker:
-    """The holder, unless another gains more than the margin."""
+    """Returns the cheapest worker, or the holder if no other worker is cheaper by more than ``margin`` seconds."""
     best_cost, best = min(bids, key=lambda pair: (pair[0], pair[1].instance))
     for cost, worker in bids:
         if worker.instance == holder and cost - best_cost <= margin:
--- a/wingwood/placement/estimated_size_bids.py
+++ b/wingwood/placement/estimated_size_bids.py
@@ -1,4 +1,4 @@
-"""Bids where callers tell no sizes: prompts by their length, prefixes by what was seen below them."""
+"""Bids where callers report no sizes: sizes of prompts and shared prefixes are estimated from observed turns."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EstimatedSizeBids:
-    """A ``Bidder`` (docs/DESIGN.md sections 11.3 to 11.5)."""
+    """A ``Bidder`` that estimates sizes (docs/DESIGN.md sections 11.3 to 11.5)."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._evictions = EvictionModel()
 
     def session_stored(self, key: int, entry: Entry, capacity: int) -> None:
-        """This router keeps the session's entry. ``capacity``: KV cache tokens of the whole pool."""
+        """Samples the entry of a session that this router stores. ``capacity``: KV cache tokens of the whole pool."""
         routers = max(2, len(self._membership.routers()))
         self._evictions.touched(entry.pool, key, entry.own_tokens, entry.last_used_at, capacity * 2 / routers)
 
@@ -76,18 +76,21 @@
         return self._context.random.sample(list(ready), min(self._settings.candidates, len(ready)))
 
     def prefix_candidates(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
-        """The first few in the prefix's rendezvous order: as many as its demand fills, and then one below the bound."""
+        """Returns the first workers in the prefix's rendezvous order: at least two and as many as its demand needs.
+
+        More workers follow until one of them has a load per slot within the bound.
+        """
         pool = ready[0].pool
         order = self._orders.order(pool, turn.prefix[:-1], ready)
         now = self._context.clock.monotonic()
         routers = max(1, len(self._membership.routers()))
         slots = sum(worker.slots for worker in ready) / len(ready)
         turn_seconds = self._workload.estimates(order[0]).turn_duration
-        side_by_side = self._shared.demand(pool, turn.prefix, now) * routers * turn_seconds
-        count = min(len(order), max(2, math.ceil(side_by_side / (self._settings.prefix_slot_share * slots))))
-        fullness = [self._workload.load(worker) / worker.slots for worker in order]
-        bound = max(self._settings.load_bound * sum(fullness) / len(fullness), 1.0 / slots)
-        while count < len(order) and all(full > bound for full in fullness[:count]):
+        concurrent_turns = self._shared.demand(pool, turn.prefix, now) * routers * turn_seconds
+        count = min(len(order), max(2, math.ceil(concurrent_turns / (self._settings.prefix_slot_share * slots))))
+        load_per_slot = [self._workload.load(worker) / worker.slots for worker in order]
+        bound = max(self._settings.load_bound * sum(load_per_slot) / len(load_per_slot), 1.0 / slots)
+        while count < len(order) and all(full > bound for full in load_per_slot[:count]):
             count += 1
         return order[:count]
 
@@ -98,7 +101,7 @@
         )
 
     def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
-        """The holder against a few drawn others, so that routers do not all move to one."""
+        """Compares the holder with a few workers drawn at random, so that routers do not all move to the same one."""
         others = [worker for worker in ready if worker.instance != entry.holder]
         candidates = self._context.random.sample(others, min(self._settings.candidates, len(others)))
         candidates.extend(worker for worker in ready if worker.instance == entry.holder)
--- a/wingwood/placement/policies.py
+++ b/wingwood/placement/policies.py
@@ -1,4 +1,4 @@
-"""Makes the balancing policy that the settings name (docs/DESIGN.md section 11.6)."""
+"""Creates the balancing policy that the settings name (docs/DESIGN.md section 11.6)."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     registry: WorkerRegistry,
     settings: DaemonSettings,
 ) -> Placement:
-    """One per router; ``settings.balancing`` chooses."""
+    """Creates the placement of one router, as ``settings.balancing`` says."""
     match settings.balancing:
         case "round-robin":
             return RoundRobin(context, registry, registry)
--- a/wingwood/placement/queue_owners.py
+++ b/wingwood/placement/queue_owners.py
@@ -1,9 +1,10 @@
-"""Prefill queues that all routers see alike (docs/DESIGN.md section 11.12).
+"""Prefill queues shared by all routers (docs/DESIGN.md section 11.12).
 
-A router knows the prompts that it sent itself, which is a small part of what waits at a worker. So the routers
-agree on one of them, the queue keeper, for each group of workers of a pool. A turn that has much to prefill asks it:
-the keeper knows when each worker will have prefilled what was sent there, picks one of the offered workers, and
-counts the turn in. What it knows is an estimate that heals within the length of a queue; nothing is stored.
+A router knows only the prompts that it sent itself, which are a small part of the prompts that wait at a worker.
+Therefore the routers agree on one router, the queue owner, for each group of workers of a pool. For a turn with much
+to prefill, the router asks the queue owner: it knows when each worker will have prefilled the prompts sent there,
+picks one of the offered workers, and adds the turn to that worker's queue. The owner's knowledge is an estimate; an
+error in it disappears within the length of a queue, and nothing is stored.
 """
 
 from __future__ import annotations
@@ -28,30 +29,35 @@
 from .unresponsive_routers import UnresponsiveRouters
 
 WORKERS_PER_GROUP = 16
-"""Workers of a pool that one keeper serves, about."""
+"""Approximate number of a pool's workers that one queue owner serves."""
 ASK_TIMEOUT_S = Seconds(0.015)
 OWNERS_ASKED = 2
-"""The keeper and its stand-in."""
+"""Number of routers that are asked: the owner and its replica."""
 MAX_QUEUES = 30_000
 MAX_CACHED_NUMBERS = 30_000
 
 
 class QueueOwners(Protocol):
+    """Access to the prefill queues that all routers share."""
+
     def group(self, worker: Worker, ready: Sequence[Worker], pool_size: int) -> Sequence[Worker]:
-        """Of these workers of its pool, which has so many in all, those that have the worker's keeper."""
+        """Returns those of the ``ready`` workers whose queue owner is that of ``worker``.
+
+        ``pool_size``: number of ready workers of the pool, including those that are no candidates.
+        """
         ...
 
     async def join(self, question: JoinQueue) -> QueueJoined | None:
-        """None: no keeper answers."""
+        """Asks the queue owner to pick one of the offers; returns None if no owner answers."""
         ...
 
     def entered(self, entry: QueueEntry) -> None:
-        """A turn goes to a worker without a question; or, with negative seconds, left before its prefill."""
+        """Announces a turn that was sent without asking or, with negative seconds, one that left before its prefill."""
         ...
 
 
 class NoQueueOwners:
-    """Each router goes by what it knows itself."""
+    """A ``QueueOwners`` without owners: each router uses only its own estimates."""
 
     def group(self, worker: Worker, ready: Sequence[Worker], pool_size: int) -> Sequence[Worker]:
         return ready
@@ -64,7 +70,7 @@
 
 
 class PrefillQueueTimes:
-    """When each worker will have prefilled what was sent to it."""
+    """The instant at which each worker will have prefilled the prompts sent to it."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -81,7 +87,7 @@
             self._free_at.popitem(last=False)
 
     def join(self, question: JoinQueue) -> QueueJoined:
-        """Takes the award's winner where it stands, else the cheapest offer; counts the turn in there."""
+        """Picks the award's winner if its queue is short enough, else the cheapest offer, and adds the turn there."""
         chosen = 0 if self._award_stands(question) else self._cheapest(question)
         offer = question.offers[chosen]
         wait = self.wait(offer.worker)
@@ -108,14 +114,14 @@
 
 
 class RouterQueueOwners:
-    """A ``QueueOwners`` over the fleet's routers: asks, and answers for the groups that this router keeps."""
+    """A ``QueueOwners`` over the fleet's routers: it asks owners, and answers for the groups that this router owns."""
 
     def __init__(self, context: Context, messenger: Messenger, membership: Membership) -> None:
         self._messenger = messenger
         self._membership = membership
         self._times = PrefillQueueTimes(context.clock)
         self._group_counts: dict[PoolName, int] = {}
-        """Groups of each pool, by its ready workers."""
+        """Number of groups of each pool, which follows from the number of its ready workers."""
         self._owners: dict[tuple[PoolName, int], tuple[Identity, ...]] = {}
         self._unresponsive = UnresponsiveRouters(context.clock)
         messenger.on_call(JoinQueue, self._on_join)
@@ -153,7 +159,7 @@
         else:
             self._messenger.post(owner.internal, entry)
 
-    # --- keeping ------------------------------------------------------------------------------
+    # --- owned queues--------------------------------------------------------------------------
 
     async def _on_join(self, _: Identity, question: JoinQueue) -> QueueJoined:
         return self._times.join(question)
@@ -161,7 +167,7 @@
     def _on_entry(self, _: Identity, entry: QueueEntry) -> None:
         self._times.enter(entry)
 
-    # --- who keeps ----------------------------------------------------------------------------
+    # --- ownership ----------------------------------------------------------------------------
 
     def _is_self(self, router: Identity) -> bool:
         return router.incarnation == self._messenger.identity.incarnation
@@ -183,5 +189,5 @@
 
 @lru_cache(MAX_CACHED_NUMBERS)
 def _number(worker: WorkerInstance) -> int:
-    """By which all routers share the workers out among the groups."""
+    """Returns the number by which all routers assign the worker to a group."""
     return int.from_bytes(hashlib.blake2b(worker.encode(), digest_size=8).digest(), "big")
--- a/wingwood/placement/reported_size_bids.py
+++ b/wingwood/placement/reported_size_bids.py
@@ -1,4 +1,4 @@
-"""Bids where callers tell the sizes of their prompt's parts (docs/DESIGN.md sections 11.3 to 11.5)."""
+"""Bids where callers report the sizes of their prompt's parts (docs/DESIGN.md sections 11.3 to 11.5)."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from .worker_estimates import Workload
 
 MIN_AFFINITY_PREFILL_S = Seconds(0.002)
-"""A prefix whose prefill takes less than this is worth no detour."""
+"""A prefix whose prefill takes less than this is not worth a particular worker."""
 MIN_QUEUED_PREFILL_S = Seconds(0.003)
-"""A prompt whose prefill takes less than this doesn't ask the queue keeper."""
+"""A turn whose prefill takes less than this is placed without asking the queue owner."""
 MAX_ENTERED_TURNS = 20_000
 NO_RISK_THRESHOLD_S = 1e6
-"""Seconds."""
+"""Threshold for turns whose wait risks neither a latency objective nor a pause; longer than any wait."""
 
 
 class QueueChoice(msgspec.Struct, frozen=True):
-    """The worker that the queue keeper picked."""
+    """The worker that the queue owner picked, and the forecast there."""
 
     worker: Worker
     forecast: Forecast
@@ -44,31 +44,34 @@
 
     worker: Worker
     load: float
+    """Number of turns that run or wait at the worker."""
     uncached: float
-    """Tokens."""
+    """Number of prompt tokens that the worker has to prefill."""
     slot_wait: float
-    """Seconds."""
+    """Seconds until the worker has a free slot."""
     repeated_prefill_cost: float
-    """Seconds."""
+    """Cost in seconds of prefilling shared parts that another worker probably caches."""
 
 
 class _PrefixWorkers(msgspec.Struct, frozen=True):
-    """The workers of a prompt's prefix."""
+    """The workers on which all routers agree for a prompt's prefix."""
 
     workers: Sequence[Worker]
-    """The first of its order, as many as its demand needs and one more."""
+    """The first workers of the prefix's order: as many as its demand needs, and one more."""
     preferred: Sequence[Worker]
-    """Those to which all routers lean where nobody is known to keep the prefix."""
+    """The workers that all routers prefer where no worker is known to cache the prefix."""
     shared_tokens: int
+    """Size of the prefix in tokens."""
 
     def among(self, ready: Sequence[Worker]) -> _PrefixWorkers:
+        """Returns the same without the workers that are not in ``ready``."""
         instances = {worker.instance for worker in ready}
         workers = [worker for worker in self.workers if worker.instance in instances]
         return msgspec.structs.replace(self, workers=workers)
 
 
 class ReportedSizeBids:
-    """A ``Bidder``."""
+    """A ``Bidder`` that counts prompts by the parts and sizes that callers report."""
 
     def __init__(
         self,
@@ -94,7 +97,7 @@
         self._settings = settings
         self._queue_owners = queue_owners
         self._entered: dict[RequestId, QueueEntry] = {}
-        """Turns under way that a queue keeper counted in."""
+        """Queue entries of the turns in progress that a queue owner has counted."""
         self._parts = SentChains()
         self._workers: dict[PoolName, int] = {}
 
@@ -117,31 +120,31 @@
         return min(turn.prompt_tokens, int(cached))
 
     def _probably_cached(self, shared_tokens: int, known: KnownChains) -> float:
-        """At the workers to which all lean.
+        """Returns the number of tokens that the preferred workers of a prefix probably cache.
 
-        The chains in use come to be kept at every worker, so that reading them there once is no reason to
-        put the next prompt elsewhere; the others may have sent the rest of the prompt before.
+        Chains in use are eventually cached at every worker, so prefilling them once at a preferred worker is no
+        reason to send the next prompt elsewhere. Other routers may have sent the rest of the prefix there before.
         """
-        in_use = known.tokens()
-        return in_use + self._settings.first_worker_cache_probability * max(0, shared_tokens - in_use)
+        tokens_in_use = known.tokens()
+        return tokens_in_use + self._settings.first_worker_cache_probability * max(0, shared_tokens - tokens_in_use)
 
     def session_tokens(self, turn: Turn, tokens: int) -> int:
-        """What no part tells of is never asked for again."""
+        """Returns the tokens of the reported parts; text outside the parts never occurs in another prompt."""
         return min(tokens, _total_tokens(turn.parts))
 
     def own_tokens(self, pool: PoolName, turn: Turn, tokens: int) -> int:
         return turn.parts[-1].tokens
 
     def _reused(self, turn: Turn) -> tuple[PromptPart, ...]:
-        """The parts that may come again: without the last one where it is each request's own."""
+        """Returns the parts that later prompts may contain: not the last one where each request has its own last part."""
         return turn.parts if self._recurrence.sessions_recur(turn.service.name) else turn.parts[:-1]
 
     def _shared(self, turn: Turn, worker: Worker) -> tuple[PromptPart, ...]:
-        """The parts by which all routers agree on the workers of a prompt that nobody is known to keep.
+        """Returns the parts by which all routers agree on the workers of a prompt that no worker is known to cache.
 
-        While it isn't known whether the last part comes back it is left out, or turns that share all others would
-        go to as many workers as there are turns. It counts where the parts before it are those of very many turns:
-        a single first part, or more demand than one worker serves.
+        The last part is left out until enough turns have shown whether it recurs; otherwise turns that share all
+        other parts would go to as many workers as there are turns. The last part counts where very many turns share
+        the parts before it: where there is at most one such part, or their demand exceeds what one worker serves.
         """
         if self._recurrence.has_enough_turns(turn.service.name):
             return self._reused(turn)
@@ -157,7 +160,7 @@
         return Forecast(uncached, Seconds(first_token))
 
     def bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
-        """By what this router knows of the queues."""
+        """Returns the cheapest worker by this router's own estimates of the prefill queues."""
         offers = self._offers(turn, entry, self._find_prefix_workers(turn, entry, ready), ready)
         bids = [(self._offer_cost(turn, offer), offer.worker) for offer in offers]
         return cheapest(bids, None if entry is None else entry.holder, self._settings.min_move_gain_with_sizes)
@@ -165,9 +168,9 @@
     async def join(
         self, turn: Turn, entry: Entry | None, ready: Sequence[Worker], winner: Worker | None = None
     ) -> QueueChoice | None:
-        """By what the queue keeper knows; None where there is little to prefill, or no keeper answers.
+        """Asks the queue owner to pick a worker; returns None if there is little to prefill or no owner answers.
 
-        ``winner``: that of a standing award, which takes the turn unless its queue risks the objective.
+        ``winner``: the winner of an unexpired award; it takes the turn unless its queue risks the objective.
         """
         if self._queues.prefill(ready[0], turn.prompt_tokens) < MIN_QUEUED_PREFILL_S:
             return None
@@ -212,7 +215,7 @@
         ready: Sequence[Worker],
         first: Worker | None = None,
     ) -> list[_Offer]:
-        """That of the first worker, of the prefix's own ones, of the holder, and of a few drawn ones."""
+        """Returns the offers of the first worker, the prefix's workers, the holder and a few workers drawn at random."""
         drawn = self._settings.extra_candidates if prefix_workers.workers else self._settings.candidates_with_sizes
         candidates = self._candidates(entry, prefix_workers.workers, drawn, ready)
         if first is not None:
@@ -226,15 +229,17 @@
             if worker in prefix_workers.preferred:
                 cached = max(cached, probably_cached)
             slot_wait = self._workload.wait_at(worker, load)
-            again = self._repeated_prefill_cost(turn, worker, prefix_workers.shared_tokens - cached)
-            offers.append(_Offer(worker, load, turn.prompt_tokens - cached, slot_wait, again))
+            repeated_cost = self._repeated_prefill_cost(turn, worker, prefix_workers.shared_tokens - cached)
+            offers.append(_Offer(worker, load, turn.prompt_tokens - cached, slot_wait, repeated_cost))
         return offers
 
     def _queue_offer(self, turn: Turn, offer: _Offer) -> QueueOffer:
         worker = offer.worker
         prefill = self._queues.prefill(worker, offer.uncached)
-        waits = offer.slot_wait + self._queues.overdue(worker)
-        other_cost = self._pressure.of(worker.pool, turn.weight) * waits + self._other_cost(worker, prefill, offer.load)
+        total_wait = offer.slot_wait + self._queues.overdue(worker)
+        other_cost = self._pressure.of(worker.pool, turn.weight) * total_wait + self._other_cost(
+            worker, prefill, offer.load
+        )
         return QueueOffer(worker.instance, Seconds(prefill), other_cost + offer.repeated_prefill_cost)
 
     def _offer_cost(self, turn: Turn, offer: _Offer) -> float:
@@ -247,14 +252,14 @@
         return min(self.forecast(turn, entry, worker).first_token for worker in candidates)
 
     def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
-        """By the flows of prompts, since the queues of this moment are gone when the turn comes.
+        """Compares workers by the flow of prompts, because the current queues are gone when the next turn arrives.
 
-        A prefix in such demand that it has several workers of its own takes turns among them.
+        A prefix whose demand needs several workers alternates among them.
         """
         prefix_workers = self._prefix_workers(turn, self._reused(turn), ready, 0)
         drawn = 0 if len(prefix_workers) > 1 else self._settings.extra_candidates
         candidates = self._candidates(entry, prefix_workers, drawn, ready)
-        stays = entry.holder if drawn else None
+        holder = entry.holder if drawn else None
         if not drawn:
             candidates = self._context.random.sample(candidates, 2)
         known = self._known(ready[0].pool, turn)
@@ -264,12 +269,12 @@
             uncached = turn.prompt_tokens - self._cached_tokens(turn, entry, worker, known)
             wait = self._workload.mean_wait(worker, load) + self._queues.mean_wait(worker)
             bids.append((self._cost(turn, worker, uncached, wait, load), worker))
-        return cheapest(bids, stays, self._settings.min_move_gain_with_sizes)
+        return cheapest(bids, holder, self._settings.min_move_gain_with_sizes)
 
     def _candidates(
         self, entry: Entry | None, prefix_workers: Sequence[Worker], drawn: int, ready: Sequence[Worker]
     ) -> list[Worker]:
-        """Each once: the holder, the given ones and some drawn."""
+        """Returns the prefix's workers, the holder and some workers drawn at random, each once."""
         found = list(prefix_workers)
         holder = _holder(entry, ready)
         if holder is not None:
@@ -278,7 +283,7 @@
         return list({worker.instance: worker for worker in found}.values())
 
     def _cost(self, turn: Turn, worker: Worker, uncached: float, wait: float, load: float) -> float:
-        """Seconds: the wait, the prefill not spared, the streams that it holds up, the way, and what it risks."""
+        """Returns the cost in seconds: wait, prefill, delayed streams, distance of the zone, and risk."""
         prefill = self._queues.prefill(worker, uncached)
         return queued_cost(
             wait,
@@ -290,12 +295,12 @@
         )
 
     def _other_cost(self, worker: Worker, prefill: float, load: float) -> float:
-        """Seconds: for the streams that run beside the prefill, and for the way."""
+        """Returns the cost in seconds of the streams that the prefill delays and of a worker in another zone."""
         way = 0.0 if self._zone is None or worker.zone == self._zone else self._settings.other_zone_cost
         return self._settings.stream_delay_weight * prefill * load + way
 
     def _risk_threshold(self, turn: Turn, worker: Worker) -> Seconds:
-        """A wait and prefill beyond this risk the latency objective, or a pause of the streams that run beside."""
+        """Returns the seconds of wait and prefill that put the latency objective or the pauses of streams at risk."""
         risk_threshold = NO_RISK_THRESHOLD_S
         objective, pause = turn.service.latency_objective, turn.service.longest_pause
         if objective is not None:
@@ -307,35 +312,39 @@
         return Seconds(max(0.0, risk_threshold))
 
     def _repeated_prefill_cost(self, turn: Turn, worker: Worker, tokens: float) -> float:
-        """Seconds: what prefilling shared parts once more is worth avoiding, beyond the time that it takes here.
+        """Returns the cost in seconds of prefilling shared parts again, beyond the time that the prefill takes.
 
-        Other turns wait behind it, and the part takes the place of another part in this worker's cache. It isn't
-        worth the latency objective.
+        Other turns wait behind the prefill, and the parts evict other parts from the worker's cache. The cost is
+        bounded, because avoiding a repeated prefill does not justify missing the latency objective.
         """
         cost = self._settings.repeated_prefill_weight * self._queues.prefill(worker, max(0.0, tokens))
         objective = turn.service.latency_objective
         return cost if objective is None else min(cost, objective * self._settings.objective_risk_share)
 
     def _prefix_workers(
-        self, turn: Turn, parts: tuple[PromptPart, ...], ready: Sequence[Worker], more: int
+        self, turn: Turn, parts: tuple[PromptPart, ...], ready: Sequence[Worker], extra: int
     ) -> list[Worker]:
-        """The first in the rendezvous order of these parts of the prompt: as many as their demand fills."""
+        """Returns the first workers in the rendezvous order of these parts: as many as their demand needs, and ``extra``.
+
+        The list is empty for parts whose prefill is too short to matter.
+        """
         pool = ready[0].pool
         self._workers[pool] = len(ready)
         if not parts or self._queues.prefill(ready[0], _total_tokens(parts)) < MIN_AFFINITY_PREFILL_S:
             return []
         order = self._orders.order(pool, tuple(part.part for part in parts), ready)
         return order[
-            : max(1, math.ceil(self._prefill_share(turn, parts, order[0]) / self._settings.prefix_prefill_share)) + more
+            : max(1, math.ceil(self._prefill_share(turn, parts, order[0]) / self._settings.prefix_prefill_share))
+            + extra
         ]
 
     def _prefill_share(self, turn: Turn, parts: tuple[PromptPart, ...], worker: Worker) -> float:
-        """The share of this worker's prefill time that all routers' turns with these parts would take."""
+        """Returns the share of this worker's prefill time that all routers' turns with these parts would use."""
         demand = self._parts.demand(worker.pool, parts, self._context.clock.monotonic())
         rest = max(0, turn.prompt_tokens - _total_tokens(parts))
         return demand * max(1, len(self._membership.routers())) * self._queues.prefill(worker, rest)
 
-    # --- what happened ------------------------------------------------------------------------
+    # --- events of turns ----------------------------------------------------------------------
 
     def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
         part_tokens = max(0, forecast.uncached - max(0, turn.prompt_tokens - _total_tokens(turn.parts)))
@@ -359,13 +368,13 @@
         self._entered.pop(request, None)
 
     def unsent(self, request: RequestId) -> None:
-        """The worker never saw the turn."""
+        """Takes the turn out of the prefill queue, because the worker never received it."""
         entry = self._entered.pop(request, None)
         if entry is not None:
             self._queue_owners.entered(QueueEntry(entry.pool, entry.worker, Seconds(-entry.prefill)))
 
     def enter(self, turn: Turn, worker: Worker, uncached: int) -> None:
-        """A turn goes to a worker without a question to its queue keeper, who is told of it."""
+        """Announces to the queue owner a turn that is sent to a worker without asking the owner."""
         prefill = self._queues.prefill(worker, uncached)
         if prefill >= MIN_QUEUED_PREFILL_S:
             entry = QueueEntry(worker.pool, worker.instance, Seconds(prefill))
@@ -373,7 +382,7 @@
             self._queue_owners.entered(entry)
 
     def _remember_entered(self, request: RequestId, entry: QueueEntry) -> None:
-        """Bounded, since a call that is cancelled while it is placed never ends."""
+        """Stores a turn's queue entry; the number is bounded, as a call cancelled during its placement never ends."""
         self._entered[request] = entry
         if len(self._entered) > MAX_ENTERED_TURNS:
             del self._entered[next(iter(self._entered))]
