--- a/wingwood/placement/cached_prefixes.py
+++ b/wingwood/placement/cached_prefixes.py
@@ -1,4 +1,4 @@
-"""What the workers probably keep, guessed from what was sent there (docs/DESIGN.md section 11.3)."""
+"""Estimates which prefixes workers cache, from the turns sent to them (docs/DESIGN.md section 11.3)."""
 
 from __future__ import annotations
 
@@ -12,21 +12,26 @@
 MAX_SAMPLED_SESSIONS = 25_000
 DEMAND_HALF_LIFE_S = Seconds(10.0)
 MIN_SESSIONS = 2
-"""A part counts as shared once that many sessions came with it."""
+"""Number of sessions with a part from which it counts as shared."""
 
 
 class _SharedPart(msgspec.Struct):
+    """One chain of leading prefix parts."""
+
     tokens: int
-    """Least prompt seen below it: an upper bound that the first turns of short sessions bring near the truth."""
+    """Size of the smallest prompt that begins with the part.
+
+    This is an upper bound of the part's size; the first turns of short sessions bring it close to the true size.
+    """
     sessions: set[int]
-    touched: dict[WorkerInstance, Instant]
+    sent_at: dict[WorkerInstance, Instant]
     rate: float = 0.0
-    """Own turns per second below it, decaying."""
+    """Decaying rate of this router's turns whose prompt begins with the part, per second."""
     rated_at: Instant = Instant(0.0)
 
 
 class SharedPrefixes:
-    """The parts of ``Prefix`` before the session id: their sizes, where they were sent, how asked for they are."""
+    """The parts of ``Prefix`` before the session id: their sizes, the workers they were sent to, and their demand."""
 
     def __init__(self, half_life: Seconds = DEMAND_HALF_LIFE_S) -> None:
         self._half_life = half_life
@@ -35,7 +40,7 @@
     def sent(
         self, pool: PoolName, prefix: tuple[str, ...], key: int, prompt: int, instance: WorkerInstance, now: Instant
     ) -> None:
-        """A turn with this whole prefix (session id last) went to a worker."""
+        """Records that a turn with this full prefix (session id last) was sent to a worker."""
         for length in range(1, len(prefix)):
             name = (pool, prefix[:length])
             part = self._parts.get(name)
@@ -47,16 +52,16 @@
             part.tokens = min(part.tokens, prompt)
             if len(part.sessions) < MIN_SESSIONS:
                 part.sessions.add(key)
-            part.touched[instance] = now
+            part.sent_at[instance] = now
             part.rate = self._rate(part, now) + 0.693 / self._half_life
             part.rated_at = now
 
     def forget(self, instance: WorkerInstance) -> None:
         for part in self._parts.values():
-            part.touched.pop(instance, None)
+            part.sent_at.pop(instance, None)
 
     def tokens(self, pool: PoolName, prefix: tuple[str, ...]) -> int:
-        """Size of the longest known shared part of a prefix with its session id."""
+        """Returns the size in tokens of the longest known shared part of a prefix that ends with its session id."""
         for length in range(len(prefix) - 1, 0, -1):
             part = self._parts.get((pool, prefix[:length]))
             if part is not None and len(part.sessions) >= MIN_SESSIONS:
@@ -64,17 +69,17 @@
         return 0
 
     def cached_tokens(self, pool: PoolName, prefix: tuple[str, ...], instance: WorkerInstance, since: Instant) -> int:
-        """Tokens of the longest shared part sent to the worker at ``since`` or later."""
+        """Returns the size in tokens of the longest shared part sent to the worker at ``since`` or later."""
         for length in range(len(prefix) - 1, 0, -1):
             part = self._parts.get((pool, prefix[:length]))
             if part is None or len(part.sessions) < MIN_SESSIONS:
                 continue
-            if part.touched.get(instance, Instant(-1e18)) >= since:
+            if part.sent_at.get(instance, Instant(-1e18)) >= since:
                 return part.tokens
         return 0
 
     def demand(self, pool: PoolName, prefix: tuple[str, ...], now: Instant) -> float:
-        """Own turns per second below the longest shared part."""
+        """Returns this router's turns per second whose prompt begins with the longest shared part."""
         part = self._parts.get((pool, prefix[:-1]))
         return 0.0 if part is None else self._rate(part, now)
 
@@ -83,10 +88,10 @@
 
 
 class EvictionModel:
-    """Least recently used goes first: how old a prefix may be before the workers of a pool have dropped it.
+    """Estimates how long the workers of a pool cache an unused prefix, assuming least-recently-used eviction.
 
-    A keeper sees an even sample of all sessions with their newest turn. The workers of a pool are
-    taken together, since a sample of one worker's sessions would be too thin.
+    An owner of session entries sees an even sample of all sessions with their latest turn. The workers of a pool are
+    modelled together, because a sample of one worker's sessions would be too small.
     """
 
     def __init__(self) -> None:
@@ -94,8 +99,11 @@
         self._total: dict[PoolName, int] = {}
         self._evicted_at: dict[PoolName, Instant] = {}
 
-    def touched(self, pool: PoolName, key: int, own_tokens: int, at: Instant, sampled_capacity: float) -> None:
-        """``sampled_capacity``: the pool's KV cache tokens, times the share of sessions that is sampled here."""
+    def record_use(self, pool: PoolName, key: int, own_tokens: int, at: Instant, sampled_capacity: float) -> None:
+        """Records the use of a session's prefix.
+
+        ``sampled_capacity``: the pool's KV cache tokens times the share of sessions that this router samples.
+        """
         sample = self._sampled.setdefault(pool, OrderedDict())
         total = self._total.get(pool, 0)
         known = sample.pop(key, None)
@@ -110,5 +118,5 @@
         self._total[pool] = total
 
     def cached_since(self, pool: PoolName) -> Instant:
-        """What was touched before this instant counts as dropped."""
+        """Returns the instant before which a last use means that the prefix counts as evicted."""
         return self._evicted_at.get(pool, Instant(-1e18))
--- a/wingwood/placement/decaying_rate.py
+++ b/wingwood/placement/decaying_rate.py
@@ -1,4 +1,4 @@
-"""Rates of what happens now and then, with the past counting less and less."""
+"""Rates of events in which past events count less the older they are."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class DecayingRate(msgspec.Struct):
-    """Amount per second; what lies one half-life back counts half."""
+    """An amount per second; an amount added one half-life ago counts half."""
 
     half_life: Seconds
     rate: float = 0.0
--- a/wingwood/placement/estimated_size_bids.py
+++ b/wingwood/placement/estimated_size_bids.py
@@ -42,7 +42,7 @@
     def session_stored(self, key: int, entry: Entry, capacity: int) -> None:
         """Samples the entry of a session that this router stores. ``capacity``: KV cache tokens of the whole pool."""
         routers = max(2, len(self._membership.routers()))
-        self._evictions.touched(entry.pool, key, entry.own_tokens, entry.last_used_at, capacity * 2 / routers)
+        self._evictions.record_use(entry.pool, key, entry.own_tokens, entry.last_used_at, capacity * 2 / routers)
 
     def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
         since = self._evictions.cached_since(worker.pool)
--- a/wingwood/placement/long_streams.py
+++ b/wingwood/placement/long_streams.py
@@ -1,10 +1,10 @@
-"""Keeps long streams apart from long prompts (docs/DESIGN.md section 11.11).
+"""Separates long streams from long prompts (docs/DESIGN.md section 11.11).
 
-An engine reads prompts piece by piece between the tokens of its running streams, so a stream that runs
-beside a steady flow of long prompts pauses longer than its callers bear, whatever the bids say. Long
-streams therefore share few workers, in an order that all routers agree on, and other turns leave these
-alone while the rest can take them. How many they share follows from their number; each takes the less full of
-two drawn ones, since the counts of the other routers are old by the time that they are read.
+An engine prefills prompts in chunks between the tokens of its running streams, so a stream on a worker with a steady
+flow of long prompts pauses longer than its callers accept, whatever the bids say. Long streams therefore share a few
+workers, in an order on which all routers agree, and other turns avoid these workers while the rest can take them. The
+number of shared workers follows from the number of long streams. Each long stream takes the less full of two workers
+drawn at random, because the counts of other routers are outdated when they are read.
 """
 
 from __future__ import annotations
@@ -22,22 +22,23 @@
 from .protocols import Turn
 
 LONG_STREAM_MIN_TOKENS = 400
-"""Generated tokens from which a stream counts as long ..."""
+"""Number of generated tokens from which a stream counts as long, subject to ``MAX_PROMPT_RATIO``."""
 MAX_PROMPT_RATIO = 2.0
-"""... where its prompt has at most so many times its generated tokens."""
+"""A stream counts as long only if its prompt has at most this many times its generated tokens."""
 MAX_STREAM_SLOT_SHARE = 0.75
-"""Share of a worker's slots that long streams may take there."""
+"""Share of a worker's slots that long streams may take."""
 TARGET_STREAM_SLOT_SHARE = 0.68
-"""Mean share of the slots that long streams take at the workers that they share."""
+"""Mean share of slots that long streams take at the workers that they share."""
 SAMPLED_WORKERS = 2
+"""Number of workers drawn at random for a long stream."""
 RESERVATION_PERIOD_S = Seconds(10.0)
-"""How long after the last long stream of a pool its first worker is still kept free."""
+"""Time after a pool's last long stream during which its first worker stays reserved."""
 OVERFLOW_WAIT_S = Seconds(0.12)
-"""Other turns go to the workers of long streams too when they would wait longer everywhere else."""
+"""Other turns may also use the reserved workers when they would wait longer than this at every other worker."""
 
 
 class LongStreams:
-    """Counts long streams by worker, and says which workers a turn is to be compared at."""
+    """Counts long streams by worker, and selects the workers that are compared for a turn."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         queues: PrefillQueues,
         max_reserved_share: float,
     ) -> None:
-        """``max_reserved_share``: share of a pool's workers that other turns leave alone at most."""
+        """``max_reserved_share``: largest share of a pool's workers that other turns avoid."""
         self._clock = clock
         self._random = random
         self._exchange = exchange
@@ -60,7 +61,7 @@
         self._last_seen: dict[PoolName, Instant] = {}
 
     def is_long(self, turn: Turn) -> bool:
-        """Only where sizes are told."""
+        """Returns whether the turn is a long stream; False where the caller reports no sizes."""
         if (
             not (turn.parts and self._max_reserved_share)
             or turn.generate_tokens < LONG_STREAM_MIN_TOKENS
@@ -70,11 +71,13 @@
         return turn.prompt_tokens <= MAX_PROMPT_RATIO * turn.generate_tokens
 
     def started(self, turn: Turn, worker: Worker) -> None:
+        """Counts the turn at the worker if it is a long stream."""
         if self.is_long(turn):
             self._running[turn.request] = worker.instance
             self._own[worker.instance] += 1
 
     def ended(self, request: RequestId) -> None:
+        """Counts the long stream no longer."""
         instance = self._running.pop(request, None)
         if instance is None:
             return
@@ -83,15 +86,15 @@
             del self._own[instance]
 
     def own(self, instance: WorkerInstance) -> int:
-        """This router's long streams there; told to the other routers."""
+        """Returns the number of this router's long streams at the worker, as announced to other routers."""
         return self._own[instance]
 
     def stream_count(self, worker: Worker) -> float:
-        """Long streams of all routers there."""
+        """Returns the number of long streams of all routers at the worker."""
         return self._own[worker.instance] + self._exchange.elsewhere(worker.instance).streams
 
     def candidates(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
-        """Those of ``ready`` at which the turn should be compared; never none."""
+        """Returns the workers of ``ready`` that should be compared for the turn, at least one."""
         if len(ready) < 3 or not turn.parts:
             return ready
         pool, now = ready[0].pool, self._clock.monotonic()
@@ -102,12 +105,12 @@
         return self._unreserved(order, now) or ready
 
     def pick(self, candidates: Sequence[Worker]) -> Worker:
-        """The worker for a long stream: of two drawn ones the one with fewer of them."""
+        """Returns the worker for a long stream: the one with fewer long streams of two drawn at random."""
         drawn = self._random.sample(list(candidates), min(SAMPLED_WORKERS, len(candidates)))
         return min(drawn, key=self.stream_count)
 
     def _with_room(self, turn: Turn, order: Sequence[Worker]) -> Sequence[Worker]:
-        """Those of the workers that long streams share now that can take one more; else the next one that can."""
+        """Returns the shared workers that can take one more long stream, or else the next worker that can."""
         shared = self._shared_worker_count(order)
         found: list[Worker] = []
         for place, worker in enumerate(order):
@@ -118,18 +121,19 @@
         return found
 
     def _shared_worker_count(self, order: Sequence[Worker]) -> int:
-        """How many workers the long streams of all routers need."""
+        """Returns the number of workers that the long streams of all routers need."""
         streams = sum(self.stream_count(worker) for worker in order)
         return math.ceil(streams / (TARGET_STREAM_SLOT_SHARE * order[0].slots))
 
     def _can_take(self, turn: Turn, worker: Worker) -> bool:
-        """Whether it has room and is not behind with its prompts."""
+        """Returns whether the worker has room for the stream and its prefill queue meets the latency objective."""
         if self.stream_count(worker) >= MAX_STREAM_SLOT_SHARE * worker.slots:
             return False
         objective = turn.service.latency_objective
         return objective is None or self._queues.first_token(worker, turn.prompt_tokens) <= objective
 
     def _unreserved(self, order: Sequence[Worker], now: Instant) -> Sequence[Worker]:
+        """Returns the workers that are not reserved; none if each of them has a long wait."""
         reserved = self._reserved_workers(order, now)
         others = [worker for worker in order if worker.instance not in reserved]
         if others and min(self._queues.wait(worker) for worker in others) <= OVERFLOW_WAIT_S:
@@ -137,11 +141,14 @@
         return []
 
     def _reserved_workers(self, order: Sequence[Worker], now: Instant) -> set[WorkerInstance]:
-        """Workers in the order of the streams' filling, as long as they hold some."""
-        most = int(self._max_reserved_share * len(order))
+        """Returns the reserved workers: the first workers of the order that run long streams, up to the largest share.
+
+        The first worker stays reserved for a while after the pool's last long stream.
+        """
+        max_reserved = int(self._max_reserved_share * len(order))
         recently_seen = now - self._last_seen.get(order[0].pool, Instant(float("-inf"))) <= RESERVATION_PERIOD_S
         reserved: set[WorkerInstance] = set()
-        for place, worker in enumerate(order[:most]):
+        for place, worker in enumerate(order[:max_reserved]):
             if self.stream_count(worker) >= 1.0 or (place == 0 and recently_seen):
                 reserved.add(worker.instance)
         return reserved
--- a/wingwood/placement/plain_policies.py
+++ b/wingwood/placement/plain_policies.py
@@ -1,4 +1,4 @@
-"""Balancing policies to compare the awards with, behind the same interface (docs/DESIGN.md section 11.6)."""
+"""Balancing policies without awards, for comparison, behind the same interface (docs/DESIGN.md section 11.6)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class _PlainPlacement:
-    """Counts and learns; a subclass picks."""
+    """Counts turns and learns their durations; a subclass decides the order of workers."""
 
     def __init__(self, context: Context, registry: Registry, exchange: EngagementExchange) -> None:
         self._context = context
@@ -26,7 +26,7 @@
         self._placed: dict[tuple[RequestId, WorkerInstance], tuple[Instant, float]] = {}
 
     def _order(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
-        """The workers to try, best first."""
+        """Returns the workers to try, the best first."""
         raise NotImplementedError
 
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
@@ -81,6 +81,8 @@
 
 
 class RoundRobin(_PlainPlacement):
+    """Tries the ready workers of a pool in turn, from a random start."""
+
     def __init__(self, context: Context, registry: Registry, exchange: EngagementExchange) -> None:
         super().__init__(context, registry, exchange)
         self._turns: dict[PoolName, int] = {}
@@ -95,13 +97,15 @@
 
 
 class LeastLoaded(_PlainPlacement):
+    """Tries the workers by load per slot, equal ones in random order."""
+
     def _order(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         shuffled = self._context.random.sample(list(ready), len(ready))
         return sorted(shuffled, key=lambda worker: self._workload.load(worker) / worker.slots)
 
 
 class StickyByHash(_PlainPlacement):
-    """Rendezvous over the ready workers by session; least loaded without one."""
+    """Tries the workers in a rendezvous order by session; without a session, by load per slot."""
 
     def _order(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         if turn.session is None:
--- a/wingwood/placement/pool_choice.py
+++ b/wingwood/placement/pool_choice.py
@@ -13,10 +13,11 @@
 
 
 def pool_order(turn: Turn, attempt: int) -> tuple[PoolName, ...]:
-    """First the pool that is due, then the others of the split.
+    """Returns the pools of the service's split in the order in which to try them.
 
-    Weighted rendezvous: over all calls each pool is first in proportion to its weight. A session's
-    first attempts agree on the pool that keeps its prefix; ``attempt`` is the number of workers tried.
+    The order is a weighted rendezvous: over all calls, each pool comes first in proportion to its weight. The first
+    attempts of all turns of a session agree on one pool, which caches the session's prefix. ``attempt``: number of
+    workers tried before.
     """
     service = turn.service
     if not service.split:
@@ -28,6 +29,9 @@
 
 
 def _distance(service: Service, draw: str, share: PoolShare) -> float:
-    """Exponentially distributed with the weight as its rate: the least of all is a pool's own in proportion."""
+    """Returns a hash that is exponentially distributed with the pool's weight as its rate.
+
+    The probability that a pool has the smallest of these hashes is proportional to its weight.
+    """
     digest = hashlib.blake2b(f"{service.name}\n{share.pool}\n{draw}".encode(), digest_size=8).digest()
     return -math.log((int.from_bytes(digest, "big") + 1) / (_HASH_RANGE + 1)) / share.weight
--- a/wingwood/placement/prefill_estimates.py
+++ b/wingwood/placement/prefill_estimates.py
@@ -1,8 +1,8 @@
 """Time to the first token at workers that prefill prompts one after the other (docs/DESIGN.md section 11.4).
 
-A router sees its own turns at once and those of the others a third of a second late, which is longer
-than most prompts wait. So its own prompts without a first token count one by one, and those of the
-others as a flow: the mean wait in a queue with one server (Pollaczek-Khinchine).
+A router sees its own turns at once and those of other routers a third of a second late, which is longer than most
+prompts wait. Therefore it counts its own prompts without a first token one by one, and the prompts of other routers as
+a flow, by the mean wait in a queue with one server (Pollaczek-Khinchine formula).
 """
 
 from __future__ import annotations
@@ -19,48 +19,55 @@
 from .worker_estimates import MAX_WORKER_ESTIMATES
 
 FLOW_HALF_LIFE_S = Seconds(1.5)
+"""Half-life of the rate of uncached tokens sent to a worker."""
 MIN_FLOW_TOKENS_PER_S = 1.0
+"""Flow below which a router reports no flow."""
 MAX_SAMPLES = 40
+"""Number of recent samples from which the speed of a pool is estimated."""
 SAMPLE_QUANTILE = 0.25
-"""The quantile of recent samples taken for a turn that did not wait."""
+"""Quantile of the recent samples that stands for a turn that did not wait."""
 SHORT_PROMPT_TOKENS = 600
-"""Tokens up to which a prompt's prefill is lost in the base time."""
+"""Size up to which a prompt's prefill is too short to be distinguished from the base latency."""
 LONG_PROMPT_TOKENS = 1500
-"""Tokens from which a first token says how fast the prefill is."""
+"""Size from which the time to the first token shows the speed of the prefill."""
 INITIAL_BASE_LATENCY_S = Seconds(0.03)
 INITIAL_SECONDS_PER_TOKEN = 4e-6
 MIN_SECONDS_PER_TOKEN, MAX_SECONDS_PER_TOKEN = 2e-7, 1e-3
 MAX_UTILIZATION = 0.95
 OVERLOAD_GROWTH_RATE = 1.0
-"""Seconds that a queue grows for each second's worth of prompts beyond what is prefilled in one."""
+"""Seconds by which a queue grows for each second of prefill that arrives beyond one second per second."""
 SIZE_SAMPLE_WEIGHT = 0.02
+"""Weight of one turn in the moving averages of turn sizes."""
 SLOWNESS_SAMPLE_WEIGHT = 0.15
+"""Weight of one sample in a worker's slowness."""
 SLOW_THRESHOLD = 1.5
-"""Observed over predicted first tokens above which a worker counts as slow."""
+"""Ratio of observed to predicted time to the first token above which a worker counts as slow."""
 MAX_SLOWNESS = 6.0
 SLOWNESS_HALF_LIFE_S = Seconds(6.0)
-"""Without new samples a worker's slowness is forgotten, since nobody tries it otherwise."""
+"""Half-life of a worker's slowness without new samples; without the decay no router would try the worker again."""
 MIN_FREE_CACHE_SHARE = 0.1
-"""Share of a cache that running turns leave to kept parts at least."""
+"""Smallest share of a cache that running turns leave to cached parts."""
 CACHE_RETENTION_UPDATE_S = Seconds(0.1)
-"""How often it is worked out anew for a worker how long it keeps parts."""
+"""Interval at which the cache retention of a worker is computed again."""
 OVERDUE_FORECAST_RATIO = 2.0
-"""Times its forecast after which a first token counts as overdue."""
+"""A first token counts as overdue after this multiple of its forecast."""
 
 
 class _Pending(msgspec.Struct, frozen=True):
-    """An own turn before its first token."""
+    """A turn of this router that has no first token yet."""
 
     since: Instant
     tokens: float
     forecast: float
     slowness: float
-    """The worker's slowness that the forecast reckoned with."""
+    """The worker's slowness that the forecast assumed."""
 
 
 class _WorkerPrefill(msgspec.Struct):
+    """The state of one worker's prefill queue as far as this router knows it."""
+
     flow: DecayingRate = msgspec.field(default_factory=lambda: DecayingRate(FLOW_HALF_LIFE_S))
-    """Own uncached tokens a second."""
+    """Uncached tokens per second that this router sends."""
     pending: OrderedDict[RequestId, _Pending] = msgspec.field(default_factory=OrderedDict)
     pending_tokens: float = 0.0
     slowness: float = 1.0
@@ -70,21 +77,23 @@
 
 
 class _PoolPrefill(msgspec.Struct):
+    """The speeds and turn sizes learned for the workers of a pool."""
+
     base_samples: deque[float] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     rate_samples: deque[float] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     base_latency: float = INITIAL_BASE_LATENCY_S
     seconds_per_token: float = INITIAL_SECONDS_PER_TOKEN
     mean_tokens: float = 4000.0
-    """Uncached tokens of a turn."""
+    """Mean number of uncached tokens of a turn."""
     mean_square_tokens: float = 4000.0**2 * 2
     parts_share: float = 0.5
-    """Of the uncached tokens: those of told parts, which are kept for others."""
+    """Share of the uncached tokens that belong to reported parts, which stay cached for other turns."""
     held_tokens: float = 6000.0
-    """Tokens that a running turn holds."""
+    """Mean number of tokens that a running turn holds in the cache."""
 
 
 class PrefillQueues:
-    """Own prompts under way, all routers' flows, and the speeds learnt from first tokens."""
+    """Pending prompts of this router, flows of all routers, and the speeds learned from first tokens."""
 
     def __init__(self, clock: Clock, exchange: EngagementExchange) -> None:
         self._clock = clock
@@ -115,14 +124,14 @@
             pool.parts_share += SIZE_SAMPLE_WEIGHT * (part_tokens / uncached - pool.parts_share)
 
     def first_token_received(self, request: RequestId, worker: Worker, after: Seconds) -> None:
-        """Prefilled; teaches how fast the workers are."""
+        """Records that the turn's prompt is prefilled, and learns the worker's speed from the time that it took."""
         self._first_tokens_reported = True
         pending = self._remove_pending(request, worker.instance)
         if pending is not None:
             self._learn(worker, pending, after)
 
     def ended(self, request: RequestId, worker: Worker, first_token_after: Seconds | None) -> None:
-        """The turn left its worker; nothing is learnt where its first token was told before."""
+        """Records that the turn left its worker; learns from its first token unless that was reported before."""
         pending = self._remove_pending(request, worker.instance)
         if pending is not None and first_token_after is not None:
             self._learn(worker, pending, first_token_after)
@@ -138,7 +147,7 @@
         self._workers.pop(instance, None)
 
     def flow(self, instance: WorkerInstance) -> float:
-        """Own uncached tokens a second that go to the worker; told to the other routers."""
+        """Returns the uncached tokens per second that this router sends to the worker and announces to the others."""
         prefill = self._workers.get(instance)
         flow = 0.0 if prefill is None else prefill.flow.read(self._clock.monotonic())
         return flow if flow >= MIN_FLOW_TOKENS_PER_S else 0.0
@@ -146,15 +155,15 @@
     # --- predicting ---------------------------------------------------------------------------
 
     def prefill(self, worker: Worker, tokens: float) -> float:
-        """Seconds to prefill so many tokens there, without a wait."""
+        """Returns the seconds that the worker needs to prefill this many tokens, without a wait."""
         return tokens * self._pool(worker.pool).seconds_per_token * self._slowness(worker)
 
     def base_latency(self, worker: Worker) -> float:
-        """Seconds to the first token of a prompt that neither waits nor has anything to prefill."""
+        """Returns the seconds to the first token of a prompt that neither waits nor has anything to prefill."""
         return self._pool(worker.pool).base_latency
 
     def wait(self, worker: Worker) -> float:
-        """Seconds until the prompts that are there are prefilled."""
+        """Returns the seconds until the prompts sent to the worker are prefilled."""
         pool = self._pool(worker.pool)
         prefill = self._workers.get(worker.instance)
         others = self.queue_wait(worker, self._exchange.elsewhere(worker.instance).prefill)
@@ -164,17 +173,17 @@
         return max(own + others, self._overdue(prefill))
 
     def overdue(self, worker: Worker) -> float:
-        """Seconds by which the oldest own prompt there is late beyond twice its forecast."""
+        """Returns the seconds by which this router's oldest prompt there exceeds twice its forecast."""
         prefill = self._workers.get(worker.instance)
         return 0.0 if prefill is None or not prefill.pending else self._overdue(prefill)
 
     def mean_wait(self, worker: Worker) -> float:
-        """The wait at the flow of all routers, whatever is there at the moment."""
+        """Returns the mean wait in seconds by the flow of all routers, regardless of the prompts pending now."""
         flow = self._exchange.elsewhere(worker.instance).prefill + self.flow(worker.instance)
         return self.queue_wait(worker, flow)
 
     def queue_wait(self, worker: Worker, flow: float) -> float:
-        """Mean wait behind a flow of so many tokens a second."""
+        """Returns the mean wait in seconds behind a flow of this many tokens per second."""
         pool = self._pool(worker.pool)
         seconds_per_token = pool.seconds_per_token * self._slowness(worker)
         use = flow * seconds_per_token
@@ -183,11 +192,14 @@
         return capped / (1.0 - capped) * residual + max(0.0, use - MAX_UTILIZATION) * OVERLOAD_GROWTH_RATE
 
     def first_token(self, worker: Worker, uncached: float) -> float:
-        """Seconds; without a wait for a free slot."""
+        """Returns the seconds to the first token, without a wait for a free slot."""
         return self.wait(worker) + self._pool(worker.pool).base_latency + self.prefill(worker, uncached)
 
     def cache_retention(self, worker: Worker) -> Seconds:
-        """How long the worker keeps an unused part: until new parts have filled what running turns leave free."""
+        """Returns the seconds for which the worker caches an unused part.
+
+        The worker evicts it when new parts have filled the cache space that running turns leave free.
+        """
         prefill = self._worker(worker.instance)
         now = self._clock.monotonic()
         if now - prefill.cache_retention_at >= CACHE_RETENTION_UPDATE_S:
@@ -200,7 +212,10 @@
         return prefill.cache_retention
 
     def _overdue(self, prefill: _WorkerPrefill) -> float:
-        """A worker that lets its oldest prompt wait will let the next one wait as long, or is gone."""
+        """Returns the seconds by which the oldest pending prompt is overdue, 0 if it is not.
+
+        A worker that delays its oldest prompt will delay the next one as long, or has failed.
+        """
         if not self._first_tokens_reported:
             return 0.0
         oldest = next(iter(prefill.pending.values()))
@@ -224,7 +239,7 @@
         prefill.slowness_at = self._clock.monotonic()
 
     def _slowness(self, worker: Worker) -> float:
-        """1.0 for a worker like the others."""
+        """Returns the factor by which the worker is slower than the pool, 1.0 for a worker that is not slow."""
         prefill = self._workers.get(worker.instance)
         return 1.0 if prefill is None or prefill.slowness <= SLOW_THRESHOLD else self._decayed(prefill)
 
--- a/wingwood/placement/prefix_order.py
+++ b/wingwood/placement/prefix_order.py
@@ -1,4 +1,4 @@
-"""The order in which all routers try workers for a prefix nobody is known to keep (docs/DESIGN.md section 11.5)."""
+"""The order in which all routers try workers for a prefix that none is known to cache (docs/DESIGN.md section 11.5)."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 MAX_CACHED_ORDERS = 4_000
 MAX_CACHED_ORDER_RATIO = 2
-"""An order over more workers serves a part of them too, as long as it isn't so many times longer."""
+"""A cached order also serves a subset of its workers, unless it is more than this many times as long."""
 
 
 class PrefixOrders:
-    """Rendezvous orders, the most lately used kept."""
+    """A cache of rendezvous orders with least-recently-used eviction."""
 
     def __init__(self, max_orders: int = MAX_CACHED_ORDERS) -> None:
         self._max_orders = max_orders
         self._orders: OrderedDict[tuple[str, ...], tuple[WorkerInstance, ...]] = OrderedDict()
 
     def order(self, pool: PoolName, prefix: tuple[str, ...], ready: Sequence[Worker]) -> list[Worker]:
-        """The ready workers; the same ones in the same order wherever it is asked."""
+        """Returns the ready workers in an order that is the same at every router with the same ready workers."""
         name = (pool, *prefix)
         by_instance = {worker.instance: worker for worker in ready}
         order = self._orders.get(name)
--- a/wingwood/placement/reported_size_bids.py
+++ b/wingwood/placement/reported_size_bids.py
@@ -136,7 +136,7 @@
         return turn.parts[-1].tokens
 
     def _reused(self, turn: Turn) -> tuple[PromptPart, ...]:
-        """Returns the parts that later prompts may contain: not the last one where each request has its own last part."""
+        """Returns the parts that later prompts may contain: without the last one where each request has its own."""
         return turn.parts if self._recurrence.sessions_recur(turn.service.name) else turn.parts[:-1]
 
     def _shared(self, turn: Turn, worker: Worker) -> tuple[PromptPart, ...]:
@@ -215,7 +215,7 @@
         ready: Sequence[Worker],
         first: Worker | None = None,
     ) -> list[_Offer]:
-        """Returns the offers of the first worker, the prefix's workers, the holder and a few workers drawn at random."""
+        """Returns the offers of the first worker, the prefix's workers, the holder and some workers drawn at random."""
         drawn = self._settings.extra_candidates if prefix_workers.workers else self._settings.candidates_with_sizes
         candidates = self._candidates(entry, prefix_workers.workers, drawn, ready)
         if first is not None:
@@ -324,7 +324,7 @@
     def _prefix_workers(
         self, turn: Turn, parts: tuple[PromptPart, ...], ready: Sequence[Worker], extra: int
     ) -> list[Worker]:
-        """Returns the first workers in the rendezvous order of these parts: as many as their demand needs, and ``extra``.
+        """Returns the first workers in the rendezvous order of these parts: as many as the demand needs, and ``extra``.
 
         The list is empty for parts whose prefill is too short to matter.
         """
--- a/wingwood/placement/sent_chains.py
+++ b/wingwood/placement/sent_chains.py
@@ -1,8 +1,8 @@
-"""Which told prompt parts the workers probably keep (docs/DESIGN.md section 11.3).
+"""Estimates which prompt parts of reported size the workers cache (docs/DESIGN.md section 11.3).
 
-A part is the same text only after the same parts before it, so what is counted are chains: a prompt's
-first part, its first two, and so on. Each router knows only what it sent itself. How long a chain is
-kept follows from how fast new parts flow into the worker from all routers.
+A part stands for the same text only after the same preceding parts, so the records are of chains: a prompt's first
+part, its first two parts, and so on. Each router knows only the chains that it sent itself. How long a worker caches a
+chain follows from the rate at which all routers send new parts to the worker.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from .protocols import PromptPart
 
 MAX_CHAINS = 6_000
-"""About 500 B each."""
+"""Bound on the number of chains; each takes about 500 bytes."""
 DEMAND_HALF_LIFE_S = Seconds(5.0)
 MIN_DEMAND_PER_S = 0.4
-"""Own turns a second below which a chain's rate says nothing yet: three turns within a half-life."""
+"""Rate of this router's turns, per second, below which it says nothing yet: three turns within a half-life."""
 
 NEVER = Instant(-math.inf)
 
@@ -29,21 +29,21 @@
 
 
 class _SentChain(msgspec.Struct):
-    """One chain: where this router last sent it when, and how often it is asked for."""
+    """One chain: when this router last sent it to each worker, and the rate of turns with it."""
 
     sent_at: dict[WorkerInstance, Instant]
     demand: DecayingRate
 
 
 class SentChains:
-    """Least recently sent chains go first when there are too many."""
+    """The chains that this router sent; the least recently sent chains are dropped when there are too many."""
 
     def __init__(self, max_chains: int = MAX_CHAINS) -> None:
         self._max_chains = max_chains
         self._chains: OrderedDict[tuple[PoolName, Chain], _SentChain] = OrderedDict()
 
     def sent(self, pool: PoolName, parts: tuple[PromptPart, ...], instance: WorkerInstance, now: Instant) -> None:
-        """A turn with these parts went to a worker."""
+        """Records that a turn with these parts was sent to a worker."""
         for chain, _ in chains(parts):
             name = (pool, chain)
             sent = self._chains.get(name)
@@ -56,16 +56,17 @@
             sent.demand.add(1.0, now)
 
     def forget(self, instance: WorkerInstance) -> None:
+        """Drops the records of a worker that was removed."""
         for sent in self._chains.values():
             sent.sent_at.pop(instance, None)
 
     def demand(self, pool: PoolName, parts: tuple[PromptPart, ...], now: Instant) -> float:
-        """Own turns a second with this whole chain."""
+        """Returns the rate of this router's turns that contain the full chain, per second."""
         sent = self._chains.get((pool, tuple(part.part for part in parts)))
         return 0.0 if sent is None else sent.demand.read(now)
 
     def known(self, pool: PoolName, parts: tuple[PromptPart, ...], now: Instant) -> KnownChains:
-        """What this router knows of a prompt's chains, for comparing workers."""
+        """Returns what this router knows about the chains of a prompt, for the comparison of workers."""
         known = []
         for chain, tokens_up_to in chains(parts):
             sent = self._chains.get((pool, chain))
@@ -76,19 +77,21 @@
 
 
 class _KnownChain(msgspec.Struct, frozen=True):
+    """A chain of a prompt, with its size in tokens and what is recorded about it."""
+
     tokens_up_to: int
     sent_at: dict[WorkerInstance, Instant]
     demand: float
 
 
 class KnownChains(msgspec.Struct, frozen=True):
-    """A prompt's chains that were sent before, shortest first."""
+    """The chains of a prompt that were sent before, the shortest first."""
 
     chains: tuple[_KnownChain, ...]
     now: Instant
 
     def tokens(self) -> int:
-        """Of the longest one."""
+        """Returns the size of the longest known chain."""
         return self.chains[-1].tokens_up_to if self.chains else 0
 
     def cached_tokens(self, instance: WorkerInstance, cache_retention: Seconds, other_turns_per_turn: float) -> float:
@@ -111,7 +114,7 @@
 
 
 def chains(parts: tuple[PromptPart, ...]) -> Iterator[tuple[Chain, int]]:
-    """Each chain that a prompt begins with, shortest first, with its tokens."""
+    """Yields each chain that a prompt begins with and its size in tokens, the shortest first."""
     names: Chain = ()
     tokens = 0
     for part in parts:
--- a/wingwood/placement/session_map.py
+++ b/wingwood/placement/session_map.py
@@ -1,4 +1,4 @@
-"""The map from sessions to workers, shared by the routers (docs/DESIGN.md section 11.2)."""
+"""The map from sessions to workers, which the routers share (docs/DESIGN.md section 11.2)."""
 
 from __future__ import annotations
 
@@ -22,17 +22,20 @@
 from .unresponsive_routers import UnresponsiveRouters
 
 MAX_INCREMENTAL_CHANGES = 16
+"""Number of joined and departed routers up to which a ring is changed point by point instead of rebuilt."""
 POINTS_PER_ROUTER = 64
-"""A router's points on the ring; its share of the sessions varies by about an eighth."""
+"""Number of each router's points on the ring; with so many, its share of sessions varies by about an eighth."""
 LOOKUP_TIMEOUT_S = Seconds(0.015)
-"""For each of the two that are asked: a turn waits for its map entry at most twice as long."""
+"""Timeout for each of the two owners that are asked, so a turn waits for its map entry at most twice as long."""
 NEW_OWNER_PERIOD_S = Seconds(3.0)
+"""Time after a membership change during which a new owner of a key may not have its record yet."""
 MAX_ENTRIES = 25_000
 MAX_RECENT_ENTRIES = 10_000
 RECENT_RETENTION_S = Seconds(300.0)
 CLAIM_RETENTION_S = Seconds(3600.0)
-"""A prefix not used for so long is no longer in any KV cache."""
+"""A prefix that was not used for this long is no longer in any KV cache."""
 HANDOVER_BATCH_SIZE = 200
+"""Number of records that a handover sends before it pauses."""
 HANDOVER_PAUSE_S = Seconds(0.05)
 
 
@@ -41,7 +44,7 @@
 
 
 class Entry(msgspec.Struct, kw_only=True):
-    """A note with instants of the own clock."""
+    """A ``SessionRecord`` whose times are instants of this process's clock."""
 
     pool: PoolName
     holder: WorkerInstance
@@ -54,31 +57,35 @@
 
 
 class SessionMap(Protocol):
+    """Entries of sessions by key."""
+
     async def find(self, key: int) -> Entry | Unreachable | None:
-        """None: whoever should know answered, and does not."""
+        """Looks the entry up at the key's owners; returns None if an owner answered that it has none."""
         ...
 
-    def record(self, key: int, entry: Entry) -> None: ...
+    def record(self, key: int, entry: Entry) -> None:
+        """Stores the entry at this router and at the key's owners."""
+        ...
 
     def find_local(self, key: int) -> Entry | None:
-        """What this router recorded itself; asks nobody."""
+        """Returns the entry that this router recorded itself, without asking another router."""
         ...
 
     def record_local(self, key: int, entry: Entry) -> None:
-        """Records for this router alone."""
+        """Stores the entry at this router only."""
         ...
 
     def owns(self, key: int) -> bool:
-        """Whether this router is the one that counts the session."""
+        """Returns whether this router is the first owner of the key, which is the one that counts the session."""
         ...
 
 
 class Unreachable(msgspec.Struct, frozen=True):
-    """Neither the keeper nor its stand-in answered in time."""
+    """Result of a lookup that neither the owner nor its replica answered in time."""
 
 
 class RecentEntries:
-    """Entries by key, newest last, bounded in number and age."""
+    """Entries by key, the latest last, bounded in number and age."""
 
     def __init__(self, max_entries: int, retention: Seconds) -> None:
         self._max_entries = max_entries
@@ -97,7 +104,7 @@
 
 
 class LocalMap:
-    """Only this router's own entries; for comparison on the bench."""
+    """A ``SessionMap`` of only this router's own entries; for comparison on the bench."""
 
     def __init__(self) -> None:
         self._entries = RecentEntries(MAX_ENTRIES, CLAIM_RETENTION_S)
@@ -121,14 +128,14 @@
 
 
 class OwnerRing:
-    """Who keeps which keys: the next two different routers on a ring of 64 bits.
+    """Assigns each key an owner and a replica: the next two different routers on a ring of 64-bit points.
 
-    A router that comes or goes changes only the keys beside its own points; the stand-in of one that
-    went has its place. Finding a pair costs a binary search, also with a thousand routers.
+    A router that joins or leaves changes only the keys next to its own points, and the replica of a removed owner
+    becomes the owner. Finding a pair costs one binary search, even with a thousand routers.
     """
 
     def __init__(self, routers: Sequence[Identity] = (), before: OwnerRing | None = None) -> None:
-        """``before``: the ring to start from; a few changes to it cost little."""
+        """``before``: an earlier ring to start from, so that few changes cost little."""
         self.routers = tuple(routers)
         self._points = array("Q")
         self._owners = array("L")
@@ -164,6 +171,7 @@
             del self._points[at], self._owners[at]
 
     def pair(self, key: int) -> tuple[Identity, ...]:
+        """Returns the owner and the replica of a key; fewer if there are fewer than two routers."""
         count = len(self._points)
         if not count:
             return ()
@@ -177,6 +185,7 @@
 
 
 def _points(name: str) -> Iterator[int]:
+    """Yields the points of a router on the ring, which follow from its name."""
     for part in range(POINTS_PER_ROUTER // 8):
         digest = hashlib.blake2b(f"{name}\n{part}".encode()).digest()
         for at in range(0, 64, 8):
@@ -184,7 +193,7 @@
 
 
 class DistributedMap:
-    """One keeper and one stand-in for each key, agreed on by the list of routers alone."""
+    """A ``SessionMap`` with an owner and a replica for each key, which follow from the list of routers alone."""
 
     def __init__(self, context: Context, messenger: Messenger, membership: Membership) -> None:
         self._context = context
@@ -192,10 +201,10 @@
         self._membership = membership
         self._stored = RecentEntries(MAX_ENTRIES, CLAIM_RETENTION_S)
         self._recent = RecentEntries(MAX_RECENT_ENTRIES, RECENT_RETENTION_S)
-        """What this router recorded itself, wherever it is kept."""
+        """Entries that this router recorded itself, whichever routers own them."""
         self._ring = OwnerRing()
         self._previous_rings: list[tuple[Instant, OwnerRing]] = []
-        """Rings of the last while, with the instant at which each ended."""
+        """Recent earlier rings, each with the instant at which it was replaced."""
         self._unresponsive = UnresponsiveRouters(context.clock)
         self._handover_running = False
         self._pending_handover: OrderedDict[tuple[int, Address], None] = OrderedDict()
@@ -205,7 +214,7 @@
         membership.on_change(self._members_changed)
         self._members_changed()
 
-    # --- asking and recording -----------------------------------------------------------------
+    # --- lookup and recording -----------------------------------------------------------------
 
     async def find(self, key: int) -> Entry | Unreachable | None:
         answered = sure = False
@@ -252,7 +261,7 @@
         pair = self._owners_of(key)
         return bool(pair) and pair[0].incarnation == self._messenger.identity.incarnation
 
-    # --- keeping ------------------------------------------------------------------------------
+    # --- owned entries--------------------------------------------------------------------------
 
     def _store(self, key: int, entry: Entry) -> None:
         known = self._stored.get(key)
@@ -270,7 +279,7 @@
         return SessionFound(record, self._is_new_owner(question.key))
 
     def _is_new_owner(self, key: int) -> bool:
-        """Whether this router became a keeper of the key only a moment ago and may lack what was recorded before."""
+        """Returns whether this router became an owner of the key so recently that it may lack earlier records."""
         now = self._context.clock.monotonic()
         while self._previous_rings and now - self._previous_rings[0][0] > NEW_OWNER_PERIOD_S:
             del self._previous_rings[0]
@@ -304,13 +313,17 @@
             weight=record.weight,
         )
 
-    # --- members ------------------------------------------------------------------------------
+    # --- membership ---------------------------------------------------------------------------
 
     def _owners_of(self, key: int) -> tuple[Identity, ...]:
         return self._ring.pair(key)
 
     def _members_changed(self) -> None:
-        """Keepers pass on what newcomers should have; the recorder does so where both keepers are gone."""
+        """Hands entries over to the new owners of their keys after a membership change.
+
+        The previous owners hand over the entries that they store. The router that recorded an entry hands it over
+        only if both previous owners of its key have departed.
+        """
         routers = tuple(self._membership.routers())
         before = self._ring
         if routers == before.routers:
@@ -332,7 +345,7 @@
             self._context.tasks.spawn("hand over sessions", self._hand_over())
 
     async def _hand_over(self) -> None:
-        """Newest first, a bounded batch at a time."""
+        """Sends the pending records, the latest first, in batches of bounded size."""
         while self._pending_handover:
             batches: dict[Address, list[SessionRecord]] = {}
             for _ in range(min(HANDOVER_BATCH_SIZE, len(self._pending_handover))):
--- a/wingwood/placement/session_recurrence.py
+++ b/wingwood/placement/session_recurrence.py
@@ -1,4 +1,4 @@
-"""Whether the sessions of a service come back, so that asking others for them pays (docs/DESIGN.md section 11.2)."""
+"""Whether sessions of a service recur, so that asking other routers for them pays (docs/DESIGN.md section 11.2)."""
 
 from __future__ import annotations
 
@@ -7,39 +7,45 @@
 from ..identifiers import ServiceName
 
 NEW_SAMPLE_WEIGHT = 0.01
+"""Weight of one new sample in the moving average."""
 MIN_KNOWN_SHARE = 0.02
-"""Share of turns of a known session below which the service's sessions count as not coming back."""
+"""Share of turns with a known session below which the sessions of a service count as not recurring."""
 MIN_OBSERVED_TURNS = 300
+"""Number of observed turns below which the sessions of a service count as recurring."""
 SAMPLED_ONE_IN = 8
-"""One session in so many is followed all the same, at all routers: by its key."""
+"""One session in this many is tracked even if sessions don't recur; the key decides, so all routers agree."""
 
 
 class _Observed(msgspec.Struct):
+    """Observations of one service."""
+
     turns: int = 0
     known: float = 0.3
-    """Moving average of the turns whose session was known."""
+    """Moving average of the share of turns whose session was known."""
 
 
 class SessionRecurrence:
+    """Observes for each service how often a turn's session is already known."""
+
     def __init__(self) -> None:
         self._services: dict[ServiceName, _Observed] = {}
 
     def observe(self, service: ServiceName, known: bool) -> None:
-        """The map was asked for a turn's session."""
+        """Records that the session map was asked for a turn's session, and whether it knew the session."""
         seen = self._services.setdefault(service, _Observed())
         seen.turns += 1
         fold = max(NEW_SAMPLE_WEIGHT, 1.0 / (seen.turns + 3))
         seen.known += fold * (known - seen.known)
 
     def sessions_recur(self, service: ServiceName) -> bool:
-        """Whether its sessions have a next turn often enough; so it is taken to be until tried."""
+        """Returns whether the service's sessions recur often enough; True until enough turns were observed."""
         return not self.has_enough_turns(service) or self._services[service].known >= MIN_KNOWN_SHARE
 
     def has_enough_turns(self, service: ServiceName) -> bool:
-        """Whether enough turns were seen to say so."""
+        """Returns whether enough turns were observed to decide."""
         seen = self._services.get(service)
         return seen is not None and seen.turns >= MIN_OBSERVED_TURNS
 
     def is_tracked(self, service: ServiceName, key: int) -> bool:
-        """Whether to ask and tell the other routers of this session."""
+        """Returns whether this session is looked up and recorded at other routers."""
         return key % SAMPLED_ONE_IN == 0 or self.sessions_recur(service)
--- a/wingwood/placement/tests/test_cached_prefixes.py
+++ b/wingwood/placement/tests/test_cached_prefixes.py
@@ -43,11 +43,11 @@
     def test_least_recently_used_sessions_are_dropped_first(self) -> None:
         model = EvictionModel()
         for step in range(10):
-            model.touched(POOL, step, 100, Instant(step), 1000.0)
+            model.record_use(POOL, step, 100, Instant(step), 1000.0)
         self.assertLess(model.cached_since(POOL), 0.0)
-        model.touched(POOL, 0, 100, Instant(10.0), 1000.0)
+        model.record_use(POOL, 0, 100, Instant(10.0), 1000.0)
         self.assertLess(model.cached_since(POOL), 0.0)
-        model.touched(POOL, 11, 250, Instant(11.0), 1000.0)
+        model.record_use(POOL, 11, 250, Instant(11.0), 1000.0)
         self.assertEqual(model.cached_since(POOL), 3.0)
         self.assertLess(model.cached_since(PoolName("other")), 0.0)
 
--- a/wingwood/placement/unresponsive_routers.py
+++ b/wingwood/placement/unresponsive_routers.py
@@ -1,4 +1,4 @@
-"""Routers that let a question time out and are left alone for a while (docs/DESIGN.md sections 11.2 and 11.12)."""
+"""Routers that are skipped for a while after a call to them timed out (docs/DESIGN.md sections 11.2 and 11.12)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class UnresponsiveRouters:
-    """By incarnation: a router that was started again is asked at once."""
+    """The routers to skip, by incarnation, so that a restarted router is asked again at once."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
--- a/wingwood/placement/urgency.py
+++ b/wingwood/placement/urgency.py
@@ -1,4 +1,4 @@
-"""Places kept for the most urgent turns of a pool (docs/DESIGN.md section 11.9)."""
+"""Places reserved for the most urgent turns of a pool (docs/DESIGN.md section 11.9)."""
 
 from __future__ import annotations
 
@@ -7,15 +7,18 @@
 from ..identifiers import Instant, PoolName, Seconds
 
 URGENCY_RETENTION_S = Seconds(20.0)
+"""Time after which a less urgent turn may replace the most urgent recent turn of a pool."""
 
 
 class _MostUrgent(msgspec.Struct):
+    """The most urgent recent turn of a pool."""
+
     urgency: int
     at: Instant
 
 
 class UrgentPlaces:
-    """Turns less urgent than the most urgent of late see fewer places, so that they are refused first."""
+    """Opens fewer places to turns that are less urgent than the most urgent recent ones, so they are refused first."""
 
     def __init__(self, less_urgent_share: float) -> None:
         self._less_urgent_places = less_urgent_share
@@ -27,6 +30,6 @@
             self._most_urgent[pool] = _MostUrgent(urgency, now)
 
     def share(self, pool: PoolName, urgency: int) -> float:
-        """Share of a pool's places that are open to a turn."""
+        """Returns the share of the pool's places that is open to a turn of this urgency."""
         most = self._most_urgent.get(pool)
         return 1.0 if most is None or urgency <= most.urgency else self._less_urgent_places
--- a/wingwood/placement/worker_estimates.py
+++ b/wingwood/placement/worker_estimates.py
@@ -1,4 +1,4 @@
-"""How fast the workers are and how full, learnt from what passes through (docs/DESIGN.md section 11.4)."""
+"""Estimates of workers' speed and load, learned from the turns of this router (docs/DESIGN.md section 11.4)."""
 
 from __future__ import annotations
 
@@ -13,43 +13,55 @@
 from ..registry.protocols import Engagement, EngagementExchange, Registry, Worker
 
 ACTIVE_SHARE_UPDATE_S = Seconds(0.2)
+"""Interval at which the active share of a pool is updated."""
 MAX_WORKER_ESTIMATES = 5_000
 REFUSAL_PAUSE_S = Seconds(0.5)
+"""Time during which a worker that refused a turn is avoided."""
 NEW_SAMPLE_WEIGHT = 0.1
 """Weight of one new sample in the moving averages."""
 REPORTED_LOAD_WEIGHT = 0.7
-"""A worker's own word counts less than what the routers counted: it is a second old, and may lie."""
+"""Weight of the load that a worker reports, against the turns that the routers count.
+
+    It counts less because a report is up to a second old and may be false.
+    """
 MAX_SAMPLE_RATIO = 2.0
-"""Against the figure so far: a prefix that turns out not to be kept makes a worker look tens of times slower,
-and what such a forecast has admission refuse can't correct it."""
+"""Upper bound of a sample, as a multiple of the current estimate.
+
+A prefix that was expected in the cache but was not there makes a worker look tens of times slower. Without the bound,
+admission would refuse turns because of that forecast, and refused turns give no samples that could correct it.
+"""
 FULL_TURNS_PER_SLOT = 4.0
-"""Running and waiting turns per slot at which a worker counts as full."""
+"""Number of running and waiting turns per slot from which a worker counts as full."""
 
 
 class WorkerEstimates(msgspec.Struct):
-    """Moving averages in seconds."""
+    """Moving averages, in seconds, of one worker or of a pool."""
 
     seconds_per_token: float = 0.0002
-    """Prefill of one uncached token."""
+    """Seconds to prefill one uncached token."""
     base_latency: float = 0.05
-    """From sending to the first token when nothing is to be prefilled."""
+    """Seconds from sending a turn to its first token when there is nothing to prefill."""
     turn_duration: float = 2.0
-    """A turn without its time in the queue."""
+    """Seconds that a turn takes, without its time in the queue."""
     mean_observed_wait: float = 1.0
+    """Observed waits in the queue."""
     mean_predicted_wait: float = 1.0
-    """Waits in the queue, and what was foreseen for them; their ratio corrects the next forecast."""
+    """Predicted waits of the same turns, before their correction."""
 
     def correction(self) -> float:
+        """Returns the bounded ratio of observed to predicted waits, by which the next forecast is corrected."""
         return min(3.0, max(0.5, self.mean_observed_wait / self.mean_predicted_wait))
 
 
 class _Expected(msgspec.Struct, frozen=True):
+    """A session whose next turn is awarded to a worker."""
+
     instance: WorkerInstance
     since: Instant
 
 
 class Workload:
-    """Running turns, sessions whose next turn is awarded, and the figures learnt per worker."""
+    """Running turns, sessions whose next turn is awarded, and the estimates learned per worker."""
 
     def __init__(
         self, registry: Registry, exchange: EngagementExchange, clock: Clock, expected_turn_lifetime: Seconds
@@ -66,9 +78,9 @@
         self._estimates: dict[WorkerInstance, WorkerEstimates] = {}
         self._pool_estimates: dict[PoolName, WorkerEstimates] = {}
         self.prefill_flow: Callable[[WorkerInstance], float] = lambda instance: 0.0
-        """Own uncached prompt tokens a second that go to a worker, where they are counted."""
+        """Returns the uncached tokens per second that this router sends to a worker; set where they are counted."""
         self.long_streams: Callable[[WorkerInstance], int] = lambda instance: 0
-        """Own long streams at a worker, where they are counted."""
+        """Returns the number of this router's long streams at a worker; set where they are counted."""
         exchange.count_with(self._count)
 
     # --- counting -----------------------------------------------------------------------------
@@ -82,11 +94,14 @@
             del self._running[instance]
 
     def refused(self, instance: WorkerInstance) -> None:
-        """It would not take a turn (draining unheard of here, full, another life): left alone for a moment."""
+        """Records that the worker refused a turn, so that it is avoided for a moment.
+
+        A worker refuses when it is full, is draining without this router knowing it yet, or has restarted.
+        """
         self._refused_at[instance] = self._clock.monotonic()
 
     def accepting(self, ready: Sequence[Worker]) -> Sequence[Worker]:
-        """Without those that have just refused a turn, unless that leaves none."""
+        """Returns the workers that have not just refused a turn, or all if there are none."""
         if not self._refused_at:
             return ready
         since = self._clock.monotonic() - REFUSAL_PAUSE_S
@@ -94,7 +109,7 @@
         return [worker for worker in ready if worker.instance not in self._refused_at] or ready
 
     def expect(self, key: int, instance: WorkerInstance, since: Instant) -> None:
-        """The session's next turn is awarded there; counts for a while, or until its next award."""
+        """Counts a session whose next turn is awarded to the worker, until its next award or its expiry."""
         self._drop(key)
         self._expected[key] = _Expected(instance, since)
         self._expected_at[instance] += 1
@@ -113,6 +128,7 @@
                 del self._expected_at[expected.instance]
 
     def own(self, instance: WorkerInstance) -> Engagement:
+        """Returns what this router counts at the worker, which it announces to the other routers."""
         self._drop_old()
         running, expected = self._running[instance], self._expected_at[instance]
         return Engagement(
@@ -127,20 +143,20 @@
         }
 
     def load(self, worker: Worker) -> float:
-        """Turns running or waiting there now, over all routers."""
+        """Returns the number of turns of all routers that run or wait at the worker now."""
         counted = self._running[worker.instance] + self._exchange.elsewhere(worker.instance).running
         reported = 0 if worker.load is None else worker.load.running + worker.load.waiting
         return max(counted, REPORTED_LOAD_WEIGHT * reported)
 
     def expected_load(self, worker: Worker, active_share: float) -> float:
-        """The load that the worker's sessions will make, for a turn that comes seconds later.
+        """Returns the load that the sessions awarded to the worker will cause, for a turn that arrives seconds later.
 
-        What runs now is little help then; the sessions awarded to it are.
+        The turns that run now say little about that time.
         """
         return active_share * (self._expected_at[worker.instance] + self._exchange.elsewhere(worker.instance).expected)
 
     def active_share(self, ready: Sequence[Worker]) -> float:
-        """The share of awarded sessions that run a turn at any time; the same for all workers of a pool."""
+        """Returns the mean share of awarded sessions that run a turn; it is the same for all workers of a pool."""
         self._drop_old()
         pool, now = ready[0].pool, self._clock.monotonic()
         at, share = self._active_shares.get(pool, (Instant(float("-inf")), 0.3))
@@ -154,15 +170,18 @@
         return share
 
     def pool_size(self, pool: PoolName) -> int:
-        """Its ready workers."""
+        """Returns the number of ready workers of the pool."""
         return len(self._registry.ready(pool))
 
     def is_full(self, worker: Worker, open_share: float = 1.0) -> bool:
-        """``open_share``: the share of its places that count for the turn."""
+        """Returns whether the worker has no place for another turn.
+
+        ``open_share``: the share of its places that is open to the turn.
+        """
         return self.load(worker) >= open_share * FULL_TURNS_PER_SLOT * worker.slots
 
     def is_busy(self, workers: Sequence[Worker]) -> bool:
-        """Whether at least half of their slots are taken; callers are told to come again only then."""
+        """Returns whether at least half of the slots are taken; only then are callers asked to retry later."""
         return sum(self.load(worker) for worker in workers) >= 0.5 * sum(worker.slots for worker in workers)
 
     # --- predicting ---------------------------------------------------------------------------
@@ -171,11 +190,11 @@
         return self._estimates.get(worker.instance) or self._pool_estimates.get(worker.pool) or WorkerEstimates()
 
     def wait(self, worker: Worker) -> float:
-        """Seconds until a slot is free, from what is there now."""
+        """Returns the seconds until the worker has a free slot, by its load now."""
         return self.wait_at(worker, self.load(worker))
 
     def wait_at(self, worker: Worker, load: float) -> float:
-        """The same at a load that is known already."""
+        """Returns the same for a load that the caller already has."""
         over = load - worker.slots + 1
         if over <= 0.0:
             return 0.0
@@ -183,10 +202,10 @@
         return over * estimates.turn_duration / worker.slots * estimates.correction()
 
     def mean_wait(self, worker: Worker, load: float) -> float:
-        """Seconds that turns wait on average at a worker whose mean load is ``load``.
+        """Returns the mean wait in seconds at a worker whose mean load is ``load``.
 
-        Sakasegawa's approximation for a queue before several servers; past nine tenths of the slots
-        the queue's growth in a turn's time is added instead of a wait without bound.
+        This is Sakasegawa's approximation for a queue with several servers. It is capped at nine tenths of the slots,
+        because it grows without bound; beyond that, the queue's growth during one turn is added.
         """
         step = self.estimates(worker).turn_duration / worker.slots
         use = min(0.9, load / worker.slots)
@@ -198,7 +217,7 @@
         return Seconds(self.wait(worker) + estimates.base_latency + uncached * estimates.seconds_per_token)
 
     def time_until_room(self, worker: Worker) -> Seconds:
-        """When a worker that is full will have room again, roughly."""
+        """Returns the approximate seconds until a full worker has a place again."""
         over = self.load(worker) - FULL_TURNS_PER_SLOT * worker.slots + 1
         return Seconds(min(30.0, max(0.2, over * self.estimates(worker).turn_duration / worker.slots)))
 
@@ -237,7 +256,7 @@
                 estimates.seconds_per_token += NEW_SAMPLE_WEIGHT * (sample - estimates.seconds_per_token)
 
     def learn_turn(self, worker: Worker, turn_duration: float) -> None:
-        """How long a turn took, where first tokens are forecast elsewhere."""
+        """Learns the duration of a turn; used where another estimate forecasts the first token."""
         for estimates in (
             self._estimates.setdefault(worker.instance, msgspec.structs.replace(self.estimates(worker))),
             self._pool_estimates.setdefault(worker.pool, WorkerEstimates()),
