--- a/wingwood/placement/reported_size_bids.py
+++ b/wingwood/placement/reported_size_bids.py
@@ -296,8 +296,8 @@
 
     def _other_cost(self, worker: Worker, prefill: float, load: float) -> float:
         """Returns the cost in seconds of the streams that the prefill delays and of a worker in another zone."""
-        way = 0.0 if self._zone is None or worker.zone == self._zone else self._settings.other_zone_cost
-        return self._settings.stream_delay_weight * prefill * load + way
+        zone_cost = 0.0 if self._zone is None or worker.zone == self._zone else self._settings.other_zone_cost
+        return self._settings.stream_delay_weight * prefill * load + zone_cost
 
     def _risk_threshold(self, turn: Turn, worker: Worker) -> Seconds:
         """Returns the seconds of wait and prefill that put the latency objective or the pauses of streams at risk."""
--- a/wingwood/placement/tests/one_router.py
+++ b/wingwood/placement/tests/one_router.py
@@ -1,4 +1,4 @@
-"""A router's placement over workers that the test sets, on a clock that the test moves."""
+"""The placement of one router over workers that the test defines, on a clock that the test advances."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
 
 
 def run_now(coroutine: Coroutine[Any, Any, Got]) -> Got:
-    """Runs what waits for nothing."""
+    """Runs a coroutine that never suspends and returns its result."""
     try:
         coroutine.send(None)
     except StopIteration as stop:
         return cast(Got, stop.value)
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine suspended")
 
 
 def parts_of(text: str) -> tuple[PromptPart, ...]:
-    """``kind:2500 subject:3800``"""
+    """Parses parts and their sizes from a text such as ``kind:2500 subject:3800``."""
     pairs = (part.split(":") for part in text.split())
     return tuple(PromptPart(name, int(tokens)) for name, tokens in pairs)
 
 
 def sized_turn(parts: str, own: int = 2900, service: Service = SUMMARY, **fields: Any) -> Turn:
-    """``own``: tokens that no part tells of."""
+    """Builds a turn with reported part sizes. ``own``: number of prompt tokens outside the parts."""
     reported = parts_of(parts)
     turn = Turn(
         request=RequestId(f"q{next(REQUESTS)}"),
@@ -68,6 +68,8 @@
 
 
 class ManualClock:
+    """A clock that tests advance."""
+
     def __init__(self) -> None:
         self.now = 100.0
 
@@ -76,7 +78,7 @@
 
 
 class OneRouter:
-    """Registry, exchange and membership in one, and the placement over them."""
+    """Fake registry, exchange and membership in one, and the placement that uses them."""
 
     def __init__(
         self,
@@ -115,7 +117,7 @@
             context, cast(Any, self), cast(Any, self), cast(Any, self), self.map, settings, Zone(zone)
         )
 
-    # --- what the placement asks --------------------------------------------------------------
+    # --- called by the placement --------------------------------------------------------------
 
     def ready(self, pool: PoolName) -> Sequence[Worker]:
         return tuple(worker for worker in self.workers if worker.pool == pool)
@@ -135,7 +137,7 @@
     def routers(self) -> Sequence[Identity]:
         return cast(Sequence[Identity], (None,) * 11)
 
-    # --- what a test does ---------------------------------------------------------------------
+    # --- called by tests ----------------------------------------------------------------------
 
     def choose(self, turn: Turn, excluded: Sequence[WorkerInstance] = ()) -> Choice:
         return self.outcome(turn, excluded).unwrap()
@@ -147,7 +149,7 @@
         return run_now(self.placement.choose(turn, excluded))
 
     def end(self, turn: Turn, choice: Choice, first_token: float = 0.05) -> None:
-        """The turn's first token comes and it ends whole, a little later."""
+        """Lets the turn's first token arrive and its complete answer a little later."""
         self.clock.now += first_token
         self.placement.first_token_received(turn, choice, Seconds(first_token))
         self.clock.now += 0.02
@@ -159,7 +161,7 @@
         return choice
 
     def engage(self, instance: WorkerInstance, running: float = 0.0, prefill: float = 0.0) -> None:
-        """The other routers tell of the worker."""
+        """Sets the engagement that the other routers announce for the worker."""
         self.reported[instance] = Engagement(running, 0.0, prefill)
 
     def engage_all(self, running: float = 0.0, prefill: float = 0.0) -> None:
@@ -167,7 +169,7 @@
             self.engage(worker.instance, running, prefill)
 
     def teach(self, per_token: float = 1 / 300_000, base: float = 0.03) -> None:
-        """First tokens from which the placement learns the engines' speed."""
+        """Runs turns from whose first tokens the placement learns the speed of the engines."""
         for number in range(30):
             self.take(sized_turn(f"chat:47 t{number}:30", 100), base)
             self.clock.now += 1.0
--- a/wingwood/placement/tests/test_award_placement.py
+++ b/wingwood/placement/tests/test_award_placement.py
@@ -1,3 +1,5 @@
+"""The award policy over several simulated routers (docs/DESIGN.md section 11)."""
+
 from __future__ import annotations
 
 import itertools
@@ -36,7 +38,7 @@
 
 
 class PlacementFleet(Fleet):
-    """Routers with awards, over their registries; workers renew each second until they are stopped."""
+    """Routers with the award policy over their registries; workers renew each second until they are stopped."""
 
     def __init__(self, world: World, count: int = 6, workers: int = 4, settings: AwardSettings | None = None) -> None:
         super().__init__(world, count)
@@ -64,7 +66,7 @@
         self.inside(name, make)
 
     def run(self, seconds: float) -> None:
-        """Lets time pass while the workers renew at the first router that lives."""
+        """Lets time pass while the workers renew at the first router that is alive."""
         edge = next(name for name in sorted(self.roster.identities) if self.world.processes[name].alive)
         while seconds > 0:
             for _, worker in sorted(self.renewing.items()):
@@ -98,7 +100,7 @@
         return [str(identity.name) for identity in session_map._owners_of(key)]
 
     def expect_sessions(self, router: str, instance: WorkerInstance, count: int) -> None:
-        """As if so many more sessions were awarded there; the next call moves them."""
+        """Counts this many more sessions as awarded to the worker; the next call moves them to its worker."""
         workload = self.placements[router]._workload
 
         async def expect() -> bool:
@@ -139,6 +141,7 @@
             self.assertLess(again.uncached_tokens, 200)
 
     def test_award_is_void_when_its_worker_drains_restarts_or_is_excluded(self) -> None:
+        """A restarted worker has an empty cache, although it may win a new bid."""
         for change in ("drain", "restart", "exclude"):
             with self.subTest(change):
                 fleet = self.fleet()
@@ -158,6 +161,7 @@
                     self.assertNotEqual(choice.worker.instance, winner.instance)
 
     def test_award_expires_and_leaves_a_claim(self) -> None:
+        """The worker may still cache the prefix after the award has expired."""
         fleet = self.fleet(award_lifetime=Seconds(5.0))
         winner = fleet.take("r0", "s").worker
         fleet.run(6.3)
@@ -166,7 +170,7 @@
             assert isinstance(again, Choice)
             self.assertEqual((again.method, again.worker.instance), ("claim", winner.instance))
 
-    def test_session_stays_for_a_gain_below_the_margin(self) -> None:
+    def test_session_moves_only_for_a_gain_above_the_margin(self) -> None:
         for gain, stays in ((0.5, True), (0.0, False)):
             fleet = self.fleet(min_move_gain=Seconds(gain), next_turn_wait_weight=1.0)
             first = fleet.take("r0", "s", 200).worker.instance
@@ -179,18 +183,21 @@
             assert isinstance(after, Choice)
             self.assertEqual(after.worker.instance == first, stays)
 
-    def test_worker_that_refused_a_turn_is_left_alone_for_a_moment(self) -> None:
+    def test_worker_that_refused_a_turn_is_avoided_for_a_moment(self) -> None:
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker.instance
         fleet.take("r1", "s", 2100, outcome="refused")
         self.assertNotEqual(fleet.take("r1", "s", 2100, outcome="refused").worker.instance, winner)
         at_other = fleet.take("r2", "s", 2100)
-        self.assertEqual((at_other.method, at_other.worker.instance), ("award", winner), "no claim without a run")
+        self.assertEqual(
+            (at_other.method, at_other.worker.instance), ("award", winner), "a refused turn must not change the award"
+        )
         for _ in fleet.renewing:
             fleet.take("r3", "t", outcome="refused")
         self.assertIsInstance(fleet.choose("r3", turn_of("t")), Choice, "a worker that refused is better than none")
 
     def test_turn_that_admission_refused_leaves_no_claim(self) -> None:
+        """A claim would send later turns to a worker that never received the prefix."""
         fleet = self.fleet()
         placement = fleet.placements["r0"]
         turn = turn_of("s")
@@ -205,7 +212,7 @@
         assert isinstance(choice, Choice)
         self.assertEqual((choice.method, choice.uncached_tokens), ("bid", 2000))
 
-    def test_award_gives_way_where_its_winner_would_outlast_the_callers_patience(self) -> None:
+    def test_award_is_passed_over_when_its_winner_would_exceed_the_callers_timeout(self) -> None:
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker.instance
         for turns, method in ((10, "award"), (21, "bid")):
@@ -215,13 +222,13 @@
             assert isinstance(choice, Choice)
             self.assertEqual((choice.method, choice.worker.instance == winner), (method, method == "award"))
 
-    def test_prefix_that_the_model_counts_as_dropped_is_prefilled(self) -> None:
+    def test_prefix_that_the_model_counts_as_evicted_is_uncached(self) -> None:
         fleet = self.fleet()
         fleet.take("r0", "s", 2000)
-        kept = fleet.choose("r1", turn_of("s", 2100))
+        cached = fleet.choose("r1", turn_of("s", 2100))
         placement = fleet.placements["r1"]
 
-        async def others_come() -> bool:
+        async def use_other_sessions() -> bool:
             now = fleet.routers["r1"].context.clock.monotonic()
             for key in range(100):
                 placement.entry_stored(
@@ -229,12 +236,13 @@
                 )
             return True
 
-        fleet.inside("r1", others_come)
-        dropped = fleet.choose("r1", turn_of("s", 2100))
-        assert isinstance(kept, Choice) and isinstance(dropped, Choice)
-        self.assertEqual((kept.uncached_tokens, dropped.uncached_tokens), (0, 2100))
+        fleet.inside("r1", use_other_sessions)
+        evicted = fleet.choose("r1", turn_of("s", 2100))
+        assert isinstance(cached, Choice) and isinstance(evicted, Choice)
+        self.assertEqual((cached.uncached_tokens, evicted.uncached_tokens), (0, 2100))
 
-    def test_older_news_never_takes_the_place_of_newer(self) -> None:
+    def test_older_record_never_replaces_a_newer_one(self) -> None:
+        """Records of several routers may arrive out of order."""
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker.instance
         key = session_key(POOL, SessionId("s"))
@@ -247,7 +255,8 @@
         assert isinstance(choice, Choice)
         self.assertEqual((choice.method, choice.worker.instance), ("award", winner))
 
-    def test_own_newer_record_counts_before_the_keepers(self) -> None:
+    def test_newer_local_record_takes_precedence_over_the_owners(self) -> None:
+        """The post to the owners may be lost, so that they answer with an older award."""
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker.instance
         router = fleet.others_than(*fleet.owners("s"))[0]
@@ -261,12 +270,13 @@
         self.assertEqual((again.method, again.worker.instance), ("award", moved.worker.instance))
 
     def test_turn_without_a_hint_follows_the_claim(self) -> None:
+        """A broken answer gives no hint and therefore no award, but the prefix was sent to the worker."""
         fleet = self.fleet()
         first = fleet.take("r0", "s", outcome="broken")
         again = fleet.take("r1", "s", 2100)
         self.assertEqual((again.method, again.worker.instance), ("claim", first.worker.instance))
 
-    def test_stand_in_answers_for_a_frozen_keeper(self) -> None:
+    def test_replica_answers_for_a_frozen_owner(self) -> None:
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker
         owner, replica = fleet.owners("s")
@@ -277,7 +287,8 @@
         self.assertEqual((again.method, again.worker.instance), ("award", winner.instance))
         self.assertLess(fleet.world.now - before, 0.1)
 
-    def test_all_routers_agree_when_no_keeper_answers(self) -> None:
+    def test_all_routers_agree_when_no_owner_answers(self) -> None:
+        """Otherwise turns of one session would be spread over all workers while the owners fail."""
         fleet = self.fleet()
         pair = fleet.owners("fresh")
         for name in pair:
@@ -286,7 +297,8 @@
         self.assertEqual({choice.method for choice in chosen if isinstance(choice, Choice)}, {"hash"})
         self.assertEqual(len({choice.worker.instance for choice in chosen if isinstance(choice, Choice)}), 1)
 
-    def test_two_frozen_keepers_cost_a_turn_their_time_outs_once(self) -> None:
+    def test_two_frozen_owners_delay_only_the_first_turn_by_their_timeouts(self) -> None:
+        """The owners that did not answer are skipped for a while afterwards."""
         fleet = self.fleet()
         pair = fleet.owners("fresh")
         for name in pair:
@@ -298,9 +310,10 @@
             fleet.choose(asker, turn_of("fresh"))
             times.append(fleet.world.now - before)
         self.assertLess(times[0], 0.041)
-        self.assertLess(times[1], 0.011, "who let a question time out is passed over")
+        self.assertLess(times[1], 0.011, "owners that did not answer must be skipped")
 
-    def test_awards_outlive_the_loss_of_keeper_and_then_stand_in(self) -> None:
+    def test_awards_survive_the_loss_of_owner_after_owner(self) -> None:
+        """Each remaining owner hands its records over to the new one."""
         fleet = self.fleet()
         winners = {f"s{number}": fleet.take(f"r{number % 6}", f"s{number}").worker.instance for number in range(12)}
         for _ in range(3):
@@ -313,7 +326,8 @@
                 assert isinstance(choice, Choice)
                 self.assertEqual((choice.method, choice.worker.instance), ("award", winner))
 
-    def test_newcomer_without_the_map_does_not_hide_what_is_known(self) -> None:
+    def test_restarted_owner_without_records_does_not_hide_known_awards(self) -> None:
+        """The restarted owner answers that it has no record; the lookup must go on to the replica."""
         fleet = self.fleet()
         winner = fleet.take("r0", "s").worker.instance
         owner, replica = fleet.owners("s")
@@ -326,7 +340,8 @@
             assert isinstance(choice, Choice)
             self.assertEqual((choice.method, choice.worker.instance), ("award", winner))
 
-    def test_the_class_that_pays_less_leaves_a_crowded_worker_first(self) -> None:
+    def test_class_that_pays_less_leaves_a_crowded_worker_first(self) -> None:
+        """The same crowd at the holder moves the session of the lower class only."""
         fleet = self.fleet()
         winners = {}
         for name, weight in (("paid", 4.0), ("free", 1.0)):
@@ -342,7 +357,7 @@
             winners[name] = after.worker.instance == held.worker.instance
         self.assertEqual(winners, {"paid": True, "free": False})
 
-    def test_hot_shared_prefix_spreads_over_several_workers(self) -> None:
+    def test_shared_prefix_in_high_demand_spreads_over_several_workers(self) -> None:
         fleet = self.fleet()
         counts: dict[str, int] = {}
         for number in range(24):
@@ -370,7 +385,7 @@
             sizes.append(len(fleet.inside("r0", candidates)))
         self.assertEqual(sizes, [2, 4])
 
-    def test_cold_shared_prefix_stays_where_it_is_kept(self) -> None:
+    def test_shared_prefix_in_low_demand_stays_where_it_is_cached(self) -> None:
         fleet = self.fleet()
         workers = set()
         for number in range(10):
@@ -381,7 +396,7 @@
         self.assertEqual(choice.method, "claim")
         self.assertLess(choice.uncached_tokens, 1000)
 
-    def test_full_and_missing_workers_are_told_apart(self) -> None:
+    def test_refusals_distinguish_full_from_missing_workers(self) -> None:
         fleet = self.fleet()
         for worker in fleet.renewing.values():
             for _ in range(4 * worker.options.slots):
@@ -395,7 +410,8 @@
         )
         self.assertEqual(missing, NoWorker("none-ready", Seconds(1.0)))
 
-    def test_awarded_sessions_count_at_the_winner_until_their_next_award_or_for_a_while(self) -> None:
+    def test_awarded_sessions_count_at_the_winner_until_their_next_award_or_expiry(self) -> None:
+        """Counting a session at several routers or for ever would make its worker look loaded."""
         fleet = self.fleet(expected_turn_lifetime=Seconds(5.0))
         owner = fleet.owners("s")[0]
         winner = fleet.take("r0", "s").worker.instance
@@ -411,7 +427,7 @@
         gone = fleet.take("r0", f"t{number}").worker.instance
         self.assertEqual(fleet.placements[owner]._workload.own(winner).expected, float(gone == winner))
 
-    def test_router_counts_are_seen_by_the_others(self) -> None:
+    def test_other_routers_see_the_counts_of_a_router(self) -> None:
         fleet = self.fleet()
         choice = fleet.choose("r0", turn_of("s"))
         assert isinstance(choice, Choice)
--- a/wingwood/placement/tests/test_cached_prefixes.py
+++ b/wingwood/placement/tests/test_cached_prefixes.py
@@ -1,3 +1,5 @@
+"""Shared prefixes and the eviction model, where callers report no sizes (docs/DESIGN.md section 11.3)."""
+
 from __future__ import annotations
 
 import unittest
@@ -11,7 +13,8 @@
 
 
 class SharedPrefixesTest(unittest.TestCase):
-    def test_size_is_the_least_prompt_of_at_least_two_sessions(self) -> None:
+    def test_size_of_a_shared_part_is_the_smallest_prompt_of_at_least_two_sessions(self) -> None:
+        """A prefix seen with a single session may be that session's own text."""
         shared = SharedPrefixes()
         shared.sent(POOL, ("lease", "a"), 1, 3400, WORKER, Instant(0.0))
         self.assertEqual(shared.tokens(POOL, ("lease", "b")), 0)
@@ -19,7 +22,8 @@
         self.assertEqual(shared.tokens(POOL, ("lease", "c")), 3100)
         self.assertEqual(shared.tokens(POOL, ("other", "c")), 0)
 
-    def test_kept_where_it_was_sent_and_not_longer_than_the_model_says(self) -> None:
+    def test_part_is_cached_where_it_was_sent_until_the_model_counts_it_as_evicted(self) -> None:
+        """A longer prefix falls back to its longest part that was sent to the same worker."""
         shared = SharedPrefixes()
         for key, session in enumerate("ab"):
             shared.sent(POOL, ("root", "lease", session), key, 3000, WORKER, Instant(5.0))
@@ -40,7 +44,7 @@
 
 
 class EvictionModelTest(unittest.TestCase):
-    def test_least_recently_used_sessions_are_dropped_first(self) -> None:
+    def test_least_recently_used_sessions_are_evicted_first(self) -> None:
         model = EvictionModel()
         for step in range(10):
             model.record_use(POOL, step, 100, Instant(step), 1000.0)
--- a/wingwood/placement/tests/test_long_streams.py
+++ b/wingwood/placement/tests/test_long_streams.py
@@ -1,4 +1,4 @@
-"""Long streams and long prompts are kept apart; several routers on manual clocks."""
+"""Separation of long streams from long prompts; routers run on manual clocks (docs/DESIGN.md section 11.11)."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
         self.router.teach()
 
     def start(self, count: int) -> list[tuple[Turn, Choice]]:
-        """Chats that go on streaming."""
-        begun = []
+        """Starts chats whose streams continue."""
+        started = []
         for number in range(count):
             turn = chat(number)
-            begun.append((turn, self.router.choose(turn)))
-            self.router.placement.first_token_received(*begun[-1], Seconds(0.02))
-        return begun
+            started.append((turn, self.router.choose(turn)))
+            self.router.placement.first_token_received(*started[-1], Seconds(0.02))
+        return started
 
     def test_long_streams_share_as_few_workers_as_they_need(self) -> None:
         room = int(MAX_STREAM_SLOT_SHARE * SLOTS)
@@ -49,7 +49,11 @@
             1,
         )
 
-    def test_routers_that_do_not_see_each_others_new_streams_fill_no_worker_beyond_its_slots(self) -> None:
+    def test_concurrent_streams_from_many_routers_exceed_no_workers_slots(self) -> None:
+        """Counts of other routers are outdated when they are read.
+
+        If each router filled the first worker that has room, thirty streams that start at once would all go there.
+        """
         routers = [OneRouter(workers=30, seed=seed) for seed in range(30)]
         order = routers[0].placement._long_streams._orders.order(POOL, ("long streams",), routers[0].workers)
         streams = Counter({worker.instance: 20 for worker in order[:5]})
@@ -60,7 +64,7 @@
         self.assertEqual(len(streams), 5)
         self.assertLessEqual(max(streams.values()), SLOTS)
 
-    def test_award_of_a_long_stream_stands_while_its_winner_has_room(self) -> None:
+    def test_award_of_a_long_stream_holds_while_its_winner_has_room(self) -> None:
         for worker in self.router.workers:
             self.router.reported[worker.instance] = Engagement(9.0, 0.0, 0.0, 9.0)
         first = chat(1)
@@ -74,28 +78,32 @@
         chosen = {OneRouter(seed=seed).choose(chat(1)).worker.instance for seed in range(8)}
         self.assertEqual(len(chosen), 1)
 
-    def test_long_prompts_leave_the_workers_of_long_streams_alone(self) -> None:
+    def test_long_prompts_avoid_the_workers_of_long_streams(self) -> None:
+        """A steady flow of long prompts makes the streams on the same worker pause longer than callers accept."""
         streaming = {choice.worker.instance for _, choice in self.start(int(MAX_STREAM_SLOT_SHARE * SLOTS) + 3)}
         for worker in self.router.workers:
             if worker.instance not in streaming:
-                self.router.engage(worker.instance, 26.0)  # As full, so that not the load keeps prompts away.
+                self.router.engage(
+                    worker.instance, 26.0
+                )  # Equal load, so that prompts do not avoid the streams' workers because of it.
         taken = {self.router.take(summary(number)).worker.instance for number in range(120)}
         self.assertEqual(taken & streaming, set())
         self.assertEqual(len(taken), 9 - len(streaming))
 
-    def test_streams_that_other_routers_told_of_count_as_well(self) -> None:
+    def test_streams_announced_by_other_routers_count(self) -> None:
         first = self.router.choose(chat(1)).worker.instance
         self.router.reported[first] = Engagement(24.0, 0.0, 0.0, 24.0)
         self.assertNotEqual(self.router.choose(chat(2)).worker.instance, first)
 
-    def test_long_prompts_come_back_some_time_after_the_last_long_stream(self) -> None:
+    def test_long_prompts_return_some_time_after_the_last_long_stream(self) -> None:
         (turn, choice), *_ = self.start(1)
         self.router.end(turn, choice)
         self.router.clock.now += RESERVATION_PERIOD_S + 1.0
         taken = {self.router.take(summary(number)).worker.instance for number in range(120)}
         self.assertIn(choice.worker.instance, taken)
 
-    def test_overload_everywhere_else_opens_the_workers_of_long_streams(self) -> None:
+    def test_overload_of_all_other_workers_opens_the_reserved_workers(self) -> None:
+        """Reserved workers must not stay idle while long prompts wait everywhere else."""
         streaming = self.start(3)[0][1].worker.instance
         for worker in self.router.workers:
             if worker.instance != streaming:
@@ -104,24 +112,26 @@
         self.assertGreater(chosen[streaming], 10)
 
     def test_most_workers_stay_open_to_other_turns(self) -> None:
+        """A few long streams at every worker must not reserve the full pool."""
         for worker in self.router.workers:
             self.router.reported[worker.instance] = Engagement(2.0, 0.0, 0.0, 2.0)
         self.start(1)
         taken = {self.router.take(summary(number)).worker.instance for number in range(200)}
         self.assertGreaterEqual(len(taken), 9 - int(AwardSettings().max_reserved_share * 9))
 
-    def test_worker_that_is_behind_with_its_prompts_gets_no_long_stream(self) -> None:
+    def test_worker_with_a_long_prefill_queue_gets_no_long_stream(self) -> None:
         first = self.router.choose(chat(1)).worker.instance
         self.router.engage(first, 8.0, 350_000.0)
         self.assertNotEqual(self.router.choose(chat(2)).worker.instance, first)
 
-    def test_excluded_and_missing_workers_are_passed_over_in_the_same_order(self) -> None:
+    def test_excluded_and_missing_workers_are_skipped_in_the_same_order(self) -> None:
+        """Routers with different ready workers must still agree on where the streams go."""
         first = self.router.choose(chat(1)).worker.instance
         second = self.router.choose(chat(1), [first]).worker.instance
         self.router.workers = [worker for worker in self.router.workers if worker.instance != first]
         self.assertEqual(self.router.choose(chat(3)).worker.instance, second)
 
-    def test_counts_are_told_and_end_with_the_stream(self) -> None:
+    def test_counts_are_announced_and_end_with_the_stream(self) -> None:
         (turn, choice), *_ = self.start(1)
         reported: dict[WorkerInstance, Engagement] = self.router.count(choice.worker.pool)
         self.assertEqual(reported[choice.worker.instance].streams, 1.0)
--- a/wingwood/placement/tests/test_plain_policies.py
+++ b/wingwood/placement/tests/test_plain_policies.py
@@ -1,3 +1,5 @@
+"""The balancing policies without awards, and the choice of the policy by settings (docs/DESIGN.md section 11.6)."""
+
 from __future__ import annotations
 
 import unittest
@@ -50,7 +52,7 @@
         return choice
 
     def take(self, fleet: Fleet, placement: Placement, session: str, excluded: Sequence[WorkerInstance] = ()) -> str:
-        """The worker of a turn that is over at once."""
+        """Places a turn that finishes at once and returns its worker."""
         turn = turn_of(session)
         choice = self.choose(fleet, placement, turn, excluded)
         self.finish(fleet, placement, turn, choice)
@@ -67,16 +69,16 @@
         for balancing, kind in (("round-robin", RoundRobin), ("least-loaded", LeastLoaded), ("sticky", StickyByHash)):
             self.assertIsInstance(self.placements(balancing)[1]["r0"], kind)
 
-    def test_round_robin_goes_round(self) -> None:
+    def test_round_robin_uses_all_workers_in_turn(self) -> None:
         fleet, placements = self.placements("round-robin")
         seen = [self.choose(fleet, placements["r0"], turn_of("s")).worker.instance for _ in range(6)]
         self.assertEqual(seen[:3], seen[3:])
         self.assertEqual(len(set(seen)), 3)
         placement = cast(RoundRobin, placements["r0"])
         order = placement._order(turn_of("s"), fleet.routers["r0"].registry.ready(POOL))
-        self.assertEqual(len({worker.instance for worker in order}), 3, "the others are there when the first fails")
+        self.assertEqual(len({worker.instance for worker in order}), 3, "the others follow in case the first fails")
 
-    def test_least_loaded_fills_evenly_and_takes_what_was_freed(self) -> None:
+    def test_least_loaded_fills_evenly_and_uses_a_freed_slot_first(self) -> None:
         fleet, placements = self.placements("least-loaded")
         placement = placements["r0"]
         turns = [turn_of("s") for _ in range(6)]
@@ -86,7 +88,8 @@
         self.finish(fleet, placement, turns[3], choices[3])
         self.assertEqual(self.choose(fleet, placement, turn_of("s")).worker, choices[3].worker)
 
-    def test_sticky_is_the_same_at_every_router_and_moves_only_what_was_there(self) -> None:
+    def test_sticky_agrees_at_every_router_and_moves_only_sessions_of_an_excluded_worker(self) -> None:
+        """Sessions of the other workers would lose their cached prefixes if they moved too."""
         fleet, placements = self.placements("sticky", routers=2)
         sessions = [f"s{number}" for number in range(30)]
         before = {name: self.take(fleet, placements["r0"], name) for name in sessions}
@@ -97,7 +100,7 @@
             after = self.take(fleet, placements["r1"], name, (left_out,))
             self.assertEqual(after == before[name], before[name] != left_out)
 
-    def test_full_and_missing_workers(self) -> None:
+    def test_refusals_distinguish_full_from_missing_workers(self) -> None:
         fleet, placements = self.placements("round-robin")
         for _ in range(24):
             self.choose(fleet, placements["r0"], turn_of("s"))
@@ -107,7 +110,8 @@
         none = fleet.inside("r0", lambda: placements["r0"].choose(turn_of("s"), everyone)).failure()
         self.assertEqual(none, NoWorker("none-ready", Seconds(1.0)))
 
-    def test_award_policy_places_pools_without_caches_by_load(self) -> None:
+    def test_award_policy_places_turns_of_pools_without_caches_by_load(self) -> None:
+        """There is no cached prefix in such a pool, so turns with a session must not stick to one worker."""
         fleet, placements = self.placements("award")
         for worker in self.workers:
             worker.options = msgspec.structs.replace(worker.options, cache_tokens=0)
@@ -121,7 +125,7 @@
         self.assertEqual(choices[0].worker.pool, POOL)
 
     def test_idle_workers_of_a_plain_pool_share_the_calls(self) -> None:
-        """Ties by name gave nearly all calls of a quiet pool to its first worker."""
+        """Breaking ties by name gave nearly all calls of a pool with little load to its first worker."""
         fleet, placements = self.placements("award")
         for worker in self.workers:
             worker.options = msgspec.structs.replace(worker.options, cache_tokens=0)
--- a/wingwood/placement/tests/test_prefill_estimates.py
+++ b/wingwood/placement/tests/test_prefill_estimates.py
@@ -1,3 +1,5 @@
+"""Estimates of prefill queues from first tokens and flows (docs/DESIGN.md section 11.4)."""
+
 from __future__ import annotations
 
 import itertools
@@ -57,7 +59,8 @@
             self.turns(1, 200, BASE)
             self.turns(1, 6000, BASE + 6000 * PER_TOKEN)
 
-    def test_speed_is_learnt_from_first_tokens_whatever_a_few_waited(self) -> None:
+    def test_speed_is_learned_from_first_tokens_despite_a_few_that_waited(self) -> None:
+        """A wait in the first token must not count as slow prefill."""
         self.learn()
         for waited in (0.2, 0.4):
             self.turns(2, 6000, BASE + 6000 * PER_TOKEN + waited)
@@ -77,7 +80,7 @@
         self.queues.ended(requests[2], WORKER, None)
         self.assertEqual(self.queues.wait(WORKER), before)
 
-    def test_wait_grows_steeply_with_the_flow_of_the_others(self) -> None:
+    def test_wait_grows_steeply_with_the_flow_of_other_routers(self) -> None:
         self.learn()
         waits = []
         for use in (0.0, 0.3, 0.6, 0.9, 1.5):
@@ -87,7 +90,7 @@
         for before, after in itertools.pairwise(waits[1:]):
             self.assertGreater(after, 2.5 * before)
 
-    def test_own_flow_is_told_and_decays(self) -> None:
+    def test_own_flow_is_announced_and_decays(self) -> None:
         for _ in range(40):
             self.send(5000)
             self.clock.now += 0.25
@@ -95,7 +98,8 @@
         self.clock.now += 60.0
         self.assertEqual(self.queues.flow(WORKER.instance), 0.0)
 
-    def test_worker_that_lets_a_prompt_wait_is_left_to_itself_before_anyone_finds_it_dark(self) -> None:
+    def test_wait_grows_at_a_worker_with_an_overdue_prompt_before_it_is_suspected(self) -> None:
+        """A worker that stops answering would otherwise receive turns until its failure is detected."""
         self.learn()
         self.send(6000)
         prompt = self.queues.wait(WORKER)
@@ -104,14 +108,16 @@
         self.clock.now += 0.4
         self.assertGreater(self.queues.wait(WORKER), 0.3)
 
-    def test_slow_worker_is_known_and_forgiven(self) -> None:
+    def test_slow_worker_is_detected_and_its_slowness_decays(self) -> None:
+        """Without the decay no router would send the worker another turn that could show its recovery."""
         self.learn()
         self.turns(12, 6000, BASE + 6000 * PER_TOKEN * 6, OTHER)
         self.assertGreater(self.queues.prefill(OTHER, 6000), 1.8 * self.queues.prefill(WORKER, 6000))
         self.clock.now += 40.0
         self.assertLess(self.queues.prefill(OTHER, 6000), 1.1 * self.queues.prefill(WORKER, 6000))
 
-    def test_parts_are_kept_for_as_long_as_the_inflow_takes_to_fill_the_cache(self) -> None:
+    def test_parts_stay_cached_until_the_inflow_has_filled_the_cache(self) -> None:
+        """The retention halves where the inflow doubles, and running turns reduce the space for cached parts."""
         self.learn()
         self.reported = Engagement(4.0, 0.0, 100_000.0)
         self.clock.now += 60.0
--- a/wingwood/placement/tests/test_queue_owners.py
+++ b/wingwood/placement/tests/test_queue_owners.py
@@ -1,4 +1,4 @@
-"""Prefill queues that all routers see alike (docs/DESIGN.md section 11.12)."""
+"""Prefill queues shared by all routers through queue owners (docs/DESIGN.md section 11.12)."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 FIRST, SECOND = WorkerInstance("w0"), WorkerInstance("w1")
 TURN_PREFILL_S = 0.03
-"""Seconds of prefill."""
+"""Seconds that each turn of these tests takes to prefill."""
 
 
 def question(*offers: tuple[WorkerInstance, float], risk_threshold: float = 0.05, pool: PoolName = POOL) -> JoinQueue:
-    """Each offer with what it costs beside wait and prefill."""
+    """Builds a question; each offer is a worker and its cost apart from wait and prefill."""
     return JoinQueue(
         pool=pool,
         offers=tuple(QueueOffer(worker, Seconds(TURN_PREFILL_S), other_cost) for worker, other_cost in offers),
@@ -47,6 +47,7 @@
         self.times = PrefillQueueTimes(self.clock)  # type: ignore[arg-type]
 
     def test_turns_queue_up_until_the_risk_is_worth_another_worker(self) -> None:
+        """The second worker costs more, but two waiting turns put the objective at risk."""
         taken = [self.times.join(question((FIRST, 0.0), (SECOND, 0.15))).offer for _ in range(4)]
         self.assertEqual(taken, [0, 0, 1, 1])
 
@@ -54,7 +55,7 @@
         taken = [self.times.join(question((FIRST, 0.0), (SECOND, 0.1), risk_threshold=1e6)).offer for _ in range(5)]
         self.assertEqual(taken, [0, 0, 0, 0, 1])
 
-    def test_award_stands_beside_a_cheaper_worker_until_its_queue_is_a_risk(self) -> None:
+    def test_award_holds_against_a_cheaper_worker_until_its_queue_is_a_risk(self) -> None:
         asked = msgspec.structs.replace(question((FIRST, 0.01), (SECOND, 0.0), risk_threshold=0.07), awarded=True)
         taken = [self.times.join(asked).offer for _ in range(4)]
         self.assertEqual(taken, [0, 0, 1, 1])
@@ -63,7 +64,7 @@
         asked = msgspec.structs.replace(question((FIRST, 0.0), (SECOND, 9.0), risk_threshold=0.0), awarded=True)
         self.assertEqual(self.times.join(asked).offer, 0)
 
-    def test_queue_is_worked_off_with_time(self) -> None:
+    def test_queue_shrinks_as_time_passes(self) -> None:
         for _ in range(3):
             self.times.join(question((FIRST, 0.0)))
         self.assertAlmostEqual(self.times.wait(FIRST), 3 * TURN_PREFILL_S)
@@ -72,7 +73,7 @@
         self.clock.now += 1.0
         self.assertEqual(self.times.wait(FIRST), 0.0)
 
-    def test_turn_that_left_is_no_longer_waited_for(self) -> None:
+    def test_turn_that_left_no_longer_counts_in_the_queue(self) -> None:
         self.times.join(question((FIRST, 0.0)))
         self.times.enter(QueueEntry(POOL, FIRST, Seconds(-TURN_PREFILL_S)))
         self.assertAlmostEqual(self.times.wait(FIRST), 0.0)
@@ -113,29 +114,31 @@
         self.assertEqual(taken[-1], 0)
         self.assertGreaterEqual(taken[1], 1)
 
-    def test_stand_in_answers_for_a_keeper_that_is_gone_and_then_is_asked_first(self) -> None:
+    def test_replica_answers_for_a_failed_owner_and_is_then_asked_first(self) -> None:
+        """Otherwise each turn would wait for the timeout of the failed owner."""
         fleet = self.fleet()
         owner = fleet.owner_of(FIRST)
         asker = next(name for name in sorted(fleet.routers) if name != owner)
         fleet.world.kill(owner)
-        begun = fleet.world.now
+        started = fleet.world.now
         self.assertIsNotNone(fleet.join(asker, question((FIRST, 0.0))))
-        self.assertLess(fleet.world.now - begun, 2 * ASK_TIMEOUT_S)
-        begun = fleet.world.now
+        self.assertLess(fleet.world.now - started, 2 * ASK_TIMEOUT_S)
+        started = fleet.world.now
         self.assertIsNotNone(fleet.join(asker, question((FIRST, 0.0))))
-        self.assertLess(fleet.world.now - begun, ASK_TIMEOUT_S)
+        self.assertLess(fleet.world.now - started, ASK_TIMEOUT_S)
 
-    def test_no_keeper_answers_in_bounded_time(self) -> None:
+    def test_join_gives_up_in_bounded_time_when_no_owner_answers(self) -> None:
+        """The router must then place the turn by its own estimates."""
         fleet = self.fleet()
         owners = [str(router.name) for router in fleet.owners["r0"]._owners_of(POOL, FIRST)]
         asker = next(name for name in sorted(fleet.routers) if name not in owners)
         for name in owners:
             fleet.world.freeze(name)
-        begun = fleet.world.now
+        started = fleet.world.now
         self.assertIsNone(fleet.join(asker, question((FIRST, 0.0))))
-        self.assertLess(fleet.world.now - begun, OWNERS_ASKED * ASK_TIMEOUT_S + 0.01)
+        self.assertLess(fleet.world.now - started, OWNERS_ASKED * ASK_TIMEOUT_S + 0.01)
 
-    def test_large_pools_are_shared_out_among_keepers(self) -> None:
+    def test_workers_of_large_pools_are_divided_among_owners(self) -> None:
         fleet = self.fleet()
         workers = [
             msgspec.structs.replace(OneRouter().workers[0], instance=WorkerInstance(f"w{number}"))
@@ -148,13 +151,13 @@
         self.assertEqual(
             owners.group(workers[0], workers[:WORKERS_PER_GROUP], WORKERS_PER_GROUP), workers[:WORKERS_PER_GROUP]
         )
-        # How many groups there are does not follow from which of its workers a turn may go to.
+        # The number of groups follows from the size of the pool, not from the workers that a turn may be sent to.
         self.assertEqual(owners.group(workers[0], workers[:1], len(workers)), workers[:1])
         self.assertEqual(owners._group_counts[POOL], 20)
 
 
 class ParityGroups(NoQueueOwners):
-    """A group is the workers whose number is even, or odd; notes what is asked."""
+    """Fake owners whose groups are the workers with even and with odd numbers; records the questions."""
 
     def __init__(self) -> None:
         self.asked: list[JoinQueue] = []
@@ -172,7 +175,8 @@
 
 
 class GroupTest(unittest.TestCase):
-    def test_drawn_workers_are_of_the_first_ones_group(self) -> None:
+    def test_all_offers_belong_to_the_group_of_the_first_worker(self) -> None:
+        """An owner knows only the queues of its own group, so offers of another group would look idle."""
         router = OneRouter(workers=20)
         router.teach()
         owners = router.placement._reported_bids._queue_owners = ParityGroups()
@@ -184,7 +188,7 @@
 
 
 class LocalQueueOwner(NoQueueOwners):
-    """As if this router kept all queues."""
+    """Fake owners: this router owns all queues."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.times = PrefillQueueTimes(clock)  # type: ignore[arg-type]
@@ -200,54 +204,57 @@
     def setUp(self) -> None:
         self.router = OneRouter()
         self.router.teach()
-        self.kept = LocalQueueOwner(self.router.clock)
-        self.router.placement._reported_bids._queue_owners = self.kept
+        self.owner = LocalQueueOwner(self.router.clock)
+        self.router.placement._reported_bids._queue_owners = self.owner
         self.turn = sized_turn("kind:2500 subject:3800 own:2900", 0)
-        self.home = self.router.choose(self.turn)
+        self.first_choice = self.router.choose(self.turn)
 
     def test_prompts_of_other_routers_send_a_turn_elsewhere(self) -> None:
+        """The router itself sees none of those prompts; only the queue owner counts them."""
         before = self.router.choose(sized_turn("kind:2500 subject:3800 own1:2900", 0))
-        self.assertEqual(before.worker, self.home.worker)
-        self.kept.entered(QueueEntry(POOL, self.home.worker.instance, Seconds(0.2)))
+        self.assertEqual(before.worker, self.first_choice.worker)
+        self.owner.entered(QueueEntry(POOL, self.first_choice.worker.instance, Seconds(0.2)))
         elsewhere = self.router.choose(sized_turn("kind:2500 subject:3800 own2:2900", 0))
-        self.assertNotEqual(elsewhere.worker, self.home.worker)
+        self.assertNotEqual(elsewhere.worker, self.first_choice.worker)
         self.assertLess(elsewhere.first_token, 0.1)
 
-    def test_forecast_holds_the_wait_that_the_keeper_told(self) -> None:
+    def test_forecast_includes_the_wait_that_the_owner_reported(self) -> None:
         for worker in self.router.workers:
-            self.kept.entered(QueueEntry(POOL, worker.instance, Seconds(0.2)))
+            self.owner.entered(QueueEntry(POOL, worker.instance, Seconds(0.2)))
         self.assertGreater(self.router.choose(sized_turn("kind:2500 subject:3800 own1:2900", 0)).first_token, 0.2)
 
     def test_refused_turn_leaves_the_queue(self) -> None:
-        wait = self.kept.times.wait(self.home.worker.instance)
+        """Otherwise its prefill would be waited for although it never happens."""
+        wait = self.owner.times.wait(self.first_choice.worker.instance)
         self.assertGreater(wait, 0.0)
-        self.router.placement.finished(self.turn, self.home, "refused", 0, None)
-        self.assertAlmostEqual(self.kept.times.wait(self.home.worker.instance), 0.0)
+        self.router.placement.finished(self.turn, self.first_choice, "refused", 0, None)
+        self.assertAlmostEqual(self.owner.times.wait(self.first_choice.worker.instance), 0.0)
 
-    def test_award_counts_at_the_keeper(self) -> None:
+    def test_turn_placed_by_award_is_counted_by_the_owner(self) -> None:
+        """Otherwise turns placed by award would be missing in the shared queue."""
         service = msgspec.structs.replace(SUMMARY, latency_objective=None)
         first = self.router.take(sized_turn("kind:2500 chat:3800", 2900, service=service))
         self.router.clock.now += 1.0
         again = self.router.choose(sized_turn("kind:2500 chat:3800", 2900, service=service))
         self.assertEqual((again.method, again.worker), ("award", first.worker))
-        self.assertGreater(self.kept.times.wait(first.worker.instance), 0.005)
+        self.assertGreater(self.owner.times.wait(first.worker.instance), 0.005)
 
-    def test_award_is_passed_over_behind_a_queue_that_only_the_keeper_sees(self) -> None:
+    def test_award_is_passed_over_for_a_queue_that_only_the_owner_sees(self) -> None:
         first = self.router.take(sized_turn("kind:2500 chat:3800", 2900))
         self.router.clock.now += 1.0
-        self.kept.entered(QueueEntry(POOL, first.worker.instance, Seconds(0.3)))
+        self.owner.entered(QueueEntry(POOL, first.worker.instance, Seconds(0.3)))
         again = self.router.choose(sized_turn("kind:2500 chat:3800", 2900))
         self.assertNotEqual(again.worker, first.worker)
         self.assertEqual(again.method, "bid")
         self.assertLess(again.first_token, 0.1)
 
-    def test_award_stands_behind_a_short_queue(self) -> None:
+    def test_award_holds_despite_a_short_queue(self) -> None:
         first = self.router.take(sized_turn("kind:2500 chat:3800", 2900))
         self.router.clock.now += 1.0
-        self.kept.entered(QueueEntry(POOL, first.worker.instance, Seconds(0.02)))
+        self.owner.entered(QueueEntry(POOL, first.worker.instance, Seconds(0.02)))
         again = self.router.choose(sized_turn("kind:2500 chat:3800", 2900))
         self.assertEqual((again.method, again.worker), ("award", first.worker))
 
-    def test_short_prompts_ask_nobody(self) -> None:
+    def test_short_prompts_are_placed_without_the_owner(self) -> None:
         self.router.choose(sized_turn("chat:47 t:30", 140))
         self.assertEqual(len(self.router.placement._reported_bids._entered), 1)
--- a/wingwood/placement/tests/test_reported_sizes.py
+++ b/wingwood/placement/tests/test_reported_sizes.py
@@ -1,4 +1,4 @@
-"""The award policy with told prompt parts, splits, urgency and deadlines; one router on a manual clock."""
+"""The award policy with reported prompt parts, splits, urgency and deadlines; one router on a manual clock."""
 
 from __future__ import annotations
 
@@ -16,24 +16,26 @@
 from .one_router import OTHER_POOL, POOL, SUMMARY, OneRouter, sized_turn
 
 HEAVY_PREFILL_FLOW = 250_000.0
-"""Tokens a second that keep an engine of ``OneRouter.teach`` busy for five sixths of the time."""
+"""Tokens per second that keep an engine of ``OneRouter.teach`` busy for five sixths of the time."""
 
 LIGHT_PREFILL_FLOW = 120_000.0
-"""Tokens a second that keep such an engine busy for two fifths of the time."""
+"""Tokens per second that keep such an engine busy for two fifths of the time."""
 
 
 class CountingMap(LocalMap):
+    """A session map that counts lookups and records."""
+
     def __init__(self) -> None:
         super().__init__()
-        self.asked = 0
-        self.told = 0
+        self.lookups = 0
+        self.recorded = 0
 
     async def find(self, key: int) -> Entry | Unreachable | None:
-        self.asked += 1
+        self.lookups += 1
         return await super().find(key)
 
     def record(self, key: int, entry: Entry) -> None:
-        self.told += 1
+        self.recorded += 1
         super().record(key, entry)
 
 
@@ -42,13 +44,14 @@
         self.router = OneRouter()
         self.router.teach()
 
-    def test_next_turn_goes_to_the_award_and_prefills_only_what_is_new(self) -> None:
+    def test_next_turn_goes_to_the_award_winner_and_prefills_only_new_tokens(self) -> None:
         first = self.router.take(sized_turn("kind:2500 subject:3800", 3000))
         again = self.router.take(sized_turn("kind:2500 subject:3800", 1700))
         self.assertEqual((again.method, again.worker), ("award", first.worker))
         self.assertEqual((first.uncached_tokens, again.uncached_tokens), (9300, 1700))
 
-    def test_first_turns_of_a_prefix_go_to_one_worker_at_every_router(self) -> None:
+    def test_all_routers_send_the_first_turns_of_a_prefix_to_one_worker(self) -> None:
+        """Otherwise each router would have the same prefix prefilled at another worker."""
         for subject in ("s1", "s2", "s3", "s4"):
             chosen = set()
             for seed in range(6):
@@ -63,25 +66,26 @@
         self.assertEqual(len(counts), 9)
         self.assertLess(max(counts.values()), 45)
 
-    def test_crowded_winner_is_left_where_another_meets_the_objective(self) -> None:
+    def test_award_is_passed_over_if_another_worker_meets_the_objective(self) -> None:
         winner = self.router.take(sized_turn("kind:2500 subject:3800")).worker
         self.router.engage(winner.instance, 8.0, HEAVY_PREFILL_FLOW)
-        left = self.router.choose(sized_turn("kind:2500 subject:3800"))
-        self.assertNotEqual((left.method, left.worker), ("award", winner))
-        self.assertLess(left.first_token, 0.1)
+        choice_elsewhere = self.router.choose(sized_turn("kind:2500 subject:3800"))
+        self.assertNotEqual((choice_elsewhere.method, choice_elsewhere.worker), ("award", winner))
+        self.assertLess(choice_elsewhere.first_token, 0.1)
 
-    def test_crowded_winner_keeps_the_turn_where_all_are_crowded_or_no_objective_is_set(self) -> None:
+    def test_crowded_winner_gets_the_turn_if_all_workers_are_crowded_or_there_is_no_objective(self) -> None:
         winner = self.router.take(sized_turn("kind:2500 subject:3800")).worker
         self.router.engage_all(8.0, HEAVY_PREFILL_FLOW)
-        kept = self.router.choose(sized_turn("kind:2500 subject:3800"))
-        self.assertEqual((kept.method, kept.worker), ("award", winner))
+        choice_at_winner = self.router.choose(sized_turn("kind:2500 subject:3800"))
+        self.assertEqual((choice_at_winner.method, choice_at_winner.worker), ("award", winner))
         self.router.engage_all()
         self.router.engage(winner.instance, 8.0, HEAVY_PREFILL_FLOW)
         service = msgspec.structs.replace(SUMMARY, latency_objective=None)
-        unhurried = self.router.choose(sized_turn("kind:2500 subject:3800", service=service))
-        self.assertEqual((unhurried.method, unhurried.worker), ("award", winner))
+        without_objective = self.router.choose(sized_turn("kind:2500 subject:3800", service=service))
+        self.assertEqual((without_objective.method, without_objective.worker), ("award", winner))
 
-    def test_award_goes_to_another_worker_where_the_holder_stays_crowded(self) -> None:
+    def test_award_goes_to_another_worker_if_the_holder_is_crowded_at_the_hint(self) -> None:
+        """The bid at the hint moves the session before its next turn arrives."""
         turn = sized_turn("kind:2500 subject:3800")
         choice = self.router.choose(turn)
         self.router.engage(choice.worker.instance, 8.0, HEAVY_PREFILL_FLOW)
@@ -92,6 +96,7 @@
         self.assertNotEqual(again.worker, choice.worker)
 
     def test_award_stays_with_the_holder_for_a_small_gain(self) -> None:
+        """Moving for every small difference would prefill prompts again at each move."""
         for number in range(8):
             turn = sized_turn(f"kind:2500 subject{number}:3800")
             choice = self.router.choose(turn)
@@ -103,7 +108,7 @@
             self.router.end(next_turn, again)
             self.router.engage_all()
 
-    def test_hot_subject_spreads_over_several_workers_and_is_read_once_at_each(self) -> None:
+    def test_subject_in_high_demand_spreads_over_several_workers_and_is_prefilled_once_at_each(self) -> None:
         uncached: Counter[WorkerInstance] = Counter()
         counts: Counter[WorkerInstance] = Counter()
         for _ in range(80):
@@ -116,7 +121,8 @@
         self.assertLessEqual(len(counts), 6)
         self.assertLessEqual(max(uncached.values()), 1)
 
-    def test_turns_side_by_side_leave_the_award_standing(self) -> None:
+    def test_concurrent_turns_of_a_session_leave_its_award_unchanged(self) -> None:
+        """Otherwise the first of several concurrent turns would void the award that the others need."""
         turn = sized_turn("kind:2500 subject:3800")
         holder = self.router.choose(turn)
         self.router.engage(holder.worker.instance, 8.0, HEAVY_PREFILL_FLOW)
@@ -126,7 +132,7 @@
         self.assertEqual([choice.method for choice in choices], ["award"] * 3)
         self.assertEqual(len({choice.worker.instance for choice in choices} - {holder.worker.instance}), 1)
 
-    def test_part_that_the_engine_has_dropped_is_prefilled(self) -> None:
+    def test_part_that_the_engine_evicted_counts_as_uncached(self) -> None:
         turn = sized_turn("kind:2500 subject:3800")
         winner = self.router.take(turn).worker
         self.router.engage_all(2.0, 90_000.0)
@@ -135,18 +141,18 @@
         self.assertEqual(again.worker, winner)
         self.assertGreater(again.uncached_tokens, 2900 + 3700)
 
-    def test_own_zone_is_taken_for_short_prompts_with_little_to_spare(self) -> None:
+    def test_short_prompts_prefer_workers_of_the_own_zone(self) -> None:
         zones = Counter(self.router.take(sized_turn(f"chat:47 t{n}:30", 140)).worker.zone for n in range(60))
         self.assertGreater(zones["a"], 35)  # type: ignore[index]
 
-    def test_less_crowded_worker_takes_the_chat(self) -> None:
+    def test_short_prompts_avoid_crowded_workers(self) -> None:
         busy = {f"w{number}" for number in range(0, 9, 2)}
         for name in busy:
             self.router.engage(WorkerInstance(name), 6.0, HEAVY_PREFILL_FLOW)
         chosen = [self.router.choose(sized_turn(f"chat:47 t{n}:30", 140)).worker.instance for n in range(30)]
         self.assertLessEqual(sum(instance in busy for instance in chosen), 3)
 
-    def test_worker_that_has_gone_is_forgotten(self) -> None:
+    def test_removed_worker_is_forgotten(self) -> None:
         winner = self.router.take(sized_turn("kind:2500 subject:3800")).worker
         self.router.workers.remove(winner)
         self.router.changed(msgspec.structs.replace(winner, state="gone"))
@@ -155,26 +161,28 @@
         self.assertEqual(self.router.choose(sized_turn("kind:2500 subject:3800")).method, "award")
 
 
-class LookUpsTest(unittest.TestCase):
-    def test_sessions_that_never_come_back_are_hardly_asked_or_told_of(self) -> None:
+class LookupsTest(unittest.TestCase):
+    def test_sessions_that_never_recur_are_rarely_looked_up_or_recorded(self) -> None:
+        """Each lookup and record costs messages to other routers, which are useless for such sessions."""
         session_map = CountingMap()
         router = OneRouter(session_map=session_map)
         for number in range(MIN_OBSERVED_TURNS + 400):
             if number == MIN_OBSERVED_TURNS:
-                session_map.asked = session_map.told = 0
+                session_map.lookups = session_map.recorded = 0
             router.take(sized_turn(f"kind:2500 own{number}:2900", 0))
-        self.assertLess(session_map.asked, 400 / SAMPLED_ONE_IN * 1.6)
-        self.assertGreater(session_map.asked, 400 / SAMPLED_ONE_IN * 0.5)
-        self.assertLess(session_map.told, 2 * 400 / SAMPLED_ONE_IN * 1.6)
+        self.assertLess(session_map.lookups, 400 / SAMPLED_ONE_IN * 1.6)
+        self.assertGreater(session_map.lookups, 400 / SAMPLED_ONE_IN * 0.5)
+        self.assertLess(session_map.recorded, 2 * 400 / SAMPLED_ONE_IN * 1.6)
 
-    def test_sessions_that_come_back_are_asked_for_each_time(self) -> None:
+    def test_sessions_that_recur_are_looked_up_each_time(self) -> None:
         session_map = CountingMap()
         router = OneRouter(session_map=session_map)
         for number in range(300):
             router.take(sized_turn(f"kind:2500 subject{number % 100}:3800"))
-        self.assertEqual(session_map.asked, 300)
+        self.assertEqual(session_map.lookups, 300)
 
-    def test_sessions_that_begin_to_come_back_are_followed_again(self) -> None:
+    def test_sessions_that_start_to_recur_are_tracked_again(self) -> None:
+        """A sample of the sessions stays tracked so that the router notices the change."""
         router = OneRouter(session_map=CountingMap())
         for number in range(MIN_OBSERVED_TURNS + 100):
             router.take(sized_turn(f"kind:2500 own{number}:2900", 0))
@@ -183,7 +191,8 @@
             router.take(sized_turn(f"kind:2500 again{number % 40}:2900", 0))
         self.assertTrue(router.placement._recurrence.sessions_recur(SUMMARY.name))
 
-    def test_turns_that_share_all_but_their_own_part_go_to_one_worker_before_anything_is_learnt(self) -> None:
+    def test_turns_that_share_all_but_the_last_part_go_to_one_worker_before_recurrence_is_known(self) -> None:
+        """While the last part counted, turns with the same shared parts went to as many workers as there were turns."""
         for subject in ("s1", "s2", "s3", "s4"):
             chosen = set()
             for seed in range(6):
@@ -193,17 +202,19 @@
                 chosen.add(choice.worker.instance)
             self.assertEqual(len(chosen), 1)
 
-    def test_shared_part_is_not_read_again_elsewhere_for_a_short_wait(self) -> None:
-        readers = set()
+    def test_shared_part_is_not_prefilled_again_elsewhere_because_of_a_short_wait(self) -> None:
+        """A short wait costs less than evicting another part from a second worker's cache."""
+        workers = set()
         for seed in range(6):
             router = OneRouter(seed=seed)
             router.teach()
-            home = router.choose(sized_turn("kind:2500 subject:3800 own:2900", 0)).worker
-            router.engage(home.instance, 2.0, LIGHT_PREFILL_FLOW)
-            readers.add(router.choose(sized_turn("kind:2500 subject:3800 other:2900", 0)).worker.instance)
-        self.assertEqual(len(readers), 1)
+            first_choice = router.choose(sized_turn("kind:2500 subject:3800 own:2900", 0)).worker
+            router.engage(first_choice.instance, 2.0, LIGHT_PREFILL_FLOW)
+            workers.add(router.choose(sized_turn("kind:2500 subject:3800 other:2900", 0)).worker.instance)
+        self.assertEqual(len(workers), 1)
 
-    def test_parts_of_one_request_alone_do_not_count_as_kept(self) -> None:
+    def test_parts_of_a_single_request_do_not_count_as_cached(self) -> None:
+        """Each request's own last part is never prompted again."""
         router = OneRouter()
         for number in range(MIN_OBSERVED_TURNS + 100):
             router.take(sized_turn(f"kind:2500 own{number}:2900", 0))
@@ -221,7 +232,7 @@
     def turn(self, number: int) -> str:
         return f"kind:2500 subject{number}:3800"
 
-    def test_calls_go_to_the_pools_by_weight_and_sessions_return(self) -> None:
+    def test_calls_go_to_pools_by_weight_and_sessions_return_to_their_worker(self) -> None:
         pools: Counter[str] = Counter()
         for number in range(200):
             first = self.router.take(sized_turn(self.turn(number), service=self.service))
@@ -230,13 +241,14 @@
             self.assertEqual((again.method, again.worker), ("award", first.worker))
         self.assertAlmostEqual(pools[OTHER_POOL] / 200, 0.25, delta=0.08)
 
-    def test_pool_without_a_ready_worker_is_passed_over(self) -> None:
+    def test_pool_without_a_ready_worker_is_skipped(self) -> None:
         del self.router.workers[6:]
         for number in range(20):
             choice = self.router.choose(sized_turn(self.turn(number), service=self.service))
             self.assertEqual(choice.worker.pool, POOL)
 
-    def test_full_pool_is_passed_over_and_all_full_beats_none_ready(self) -> None:
+    def test_full_pool_is_skipped_and_the_refusal_says_full_rather_than_none_ready(self) -> None:
+        """A refusal for a pool without ready workers would hide when it is worth retrying."""
         for worker in self.router.workers[:6]:
             self.router.engage(worker.instance, FULL_TURNS_PER_SLOT * worker.slots)
         for number in range(20):
@@ -258,7 +270,7 @@
             pools[second.worker.pool] += 1
         self.assertGreater(min(pools[POOL], pools[OTHER_POOL]), 8)
 
-    def test_session_of_a_pool_that_left_the_service_goes_to_the_new_one(self) -> None:
+    def test_session_moves_when_its_service_changes_pools(self) -> None:
         first = self.router.take(sized_turn(self.turn(1)))
         moved = msgspec.structs.replace(SUMMARY, pool=OTHER_POOL)
         choice = self.router.choose(sized_turn(self.turn(1), service=moved))
@@ -271,23 +283,23 @@
         self.router = OneRouter()
         self.router.teach()
 
-    def hurried(self, seconds: float) -> Instant:
+    def deadline_in(self, seconds: float) -> Instant:
         return Instant(self.router.clock.now + seconds)
 
-    def test_turn_that_cannot_make_its_deadline_is_refused_where_queues_stand(self) -> None:
+    def test_turn_that_cannot_meet_its_deadline_is_refused_when_workers_are_busy(self) -> None:
         self.router.engage_all(120.0, 900_000.0)
-        refusal = self.router.refusal(sized_turn("kind:2500 s:3800", deadline=self.hurried(0.5)))
+        refusal = self.router.refusal(sized_turn("kind:2500 s:3800", deadline=self.deadline_in(0.5)))
         self.assertEqual(refusal.reason, "all-full")
         self.assertGreater(refusal.retry_after, 0.1)
 
     def test_turn_that_only_misses_its_objective_is_served(self) -> None:
         self.router.engage_all(20.0, 400_000.0)
-        choice = self.router.choose(sized_turn("kind:2500 s:3800", deadline=self.hurried(2.0)))
+        choice = self.router.choose(sized_turn("kind:2500 s:3800", deadline=self.deadline_in(2.0)))
         self.assertGreater(choice.first_token, 0.2)
 
-    def test_nothing_is_refused_while_under_half_of_the_places_are_taken(self) -> None:
+    def test_nothing_is_refused_while_less_than_half_of_the_slots_are_taken(self) -> None:
         self.router.engage_all(10.0, 900_000.0)
-        choice = self.router.choose(sized_turn("kind:2500 s:3800", deadline=self.hurried(0.1)))
+        choice = self.router.choose(sized_turn("kind:2500 s:3800", deadline=self.deadline_in(0.1)))
         self.assertGreater(choice.first_token, 0.1)
 
     def test_less_urgent_turns_are_refused_first(self) -> None:
@@ -298,7 +310,8 @@
         self.router.engage_all(FULL_TURNS_PER_SLOT * 32)
         self.assertEqual(self.router.refusal(sized_turn("c:47 t:30", 140, chat, urgency=2)).reason, "all-full")
 
-    def test_the_only_kind_of_turns_has_all_places(self) -> None:
+    def test_turns_of_a_single_urgency_may_use_all_places(self) -> None:
+        """Places are reserved only while more urgent turns occur."""
         self.router.engage_all(0.9 * FULL_TURNS_PER_SLOT * 32)
         self.router.choose(sized_turn("kind:2500 s:3800"))
 
@@ -311,20 +324,20 @@
     def choose(self, excluded: tuple[WorkerInstance, ...] = ()) -> str:
         return self.router.choose(sized_turn("", 150, self.service), excluded).worker.instance
 
-    def test_own_zone_first_between_equal_loads(self) -> None:
+    def test_own_zone_is_preferred_between_equal_loads(self) -> None:
         self.assertEqual([self.choose() for _ in range(1)], ["w0"])
 
-    def test_another_zone_as_soon_as_its_load_is_less(self) -> None:
+    def test_another_zone_is_used_as_soon_as_its_load_is_lower(self) -> None:
         counts = Counter(self.choose() for _ in range(9))
         self.assertEqual(counts, {"w0": 3, "w1": 3, "w2": 3})
 
-    def test_full_worker_gets_nothing_while_another_has_room(self) -> None:
+    def test_full_worker_gets_no_turn_while_another_has_room(self) -> None:
         self.router = OneRouter(workers=8, cache_tokens=0)
         for number in range(7):
             self.router.engage(WorkerInstance(f"w{number}"), 6.0)
         self.assertEqual([self.choose() for _ in range(6)], ["w7"] * 6)
 
-    def test_excluded_worker_is_left_out(self) -> None:
+    def test_excluded_worker_is_never_chosen(self) -> None:
         for _ in range(10):
             self.assertNotEqual(self.choose((WorkerInstance("w0"),)), "w0")
 
