--- a/wingwood/placement/long_streams.py
+++ b/wingwood/placement/long_streams.py
@@ -77,7 +77,7 @@
             self._own[worker.instance] += 1
 
     def ended(self, request: RequestId) -> None:
-        """Counts the long stream no longer."""
+        """Stops counting the long stream."""
         instance = self._running.pop(request, None)
         if instance is None:
             return
--- a/wingwood/placement/reported_size_bids.py
+++ b/wingwood/placement/reported_size_bids.py
@@ -101,7 +101,7 @@
         self._parts = SentChains()
         self._workers: dict[PoolName, int] = {}
 
-    # --- what is cached -------------------------------------------------------------------------
+    # --- cached tokens ------------------------------------------------------------------------
 
     def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
         return self._cached_tokens(turn, entry, worker, self._known(worker.pool, turn))
--- a/wingwood/placement/sent_chains.py
+++ b/wingwood/placement/sent_chains.py
@@ -95,7 +95,7 @@
         return self.chains[-1].tokens_up_to if self.chains else 0
 
     def cached_tokens(self, instance: WorkerInstance, cache_retention: Seconds, other_turns_per_turn: float) -> float:
-        """Expected number of the prompt's tokens that the worker caches.
+        """Returns the expected number of the prompt's tokens that the worker caches.
 
         ``cache_retention``: seconds for which the worker caches an unused chain. ``other_turns_per_turn``: number of
         turns that the other routers send to this worker for each turn that this router sends to any worker.
--- a/wingwood/placement/session_map.py
+++ b/wingwood/placement/session_map.py
@@ -89,13 +89,13 @@
 
     def __init__(self, max_entries: int, retention: Seconds) -> None:
         self._max_entries = max_entries
-        self._kept_for = retention
+        self._retention = retention
         self.by_key: OrderedDict[int, Entry] = OrderedDict()
 
     def put(self, key: int, entry: Entry) -> None:
         self.by_key[key] = entry
         self.by_key.move_to_end(key)
-        oldest = entry.last_used_at - self._kept_for
+        oldest = entry.last_used_at - self._retention
         while len(self.by_key) > self._max_entries or next(iter(self.by_key.values())).last_used_at < oldest:
             self.by_key.popitem(last=False)
 
--- a/wingwood/placement/session_recurrence.py
+++ b/wingwood/placement/session_recurrence.py
@@ -32,10 +32,10 @@
 
     def observe(self, service: ServiceName, known: bool) -> None:
         """Records that the session map was asked for a turn's session, and whether it knew the session."""
-        seen = self._services.setdefault(service, _Observed())
-        seen.turns += 1
-        fold = max(NEW_SAMPLE_WEIGHT, 1.0 / (seen.turns + 3))
-        seen.known += fold * (known - seen.known)
+        observed = self._services.setdefault(service, _Observed())
+        observed.turns += 1
+        sample_weight = max(NEW_SAMPLE_WEIGHT, 1.0 / (observed.turns + 3))
+        observed.known += sample_weight * (known - observed.known)
 
     def sessions_recur(self, service: ServiceName) -> bool:
         """Returns whether the service's sessions recur often enough; True until enough turns were observed."""
@@ -43,8 +43,8 @@
 
     def has_enough_turns(self, service: ServiceName) -> bool:
         """Returns whether enough turns were observed to decide."""
-        seen = self._services.get(service)
-        return seen is not None and seen.turns >= MIN_OBSERVED_TURNS
+        observed = self._services.get(service)
+        return observed is not None and observed.turns >= MIN_OBSERVED_TURNS
 
     def is_tracked(self, service: ServiceName, key: int) -> bool:
         """Returns whether this session is looked up and recorded at other routers."""
--- a/wingwood/placement/tests/test_long_streams.py
+++ b/wingwood/placement/tests/test_long_streams.py
@@ -83,9 +83,8 @@
         streaming = {choice.worker.instance for _, choice in self.start(int(MAX_STREAM_SLOT_SHARE * SLOTS) + 3)}
         for worker in self.router.workers:
             if worker.instance not in streaming:
-                self.router.engage(
-                    worker.instance, 26.0
-                )  # Equal load, so that prompts do not avoid the streams' workers because of it.
+                # With equal load, prompts do not avoid the workers of long streams because of their load.
+                self.router.engage(worker.instance, 26.0)
         taken = {self.router.take(summary(number)).worker.instance for number in range(120)}
         self.assertEqual(taken & streaming, set())
         self.assertEqual(len(taken), 9 - len(streaming))
--- a/wingwood/placement/worker_estimates.py
+++ b/wingwood/placement/worker_estimates.py
@@ -22,8 +22,8 @@
 REPORTED_LOAD_WEIGHT = 0.7
 """Weight of the load that a worker reports, against the turns that the routers count.
 
-    It counts less because a report is up to a second old and may be false.
-    """
+It counts less because a report is up to a second old and may be false.
+"""
 MAX_SAMPLE_RATIO = 2.0
 """Upper bound of a sample, as a multiple of the current estimate.
 
@@ -69,7 +69,7 @@
         self._clock = clock
         self._registry = registry
         self._exchange = exchange
-        self._expect_for = expected_turn_lifetime
+        self._expected_turn_lifetime = expected_turn_lifetime
         self._running: Counter[WorkerInstance] = Counter()
         self._expected: OrderedDict[int, _Expected] = OrderedDict()
         self._expected_at: Counter[WorkerInstance] = Counter()
@@ -117,7 +117,7 @@
 
     def _drop_old(self) -> None:
         now = self._clock.monotonic()
-        while self._expected and now - next(iter(self._expected.values())).since > self._expect_for:
+        while self._expected and now - next(iter(self._expected.values())).since > self._expected_turn_lifetime:
             self._drop(next(iter(self._expected)))
 
     def _drop(self, key: int) -> None:
@@ -251,8 +251,8 @@
                     min(first_token, MAX_SAMPLE_RATIO * estimates.base_latency) - estimates.base_latency
                 )
             elif uncached >= 256:
-                most = min(0.01, MAX_SAMPLE_RATIO * estimates.seconds_per_token)
-                sample = min(most, max(1e-6, (first_token - estimates.base_latency) / uncached))
+                max_sample = min(0.01, MAX_SAMPLE_RATIO * estimates.seconds_per_token)
+                sample = min(max_sample, max(1e-6, (first_token - estimates.base_latency) / uncached))
                 estimates.seconds_per_token += NEW_SAMPLE_WEIGHT * (sample - estimates.seconds_per_token)
 
     def learn_turn(self, worker: Worker, turn_duration: float) -> None:
