--- a/wingwood/membership/client.py
+++ b/wingwood/membership/client.py
@@ -31,7 +31,7 @@
 NewsCallback = Callable[[News, Instant], None]
 ADDRESSES_KEPT = 128
 FELLOWS_ASKED = 2
-OWNERS_ASKED = 6
+KEEPERS_ASKED = 6
 
 
 class MembershipClient:
@@ -207,7 +207,7 @@
             if present is not None and self._keeper_is_alone:
                 self._failed[present] = now
             present = None
-        yield from (address for address in self._order()[:OWNERS_ASKED] if address != present)
+        yield from (address for address in self._order()[:KEEPERS_ASKED] if address != present)
 
     def _order(self) -> list[Address]:
         """Control members of the own zone, other ones, other addresses; those that failed last at the end."""
