--- a/wingwood/forward/policies/forwarding.py
+++ b/wingwood/forward/policies/forwarding.py
@@ -153,7 +153,7 @@
             call.worker_outcome = "refused"
             reason = "the chosen worker takes no turns now"
             return NotAnswered(code="worker-not-ready", reason=reason, run="not-run", uses_retry_budget=False)
-        call.worker, call.placement_reason = choice.worker.instance, choice.how
+        call.worker, call.placement_reason = choice.worker.instance, choice.method
         self._unresponsive_at = Instant(
             self._started_at + max(self._limits.unresponsive_after, _TOO_SLOW_FACTOR * choice.first_token)
         )
--- a/wingwood/placement/queue_keepers.py
+++ b/wingwood/placement/queue_owners.py
@@ -1,9 +1,10 @@
-"""Prefill queues that all routers see alike (docs/DESIGN.md section 11.12).
+"""Prefill queues shared by all routers (docs/DESIGN.md section 11.12).
 
-A router knows the prompts that it sent itself, which is a small part of what waits at a worker. So the routers
-agree on one of them, the queue keeper, for each group of workers of a pool. A turn that has much to prefill asks it:
-the keeper knows when each worker will have prefilled what was sent there, picks one of the offered workers, and
-counts the turn in. What it knows is an estimate that heals within the length of a queue; nothing is stored.
+A router knows only the prompts that it sent itself, which are a small part of the prompts that wait at a worker.
+Therefore the routers agree on one router, the queue owner, for each group of workers of a pool. For a turn with much
+to prefill, the router asks the queue owner: it knows when each worker will have prefilled the prompts sent there,
+picks one of the offered workers, and adds the turn to that worker's queue. The owner's knowledge is an estimate; an
+error in it disappears within the length of a queue, and nothing is stored.
 """
 
 from __future__ import annotations
@@ -25,33 +26,38 @@
 from ..transport.messenger import Messenger
 from .bids import queued_cost
 from .messages import JoinQueue, QueueEntry, QueueJoined, QueueOffer
-from .passed_over import PassedOver
+from .unresponsive_routers import UnresponsiveRouters
 
-GROUP_WORKERS = 16
-"""Workers of a pool that one keeper serves, about."""
-ASK_TIMEOUT = Seconds(0.015)
-KEEPERS_ASKED = 2
-"""The keeper and its stand-in."""
-QUEUES_MOST = 30_000
-NUMBERS_MOST = 30_000
+WORKERS_PER_GROUP = 16
+"""Approximate number of a pool's workers that one queue owner serves."""
+ASK_TIMEOUT_S = Seconds(0.015)
+OWNERS_ASKED = 2
+"""Number of routers that are asked: the owner and its replica."""
+MAX_QUEUES = 30_000
+MAX_CACHED_NUMBERS = 30_000
 
 
-class QueueKeepers(Protocol):
+class QueueOwners(Protocol):
+    """Access to the prefill queues that all routers share."""
+
     def group(self, worker: Worker, ready: Sequence[Worker], pool_size: int) -> Sequence[Worker]:
-        """Of these workers of its pool, which has so many in all, those that have the worker's keeper."""
+        """Returns those of the ``ready`` workers whose queue owner is that of ``worker``.
+
+        ``pool_size``: number of ready workers of the pool, including those that are no candidates.
+        """
         ...
 
     async def join(self, question: JoinQueue) -> QueueJoined | None:
-        """None: no keeper answers."""
+        """Asks the queue owner to pick one of the offers; returns None if no owner answers."""
         ...
 
     def entered(self, entry: QueueEntry) -> None:
-        """A turn goes to a worker without a question; or, with negative seconds, left before its prefill."""
+        """Announces a turn that was sent without asking or, with negative seconds, one that left before its prefill."""
         ...
 
 
-class NoQueueKeepers:
-    """Each router goes by what it knows itself."""
+class NoQueueOwners:
+    """A ``QueueOwners`` without owners: each router uses only its own estimates."""
 
     def group(self, worker: Worker, ready: Sequence[Worker], pool_size: int) -> Sequence[Worker]:
         return ready
@@ -64,7 +70,7 @@
 
 
 class PrefillQueueTimes:
-    """When each worker will have prefilled what was sent to it."""
+    """The instant at which each worker will have prefilled the prompts sent to it."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -77,11 +83,11 @@
         free_at = self._clock.monotonic() + self.wait(entry.worker) + entry.prefill
         self._free_at[entry.worker] = Instant(free_at)
         self._free_at.move_to_end(entry.worker)
-        if len(self._free_at) > QUEUES_MOST:
+        if len(self._free_at) > MAX_QUEUES:
             self._free_at.popitem(last=False)
 
     def join(self, question: JoinQueue) -> QueueJoined:
-        """Takes the award's winner where it stands, else the cheapest offer; counts the turn in there."""
+        """Picks the award's winner if its queue is short enough, else the cheapest offer, and adds the turn there."""
         chosen = 0 if self._award_stands(question) else self._cheapest(question)
         offer = question.offers[chosen]
         wait = self.wait(offer.worker)
@@ -90,7 +96,7 @@
 
     def _award_stands(self, question: JoinQueue) -> bool:
         winner = question.offers[0]
-        return question.awarded and self.wait(winner.worker) + winner.prefill <= question.risked_from
+        return question.awarded and self.wait(winner.worker) + winner.prefill <= question.risk_threshold
 
     def _cheapest(self, question: JoinQueue) -> int:
         costs = [self._cost(question, offer) for offer in question.offers]
@@ -100,60 +106,60 @@
         return queued_cost(
             self.wait(offer.worker),
             offer.prefill,
-            offer.beside,
+            offer.other_cost,
             pressure=question.pressure,
-            risked_from=question.risked_from,
+            risk_threshold=question.risk_threshold,
             risk_cost=question.risk_cost,
         )
 
 
-class RouterQueueKeepers:
-    """A ``QueueKeepers`` over the fleet's routers: asks, and answers for the groups that this router keeps."""
+class RouterQueueOwners:
+    """A ``QueueOwners`` over the fleet's routers: it asks owners, and answers for the groups that this router owns."""
 
     def __init__(self, context: Context, messenger: Messenger, membership: Membership) -> None:
         self._messenger = messenger
         self._membership = membership
         self._times = PrefillQueueTimes(context.clock)
-        self._groups: dict[PoolName, int] = {}
-        """Groups of each pool, by its ready workers."""
-        self._keepers: dict[tuple[PoolName, int], tuple[Identity, ...]] = {}
-        self._passed_over = PassedOver(context.clock)
+        self._group_counts: dict[PoolName, int] = {}
+        """Number of groups of each pool, which follows from the number of its ready workers."""
+        self._owners: dict[tuple[PoolName, int], tuple[Identity, ...]] = {}
+        self._unresponsive = UnresponsiveRouters(context.clock)
         messenger.on_call(JoinQueue, self._on_join)
         messenger.on_post(QueueEntry, self._on_entry)
-        membership.on_change(self._keepers.clear)
+        membership.on_change(self._owners.clear)
 
     def group(self, worker: Worker, ready: Sequence[Worker], pool_size: int) -> Sequence[Worker]:
         pool = worker.pool
-        groups = self._groups[pool] = max(1, -(-pool_size // GROUP_WORKERS))
-        if groups == 1:
+        group_count = self._group_counts[pool] = max(1, -(-pool_size // WORKERS_PER_GROUP))
+        if group_count == 1:
             return ready
         number = self._group_of(pool, worker.instance)
         return [other for other in ready if self._group_of(pool, other.instance) == number]
 
     async def join(self, question: JoinQueue) -> QueueJoined | None:
-        for keeper in self._keepers_of(question.pool, question.offers[0].worker):
-            if self._is_me(keeper):
+        for owner in self._owners_of(question.pool, question.offers[0].worker):
+            if self._is_self(owner):
                 return self._times.join(question)
-            if self._passed_over.holds(keeper.incarnation):
+            if self._unresponsive.contains(owner.incarnation):
                 continue
-            reply = await self._messenger.call(keeper.internal, question, QueueJoined, ASK_TIMEOUT)
+            reply = await self._messenger.call(owner.internal, question, QueueJoined, ASK_TIMEOUT_S)
             if isinstance(reply, Success):
                 joined: QueueJoined = reply.unwrap()
                 if joined.offer < len(question.offers):
                     return joined
-            self._passed_over.add(keeper.incarnation)
+            self._unresponsive.add(owner.incarnation)
         return None
 
     def entered(self, entry: QueueEntry) -> None:
-        keeper = next(iter(self._keepers_of(entry.pool, entry.worker)), None)
-        if keeper is None:
+        owner = next(iter(self._owners_of(entry.pool, entry.worker)), None)
+        if owner is None:
             return
-        if self._is_me(keeper):
+        if self._is_self(owner):
             self._times.enter(entry)
         else:
-            self._messenger.post(keeper.internal, entry)
+            self._messenger.post(owner.internal, entry)
 
-    # --- keeping ------------------------------------------------------------------------------
+    # --- owned queues--------------------------------------------------------------------------
 
     async def _on_join(self, _: Identity, question: JoinQueue) -> QueueJoined:
         return self._times.join(question)
@@ -161,27 +167,27 @@
     def _on_entry(self, _: Identity, entry: QueueEntry) -> None:
         self._times.enter(entry)
 
-    # --- who keeps ----------------------------------------------------------------------------
+    # --- ownership ----------------------------------------------------------------------------
 
-    def _is_me(self, router: Identity) -> bool:
+    def _is_self(self, router: Identity) -> bool:
         return router.incarnation == self._messenger.identity.incarnation
 
     def _group_of(self, pool: PoolName, worker: WorkerInstance) -> int:
-        groups = self._groups.get(pool, 1)
-        if groups == 1:
+        group_count = self._group_counts.get(pool, 1)
+        if group_count == 1:
             return 0
-        return _number(worker) % groups
+        return _number(worker) % group_count
 
-    def _keepers_of(self, pool: PoolName, worker: WorkerInstance) -> tuple[Identity, ...]:
+    def _owners_of(self, pool: PoolName, worker: WorkerInstance) -> tuple[Identity, ...]:
         name = (pool, self._group_of(pool, worker))
-        keepers = self._keepers.get(name)
-        if keepers is None:
+        owners = self._owners.get(name)
+        if owners is None:
             order = ranked(f"queue {name[0]} {name[1]}", self._membership.routers(), lambda router: router.name)
-            keepers = self._keepers[name] = tuple(order[:KEEPERS_ASKED])
-        return keepers
+            owners = self._owners[name] = tuple(order[:OWNERS_ASKED])
+        return owners
 
 
-@lru_cache(NUMBERS_MOST)
+@lru_cache(MAX_CACHED_NUMBERS)
 def _number(worker: WorkerInstance) -> int:
-    """By which all routers share the workers out among the groups."""
+    """Returns the number by which all routers assign the worker to a group."""
     return int.from_bytes(hashlib.blake2b(worker.encode(), digest_size=8).digest(), "big")
