--- a/bench/capacity/workers.py
+++ b/bench/capacity/workers.py
@@ -120,7 +120,7 @@
         for step in range(done, due):
             pool, number = workers[step % len(workers)]
             load = WorkerLoad(step // len(workers) % 8, number % 3, 1000 * (step // len(workers)))
-            await registry.announced(hollow_worker(pool, number, load))
+            await registry.accept_announcement(hollow_worker(pool, number, load))
         done = max(done, due)
         await asyncio.sleep(0.01)
 
@@ -139,7 +139,7 @@
         workers = [(pool, number) for number in range(pool_workers) for pool in pools]
         begun = time.monotonic()
         for pool, number in workers:
-            await registry.announced(hollow_worker(pool, number, None))
+            await registry.accept_announcement(hollow_worker(pool, number, None))
         while following.report()["ready"] < len(workers):
             if time.monotonic() - begun > 60:
                 raise TimeoutError(f"followers know {following.report()['ready']} of {len(workers)} workers")
--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -448,7 +448,7 @@
             )
 
             async def told() -> None:
-                await fleet.routers[name].registry.announced(worker)
+                await fleet.routers[name].registry.accept_announcement(worker)
 
             world.spawn(world.processes[name], told(), "announce")
 
@@ -501,12 +501,12 @@
     with World(seed) as world:
         fleet = Fleet(world, 11)
         worker = fleet.start_worker("w0")
-        edge = next(name for name in sorted(fleet.routers) if name not in {fleet.home(zone) for zone in "abc"})
+        edge = next(name for name in sorted(fleet.routers) if name not in {fleet.owner(zone) for zone in "abc"})
         for _ in range(2):
             fleet.announce(worker, edge)
             world.run(1.0 + world.random.random() * 0.3)
         fleet.announce(worker, edge)
-        home = fleet.home("b")
+        home = fleet.owner("b")
         names = sorted(fleet.routers)
         follower = next(name for name in names if name not in {home, edge} and fleet.routers[name].identity.zone == "b")
         struck = follower if fault.startswith("follower") else home
--- a/bench/placement_parts.py
+++ b/bench/placement_parts.py
@@ -152,10 +152,10 @@
     def on_change(self, callback: Any) -> None:
         pass
 
-    def count_with(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
+    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
         self.count = count
 
-    def elsewhere(self, instance: WorkerInstance) -> Engagement:
+    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
         return self._elsewhere.get(instance, Engagement())
 
 
--- a/bench/tests/test_placement_parts.py
+++ b/bench/tests/test_placement_parts.py
@@ -19,9 +19,9 @@
             BenchRegistry(lambda: (), registries)
         for number, registry in enumerate(registries):
             part = Engagement(running=1.0, expected=2.0, prefill=3.0, streams=float(number))
-            registry.count_with(lambda pool, part=part: {WORKER: part})  # type: ignore[misc]
+            registry.register_counter(lambda pool, part=part: {WORKER: part})  # type: ignore[misc]
         registries[0].refresh_running()
-        self.assertEqual(registries[0].elsewhere(WORKER), Engagement(2.0, 4.0, 6.0, 3.0))
+        self.assertEqual(registries[0].engagement_of_others(WORKER), Engagement(2.0, 4.0, 6.0, 3.0))
 
 
 if __name__ == "__main__":
--- a/wingwood/control/backup.py
+++ b/wingwood/control/backup.py
@@ -115,7 +115,7 @@
         if data is None:
             return None
         async with self._lock:
-            return self._refuses_state(transfer) or await self._take_state(transfer, data)
+            return self._refuses_state(transfer) or await self._handle_state_report(transfer, data)
 
     def _refuses_state(self, transfer: Transfer) -> str | None:
         """Why this state is not taken."""
@@ -128,7 +128,7 @@
             return "promised another epoch"
         return None
 
-    async def _take_state(self, transfer: Transfer, data: bytes) -> str | None:
+    async def _handle_state_report(self, transfer: Transfer, data: bytes) -> str | None:
         """Journals it in place of all that is here."""
         if self._lead is not None:
             self._step_down(f"takes the state of epoch {transfer.epoch}")
--- a/wingwood/control/state_transfer.py
+++ b/wingwood/control/state_transfer.py
@@ -10,7 +10,7 @@
 from ..identifiers import Epoch, Incarnation
 from .messages import ControlStatePiece
 
-PACKING_LEVEL = 1
+ZLIB_LEVEL = 1
 """The fastest: a state is mostly slices, which are repetitive text."""
 
 
@@ -26,7 +26,7 @@
     state: bytes, to: Incarnation, transfer: Transfer, piece_bytes: int, packed: bool = False
 ) -> Iterator[ControlStatePiece]:
     """The encoded state in pieces of at most that size; at least one piece."""
-    data = zlib.compress(state, PACKING_LEVEL) if packed else state
+    data = zlib.compress(state, ZLIB_LEVEL) if packed else state
     count = max(1, -(-len(data) // piece_bytes))
     for index in range(count):
         part = data[index * piece_bytes : (index + 1) * piece_bytes]
--- a/wingwood/daemons/dialect.py
+++ b/wingwood/daemons/dialect.py
@@ -13,7 +13,7 @@
 from ..operator_api.protocols import OperatorRoutes
 from ..operator_api.reading import HealthReport
 from ..registry.announcements import AnnouncementFormat
-from ..registry.worker_announcements import OwnAnnouncements
+from ..registry.worker_announcements import DefaultAnnouncementFormat
 
 
 class RouterState(Protocol):
@@ -41,5 +41,5 @@
     """Formats and further routes of a control daemon."""
 
     add_routes: Callable[[ControlState, OperatorRoutes], None] = lambda control, routes: None
-    announcements: AnnouncementFormat = msgspec.field(default_factory=OwnAnnouncements)
+    announcements: AnnouncementFormat = msgspec.field(default_factory=DefaultAnnouncementFormat)
     """How workers announce themselves."""
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -195,7 +195,7 @@
             self.registry.watch(pool)
             declared = bundle.pools.get(pool)
             if declared is not None and declared.engine is not None:
-                self.registry.describe(pool, declared.engine.cache_tokens)
+                self.registry.set_default_cache_tokens(pool, declared.engine.cache_tokens)
 
     def _has_heard_of_workers(self) -> bool:
         """Whether a home has told the workers of every pool since the start, or that was waited for long enough."""
--- a/wingwood/distribution/deltas.py
+++ b/wingwood/distribution/deltas.py
@@ -16,7 +16,7 @@
 ENCODED_KEPT = 8
 PACKED_KEPT = 64
 """Packed pieces kept, since many ask for the same ones."""
-PACKING_LEVEL = 1
+ZLIB_LEVEL = 1
 """Slices are repetitive text: the fastest level makes 290 KB into 23 KB in 0.6 ms, the best into 21 KB in 1.5 ms."""
 KEPT_BYTES = 4 * 1024 * 1024
 """Most that a chain of deltas, and the encoded deltas for fetches, take in memory (each)."""
@@ -123,7 +123,7 @@
         """Piece by piece, so that a large bundle does not hold the loop up."""
         packed = self._packed.get((*key, offset))
         if packed is None:
-            packed = self._packed[(*key, offset)] = zlib.compress(piece, PACKING_LEVEL)
+            packed = self._packed[(*key, offset)] = zlib.compress(piece, ZLIB_LEVEL)
             if len(self._packed) > PACKED_KEPT:
                 self._packed.popitem(last=False)
         return packed
--- a/wingwood/placement/long_streams.py
+++ b/wingwood/placement/long_streams.py
@@ -88,7 +88,7 @@
 
     def at(self, worker: Worker) -> float:
         """Long streams of all routers there."""
-        return self._own[worker.instance] + self._exchange.elsewhere(worker.instance).streams
+        return self._own[worker.instance] + self._exchange.engagement_of_others(worker.instance).streams
 
     def candidates(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         """Those of ``ready`` at which the turn should be compared; never none."""
--- a/wingwood/placement/prefill_estimates.py
+++ b/wingwood/placement/prefill_estimates.py
@@ -153,7 +153,7 @@
         """Seconds until the prompts that are there are prefilled."""
         pool = self._pool(worker.pool)
         prefill = self._workers.get(worker.instance)
-        others = self.queue_wait(worker, self._exchange.elsewhere(worker.instance).prefill)
+        others = self.queue_wait(worker, self._exchange.engagement_of_others(worker.instance).prefill)
         if prefill is None or not prefill.pending:
             return others
         own = prefill.pending_tokens * pool.per_token * self._slowness(worker)
@@ -166,7 +166,7 @@
 
     def mean_wait(self, worker: Worker) -> float:
         """The wait at the flow of all routers, whatever is there at the moment."""
-        flow = self._exchange.elsewhere(worker.instance).prefill + self.flow(worker.instance)
+        flow = self._exchange.engagement_of_others(worker.instance).prefill + self.flow(worker.instance)
         return self.queue_wait(worker, flow)
 
     def queue_wait(self, worker: Worker, flow: float) -> float:
@@ -188,7 +188,7 @@
         now = self._clock.monotonic()
         if now - prefill.kept_for_at >= KEPT_FOR_EVERY:
             pool = self._pool(worker.pool)
-            elsewhere = self._exchange.elsewhere(worker.instance)
+            elsewhere = self._exchange.engagement_of_others(worker.instance)
             free = worker.cache_tokens - (elsewhere.running + len(prefill.pending)) * pool.held
             flow = (elsewhere.prefill + self.flow(worker.instance)) * pool.parts_share
             prefill.kept_for = Seconds(max(LEAST_FREE * worker.cache_tokens, free) / max(1.0, flow))
--- a/wingwood/placement/tests/one_router.py
+++ b/wingwood/placement/tests/one_router.py
@@ -126,10 +126,10 @@
     def on_change(self, callback: Callable[[Worker], None]) -> None:
         self.changed = callback
 
-    def count_with(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
+    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
         self.count = count
 
-    def elsewhere(self, instance: WorkerInstance) -> Engagement:
+    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
         return self.told.get(instance, Engagement())
 
     def routers(self) -> Sequence[Identity]:
--- a/wingwood/placement/tests/test_award_placement.py
+++ b/wingwood/placement/tests/test_award_placement.py
@@ -110,7 +110,7 @@
         self.inside(router, expect)
 
     async def elsewhere(self, router: str, instance: WorkerInstance) -> Engagement:
-        return self.routers[router].registry.elsewhere(instance)
+        return self.routers[router].registry.engagement_of_others(instance)
 
     def others_than(self, *names: str) -> list[str]:
         return [name for name in sorted(self.roster.identities) if name not in names]
--- a/wingwood/placement/tests/test_prefill_estimates.py
+++ b/wingwood/placement/tests/test_prefill_estimates.py
@@ -35,7 +35,7 @@
         self.queues = PrefillQueues(cast(Any, self.clock), cast(Any, self))
         self.sent = 0
 
-    def elsewhere(self, instance: WorkerInstance) -> Engagement:
+    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
         return self.told
 
     def send(self, uncached: int, worker: Worker = WORKER) -> RequestId:
--- a/wingwood/placement/tests/test_worker_estimates.py
+++ b/wingwood/placement/tests/test_worker_estimates.py
@@ -33,9 +33,9 @@
 
     def on_change(self, callback: Callable[[Worker], None]) -> None: ...
 
-    def count_with(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None: ...
+    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None: ...
 
-    def elsewhere(self, instance: WorkerInstance) -> Engagement:
+    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
         return Engagement(self.running, 0.0)
 
 
--- a/wingwood/placement/worker_estimates.py
+++ b/wingwood/placement/worker_estimates.py
@@ -67,7 +67,7 @@
         """Own uncached prompt tokens a second that go to a worker, where they are counted."""
         self.long_streams: Callable[[WorkerInstance], int] = lambda instance: 0
         """Own long streams at a worker, where they are counted."""
-        exchange.count_with(self._count)
+        exchange.register_counter(self._count)
 
     # --- counting -----------------------------------------------------------------------------
 
@@ -126,7 +126,7 @@
 
     def load(self, worker: Worker) -> float:
         """Turns running or waiting there now, over all routers."""
-        counted = self._running[worker.instance] + self._exchange.elsewhere(worker.instance).running
+        counted = self._running[worker.instance] + self._exchange.engagement_of_others(worker.instance).running
         told = 0 if worker.load is None else worker.load.running + worker.load.waiting
         return max(counted, TOLD_LOAD_TRUST * told)
 
@@ -135,7 +135,9 @@
 
         What runs now is little help then; the sessions awarded to it are.
         """
-        return turning * (self._expected_at[worker.instance] + self._exchange.elsewhere(worker.instance).expected)
+        return turning * (
+            self._expected_at[worker.instance] + self._exchange.engagement_of_others(worker.instance).expected
+        )
 
     def turning(self, ready: Sequence[Worker]) -> float:
         """The share of awarded sessions that run a turn at any time; the same for all workers of a pool."""
--- a/wingwood/registry/announcements.py
+++ b/wingwood/registry/announcements.py
@@ -45,18 +45,18 @@
 
     def malformed(self, problem: str) -> OperatorReply: ...
 
-    def taken(self, worker: Worker) -> OperatorReply:
+    def acknowledged(self, worker: Worker) -> OperatorReply:
         """Acknowledged: renewed, or its new state is safe with the fleet."""
         ...
 
-    def departed(self, instance: WorkerInstance) -> OperatorReply:
+    def departure_acknowledged(self, instance: WorkerInstance) -> OperatorReply:
         """Acknowledged: nobody in the fleet knows such a worker, so nobody sends it turns."""
         ...
 
-    def over(self, worker: Worker) -> OperatorReply:
+    def instance_over(self, worker: Worker) -> OperatorReply:
         """The announced state goes back behind a final one, which ``worker`` holds."""
         ...
 
-    def tell_another(self, reason: str) -> OperatorReply:
+    def try_another_daemon(self, reason: str) -> OperatorReply:
         """Not acknowledged: the worker should tell another daemon, which is harmless to repeat."""
         ...
--- a/wingwood/registry/circuit_breakers.py
+++ b/wingwood/registry/circuit_breakers.py
@@ -6,12 +6,12 @@
 
 from ..identifiers import Instant, Seconds, WorkerInstance
 
-PAUSE_FIRST = Seconds(0.3)
-PAUSE_LONGEST = Seconds(4.0)
-TRIAL_LONGEST = Seconds(5.0)
+FIRST_PAUSE_S = Seconds(0.3)
+MAX_PAUSE_S = Seconds(4.0)
+MAX_TRIAL_S = Seconds(5.0)
 """A trial whose end is not reported by then no longer holds up the next one."""
-FORGOTTEN_AFTER = Seconds(30.0)
-SUCCESSES_TO_FORGET = 5
+BREAKER_RETENTION_S = Seconds(30.0)
+SUCCESSES_TO_RESET = 5
 """In a row; after them the next pause is a first one again."""
 
 
@@ -65,17 +65,17 @@
         """A call is sent there: a trial unless the breaker is closed."""
         breaker = self._breakers.get(instance)
         if breaker is not None and not breaker.closed:
-            breaker.trial_until = Instant(now + TRIAL_LONGEST)
+            breaker.trial_until = Instant(now + MAX_TRIAL_S)
 
     def open(self, instance: WorkerInstance, now: Instant, longest: bool = False) -> bool:
         """Leaves it out for a pause; False when it is left out already, so this call tells nothing new."""
         breaker = self._breakers.get(instance)
-        if breaker is None or now - breaker.opened_at > FORGOTTEN_AFTER:
+        if breaker is None or now - breaker.opened_at > BREAKER_RETENTION_S:
             breaker = self._breakers[instance] = _Breaker(0, now, now)
         elif not breaker.closed and now < breaker.open_until:
             return False
         breaker.times += 1
-        pause = PAUSE_LONGEST if longest else min(PAUSE_LONGEST, PAUSE_FIRST * 2 ** (breaker.times - 1))
+        pause = MAX_PAUSE_S if longest else min(MAX_PAUSE_S, FIRST_PAUSE_S * 2 ** (breaker.times - 1))
         breaker.opened_at = now
         breaker.open_until = Instant(now + pause)
         breaker.closed = False
@@ -91,7 +91,7 @@
         was_closed, breaker.closed = breaker.closed, True
         breaker.trial_until = None
         breaker.successes += 1
-        if breaker.successes >= SUCCESSES_TO_FORGET:
+        if breaker.successes >= SUCCESSES_TO_RESET:
             del self._breakers[instance]
         return not was_closed
 
--- a/wingwood/registry/ejections.py
+++ b/wingwood/registry/ejections.py
@@ -8,7 +8,7 @@
 
 from ..context.protocols import Context
 from ..identifiers import Instant, PoolName, WorkerInstance
-from .feed_limits import EJECTED_TRUSTED
+from .feed_limits import EJECTION_MAX_AGE_S
 from .outliers import Outcomes, OutlierDetector
 from .pool_table import PoolTable
 from .worker_directory import WorkerDirectory
@@ -31,7 +31,7 @@
     def is_ejected(self, instance: WorkerInstance) -> bool:
         pool = self._directory.pool_of(instance)
         ejected = None if pool is None else self._ejected.get(pool)
-        return ejected is not None and instance in ejected.instances and self._now() - ejected.at <= EJECTED_TRUSTED
+        return ejected is not None and instance in ejected.instances and self._now() - ejected.at <= EJECTION_MAX_AGE_S
 
     def numbers(self, table: PoolTable) -> tuple[int, ...]:
         """The ejected workers by the short names of this table."""
@@ -40,7 +40,7 @@
             return ()
         return tuple(table.records[each].number for each in sorted(ejected.instances) if each in table.records)
 
-    def told(self, pool: PoolName, instances: frozenset[WorkerInstance]) -> None:
+    def set_ejected(self, pool: PoolName, instances: frozenset[WorkerInstance]) -> None:
         """These and no others are ejected now."""
         before = self._ejected.get(pool)
         self._ejected[pool] = _Ejected(self._now(), instances)
@@ -60,7 +60,7 @@
         """As the home: who is left out for what was recorded and for this daemon's own outcomes."""
         self.record(table.pool, own_outcomes)
         ready: Sequence[WorkerInstance] = [worker.instance for worker in table.ready()]
-        self.told(table.pool, self._detectors[table.pool].judge(ready, self._now()))
+        self.set_ejected(table.pool, self._detectors[table.pool].judge(ready, self._now()))
 
     def _now(self) -> Instant:
         return self._context.clock.monotonic()
--- a/wingwood/registry/engagement.py
+++ b/wingwood/registry/engagement.py
@@ -10,44 +10,44 @@
 from .messages import Counts
 from .protocols import Engagement
 
-Engaged = dict[WorkerInstance, Engagement]
-SUMMED_EVERY = Seconds(0.25)
+EngagementByWorker = dict[WorkerInstance, Engagement]
+SUM_INTERVAL_S = Seconds(0.25)
 
 
-class Told(msgspec.Struct, frozen=True):
+class EngagementReport(msgspec.Struct, frozen=True):
     at: Instant
-    engaged: Engaged
+    engaged: EngagementByWorker
 
 
 class _Sum(msgspec.Struct, frozen=True):
     at: Instant
-    zone: Engaged
-    fleet: Engaged
-    parts: dict[Incarnation, Engaged]
+    zone: EngagementByWorker
+    fleet: EngagementByWorker
+    parts: dict[Incarnation, EngagementByWorker]
     """What each router of the zone put into it."""
 
 
 class EngagementSums:
-    """At a home: what its zone's routers and the other zones' homes told. ``trusted``: for how long, by pool."""
+    """At a home: what its zone's routers and the other zones' homes told. ``max_age_s``: for how long, by pool."""
 
-    def __init__(self, own: Incarnation, trusted: Callable[[PoolName], float]) -> None:
+    def __init__(self, own: Incarnation, max_age_s: Callable[[PoolName], float]) -> None:
         self._own = own
-        self._trusted = trusted
-        self.count: Callable[[PoolName], Engaged] = lambda pool: {}
-        self._routers: dict[PoolName, dict[Incarnation, Told]] = {}
-        self._zones: dict[PoolName, dict[Zone, Told]] = {}
+        self._max_age_s = max_age_s
+        self.count_own: Callable[[PoolName], EngagementByWorker] = lambda pool: {}
+        self._routers: dict[PoolName, dict[Incarnation, EngagementReport]] = {}
+        self._zones: dict[PoolName, dict[Zone, EngagementReport]] = {}
         self._sums: dict[PoolName, _Sum] = {}
 
-    def router_told(self, pool: PoolName, router: Incarnation, told: Told) -> None:
-        self._routers.setdefault(pool, {})[router] = told
+    def record_router(self, pool: PoolName, router: Incarnation, reports: EngagementReport) -> None:
+        self._routers.setdefault(pool, {})[router] = reports
 
-    def zone_told(self, pool: PoolName, zone: Zone, told: Told) -> None:
-        self._zones.setdefault(pool, {})[zone] = told
+    def record_zone(self, pool: PoolName, zone: Zone, reports: EngagementReport) -> None:
+        self._zones.setdefault(pool, {})[zone] = reports
 
-    def in_zone(self, pool: PoolName, now: Instant) -> Engaged:
+    def in_zone(self, pool: PoolName, now: Instant) -> EngagementByWorker:
         return self._summed(pool, now).zone
 
-    def by_others(self, pool: PoolName, asker: Incarnation, now: Instant) -> Engaged:
+    def by_others(self, pool: PoolName, asker: Incarnation, now: Instant) -> EngagementByWorker:
         """All but what the asker itself had told when the sum was made."""
         summed = self._summed(pool, now)
         part = summed.parts.get(asker)
@@ -61,28 +61,28 @@
     def _summed(self, pool: PoolName, now: Instant) -> _Sum:
         """Made once for all who ask within a while: a zone's home is asked by each of its routers."""
         summed = self._sums.get(pool)
-        if summed is not None and now - summed.at < SUMMED_EVERY:
+        if summed is not None and now - summed.at < SUM_INTERVAL_S:
             return summed
-        trusted = self._trusted(pool)
-        parts = {self._own: self.count(pool)}
-        told = self._routers.get(pool, {})
-        for incarnation in sorted(told):
-            if now - told[incarnation].at > trusted:
-                del told[incarnation]
+        max_age_s = self._max_age_s(pool)
+        parts = {self._own: self.count_own(pool)}
+        reports = self._routers.get(pool, {})
+        for incarnation in sorted(reports):
+            if now - reports[incarnation].at > max_age_s:
+                del reports[incarnation]
             else:
-                parts[incarnation] = told[incarnation].engaged
-        zone: Engaged = {}
+                parts[incarnation] = reports[incarnation].engaged
+        zone: EngagementByWorker = {}
         for part in parts.values():
             _add(zone, part)
         fleet = dict(zone)
         for _, other in sorted(self._zones.get(pool, {}).items()):
-            if now - other.at <= trusted:
+            if now - other.at <= max_age_s:
                 _add(fleet, other.engaged)
         summed = self._sums[pool] = _Sum(now, zone, fleet, parts)
         return summed
 
 
-def _add(totals: Engaged, more: Mapping[WorkerInstance, Engagement]) -> None:
+def _add(totals: EngagementByWorker, more: Mapping[WorkerInstance, Engagement]) -> None:
     for instance, part in more.items():
         totals[instance] = totals.get(instance, Engagement()).plus(part)
 
@@ -97,7 +97,7 @@
     return {number: counts for number, counts in rounded.items() if counts != (0, 0, 0, 0)}
 
 
-def by_instance(counts: Counts, instances: Mapping[int, WorkerInstance]) -> Engaged:
+def by_instance(counts: Counts, instances: Mapping[int, WorkerInstance]) -> EngagementByWorker:
     return {
         instances[number]: Engagement(float(running), float(expected), float(prefill), float(streams))
         for number, (running, expected, prefill, streams) in counts.items()
--- a/wingwood/registry/feed_answers.py
+++ b/wingwood/registry/feed_answers.py
@@ -8,11 +8,11 @@
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
 from .ejections import Ejections
-from .engagement import EngagementSums, Told, by_instance, by_number
-from .home_duties import HomeAge, HomeDuties
+from .engagement import EngagementReport, EngagementSums, by_instance, by_number
 from .messages import Counts, FeedAnswer, FeedQuestion, PoolAnswer, PoolQuestion
 from .outliers import Outcomes
-from .packed_entries import with_entries_packed
+from .packed_entries import pack_entries
+from .pool_ownership import OwnerAge, PoolOwnership
 from .pool_table import PoolTable
 from .worker_directory import WorkerDirectory
 
@@ -27,20 +27,20 @@
         membership: Membership,
         zone: Zone,
         directory: WorkerDirectory,
-        duties: HomeDuties,
+        ownership: PoolOwnership,
         sums: EngagementSums,
         ejections: Ejections,
-        home_age: HomeAge,
+        owner_age: OwnerAge,
     ) -> None:
         self._context = context
         self._messenger = messenger
         self._membership = membership
         self._zone = zone
         self._directory = directory
-        self._duties = duties
+        self._ownership = ownership
         self._sums = sums
         self._ejections = ejections
-        self._home_age = home_age
+        self._owner_age = owner_age
 
     async def answer(self, peer: Identity, message: FeedQuestion) -> FeedAnswer:
         now = self._now()
@@ -53,15 +53,15 @@
     def _answer_pool(self, peer: Identity, question: PoolQuestion, now: Instant) -> PoolAnswer:
         table = self._directory.table(question.pool)
         for entry in question.offered:
-            self._duties.take_handed_over(entry)
-        follows = question.home == self._messenger.identity.incarnation
+            self._ownership.merge_reported(entry)
+        follows = question.owner == self._messenger.identity.incarnation
         if follows:
-            self._take_counts(peer, table, question, now)
+            self._record_counts(peer, table, question, now)
         load_sequence = question.load_sequence
         answer = PoolAnswer(
             question.pool,
-            self._duties.is_settled(question.pool),
-            self._home_age(question.pool),
+            self._ownership.is_synced(question.pool),
+            self._owner_age(question.pool),
             table.sequence,
             table.changed_since(question.sequence if follows else -1, now),
             table.load_sequence,
@@ -69,15 +69,15 @@
             self._counts_for(peer, table) if load_sequence is not None else None,
             self._ejections.numbers(table) if peer.zone == self._zone else (),
         )
-        return with_entries_packed(answer) if question.unpacks else answer
+        return pack_entries(answer) if question.accepts_packed else answer
 
-    def _take_counts(self, peer: Identity, table: PoolTable, question: PoolQuestion, now: Instant) -> None:
+    def _record_counts(self, peer: Identity, table: PoolTable, question: PoolQuestion, now: Instant) -> None:
         if question.engaged is not None:
-            told = Told(now, by_instance(question.engaged, table.numbers))
+            report = EngagementReport(now, by_instance(question.engaged, table.numbers))
             if peer.zone == self._zone:
-                self._sums.router_told(table.pool, peer.incarnation, told)
+                self._sums.record_router(table.pool, peer.incarnation, report)
             elif peer.role == "router":
-                self._sums.zone_told(table.pool, peer.zone, told)
+                self._sums.record_zone(table.pool, peer.zone, report)
         for number, (succeeded, failed) in (question.outcomes or {}).items():
             if number in table.numbers:
                 self._ejections.record(table.pool, {table.numbers[number]: Outcomes(succeeded, failed)})
--- a/wingwood/registry/messages.py
+++ b/wingwood/registry/messages.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import ClassVar
+
 import msgspec
 
 from ..identifiers import Incarnation, PoolName, Seconds, WorkerInstance
@@ -21,21 +23,25 @@
     """Whether the sender counts its announcement as renewed."""
     number: int = -1
     """The sending home's short name for the worker in what follows; -1 from others."""
-    announced: int = 0
+    announcement: int = msgspec.field(name="announced", default=0)
     """Sequence number of the announcement that told this; of two, the later one's attributes hold."""
 
 
-class TakeState(msgspec.Struct, frozen=True, array_like=True):
+class WorkerStateReport(msgspec.Struct, frozen=True, array_like=True):
     """Call to a home: a worker's own announcement of a new instance or state. Reply: StateTaken."""
 
+    WIRE_NAME: ClassVar[str] = "TakeState"
+
     worker: Worker
-    announced: int = 0
+    sequence: int = msgspec.field(name="announced", default=0)
 
 
-class StateTaken(msgspec.Struct, frozen=True, array_like=True):
+class WorkerStateReceipt(msgspec.Struct, frozen=True, array_like=True):
+    WIRE_NAME: ClassVar[str] = "StateTaken"
+
     worker: Worker
     """As kept now; its state is further on than the announced one when that was final already."""
-    home: bool = True
+    is_owner: bool = msgspec.field(name="home", default=True)
     """Whether the taker counts itself as its zone's home of the pool."""
     zones: int = 1
     """How many zones have routers, as the taker knows them."""
@@ -49,38 +55,48 @@
     """The worker's own number of its announcement; 0 for none."""
 
 
-class TakeRenewals(msgspec.Struct, frozen=True, array_like=True):
+class RenewalBatch(msgspec.Struct, frozen=True, array_like=True):
     """Call to a home: the renewals that one daemon took since its last call. Reply: RenewalsTaken."""
 
+    WIRE_NAME: ClassVar[str] = "TakeRenewals"
+
     renewals: tuple[Renewal, ...]
 
 
-class RenewalsTaken(msgspec.Struct, frozen=True, array_like=True):
+class RenewalBatchReceipt(msgspec.Struct, frozen=True, array_like=True):
+    WIRE_NAME: ClassVar[str] = "RenewalsTaken"
+
     unknown: tuple[WorkerInstance, ...]
     """Must be announced in full again."""
 
 
-class AskWorker(msgspec.Struct, frozen=True):
+class WorkerQuestion(msgspec.Struct, frozen=True):
     """Call to any router: which worker is this? Reply: WorkerTold."""
 
+    WIRE_NAME: ClassVar[str] = "AskWorker"
+
     instance: WorkerInstance
 
 
-class WorkerTold(msgspec.Struct, frozen=True):
+class WorkerAnswer(msgspec.Struct, frozen=True):
+    WIRE_NAME: ClassVar[str] = "WorkerTold"
+
     worker: Worker | None
     age: Seconds
     """How old the answerer's knowledge is of the pool it is least sure of; infinite when it knows none."""
 
 
-class StateSeen(msgspec.Struct, frozen=True, array_like=True):
+class ObservedState(msgspec.Struct, frozen=True, array_like=True):
     """Post: a state learnt in another way than from the home; states only move on, so it can be merged by anyone."""
 
+    WIRE_NAME: ClassVar[str] = "StateSeen"
+
     worker: Worker
 
 
 class PoolQuestion(msgspec.Struct, frozen=True, array_like=True):
     pool: PoolName
-    home: Incarnation
+    owner: Incarnation = msgspec.field(name="home")
     """Whose sequence numbers ``sequence`` counts; empty for none."""
     sequence: int
     load_sequence: int | None
@@ -91,7 +107,7 @@
     """What the asker knows and the home, by its first answer, did not (repair)."""
     outcomes: CallCounts | None = None
     """Of the asker's calls since it last told, by the home's number of the worker."""
-    unpacks: bool = False
+    accepts_packed: bool = msgspec.field(name="unpacks", default=False)
     """Whether the asker takes packed entries; daemons from before packing don't say so."""
 
 
@@ -103,7 +119,7 @@
 
 class PoolAnswer(msgspec.Struct, frozen=True, array_like=True):
     pool: PoolName
-    settled: bool
+    synced: bool = msgspec.field(name="settled")
     """The answerer counts itself as the home, and has pulled what others keep."""
     age: Seconds
     """How old the answerer's own knowledge is, by the answers of the other zones' homes; infinite when unproven."""
@@ -122,7 +138,7 @@
 
 
 class FeedAnswer(msgspec.Struct, frozen=True, array_like=True):
-    home: Incarnation
+    owner: Incarnation = msgspec.field(name="home")
     session_age: Seconds
     """How long ago the answerer's membership was last proven."""
     pools: tuple[PoolAnswer, ...]
@@ -133,7 +149,7 @@
 class FeedPush(msgspec.Struct, frozen=True, array_like=True):
     """Post from a home to the routers of its zone, at once on a change of state."""
 
-    home: Incarnation
+    owner: Incarnation = msgspec.field(name="home")
     pool: PoolName
     previous: int
     sequence: int
--- a/wingwood/registry/packed_entries.py
+++ b/wingwood/registry/packed_entries.py
@@ -9,23 +9,23 @@
 
 from .messages import PoolAnswer, WorkerEntry
 
-PACKED_ABOVE = 8
+PACK_ABOVE_ENTRIES = 8
 """Entries; fewer are hardly smaller for it."""
-PACKING_LEVEL = 1
+ZLIB_LEVEL = 1
 """The fastest."""
-UNPACKED_BYTES = 16 * 1024 * 1024
+MAX_UNPACKED_BYTES = 16 * 1024 * 1024
 """Most that a list may unpack to."""
 
 
-def with_entries_packed(answer: PoolAnswer) -> PoolAnswer:
+def pack_entries(answer: PoolAnswer) -> PoolAnswer:
     """As it is where it holds few entries."""
-    if len(answer.entries) <= PACKED_ABOVE:
+    if len(answer.entries) <= PACK_ABOVE_ENTRIES:
         return answer
-    packed = zlib.compress(msgspec.msgpack.encode(answer.entries), PACKING_LEVEL)
+    packed = zlib.compress(msgspec.msgpack.encode(answer.entries), ZLIB_LEVEL)
     return msgspec.structs.replace(answer, entries=(), packed=packed)
 
 
-def with_entries_unpacked(answer: PoolAnswer) -> PoolAnswer | None:
+def unpack_entries(answer: PoolAnswer) -> PoolAnswer | None:
     """None when what was packed is no list of workers."""
     if not answer.packed:
         return answer
@@ -36,7 +36,7 @@
 def _unpacked(packed: bytes) -> Sequence[WorkerEntry] | None:
     unpacker = zlib.decompressobj()
     try:
-        data = unpacker.decompress(packed, UNPACKED_BYTES)
+        data = unpacker.decompress(packed, MAX_UNPACKED_BYTES)
         return msgspec.msgpack.decode(data, type=list[WorkerEntry]) if unpacker.eof else None
     except (zlib.error, msgspec.MsgspecError):
         return None
--- a/wingwood/registry/pool_table.py
+++ b/wingwood/registry/pool_table.py
@@ -10,9 +10,9 @@
 from .messages import LoadFigures, WorkerEntry
 from .protocols import Worker, WorkerLoad
 
-FORGOTTEN_AFTER = Seconds(120.0)
-FINAL_KEPT_FOR = Seconds(600.0)
-ORDER = {"ready": 0, "draining": 1, "gone": 2}
+UNRENEWED_RETENTION_S = Seconds(120.0)
+GONE_RETENTION_S = Seconds(600.0)
+STATE_ORDER = {"ready": 0, "draining": 1, "gone": 2}
 
 
 class WorkerRecord(msgspec.Struct, kw_only=True):
@@ -23,11 +23,11 @@
     load_sequence: int
     number: int
     changed_at: Instant
-    known_since: Instant
+    first_known_at: Instant
     """``worker.cold_left`` counts from here."""
-    announced: int = 0
+    attributes_sequence: int = 0
     """Number of the announcement that told the worker's attributes."""
-    heard: int = 0
+    highest_sequence: int = 0
     """Highest number of its announcements, renewals among them."""
 
 
@@ -44,37 +44,37 @@
         self.records: dict[WorkerInstance, WorkerRecord] = {}
         self._ready: tuple[Worker, ...] | None = None
         self._cache_tokens = 0
-        self._standing: tuple[Worker, ...] | None = None
+        self._active: tuple[Worker, ...] | None = None
 
     def ready(self) -> tuple[Worker, ...]:
         if self._ready is None:
             self._ready = tuple(
-                self._described(record.worker)
+                self._with_default_cache_tokens(record.worker)
                 for _, record in sorted(self.records.items())
                 if record.renewed and record.worker.state == "ready"
             )
         return self._ready
 
-    def describe(self, cache_tokens: int) -> None:
+    def set_default_cache_tokens(self, cache_tokens: int) -> None:
         """What is known of all workers of the pool, for those that don't tell it themselves."""
         if cache_tokens != self._cache_tokens:
             self._cache_tokens = cache_tokens
-            self._ready = self._standing = None
+            self._ready = self._active = None
 
-    def _described(self, worker: Worker) -> Worker:
+    def _with_default_cache_tokens(self, worker: Worker) -> Worker:
         if worker.cache_tokens or not self._cache_tokens:
             return worker
         return msgspec.structs.replace(worker, cache_tokens=self._cache_tokens)
 
-    def standing(self) -> tuple[Worker, ...]:
+    def active(self) -> tuple[Worker, ...]:
         """Those that have not said that they leave, renewed or not, sorted by instance."""
-        if self._standing is None:
-            self._standing = tuple(
-                self._described(record.worker)
+        if self._active is None:
+            self._active = tuple(
+                self._with_default_cache_tokens(record.worker)
                 for _, record in sorted(self.records.items())
                 if record.worker.state == "ready"
             )
-        return self._standing
+        return self._active
 
     def at_address(self, address: Address) -> list[Worker]:
         """Workers there that are not gone."""
@@ -86,9 +86,11 @@
 
     def cold_left(self, instance: WorkerInstance, now: Instant) -> Seconds:
         record = self.records.get(instance)
-        return Seconds(0.0) if record is None else Seconds(max(0.0, record.worker.cold_left - now + record.known_since))
+        return (
+            Seconds(0.0) if record is None else Seconds(max(0.0, record.worker.cold_left - now + record.first_known_at))
+        )
 
-    def announced(self, worker: Worker, now: Instant, sequence: int = 0) -> list[Worker]:
+    def apply_announcement(self, worker: Worker, now: Instant, sequence: int = 0) -> list[Worker]:
         """A worker's own word, first hand. A new ready instance ends the older ones at its address.
 
         Gives the workers that changed.
@@ -101,18 +103,18 @@
                     self._set(other, msgspec.structs.replace(other.worker, state="gone"), other.renewed, now)
                     changed.append(other.worker)
         record = self.records.get(worker.instance)
-        late = record is not None and 0 < sequence < record.heard
-        entry = WorkerEntry(worker, True, announced=sequence)
-        if self.merge(entry, now, judge_renewal=not late):
+        late = record is not None and 0 < sequence < record.highest_sequence
+        entry = WorkerEntry(worker, True, announcement=sequence)
+        if self.merge(entry, now, trust_renewal=not late):
             changed.append(self.records[worker.instance].worker)
         record = self.records[worker.instance]
-        record.heard = max(record.heard, sequence)
+        record.highest_sequence = max(record.highest_sequence, sequence)
         if not late:
             record.renewed_at = now
         return changed
 
-    def merge(self, entry: WorkerEntry, now: Instant, judge_renewal: bool) -> bool:
-        """Takes what another knows; ``judge_renewal``: its word on renewal counts here. True when state changed."""
+    def merge(self, entry: WorkerEntry, now: Instant, trust_renewal: bool) -> bool:
+        """Takes what another knows; ``trust_renewal``: its word on renewal counts here. True when state changed."""
         worker = entry.worker
         record = self.records.get(worker.instance)
         if record is None:
@@ -124,21 +126,21 @@
                 load_sequence=0,
                 number=self._next_number,
                 changed_at=now,
-                known_since=now,
-                announced=entry.announced,
-                heard=entry.announced,
+                first_known_at=now,
+                attributes_sequence=entry.announcement,
+                highest_sequence=entry.announcement,
             )
             self.numbers[self._next_number] = worker.instance
             self._next_number += 1
             self.records[worker.instance] = record
             self._set(record, worker, entry.renewed, now)
             return True
-        state = max(worker.state, record.worker.state, key=ORDER.__getitem__)
+        state = max(worker.state, record.worker.state, key=STATE_ORDER.__getitem__)
         load = worker.load or record.worker.load
-        renewed = entry.renewed if judge_renewal else record.renewed
+        renewed = entry.renewed if trust_renewal else record.renewed
         attributes = record.worker
-        if entry.announced > record.announced:
-            record.announced = entry.announced
+        if entry.announcement > record.attributes_sequence:
+            record.attributes_sequence = entry.announcement
             attributes = msgspec.structs.replace(worker, cold_left=record.worker.cold_left)
         merged = msgspec.structs.replace(attributes, state=state, load=load)
         differs = renewed != record.renewed or msgspec.structs.replace(merged, load=None) != msgspec.structs.replace(
@@ -157,10 +159,10 @@
         self.load_sequence += 1
         record.load_sequence = self.load_sequence
         record.worker = msgspec.structs.replace(record.worker, load=load)
-        self._ready = self._standing = None
+        self._ready = self._active = None
         return True
 
-    def renewed(
+    def apply_renewal(
         self, instance: WorkerInstance, load: WorkerLoad | None, now: Instant, sequence: int = 0
     ) -> bool | None:
         """None: unknown here; else whether it counts as renewed again only now.
@@ -170,9 +172,9 @@
         record = self.records.get(instance)
         if record is None:
             return None
-        if 0 < sequence <= record.heard:
+        if 0 < sequence <= record.highest_sequence:
             return False
-        record.heard = max(record.heard, sequence)
+        record.highest_sequence = max(record.highest_sequence, sequence)
         record.renewed_at = now
         if load is not None:
             self.set_load(instance, load)
@@ -181,7 +183,7 @@
         self._set(record, record.worker, True, now)
         return True
 
-    def all_renewed(self, now: Instant) -> None:
+    def restart_renewal_timers(self, now: Instant) -> None:
         """For a home that has only begun to hear renewals: their time counts from now."""
         for record in self.records.values():
             record.renewed_at = now
@@ -196,14 +198,14 @@
                 changed.append(record.worker)
         return changed
 
-    def forget_old(self, now: Instant) -> None:
+    def evict_old(self, now: Instant) -> None:
         """Final and unrenewed workers leave memory, at homes and at their followers alike."""
         for instance, record in sorted(self.records.items()):
-            kept_for = FINAL_KEPT_FOR if record.worker.state == "gone" else FORGOTTEN_AFTER
-            if (record.worker.state == "gone" or not record.renewed) and now - record.changed_at > kept_for:
+            retention = GONE_RETENTION_S if record.worker.state == "gone" else UNRENEWED_RETENTION_S
+            if (record.worker.state == "gone" or not record.renewed) and now - record.changed_at > retention:
                 del self.records[instance]
                 del self.numbers[record.number]
-                self._ready = self._standing = None
+                self._ready = self._active = None
 
     def entries(self, now: Instant, instances: Iterable[WorkerInstance] | None = None) -> tuple[WorkerEntry, ...]:
         wanted = sorted(self.records if instances is None else instances)
@@ -214,7 +216,7 @@
         worker = record.worker
         if worker.cold_left:
             worker = msgspec.structs.replace(worker, cold_left=self.cold_left(worker.instance, now))
-        return WorkerEntry(worker, record.renewed, record.number, record.announced)
+        return WorkerEntry(worker, record.renewed, record.number, record.attributes_sequence)
 
     def changed_since(self, sequence: int, now: Instant) -> tuple[WorkerEntry, ...]:
         return self.entries(now, [instance for instance, record in self.records.items() if record.sequence > sequence])
@@ -232,4 +234,4 @@
         record.changed_at = now
         record.worker = worker
         record.renewed = renewed
-        self._ready = self._standing = None
+        self._ready = self._active = None
--- a/wingwood/registry/protocols.py
+++ b/wingwood/registry/protocols.py
@@ -127,10 +127,10 @@
 class EngagementExchange(Protocol):
     """How engaged the whole fleet has the workers, told along with the feed (section 10.4)."""
 
-    def count_with(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
+    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
         """``count`` gives this router's part for a pool, by worker; workers with none left out."""
         ...
 
-    def elsewhere(self, instance: WorkerInstance) -> Engagement:
+    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
         """The part of all other routers, about a third of a second old; zeros when unknown."""
         ...
--- a/wingwood/registry/tests/control_fleet.py
+++ b/wingwood/registry/tests/control_fleet.py
@@ -31,8 +31,8 @@
 WEB = PoolName("web")
 INTERNAL_PORTS = {"control": 7001, "router": 7101}
 OPERATOR_PORT = 7002
-BEAT = 1.2
-GIVE_UP = 1.0
+ANNOUNCE_INTERVAL_S = 1.2
+ANNOUNCE_TIMEOUT_S = 1.0
 UNRENEWED_AFTER = Seconds(4.0)
 
 
@@ -84,7 +84,7 @@
             self.registry.watch(WEB)
 
 
-class BeatingWorker:
+class AnnouncingWorker:
     """Only the announcing side of a worker."""
 
     def __init__(self, fleet: ControlFleet, context: Context, name: str, pool: PoolName, address: Address) -> None:
@@ -103,34 +103,34 @@
         """Longest that a daemon took to answer at all."""
         self._next = context.random.randrange(8)
         self._changed = asyncio.Event()
-        context.tasks.spawn("beats", self._beat_forever())
+        context.tasks.spawn("beats", self._announce_forever())
 
     def leave(self) -> None:
         self.state = "draining"
         self._changed.set()
 
-    async def _beat_forever(self) -> None:
-        await asyncio.sleep(self.context.random.random() * BEAT)
+    async def _announce_forever(self) -> None:
+        await asyncio.sleep(self.context.random.random() * ANNOUNCE_INTERVAL_S)
         while True:
             self._changed.clear()
             if not self.silent:
-                await self._beat()
+                await self._announce()
             try:
-                async with asyncio.timeout(BEAT):
+                async with asyncio.timeout(ANNOUNCE_INTERVAL_S):
                     await self._changed.wait()
             except TimeoutError:
                 continue
 
-    async def _beat(self) -> None:
+    async def _announce(self) -> None:
         state = self.state
         for _ in self.fleet.operators:
-            if await self._tell(self.fleet.operators[self._next % len(self.fleet.operators)], state):
+            if await self._announce_to(self.fleet.operators[self._next % len(self.fleet.operators)], state):
                 self.acknowledged_at.setdefault(state, self.fleet.world.now)
                 return
             self._next += 1
 
-    async def _tell(self, address: Address, state: str) -> bool:
-        told = {
+    async def _announce_to(self, address: Address, state: str) -> bool:
+        announcement = {
             "instance": self.instance,
             "address": str(self.address),
             "pool": self.pool,
@@ -142,11 +142,15 @@
         asked = self.fleet.world.now
         exchange = self.context.http.start(
             HttpRequest(
-                "POST", address, ANNOUNCE_PATH, body=msgspec.json.encode(told), connect_timeout=Seconds(GIVE_UP)
+                "POST",
+                address,
+                ANNOUNCE_PATH,
+                body=msgspec.json.encode(announcement),
+                connect_timeout=Seconds(ANNOUNCE_TIMEOUT_S),
             )
         )
         try:
-            async with asyncio.timeout(GIVE_UP):
+            async with asyncio.timeout(ANNOUNCE_TIMEOUT_S):
                 head = await exchange.head()
                 if not isinstance(head, Success):
                     return False
@@ -170,7 +174,7 @@
         self.world = world
         self.worker_check = worker_check
         self.daemons: dict[str, Daemon] = {}
-        self.workers: dict[str, BeatingWorker] = {}
+        self.workers: dict[str, AnnouncingWorker] = {}
         machines = [world.machine(f"front-{number}", ZONES[number % 3]) for number in range(routers)]
         self.seeds = tuple(address_of(machine, INTERNAL_PORTS["control"]) for machine in machines[:3])
         self.operators: Sequence[Address] = tuple(address_of(machine, OPERATOR_PORT) for machine in machines[:3])
@@ -192,7 +196,7 @@
     def start_worker(self, name: str, pool: PoolName, zone: str) -> None:
         async def main(context: Context) -> None:
             address = Address(self.world.processes[name].machine.host, 24100)
-            self.workers[name] = BeatingWorker(self, context, name, pool, address)
+            self.workers[name] = AnnouncingWorker(self, context, name, pool, address)
 
         self.world.start(name, main, zone=zone)
 
@@ -220,8 +224,8 @@
         registry = self.daemons[router].registry
         return {worker.instance for pool in (MODEL, WEB) for worker in registry.ready(pool)}
 
-    def home(self, zone: str, pool: PoolName = MODEL) -> str:
-        return str(self.daemons["router-0"].registry.zone_homes(pool)[Zone(zone)].name)
+    def owner(self, zone: str, pool: PoolName = MODEL) -> str:
+        return str(self.daemons["router-0"].registry.pool_owners(pool)[Zone(zone)].name)
 
     def inside(self, daemon: str, work: Callable[[WorkerRegistry], Awaitable[OperatorReply]]) -> int:
         """The status that a call gets in the daemon's process."""
--- a/wingwood/registry/tests/drain_faults.py
+++ b/wingwood/registry/tests/drain_faults.py
@@ -8,10 +8,10 @@
 
 from simulation.world import World
 
-from .control_fleet import BeatingWorker, ControlFleet
+from .control_fleet import AnnouncingWorker, ControlFleet
 
-LOOKED_EVERY = 0.01
-LOOKED_FOR = 12.0
+OBSERVATION_INTERVAL_S = 0.01
+OBSERVATION_TIME_S = 12.0
 
 
 class DrainTimes(msgspec.Struct, frozen=True):
@@ -29,40 +29,40 @@
         return max(0.0, self.heeded - self.acknowledged)
 
 
-def _home(fleet: ControlFleet) -> str:
-    return fleet.home("b")
+def _owner(fleet: ControlFleet) -> str:
+    return fleet.owner("b")
 
 
-def _fault_home_killed(fleet: ControlFleet) -> set[str]:
-    fleet.world.kill(_home(fleet))
+def _fault_owner_killed(fleet: ControlFleet) -> set[str]:
+    fleet.world.kill(_owner(fleet))
     return set()
 
 
-def _fault_home_frozen(fleet: ControlFleet) -> set[str]:
-    home = _home(fleet)
-    fleet.world.freeze(home)
-    fleet.world.at(fleet.world.now + 5.0, lambda: fleet.world.wake(home))
-    return {home}
+def _fault_owner_frozen(fleet: ControlFleet) -> set[str]:
+    owner = _owner(fleet)
+    fleet.world.freeze(owner)
+    fleet.world.at(fleet.world.now + 5.0, lambda: fleet.world.wake(owner))
+    return {owner}
 
 
-def _fault_home_dark(fleet: ControlFleet) -> set[str]:
-    fleet.world.power_off(fleet.machine_of(_home(fleet)))
+def _fault_owner_without_power(fleet: ControlFleet) -> set[str]:
+    fleet.world.power_off(fleet.machine_of(_owner(fleet)))
     return set()
 
 
-def _fault_home_cut_off(fleet: ControlFleet) -> set[str]:
-    home = _home(fleet)
-    fleet.cut([fleet.machine_of(home)], fleet.fronts())
-    return {home}
+def _fault_owner_cut_off(fleet: ControlFleet) -> set[str]:
+    owner = _owner(fleet)
+    fleet.cut([fleet.machine_of(owner)], fleet.fronts())
+    return {owner}
 
 
-def _fault_two_homes_killed(fleet: ControlFleet) -> set[str]:
+def _fault_two_owners_killed(fleet: ControlFleet) -> set[str]:
     for zone in "bc":
-        fleet.world.kill(fleet.home(zone))
+        fleet.world.kill(fleet.owner(zone))
     return set()
 
 
-def _fault_zone_dark(fleet: ControlFleet) -> set[str]:
+def _fault_zone_without_power(fleet: ControlFleet) -> set[str]:
     for machine in fleet.fronts("b"):
         fleet.world.power_off(machine)
     return set()
@@ -75,7 +75,7 @@
     return set()
 
 
-def _fault_told_control_restarted(fleet: ControlFleet) -> set[str]:
+def _fault_contacted_control_restarted(fleet: ControlFleet) -> set[str]:
     fleet.world.restart("control-1")
     return set()
 
@@ -87,7 +87,7 @@
     return {"router-1"}
 
 
-def _fault_told_zone_cut_off(fleet: ControlFleet) -> set[str]:
+def _fault_contacted_zone_cut_off(fleet: ControlFleet) -> set[str]:
     near = fleet.fronts("b")
     fleet.cut(near, [name for name in fleet.fronts() if name not in near])
     return {name for name in fleet.routers() if fleet.machine_of(name) in near}
@@ -102,21 +102,21 @@
 Fault = Callable[[ControlFleet], set[str]]
 FAULTS: dict[str, tuple[Fault, float]] = {
     "none": (lambda fleet: set(), 0.0),
-    "home killed": (_fault_home_killed, 0.0),
-    "home frozen for 5 s": (_fault_home_frozen, 0.0),
-    "home without power": (_fault_home_dark, 0.0),
-    "home cut off": (_fault_home_cut_off, 0.0),
-    "home frozen 1 s before": (_fault_home_frozen, 1.0),
-    "homes of two zones killed": (_fault_two_homes_killed, 0.0),
-    "a zone without power": (_fault_zone_dark, 0.0),
+    "home killed": (_fault_owner_killed, 0.0),
+    "home frozen for 5 s": (_fault_owner_frozen, 0.0),
+    "home without power": (_fault_owner_without_power, 0.0),
+    "home cut off": (_fault_owner_cut_off, 0.0),
+    "home frozen 1 s before": (_fault_owner_frozen, 1.0),
+    "homes of two zones killed": (_fault_two_owners_killed, 0.0),
+    "a zone without power": (_fault_zone_without_power, 0.0),
     "all control killed, back in 1 s": (_fault_control_killed, 0.0),
     "all control killed 1.5 s before": (_fault_control_killed, 1.5),
-    "told daemon restarted": (_fault_told_control_restarted, 0.05),
+    "told daemon restarted": (_fault_contacted_control_restarted, 0.05),
     "told daemon cut off 0.1 s before": (_fault_control_cut_off, 0.1),
     "told daemon cut off 6 s before": (_fault_control_cut_off, 6.0),
     "told daemon cut off 16 s before": (_fault_control_cut_off, 16.0),
-    "told zone cut off 0.1 s before": (_fault_told_zone_cut_off, 0.1),
-    "told zone cut off 16 s before": (_fault_told_zone_cut_off, 16.0),
+    "told zone cut off 0.1 s before": (_fault_contacted_zone_cut_off, 0.1),
+    "told zone cut off 16 s before": (_fault_contacted_zone_cut_off, 16.0),
     "everything killed 0.5 s before": (_fault_everything_killed, 0.5),
     "everything killed 2.5 s before": (_fault_everything_killed, 2.5),
 }
@@ -125,28 +125,28 @@
 
 def drain_times(fault: str, seed: int, routers: int = 11) -> DrainTimes:
     """One worker leaves; it tells the first control daemon of zone b first."""
-    strike, before = FAULTS[fault]
+    inject, before = FAULTS[fault]
     with World(seed) as world:
         fleet = ControlFleet(world, routers)
         fleet.settle()
         world.run(world.random.random() * 1.2)
-        out_of_touch = strike(fleet)
+        isolated = inject(fleet)
         world.run(before)
         worker = fleet.workers["model-0"]
         worker._next = 1
         began = world.now
         worker.leave()
-        return _look(fleet, worker, began, out_of_touch)
+        return _observe(fleet, worker, began, isolated)
 
 
-def _look(fleet: ControlFleet, worker: BeatingWorker, began: float, out_of_touch: set[str]) -> DrainTimes:
+def _observe(fleet: ControlFleet, worker: AnnouncingWorker, began: float, isolated: set[str]) -> DrainTimes:
     """Once acknowledged the worker says nothing more, so that no later word of its mends a wrong acknowledgement."""
     heeded = began
     world = fleet.world
-    while world.now - began < LOOKED_FOR:
-        world.run(LOOKED_EVERY)
+    while world.now - began < OBSERVATION_TIME_S:
+        world.run(OBSERVATION_INTERVAL_S)
         worker.silent = "draining" in worker.acknowledged_at
-        routers = [name for name in fleet.routers() if name not in out_of_touch]
+        routers = [name for name in fleet.routers() if name not in isolated]
         if any(worker.instance in fleet.ready_at(name) for name in routers):
             heeded = world.now
     acknowledged = worker.acknowledged_at.get("draining", float("inf"))
--- a/wingwood/registry/tests/fleet.py
+++ b/wingwood/registry/tests/fleet.py
@@ -138,7 +138,7 @@
         return self.workers[name]
 
     def body(self, worker: EmulatedWorker, **changes: object) -> bytes:
-        told: dict[str, object] = {
+        announcement: dict[str, object] = {
             "instance": worker.instance,
             "address": str(worker.options.address),
             "pool": POOL,
@@ -147,7 +147,7 @@
             "cache_tokens": worker.options.cache_tokens,
             "state": worker.state,
         }
-        return msgspec.json.encode({**told, **changes})
+        return msgspec.json.encode({**announcement, **changes})
 
     def request(self, worker: EmulatedWorker, **changes: object) -> OperatorRequest:
         return OperatorRequest(
@@ -190,6 +190,6 @@
         worker = next((worker for worker in registry.ready(POOL) if worker.instance == instance), None)
         return worker is not None and bool(self.inside(router, lambda: registry.confirm(worker)))
 
-    def home(self, zone: str) -> str:
-        found = self.routers["r0"].registry.zone_homes(POOL)[Zone(zone)]
+    def owner(self, zone: str) -> str:
+        found = self.routers["r0"].registry.pool_owners(POOL)[Zone(zone)]
         return str(found.name)
--- a/wingwood/registry/tests/test_circuit_breakers.py
+++ b/wingwood/registry/tests/test_circuit_breakers.py
@@ -5,11 +5,11 @@
 
 from wingwood.identifiers import Instant, WorkerInstance
 from wingwood.registry.circuit_breakers import (
-    FORGOTTEN_AFTER,
-    PAUSE_FIRST,
-    PAUSE_LONGEST,
-    SUCCESSES_TO_FORGET,
-    TRIAL_LONGEST,
+    BREAKER_RETENTION_S,
+    FIRST_PAUSE_S,
+    MAX_PAUSE_S,
+    MAX_TRIAL_S,
+    SUCCESSES_TO_RESET,
     CircuitBreakers,
 )
 
@@ -28,17 +28,17 @@
     def pause(self) -> float:
         """Opens the breaker and gives how long it admits nothing, to 10 ms."""
         self.assertTrue(self.breakers.open(W0, self.now))
-        begun = self.now
+        started_at = self.now
         while not self.breakers.admits(W0, self.now):
             self.after(0.01)
-        return self.now - begun
+        return self.now - started_at
 
     def test_pauses_grow_and_are_bounded(self) -> None:
         pauses = [self.pause() for _ in range(6)]
-        self.assertAlmostEqual(pauses[0], PAUSE_FIRST, delta=0.02)
+        self.assertAlmostEqual(pauses[0], FIRST_PAUSE_S, delta=0.02)
         for shorter, longer in itertools.pairwise(pauses):
-            self.assertAlmostEqual(longer, min(PAUSE_LONGEST, 2 * shorter), delta=0.05)
-        self.assertAlmostEqual(pauses[-1], PAUSE_LONGEST, delta=0.02)
+            self.assertAlmostEqual(longer, min(MAX_PAUSE_S, 2 * shorter), delta=0.05)
+        self.assertAlmostEqual(pauses[-1], MAX_PAUSE_S, delta=0.02)
 
     def test_after_the_pause_one_call_at_a_time(self) -> None:
         self.pause()
@@ -60,28 +60,28 @@
     def test_trial_that_never_ends_does_not_keep_the_worker_out(self) -> None:
         self.pause()
         self.breakers.begin(W0, self.now)
-        self.assertTrue(self.breakers.admits(W0, self.after(TRIAL_LONGEST)))
+        self.assertTrue(self.breakers.admits(W0, self.after(MAX_TRIAL_S)))
 
     def test_failures_of_calls_begun_before_do_not_lengthen_the_pause(self) -> None:
         self.assertTrue(self.breakers.open(W0, self.now))
         self.assertFalse(self.breakers.open(W0, self.after(0.1)))
-        self.assertTrue(self.breakers.admits(W0, self.after(PAUSE_FIRST)))
+        self.assertTrue(self.breakers.admits(W0, self.after(FIRST_PAUSE_S)))
 
     def test_successes_in_a_row_or_time_make_the_pause_short_again(self) -> None:
         for _ in range(3):
             self.pause()
-        for _ in range(SUCCESSES_TO_FORGET):
+        for _ in range(SUCCESSES_TO_RESET):
             self.breakers.close(W0)
         self.assertFalse(self.breakers)
-        self.assertAlmostEqual(self.pause(), PAUSE_FIRST, delta=0.02)
+        self.assertAlmostEqual(self.pause(), FIRST_PAUSE_S, delta=0.02)
         self.pause()
-        self.after(FORGOTTEN_AFTER + 1.0)
-        self.assertAlmostEqual(self.pause(), PAUSE_FIRST, delta=0.02)
+        self.after(BREAKER_RETENTION_S + 1.0)
+        self.assertAlmostEqual(self.pause(), FIRST_PAUSE_S, delta=0.02)
 
     def test_one_success_between_failures_does_not_shorten_the_pause(self) -> None:
         self.pause()
         self.breakers.close(W0)
-        self.assertAlmostEqual(self.pause(), 2 * PAUSE_FIRST, delta=0.02)
+        self.assertAlmostEqual(self.pause(), 2 * FIRST_PAUSE_S, delta=0.02)
 
 
 if __name__ == "__main__":
--- a/wingwood/registry/tests/test_counts_when_homes_change.py
+++ b/wingwood/registry/tests/test_counts_when_owners_change.py
@@ -12,21 +12,24 @@
 
 SLOW = NetworkShape(same_zone=0.03, between_zones=0.06)
 """Questions are under way for much of the time, so that many changes meet one."""
-CHANGES = 12
+OWNER_CHANGES = 12
 
 
-class CountsWhenHomesChangeTest(unittest.TestCase):
+class CountsWhenOwnersChangeTest(unittest.TestCase):
     def count_one_turn_everywhere(self, fleet: Fleet, instance: WorkerInstance) -> None:
         def counted(pool: PoolName) -> dict[WorkerInstance, Engagement]:
             return {instance: Engagement(streams=1.0)}
 
         for router in fleet.routers.values():
-            router.registry.count_with(counted)
+            router.registry.register_counter(counted)
 
     def assert_all_counted(self, fleet: Fleet, instance: WorkerInstance) -> None:
         expected = float(len(fleet.routers) - 1)
-        told = {name: router.registry.elsewhere(instance).streams for name, router in sorted(fleet.routers.items())}
-        self.assertEqual(told, dict.fromkeys(told, expected))
+        counted_elsewhere = {
+            name: router.registry.engagement_of_others(instance).streams
+            for name, router in sorted(fleet.routers.items())
+        }
+        self.assertEqual(counted_elsewhere, dict.fromkeys(counted_elsewhere, expected))
 
     def test_a_home_that_is_lost_and_comes_back_while_a_question_is_under_way(self) -> None:
         with World(9, SLOW) as world:
@@ -37,10 +40,10 @@
             self.count_one_turn_everywhere(fleet, instance)
             world.run(2.0)
             self.assert_all_counted(fleet, instance)
-            for change in range(CHANGES):
-                home = fleet.home("abc"[change % 3])
-                identity = fleet.roster.identities[home]
-                fleet.roster.remove(home)
+            for change in range(OWNER_CHANGES):
+                owner = fleet.owner("abc"[change % 3])
+                identity = fleet.roster.identities[owner]
+                fleet.roster.remove(owner)
                 world.run(0.013 * (change + 1))
                 fleet.roster.put(identity)
                 for _ in range(4):
--- a/wingwood/registry/tests/test_drains_at_control.py
+++ b/wingwood/registry/tests/test_drains_at_control.py
@@ -10,26 +10,26 @@
 
 from simulation.world import World
 from wingwood.identifiers import WorkerInstance
-from wingwood.registry import announcement_taker
-from wingwood.registry.messages import StateSeen
+from wingwood.registry import announcement_handler
+from wingwood.registry.messages import ObservedState
 from wingwood.registry.worker_registry import WorkerRegistry
 
 from .control_fleet import MODEL, ControlFleet
 from .drain_faults import FAULTS, DrainTimes, drain_times
 
 RUN_EACH_ALONE = True
-ACKNOWLEDGED_WITHIN = 4.0
-HEEDED_WITHIN = 2.0
-ANSWERED_WITHIN = 0.5
+MAX_ACKNOWLEDGEMENT_S = 4.0
+MAX_USE_AFTER_ACKNOWLEDGEMENT_S = 2.0
+MAX_ANSWER_S = 0.5
 
 
 def breaches(times: DrainTimes) -> list[str]:
     found = []
-    if times.acknowledged > ACKNOWLEDGED_WITHIN:
+    if times.acknowledged > MAX_ACKNOWLEDGEMENT_S:
         found.append(f"acknowledged after {times.acknowledged:.2f} s")
-    if times.late > HEEDED_WITHIN:
+    if times.late > MAX_USE_AFTER_ACKNOWLEDGEMENT_S:
         found.append(f"used {times.late:.2f} s after the acknowledgement")
-    if times.slowest_answer > ANSWERED_WITHIN:
+    if times.slowest_answer > MAX_ANSWER_S:
         found.append(f"an answer took {times.slowest_answer:.2f} s")
     return found
 
@@ -46,7 +46,7 @@
                 self.assertLess(drain_times(fault, seed=5).acknowledged, 0.3)
 
     def test_broken_variant_that_acknowledges_with_any_one_home_is_caught(self) -> None:
-        with mock.patch.object(announcement_taker._Telling, "has_majority", lambda self: bool(self.taken())):
+        with mock.patch.object(announcement_handler._Delivery, "has_majority", lambda self: bool(self.receipts())):
             times = drain_times("told zone cut off 0.1 s before", seed=5)
         self.assertEqual([breach.split()[0] for breach in breaches(times)], ["used"])
 
@@ -106,8 +106,8 @@
         self.assertLess(self.world.now - began, 2.5)
 
     def test_a_beat_is_answered_soon_by_every_daemon_that_runs(self) -> None:
-        self.world.freeze(self.fleet.home("b"))
-        self.world.freeze(self.fleet.home("c"))
+        self.world.freeze(self.fleet.owner("b"))
+        self.world.freeze(self.fleet.owner("c"))
         for worker in self.fleet.workers.values():
             worker.slowest = 0.0
         self.world.run(5.0)
@@ -131,7 +131,7 @@
 
     def test_departure_without_a_farewell_reaches_every_router(self) -> None:
         instance = self.leave_silently("model-2")
-        self.assertEqual(self.fleet.inside("control-1", lambda registry: registry.departed(instance)), 200)
+        self.assertEqual(self.fleet.inside("control-1", lambda registry: registry.accept_departure(instance)), 200)
         self.world.run(0.05)
         self.assertEqual(self.users_of(instance), [])
 
@@ -141,7 +141,7 @@
                 instance = self.leave_silently(f"model-{int(10 * pause) % 9}")
                 self.world.restart("control-1")
                 self.world.run(pause)
-                status = self.fleet.inside("control-1", lambda registry: registry.departed(instance))  # noqa: B023
+                status = self.fleet.inside("control-1", lambda registry: registry.accept_departure(instance))  # noqa: B023
                 if status == 200:
                     self.world.run(0.3)
                     self.assertEqual(self.users_of(instance), [])
@@ -152,7 +152,7 @@
     def test_departure_of_a_worker_that_nobody_knows_is_acknowledged(self) -> None:
         unknown = WorkerInstance("never-seen")
         began = self.world.now
-        self.assertEqual(self.fleet.inside("control-2", lambda registry: registry.departed(unknown)), 200)
+        self.assertEqual(self.fleet.inside("control-2", lambda registry: registry.accept_departure(unknown)), 200)
         self.assertLess(self.world.now - began, 0.5)
 
     def test_cut_off_daemon_acknowledges_no_departure(self) -> None:
@@ -161,27 +161,27 @@
         for _ in range(16):
             began = self.world.now
             for gone in (instance, WorkerInstance("never-seen")):
-                self.assertEqual(self.fleet.inside("control-1", lambda registry: registry.departed(gone)), 503)  # noqa: B023
+                self.assertEqual(self.fleet.inside("control-1", lambda registry: registry.accept_departure(gone)), 503)  # noqa: B023
             self.assertLess(self.world.now - began, 1.0)
             self.world.run(1.0)
 
     def test_home_that_trusts_itself_alone_is_caught(self) -> None:
         """Zone b's home hears no other zone; its followers, deaf to direct word, hear of the drain all the same."""
-        self.assertEqual(self._followers_of_a_cut_off_home_that_use_the_worker(), [])
-        with mock.patch.object(WorkerRegistry, "_home_age", lambda self, pool: 0.0):
-            self.assertNotEqual(self._followers_of_a_cut_off_home_that_use_the_worker(), [])
+        self.assertEqual(self._followers_of_cut_off_owner_using_worker(), [])
+        with mock.patch.object(WorkerRegistry, "_owner_age", lambda self, pool: 0.0):
+            self.assertNotEqual(self._followers_of_cut_off_owner_using_worker(), [])
 
-    def _followers_of_a_cut_off_home_that_use_the_worker(self) -> list[str]:
+    def _followers_of_cut_off_owner_using_worker(self) -> list[str]:
         with World(12) as world:
             fleet = ControlFleet(world)
             fleet.settle()
-            home = fleet.home("b")
+            owner = fleet.owner("b")
             near = fleet.fronts("b")
             far = [name for name in fleet.fronts() if name not in near]
-            followers = [name for name in fleet.routers() if fleet.machine_of(name) in near and name != home]
+            followers = [name for name in fleet.routers() if fleet.machine_of(name) in near and name != owner]
             for name in followers:
-                fleet.daemons[name].messenger.on_post(StateSeen, lambda peer, message: None)
-            fleet.cut([fleet.machine_of(home)], far)
+                fleet.daemons[name].messenger.on_post(ObservedState, lambda peer, message: None)
+            fleet.cut([fleet.machine_of(owner)], far)
             worker = fleet.workers["model-0"]
             worker._next = 0
             worker.leave()
--- a/wingwood/registry/tests/test_outliers.py
+++ b/wingwood/registry/tests/test_outliers.py
@@ -4,10 +4,10 @@
 import unittest
 
 from wingwood.identifiers import Instant, WorkerInstance
-from wingwood.registry.outliers import EJECTED_FIRST, EJECTED_LONGEST, Outcomes, OutlierDetector
+from wingwood.registry.outliers import FIRST_EJECTION_S, MAX_EJECTION_S, Outcomes, OutlierDetector
 
 WORKERS = [WorkerInstance(f"w{number}") for number in range(9)]
-STEP = 0.3
+STEP_S = 0.3
 
 
 class OutlierDetectorTest(unittest.TestCase):
@@ -20,16 +20,16 @@
         """A step of traffic, ``calls`` a second to each worker that is in; gives who is left out after it."""
         out = self.detector.judge(WORKERS, self.now)
         for worker in WORKERS:
-            if worker not in out and self.random.random() < calls * STEP:
+            if worker not in out and self.random.random() < calls * STEP_S:
                 failed = int(self.random.random() < failing.get(worker, otherwise))
                 self.detector.record(worker, Outcomes(1 - failed, failed), self.now)
-        self.now = Instant(self.now + STEP)
+        self.now = Instant(self.now + STEP_S)
         return set(self.detector.judge(WORKERS, self.now))
 
     def share_out(
         self, failing: dict[WorkerInstance, float], seconds: float, otherwise: float = 0.0
     ) -> dict[str, float]:
-        steps = int(seconds / STEP)
+        steps = int(seconds / STEP_S)
         out = dict.fromkeys(map(str, WORKERS), 0)
         for _ in range(steps):
             for worker in self.step(failing, otherwise=otherwise):
@@ -42,9 +42,9 @@
         self.assertEqual([worker for worker, share in out.items() if share and worker != "w2"], [])
 
     def test_worker_whose_calls_all_fail_is_left_out_soon(self) -> None:
-        began = self.now
+        failing_since = self.now
         while not self.step({WORKERS[2]: 1.0}, calls=3.0):
-            self.assertLess(self.now - began, 3.0)
+            self.assertLess(self.now - failing_since, 3.0)
 
     def test_failures_everywhere_leave_nobody_out(self) -> None:
         out = self.share_out({}, 60.0, otherwise=0.35)
@@ -66,13 +66,13 @@
             for worker in WORKERS[1:]:
                 self.detector.record(worker, Outcomes(6, 0), self.now)
             self.assertEqual(self.detector.judge(WORKERS, self.now), {WORKERS[0]})
-            begun = self.now
+            started_at = self.now
             while self.detector.judge(WORKERS, self.now):
                 self.now = Instant(self.now + 0.05)
-            pauses.append(self.now - begun)
-        self.assertAlmostEqual(pauses[0], EJECTED_FIRST, delta=0.06)
-        self.assertAlmostEqual(pauses[1], 2 * EJECTED_FIRST, delta=0.06)
-        self.assertAlmostEqual(pauses[-1], EJECTED_LONGEST, delta=0.06)
+            pauses.append(self.now - started_at)
+        self.assertAlmostEqual(pauses[0], FIRST_EJECTION_S, delta=0.06)
+        self.assertAlmostEqual(pauses[1], 2 * FIRST_EJECTION_S, delta=0.06)
+        self.assertAlmostEqual(pauses[-1], MAX_EJECTION_S, delta=0.06)
 
     def test_only_worker_of_a_pool_is_never_left_out(self) -> None:
         self.detector.record(WORKERS[0], Outcomes(0, 50), self.now)
--- a/wingwood/registry/tests/test_packed_entries.py
+++ b/wingwood/registry/tests/test_packed_entries.py
@@ -9,7 +9,7 @@
 
 from wingwood.identifiers import Address, PoolName, Seconds, WorkerInstance, Zone
 from wingwood.registry.messages import PoolAnswer, WorkerEntry
-from wingwood.registry.packed_entries import PACKED_ABOVE, with_entries_packed, with_entries_unpacked
+from wingwood.registry.packed_entries import PACK_ABOVE_ENTRIES, pack_entries, unpack_entries
 from wingwood.registry.protocols import Worker
 
 
@@ -34,16 +34,16 @@
 class PackedEntriesTest(unittest.TestCase):
     def test_a_long_list_arrives_as_it_was_and_takes_a_third_of_the_bytes(self) -> None:
         answer = answer_of(35)
-        packed = with_entries_packed(answer)
-        self.assertEqual(with_entries_unpacked(packed), answer)
+        packed = pack_entries(answer)
+        self.assertEqual(unpack_entries(packed), answer)
         self.assertLess(3 * len(msgspec.msgpack.encode(packed)), len(msgspec.msgpack.encode(answer)))
 
     def test_a_short_list_stays_as_it_is(self) -> None:
-        answer = answer_of(PACKED_ABOVE)
-        self.assertIs(with_entries_packed(answer), answer)
-        self.assertIs(with_entries_unpacked(answer), answer)
+        answer = answer_of(PACK_ABOVE_ENTRIES)
+        self.assertIs(pack_entries(answer), answer)
+        self.assertIs(unpack_entries(answer), answer)
 
     def test_what_is_no_list_is_no_answer(self) -> None:
-        whole = with_entries_packed(answer_of(35))
-        for damaged in (whole.packed[:-4], b"no stream", zlib.compress(b"no list")):
-            self.assertIsNone(with_entries_unpacked(msgspec.structs.replace(whole, packed=damaged)))
+        packed_answer = pack_entries(answer_of(35))
+        for damaged in (packed_answer.packed[:-4], b"no stream", zlib.compress(b"no list")):
+            self.assertIsNone(unpack_entries(msgspec.structs.replace(packed_answer, packed=damaged)))
--- a/wingwood/registry/tests/test_pool_facts.py
+++ b/wingwood/registry/tests/test_pool_descriptions.py
@@ -24,24 +24,24 @@
     )
 
 
-class PoolFacts(unittest.TestCase):
+class PoolDescriptionTest(unittest.TestCase):
     def setUp(self) -> None:
         self.table = PoolTable(POOL)
-        self.table.announced(worker("w"), Instant(1.0))
-        self.table.announced(worker("told", 5_000), Instant(1.0))
+        self.table.apply_announcement(worker("w"), Instant(1.0))
+        self.table.apply_announcement(worker("told", 5_000), Instant(1.0))
 
     def caches(self) -> dict[str, int]:
         return {str(each.instance): each.cache_tokens for each in self.table.ready()}
 
     def test_caches_come_from_the_pool_unless_the_worker_tells_its_own(self) -> None:
         self.assertEqual(self.caches(), {"told": 5_000, "w": 0})
-        self.table.describe(232_000)
+        self.table.set_default_cache_tokens(232_000)
         self.assertEqual(self.caches(), {"told": 5_000, "w": 232_000})
-        self.assertEqual({each.cache_tokens for each in self.table.standing()}, {5_000, 232_000})
+        self.assertEqual({each.cache_tokens for each in self.table.active()}, {5_000, 232_000})
 
     def test_a_later_bundle_changes_them(self) -> None:
-        self.table.describe(232_000)
-        self.table.describe(872_000)
+        self.table.set_default_cache_tokens(232_000)
+        self.table.set_default_cache_tokens(872_000)
         self.assertEqual(self.caches()["w"], 872_000)
 
     def test_pools_that_share_a_services_calls_are_followed_too(self) -> None:
--- a/wingwood/registry/tests/test_returning_home.py
+++ b/wingwood/registry/tests/test_returning_owner.py
@@ -11,7 +11,7 @@
 from .fleet import Fleet, Roster
 
 
-class ReturningHomeTest(unittest.TestCase):
+class ReturningOwnerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.world = self.enterContext(World(5))
         self.fleet = Fleet(self.world)
@@ -23,17 +23,17 @@
             self.world.run(1.0)
 
     def test_followers_take_its_word_anew_once_it_has_settled(self) -> None:
-        home = self.fleet.home("b")
-        edge = next(name for name in self.fleet.routers if name != home)
+        owner = self.fleet.owner("b")
+        edge = next(name for name in self.fleet.routers if name != owner)
         self.announce_for(2, edge)
-        cuts = [self.world.cut(home, name) for name in self.fleet.routers if name != home]
-        router = self.fleet.routers[home]
+        cuts = [self.world.cut(owner, name) for name in self.fleet.routers if name != owner]
+        router = self.fleet.routers[owner]
         own_view = Roster()
         own_view.identities = dict(self.fleet.roster.identities)
         router.membership.roster = own_view
-        self.fleet.roster.remove(home)
+        self.fleet.roster.remove(owner)
         self.announce_for(6, edge)
-        self.assertEqual(self.fleet.ready_at(home), [], "a home that hears no renewals takes its workers out")
+        self.assertEqual(self.fleet.ready_at(owner), [], "a home that hears no renewals takes its workers out")
         for cut in cuts:
             self.world.heal(cut)
         self.fleet.roster.put(router.identity)
@@ -43,24 +43,24 @@
 
     def test_a_push_that_comes_late_takes_no_renewed_worker_out(self) -> None:
         """A push that lay in the buffers of a cut connection is older than what the follower knows."""
-        home = self.fleet.home("b")
+        owner = self.fleet.owner("b")
         follower = next(
-            name for name, router in self.fleet.routers.items() if name != home and router.identity.zone == "b"
+            name for name, router in self.fleet.routers.items() if name != owner and router.identity.zone == "b"
         )
         registry = self.fleet.routers[follower].registry
         heard: list[FeedPush] = []
-        take = registry._take_push
+        take = registry._handle_push
 
         def listen(peer: Identity, push: FeedPush) -> None:
             heard.append(push)
             take(peer, push)
 
         self.fleet.routers[follower].messenger.on_post(FeedPush, listen)
-        self.announce_for(2, home)
+        self.announce_for(2, owner)
         self.world.run(4.0)
         self.assertEqual(self.fleet.ready_at(follower), [])
         late = next(push for push in heard if not all(entry.renewed for entry in push.entries))
-        self.announce_for(2, home)
+        self.announce_for(2, owner)
         self.assertEqual(self.fleet.ready_at(follower), [self.worker.instance])
-        take(self.fleet.routers[home].identity, late)
+        take(self.fleet.routers[owner].identity, late)
         self.assertEqual(self.fleet.ready_at(follower), [self.worker.instance])
--- a/wingwood/registry/tests/test_trial_calls.py
+++ b/wingwood/registry/tests/test_trial_calls.py
@@ -11,7 +11,7 @@
 
 from simulation.world import World
 from wingwood.identifiers import Address, PoolName, Seconds, WorkerInstance, Zone
-from wingwood.registry.circuit_breakers import PAUSE_LONGEST, CircuitBreakers
+from wingwood.registry.circuit_breakers import MAX_PAUSE_S, CircuitBreakers
 from wingwood.registry.protocols import Worker
 from wingwood.registry.worker_registry import WorkerRegistry
 
@@ -35,16 +35,16 @@
         self.world = self.enterContext(World(7))
         self.fleet = Fleet(self.world, worker_check="trial")
         self.workers = [worker_of(number) for number in range(4)]
-        self.beat(self.workers)
+        self.renew_workers(self.workers)
         self.addCleanup(lambda: self.assertEqual(self.world.broken_invariants, []))
 
-    def tell(self, worker: Worker, sequence: int = 0, at: str = "r0") -> int:
+    def announce(self, worker: Worker, sequence: int = 0, at: str = "r0") -> int:
         registry = self.fleet.routers[at].registry
-        return int(self.fleet.inside(at, lambda: registry.announced(worker, sequence)).status)
+        return int(self.fleet.inside(at, lambda: registry.accept_announcement(worker, sequence)).status)
 
-    def beat(self, workers: list[Worker], seconds: float = 1.2) -> None:
+    def renew_workers(self, workers: list[Worker], seconds: float = 1.2) -> None:
         for worker in workers:
-            self.assertEqual(self.tell(worker), 200)
+            self.assertEqual(self.announce(worker), 200)
         self.world.run(seconds)
 
     def at(self, router: str, work: Callable[[WorkerRegistry], Any]) -> Any:
@@ -115,14 +115,14 @@
 
     def test_draining_worker_gets_no_trial(self) -> None:
         self.suspect(0, 1, 2, 3)
-        self.tell(msgspec.structs.replace(self.workers[0], state="draining"))
+        self.announce(msgspec.structs.replace(self.workers[0], state="draining"))
         self.world.run(0.4)
         self.assertEqual(self.ready(), [1, 2, 3])
         self.assertFalse(self.begin(0))
 
     def test_silent_worker_that_answers_here_stays_ready_here(self) -> None:
         for _ in range(5):
-            self.beat(self.workers[:3])
+            self.renew_workers(self.workers[:3])
             self.at("r1", lambda registry: registry.succeeded(self.workers[3].instance))
         self.assertEqual(self.ready("r2"), [0, 1, 2])
         self.assertEqual(self.ready("r1"), [0, 1, 2, 3])
@@ -130,29 +130,29 @@
     def test_late_beat_renews_nothing(self) -> None:
         worker = worker_of(7)
         for sequence in (1, 2, 9):
-            self.assertEqual(self.tell(worker, sequence), 200)
+            self.assertEqual(self.announce(worker, sequence), 200)
             self.world.run(0.5)
         for sequence in (3, 4, 5, 6, 7, 8):
-            self.beat(self.workers, 0.8)
-            self.assertEqual(self.tell(worker, sequence, at="r3"), 200)
+            self.renew_workers(self.workers, 0.8)
+            self.assertEqual(self.announce(worker, sequence, at="r3"), 200)
         self.assertEqual(self.ready(), [0, 1, 2, 3])
-        self.assertEqual(self.tell(worker, 10), 200)
+        self.assertEqual(self.announce(worker, 10), 200)
         self.world.run(0.6)
         self.assertEqual(self.ready(), [0, 1, 2, 3, 7])
 
     def test_late_ready_beat_does_not_bring_a_draining_worker_back(self) -> None:
         worker = worker_of(7)
-        self.tell(worker, 1)
-        self.tell(msgspec.structs.replace(worker, state="draining"), 3)
-        self.assertEqual(self.tell(worker, 2, at="r4"), 409)
+        self.announce(worker, 1)
+        self.announce(msgspec.structs.replace(worker, state="draining"), 3)
+        self.assertEqual(self.announce(worker, 2, at="r4"), 409)
         self.world.run(1.0)
         self.assertNotIn(7, self.ready())
 
     def test_newer_attributes_hold(self) -> None:
         worker = worker_of(7)
-        self.tell(msgspec.structs.replace(worker, weights=1), 1)
-        self.tell(msgspec.structs.replace(worker, weights=2), 5)
-        self.tell(msgspec.structs.replace(worker, weights=1), 4, at="r3")
+        self.announce(msgspec.structs.replace(worker, weights=1), 1)
+        self.announce(msgspec.structs.replace(worker, weights=2), 5)
+        self.announce(msgspec.structs.replace(worker, weights=1), 4, at="r3")
         self.world.run(1.0)
         for name in self.fleet.routers:
             found = self.fleet.routers[name].registry.find(worker.instance)
@@ -160,7 +160,7 @@
 
     def test_cold_time_counts_down_for_routers_that_learn_of_the_worker_late(self) -> None:
         worker = msgspec.structs.replace(worker_of(7), cold_left=Seconds(10.0))
-        self.tell(worker, 1)
+        self.announce(worker, 1)
         self.world.run(4.0)
         self.world.restart("r5")
         self.at("r5", lambda registry: registry.watch(POOL))
@@ -170,12 +170,12 @@
             self.assertAlmostEqual(left, 4.0, delta=0.7, msg=name)
 
     def test_new_instance_ends_another_pools_worker_at_its_address(self) -> None:
-        self.beat([worker_of(8, OTHER_POOL)])
-        self.beat([msgspec.structs.replace(worker_of(8, OTHER_POOL), address=self.workers[1].address)])
+        self.renew_workers([worker_of(8, OTHER_POOL)])
+        self.renew_workers([msgspec.structs.replace(worker_of(8, OTHER_POOL), address=self.workers[1].address)])
         self.world.run(0.5)
         self.assertIn(1, self.ready(), "a worker that was known before ends nobody")
         taker = msgspec.structs.replace(worker_of(9, OTHER_POOL), address=self.workers[1].address)
-        self.beat([taker], 0.5)
+        self.renew_workers([taker], 0.5)
         for name in self.fleet.routers:
             found = self.fleet.routers[name].registry.find(self.workers[1].instance)
             self.assertEqual(found and found.state, "gone", name)
@@ -185,9 +185,9 @@
         self.at("r1", lambda registry: registry.misplaced(self.workers[1].instance))
         for _ in range(3):
             self.assertEqual(self.ready(), [0, 2, 3])
-            self.beat(self.workers)
-        self.world.run(PAUSE_LONGEST)
-        self.beat(self.workers)
+            self.renew_workers(self.workers)
+        self.world.run(MAX_PAUSE_S)
+        self.renew_workers(self.workers)
         self.assertEqual(self.ready(), [0, 1, 2, 3])
 
     def only_the_third_fails(self, registry: WorkerRegistry) -> bool:
@@ -205,7 +205,7 @@
         other = next(name for name in self.fleet.routers if name not in zone)
         used = dict.fromkeys(zone, 0)
         for _ in range(30):
-            self.beat(self.workers, 0.4)
+            self.renew_workers(self.workers, 0.4)
             for name in zone:
                 used[name] += self.at(name, self.only_the_third_fails)
             self.assertEqual(self.ready(other), [0, 1, 2, 3], "it may be grey towards one zone only")
@@ -213,7 +213,7 @@
         for name in zone:
             self.assertLess(used[name], 12, name)
         for _ in range(20):
-            self.beat(self.workers, 1.0)
+            self.renew_workers(self.workers, 1.0)
         for name in zone:
             self.assertEqual(self.ready(name), [0, 1, 2, 3], name)
 
--- a/wingwood/registry/tests/test_worker_registry.py
+++ b/wingwood/registry/tests/test_worker_registry.py
@@ -8,8 +8,8 @@
 
 from simulation.world import World
 from wingwood.identifiers import PoolName, WorkerInstance
-from wingwood.registry.feed_limits import ASK_EVERY
-from wingwood.registry.messages import StateSeen, TakeState
+from wingwood.registry.feed_limits import FEED_INTERVAL_S
+from wingwood.registry.messages import ObservedState, WorkerStateReport
 from wingwood.registry.protocols import Engagement
 from wingwood.registry.worker_announcements import read_announcement
 
@@ -28,7 +28,7 @@
     def check_invariants(self) -> None:
         self.assertEqual(self.world.broken_invariants, [])
 
-    def announced(self) -> str:
+    def announce_worker(self) -> str:
         reply = self.fleet.announce(self.worker)
         self.assertEqual(reply.status, 200)
         self.world.run(1.0)
@@ -45,7 +45,7 @@
             self.assertEqual(self.fleet.ready_at(name), [self.worker.instance])
         self.world.run(1.0)
         for name in self.fleet.routers:
-            self.assertLess(self.fleet.feed_age(name), 2 * ASK_EVERY + 0.05)
+            self.assertLess(self.fleet.feed_age(name), 2 * FEED_INTERVAL_S + 0.05)
 
     def test_malformed_announcements_are_answered_400(self) -> None:
         changes: tuple[dict[str, object], ...] = (
@@ -78,7 +78,7 @@
             self.assertEqual(found and found.pool, POOL)
 
     def test_draining_reaches_every_router_and_is_final(self) -> None:
-        instance = self.announced()
+        instance = self.announce_worker()
         self.assertEqual(self.fleet.announce(self.worker, state="draining").status, 200)
         self.world.run(0.05)
         for name in self.fleet.routers:
@@ -89,7 +89,7 @@
         self.assertFalse(any(self.fleet.confirmed(name, instance) for name in self.fleet.routers))
 
     def test_restart_at_the_same_address_ends_the_older_instance(self) -> None:
-        old = self.announced()
+        old = self.announce_worker()
         self.worker.restart_empty()
         self.fleet.announce(self.worker, "r3")
         self.world.run(0.05)
@@ -99,7 +99,7 @@
             self.assertEqual(found and found.state, "gone")
 
     def test_unrenewed_worker_is_not_ready_after_three_seconds_and_comes_back_with_its_renewal(self) -> None:
-        self.announced()
+        self.announce_worker()
         self.world.run(2.5)
         self.assertEqual(self.fleet.ready_at("r5"), [self.worker.instance])
         self.world.run(1.2)
@@ -110,34 +110,34 @@
         for name in self.fleet.routers:
             self.assertEqual(self.fleet.ready_at(name), [self.worker.instance])
 
-    def drain_with_home(self, fault: str) -> None:
+    def drain_with_faulty_owner(self, fault: str) -> None:
         """The drain is announced in the very moment in which zone b's home fails."""
-        instance = self.announced()
-        home = self.fleet.home("b")
-        edge = self.others_than(home)[0]
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        edge = self.others_than(owner)[0]
         self.worker.state = "draining"
-        (self.world.freeze if fault == "freeze" else self.world.kill)(home)
+        (self.world.freeze if fault == "freeze" else self.world.kill)(owner)
         asked = self.world.now
         self.assertEqual(self.fleet.announce(self.worker, edge, state="draining").status, 200)
         self.assertLess(self.world.now - asked, 0.2, "two of three homes have it, which is enough")
         self.world.run(0.05)
-        for name in self.others_than(home):
+        for name in self.others_than(owner):
             self.assertFalse(self.fleet.confirmed(name, instance), name)
         self.world.run(0.8)
-        for name in self.others_than(home):
+        for name in self.others_than(owner):
             self.assertFalse(self.fleet.confirmed(name, instance), name)
         if fault == "freeze":
-            self.world.wake(home)
-            self.assertFalse(self.fleet.confirmed(home, instance))
+            self.world.wake(owner)
+            self.assertFalse(self.fleet.confirmed(owner, instance))
 
     def test_drain_while_the_home_freezes(self) -> None:
-        self.drain_with_home("freeze")
+        self.drain_with_faulty_owner("freeze")
 
     def test_zone_of_a_frozen_home_hears_of_a_drain_before_the_daemon_gives_the_home_up(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        edge = self.others_than(home)[0]
-        self.world.freeze(home)
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        edge = self.others_than(owner)[0]
+        self.world.freeze(owner)
         registry = self.fleet.routers[edge].registry
         request = self.fleet.request(self.worker, state="draining")
 
@@ -146,28 +146,28 @@
 
         self.world.spawn(self.world.processes[edge], announce(), "announce")
         self.world.run(0.15)
-        for name in self.others_than(home):
+        for name in self.others_than(owner):
             self.assertNotIn(instance, self.fleet.ready_at(name), name)
 
     def test_drain_while_the_home_is_killed(self) -> None:
-        self.drain_with_home("kill")
+        self.drain_with_faulty_owner("kill")
 
     def test_home_killed_after_its_acknowledgement_and_before_it_pushed(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        self.fleet.routers[home].registry._push = lambda *_: None  # type: ignore[method-assign]
-        reply = self.fleet.announce(self.worker, self.others_than(home)[0], state="draining")
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        self.fleet.routers[owner].registry._push = lambda *_: None  # type: ignore[method-assign]
+        reply = self.fleet.announce(self.worker, self.others_than(owner)[0], state="draining")
         self.assertEqual(reply.status, 200)
-        self.world.kill(home)
+        self.world.kill(owner)
         self.worker.state = "draining"
-        other = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
+        other = next(name for name in self.others_than(owner) if self.fleet.routers[name].identity.zone == "b")
         self.world.run(1.05)
         self.assertFalse(self.fleet.confirmed(other, instance))
 
     def test_cut_off_router_asks_the_worker_itself(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        follower = next(name for name in self.others_than(owner) if self.fleet.routers[name].identity.zone == "b")
         for name in self.others_than(follower):
             self.world.cut(follower, name)
         self.world.run(1.2)
@@ -177,71 +177,71 @@
         self.assertFalse(self.fleet.confirmed(follower, instance))
 
     def test_home_without_proven_membership_does_not_vouch_for_its_feed(self) -> None:
-        self.announced()
-        home = self.fleet.home("b")
-        membership = self.fleet.routers[home].membership
+        self.announce_worker()
+        owner = self.fleet.owner("b")
+        membership = self.fleet.routers[owner].membership
         membership.cut_off_at = membership.context.clock.monotonic()
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
+        follower = next(name for name in self.others_than(owner) if self.fleet.routers[name].identity.zone == "b")
         for zone in "ac":
-            self.world.cut(follower, self.fleet.home(zone))
+            self.world.cut(follower, self.fleet.owner(zone))
         self.world.run(2.9)
         self.assertGreater(self.fleet.feed_age(follower), 1.0)
-        self.assertGreater(self.fleet.feed_age(home), 1.0)
+        self.assertGreater(self.fleet.feed_age(owner), 1.0)
 
     def test_home_cut_off_from_the_other_routers_does_not_trust_itself_though_its_membership_stands(self) -> None:
-        instance = self.announced()
+        instance = self.announce_worker()
         self.world.run(0.5)
-        home = self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
-        for name in self.others_than(home):
+        owner = self.fleet.owner("b")
+        follower = next(name for name in self.others_than(owner) if self.fleet.routers[name].identity.zone == "b")
+        for name in self.others_than(owner):
             if self.fleet.routers[name].identity.zone != "b":
-                self.world.cut(home, name)
+                self.world.cut(owner, name)
                 self.world.cut(follower, name)
         self.worker.state = "draining"
-        self.assertEqual(self.fleet.announce(self.worker, self.fleet.home("a")).status, 200)
+        self.assertEqual(self.fleet.announce(self.worker, self.fleet.owner("a")).status, 200)
         self.world.run(0.95)
-        self.assertFalse(self.fleet.confirmed(home, instance))
+        self.assertFalse(self.fleet.confirmed(owner, instance))
         self.assertGreater(self.fleet.feed_age(follower), 1.0, "a follower's knowledge is no newer than its home's")
 
     def test_follower_of_a_home_that_is_cut_off_hears_from_another_zones_home(self) -> None:
-        instance = self.announced()
+        instance = self.announce_worker()
         self.world.run(0.5)
-        home = self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
-        for name in self.others_than(home):
+        owner = self.fleet.owner("b")
+        follower = next(name for name in self.others_than(owner) if self.fleet.routers[name].identity.zone == "b")
+        for name in self.others_than(owner):
             if self.fleet.routers[name].identity.zone != "b":
-                self.world.cut(home, name)
-        self.fleet.routers[follower].messenger.on_post(StateSeen, lambda *_: None)
+                self.world.cut(owner, name)
+        self.fleet.routers[follower].messenger.on_post(ObservedState, lambda *_: None)
         self.worker.state = "draining"
-        self.assertEqual(self.fleet.announce(self.worker, self.fleet.home("a")).status, 200)
+        self.assertEqual(self.fleet.announce(self.worker, self.fleet.owner("a")).status, 200)
         self.world.run(1.2)
         self.assertEqual(self.fleet.ready_at(follower), [])
         self.assertLess(self.fleet.feed_age(follower), 1.0)
-        self.assertFalse(self.fleet.confirmed(home, instance))
+        self.assertFalse(self.fleet.confirmed(owner, instance))
 
     def test_home_that_wakes_does_not_take_workers_for_silent_whose_renewals_it_slept_through(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        edge = self.others_than(home)[0]
-        identity, callbacks = self.fleet.roster.identities[home], self.fleet.roster.callbacks.pop(home)
-        self.world.freeze(home)
-        self.fleet.roster.remove(home)
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        edge = self.others_than(owner)[0]
+        identity, callbacks = self.fleet.roster.identities[owner], self.fleet.roster.callbacks.pop(owner)
+        self.world.freeze(owner)
+        self.fleet.roster.remove(owner)
         for _ in range(5):
             self.fleet.announce(self.worker, edge)
             self.world.run(0.9)
         self.fleet.roster.put(identity)
-        self.fleet.roster.callbacks[home] = callbacks
-        self.world.wake(home)
+        self.fleet.roster.callbacks[owner] = callbacks
+        self.world.wake(owner)
         for _ in range(8):
             self.world.run(0.1)
             for name in self.fleet.routers:
                 self.assertEqual(self.fleet.ready_at(name), [instance], name)
 
     def test_router_that_starts_while_its_home_is_frozen_hears_from_another_zones_home(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
-        self.world.freeze(home)
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        follower = next(name for name in self.others_than(owner) if self.fleet.routers[name].identity.zone == "b")
+        self.world.freeze(owner)
         self.world.restart(follower)
         self.world.run(0.1)
 
@@ -254,37 +254,37 @@
         self.assertLess(self.fleet.feed_age(follower), 1.0)
 
     def test_home_that_was_passed_over_while_frozen_does_not_trust_itself_when_it_wakes(self) -> None:
-        instance = self.announced()
+        instance = self.announce_worker()
         self.world.run(0.5)
-        home = self.fleet.home("b")
-        identity, callbacks = self.fleet.roster.identities[home], self.fleet.roster.callbacks.pop(home)
-        self.world.freeze(home)
-        self.fleet.roster.remove(home)
+        owner = self.fleet.owner("b")
+        identity, callbacks = self.fleet.roster.identities[owner], self.fleet.roster.callbacks.pop(owner)
+        self.world.freeze(owner)
+        self.fleet.roster.remove(owner)
         self.world.run(2.0)
         self.worker.state = "draining"
-        self.assertEqual(self.fleet.announce(self.worker, self.others_than(home)[0]).status, 200)
+        self.assertEqual(self.fleet.announce(self.worker, self.others_than(owner)[0]).status, 200)
         self.fleet.roster.put(identity)
-        self.fleet.roster.callbacks[home] = callbacks
-        self.world.wake(home)
-        self.assertFalse(self.fleet.confirmed(home, instance))
+        self.fleet.roster.callbacks[owner] = callbacks
+        self.world.wake(owner)
+        self.assertFalse(self.fleet.confirmed(owner, instance))
 
     def test_new_home_does_not_vouch_before_the_other_zones_homes_have_answered(self) -> None:
-        self.announced()
-        home_a, home = self.fleet.home("a"), self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
-        cut = self.world.cut(follower, home_a)
-        self.world.kill(home)
-        self.fleet.roster.remove(home)
+        self.announce_worker()
+        owner_a, owner = self.fleet.owner("a"), self.fleet.owner("b")
+        follower = next(name for name in self.others_than(owner) if self.fleet.routers[name].identity.zone == "b")
+        cut = self.world.cut(follower, owner_a)
+        self.world.kill(owner)
+        self.fleet.roster.remove(owner)
         self.world.run(3.0)
         self.assertGreater(self.fleet.feed_age(follower), 1.0)
         self.world.heal(cut)
         self.world.run(2.0)
-        self.assertLess(self.fleet.feed_age(follower), ASK_EVERY + 0.05)
+        self.assertLess(self.fleet.feed_age(follower), FEED_INTERVAL_S + 0.05)
 
     def test_router_that_was_its_own_home_while_cut_off_learns_what_was_renewed_meanwhile(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        follower = next(name for name in self.others_than(owner) if self.fleet.routers[name].identity.zone == "b")
         edge = self.others_than(follower)[0]
         router = self.fleet.routers[follower]
         cuts = [self.world.cut(follower, name) for name in self.others_than(follower)]
@@ -307,15 +307,15 @@
         self.assertEqual(self.fleet.ready_at(follower), [instance])
 
     def test_new_home_takes_over_what_others_keep(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        self.world.kill(home)
-        self.fleet.roster.remove(home)
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        self.world.kill(owner)
+        self.fleet.roster.remove(owner)
         self.world.run(1.2)
-        new = self.fleet.home("b")
-        self.assertNotEqual(new, home)
+        new = self.fleet.owner("b")
+        self.assertNotEqual(new, owner)
         self.assertEqual(self.fleet.ready_at(new), [instance])
-        self.assertLess(self.fleet.feed_age(new), ASK_EVERY + 0.05)
+        self.assertLess(self.fleet.feed_age(new), FEED_INTERVAL_S + 0.05)
         self.fleet.announce(self.worker, "r0", state="gone")
         self.world.run(0.1)
         self.assertEqual(self.fleet.ready_at(new), [])
@@ -326,16 +326,16 @@
         removed = [self.fleet.roster.identities[name] for name in ("r1", "r4", "r5")]
         for step, identity in enumerate(removed):
             for pool in pools[: 4 * step]:
-                registry.zone_homes(pool)
+                registry.pool_owners(pool)
             self.fleet.roster.remove(identity.name)
         for step, identity in enumerate(removed):
             for pool in pools[8 - 4 * step :]:
-                registry.zone_homes(pool)
+                registry.pool_owners(pool)
             self.fleet.roster.put(identity)
         late = Fleet(self.enterContext(World(9))).routers["r0"].registry
         for pool in pools:
-            names = {zone: home.name for zone, home in registry.zone_homes(pool).items()}
-            self.assertEqual(names, {zone: home.name for zone, home in late.zone_homes(pool).items()})
+            names = {zone: owner.name for zone, owner in registry.pool_owners(pool).items()}
+            self.assertEqual(names, {zone: owner.name for zone, owner in late.pool_owners(pool).items()})
 
     def test_restarted_home_without_memory_learns_final_states_from_its_followers(self) -> None:
         for zones in (("a", "b", "c"), ("a",)):
@@ -343,13 +343,13 @@
                 self.fleet = Fleet(self.enterContext(World(8)), zones=zones)
                 self.world = self.fleet.world
                 self.worker = self.fleet.start_worker("w0")
-                instance = self.announced()
+                instance = self.announce_worker()
                 self.fleet.announce(self.worker, state="draining")
                 self.world.run(0.5)
-                home = self.fleet.home("a")
-                self.world.restart(home)
+                owner = self.fleet.owner("a")
+                self.world.restart(owner)
                 self.world.run(1.0)
-                found = self.fleet.routers[home].registry.find(instance)  # type: ignore[arg-type]
+                found = self.fleet.routers[owner].registry.find(instance)  # type: ignore[arg-type]
                 self.assertEqual(found and found.state, "draining")
 
     def test_worker_that_was_forgotten_is_announced_in_full_by_its_renewals(self) -> None:
@@ -358,7 +358,7 @@
                 self.fleet = Fleet(self.enterContext(World(8)), count)
                 self.world = self.fleet.world
                 self.worker = self.fleet.start_worker("w0")
-                instance = self.announced()
+                instance = self.announce_worker()
                 self.world.run(130.0)
                 self.assertIsNone(self.fleet.routers["r0"].registry.find(instance))  # type: ignore[arg-type]
                 for _ in range(2):
@@ -368,20 +368,23 @@
                     self.assertEqual(self.fleet.ready_at(name), [instance])
 
     def test_home_that_missed_a_state_learns_it_from_the_other_homes(self) -> None:
-        instance = self.announced()
-        home_a, home_b = self.fleet.home("a"), self.fleet.home("b")
-        worker = self.fleet.routers[home_a].registry.find(instance)  # type: ignore[arg-type]
+        instance = self.announce_worker()
+        owner_a, owner_b = self.fleet.owner("a"), self.fleet.owner("b")
+        worker = self.fleet.routers[owner_a].registry.find(instance)  # type: ignore[arg-type]
         assert worker is not None
         drained = msgspec.structs.replace(worker, state="draining")
         messenger = self.fleet.routers["r0"].messenger
         self.fleet.inside(
-            home_a, lambda: self.fleet.routers[home_a].registry._take_state(messenger.identity, TakeState(drained))
+            owner_a,
+            lambda: self.fleet.routers[owner_a].registry._handle_state_report(
+                messenger.identity, WorkerStateReport(drained)
+            ),
         )
         self.world.run(0.8)
-        self.assertEqual(self.fleet.ready_at(home_b), [])
+        self.assertEqual(self.fleet.ready_at(owner_b), [])
 
     def test_suspected_worker_is_out_until_it_answers_for_itself(self) -> None:
-        instance = self.announced()
+        instance = self.announce_worker()
         self.fleet.world.freeze("w0")
         self.fleet.routers["r1"].registry.suspect(self.worker.instance)  # type: ignore[arg-type]
         self.assertEqual(self.fleet.ready_at("r1"), [])
@@ -401,14 +404,14 @@
 
         for number, name in enumerate(sorted(self.fleet.routers)):
             count = partial(engaged, 1.0 + number)
-            self.fleet.routers[name].registry.count_with(count)
-        self.announced()
+            self.fleet.routers[name].registry.register_counter(count)
+        self.announce_worker()
         self.fleet.announce(self.worker, load={"running": 5, "waiting": 2})
         self.world.run(1.5)
         for number, name in enumerate(sorted(self.fleet.routers)):
             registry = self.fleet.routers[name].registry
             others = 21.0 - (1.0 + number)
-            self.assertEqual(registry.elsewhere(instance), Engagement(others, 2 * others, 1000 * others))
+            self.assertEqual(registry.engagement_of_others(instance), Engagement(others, 2 * others, 1000 * others))
             load = registry.ready(POOL)[0].load
             self.assertEqual(load and (load.running, load.waiting), (5, 2))
 
--- a/wingwood/registry/worker_announcements.py
+++ b/wingwood/registry/worker_announcements.py
@@ -21,8 +21,8 @@
 ANNOUNCE_PATH = "/workers/v1/announce"
 LIST_PATH = "/workers/v1/list"
 HEALTH_PATH = "/health"
-MOST = 10**12
-HEALTH_BYTES = 16 * 1024
+MAX_FIGURE = 10**12
+MAX_HEALTH_BYTES = 16 * 1024
 
 
 class _LoadBody(msgspec.Struct):
@@ -63,10 +63,10 @@
             return Failure(f"{name} must be 1 to 200 printable characters")
     if not 0 < read.slots <= 100_000 or len(read.zone) > 200:
         return Failure("slots must be 1 to 100000, zone at most 200 characters")
-    told = (0, 0, 0) if read.load is None else (read.load.running, read.load.waiting, read.load.cache_tokens_used)
-    if not all(0 <= number <= MOST for number in (read.cache_tokens, *told)):
-        return Failure(f"cache_tokens and the figures of load must be 0 to {MOST}")
-    load = None if read.load is None else WorkerLoad(*told)
+    figures = (0, 0, 0) if read.load is None else (read.load.running, read.load.waiting, read.load.cache_tokens_used)
+    if not all(0 <= number <= MAX_FIGURE for number in (read.cache_tokens, *figures)):
+        return Failure(f"cache_tokens and the figures of load must be 0 to {MAX_FIGURE}")
+    load = None if read.load is None else WorkerLoad(*figures)
     return Success(
         Worker(
             instance=WorkerInstance(read.instance),
@@ -81,7 +81,7 @@
     )
 
 
-class OwnAnnouncements:
+class DefaultAnnouncementFormat:
     """The product's own ``AnnouncementFormat``."""
 
     routes = (AnnouncementRoute("POST", ANNOUNCE_PATH),)
@@ -92,22 +92,22 @@
     def malformed(self, problem: str) -> OperatorReply:
         return OperatorReply(status=400, body={"code": "malformed", "reason": problem})
 
-    def taken(self, worker: Worker) -> OperatorReply:
+    def acknowledged(self, worker: Worker) -> OperatorReply:
         return OperatorReply(body={"code": "taken", "instance": worker.instance, "state": worker.state})
 
-    def departed(self, instance: WorkerInstance) -> OperatorReply:
+    def departure_acknowledged(self, instance: WorkerInstance) -> OperatorReply:
         return OperatorReply(body={"code": "taken", "instance": instance, "state": "gone"})
 
-    def over(self, worker: Worker) -> OperatorReply:
+    def instance_over(self, worker: Worker) -> OperatorReply:
         """A new life needs a new instance."""
         body: dict[str, object] = {"code": "instance-over", "instance": worker.instance, "state": worker.state}
         return OperatorReply(status=409, body=body)
 
-    def tell_another(self, reason: str) -> OperatorReply:
+    def try_another_daemon(self, reason: str) -> OperatorReply:
         return OperatorReply(status=503, body={"code": "tell-another", "reason": reason})
 
 
-def list_of(workers: list[tuple[Worker, bool, bool]]) -> OperatorReply:
+def worker_list_reply(workers: list[tuple[Worker, bool, bool]]) -> OperatorReply:
     """``workers`` with whether each is renewed and whether it is suspected here."""
     listed: list[object] = [
         {
@@ -136,11 +136,11 @@
             if not isinstance(head, Success) or head.unwrap().status != 200:
                 return None
             body = b""
-            while len(body) <= HEALTH_BYTES:
-                piece = await exchange.next_piece()
-                if not isinstance(piece, Success):
+            while len(body) <= MAX_HEALTH_BYTES:
+                chunk = await exchange.next_piece()
+                if not isinstance(chunk, Success):
                     return None
-                data = piece.unwrap()
+                data = chunk.unwrap()
                 if data is None:
                     return msgspec.json.decode(body, type=HealthAnswer)
                 body += data
--- a/wingwood/registry/worker_checks.py
+++ b/wingwood/registry/worker_checks.py
@@ -19,13 +19,13 @@
 from .protocols import Worker
 from .worker_announcements import HealthAnswer, ask_health
 
-FEED_BOUND = Seconds(1.0)
+FEED_MAX_AGE_S = Seconds(1.0)
 """A feed proven longer ago is not trusted: the worker itself is asked before each turn."""
-HEALTH_TIMEOUT = Seconds(0.3)
-HEALTH_TRUSTED = Seconds(0.4)
-SUSPECT_FIRST = Seconds(0.2)
-SUSPECT_LONGEST = Seconds(5.0)
-SUSPECT_FORGOTTEN = Seconds(30.0)
+HEALTH_TIMEOUT_S = Seconds(0.3)
+HEALTH_MAX_AGE_S = Seconds(0.4)
+FIRST_SUSPICION_S = Seconds(0.2)
+MAX_SUSPICION_S = Seconds(5.0)
+SUSPICION_RETENTION_S = Seconds(30.0)
 
 
 class RegistryView(Protocol):
@@ -43,11 +43,11 @@
         """By the zone's home, for the outcomes of calls there."""
         ...
 
-    def learnt(self, seen: Worker) -> None:
+    def report_state(self, seen: Worker) -> None:
         """A state learnt from the worker itself, to be told on."""
         ...
 
-    def changed(self, worker: Worker) -> None:
+    def notify_changed(self, worker: Worker) -> None:
         """Whether it may get turns has changed here."""
         ...
 
@@ -73,7 +73,7 @@
 
     def abandoned(self, instance: WorkerInstance) -> None: ...
 
-    def take_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
+    def collect_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
         """Of calls to these workers since the last time."""
         ...
 
@@ -108,21 +108,21 @@
 
     async def confirm(self, worker: Worker) -> bool:
         """The smallest exception: a feed older than the bound is backed by the worker's own word (section 10.3)."""
-        if not self._may_run(worker.instance):
+        if not self._may_get_turns(worker.instance):
             return False
-        if self._view.feed_age(worker.pool) <= FEED_BOUND:
+        if self._view.feed_age(worker.pool) <= FEED_MAX_AGE_S:
             return True
         known = self._health.get(worker.instance)
-        if known is not None and self._now() - known[0] <= HEALTH_TRUSTED:
-            return known[1] and self._may_run(worker.instance)
+        if known is not None and self._now() - known[0] <= HEALTH_MAX_AGE_S:
+            return known[1] and self._may_get_turns(worker.instance)
         asked = self._asked.get(worker.instance)
         if asked is None:
             asked = self._asked[worker.instance] = asyncio.get_running_loop().create_future()
             self._context.tasks.spawn(f"health {worker.instance}", self._ask(worker, asked))
-        return await asyncio.shield(asked) and self._may_run(worker.instance)
+        return await asyncio.shield(asked) and self._may_get_turns(worker.instance)
 
     def begin(self, instance: WorkerInstance) -> bool:
-        return self._may_run(instance)
+        return self._may_get_turns(instance)
 
     def succeeded(self, instance: WorkerInstance) -> None:
         return
@@ -137,12 +137,12 @@
             suspicion = self._suspicions[worker.instance] = _Suspicion(0, now, False)
         if suspicion.out:
             return
-        suspicion.times = suspicion.times + 1 if now - suspicion.last < SUSPECT_FORGOTTEN else 1
+        suspicion.times = suspicion.times + 1 if now - suspicion.last < SUSPICION_RETENTION_S else 1
         suspicion.last = now
         suspicion.out = True
         self._context.log.event("worker-suspected", worker=worker.instance, times=suspicion.times, reason=reason)
         self._context.tasks.spawn(f"recheck {worker.instance}", self._recheck(worker, suspicion))
-        self._view.changed(worker)
+        self._view.notify_changed(worker)
 
     def misplaced(self, worker: Worker) -> None:
         self.suspect(worker, "another worker answers at its address")
@@ -150,7 +150,7 @@
     def abandoned(self, instance: WorkerInstance) -> None:
         return
 
-    def take_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
+    def collect_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
         return {}
 
     def forget(self, instance: WorkerInstance) -> None:
@@ -160,7 +160,7 @@
     def _now(self) -> Instant:
         return self._context.clock.monotonic()
 
-    def _may_run(self, instance: WorkerInstance) -> bool:
+    def _may_get_turns(self, instance: WorkerInstance) -> bool:
         worker = self._view.find(instance)
         return (
             worker is not None
@@ -171,8 +171,8 @@
 
     async def _ask(self, worker: Worker, waiter: asyncio.Future[bool]) -> None:
         asked_at = self._now()
-        answer = await ask_health(self._context.http, worker.address, HEALTH_TIMEOUT)
-        good = self._take(worker, answer)
+        answer = await ask_health(self._context.http, worker.address, HEALTH_TIMEOUT_S)
+        good = self._apply_health_answer(worker, answer)
         self._health[worker.instance] = (asked_at, good)
         del self._asked[worker.instance]
         if not waiter.done():
@@ -180,30 +180,32 @@
         if answer is None and (found := self._view.find(worker.instance)) is not None and found.state != "gone":
             self.suspect(found, "no answer to its health check")
 
-    def _take(self, worker: Worker, answer: HealthAnswer | None) -> bool:
+    def _apply_health_answer(self, worker: Worker, answer: HealthAnswer | None) -> bool:
         if answer is None:
             return False
         if answer.instance == worker.instance and answer.state == "ready":
             return True
         state = answer.state if answer.instance == worker.instance else "gone"
-        self._view.learnt(msgspec.structs.replace(worker, state=state, load=None))
+        self._view.report_state(msgspec.structs.replace(worker, state=state, load=None))
         return False
 
     async def _recheck(self, worker: Worker, suspicion: _Suspicion) -> None:
-        pause = min(SUSPECT_LONGEST, SUSPECT_FIRST * 2 ** (suspicion.times - 1))
+        pause = min(MAX_SUSPICION_S, FIRST_SUSPICION_S * 2 ** (suspicion.times - 1))
         while True:
             await self._context.clock.sleep(Seconds(pause))
             current = self._view.find(worker.instance)
             if current is None or current.state != "ready":
                 self._suspicions.pop(worker.instance, None)
                 return
-            if self._take(current, await ask_health(self._context.http, worker.address, HEALTH_TIMEOUT)):
+            if self._apply_health_answer(
+                current, await ask_health(self._context.http, worker.address, HEALTH_TIMEOUT_S)
+            ):
                 suspicion.out = False
                 suspicion.last = self._now()
                 self._context.log.event("worker-trusted-again", worker=worker.instance)
-                self._view.changed(current)
+                self._view.notify_changed(current)
                 return
-            pause = min(1.0, max(pause, SUSPECT_FIRST) * 1.5)
+            pause = min(1.0, max(pause, FIRST_SUSPICION_S) * 1.5)
 
 
 class TrialCalls:
@@ -219,11 +221,11 @@
 
     def ready(self, table: PoolTable) -> Sequence[Worker]:
         """Those heard of late that are not left out, else all that have not said that they leave."""
-        standing = table.standing()
-        heard = self._heard(table, standing)
-        if not self._breakers and not any(self._view.is_ejected(worker.instance) for worker in heard):
-            return heard
-        return self._admitted(heard) or self._admitted(standing) or heard
+        active = table.active()
+        responsive = self._responsive(table, active)
+        if not self._breakers and not any(self._view.is_ejected(worker.instance) for worker in responsive):
+            return responsive
+        return self._admitted(responsive) or self._admitted(active) or responsive
 
     def is_suspected(self, instance: WorkerInstance) -> bool:
         return not self._breakers.is_closed(instance) or self._view.is_ejected(instance)
@@ -247,7 +249,7 @@
         self._count(instance, Outcomes(succeeded=1))
         if self._breakers.close(instance):
             self._context.log.event("worker-trusted-again", worker=instance)
-            self._tell_changed(instance)
+            self._notify_changed(instance)
 
     def failed(self, instance: WorkerInstance) -> None:
         """Counted for the zone; a worker that is on trial for worse has failed its trial."""
@@ -267,7 +269,7 @@
     def abandoned(self, instance: WorkerInstance) -> None:
         self._breakers.release(instance)
 
-    def take_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
+    def collect_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
         return {instance: self._outcomes.pop(instance) for instance in instances if instance in self._outcomes}
 
     def forget(self, instance: WorkerInstance) -> None:
@@ -278,19 +280,19 @@
     def _now(self) -> Instant:
         return self._context.clock.monotonic()
 
-    def _heard(self, table: PoolTable, standing: Sequence[Worker]) -> Sequence[Worker]:
+    def _responsive(self, table: PoolTable, active: Sequence[Worker]) -> Sequence[Worker]:
         """Renewed, or answering this router's calls, which is as good; all when that leaves none."""
         renewed = table.ready()
-        if len(renewed) == len(standing):
+        if len(renewed) == len(active):
             return renewed
         since = self._now() - self._unrenewed_after
-        heard = tuple(
+        responsive = tuple(
             worker
-            for worker in standing
+            for worker in active
             if self._view.is_renewed(worker.instance)
             or self._succeeded_at.get(worker.instance, Instant(float("-inf"))) > since
         )
-        return heard or standing
+        return responsive or active
 
     def _admitted(self, workers: Sequence[Worker]) -> Sequence[Worker]:
         """At most half are left out at once; those left out longest get their trial sooner for that."""
@@ -314,12 +316,12 @@
     def _open(self, worker: Worker, reason: str, longest: bool) -> None:
         if self._breakers.open(worker.instance, self._now(), longest):
             self._context.log.event("worker-suspected", worker=worker.instance, reason=reason)
-            self._view.changed(worker)
+            self._view.notify_changed(worker)
 
     def _count(self, instance: WorkerInstance, outcomes: Outcomes) -> None:
         self._outcomes[instance] = self._outcomes.get(instance, Outcomes()) + outcomes
 
-    def _tell_changed(self, instance: WorkerInstance) -> None:
+    def _notify_changed(self, instance: WorkerInstance) -> None:
         worker = self._view.find(instance)
         if worker is not None:
-            self._view.changed(worker)
+            self._view.notify_changed(worker)
--- a/wingwood/registry/worker_directory.py
+++ b/wingwood/registry/worker_directory.py
@@ -6,7 +6,7 @@
 
 from ..context.protocols import Context
 from ..identifiers import Instant, PoolName, Seconds, WorkerInstance
-from .feed_limits import engaged_trusted, loads_every
+from .feed_limits import engagement_max_age_s, load_interval_s
 from .messages import WorkerEntry
 from .pool_table import PoolTable, WorkerRecord
 from .protocols import Worker
@@ -37,11 +37,11 @@
             self._on_new_pool(pool)
         return table
 
-    def loads_every(self, pool: PoolName) -> float:
-        return loads_every(len(self._tables[pool].records))
+    def load_interval_s(self, pool: PoolName) -> float:
+        return load_interval_s(len(self._tables[pool].records))
 
-    def engaged_trusted(self, pool: PoolName) -> float:
-        return engaged_trusted(len(self._tables[pool].records))
+    def engagement_max_age_s(self, pool: PoolName) -> float:
+        return engagement_max_age_s(len(self._tables[pool].records))
 
     # --- workers ------------------------------------------------------------------------------
 
@@ -64,20 +64,20 @@
         pool = self._pool_of.get(instance)
         return Seconds(0.0) if pool is None else self._tables[pool].cold_left(instance, self._now())
 
-    def merge(self, entry: WorkerEntry, judge_renewal: bool) -> bool:
+    def merge(self, entry: WorkerEntry, trust_renewal: bool) -> bool:
         """Takes what another knows, as ``PoolTable.merge``; a change is told."""
         worker = entry.worker
         table = self.table(worker.pool)
-        if not table.merge(entry, self._now(), judge_renewal):
+        if not table.merge(entry, self._now(), trust_renewal):
             return False
-        self.changed([table.records[worker.instance].worker])
+        self.record_changes([table.records[worker.instance].worker])
         return True
 
-    def forget_old(self) -> list[WorkerInstance]:
+    def evict_old(self) -> list[WorkerInstance]:
         """Workers that left memory now."""
         now = self._now()
         for table in self.tables():
-            table.forget_old(now)
+            table.evict_old(now)
         forgotten = [
             instance for instance, pool in sorted(self._pool_of.items()) if instance not in self._tables[pool].records
         ]
@@ -95,7 +95,7 @@
             for listener in self._listeners:
                 listener(worker)
 
-    def changed(self, workers: Sequence[Worker]) -> None:
+    def record_changes(self, workers: Sequence[Worker]) -> None:
         """To the log and to the listeners."""
         for worker in workers:
             record = self._tables[worker.pool].records[worker.instance]
--- a/wingwood/registry/worker_registry.py
+++ b/wingwood/registry/worker_registry.py
@@ -11,33 +11,33 @@
 from ..settings.model import DaemonSettings
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
-from .announcement_taker import AnnouncementTaker
+from .announcement_handler import AnnouncementHandler
 from .announcements import AnnouncementFormat
 from .ejections import Ejections
 from .engagement import EngagementSums
 from .feed_answers import FeedAnswers
-from .feed_limits import ASK_EVERY, SESSION_BOUND
-from .home_duties import HomeDuties
-from .home_follower import HomeFollower
+from .feed_follower import FeedFollower
+from .feed_limits import FEED_INTERVAL_S, SESSION_PROOF_MAX_AGE_S
 from .messages import (
-    AskWorker,
     FeedPush,
     FeedQuestion,
+    ObservedState,
     Renewal,
-    RenewalsTaken,
-    StateSeen,
-    StateTaken,
-    TakeRenewals,
-    TakeState,
+    RenewalBatch,
+    RenewalBatchReceipt,
+    WorkerAnswer,
     WorkerEntry,
-    WorkerTold,
+    WorkerQuestion,
+    WorkerStateReceipt,
+    WorkerStateReport,
 )
 from .outliers import Outcomes
+from .pool_owners import PoolOwners
+from .pool_ownership import PoolOwnership
 from .protocols import Engagement, Worker
-from .worker_announcements import LIST_PATH, OwnAnnouncements, list_of
+from .worker_announcements import LIST_PATH, DefaultAnnouncementFormat, worker_list_reply
 from .worker_checks import HealthChecks, TrialCalls, WorkerCheck
 from .worker_directory import WorkerDirectory
-from .zone_homes import ZoneHomes
 
 
 class WorkerRegistry:
@@ -49,46 +49,46 @@
         messenger: Messenger,
         membership: Membership,
         settings: DaemonSettings,
-        form: AnnouncementFormat | None = None,
+        announcement_format: AnnouncementFormat | None = None,
     ) -> None:
-        """``form``: how workers announce themselves to this daemon; the product's own if not given."""
-        by_trial, unrenewed_after = settings.worker_check == "trial", settings.worker_unrenewed_after
+        """``announcement_format``: how workers announce themselves to this daemon; the product's own if not given."""
+        uses_trial_calls, unrenewed_after = settings.worker_check == "trial", settings.worker_unrenewed_after
         self._context = context
         self._messenger = messenger
         self._membership = membership
         self._is_router = settings.role == "router"
         self._zone = settings.zone
-        self._form = form or OwnAnnouncements()
-        self._directory = WorkerDirectory(context, lambda pool: self._assume_homes([pool]))
-        self._zone_homes = ZoneHomes(messenger, membership, self._zone)
+        self._announcement_format = announcement_format or DefaultAnnouncementFormat()
+        self._directory = WorkerDirectory(context, lambda pool: self._update_ownership([pool]))
+        self._pool_owners = PoolOwners(messenger, membership, self._zone)
         self._ejections = Ejections(context, self._directory)
-        self._sums = EngagementSums(messenger.identity.incarnation, self._directory.engaged_trusted)
+        self._sums = EngagementSums(messenger.identity.incarnation, self._directory.engagement_max_age_s)
         self._check: WorkerCheck = (
-            TrialCalls(context, self, unrenewed_after) if by_trial else HealthChecks(context, self)
+            TrialCalls(context, self, unrenewed_after) if uses_trial_calls else HealthChecks(context, self)
         )
-        self._duties = HomeDuties(
+        self._ownership = PoolOwnership(
             context,
             messenger,
             membership,
             self._directory,
-            self._zone_homes,
-            self._tell_zone,
-            by_trial,
+            self._pool_owners,
+            self._notify_zone,
+            uses_trial_calls,
             unrenewed_after,
         )
-        self._follower = HomeFollower(
+        self._follower = FeedFollower(
             context,
             messenger,
             membership,
             self._is_router,
             self._zone,
             self._directory,
-            self._zone_homes,
-            self._duties,
+            self._pool_owners,
+            self._ownership,
             self._sums,
             self._ejections,
-            self._home_age,
-            self._take_outcomes,
+            self._owner_age,
+            self._collect_outcomes,
         )
         self._answers = FeedAnswers(
             context,
@@ -96,26 +96,28 @@
             membership,
             self._zone,
             self._directory,
-            self._duties,
+            self._ownership,
             self._sums,
             self._ejections,
-            self._home_age,
+            self._owner_age,
         )
-        self._taker = AnnouncementTaker(context, messenger, membership, self, self._form, not self._is_router)
-        messenger.on_call(TakeState, self._take_state)
-        messenger.on_call(TakeRenewals, self._take_renewals)
+        self._announcement_handler = AnnouncementHandler(
+            context, messenger, membership, self, self._announcement_format, not self._is_router
+        )
+        messenger.on_call(WorkerStateReport, self._handle_state_report)
+        messenger.on_call(RenewalBatch, self._handle_renewal_batch)
         messenger.on_call(FeedQuestion, self._answers.answer)
-        messenger.on_call(AskWorker, self._tell_worker)
-        messenger.on_post(FeedPush, self._take_push)
-        messenger.on_post(StateSeen, self._take_seen)
+        messenger.on_call(WorkerQuestion, self._answer_worker_question)
+        messenger.on_post(FeedPush, self._handle_push)
+        messenger.on_post(ObservedState, self._handle_observed_state)
         membership.on_change(self._members_changed)
 
     def start(self) -> None:
-        self._context.tasks.spawn("worker feed", self._follow())
-        self._taker.start()
+        self._context.tasks.spawn("worker feed", self._follow_feeds())
+        self._announcement_handler.start()
 
     def add_routes(self, routes: OperatorRoutes) -> None:
-        for route in self._form.routes:
+        for route in self._announcement_format.routes:
             routes.add(route.method, route.path, self.announce)
         routes.add("GET", LIST_PATH, self._list)
 
@@ -168,11 +170,11 @@
 
     # --- EngagementExchange ----------------------------------------------------------------------
 
-    def count_with(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
-        self._sums.count = count
+    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
+        self._sums.count_own = count
 
-    def elsewhere(self, instance: WorkerInstance) -> Engagement:
-        return self._follower.elsewhere(instance)
+    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
+        return self._follower.engagement_of_others(instance)
 
     def is_suspected(self, instance: WorkerInstance) -> bool:
         """Whether calls there, or its health check, failed of late; as a last resort it may be ready all the same."""
@@ -187,20 +189,20 @@
     def is_ejected(self, instance: WorkerInstance) -> bool:
         return self._ejections.is_ejected(instance)
 
-    def learnt(self, seen: Worker) -> None:
-        self._duties.learnt(seen)
+    def report_state(self, seen: Worker) -> None:
+        self._ownership.report_state(seen)
 
-    def changed(self, worker: Worker) -> None:
+    def notify_changed(self, worker: Worker) -> None:
         self._directory.notify([worker])
 
-    def zone_homes(self, pool: PoolName) -> Mapping[Zone, Identity]:
-        return self._zone_homes.of(pool)
+    def pool_owners(self, pool: PoolName) -> Mapping[Zone, Identity]:
+        return self._pool_owners.by_zone(pool)
 
-    def take_first_hand(self, worker: Worker, sequence: int) -> StateTaken:
-        return self._duties.take_first_hand(worker, sequence)
+    def accept_first_hand(self, worker: Worker, sequence: int) -> WorkerStateReceipt:
+        return self._ownership.accept_first_hand(worker, sequence)
 
     def renew(self, renewals: Sequence[Renewal]) -> tuple[WorkerInstance, ...]:
-        return self._duties.renew(renewals)
+        return self._ownership.renew(renewals)
 
     # --- what is known ------------------------------------------------------------------------
 
@@ -208,37 +210,37 @@
         """Follow this pool from now on, also before a turn asks for it."""
         self._directory.table(pool)
 
-    def describe(self, pool: PoolName, cache_tokens: int) -> None:
+    def set_default_cache_tokens(self, pool: PoolName, cache_tokens: int) -> None:
         """The KV cache of each of the pool's workers, for those that don't announce it."""
-        self._directory.table(pool).describe(cache_tokens)
+        self._directory.table(pool).set_default_cache_tokens(cache_tokens)
 
     def feed_age(self, pool: PoolName) -> float:
         """Seconds since this daemon's knowledge of the pool was last proven; infinite when never."""
         return self._follower.feed_age(pool)
 
-    # --- homes --------------------------------------------------------------------------------
+    # --- owners --------------------------------------------------------------------------------
 
     def _members_changed(self) -> None:
-        before = self._zone_homes.regroup()
-        self._taker.homes_changed(before)
-        self._assume_homes(self._directory.pools())
+        before = self._pool_owners.refresh()
+        self._announcement_handler.owners_changed(before)
+        self._update_ownership(self._directory.pools())
 
-    def _assume_homes(self, pools: Sequence[PoolName]) -> None:
+    def _update_ownership(self, pools: Sequence[PoolName]) -> None:
         """Begins and ends this daemon's own duties as the present members have it."""
         for pool in pools:
-            if self._zone_homes.is_own(pool) == self._duties.has(pool):
+            if self._pool_owners.is_own(pool) == self._ownership.has(pool):
                 continue
-            self._follower.drop_feeds(pool)  # renewals were judged here meanwhile, so all is asked for anew
-            if self._duties.has(pool):
-                self._duties.end(pool)
+            self._follower.discard_feeds(pool)  # renewals were judged here meanwhile, so all is asked for anew
+            if self._ownership.has(pool):
+                self._ownership.end(pool)
             else:
-                self._duties.begin(pool)
+                self._ownership.begin(pool)
 
-    def _home_age(self, pool: PoolName) -> Seconds:
+    def _owner_age(self, pool: PoolName) -> Seconds:
         """How old this daemon's knowledge as the pool's home is; infinite when it is no home, or knows too little."""
-        return self._duties.age(pool)
+        return self._ownership.age(pool)
 
-    def _tell_zone(self, pool: PoolName, workers: Sequence[Worker], previous: int) -> None:
+    def _notify_zone(self, pool: PoolName, workers: Sequence[Worker], previous: int) -> None:
         """Routers tell the others of their zone of workers that changed."""
         if workers and self._is_router:
             self._push(pool, workers, previous)
@@ -254,61 +256,61 @@
 
     # --- messages -----------------------------------------------------------------------------
 
-    async def _take_state(self, peer: Identity, message: TakeState) -> StateTaken:
-        return self.take_first_hand(message.worker, message.announced)
+    async def _handle_state_report(self, peer: Identity, message: WorkerStateReport) -> WorkerStateReceipt:
+        return self.accept_first_hand(message.worker, message.sequence)
 
-    async def _take_renewals(self, peer: Identity, message: TakeRenewals) -> RenewalsTaken:
-        return RenewalsTaken(self.renew(message.renewals))
+    async def _handle_renewal_batch(self, peer: Identity, message: RenewalBatch) -> RenewalBatchReceipt:
+        return RenewalBatchReceipt(self.renew(message.renewals))
 
-    async def _tell_worker(self, peer: Identity, message: AskWorker) -> WorkerTold:
+    async def _answer_worker_question(self, peer: Identity, message: WorkerQuestion) -> WorkerAnswer:
         ages = [self.feed_age(pool) for pool in self._directory.pools()]
-        return WorkerTold(self.find(message.instance), Seconds(max(ages, default=float("inf"))))
+        return WorkerAnswer(self.find(message.instance), Seconds(max(ages, default=float("inf"))))
 
-    def _take_push(self, peer: Identity, push: FeedPush) -> None:
-        self._follower.take_push(push)
+    def _handle_push(self, peer: Identity, push: FeedPush) -> None:
+        self._follower.apply_push(push)
 
-    def _take_seen(self, peer: Identity, message: StateSeen) -> None:
-        self._duties.take_handed_over(WorkerEntry(message.worker, True))
+    def _handle_observed_state(self, peer: Identity, message: ObservedState) -> None:
+        self._ownership.merge_reported(WorkerEntry(message.worker, True))
 
     # --- rounds -------------------------------------------------------------------------------
 
-    async def _follow(self) -> None:
+    async def _follow_feeds(self) -> None:
         last = self._now()
         while True:
             now = self._now()
             session = self._membership.session_proven_at()
-            if now - last > SESSION_BOUND or session is None or now - session > SESSION_BOUND:
-                self._duties.unsettle()
+            if now - last > SESSION_PROOF_MAX_AGE_S or session is None or now - session > SESSION_PROOF_MAX_AGE_S:
+                self._ownership.mark_unsynced()
             last = now
             self._follower.ask_round()
             self._expire()
-            await self._context.clock.sleep(ASK_EVERY)
+            await self._context.clock.sleep(FEED_INTERVAL_S)
 
     def _expire(self) -> None:
-        for pool in self._duties.pools():
-            self._duties.settle(pool)
+        for pool in self._ownership.pools():
+            self._ownership.update_synced(pool)
             table = self._directory.table(pool)
-            self._ejections.judge(table, self._take_outcomes(sorted(table.records)))
-            self._duties.expire(pool)
-        for instance in self._directory.forget_old():
+            self._ejections.judge(table, self._collect_outcomes(sorted(table.records)))
+            self._ownership.expire(pool)
+        for instance in self._directory.evict_old():
             self._check.forget(instance)
 
-    def _take_outcomes(self, instances: Sequence[WorkerInstance]) -> Mapping[WorkerInstance, Outcomes]:
-        return self._check.take_outcomes(instances)
+    def _collect_outcomes(self, instances: Sequence[WorkerInstance]) -> Mapping[WorkerInstance, Outcomes]:
+        return self._check.collect_outcomes(instances)
 
     # --- announcements ------------------------------------------------------------------------
 
     async def announce(self, request: OperatorRequest) -> OperatorReply:
-        return await self._taker.announce(request)
+        return await self._announcement_handler.announce(request)
 
-    async def announced(self, worker: Worker, sequence: int = 0) -> OperatorReply:
-        return await self._taker.announced(worker, sequence)
+    async def accept_announcement(self, worker: Worker, sequence: int = 0) -> OperatorReply:
+        return await self._announcement_handler.accept_announcement(worker, sequence)
 
-    async def departed(self, instance: WorkerInstance) -> OperatorReply:
-        return await self._taker.departed(instance)
+    async def accept_departure(self, instance: WorkerInstance) -> OperatorReply:
+        return await self._announcement_handler.accept_departure(instance)
 
     async def _list(self, request: OperatorRequest) -> OperatorReply:
-        return list_of(
+        return worker_list_reply(
             [
                 (record.worker, record.renewed, self._check.is_suspected(record.worker.instance))
                 for record in self._directory.records()
