--- a/wingwood/registry/announcements.py
+++ b/wingwood/registry/announcements.py
@@ -1,4 +1,4 @@
-"""What workers tell of themselves, whatever form they tell it in (docs/DESIGN.md section 10.1)."""
+"""Announcements of workers, independent of their HTTP format (docs/DESIGN.md section 10.1)."""
 
 from __future__ import annotations
 
@@ -14,49 +14,56 @@
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """A worker's own word on itself."""
+    """A worker's announcement about itself."""
 
     worker: Worker
     sequence: int = 0
-    """Rises with each announcement of one instance where workers number them; 0 where they don't."""
+    """Increases with each announcement of an instance; 0 if the worker does not number its announcements."""
 
 
 class Departure(msgspec.Struct, frozen=True):
-    """The worker takes no new turns from now on. It names only itself."""
+    """A worker stops accepting new turns. The message contains nothing but its instance id."""
 
     instance: WorkerInstance
 
 
 class AnnouncementRoute(msgspec.Struct, frozen=True):
+    """An HTTP route on which workers announce themselves."""
+
     method: str
     path: str
-    """As ``OperatorRoutes.add`` takes it."""
+    """In the syntax that ``OperatorRoutes.add`` accepts."""
 
 
 class AnnouncementFormat(Protocol):
-    """The workers' edge: names, paths, bodies and status codes. Decides nothing."""
+    """HTTP format between workers and daemons: names, paths, bodies and status codes. It makes no decisions."""
 
     @property
     def routes(self) -> Sequence[AnnouncementRoute]: ...
 
     def read(self, request: OperatorRequest) -> Result[Announcement | Departure, str]:
-        """What the worker tells, or what is wrong with the request."""
+        """Returns the parsed announcement, or a text that says what is wrong with the request."""
         ...
 
-    def malformed(self, problem: str) -> OperatorReply: ...
+    def malformed(self, problem: str) -> OperatorReply:
+        """Returns the reply to a request that could not be read."""
+        ...
 
     def acknowledged(self, worker: Worker) -> OperatorReply:
-        """Acknowledged: renewed, or its new state is safe with the fleet."""
+        """Returns the acknowledgement: the worker is renewed, or its new state is stored safely in the fleet."""
         ...
 
     def departure_acknowledged(self, instance: WorkerInstance) -> OperatorReply:
-        """Acknowledged: nobody in the fleet knows such a worker, so nobody sends it turns."""
+        """Returns the acknowledgement of a departure when no daemon knows the worker, so none sends it turns."""
         ...
 
     def instance_over(self, worker: Worker) -> OperatorReply:
-        """The announced state goes back behind a final one, which ``worker`` holds."""
+        """Returns the refusal of a state that is earlier than the final state in ``worker``."""
         ...
 
     def try_another_daemon(self, reason: str) -> OperatorReply:
-        """Not acknowledged: the worker should tell another daemon, which is harmless to repeat."""
+        """Returns the reply without acknowledgement: the worker should announce to another daemon.
+
+        Repeating an announcement is harmless.
+        """
         ...
--- a/wingwood/registry/circuit_breakers.py
+++ b/wingwood/registry/circuit_breakers.py
@@ -1,4 +1,4 @@
-"""Which workers one router leaves out after its own calls failed: circuit breakers (docs/DESIGN.md section 10.6)."""
+"""Circuit breakers: a router excludes workers after its own calls to them failed (docs/DESIGN.md section 10.6)."""
 
 from __future__ import annotations
 
@@ -7,19 +7,21 @@
 from ..identifiers import Instant, Seconds, WorkerInstance
 
 FIRST_PAUSE_S = Seconds(0.3)
+"""How long a worker is excluded the first time; each further time in a row doubles it."""
 MAX_PAUSE_S = Seconds(4.0)
 MAX_TRIAL_S = Seconds(5.0)
-"""A trial whose end is not reported by then no longer holds up the next one."""
+"""A trial call that was not reported as ended by then no longer blocks the next one."""
 BREAKER_RETENTION_S = Seconds(30.0)
+"""A breaker that last opened longer ago starts over with the first pause."""
 SUCCESSES_TO_RESET = 5
-"""In a row; after them the next pause is a first one again."""
+"""Number of successes in a row after which the next pause is a first one again."""
 
 
 class _Breaker(msgspec.Struct):
-    """Open while left out; half open while the next call is a trial; closed after a trial's success."""
+    """Open while the worker is excluded, half open while the next call is a trial, closed after a trial succeeded."""
 
     times: int
-    """How often it opened in a row; the pause doubles with each."""
+    """How often the breaker opened in a row; the pause doubles each time."""
     opened_at: Instant
     open_until: Instant
     closed: bool = False
@@ -34,17 +36,20 @@
 
 
 class CircuitBreakers:
-    """One per worker that failed of late. Pauses are bounded and grow; then one call at a time until one succeeds."""
+    """One breaker for each worker that failed recently.
+
+    The worker gets no calls during a pause, which grows up to a limit; then one call at a time until one succeeds.
+    """
 
     def __init__(self) -> None:
         self._breakers: dict[WorkerInstance, _Breaker] = {}
 
     def __bool__(self) -> bool:
-        """Whether any worker is remembered; none is left out otherwise."""
+        """Returns whether any worker has a breaker; without one, no worker is excluded."""
         return bool(self._breakers)
 
     def admits(self, instance: WorkerInstance, now: Instant) -> bool:
-        """Whether it may get a call now: as usual, or as a trial."""
+        """Returns whether the worker may get a call now, either normally or as a trial."""
         breaker = self._breakers.get(instance)
         return breaker is None or breaker.admits(now)
 
@@ -57,18 +62,21 @@
         return breaker is not None and not breaker.closed and breaker.on_trial(now)
 
     def opened_at(self, instance: WorkerInstance) -> Instant:
-        """When it was last left out; long ago for a worker without a breaker."""
+        """Returns when the worker was last excluded; minus infinity for a worker without a breaker."""
         breaker = self._breakers.get(instance)
         return Instant(float("-inf")) if breaker is None else breaker.opened_at
 
     def begin(self, instance: WorkerInstance, now: Instant) -> None:
-        """A call is sent there: a trial unless the breaker is closed."""
+        """Records that a call is sent to the worker; it is a trial unless the breaker is closed."""
         breaker = self._breakers.get(instance)
         if breaker is not None and not breaker.closed:
             breaker.trial_until = Instant(now + MAX_TRIAL_S)
 
     def open(self, instance: WorkerInstance, now: Instant, longest: bool = False) -> bool:
-        """Leaves it out for a pause; False when it is left out already, so this call tells nothing new."""
+        """Excludes the worker for a pause. Returns False if it is excluded already, so the failure changes nothing.
+
+        ``longest``: start with the longest pause.
+        """
         breaker = self._breakers.get(instance)
         if breaker is None or now - breaker.opened_at > BREAKER_RETENTION_S:
             breaker = self._breakers[instance] = _Breaker(0, now, now)
@@ -84,7 +92,7 @@
         return True
 
     def close(self, instance: WorkerInstance) -> bool:
-        """A call there succeeded; True when the worker was left out or on trial until now."""
+        """Records that a call succeeded. Returns True if the worker was excluded or on trial until now."""
         breaker = self._breakers.get(instance)
         if breaker is None:
             return False
@@ -96,7 +104,7 @@
         return not was_closed
 
     def release(self, instance: WorkerInstance) -> None:
-        """The trial ended and told nothing: the next call is the trial."""
+        """Records that a trial ended without a result: the next call is the trial."""
         breaker = self._breakers.get(instance)
         if breaker is not None:
             breaker.trial_until = None
--- a/wingwood/registry/ejections.py
+++ b/wingwood/registry/ejections.py
@@ -1,4 +1,4 @@
-"""Workers that are left out for the outcomes of their calls (docs/DESIGN.md section 10.6)."""
+"""Workers that get no new turns because too many calls to them failed (docs/DESIGN.md section 10.6)."""
 
 from __future__ import annotations
 
@@ -15,12 +15,14 @@
 
 
 class _Ejected(msgspec.Struct, frozen=True):
+    """The ejected workers of one pool and when this was decided or reported."""
+
     at: Instant
     instances: frozenset[WorkerInstance]
 
 
 class Ejections:
-    """Judged here for pools whose home this daemon is, else as their home told."""
+    """The ejected workers: decided here for the pools that this daemon owns, otherwise as the owner reported."""
 
     def __init__(self, context: Context, directory: WorkerDirectory) -> None:
         self._context = context
@@ -29,19 +31,20 @@
         self._ejected: dict[PoolName, _Ejected] = {}
 
     def is_ejected(self, instance: WorkerInstance) -> bool:
+        """Returns whether the worker is ejected by a decision that is recent enough to be used."""
         pool = self._directory.pool_of(instance)
         ejected = None if pool is None else self._ejected.get(pool)
         return ejected is not None and instance in ejected.instances and self._now() - ejected.at <= EJECTION_MAX_AGE_S
 
     def numbers(self, table: PoolTable) -> tuple[int, ...]:
-        """The ejected workers by the short names of this table."""
+        """Returns the ejected workers by their numbers in this table."""
         ejected = self._ejected.get(table.pool)
         if ejected is None:
             return ()
         return tuple(table.records[each].number for each in sorted(ejected.instances) if each in table.records)
 
     def set_ejected(self, pool: PoolName, instances: frozenset[WorkerInstance]) -> None:
-        """These and no others are ejected now."""
+        """Replaces the ejected workers of the pool; logs each change and notifies the listeners."""
         before = self._ejected.get(pool)
         self._ejected[pool] = _Ejected(self._now(), instances)
         for instance in sorted(instances ^ (before.instances if before is not None else frozenset())):
@@ -51,13 +54,13 @@
                 self._directory.notify([worker])
 
     def record(self, pool: PoolName, outcomes: Mapping[WorkerInstance, Outcomes]) -> None:
-        """As the home: outcomes of the zone's calls."""
+        """Records outcomes of calls from the zone. Only the owner calls this."""
         detector = self._detectors.setdefault(pool, OutlierDetector())
         for instance, counted in outcomes.items():
             detector.record(instance, counted, self._now())
 
     def judge(self, table: PoolTable, own_outcomes: Mapping[WorkerInstance, Outcomes]) -> None:
-        """As the home: who is left out for what was recorded and for this daemon's own outcomes."""
+        """Decides from the recorded outcomes and this daemon's own who is ejected. Only the owner calls this."""
         self.record(table.pool, own_outcomes)
         ready: Sequence[WorkerInstance] = [worker.instance for worker in table.ready()]
         self.set_ejected(table.pool, self._detectors[table.pool].judge(ready, self._now()))
--- a/wingwood/registry/engagement.py
+++ b/wingwood/registry/engagement.py
@@ -1,4 +1,4 @@
-"""Sums of what routers count of their turns and awarded sessions, by worker (docs/DESIGN.md section 10.4)."""
+"""Sums of the routers' counts of turns and awarded sessions per worker (docs/DESIGN.md section 10.4)."""
 
 from __future__ import annotations
 
@@ -12,23 +12,31 @@
 
 EngagementByWorker = dict[WorkerInstance, Engagement]
 SUM_INTERVAL_S = Seconds(0.25)
+"""For how long a sum is reused before it is computed again."""
 
 
 class EngagementReport(msgspec.Struct, frozen=True):
+    """Counts by worker and when they were received."""
+
     at: Instant
     engaged: EngagementByWorker
 
 
 class _Sum(msgspec.Struct, frozen=True):
+    """The counts of one pool, summed over the zone and over the fleet."""
+
     at: Instant
     zone: EngagementByWorker
     fleet: EngagementByWorker
     parts: dict[Incarnation, EngagementByWorker]
-    """What each router of the zone put into it."""
+    """What each router of the zone contributed to the sum."""
 
 
 class EngagementSums:
-    """At a home: what its zone's routers and the other zones' homes told. ``max_age_s``: for how long, by pool."""
+    """At an owner: the counts that its zone's routers and the other zones' owners reported.
+
+    ``max_age_s`` gives for a pool how long a report is used.
+    """
 
     def __init__(self, own: Incarnation, max_age_s: Callable[[PoolName], float]) -> None:
         self._own = own
@@ -45,10 +53,11 @@
         self._zones.setdefault(pool, {})[zone] = reports
 
     def in_zone(self, pool: PoolName, now: Instant) -> EngagementByWorker:
+        """Returns the sum over the routers of this zone."""
         return self._summed(pool, now).zone
 
     def by_others(self, pool: PoolName, asker: Incarnation, now: Instant) -> EngagementByWorker:
-        """All but what the asker itself had told when the sum was made."""
+        """Returns the fleet's sum without what the asker itself had reported when the sum was computed."""
         summed = self._summed(pool, now)
         part = summed.parts.get(asker)
         if not part:
@@ -59,7 +68,7 @@
         return others
 
     def _summed(self, pool: PoolName, now: Instant) -> _Sum:
-        """Made once for all who ask within a while: a zone's home is asked by each of its routers."""
+        """Computes the sums once per ``SUM_INTERVAL_S``, because each router of the zone asks its owner."""
         summed = self._sums.get(pool)
         if summed is not None and now - summed.at < SUM_INTERVAL_S:
             return summed
@@ -88,7 +97,7 @@
 
 
 def by_number(engaged: Mapping[WorkerInstance, Engagement], numbers: Mapping[WorkerInstance, int]) -> Counts:
-    """Rounded; workers with nothing left out."""
+    """Returns rounded counts by the workers' numbers, without workers whose counts are all zero."""
     rounded = {
         numbers[instance]: (round(part.running), round(part.expected), round(part.prefill), round(part.streams))
         for instance, part in engaged.items()
@@ -98,6 +107,7 @@
 
 
 def by_instance(counts: Counts, instances: Mapping[int, WorkerInstance]) -> EngagementByWorker:
+    """Returns the counts by instance, without numbers that are unknown here."""
     return {
         instances[number]: Engagement(float(running), float(expected), float(prefill), float(streams))
         for number, (running, expected, prefill, streams) in counts.items()
--- a/wingwood/registry/feed_answers.py
+++ b/wingwood/registry/feed_answers.py
@@ -1,4 +1,4 @@
-"""A daemon's answers to those who follow it as a home (docs/DESIGN.md sections 10.3 and 10.4)."""
+"""Answers of a daemon to the daemons that follow it as an owner (docs/DESIGN.md sections 10.3 and 10.4)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FeedAnswers:
-    """Tells what changed since the asker's last question, and takes the counts that come with a question."""
+    """Answers with the changes since the asker's last question and records the counts in the question."""
 
     def __init__(
         self,
--- a/wingwood/registry/feed_limits.py
+++ b/wingwood/registry/feed_limits.py
@@ -1,32 +1,35 @@
-"""How often homes are asked, and how long what they tell is trusted (docs/DESIGN.md sections 10.3 and 10.4)."""
+"""How often owners are asked, and for how long their answers are used (docs/DESIGN.md sections 10.3 and 10.4)."""
 
 from __future__ import annotations
 
 from ..identifiers import Seconds
 
 FEED_INTERVAL_S = Seconds(0.3)
+"""Time between two questions to an owner."""
 FEED_TIMEOUT_S = Seconds(0.4)
 SESSION_PROOF_MAX_AGE_S = Seconds(1.5)
-"""A home whose membership was proven longer ago may have been passed over by announcements."""
+"""An owner whose membership was proven longer ago may have missed announcements."""
 OTHER_ZONE_AFTER_S = Seconds(0.8)
-"""A follower whose knowledge was proven longer ago asks another zone's home as well; usual is up to 0.6 s."""
+"""A follower whose knowledge was proven longer ago also asks another zone's owner; normal is up to 0.6 s."""
 DISCOVERY_INTERVAL_ROUNDS = 10
-"""Rounds between the questions to a neighbour for pools not known here."""
+"""Number of rounds between two questions to another router for pools that are not known here."""
 MAX_OFFERED_WORKERS = 5_000
-"""Workers that a router offers to a home which it begins to follow."""
+"""Limit on the workers that a router offers to an owner which it starts to follow."""
 ALL_SILENT_AFTER_S = Seconds(2.0)
-"""A home that hears no renewal of any worker for so long takes the silence for control's, not the workers'."""
+"""An owner that receives no renewal of any worker for so long attributes this to control, not to the workers."""
 EJECTION_MAX_AGE_S = Seconds(2.0)
+"""For how long the owner's list of ejected workers is used."""
 ENGAGEMENT_MAX_AGE_S = Seconds(2.0)
+"""For how long reported counts are used, before the allowance for large pools."""
 FULL_RATE_WORKERS = 40
-"""A pool of more workers is told of their loads less often, in proportion."""
+"""In a pool of more workers, loads are reported less often, in proportion to its size."""
 
 
 def load_interval_s(workers: int) -> float:
-    """Seconds between two questions for the loads of a pool of so many workers."""
+    """Returns the seconds between two questions for the loads of a pool of so many workers."""
     return FEED_INTERVAL_S * max(1.0, workers / FULL_RATE_WORKERS)
 
 
 def engagement_max_age_s(workers: int) -> float:
-    """For how many seconds the counts of a pool of so many workers are trusted."""
+    """Returns for how many seconds the counts of a pool of so many workers are used."""
     return ENGAGEMENT_MAX_AGE_S + 2 * load_interval_s(workers)
--- a/wingwood/registry/messages.py
+++ b/wingwood/registry/messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other about workers (docs/DESIGN.md section 10)."""
+"""Messages in which daemons inform each other about workers (docs/DESIGN.md section 10)."""
 
 from __future__ import annotations
 
@@ -10,53 +10,63 @@
 from .protocols import Worker
 
 LoadFigures = tuple[int, int, int]
-"""Running, waiting, and tokens used in the KV cache."""
+"""Calls running, calls waiting, and tokens used in the KV cache of one worker."""
 Counts = dict[int, tuple[int, int, int, int]]
-"""Running turns, expected ones, prompt tokens a second and long streams (``Engagement``), by the home's number."""
+"""Running turns, expected turns, prompt tokens per second and long streams (see ``Engagement``) per worker.
+
+The key is the number that the owner gave to the worker.
+"""
 CallCounts = dict[int, tuple[int, int]]
-"""Calls that succeeded and calls that failed, by the home's number of the worker."""
+"""Calls that succeeded and calls that failed per worker; the key is the owner's number of the worker."""
 
 
 class WorkerEntry(msgspec.Struct, frozen=True, array_like=True):
+    """One worker as the sender knows it."""
+
     worker: Worker
     renewed: bool
-    """Whether the sender counts its announcement as renewed."""
+    """Whether the sender considers the worker's announcement as renewed recently enough."""
     number: int = -1
-    """The sending home's short name for the worker in what follows; -1 from others."""
+    """Short name of the worker in later messages of the sending owner; -1 if the sender is not an owner."""
     announcement: int = msgspec.field(name="announced", default=0)
-    """Sequence number of the announcement that told this; of two, the later one's attributes hold."""
+    """Sequence number of the announcement with these attributes; the attributes with the highest number are valid."""
 
 
 class WorkerStateReport(msgspec.Struct, frozen=True, array_like=True):
-    """Call to a home: a worker's own announcement of a new instance or state. Reply: StateTaken."""
+    """Call to an owner: a worker itself announced a new instance or state. Reply: ``WorkerStateReceipt``."""
 
     WIRE_NAME: ClassVar[str] = "TakeState"
 
     worker: Worker
     sequence: int = msgspec.field(name="announced", default=0)
+    """Sequence number of the announcement; 0 if the worker does not number its announcements."""
 
 
 class WorkerStateReceipt(msgspec.Struct, frozen=True, array_like=True):
+    """Reply to ``WorkerStateReport``."""
+
     WIRE_NAME: ClassVar[str] = "StateTaken"
 
     worker: Worker
-    """As kept now; its state is further on than the announced one when that was final already."""
+    """The worker as now stored; its state is later than the announced one if it had left already."""
     is_owner: bool = msgspec.field(name="home", default=True)
-    """Whether the taker counts itself as its zone's home of the pool."""
+    """Whether the receiver considers itself its zone's owner of the pool."""
     zones: int = 1
-    """How many zones have routers, as the taker knows them."""
+    """Number of zones with a router, according to the receiver."""
 
 
 class Renewal(msgspec.Struct, frozen=True, array_like=True):
+    """A worker repeated an announcement that changes nothing but its load."""
+
     pool: PoolName
     instance: WorkerInstance
     load: LoadFigures | None
     sequence: int = 0
-    """The worker's own number of its announcement; 0 for none."""
+    """Sequence number of the announcement; 0 if the worker does not number its announcements."""
 
 
 class RenewalBatch(msgspec.Struct, frozen=True, array_like=True):
-    """Call to a home: the renewals that one daemon took since its last call. Reply: RenewalsTaken."""
+    """Call to an owner: the renewals that one daemon received since its last call. Reply: ``RenewalBatchReceipt``."""
 
     WIRE_NAME: ClassVar[str] = "TakeRenewals"
 
@@ -64,14 +74,16 @@
 
 
 class RenewalBatchReceipt(msgspec.Struct, frozen=True, array_like=True):
+    """Reply to ``RenewalBatch``."""
+
     WIRE_NAME: ClassVar[str] = "RenewalsTaken"
 
     unknown: tuple[WorkerInstance, ...]
-    """Must be announced in full again."""
+    """Workers that the owner does not know; they must be announced in full again."""
 
 
 class WorkerQuestion(msgspec.Struct, frozen=True):
-    """Call to any router: which worker is this? Reply: WorkerTold."""
+    """Call to any router: asks for the worker with this instance id. Reply: ``WorkerAnswer``."""
 
     WIRE_NAME: ClassVar[str] = "AskWorker"
 
@@ -79,15 +91,21 @@
 
 
 class WorkerAnswer(msgspec.Struct, frozen=True):
+    """Reply to ``WorkerQuestion``."""
+
     WIRE_NAME: ClassVar[str] = "WorkerTold"
 
     worker: Worker | None
+    """None if the answering router does not know the worker."""
     age: Seconds
-    """How old the answerer's knowledge is of the pool it is least sure of; infinite when it knows none."""
+    """Age of the answering router's knowledge of its most outdated pool; infinite if it knows no pool."""
 
 
 class ObservedState(msgspec.Struct, frozen=True, array_like=True):
-    """Post: a state learnt in another way than from the home; states only move on, so it can be merged by anyone."""
+    """Post: a state that the sender did not learn from the owner.
+
+    States only advance, so every receiver can merge it.
+    """
 
     WIRE_NAME: ClassVar[str] = "StateSeen"
 
@@ -95,62 +113,75 @@
 
 
 class PoolQuestion(msgspec.Struct, frozen=True, array_like=True):
+    """Part of a ``FeedQuestion``: asks for the changes of one pool."""
+
     pool: PoolName
     owner: Incarnation = msgspec.field(name="home")
-    """Whose sequence numbers ``sequence`` counts; empty for none."""
+    """Owner whose sequence numbers ``sequence`` and ``load_sequence`` are; empty if the asker has no feed yet."""
     sequence: int
+    """Latest change that the asker has; -1 for none."""
     load_sequence: int | None
-    """None: no loads or counts wanted this time."""
+    """Latest load change that the asker has; None if it wants no loads and counts this time."""
     engaged: Counts | None
-    """The asker's part (a router's own, or a home's for its zone)."""
+    """What the asker contributes: a router its own counts, an owner the counts of its zone."""
     offered: tuple[WorkerEntry, ...] = ()
-    """What the asker knows and the home, by its first answer, did not (repair)."""
+    """Workers that the asker knows and that were missing from the owner's first answer (repair)."""
     outcomes: CallCounts | None = None
-    """Of the asker's calls since it last told, by the home's number of the worker."""
+    """Outcomes of the asker's calls since its last report."""
     accepts_packed: bool = msgspec.field(name="unpacks", default=False)
-    """Whether the asker takes packed entries; daemons from before packing don't say so."""
+    """Whether the asker accepts packed entries; daemons older than packing do not send this field."""
 
 
 class FeedQuestion(msgspec.Struct, frozen=True, array_like=True):
-    """Call: a router to the homes of its zone, a home to those of the other zones. Reply: FeedAnswer."""
+    """Call from a router to the owners in its zone, or from an owner to the owners in other zones.
+
+    Reply: ``FeedAnswer``.
+    """
 
     pools: tuple[PoolQuestion, ...]
 
 
 class PoolAnswer(msgspec.Struct, frozen=True, array_like=True):
+    """Part of a ``FeedAnswer``: the changes of one pool."""
+
     pool: PoolName
     synced: bool = msgspec.field(name="settled")
-    """The answerer counts itself as the home, and has pulled what others keep."""
+    """Whether the sender considers itself the owner and has pulled the records of the other owners."""
     age: Seconds
-    """How old the answerer's own knowledge is, by the answers of the other zones' homes; infinite when unproven."""
+    """Age of the sender's own knowledge, proven by answers of the other zones' owners; infinite if unproven."""
     sequence: int
+    """Latest change in the sender's table."""
     entries: tuple[WorkerEntry, ...]
-    """Changed after the asked sequence, or all of them when the asker named another home."""
+    """Workers that changed after the asked sequence, or all workers if the asker named another owner."""
     load_sequence: int
     loads: dict[int, LoadFigures]
-    """Changed after the asked load sequence, by number."""
+    """Loads that changed after the asked load sequence, by the sender's number of the worker."""
     engaged: Counts | None
-    """The part of all others than the asker."""
+    """Sent to a router: the counts of all other routers. Sent to another zone's owner: those of the sender's zone."""
     ejected: tuple[int, ...] = ()
-    """Workers that the zone's home leaves out for the time being, for the outcomes of calls to them."""
+    """Workers that the zone's owner has ejected for now because too many calls to them failed."""
     packed: bytes = b""
-    """Many entries, in place of ``entries``; see ``packed_entries``."""
+    """A long list of entries, sent in place of ``entries``; see ``packed_entries``."""
 
 
 class FeedAnswer(msgspec.Struct, frozen=True, array_like=True):
+    """Reply to ``FeedQuestion``."""
+
     owner: Incarnation = msgspec.field(name="home")
+    """The daemon that answers."""
     session_age: Seconds
-    """How long ago the answerer's membership was last proven."""
+    """Time since the sender's membership was last proven."""
     pools: tuple[PoolAnswer, ...]
     known_pools: tuple[PoolName, ...] = ()
-    """Given when no pool was asked for."""
+    """All pools that the sender knows; only sent if the question named no pool."""
 
 
 class FeedPush(msgspec.Struct, frozen=True, array_like=True):
-    """Post from a home to the routers of its zone, at once on a change of state."""
+    """Post from an owner to the routers of its zone, sent immediately when a worker's state changes."""
 
     owner: Incarnation = msgspec.field(name="home")
     pool: PoolName
     previous: int
+    """The owner's sequence before the change; a receiver that has this one misses nothing in between."""
     sequence: int
     entries: tuple[WorkerEntry, ...]
--- a/wingwood/registry/packed_entries.py
+++ b/wingwood/registry/packed_entries.py
@@ -1,4 +1,4 @@
-"""Long lists of workers travel packed: a new home gives one to each router of its zone (docs/DESIGN.md 10.3)."""
+"""Compression of long lists of workers; a new owner sends one to each router of its zone (docs/DESIGN.md 10.3)."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from .messages import PoolAnswer, WorkerEntry
 
 PACK_ABOVE_ENTRIES = 8
-"""Entries; fewer are hardly smaller for it."""
+"""Lists of up to this many entries are not packed, because packing hardly makes them smaller."""
 ZLIB_LEVEL = 1
-"""The fastest."""
+"""The fastest level."""
 MAX_UNPACKED_BYTES = 16 * 1024 * 1024
-"""Most that a list may unpack to."""
+"""Limit on the size of an unpacked list."""
 
 
 def pack_entries(answer: PoolAnswer) -> PoolAnswer:
-    """As it is where it holds few entries."""
+    """Returns the answer with its entries packed, or unchanged if it has few entries."""
     if len(answer.entries) <= PACK_ABOVE_ENTRIES:
         return answer
     packed = zlib.compress(msgspec.msgpack.encode(answer.entries), ZLIB_LEVEL)
@@ -26,7 +26,7 @@
 
 
 def unpack_entries(answer: PoolAnswer) -> PoolAnswer | None:
-    """None when what was packed is no list of workers."""
+    """Returns the answer with its entries unpacked; None if the packed bytes are not a list of workers."""
     if not answer.packed:
         return answer
     entries = _unpacked(answer.packed)
--- a/wingwood/registry/pool_owners.py
+++ b/wingwood/registry/pool_owners.py
@@ -1,4 +1,4 @@
-"""Which router of each zone is the home of a pool (docs/DESIGN.md section 10.2)."""
+"""Selects the router of each zone that owns a pool's worker list (docs/DESIGN.md section 10.2)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PoolOwners:
-    """Homes by rendezvous hashing among the routers of each zone, kept until those routers change."""
+    """Owners by rendezvous hashing among the routers of each zone, cached until those routers change."""
 
     def __init__(self, messenger: Messenger, membership: Membership, zone: Zone) -> None:
         self._messenger = messenger
@@ -21,9 +21,10 @@
         self._routers = self._group_routers()
         self._cache: dict[PoolName, OwnersByZone] = {}
         self._stale: dict[PoolName, OwnersByZone] = {}
-        """Homes in zones that did not change, of pools not asked for since."""
+        """Owners in zones that did not change, of pools that were not requested since the last refresh."""
 
     def by_zone(self, pool: PoolName) -> OwnersByZone:
+        """Returns the pool's owner in each zone that has a router."""
         owners = self._cache.get(pool)
         if owners is None:
             stale = self._stale.pop(pool, {})
@@ -34,30 +35,34 @@
         return owners
 
     def in_zone(self, pool: PoolName, zone: Zone) -> Identity | None:
+        """Returns the pool's owner in the zone; None if the zone has no router."""
         return self.by_zone(pool).get(zone)
 
     def is_own(self, pool: PoolName) -> bool:
-        """This daemon is the pool's home of its zone."""
+        """Returns whether this daemon is the pool's owner in its zone."""
         owner = self.in_zone(pool, self._zone)
         return owner is not None and owner.incarnation == self._messenger.identity.incarnation
 
     def in_other_zones(self, pool: PoolName) -> list[Identity]:
-        """The homes of the other zones."""
+        """Returns the pool's owners in the other zones."""
         return [owner for zone, owner in self.by_zone(pool).items() if zone != self._zone]
 
     def followed_zone(self) -> Zone:
-        """The own zone, or the first with a router for a control daemon that stands alone in its zone."""
+        """Returns the zone whose owners this daemon follows.
+
+        That is its own zone, or the first zone with a router for a control daemon in a zone without routers.
+        """
         zones = self._routers
         return self._zone if self._zone in zones or not zones else next(iter(zones))
 
     def zone_count(self) -> int:
-        """Zones with a router."""
+        """Returns the number of zones with a router."""
         return len(self._routers)
 
     def refresh(self) -> dict[PoolName, OwnersByZone]:
-        """After a change of members; gives the homes before it.
+        """Recomputes the owners after a change of members and returns the previous ones.
 
-        Homes are ranked anew only in zones whose routers changed: ranking costs a hash for each router and pool.
+        Owners are ranked again only in zones whose routers changed: ranking costs a hash for each router and pool.
         """
         routers_before, self._routers = self._routers, self._group_routers()
         unchanged = {zone for zone, routers in self._routers.items() if routers_before.get(zone) == routers}
--- a/wingwood/registry/pool_ownership.py
+++ b/wingwood/registry/pool_ownership.py
@@ -1,4 +1,7 @@
-"""What a router does as the home of a pool: takes states and renewals, judges silence (docs/DESIGN.md section 10.2)."""
+"""Duties of a router as owner of a pool: it records states and renewals and marks silent workers.
+
+See docs/DESIGN.md section 10.2.
+"""
 
 from __future__ import annotations
 
@@ -20,23 +23,25 @@
 UNKNOWN_AGE = Seconds(float("inf"))
 
 NotifyZone = Callable[[PoolName, Sequence[Worker], int], None]
-"""Tells the zone's routers of changed workers; with the table's sequence before the change."""
+"""Notifies the zone's routers of changed workers; the last argument is the table's sequence before the change."""
 OwnerAge = Callable[[PoolName], Seconds]
-"""See ``PoolOwnership.age``."""
+"""Returns the age of the owner's knowledge; see ``PoolOwnership.age``."""
 
 
 class _OwnedPool(msgspec.Struct):
-    """This daemon's own duty for one pool."""
+    """State of this daemon's ownership of one pool."""
 
     synced: bool = False
+    """Whether the owners of all other zones have answered since this ownership started or was interrupted."""
     answered: dict[Incarnation, Instant] = msgspec.field(default_factory=dict)
-    """The other zones' homes that have answered, and when they were last asked with success."""
+    """The other zones' owners that have answered, and when the last answered question was asked."""
 
 
 class PoolOwnership:
-    """The pools whose home this daemon is, and what workers or other daemons tell it first hand.
+    """The pools that this daemon owns, and what workers or other daemons report to it directly.
 
-    ``uses_trial_calls``: workers are checked by trial calls (``worker_check``), so a silence of all is not theirs.
+    ``uses_trial_calls``: workers are checked by trial calls (``worker_check``). Then, if no worker at all sends
+    renewals, the cause is assumed to be elsewhere and no worker is marked.
     """
 
     def __init__(
@@ -61,7 +66,7 @@
         self._owned: dict[PoolName, _OwnedPool] = {}
         self._last_renewal_at = context.clock.monotonic()
 
-    # --- which pools --------------------------------------------------------------------------
+    # --- owned pools --------------------------------------------------------------------------
 
     def pools(self) -> list[PoolName]:
         return sorted(self._owned)
@@ -70,43 +75,52 @@
         return pool in self._owned
 
     def begin(self, pool: PoolName) -> None:
-        """This daemon has become the pool's home: the workers' time for renewals counts from now."""
+        """Starts the ownership of a pool; each worker's time without a renewal counts from now."""
         self._owned[pool] = _OwnedPool()
         self._directory.table(pool).restart_renewal_timers(self._now())
         self.update_synced(pool)
 
     def end(self, pool: PoolName) -> None:
+        """Ends the ownership of a pool."""
         del self._owned[pool]
 
     # --- whether a owner knows enough ----------------------------------------------------------
 
     def is_synced(self, pool: PoolName) -> bool:
+        """Returns whether this daemon owns the pool and has pulled the other owners' records."""
         owner = self._owned.get(pool)
         return owner is not None and owner.synced
 
     def record_answer(self, pool: PoolName, other: Incarnation, asked_at: Instant) -> None:
-        """Another zone's home has answered a question asked then."""
+        """Records that another zone's owner has answered the question that was asked at ``asked_at``."""
         self._owned[pool].answered[other] = asked_at
         self.update_synced(pool)
 
     def update_synced(self, pool: PoolName) -> None:
-        """A new home counts as settled when every other zone's home has answered. Until then it vouches for nothing."""
+        """Marks an owner as synced once every other zone's owner has answered.
+
+        Until then its answers prove nothing to its followers.
+        """
         owner = self._owned.get(pool)
         if owner is None or owner.synced:
             return
         owner.synced = self._other_owners(pool) <= owner.answered.keys()
 
     def mark_unsynced(self) -> None:
-        """This daemon was frozen or cut off: it must pull again what others keep, and may have missed renewals."""
+        """Marks all owned pools as not synced after this daemon was frozen or cut off.
+
+        It may have missed renewals and must pull the records of the other owners again.
+        """
         for pool, owner in self._owned.items():
             owner.synced = False
             owner.answered.clear()
             self._directory.table(pool).restart_renewal_timers(self._now())
 
     def age(self, pool: PoolName) -> Seconds:
-        """How old this home's knowledge is: that of the freshest majority of the zones' homes, its own among them.
+        """Returns the age of this owner's knowledge; infinite if the daemon is no owner or cannot prove its knowledge.
 
-        An acknowledged state is with a majority of them, so one of these has it.
+        It is the age of the oldest answer in the freshest majority of the zones' owners, this one included. An
+        acknowledged state is stored at a majority of them, so at least one owner in this majority has it.
         """
         owner = self._owned.get(pool)
         now = self._now()
@@ -124,7 +138,7 @@
     # --- states -------------------------------------------------------------------------------
 
     def accept_first_hand(self, worker: Worker, sequence: int) -> WorkerStateReceipt:
-        """A worker's own word."""
+        """Records an announcement that came from the worker itself."""
         table = self._directory.table(worker.pool)
         previous, is_new = table.sequence, worker.instance not in table.records
         changed = table.apply_announcement(worker, self._now(), sequence)
@@ -137,7 +151,7 @@
         return WorkerStateReceipt(table.records[worker.instance].worker, is_owner, self._pool_owners.zone_count())
 
     def _end_in_other_pools(self, worker: Worker) -> None:
-        """Its address was another's, of another pool: that one is gone."""
+        """Sets workers of other pools at the same address to gone, since a new worker has taken the address."""
         for table in self._directory.tables():
             if table.pool != worker.pool:
                 for other in table.at_address(worker.address):
@@ -145,14 +159,14 @@
                         self.report_state(msgspec.structs.replace(other, state="gone", load=None))
 
     def merge_reported(self, entry: WorkerEntry) -> None:
-        """What another daemon knows of a worker; its word on renewals does not count."""
+        """Merges what another daemon knows of a worker, without its renewed flag."""
         worker = entry.worker
         previous = self._directory.table(worker.pool).sequence
         if self._directory.merge(entry, trust_renewal=False):
             self._notify_zone(worker.pool, [worker], previous)
 
     def report_state(self, seen: Worker) -> None:
-        """A state learnt in another way than from the home is told to all homes."""
+        """Records a state that did not come from the owner and reports it to the owners of all zones."""
         self.merge_reported(WorkerEntry(seen, True))
         for owner in self._pool_owners.by_zone(seen.pool).values():
             if owner.incarnation != self._messenger.identity.incarnation:
@@ -161,7 +175,7 @@
     # --- renewals -----------------------------------------------------------------------------
 
     def renew(self, renewals: Sequence[Renewal]) -> tuple[WorkerInstance, ...]:
-        """Gives the workers that are not known here."""
+        """Applies renewals and returns the workers that are not known here."""
         self._note_renewal_received()
         unknown = []
         for renewal in renewals:
@@ -170,7 +184,7 @@
         return tuple(unknown)
 
     def _renew_one(self, renewal: Renewal) -> bool:
-        """False: not known here."""
+        """Returns False if the worker is not known here."""
         table = self._directory.table(renewal.pool)
         previous = table.sequence
         load = None if renewal.load is None else WorkerLoad(*renewal.load)
@@ -186,7 +200,10 @@
         return True
 
     def _note_renewal_received(self) -> None:
-        """After a time in which nobody was heard, each worker's own silence counts from now."""
+        """Records that a renewal arrived.
+
+        After a time without renewals of any worker, each worker's own time without a renewal counts from now.
+        """
         now = self._now()
         if self._all_are_silent(now):
             for pool in self._owned:
@@ -197,7 +214,7 @@
         return self._uses_trial_calls and now - self._last_renewal_at > ALL_SILENT_AFTER_S
 
     def expire(self, pool: PoolName) -> None:
-        """Marks the workers that were silent for too long, if this home knows enough to judge that."""
+        """Marks workers without a recent renewal, if this owner is synced and receives renewals of others."""
         now = self._now()
         if not self.is_synced(pool) or self._all_are_silent(now):
             return
--- a/wingwood/registry/pool_table.py
+++ b/wingwood/registry/pool_table.py
@@ -1,4 +1,4 @@
-"""The workers of one pool as one daemon knows them (docs/DESIGN.md section 10.2)."""
+"""Table of the workers of one pool as one daemon knows them (docs/DESIGN.md section 10.2)."""
 
 from __future__ import annotations
 
@@ -11,11 +11,16 @@
 from .protocols import Worker, WorkerLoad
 
 UNRENEWED_RETENTION_S = Seconds(120.0)
+"""How long a worker without renewals stays in the table after its last change."""
 GONE_RETENTION_S = Seconds(600.0)
+"""How long a worker in the final state ``gone`` stays in the table."""
 STATE_ORDER = {"ready": 0, "draining": 1, "gone": 2}
+"""States only advance in this order."""
 
 
 class WorkerRecord(msgspec.Struct, kw_only=True):
+    """A worker and what this daemon recorded about it."""
+
     worker: Worker
     renewed: bool
     renewed_at: Instant
@@ -24,22 +29,25 @@
     number: int
     changed_at: Instant
     first_known_at: Instant
-    """``worker.cold_left`` counts from here."""
+    """Time from which ``worker.cold_left`` counts down."""
     attributes_sequence: int = 0
-    """Number of the announcement that told the worker's attributes."""
+    """Sequence number of the announcement that the worker's attributes come from."""
     highest_sequence: int = 0
-    """Highest number of its announcements, renewals among them."""
+    """Highest sequence number among the worker's announcements and renewals."""
 
 
 class PoolTable:
-    """States only move on (ready, draining, gone), so entries can be merged from anyone in any order."""
+    """The workers of one pool.
+
+    States only advance (ready, draining, gone), so entries of any sender can be merged in any order.
+    """
 
     def __init__(self, pool: PoolName) -> None:
         self.pool = pool
         self.sequence = 0
         self.load_sequence = 0
         self.numbers: dict[int, WorkerInstance] = {}
-        """Short names, never given twice by one table."""
+        """Workers by the short number that this table gave them; a number is never reused."""
         self._next_number = 0
         self.records: dict[WorkerInstance, WorkerRecord] = {}
         self._ready: tuple[Worker, ...] | None = None
@@ -47,6 +55,7 @@
         self._active: tuple[Worker, ...] | None = None
 
     def ready(self) -> tuple[Worker, ...]:
+        """Returns the renewed workers in state ready, sorted by instance."""
         if self._ready is None:
             self._ready = tuple(
                 self._with_default_cache_tokens(record.worker)
@@ -56,7 +65,7 @@
         return self._ready
 
     def set_default_cache_tokens(self, cache_tokens: int) -> None:
-        """What is known of all workers of the pool, for those that don't tell it themselves."""
+        """Sets the KV cache size of all workers of the pool that do not announce it themselves."""
         if cache_tokens != self._cache_tokens:
             self._cache_tokens = cache_tokens
             self._ready = self._active = None
@@ -67,7 +76,7 @@
         return msgspec.structs.replace(worker, cache_tokens=self._cache_tokens)
 
     def active(self) -> tuple[Worker, ...]:
-        """Those that have not said that they leave, renewed or not, sorted by instance."""
+        """Returns the workers that did not announce that they leave, renewed or not, sorted by instance."""
         if self._active is None:
             self._active = tuple(
                 self._with_default_cache_tokens(record.worker)
@@ -77,7 +86,7 @@
         return self._active
 
     def at_address(self, address: Address) -> list[Worker]:
-        """Workers there that are not gone."""
+        """Returns the workers at this address that are not gone."""
         return [
             record.worker
             for _, record in sorted(self.records.items())
@@ -85,15 +94,16 @@
         ]
 
     def cold_left(self, instance: WorkerInstance, now: Instant) -> Seconds:
+        """Returns for how many more seconds the worker runs slower after its start; 0 if it is unknown."""
         record = self.records.get(instance)
         return (
             Seconds(0.0) if record is None else Seconds(max(0.0, record.worker.cold_left - now + record.first_known_at))
         )
 
     def apply_announcement(self, worker: Worker, now: Instant, sequence: int = 0) -> list[Worker]:
-        """A worker's own word, first hand. A new ready instance ends the older ones at its address.
+        """Applies an announcement that came from the worker itself and returns the workers that changed.
 
-        Gives the workers that changed.
+        A new ready instance sets the older instances at its address to gone.
         """
         changed: list[Worker] = []
         record = self.records.get(worker.instance)
@@ -114,7 +124,10 @@
         return changed
 
     def merge(self, entry: WorkerEntry, now: Instant, trust_renewal: bool) -> bool:
-        """Takes what another knows; ``trust_renewal``: its word on renewal counts here. True when state changed."""
+        """Merges an entry of another daemon and returns whether the worker changed, other than in its load.
+
+        ``trust_renewal``: whether the sender's ``renewed`` flag replaces the one in this table.
+        """
         worker = entry.worker
         record = self.records.get(worker.instance)
         if record is None:
@@ -153,6 +166,7 @@
         return differs
 
     def set_load(self, instance: WorkerInstance, load: WorkerLoad) -> bool:
+        """Stores the load and returns whether it changed; False as well if the worker is unknown."""
         record = self.records.get(instance)
         if record is None or record.worker.load == load:
             return False
@@ -165,9 +179,9 @@
     def apply_renewal(
         self, instance: WorkerInstance, load: WorkerLoad | None, now: Instant, sequence: int = 0
     ) -> bool | None:
-        """None: unknown here; else whether it counts as renewed again only now.
+        """Applies a renewal and returns whether the worker was not renewed before; None if it is unknown.
 
-        A renewal that comes after a later one of the same worker is old and renews nothing.
+        A renewal that arrives after a later one of the same worker is outdated and renews nothing.
         """
         record = self.records.get(instance)
         if record is None:
@@ -184,12 +198,15 @@
         return True
 
     def restart_renewal_timers(self, now: Instant) -> None:
-        """For a home that has only begun to hear renewals: their time counts from now."""
+        """Counts every worker's time without a renewal from now.
+
+        An owner that has only started to receive renewals calls this.
+        """
         for record in self.records.values():
             record.renewed_at = now
 
     def expire(self, now: Instant, unrenewed_after: Seconds) -> list[Worker]:
-        """For homes: marks what was not renewed for so long; gives the workers marked now."""
+        """Marks workers without a renewal for ``unrenewed_after`` and returns those marked now. For owners only."""
         changed = []
         for _, record in sorted(self.records.items()):
             silent = now - record.renewed_at
@@ -199,7 +216,7 @@
         return changed
 
     def evict_old(self, now: Instant) -> None:
-        """Final and unrenewed workers leave memory, at homes and at their followers alike."""
+        """Removes gone and unrenewed workers after their retention, at owners and at their followers alike."""
         for instance, record in sorted(self.records.items()):
             retention = GONE_RETENTION_S if record.worker.state == "gone" else UNRENEWED_RETENTION_S
             if (record.worker.state == "gone" or not record.renewed) and now - record.changed_at > retention:
@@ -208,11 +225,12 @@
                 self._ready = self._active = None
 
     def entries(self, now: Instant, instances: Iterable[WorkerInstance] | None = None) -> tuple[WorkerEntry, ...]:
+        """Returns the entries of these workers, or of all, sorted by instance."""
         wanted = sorted(self.records if instances is None else instances)
         return tuple(self._entry(self.records[instance], now) for instance in wanted if instance in self.records)
 
     def _entry(self, record: WorkerRecord, now: Instant) -> WorkerEntry:
-        """``cold_left`` as of now, since the taker counts it from when the entry comes."""
+        """Sets ``cold_left`` as of now, because the receiver counts it down from the arrival of the entry."""
         worker = record.worker
         if worker.cold_left:
             worker = msgspec.structs.replace(worker, cold_left=self.cold_left(worker.instance, now))
--- a/wingwood/registry/protocols.py
+++ b/wingwood/registry/protocols.py
@@ -1,4 +1,4 @@
-"""The workers a router may use, as the other slices see them (docs/DESIGN.md section 10)."""
+"""Interface of the registry to the other slices: the workers that a router may use (docs/DESIGN.md section 10)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WorkerLoad(msgspec.Struct, frozen=True):
-    """What some workers tell of themselves."""
+    """Load figures that some workers announce about themselves."""
 
     running: int
     waiting: int
@@ -19,93 +19,107 @@
 
 
 class Worker(msgspec.Struct, frozen=True, kw_only=True):
-    """One announced worker life."""
+    """One life of a worker process, as it was announced."""
 
     instance: WorkerInstance
     address: Address
     pool: PoolName
     zone: Zone
     slots: int
-    """How many turns it runs side by side."""
+    """How many turns the worker runs concurrently."""
     cache_tokens: int = 0
-    """Size of its KV cache in tokens; 0 for plain workers."""
+    """Size of the worker's KV cache in tokens; 0 for plain workers."""
     state: Literal["ready", "draining", "gone"] = "ready"
-    """Draining and gone are final for an instance."""
+    """Draining and gone are final: an instance never becomes ready again."""
     load: WorkerLoad | None = None
     software: str = ""
-    """Version of the worker's program."""
+    """Version of the worker's software."""
     weights: int | None = None
-    """Version of the model weights that it serves, where it tells one."""
+    """Version of the model weights that the worker serves; None if it announces none."""
     cold_left: Seconds = Seconds(0.0)
-    """How much longer it ran slower when it became known here; ``CallOutcomes.cold_left`` counts it down."""
+    """For how much longer the worker ran slower after its start, as of the time when it became known here.
+
+    ``CallOutcomes.cold_left`` counts it down.
+    """
 
 
 class Registry(Protocol):
+    """The workers that this router knows."""
+
     def ready(self, pool: PoolName) -> Sequence[Worker]:
-        """Workers that may get new turns now, sorted by instance (section 10.6 for which are left out)."""
+        """Returns the workers that may get new turns now, sorted by instance (section 10.6 says which are excluded)."""
         ...
 
-    def find(self, instance: WorkerInstance) -> Worker | None: ...
+    def find(self, instance: WorkerInstance) -> Worker | None:
+        """Returns the worker, in whatever state; None if it is unknown here."""
+        ...
 
     async def confirm(self, worker: Worker) -> bool:
-        """Whether it may get a turn now; where health is checked, asks the worker itself when its feed is old."""
+        """Returns whether the worker may get a turn now.
+
+        Where workers' health is checked, the worker itself is asked if the feed is too old.
+        """
         ...
 
     def suspect(self, instance: WorkerInstance) -> None:
-        """A call to it just failed to connect or went dark: keep it out for a while, or until it answers for itself."""
+        """Records that a call to the worker failed to connect or stopped answering.
+
+        The worker is excluded for a while, or until it answers a health check.
+        """
         ...
 
     def on_change(self, callback: Callable[[Worker], None]) -> None:
-        """Called with each worker whose state or load changed."""
+        """Registers a callback that is called with each worker whose state or load changed."""
         ...
 
 
 class CallOutcomes(Protocol):
-    """What the calls themselves tell of workers (section 10.6). The same object as ``Registry``."""
+    """Receives the outcomes of calls to workers (section 10.6). Implemented by the same object as ``Registry``."""
 
     def begin(self, instance: WorkerInstance) -> bool:
-        """Called right before a turn is sent; False: send it elsewhere. A suspected worker gets one turn at a time.
+        """Called right before a turn is sent; if it returns False, the turn must go to another worker.
 
-        Each turn begun ends with ``succeeded``, ``failed``, ``Registry.suspect``, ``misplaced`` or ``abandoned``.
+        A suspected worker gets one turn at a time. Each turn that was begun ends with ``succeeded``, ``failed``, ``Registry.suspect``, ``misplaced`` or ``abandoned``.
         """
         ...
 
     def succeeded(self, instance: WorkerInstance) -> None:
-        """A turn sent there is being answered as it should be."""
+        """Records that the worker is answering a turn properly."""
         ...
 
     def failed(self, instance: WorkerInstance) -> None:
-        """A turn sent there failed in a way that speaks against the worker, though it can be reached.
+        """Records that a turn failed for a reason that indicates a fault of the worker, although it is reachable.
 
-        Such as: an error of its own, an answer cut short or of wrong bytes, or far too slow. Not: full, or leaving.
+        Examples are an internal error, an answer that is truncated, malformed or far too slow. A worker that refuses
+        a turn because it is full or leaving has not failed.
         """
         ...
 
     def misplaced(self, instance: WorkerInstance) -> None:
-        """Another worker answered at its address."""
+        """Records that another worker answered at this worker's address."""
         ...
 
     def abandoned(self, instance: WorkerInstance) -> None:
-        """A turn begun there ended without saying anything of the worker, such as by its caller's leaving."""
+        """Records that a turn ended with no information about the worker, for example because its caller left."""
         ...
 
     def cold_left(self, instance: WorkerInstance) -> Seconds:
-        """How much longer it runs slower from its start."""
+        """Returns for how much longer the worker runs slower after its start."""
         ...
 
 
 class Engagement(msgspec.Struct, frozen=True, array_like=True):
-    """How taken a worker is, as counted by routers."""
+    """How occupied a worker is, as counted by routers."""
 
     running: float = 0.0
-    """Turns running or waiting there now."""
+    """Turns that run or wait at the worker now."""
     expected: float = 0.0
-    """Sessions whose next turn is awarded there and whose last one is not long ago."""
+    """Sessions whose next turn is awarded to the worker and whose last turn was recent."""
     prefill: float = 0.0
-    """Prompt tokens a second that it has to prefill."""
+    """Prompt tokens per second that the worker has to prefill."""
 
     streams: float = 0.0
-    """Long streams running there."""
+    """Long streams that run at the worker."""
 
     def plus(self, other: Engagement) -> Engagement:
         return Engagement(
@@ -125,12 +139,12 @@
 
 
 class EngagementExchange(Protocol):
-    """How engaged the whole fleet has the workers, told along with the feed (section 10.4)."""
+    """Exchanges engagement counts with the whole fleet, together with the feed (section 10.4)."""
 
     def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
-        """``count`` gives this router's part for a pool, by worker; workers with none left out."""
+        """Sets the function that returns this router's own counts of a pool, by worker, without workers with none."""
         ...
 
     def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
-        """The part of all other routers, about a third of a second old; zeros when unknown."""
+        """Returns the sum of all other routers' counts, about a third of a second old; zeros if unknown."""
         ...
--- a/wingwood/registry/worker_directory.py
+++ b/wingwood/registry/worker_directory.py
@@ -1,4 +1,4 @@
-"""All workers that one daemon knows, by pool, and who is told of their changes (docs/DESIGN.md section 10.2)."""
+"""All workers that one daemon knows, by pool, and the listeners to their changes (docs/DESIGN.md section 10.2)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class WorkerDirectory:
-    """The tables of all pools. ``on_new_pool`` is called when a pool is asked for the first time."""
+    """Tables of all pools. ``on_new_pool`` is called when a pool is requested for the first time."""
 
     def __init__(self, context: Context, on_new_pool: Callable[[PoolName], None]) -> None:
         self._context = context
@@ -31,6 +31,7 @@
         return [table for _, table in sorted(self._tables.items())]
 
     def table(self, pool: PoolName) -> PoolTable:
+        """Returns the table of the pool; creates an empty one at the first request."""
         table = self._tables.get(pool)
         if table is None:
             table = self._tables[pool] = PoolTable(pool)
@@ -38,18 +39,21 @@
         return table
 
     def load_interval_s(self, pool: PoolName) -> float:
+        """Returns the seconds between two questions for the loads of this pool."""
         return load_interval_s(len(self._tables[pool].records))
 
     def engagement_max_age_s(self, pool: PoolName) -> float:
+        """Returns for how many seconds reported counts of this pool are used."""
         return engagement_max_age_s(len(self._tables[pool].records))
 
     # --- workers ------------------------------------------------------------------------------
 
     def records(self) -> list[WorkerRecord]:
-        """Of every worker, by pool and instance."""
+        """Returns the records of all workers, sorted by pool and instance."""
         return [record for table in self.tables() for _, record in sorted(table.records.items())]
 
     def pool_of(self, instance: WorkerInstance) -> PoolName | None:
+        """Returns the pool in which the worker last counted as renewed."""
         return self._pool_of.get(instance)
 
     def record(self, instance: WorkerInstance) -> WorkerRecord | None:
@@ -65,7 +69,7 @@
         return Seconds(0.0) if pool is None else self._tables[pool].cold_left(instance, self._now())
 
     def merge(self, entry: WorkerEntry, trust_renewal: bool) -> bool:
-        """Takes what another knows, as ``PoolTable.merge``; a change is told."""
+        """Merges an entry of another daemon like ``PoolTable.merge``; logs a change and notifies the listeners."""
         worker = entry.worker
         table = self.table(worker.pool)
         if not table.merge(entry, self._now(), trust_renewal):
@@ -74,7 +78,7 @@
         return True
 
     def evict_old(self) -> list[WorkerInstance]:
-        """Workers that left memory now."""
+        """Removes workers whose retention has ended and returns them."""
         now = self._now()
         for table in self.tables():
             table.evict_old(now)
@@ -91,12 +95,13 @@
         self._listeners.append(callback)
 
     def notify(self, workers: Sequence[Worker]) -> None:
+        """Calls each listener for each of the workers."""
         for worker in workers:
             for listener in self._listeners:
                 listener(worker)
 
     def record_changes(self, workers: Sequence[Worker]) -> None:
-        """To the log and to the listeners."""
+        """Logs the workers' new states and notifies the listeners."""
         for worker in workers:
             record = self._tables[worker.pool].records[worker.instance]
             if record.renewed or worker.instance not in self._pool_of:
