--- a/wingwood/registry/announcement_handler.py
+++ b/wingwood/registry/announcement_handler.py
@@ -1,4 +1,4 @@
-"""Takes workers' announcements and acknowledges them (docs/DESIGN.md sections 10.1 and 10.2)."""
+"""Receives workers' announcements and acknowledges them (docs/DESIGN.md sections 10.1 and 10.2)."""
 
 from __future__ import annotations
 
@@ -31,60 +31,76 @@
 from .protocols import Worker
 
 RENEWAL_INTERVAL_S = Seconds(0.25)
+"""Time between two batches of renewals to the owners."""
 DELIVERY_TIMEOUT_S = Seconds(0.4)
-"""A worker gives an unanswered announcement up after a second; this leaves it time for another daemon."""
+"""A worker abandons an unanswered announcement after 1 s; this leaves it time to try another daemon."""
 WORKER_QUESTION_TIMEOUT_S = Seconds(0.2)
 SLOW_OWNER_S = Seconds(0.1)
+"""How long an announcement waits for all owners; after that, enough of them suffice."""
 REDELIVERY_INTERVAL_S = Seconds(0.3)
 REDELIVERY_LIMIT_S = Seconds(10.0)
+"""For how long a state of a leaving worker is sent again to zones whose owner did not answer."""
 CONTACT_MAX_AGE_S = Seconds(1.5)
-"""A control daemon that no other has answered for so long takes itself for cut off."""
+"""A control daemon that no other daemon has answered for so long considers itself cut off."""
 LOOKUP_MAX_AGE_S = Seconds(1.0)
-"""A router whose knowledge is older can't say that a worker is unknown."""
+"""A router whose knowledge is older cannot confirm that a worker is unknown."""
 MAX_ACKNOWLEDGED = 20_000
+"""Limit on the workers whose acknowledged announcement is remembered; the oldest are dropped first."""
 
 
 class OwnerView(Protocol):
-    """What taking announcements needs of the registry."""
+    """The part of the registry that the announcement handler uses."""
 
-    def pool_owners(self, pool: PoolName) -> Mapping[Zone, Identity]: ...
+    def pool_owners(self, pool: PoolName) -> Mapping[Zone, Identity]:
+        """Returns the pool's owner in each zone."""
+        ...
 
     def accept_first_hand(self, worker: Worker, sequence: int) -> WorkerStateReceipt:
-        """As the own home."""
+        """Records the announcement at this daemon, which is an owner itself."""
         ...
 
     def renew(self, renewals: Sequence[Renewal]) -> Sequence[WorkerInstance]:
-        """As the own home; gives those not known here."""
+        """Applies the renewals at this daemon, which is an owner itself, and returns the unknown workers."""
         ...
 
     def find(self, instance: WorkerInstance) -> Worker | None: ...
 
 
 class _Delivery(msgspec.Struct):
-    """One announcement on its way to the homes of all zones."""
+    """One announcement that is being delivered to the owners of all zones."""
 
     owners: Mapping[Zone, Identity]
     answered: dict[Zone, WorkerStateReceipt | None] = msgspec.field(default_factory=dict)
-    """None: no answer came."""
+    """Receipts by zone; None for an owner that did not answer in time."""
     changed: asyncio.Event = msgspec.field(default_factory=asyncio.Event)
 
     def receipts(self) -> list[WorkerStateReceipt]:
         return [answer for answer in self.answered.values() if answer is not None]
 
     def missing(self) -> list[Zone]:
+        """Returns the zones whose owner has not answered, or not in time."""
         return [zone for zone in self.owners if self.answered.get(zone) is None]
 
     def is_over(self) -> bool:
+        """Returns whether every owner has answered or failed to."""
         return len(self.answered) == len(self.owners)
 
     def has_majority(self) -> bool:
-        """Of the zones, by whoever knows most of them, at daemons that count themselves as home."""
+        """Returns whether owners in a majority of the zones have received the announcement.
+
+        Only daemons that consider themselves owner count. The number of zones is the highest that any of the
+        receivers or this daemon knows.
+        """
         zones = max((answer.zones for answer in self.receipts()), default=0)
         return sum(answer.is_owner for answer in self.receipts()) > max(zones, len(self.owners)) // 2
 
 
 class AnnouncementHandler:
-    """Runs on every daemon that workers may tell. Renewals are noted and answered at once."""
+    """Runs on every daemon to which workers announce themselves.
+
+    New instances and states are delivered to the owners before they are acknowledged. Renewals are acknowledged
+    immediately and forwarded in batches.
+    """
 
     def __init__(
         self,
@@ -118,7 +134,7 @@
         raise AssertionError("a result is a success or a failure")
 
     async def accept_announcement(self, worker: Worker, sequence: int = 0) -> OperatorReply:
-        """A new instance or state is told to the homes first."""
+        """Handles an announcement; a new instance or state is delivered to the owners before the acknowledgement."""
         if self._is_cut_off():
             return self._announcement_format.try_another_daemon("no other control daemon answers this one")
         if self._acknowledged.get(worker.instance) == _without_volatile(worker):
@@ -144,20 +160,24 @@
         return self._announcement_format.acknowledged(worker)
 
     def owners_changed(self, before: Mapping[PoolName, Mapping[Zone, Identity]]) -> None:
-        """What went to former homes is announced in full again with the next renewal."""
+        """Forgets acknowledgements by former owners, so that the next renewal is delivered in full.
+
+        ``before``: the owners before the change.
+        """
         for instance, worker in sorted(self._acknowledged.items()):
             if before.get(worker.pool) != self._owners.pool_owners(worker.pool):
                 del self._acknowledged[instance]
 
     def notify_zone_routers(self, worker: Worker, zones: Sequence[Zone]) -> None:
-        """A final state whose home does not answer goes to the routers of that zone directly."""
+        """Sends a final state directly to the routers of zones whose owner does not answer."""
         for router in self._membership.routers():
             if router.zone in zones:
                 self._messenger.post(router.internal, ObservedState(worker))
 
-    # --- leaving without a farewell -----------------------------------------------------------
+    # --- departures that name only the instance -----------------------------------------------
 
     async def accept_departure(self, instance: WorkerInstance) -> OperatorReply:
+        """Handles a departure: the worker's other attributes are looked up, then its state gone is delivered."""
         if self._is_cut_off():
             return self._announcement_format.try_another_daemon("no other control daemon answers this one")
         worker = self._owners.find(instance) or self._acknowledged.get(instance)
@@ -171,7 +191,10 @@
         return await self.accept_announcement(msgspec.structs.replace(worker, state="gone"))
 
     async def _look_up(self, instance: WorkerInstance) -> WorkerAnswer | None:
-        """One router of each zone is asked; None unless one knows the worker or most are sure that nobody does."""
+        """Asks one router of each zone for the worker.
+
+        Returns None unless one of them knows the worker or a majority have recent knowledge and do not know it.
+        """
         zones: dict[Zone, list[Identity]] = {}
         for router in self._membership.routers():
             zones.setdefault(router.zone, []).append(router)
@@ -193,12 +216,16 @@
     # --- delivery the owners --------------------------------------------------------------------
 
     def _is_cut_off(self) -> bool:
-        """Routers keep their last members, so homes out of reach show; a control daemon alone forgets them in time."""
+        """Returns whether this control daemon has had no contact with the others for too long.
+
+        Routers never count as cut off: they retain their last known members, so unreachable owners are noticed. A
+        control daemon alone forgets its members after a time, so it would not notice which owners are missing.
+        """
         proven = self._membership.session_proven_at()
         return self._is_control and proven is not None and self._now() - proven > CONTACT_MAX_AGE_S
 
     async def _deliver(self, delivery: _Delivery, worker: Worker, sequence: int) -> None:
-        """Waits for all homes a little, then for enough of them."""
+        """Delivers the state: waits for all owners for ``SLOW_OWNER_S``, then only for enough of them."""
         for zone, owner in delivery.owners.items():
             self._context.tasks.spawn(f"tell {owner.name}", self._deliver_to(delivery, zone, owner, worker, sequence))
         until = Instant(self._now() + DELIVERY_TIMEOUT_S)
@@ -212,7 +239,10 @@
         await self._wait_for_answers(delivery, until, enough=True)
 
     async def _wait_for_answers(self, delivery: _Delivery, until: Instant, enough: bool, leaves: bool = True) -> None:
-        """Returns when all have answered or failed, when it is late, or (``enough``) once the answers suffice."""
+        """Returns when all owners have answered or failed, at ``until``, or (``enough``) once the answers suffice.
+
+        The answers suffice with a majority of the zones if the worker leaves, otherwise with any one of them.
+        """
         while not delivery.is_over() and (left := until - self._now()) > 0:
             if enough and (delivery.has_majority() if leaves else delivery.receipts()):
                 return
@@ -238,7 +268,7 @@
         return answered.unwrap() if isinstance(answered, Success) else None
 
     async def _retry_delivery(self, worker: Worker, sequence: int, missing: Sequence[Zone]) -> None:
-        """Until each zone's home, whoever that then is, has it."""
+        """Sends the state again until the current owner of each missing zone has it, or the limit is reached."""
         until = self._now() + REDELIVERY_LIMIT_S
         left = list(missing)
         while left and self._now() < until:
@@ -285,5 +315,5 @@
 
 
 def _without_volatile(worker: Worker) -> Worker:
-    """Without what changes from one announcement to the next and is told by renewals, or counted down by all."""
+    """Returns the worker without its load, which renewals carry, and ``cold_left``, which each daemon counts down."""
     return msgspec.structs.replace(worker, load=None, cold_left=Seconds(0.0))
--- a/wingwood/registry/feed_follower.py
+++ b/wingwood/registry/feed_follower.py
@@ -1,4 +1,4 @@
-"""Follows the homes of the pools known here: asks them, and takes answers and pushes (docs/DESIGN.md section 10.3)."""
+"""Follows the owners of the known pools: asks them and applies answers and pushes (docs/DESIGN.md section 10.3)."""
 
 from __future__ import annotations
 
@@ -31,21 +31,22 @@
 from .worker_directory import WorkerDirectory
 
 CollectOutcomes = Callable[[Sequence[WorkerInstance]], Mapping[WorkerInstance, Outcomes]]
-"""The outcomes of this daemon's calls to these workers since it was last called."""
+"""Returns the outcomes of this daemon's calls to these workers since the last time it was called."""
 
 
 class _Feed(msgspec.Struct):
-    """What this daemon has from a home that it follows."""
+    """What this daemon has received from an owner that it follows, for one pool."""
 
     sequence: int = -1
     unapplied_renewals: dict[WorkerInstance, WorkerEntry] = msgspec.field(default_factory=dict)
-    """What the home told while its word on renewals did not count."""
+    """Entries that the owner sent while its renewed flags were not trusted; they are applied once they are."""
     to_offer: tuple[WorkerEntry, ...] = ()
-    """What the home lacks; it is told with the next question."""
+    """Workers that the owner does not know; the next question offers them."""
     load_sequence: int = -1
     loads_at: Instant = NEVER
-    """When loads and counts were last asked for."""
+    """Time of the last question for loads and counts."""
     numbers: dict[int, WorkerInstance] = msgspec.field(default_factory=dict)
+    """Workers by the owner's numbers."""
     by_instance: dict[WorkerInstance, int] = msgspec.field(default_factory=dict)
 
     def name(self, entries: Sequence[WorkerEntry]) -> None:
@@ -55,14 +56,14 @@
 
 
 class _Target(msgspec.Struct):
-    """A daemon that is asked in this round, and for which pools."""
+    """A daemon that is asked in this round, and the pools that it is asked for."""
 
     identity: Identity
     pools: list[PoolName] = msgspec.field(default_factory=list)
 
 
 class FeedFollower:
-    """A router follows the home of its zone; a home follows those of the other zones."""
+    """A router follows the pool's owner in its zone; an owner follows the owners in the other zones."""
 
     def __init__(
         self,
@@ -101,7 +102,7 @@
     # --- what is known ------------------------------------------------------------------------
 
     def feed_age(self, pool: PoolName) -> float:
-        """Seconds since this daemon's knowledge of the pool was last proven; infinite when never."""
+        """Returns the seconds since this daemon's knowledge of the pool was last proven; infinite if it never was."""
         now = self._now()
         own = self._owner_age(pool)
         if own != float("inf"):
@@ -110,17 +111,17 @@
         return float("inf") if proven is None else now - proven
 
     def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
-        """What the other routers told of this worker; nothing when that is too old."""
+        """Returns the other routers' counts for this worker; zeros if they are too old."""
         pool = self._directory.pool_of(instance)
         if pool is None:
             return Engagement()
-        told = self._engagement_of_others.get(pool)
-        if told is None or self._now() - told.at > self._directory.engagement_max_age_s(pool):
+        report = self._engagement_of_others.get(pool)
+        if report is None or self._now() - report.at > self._directory.engagement_max_age_s(pool):
             return Engagement()
-        return told.engaged.get(instance, Engagement())
+        return report.engaged.get(instance, Engagement())
 
     def discard_feeds(self, pool: PoolName) -> None:
-        """All is asked for anew."""
+        """Discards the pool's feeds, so that the next questions ask for all workers again."""
         self._retain_feeds(pool, frozenset())
 
     def _retain_feeds(self, pool: PoolName, owners: frozenset[Incarnation]) -> None:
@@ -130,7 +131,10 @@
     # --- questions ----------------------------------------------------------------------------
 
     def ask_round(self) -> None:
-        """One question to each home this daemon follows, and one to a neighbour for pools not known here."""
+        """Sends one question to each followed owner.
+
+        In some rounds, another router is asked as well which pools it knows.
+        """
         targets: dict[Incarnation, _Target] = {}
         for pool in self._directory.pools():
             for identity in self._owners_to_ask(pool):
@@ -146,7 +150,7 @@
                 self._context.tasks.spawn(name, self._ask(target.identity, target.pools))
 
     def _owners_to_ask(self, pool: PoolName) -> list[Identity]:
-        """Whom to ask for this pool in this round."""
+        """Returns the daemons to ask for this pool in this round."""
         if self._pool_owners.is_own(pool):
             own, now = self._messenger.identity.incarnation, self._now()
             self._engagement_of_others[pool] = EngagementReport(now, self._sums.by_others(pool, own, now))
@@ -155,7 +159,7 @@
         return [*([] if followed is None else [followed]), *self._fallback_owners(pool)]
 
     def _fallback_owners(self, pool: PoolName) -> list[Identity]:
-        """Another zone's home while the followed one proves nothing; a different one in each round."""
+        """Returns another zone's owner while the followed one proves nothing; a different one in each round."""
         zone = self._pool_owners.followed_zone()
         others = [identity for other, identity in self._pool_owners.by_zone(pool).items() if other != zone]
         unproven_for = min(self.feed_age(pool), self._now() - self._started_at)
@@ -164,7 +168,10 @@
         return [others[self._round % len(others)]]
 
     def _discovery_peer(self) -> Identity | None:
-        """Any other router, in some rounds."""
+        """Returns another router to ask for its pools, in every ``DISCOVERY_INTERVAL_ROUNDS``-th round.
+
+        As long as no pool is known here, there is one in every round.
+        """
         own = self._messenger.identity.incarnation
         if self._directory.pools() and self._round % DISCOVERY_INTERVAL_ROUNDS:
             return None
@@ -193,7 +200,10 @@
                 self._apply_answer(identity, answer, part, asked[part.pool], asked_at)
 
     def _feed_was_dropped(self, identity: Identity, asked: PoolQuestion) -> bool:
-        """The feed on which this question builds was dropped since, so the answer lacks what that one had told."""
+        """Returns whether the feed that the question continued was discarded since.
+
+        The answer then lacks what had been sent before.
+        """
         return asked.owner == identity.incarnation and (asked.pool, identity.incarnation) not in self._feeds
 
     def _question(self, identity: Identity, pool: PoolName) -> PoolQuestion:
@@ -220,19 +230,19 @@
 
     def _outcomes(self, pool: PoolName, numbers: Mapping[WorkerInstance, int]) -> CallCounts | None:
         counted = self._collect_outcomes(sorted(self._directory.table(pool).records))
-        told = {
+        outcome_counts = {
             numbers[instance]: (outcomes.succeeded, outcomes.failed)
             for instance, outcomes in counted.items()
             if instance in numbers
         }
-        return told or None
+        return outcome_counts or None
 
     # --- answers ------------------------------------------------------------------------------
 
     def _apply_answer(
         self, identity: Identity, answer: FeedAnswer, part: PoolAnswer, asked: PoolQuestion, asked_at: Instant
     ) -> None:
-        """From a home that is still followed."""
+        """Applies an answer if its sender is still an owner of the pool."""
         self._directory.table(part.pool)
         followed = self._pool_owners.in_zone(part.pool, identity.zone)
         if followed is None or followed.incarnation != identity.incarnation:
@@ -248,7 +258,7 @@
     def _apply_other_zone_owner(
         self, identity: Identity, part: PoolAnswer, answer: FeedAnswer, asked_at: Instant
     ) -> None:
-        """As a home, from that of another zone."""
+        """Applies, as an owner, the answer of another zone's owner."""
         for entry in part.entries:
             self._ownership.merge_reported(entry)
         feed = self._feed_of(part, answer.owner)
@@ -261,7 +271,7 @@
     def _apply_followed_owner(
         self, part: PoolAnswer, answer: FeedAnswer, asked: PoolQuestion, asked_at: Instant
     ) -> None:
-        """From the home of the followed zone."""
+        """Applies the answer of the owner in the followed zone."""
         feed = self._feed_of(part, answer.owner)
         self._merge(feed, part, trusted=part.synced)
         if asked.sequence < 0:
@@ -274,7 +284,11 @@
         self._record_proof(part, answer, asked_at)
 
     def _merge(self, feed: _Feed, part: PoolAnswer, trusted: bool) -> None:
-        """With the home's word on renewals, or without; then it counts once the home's word does."""
+        """Merges the entries of an answer.
+
+        ``trusted``: whether the owner's renewed flags are applied. If not, they are stored and applied once they are
+        trusted.
+        """
         if trusted:
             for entry in feed.unapplied_renewals.values():
                 self._directory.merge(entry, trust_renewal=True)
@@ -286,25 +300,28 @@
         feed.sequence = max(feed.sequence, part.sequence)
 
     def _entries_missing_at_owner(self, part: PoolAnswer) -> tuple[WorkerEntry, ...]:
-        """What this router knows and the home, which has told all that it knows, may have begun too late to hear."""
+        """Returns workers that this router knows and that are missing from the owner's complete answer.
+
+        The owner may have started too late to receive their announcements.
+        """
         if not self._is_router or self._pool_owners.is_own(part.pool):
             return ()
-        told = {entry.worker.instance: entry.worker.state for entry in part.entries}
+        known_states = {entry.worker.instance: entry.worker.state for entry in part.entries}
         own = self._directory.table(part.pool).entries(self._now())
-        missing = [entry for entry in own if told.get(entry.worker.instance) != entry.worker.state]
+        missing = [entry for entry in own if known_states.get(entry.worker.instance) != entry.worker.state]
         return tuple(missing[:MAX_OFFERED_WORKERS])
 
     def _apply_fallback_owner(self, part: PoolAnswer, answer: FeedAnswer, asked_at: Instant) -> None:
-        """Another zone's home: its word on renewals counts while the followed one gives none."""
+        """Applies another zone's owner's answer; its renewed flags count while the followed owner proves nothing."""
         trusted = part.synced and self.feed_age(part.pool) > OTHER_ZONE_AFTER_S
-        if trusted:  # renewals were trusted by another meanwhile, so the others are asked for all anew
+        if trusted:  # the renewed flags now come from this owner, so the other feeds must start over
             self._retain_feeds(part.pool, frozenset({answer.owner}))
         feed = self._feed_of(part, answer.owner)
         self._merge(feed, part, trusted=trusted)
         self._record_proof(part, answer, asked_at)
 
     def _feed_of(self, part: PoolAnswer, owner: Incarnation) -> _Feed:
-        """What is known of this home, with the short names of the workers told now."""
+        """Returns the feed of this owner, after adding the numbers of the workers in the answer."""
         feed = self._feeds.get((part.pool, owner))
         if feed is None:
             current = frozenset(identity.incarnation for identity in self._pool_owners.by_zone(part.pool).values())
@@ -332,9 +349,9 @@
     # --- pushes -------------------------------------------------------------------------------
 
     def apply_push(self, push: FeedPush) -> None:
-        """Final states count whenever they come; renewals only if the push follows on what is known.
+        """Applies a push: final states always, renewed flags only if the push directly follows the known sequence.
 
-        One that lay in the buffers of a cut connection would take workers out that were renewed since.
+        A push delayed in the buffers of a cut connection would otherwise exclude workers that were renewed since.
         """
         feed = self._feeds.get((push.pool, push.owner))
         follows_on = feed is not None and feed.sequence == push.previous
--- a/wingwood/registry/outliers.py
+++ b/wingwood/registry/outliers.py
@@ -1,6 +1,6 @@
-"""Grey workers: heard and reachable, yet many calls there fail (docs/DESIGN.md section 10.6).
+"""Detection of workers that are renewed and reachable, yet fail many calls (docs/DESIGN.md section 10.6).
 
-A zone's home counts the outcomes of its routers' calls, since one router alone sees too few of them.
+A zone's owner counts the outcomes of its routers' calls, because a single router sees too few of them.
 """
 
 from __future__ import annotations
@@ -12,25 +12,29 @@
 from ..identifiers import Instant, Seconds, WorkerInstance
 
 WINDOW_S = Seconds(10.0)
+"""Outcomes of this period count."""
 BUCKET_S = Seconds(1.0)
+"""Outcomes are summed per period of this length."""
 MIN_FAILURES = 3
 MIN_CALLS = 6
 MIN_FAILURE_RATE = 0.2
-"""Of a worker's calls: a lower share of failures never ejects."""
+"""A worker with a lower share of failed calls is never ejected."""
 MIN_RATE_RATIO = 3.0
-"""How many times the share of failures at the pool's other workers it takes."""
+"""An outlier's share of failed calls is at least so many times that of the pool's other workers."""
 ALL_FAILED_WINDOW_S = Seconds(2.0)
-"""A worker whose calls of so long have all failed needs no more of them to be ejected."""
+"""A worker whose calls in this period all failed is ejected with fewer than ``MIN_CALLS``."""
 MIN_FAILURES_AGAIN = 2
 MIN_CALLS_AGAIN = 3
-"""For a worker that was ejected a while ago."""
+"""These two apply to a worker that was ejected a short while ago."""
 FIRST_EJECTION_S = Seconds(2.0)
+"""Duration of a first ejection; each further one doubles it."""
 MAX_EJECTION_S = Seconds(16.0)
 EJECTION_RETENTION_S = Seconds(30.0)
+"""After so long since the end of its last ejection, a worker counts as never ejected."""
 
 
 class Outcomes(msgspec.Struct, frozen=True):
-    """Of calls to one worker."""
+    """Numbers of calls to one worker that succeeded and failed."""
 
     succeeded: int = 0
     failed: int = 0
@@ -53,14 +57,17 @@
 
 
 class OutlierDetector:
-    """Judges one pool's workers against each other over a sliding window."""
+    """Compares the failure rates of one pool's workers over a sliding window."""
 
     def __init__(self) -> None:
         self._buckets: dict[WorkerInstance, dict[int, Outcomes]] = {}
         self._ejections: dict[WorkerInstance, _Ejection] = {}
 
     def record(self, instance: WorkerInstance, outcomes: Outcomes, now: Instant) -> None:
-        """Of a worker that is left out only the calls begun before are heard of: not counted."""
+        """Adds outcomes of calls to a worker.
+
+        They are ignored while the worker is ejected, because they belong to calls that started before.
+        """
         if self._is_ejected(instance, now):
             return
         buckets = self._buckets.setdefault(instance, {})
@@ -68,7 +75,7 @@
         buckets[bucket] = buckets.get(bucket, Outcomes()) + outcomes
 
     def judge(self, ready: Sequence[WorkerInstance], now: Instant) -> frozenset[WorkerInstance]:
-        """Who is left out now: at most half of ``ready``, the worst first."""
+        """Returns the workers that are ejected now: at most half of ``ready``, those with the most failures first."""
         self._evict_old(now)
         if not self._buckets and not self._ejections:
             return frozenset()
@@ -84,8 +91,8 @@
     def _is_outlier(self, instance: WorkerInstance, counted: Mapping[WorkerInstance, Outcomes], now: Instant) -> bool:
         own = counted[instance]
         known = instance in self._ejections
-        least_calls, least_failures = (MIN_CALLS_AGAIN, MIN_FAILURES_AGAIN) if known else (MIN_CALLS, MIN_FAILURES)
-        if own.failed < least_failures:
+        min_calls, min_failures = (MIN_CALLS_AGAIN, MIN_FAILURES_AGAIN) if known else (MIN_CALLS, MIN_FAILURES)
+        if own.failed < min_failures:
             return False
         others = Outcomes()
         for other, outcomes in counted.items():
@@ -93,8 +100,8 @@
                 others += outcomes
         if own.failure_rate < max(MIN_FAILURE_RATE, MIN_RATE_RATIO * others.failure_rate):
             return False
-        late = self._outcomes_within(instance, now, ALL_FAILED_WINDOW_S)
-        return own.calls >= least_calls or (late.failed >= least_failures and not late.succeeded)
+        recent = self._outcomes_within(instance, now, ALL_FAILED_WINDOW_S)
+        return own.calls >= min_calls or (recent.failed >= min_failures and not recent.succeeded)
 
     def _is_ejected(self, instance: WorkerInstance, now: Instant) -> bool:
         ejection = self._ejections.get(instance)
@@ -104,7 +111,7 @@
         ejection = self._ejections.setdefault(instance, _Ejection(0, now))
         ejection.times += 1
         ejection.until = Instant(now + min(MAX_EJECTION_S, FIRST_EJECTION_S * 2 ** (ejection.times - 1)))
-        self._buckets.pop(instance, None)  # judged anew by what comes after
+        self._buckets.pop(instance, None)  # outcomes from before the ejection must not count after it
 
     def _outcomes_within(self, instance: WorkerInstance, now: Instant, seconds: Seconds) -> Outcomes:
         since = int((now - seconds) // BUCKET_S)
--- a/wingwood/registry/pool_ownership.py
+++ b/wingwood/registry/pool_ownership.py
@@ -214,7 +214,7 @@
         return self._uses_trial_calls and now - self._last_renewal_at > ALL_SILENT_AFTER_S
 
     def expire(self, pool: PoolName) -> None:
-        """Marks workers without a recent renewal, if this owner is synced and receives renewals of others."""
+        """Marks workers without a recent renewal, unless this owner is not synced or all workers are silent."""
         now = self._now()
         if not self.is_synced(pool) or self._all_are_silent(now):
             return
--- a/wingwood/registry/pool_table.py
+++ b/wingwood/registry/pool_table.py
@@ -113,13 +113,13 @@
                     self._set(other, msgspec.structs.replace(other.worker, state="gone"), other.renewed, now)
                     changed.append(other.worker)
         record = self.records.get(worker.instance)
-        late = record is not None and 0 < sequence < record.highest_sequence
+        outdated = record is not None and 0 < sequence < record.highest_sequence
         entry = WorkerEntry(worker, True, announcement=sequence)
-        if self.merge(entry, now, trust_renewal=not late):
+        if self.merge(entry, now, trust_renewal=not outdated):
             changed.append(self.records[worker.instance].worker)
         record = self.records[worker.instance]
         record.highest_sequence = max(record.highest_sequence, sequence)
-        if not late:
+        if not outdated:
             record.renewed_at = now
         return changed
 
--- a/wingwood/registry/protocols.py
+++ b/wingwood/registry/protocols.py
@@ -79,7 +79,8 @@
     def begin(self, instance: WorkerInstance) -> bool:
         """Called right before a turn is sent; if it returns False, the turn must go to another worker.
 
-        A suspected worker gets one turn at a time. Each turn that was begun ends with ``succeeded``, ``failed``, ``Registry.suspect``, ``misplaced`` or ``abandoned``.
+        A suspected worker gets one turn at a time. Each turn that was begun ends with one of
+        ``succeeded``, ``failed``, ``Registry.suspect``, ``misplaced`` and ``abandoned``.
         """
         ...
 
--- a/wingwood/registry/worker_announcements.py
+++ b/wingwood/registry/worker_announcements.py
@@ -1,7 +1,7 @@
-"""The product's own workers' edge: every name, path, body and status code (docs/DESIGN.md section 10.1).
+"""The product's own announcement format: names, paths, bodies and status codes (docs/DESIGN.md section 10.1).
 
 A worker sends ``POST /workers/v1/announce`` to the operator address of any daemon, about once a
-second and at once when its state changes, and answers ``GET /health`` itself.
+second and immediately when its state changes, and answers ``GET /health`` itself.
 """
 
 from __future__ import annotations
@@ -22,7 +22,9 @@
 LIST_PATH = "/workers/v1/list"
 HEALTH_PATH = "/health"
 MAX_FIGURE = 10**12
+"""Largest number accepted in an announcement."""
 MAX_HEALTH_BYTES = 16 * 1024
+"""Limit on the body of a health answer."""
 
 
 class _LoadBody(msgspec.Struct):
@@ -43,7 +45,7 @@
 
 
 class HealthAnswer(msgspec.Struct, frozen=True):
-    """What a worker says of itself when asked."""
+    """A worker's answer to its health check."""
 
     instance: WorkerInstance
     state: Literal["ready", "draining", "gone"] = "ready"
@@ -52,7 +54,7 @@
 
 
 def read_announcement(body: bytes) -> Result[Worker, str]:
-    """The announced worker, or what is wrong with the body."""
+    """Returns the announced worker, or a text that says what is wrong with the body."""
     try:
         read = msgspec.json.decode(body, type=_AnnouncementBody)
         address = parse_address(read.address)
@@ -82,7 +84,7 @@
 
 
 class DefaultAnnouncementFormat:
-    """The product's own ``AnnouncementFormat``."""
+    """Implements ``AnnouncementFormat`` with the product's own format."""
 
     routes = (AnnouncementRoute("POST", ANNOUNCE_PATH),)
 
@@ -99,7 +101,7 @@
         return OperatorReply(body={"code": "taken", "instance": instance, "state": "gone"})
 
     def instance_over(self, worker: Worker) -> OperatorReply:
-        """A new life needs a new instance."""
+        """Returns a 409: a worker that starts again needs a new instance id."""
         body: dict[str, object] = {"code": "instance-over", "instance": worker.instance, "state": worker.state}
         return OperatorReply(status=409, body=body)
 
@@ -108,7 +110,7 @@
 
 
 def worker_list_reply(workers: list[tuple[Worker, bool, bool]]) -> OperatorReply:
-    """``workers`` with whether each is renewed and whether it is suspected here."""
+    """Returns the list of workers; each comes with whether it is renewed and whether it is suspected here."""
     listed: list[object] = [
         {
             "instance": worker.instance,
@@ -128,7 +130,7 @@
 
 
 async def ask_health(http: HttpClient, address: Address, timeout: Seconds) -> HealthAnswer | None:
-    """The worker's own word; None when it does not answer properly in time."""
+    """Asks the worker for its health; returns None if it does not answer properly within the timeout."""
     exchange = http.start(HttpRequest("GET", address, HEALTH_PATH, connect_timeout=timeout))
     try:
         async with asyncio.timeout(timeout):
--- a/wingwood/registry/worker_checks.py
+++ b/wingwood/registry/worker_checks.py
@@ -1,4 +1,4 @@
-"""How a router finds out whether a doubtful worker works: by asking its health, or by trial calls.
+"""Checks of suspected workers by a router: with health checks or with trial calls.
 
 docs/DESIGN.md sections 10.3 and 10.6.
 """
@@ -20,16 +20,19 @@
 from .worker_announcements import HealthAnswer, ask_health
 
 FEED_MAX_AGE_S = Seconds(1.0)
-"""A feed proven longer ago is not trusted: the worker itself is asked before each turn."""
+"""If the feed was proven longer ago, the worker itself is asked before each turn."""
 HEALTH_TIMEOUT_S = Seconds(0.3)
 HEALTH_MAX_AGE_S = Seconds(0.4)
+"""For how long the result of a health check is used."""
 FIRST_SUSPICION_S = Seconds(0.2)
+"""Pause before the first check of a suspected worker; it doubles each time the worker is suspected again."""
 MAX_SUSPICION_S = Seconds(5.0)
 SUSPICION_RETENTION_S = Seconds(30.0)
+"""A worker that was last suspected longer ago starts over with the first pause."""
 
 
 class RegistryView(Protocol):
-    """What the checks need of the registry."""
+    """The part of the registry that the checks use."""
 
     def find(self, instance: WorkerInstance) -> Worker | None: ...
 
@@ -40,20 +43,20 @@
     def is_renewed(self, instance: WorkerInstance) -> bool: ...
 
     def is_ejected(self, instance: WorkerInstance) -> bool:
-        """By the zone's home, for the outcomes of calls there."""
+        """Returns whether the zone's owner has ejected the worker because calls to it failed."""
         ...
 
     def report_state(self, seen: Worker) -> None:
-        """A state learnt from the worker itself, to be told on."""
+        """Records a state learnt from the worker itself and reports it to the owners."""
         ...
 
     def notify_changed(self, worker: Worker) -> None:
-        """Whether it may get turns has changed here."""
+        """Notifies the listeners that the worker was excluded or admitted again here."""
         ...
 
 
 class WorkerCheck(Protocol):
-    """Part of ``Registry``, by one of two ways (``DaemonSettings.worker_check``)."""
+    """The part of ``Registry`` that depends on the method of checking (``DaemonSettings.worker_check``)."""
 
     def ready(self, table: PoolTable) -> Sequence[Worker]: ...
 
@@ -74,20 +77,25 @@
     def abandoned(self, instance: WorkerInstance) -> None: ...
 
     def collect_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
-        """Of calls to these workers since the last time."""
+        """Returns and clears the outcomes of calls to these workers since the last call of this method."""
         ...
 
     def forget(self, instance: WorkerInstance) -> None: ...
 
 
 class _Suspicion(msgspec.Struct):
+    """How often a worker was suspected, and whether it is excluded now."""
+
     times: int
     last: Instant
-    out: bool
+    excluded: bool
 
 
 class HealthChecks:
-    """A suspected worker is out until it answers its health check; so is one that is doubtful while the feed is old."""
+    """A suspected worker is excluded until it answers a health check.
+
+    While the feed is too old, a worker must answer a health check before it gets a turn.
+    """
 
     def __init__(self, context: Context, view: RegistryView) -> None:
         self._context = context
@@ -104,10 +112,13 @@
 
     def is_suspected(self, instance: WorkerInstance) -> bool:
         suspicion = self._suspicions.get(instance)
-        return suspicion is not None and suspicion.out
+        return suspicion is not None and suspicion.excluded
 
     async def confirm(self, worker: Worker) -> bool:
-        """The smallest exception: a feed older than the bound is backed by the worker's own word (section 10.3)."""
+        """Returns whether the worker may get a turn.
+
+        If the feed is older than its limit, the worker's own health answer decides (section 10.3).
+        """
         if not self._may_get_turns(worker.instance):
             return False
         if self._view.feed_age(worker.pool) <= FEED_MAX_AGE_S:
@@ -135,11 +146,11 @@
         suspicion = self._suspicions.get(worker.instance)
         if suspicion is None:
             suspicion = self._suspicions[worker.instance] = _Suspicion(0, now, False)
-        if suspicion.out:
+        if suspicion.excluded:
             return
         suspicion.times = suspicion.times + 1 if now - suspicion.last < SUSPICION_RETENTION_S else 1
         suspicion.last = now
-        suspicion.out = True
+        suspicion.excluded = True
         self._context.log.event("worker-suspected", worker=worker.instance, times=suspicion.times, reason=reason)
         self._context.tasks.spawn(f"recheck {worker.instance}", self._recheck(worker, suspicion))
         self._view.notify_changed(worker)
@@ -200,7 +211,7 @@
             if self._apply_health_answer(
                 current, await ask_health(self._context.http, worker.address, HEALTH_TIMEOUT_S)
             ):
-                suspicion.out = False
+                suspicion.excluded = False
                 suspicion.last = self._now()
                 self._context.log.event("worker-trusted-again", worker=worker.instance)
                 self._view.notify_changed(current)
@@ -209,7 +220,7 @@
 
 
 class TrialCalls:
-    """Workers are never asked for their health: real calls tell (section 10.6)."""
+    """Workers are never asked for their health: the outcomes of real calls decide (section 10.6)."""
 
     def __init__(self, context: Context, view: RegistryView, unrenewed_after: Seconds) -> None:
         self._context = context
@@ -220,7 +231,10 @@
         self._outcomes: dict[WorkerInstance, Outcomes] = {}
 
     def ready(self, table: PoolTable) -> Sequence[Worker]:
-        """Those heard of late that are not left out, else all that have not said that they leave."""
+        """Returns the responsive workers that are not excluded; if there are none, those of all active workers.
+
+        If none of these is admitted either, it returns all responsive workers.
+        """
         active = table.active()
         responsive = self._responsive(table, active)
         if not self._breakers and not any(self._view.is_ejected(worker.instance) for worker in responsive):
@@ -252,7 +266,7 @@
             self._notify_changed(instance)
 
     def failed(self, instance: WorkerInstance) -> None:
-        """Counted for the zone; a worker that is on trial for worse has failed its trial."""
+        """Counts the failure for the zone's owner; if the worker's breaker is not closed, the trial has failed."""
         self._count(instance, Outcomes(failed=1))
         worker = self._view.find(instance)
         if worker is not None and not self._breakers.is_closed(instance):
@@ -263,7 +277,11 @@
         self._open(worker, reason, longest=False)
 
     def misplaced(self, worker: Worker) -> None:
-        """Not final on one router's word; whoever has the address now announces itself, which is."""
+        """Excludes the worker for the longest pause.
+
+        Its state is not set to gone because of a single router's observation. The worker that has the address now
+        announces itself, and this sets the other to gone.
+        """
         self._open(worker, "another worker answers at its address", longest=True)
 
     def abandoned(self, instance: WorkerInstance) -> None:
@@ -281,7 +299,7 @@
         return self._context.clock.monotonic()
 
     def _responsive(self, table: PoolTable, active: Sequence[Worker]) -> Sequence[Worker]:
-        """Renewed, or answering this router's calls, which is as good; all when that leaves none."""
+        """Returns the workers that are renewed or recently answered a call of this router; all if there are none."""
         renewed = table.ready()
         if len(renewed) == len(active):
             return renewed
@@ -295,7 +313,10 @@
         return responsive or active
 
     def _admitted(self, workers: Sequence[Worker]) -> Sequence[Worker]:
-        """At most half are left out at once; those left out longest get their trial sooner for that."""
+        """Returns the admitted workers; at most half of ``workers`` are excluded at once.
+
+        If more would be excluded, those excluded the longest ago are admitted to their trial early.
+        """
         now = self._now()
         admitted = {worker.instance for worker in workers if self._is_admitted(worker.instance, now)}
         trying = {worker.instance for worker in workers if self._breakers.on_trial(worker.instance, now)}
@@ -310,7 +331,7 @@
         return self._breakers.admits(instance, now) and not self._view.is_ejected(instance)
 
     def _is_last_resort(self, worker: Worker) -> bool:
-        """Every worker of its pool is on trial."""
+        """Returns whether the worker is listed as ready although it is on trial, because all others are as well."""
         return worker in self._view.ready(worker.pool)
 
     def _open(self, worker: Worker, reason: str, longest: bool) -> None:
--- a/wingwood/registry/worker_registry.py
+++ b/wingwood/registry/worker_registry.py
@@ -1,4 +1,4 @@
-"""Keeps workers' states as a home, follows the homes, tells which workers to use (docs/DESIGN.md section 10)."""
+"""Stores workers' states as an owner, follows other owners and lists usable workers (docs/DESIGN.md section 10)."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class WorkerRegistry:
-    """Registry, CallOutcomes and EngagementExchange. Runs on every daemon; only routers are homes."""
+    """Implements Registry, CallOutcomes and EngagementExchange. Runs on every daemon; only routers are owners."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         settings: DaemonSettings,
         announcement_format: AnnouncementFormat | None = None,
     ) -> None:
-        """``announcement_format``: how workers announce themselves to this daemon; the product's own if not given."""
+        """``announcement_format``: the format in which workers announce themselves; the product's own by default."""
         uses_trial_calls, unrenewed_after = settings.worker_check == "trial", settings.worker_unrenewed_after
         self._context = context
         self._messenger = messenger
@@ -113,6 +113,7 @@
         membership.on_change(self._members_changed)
 
     def start(self) -> None:
+        """Starts to follow the owners and to forward renewals."""
         self._context.tasks.spawn("worker feed", self._follow_feeds())
         self._announcement_handler.start()
 
@@ -130,11 +131,11 @@
         return self._directory.find(instance)
 
     def all_workers(self) -> Sequence[Worker]:
-        """Every worker known here, of whatever state, by pool and instance; for operators."""
+        """Returns all workers known here, in any state, sorted by pool and instance; for operators."""
         return [record.worker for record in self._directory.records()]
 
     def pools(self) -> Sequence[PoolName]:
-        """Every pool known here."""
+        """Returns all pools known here."""
         return self._directory.pools()
 
     async def confirm(self, worker: Worker) -> bool:
@@ -177,10 +178,13 @@
         return self._follower.engagement_of_others(instance)
 
     def is_suspected(self, instance: WorkerInstance) -> bool:
-        """Whether calls there, or its health check, failed of late; as a last resort it may be ready all the same."""
+        """Returns whether calls to the worker, or its health check, failed recently.
+
+        Such a worker may still be listed as ready if too few others are left.
+        """
         return self._check.is_suspected(instance)
 
-    # --- for the worker check and the announcement taker ---------------------------------------------
+    # --- for the worker check and the announcement handler -------------------------------------------
 
     def is_renewed(self, instance: WorkerInstance) -> bool:
         record = self._directory.record(instance)
@@ -207,15 +211,15 @@
     # --- what is known ------------------------------------------------------------------------
 
     def watch(self, pool: PoolName) -> None:
-        """Follow this pool from now on, also before a turn asks for it."""
+        """Starts to follow this pool, even if no turn has requested it yet."""
         self._directory.table(pool)
 
     def set_default_cache_tokens(self, pool: PoolName, cache_tokens: int) -> None:
-        """The KV cache of each of the pool's workers, for those that don't announce it."""
+        """Sets the KV cache size, in tokens, of the pool's workers that do not announce it themselves."""
         self._directory.table(pool).set_default_cache_tokens(cache_tokens)
 
     def feed_age(self, pool: PoolName) -> float:
-        """Seconds since this daemon's knowledge of the pool was last proven; infinite when never."""
+        """Returns the seconds since this daemon's knowledge of the pool was last proven; infinite if it never was."""
         return self._follower.feed_age(pool)
 
     # --- owners --------------------------------------------------------------------------------
@@ -226,22 +230,22 @@
         self._update_ownership(self._directory.pools())
 
     def _update_ownership(self, pools: Sequence[PoolName]) -> None:
-        """Begins and ends this daemon's own duties as the present members have it."""
+        """Starts and ends this daemon's ownership of pools according to the current members."""
         for pool in pools:
             if self._pool_owners.is_own(pool) == self._ownership.has(pool):
                 continue
-            self._follower.discard_feeds(pool)  # renewals were judged here meanwhile, so all is asked for anew
+            self._follower.discard_feeds(pool)  # this daemon marked silent workers itself, so feeds must start over
             if self._ownership.has(pool):
                 self._ownership.end(pool)
             else:
                 self._ownership.begin(pool)
 
     def _owner_age(self, pool: PoolName) -> Seconds:
-        """How old this daemon's knowledge as the pool's home is; infinite when it is no home, or knows too little."""
+        """Returns the age of this daemon's knowledge as the pool's owner; infinite if it is no owner or not synced."""
         return self._ownership.age(pool)
 
     def _notify_zone(self, pool: PoolName, workers: Sequence[Worker], previous: int) -> None:
-        """Routers tell the others of their zone of workers that changed."""
+        """Sends changed workers to the other routers of the zone, if this daemon is a router."""
         if workers and self._is_router:
             self._push(pool, workers, previous)
 
