--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -525,7 +525,7 @@
 
         async def announce(at: str) -> None:
             request = fleet.request(worker)
-            while (await fleet.routers[at].registry.announce(request)).status != 200:
+            while (await fleet.routers[at].registry.handle_announcement(request)).status != 200:
                 await asyncio.sleep(0.2)
 
         world.spawn(world.processes[edge], announce(edge), "announce")
--- a/wingwood/registry/announcement_handler.py
+++ b/wingwood/registry/announcement_handler.py
@@ -123,7 +123,7 @@
     def start(self) -> None:
         self._context.tasks.spawn("worker renewals", self._forward_renewals())
 
-    async def announce(self, request: OperatorRequest) -> OperatorReply:
+    async def handle_announcement(self, request: OperatorRequest) -> OperatorReply:
         match self._announcement_format.read(request):
             case Success(Announcement(worker, sequence)):
                 return await self.accept_announcement(worker, sequence)
--- a/wingwood/registry/feed_follower.py
+++ b/wingwood/registry/feed_follower.py
@@ -49,7 +49,8 @@
     """Workers by the owner's numbers."""
     by_instance: dict[WorkerInstance, int] = msgspec.field(default_factory=dict)
 
-    def name(self, entries: Sequence[WorkerEntry]) -> None:
+    def learn_numbers(self, entries: Sequence[WorkerEntry]) -> None:
+        """Stores the owner's numbers of these workers."""
         for entry in entries:
             self.numbers[entry.number] = entry.worker.instance
             self.by_instance[entry.worker.instance] = entry.number
@@ -196,10 +197,10 @@
             self._directory.table(pool)
         asked = {asked.pool: asked for asked in question.pools}
         for part in filter(None, map(unpack_entries, answer.pools)):
-            if part.pool in asked and not self._feed_was_dropped(identity, asked[part.pool]):
+            if part.pool in asked and not self._feed_was_discarded(identity, asked[part.pool]):
                 self._apply_answer(identity, answer, part, asked[part.pool], asked_at)
 
-    def _feed_was_dropped(self, identity: Identity, asked: PoolQuestion) -> bool:
+    def _feed_was_discarded(self, identity: Identity, asked: PoolQuestion) -> bool:
         """Returns whether the feed that the question continued was discarded since.
 
         The answer then lacks what had been sent before.
@@ -207,6 +208,7 @@
         return asked.owner == identity.incarnation and (asked.pool, identity.incarnation) not in self._feeds
 
     def _question(self, identity: Identity, pool: PoolName) -> PoolQuestion:
+        """Returns the question for one pool; loads and counts are included only at their own interval."""
         is_owner = self._pool_owners.is_own(pool)
         feed = self._feeds.get((pool, identity.incarnation))
         if feed is None:
@@ -306,9 +308,9 @@
         """
         if not self._is_router or self._pool_owners.is_own(part.pool):
             return ()
-        known_states = {entry.worker.instance: entry.worker.state for entry in part.entries}
+        states_at_owner = {entry.worker.instance: entry.worker.state for entry in part.entries}
         own = self._directory.table(part.pool).entries(self._now())
-        missing = [entry for entry in own if known_states.get(entry.worker.instance) != entry.worker.state]
+        missing = [entry for entry in own if states_at_owner.get(entry.worker.instance) != entry.worker.state]
         return tuple(missing[:MAX_OFFERED_WORKERS])
 
     def _apply_fallback_owner(self, part: PoolAnswer, answer: FeedAnswer, asked_at: Instant) -> None:
@@ -327,7 +329,7 @@
             current = frozenset(identity.incarnation for identity in self._pool_owners.by_zone(part.pool).values())
             self._retain_feeds(part.pool, current)
             feed = self._feeds[(part.pool, owner)] = _Feed()
-        feed.name(part.entries)
+        feed.learn_numbers(part.entries)
         return feed
 
     def _apply_loads(self, part: PoolAnswer, feed: _Feed) -> None:
@@ -342,6 +344,7 @@
         return EngagementReport(self._now(), by_instance(engaged, feed.numbers))
 
     def _record_proof(self, part: PoolAnswer, answer: FeedAnswer, asked_at: Instant) -> None:
+        """Advances the time of the last proof, if the sender's ownership and membership are proven."""
         if part.synced and answer.session_age <= SESSION_PROOF_MAX_AGE_S:
             proven = Instant(asked_at - part.age)
             self._proven_at[part.pool] = max(proven, self._proven_at.get(part.pool, proven))
@@ -363,7 +366,7 @@
             else:
                 self._directory.merge(entry, trust_renewal=trusted)
         if feed is not None:
-            feed.name(push.entries)
+            feed.learn_numbers(push.entries)
             if follows_on:
                 feed.sequence = push.sequence
 
--- a/wingwood/registry/pool_ownership.py
+++ b/wingwood/registry/pool_ownership.py
@@ -71,7 +71,7 @@
     def pools(self) -> list[PoolName]:
         return sorted(self._owned)
 
-    def has(self, pool: PoolName) -> bool:
+    def owns(self, pool: PoolName) -> bool:
         return pool in self._owned
 
     def begin(self, pool: PoolName) -> None:
@@ -84,12 +84,12 @@
         """Ends the ownership of a pool."""
         del self._owned[pool]
 
-    # --- whether a owner knows enough ----------------------------------------------------------
+    # --- whether an owner knows enough ---------------------------------------------------------
 
     def is_synced(self, pool: PoolName) -> bool:
         """Returns whether this daemon owns the pool and has pulled the other owners' records."""
-        owner = self._owned.get(pool)
-        return owner is not None and owner.synced
+        owned = self._owned.get(pool)
+        return owned is not None and owned.synced
 
     def record_answer(self, pool: PoolName, other: Incarnation, asked_at: Instant) -> None:
         """Records that another zone's owner has answered the question that was asked at ``asked_at``."""
@@ -101,19 +101,19 @@
 
         Until then its answers prove nothing to its followers.
         """
-        owner = self._owned.get(pool)
-        if owner is None or owner.synced:
+        owned = self._owned.get(pool)
+        if owned is None or owned.synced:
             return
-        owner.synced = self._other_owners(pool) <= owner.answered.keys()
+        owned.synced = self._other_owners(pool) <= owned.answered.keys()
 
     def mark_unsynced(self) -> None:
         """Marks all owned pools as not synced after this daemon was frozen or cut off.
 
         It may have missed renewals and must pull the records of the other owners again.
         """
-        for pool, owner in self._owned.items():
-            owner.synced = False
-            owner.answered.clear()
+        for pool, owned in self._owned.items():
+            owned.synced = False
+            owned.answered.clear()
             self._directory.table(pool).restart_renewal_timers(self._now())
 
     def age(self, pool: PoolName) -> Seconds:
@@ -122,13 +122,13 @@
         It is the age of the oldest answer in the freshest majority of the zones' owners, this one included. An
         acknowledged state is stored at a majority of them, so at least one owner in this majority has it.
         """
-        owner = self._owned.get(pool)
+        owned = self._owned.get(pool)
         now = self._now()
         session = self._membership.session_proven_at()
-        if owner is None or not owner.synced or session is None or now - session > SESSION_PROOF_MAX_AGE_S:
+        if owned is None or not owned.synced or session is None or now - session > SESSION_PROOF_MAX_AGE_S:
             return UNKNOWN_AGE
         others = self._other_owners(pool)
-        answered = sorted((owner.answered.get(other, NEVER) for other in others), reverse=True)
+        answered = sorted((owned.answered.get(other, NEVER) for other in others), reverse=True)
         needed = (len(others) + 1) // 2
         return Seconds(0.0 if needed == 0 else now - answered[needed - 1])
 
@@ -146,11 +146,11 @@
         self._notify_zone(worker.pool, changed, previous)
         self._note_renewal_received()
         if is_new and worker.state == "ready":
-            self._end_in_other_pools(worker)
+            self._end_workers_of_other_pools(worker)
         is_owner = self._pool_owners.is_own(worker.pool)
         return WorkerStateReceipt(table.records[worker.instance].worker, is_owner, self._pool_owners.zone_count())
 
-    def _end_in_other_pools(self, worker: Worker) -> None:
+    def _end_workers_of_other_pools(self, worker: Worker) -> None:
         """Sets workers of other pools at the same address to gone, since a new worker has taken the address."""
         for table in self._directory.tables():
             if table.pool != worker.pool:
@@ -165,12 +165,12 @@
         if self._directory.merge(entry, trust_renewal=False):
             self._notify_zone(worker.pool, [worker], previous)
 
-    def report_state(self, seen: Worker) -> None:
+    def report_state(self, observed: Worker) -> None:
         """Records a state that did not come from the owner and reports it to the owners of all zones."""
-        self.merge_reported(WorkerEntry(seen, True))
-        for owner in self._pool_owners.by_zone(seen.pool).values():
+        self.merge_reported(WorkerEntry(observed, True))
+        for owner in self._pool_owners.by_zone(observed.pool).values():
             if owner.incarnation != self._messenger.identity.incarnation:
-                self._messenger.post(owner.internal, ObservedState(seen))
+                self._messenger.post(owner.internal, ObservedState(observed))
 
     # --- renewals -----------------------------------------------------------------------------
 
@@ -213,16 +213,16 @@
     def _all_are_silent(self, now: Instant) -> bool:
         return self._uses_trial_calls and now - self._last_renewal_at > ALL_SILENT_AFTER_S
 
-    def expire(self, pool: PoolName) -> None:
+    def mark_unrenewed(self, pool: PoolName) -> None:
         """Marks workers without a recent renewal, unless this owner is not synced or all workers are silent."""
         now = self._now()
         if not self.is_synced(pool) or self._all_are_silent(now):
             return
         table = self._directory.table(pool)
         previous = table.sequence
-        expired = table.expire(now, self._unrenewed_after)
-        self._directory.record_changes(expired)
-        self._notify_zone(pool, expired, previous)
+        marked = table.mark_unrenewed(now, self._unrenewed_after)
+        self._directory.record_changes(marked)
+        self._notify_zone(pool, marked, previous)
 
     def _now(self) -> Instant:
         return self._context.clock.monotonic()
--- a/wingwood/registry/pool_table.py
+++ b/wingwood/registry/pool_table.py
@@ -205,7 +205,7 @@
         for record in self.records.values():
             record.renewed_at = now
 
-    def expire(self, now: Instant, unrenewed_after: Seconds) -> list[Worker]:
+    def mark_unrenewed(self, now: Instant, unrenewed_after: Seconds) -> list[Worker]:
         """Marks workers without a renewal for ``unrenewed_after`` and returns those marked now. For owners only."""
         changed = []
         for _, record in sorted(self.records.items()):
--- a/wingwood/registry/tests/fleet.py
+++ b/wingwood/registry/tests/fleet.py
@@ -165,7 +165,7 @@
 
     def announce(self, worker: EmulatedWorker, router: str = "r0", **changes: object) -> OperatorReply:
         request = self.request(worker, **changes)
-        reply: OperatorReply = self.inside(router, lambda: self.routers[router].registry.announce(request))
+        reply: OperatorReply = self.inside(router, lambda: self.routers[router].registry.handle_announcement(request))
         return reply
 
     def inside(self, router: str, work: Callable[[], Any], within: float = 5.0) -> Any:
--- a/wingwood/registry/tests/test_worker_registry.py
+++ b/wingwood/registry/tests/test_worker_registry.py
@@ -147,7 +147,7 @@
         request = self.fleet.request(self.worker, state="draining")
 
         async def announce() -> None:
-            await registry.announce(request)
+            await registry.handle_announcement(request)
 
         self.world.spawn(self.world.processes[announced_to], announce(), "announce")
         self.world.run(0.15)
--- a/wingwood/registry/worker_checks.py
+++ b/wingwood/registry/worker_checks.py
@@ -46,7 +46,7 @@
         """Returns whether the zone's owner has ejected the worker because calls to it failed."""
         ...
 
-    def report_state(self, seen: Worker) -> None:
+    def report_state(self, observed: Worker) -> None:
         """Records a state learnt from the worker itself and reports it to the owners."""
         ...
 
@@ -183,15 +183,16 @@
     async def _ask(self, worker: Worker, waiter: asyncio.Future[bool]) -> None:
         asked_at = self._now()
         answer = await ask_health(self._context.http, worker.address, HEALTH_TIMEOUT_S)
-        good = self._apply_health_answer(worker, answer)
-        self._health[worker.instance] = (asked_at, good)
+        healthy = self._apply_health_answer(worker, answer)
+        self._health[worker.instance] = (asked_at, healthy)
         del self._asked[worker.instance]
         if not waiter.done():
-            waiter.set_result(good)
+            waiter.set_result(healthy)
         if answer is None and (found := self._view.find(worker.instance)) is not None and found.state != "gone":
             self.suspect(found, "no answer to its health check")
 
     def _apply_health_answer(self, worker: Worker, answer: HealthAnswer | None) -> bool:
+        """Returns whether the worker is ready; reports another state, or gone if another instance answered."""
         if answer is None:
             return False
         if answer.instance == worker.instance and answer.state == "ready":
@@ -201,6 +202,7 @@
         return False
 
     async def _recheck(self, worker: Worker, suspicion: _Suspicion) -> None:
+        """Checks a suspected worker's health with pauses until it is ready again, leaves or is forgotten."""
         pause = min(MAX_SUSPICION_S, FIRST_SUSPICION_S * 2 ** (suspicion.times - 1))
         while True:
             await self._context.clock.sleep(Seconds(pause))
@@ -319,12 +321,12 @@
         """
         now = self._now()
         admitted = {worker.instance for worker in workers if self._is_admitted(worker.instance, now)}
-        trying = {worker.instance for worker in workers if self._breakers.on_trial(worker.instance, now)}
-        missing = (len(workers) + 1) // 2 - len(admitted | trying)
+        on_trial = {worker.instance for worker in workers if self._breakers.on_trial(worker.instance, now)}
+        missing = (len(workers) + 1) // 2 - len(admitted | on_trial)
         if missing > 0:
-            left_out = [worker.instance for worker in workers if worker.instance not in admitted | trying]
-            left_out.sort(key=lambda instance: (self._breakers.opened_at(instance), instance))
-            admitted.update(left_out[:missing])
+            excluded = [worker.instance for worker in workers if worker.instance not in admitted | on_trial]
+            excluded.sort(key=lambda instance: (self._breakers.opened_at(instance), instance))
+            admitted.update(excluded[:missing])
         return tuple(worker for worker in workers if worker.instance in admitted)
 
     def _is_admitted(self, instance: WorkerInstance, now: Instant) -> bool:
--- a/wingwood/registry/worker_registry.py
+++ b/wingwood/registry/worker_registry.py
@@ -119,7 +119,7 @@
 
     def add_routes(self, routes: OperatorRoutes) -> None:
         for route in self._announcement_format.routes:
-            routes.add(route.method, route.path, self.announce)
+            routes.add(route.method, route.path, self.handle_announcement)
         routes.add("GET", LIST_PATH, self._list)
 
     # --- Registry -----------------------------------------------------------------------------
@@ -193,8 +193,8 @@
     def is_ejected(self, instance: WorkerInstance) -> bool:
         return self._ejections.is_ejected(instance)
 
-    def report_state(self, seen: Worker) -> None:
-        self._ownership.report_state(seen)
+    def report_state(self, observed: Worker) -> None:
+        self._ownership.report_state(observed)
 
     def notify_changed(self, worker: Worker) -> None:
         self._directory.notify([worker])
@@ -232,10 +232,10 @@
     def _update_ownership(self, pools: Sequence[PoolName]) -> None:
         """Starts and ends this daemon's ownership of pools according to the current members."""
         for pool in pools:
-            if self._pool_owners.is_own(pool) == self._ownership.has(pool):
+            if self._pool_owners.is_own(pool) == self._ownership.owns(pool):
                 continue
             self._follower.discard_feeds(pool)  # this daemon marked silent workers itself, so feeds must start over
-            if self._ownership.has(pool):
+            if self._ownership.owns(pool):
                 self._ownership.end(pool)
             else:
                 self._ownership.begin(pool)
@@ -287,15 +287,15 @@
                 self._ownership.mark_unsynced()
             last = now
             self._follower.ask_round()
-            self._expire()
+            self._mark_unrenewed()
             await self._context.clock.sleep(FEED_INTERVAL_S)
 
-    def _expire(self) -> None:
+    def _mark_unrenewed(self) -> None:
         for pool in self._ownership.pools():
             self._ownership.update_synced(pool)
             table = self._directory.table(pool)
             self._ejections.judge(table, self._collect_outcomes(sorted(table.records)))
-            self._ownership.expire(pool)
+            self._ownership.mark_unrenewed(pool)
         for instance in self._directory.evict_old():
             self._check.forget(instance)
 
@@ -304,8 +304,8 @@
 
     # --- announcements ------------------------------------------------------------------------
 
-    async def announce(self, request: OperatorRequest) -> OperatorReply:
-        return await self._announcement_handler.announce(request)
+    async def handle_announcement(self, request: OperatorRequest) -> OperatorReply:
+        return await self._announcement_handler.handle_announcement(request)
 
     async def accept_announcement(self, worker: Worker, sequence: int = 0) -> OperatorReply:
         return await self._announcement_handler.accept_announcement(worker, sequence)
