--- a/wingwood/registry/outliers.py
+++ b/wingwood/registry/outliers.py
@@ -52,6 +52,8 @@
 
 
 class _Ejection(msgspec.Struct):
+    """How often a worker was ejected in a row, and until when it is ejected."""
+
     times: int
     until: Instant
 
--- a/wingwood/registry/tests/test_worker_registry.py
+++ b/wingwood/registry/tests/test_worker_registry.py
@@ -139,6 +139,7 @@
         self.drain_with_faulty_owner("freeze")
 
     def test_zone_of_a_frozen_owner_learns_of_a_drain_before_the_owner_times_out(self) -> None:
+        """The daemon that received the drain sends it to the zone's routers before the call to the owner times out."""
         instance = self.announce_worker()
         owner = self.fleet.owner("b")
         announced_to = self.other_routers(owner)[0]
@@ -158,6 +159,7 @@
         self.drain_with_faulty_owner("kill")
 
     def test_owner_killed_after_its_acknowledgement_and_before_its_push(self) -> None:
+        """The other routers of the zone must learn of the drain although the owner never sent its push."""
         instance = self.announce_worker()
         owner = self.fleet.owner("b")
         self.fleet.routers[owner].registry._push = lambda *_: None  # type: ignore[method-assign]
@@ -182,6 +184,7 @@
         self.assertFalse(self.fleet.confirmed(follower, instance))
 
     def test_owner_without_proven_membership_proves_nothing_to_followers(self) -> None:
+        """Such an owner may have been replaced and miss announcements without noticing."""
         self.announce_worker()
         owner = self.fleet.owner("b")
         membership = self.fleet.routers[owner].membership
@@ -194,6 +197,7 @@
         self.assertGreater(self.fleet.feed_age(owner), 1.0)
 
     def test_owner_cut_off_from_other_zones_does_not_trust_itself_despite_its_membership(self) -> None:
+        """It may lack states that the other zones' owners have acknowledged as a majority."""
         instance = self.announce_worker()
         self.world.run(0.5)
         owner = self.fleet.owner("b")
@@ -225,6 +229,7 @@
         self.assertFalse(self.fleet.confirmed(owner, instance))
 
     def test_owner_that_wakes_does_not_mark_workers_whose_renewals_it_missed(self) -> None:
+        """While it was frozen, the renewals went to another owner."""
         instance = self.announce_worker()
         owner = self.fleet.owner("b")
         announced_to = self.other_routers(owner)[0]
@@ -259,6 +264,7 @@
         self.assertLess(self.fleet.feed_age(follower), 1.0)
 
     def test_owner_that_missed_announcements_while_frozen_does_not_trust_itself(self) -> None:
+        """While it was frozen and not a member, a drain was acknowledged without it."""
         instance = self.announce_worker()
         self.world.run(0.5)
         owner = self.fleet.owner("b")
@@ -287,6 +293,7 @@
         self.assertLess(self.fleet.feed_age(follower), FEED_INTERVAL_S + 0.05)
 
     def test_router_that_was_owner_while_cut_off_learns_of_renewals_in_between(self) -> None:
+        """Alone it considered itself the owner and marked the worker, whose renewals it could not receive."""
         instance = self.announce_worker()
         owner = self.fleet.owner("b")
         follower = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
@@ -343,6 +350,7 @@
             self.assertEqual(names, {zone: owner.name for zone, owner in late.pool_owners(pool).items()})
 
     def test_restarted_owner_learns_final_states_from_its_followers(self) -> None:
+        """Its new incarnation starts with empty tables, and in a single zone no other owner has the state."""
         for zones in (("a", "b", "c"), ("a",)):
             with self.subTest(zones=zones):
                 self.fleet = Fleet(self.enterContext(World(8)), zones=zones)
@@ -358,6 +366,7 @@
                 self.assertEqual(found and found.state, "draining")
 
     def test_forgotten_worker_is_announced_in_full_by_its_renewals(self) -> None:
+        """The receiving daemon still takes the announcement for a renewal of a worker that the owners have removed."""
         for count in (6, 1):
             with self.subTest(routers=count):
                 self.fleet = Fleet(self.enterContext(World(8)), count)
--- a/wingwood/registry/worker_announcements.py
+++ b/wingwood/registry/worker_announcements.py
@@ -28,12 +28,16 @@
 
 
 class _LoadBody(msgspec.Struct):
+    """Load figures in the body of an announcement."""
+
     running: int
     waiting: int = 0
     cache_tokens_used: int = 0
 
 
 class _AnnouncementBody(msgspec.Struct):
+    """JSON body of an announcement."""
+
     instance: str
     address: str
     pool: str
