--- a/wingwood/placement/long_streams.py
+++ b/wingwood/placement/long_streams.py
@@ -91,7 +91,7 @@
 
     def stream_count(self, worker: Worker) -> float:
         """Returns the number of long streams of all routers at the worker."""
-        return self._own[worker.instance] + self._exchange.elsewhere(worker.instance).streams
+        return self._own[worker.instance] + self._exchange.engagement_of_others(worker.instance).streams
 
     def candidates(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         """Returns the workers of ``ready`` that should be compared for the turn, at least one."""
--- a/wingwood/placement/worker_estimates.py
+++ b/wingwood/placement/worker_estimates.py
@@ -81,7 +81,7 @@
         """Returns the uncached tokens per second that this router sends to a worker; set where they are counted."""
         self.long_streams: Callable[[WorkerInstance], int] = lambda instance: 0
         """Returns the number of this router's long streams at a worker; set where they are counted."""
-        exchange.count_with(self._count)
+        exchange.register_counter(self._count)
 
     # --- counting -----------------------------------------------------------------------------
 
@@ -144,7 +144,7 @@
 
     def load(self, worker: Worker) -> float:
         """Returns the number of turns of all routers that run or wait at the worker now."""
-        counted = self._running[worker.instance] + self._exchange.elsewhere(worker.instance).running
+        counted = self._running[worker.instance] + self._exchange.engagement_of_others(worker.instance).running
         reported = 0 if worker.load is None else worker.load.running + worker.load.waiting
         return max(counted, REPORTED_LOAD_WEIGHT * reported)
 
@@ -153,7 +153,9 @@
 
         The turns that run now say little about that time.
         """
-        return active_share * (self._expected_at[worker.instance] + self._exchange.elsewhere(worker.instance).expected)
+        return active_share * (
+            self._expected_at[worker.instance] + self._exchange.engagement_of_others(worker.instance).expected
+        )
 
     def active_share(self, ready: Sequence[Worker]) -> float:
         """Returns the mean share of awarded sessions that run a turn; it is the same for all workers of a pool."""
--- a/wingwood/registry/packed_entries.py
+++ b/wingwood/registry/packed_entries.py
@@ -1,4 +1,4 @@
-"""Long lists of workers travel packed: a new home gives one to each router of its zone (docs/DESIGN.md 10.3)."""
+"""Compression of long lists of workers; a new owner sends one to each router of its zone (docs/DESIGN.md 10.3)."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 from .messages import PoolAnswer, WorkerEntry
 
-PACKED_ABOVE = 8
-"""Entries; fewer are hardly smaller for it."""
-PACKING_LEVEL = 1
-"""The fastest."""
-UNPACKED_BYTES = 16 * 1024 * 1024
-"""Most that a list may unpack to."""
+PACK_ABOVE_ENTRIES = 8
+"""Lists of up to this many entries are not packed, because packing hardly makes them smaller."""
+ZLIB_LEVEL = 1
+"""The fastest level."""
+MAX_UNPACKED_BYTES = 16 * 1024 * 1024
+"""Limit on the size of an unpacked list."""
 
 
-def with_entries_packed(answer: PoolAnswer) -> PoolAnswer:
-    """As it is where it holds few entries."""
-    if len(answer.entries) <= PACKED_ABOVE:
+def pack_entries(answer: PoolAnswer) -> PoolAnswer:
+    """Returns the answer with its entries packed, or unchanged if it has few entries."""
+    if len(answer.entries) <= PACK_ABOVE_ENTRIES:
         return answer
-    packed = zlib.compress(msgspec.msgpack.encode(answer.entries), PACKING_LEVEL)
+    packed = zlib.compress(msgspec.msgpack.encode(answer.entries), ZLIB_LEVEL)
     return msgspec.structs.replace(answer, entries=(), packed=packed)
 
 
-def with_entries_unpacked(answer: PoolAnswer) -> PoolAnswer | None:
-    """None when what was packed is no list of workers."""
+def unpack_entries(answer: PoolAnswer) -> PoolAnswer | None:
+    """Returns the answer with its entries unpacked; None if the packed bytes are not a list of workers."""
     if not answer.packed:
         return answer
     entries = _unpacked(answer.packed)
@@ -36,7 +36,7 @@
 def _unpacked(packed: bytes) -> Sequence[WorkerEntry] | None:
     unpacker = zlib.decompressobj()
     try:
-        data = unpacker.decompress(packed, UNPACKED_BYTES)
+        data = unpacker.decompress(packed, MAX_UNPACKED_BYTES)
         return msgspec.msgpack.decode(data, type=list[WorkerEntry]) if unpacker.eof else None
     except (zlib.error, msgspec.MsgspecError):
         return None
--- a/wingwood/registry/pool_table.py
+++ b/wingwood/registry/pool_table.py
@@ -1,4 +1,4 @@
-"""The workers of one pool as one daemon knows them (docs/DESIGN.md section 10.2)."""
+"""Table of the workers of one pool as one daemon knows them (docs/DESIGN.md section 10.2)."""
 
 from __future__ import annotations
 
@@ -10,12 +10,17 @@
 from .messages import LoadFigures, WorkerEntry
 from .protocols import Worker, WorkerLoad
 
-FORGOTTEN_AFTER = Seconds(120.0)
-FINAL_KEPT_FOR = Seconds(600.0)
-ORDER = {"ready": 0, "draining": 1, "gone": 2}
+UNRENEWED_RETENTION_S = Seconds(120.0)
+"""How long a worker without renewals stays in the table after its last change."""
+GONE_RETENTION_S = Seconds(600.0)
+"""How long a worker in the final state ``gone`` stays in the table."""
+STATE_ORDER = {"ready": 0, "draining": 1, "gone": 2}
+"""States only advance in this order."""
 
 
 class WorkerRecord(msgspec.Struct, kw_only=True):
+    """A worker and what this daemon recorded about it."""
+
     worker: Worker
     renewed: bool
     renewed_at: Instant
@@ -23,61 +28,65 @@
     load_sequence: int
     number: int
     changed_at: Instant
-    known_since: Instant
-    """``worker.cold_left`` counts from here."""
-    announced: int = 0
-    """Number of the announcement that told the worker's attributes."""
-    heard: int = 0
-    """Highest number of its announcements, renewals among them."""
+    first_known_at: Instant
+    """Time from which ``worker.cold_left`` counts down."""
+    attributes_sequence: int = 0
+    """Sequence number of the announcement that the worker's attributes come from."""
+    highest_sequence: int = 0
+    """Highest sequence number among the worker's announcements and renewals."""
 
 
 class PoolTable:
-    """States only move on (ready, draining, gone), so entries can be merged from anyone in any order."""
+    """The workers of one pool.
+
+    States only advance (ready, draining, gone), so entries of any sender can be merged in any order.
+    """
 
     def __init__(self, pool: PoolName) -> None:
         self.pool = pool
         self.sequence = 0
         self.load_sequence = 0
         self.numbers: dict[int, WorkerInstance] = {}
-        """Short names, never given twice by one table."""
+        """Workers by the short number that this table gave them; a number is never reused."""
         self._next_number = 0
         self.records: dict[WorkerInstance, WorkerRecord] = {}
         self._ready: tuple[Worker, ...] | None = None
         self._cache_tokens = 0
-        self._standing: tuple[Worker, ...] | None = None
+        self._active: tuple[Worker, ...] | None = None
 
     def ready(self) -> tuple[Worker, ...]:
+        """Returns the renewed workers in state ready, sorted by instance."""
         if self._ready is None:
             self._ready = tuple(
-                self._described(record.worker)
+                self._with_default_cache_tokens(record.worker)
                 for _, record in sorted(self.records.items())
                 if record.renewed and record.worker.state == "ready"
             )
         return self._ready
 
-    def describe(self, cache_tokens: int) -> None:
-        """What is known of all workers of the pool, for those that don't tell it themselves."""
+    def set_default_cache_tokens(self, cache_tokens: int) -> None:
+        """Sets the KV cache size of all workers of the pool that do not announce it themselves."""
         if cache_tokens != self._cache_tokens:
             self._cache_tokens = cache_tokens
-            self._ready = self._standing = None
+            self._ready = self._active = None
 
-    def _described(self, worker: Worker) -> Worker:
+    def _with_default_cache_tokens(self, worker: Worker) -> Worker:
         if worker.cache_tokens or not self._cache_tokens:
             return worker
         return msgspec.structs.replace(worker, cache_tokens=self._cache_tokens)
 
-    def standing(self) -> tuple[Worker, ...]:
-        """Those that have not said that they leave, renewed or not, sorted by instance."""
-        if self._standing is None:
-            self._standing = tuple(
-                self._described(record.worker)
+    def active(self) -> tuple[Worker, ...]:
+        """Returns the workers that did not announce that they leave, renewed or not, sorted by instance."""
+        if self._active is None:
+            self._active = tuple(
+                self._with_default_cache_tokens(record.worker)
                 for _, record in sorted(self.records.items())
                 if record.worker.state == "ready"
             )
-        return self._standing
+        return self._active
 
     def at_address(self, address: Address) -> list[Worker]:
-        """Workers there that are not gone."""
+        """Returns the workers at this address that are not gone."""
         return [
             record.worker
             for _, record in sorted(self.records.items())
@@ -85,13 +94,16 @@
         ]
 
     def cold_left(self, instance: WorkerInstance, now: Instant) -> Seconds:
+        """Returns for how many more seconds the worker runs slower after its start; 0 if it is unknown."""
         record = self.records.get(instance)
-        return Seconds(0.0) if record is None else Seconds(max(0.0, record.worker.cold_left - now + record.known_since))
+        return (
+            Seconds(0.0) if record is None else Seconds(max(0.0, record.worker.cold_left - now + record.first_known_at))
+        )
 
-    def announced(self, worker: Worker, now: Instant, sequence: int = 0) -> list[Worker]:
-        """A worker's own word, first hand. A new ready instance ends the older ones at its address.
+    def apply_announcement(self, worker: Worker, now: Instant, sequence: int = 0) -> list[Worker]:
+        """Applies an announcement that came from the worker itself and returns the workers that changed.
 
-        Gives the workers that changed.
+        A new ready instance sets the older instances at its address to gone.
         """
         changed: list[Worker] = []
         record = self.records.get(worker.instance)
@@ -101,18 +113,21 @@
                     self._set(other, msgspec.structs.replace(other.worker, state="gone"), other.renewed, now)
                     changed.append(other.worker)
         record = self.records.get(worker.instance)
-        late = record is not None and 0 < sequence < record.heard
-        entry = WorkerEntry(worker, True, announced=sequence)
-        if self.merge(entry, now, judge_renewal=not late):
+        outdated = record is not None and 0 < sequence < record.highest_sequence
+        entry = WorkerEntry(worker, True, announcement=sequence)
+        if self.merge(entry, now, trust_renewal=not outdated):
             changed.append(self.records[worker.instance].worker)
         record = self.records[worker.instance]
-        record.heard = max(record.heard, sequence)
-        if not late:
+        record.highest_sequence = max(record.highest_sequence, sequence)
+        if not outdated:
             record.renewed_at = now
         return changed
 
-    def merge(self, entry: WorkerEntry, now: Instant, judge_renewal: bool) -> bool:
-        """Takes what another knows; ``judge_renewal``: its word on renewal counts here. True when state changed."""
+    def merge(self, entry: WorkerEntry, now: Instant, trust_renewal: bool) -> bool:
+        """Merges an entry of another daemon and returns whether the worker changed, other than in its load.
+
+        ``trust_renewal``: whether the sender's ``renewed`` flag replaces the one in this table.
+        """
         worker = entry.worker
         record = self.records.get(worker.instance)
         if record is None:
@@ -124,21 +139,21 @@
                 load_sequence=0,
                 number=self._next_number,
                 changed_at=now,
-                known_since=now,
-                announced=entry.announced,
-                heard=entry.announced,
+                first_known_at=now,
+                attributes_sequence=entry.announcement,
+                highest_sequence=entry.announcement,
             )
             self.numbers[self._next_number] = worker.instance
             self._next_number += 1
             self.records[worker.instance] = record
             self._set(record, worker, entry.renewed, now)
             return True
-        state = max(worker.state, record.worker.state, key=ORDER.__getitem__)
+        state = max(worker.state, record.worker.state, key=STATE_ORDER.__getitem__)
         load = worker.load or record.worker.load
-        renewed = entry.renewed if judge_renewal else record.renewed
+        renewed = entry.renewed if trust_renewal else record.renewed
         attributes = record.worker
-        if entry.announced > record.announced:
-            record.announced = entry.announced
+        if entry.announcement > record.attributes_sequence:
+            record.attributes_sequence = entry.announcement
             attributes = msgspec.structs.replace(worker, cold_left=record.worker.cold_left)
         merged = msgspec.structs.replace(attributes, state=state, load=load)
         differs = renewed != record.renewed or msgspec.structs.replace(merged, load=None) != msgspec.structs.replace(
@@ -151,28 +166,29 @@
         return differs
 
     def set_load(self, instance: WorkerInstance, load: WorkerLoad) -> bool:
+        """Stores the load and returns whether it changed; False as well if the worker is unknown."""
         record = self.records.get(instance)
         if record is None or record.worker.load == load:
             return False
         self.load_sequence += 1
         record.load_sequence = self.load_sequence
         record.worker = msgspec.structs.replace(record.worker, load=load)
-        self._ready = self._standing = None
+        self._ready = self._active = None
         return True
 
-    def renewed(
+    def apply_renewal(
         self, instance: WorkerInstance, load: WorkerLoad | None, now: Instant, sequence: int = 0
     ) -> bool | None:
-        """None: unknown here; else whether it counts as renewed again only now.
+        """Applies a renewal and returns whether the worker was not renewed before; None if it is unknown.
 
-        A renewal that comes after a later one of the same worker is old and renews nothing.
+        A renewal that arrives after a later one of the same worker is outdated and renews nothing.
         """
         record = self.records.get(instance)
         if record is None:
             return None
-        if 0 < sequence <= record.heard:
+        if 0 < sequence <= record.highest_sequence:
             return False
-        record.heard = max(record.heard, sequence)
+        record.highest_sequence = max(record.highest_sequence, sequence)
         record.renewed_at = now
         if load is not None:
             self.set_load(instance, load)
@@ -181,13 +197,16 @@
         self._set(record, record.worker, True, now)
         return True
 
-    def all_renewed(self, now: Instant) -> None:
-        """For a home that has only begun to hear renewals: their time counts from now."""
+    def restart_renewal_timers(self, now: Instant) -> None:
+        """Counts every worker's time without a renewal from now.
+
+        An owner that has only started to receive renewals calls this.
+        """
         for record in self.records.values():
             record.renewed_at = now
 
-    def expire(self, now: Instant, unrenewed_after: Seconds) -> list[Worker]:
-        """For homes: marks what was not renewed for so long; gives the workers marked now."""
+    def mark_unrenewed(self, now: Instant, unrenewed_after: Seconds) -> list[Worker]:
+        """Marks workers without a renewal for ``unrenewed_after`` and returns those marked now. For owners only."""
         changed = []
         for _, record in sorted(self.records.items()):
             silent = now - record.renewed_at
@@ -196,25 +215,26 @@
                 changed.append(record.worker)
         return changed
 
-    def forget_old(self, now: Instant) -> None:
-        """Final and unrenewed workers leave memory, at homes and at their followers alike."""
+    def evict_old(self, now: Instant) -> None:
+        """Removes gone and unrenewed workers after their retention, at owners and at their followers alike."""
         for instance, record in sorted(self.records.items()):
-            kept_for = FINAL_KEPT_FOR if record.worker.state == "gone" else FORGOTTEN_AFTER
-            if (record.worker.state == "gone" or not record.renewed) and now - record.changed_at > kept_for:
+            retention = GONE_RETENTION_S if record.worker.state == "gone" else UNRENEWED_RETENTION_S
+            if (record.worker.state == "gone" or not record.renewed) and now - record.changed_at > retention:
                 del self.records[instance]
                 del self.numbers[record.number]
-                self._ready = self._standing = None
+                self._ready = self._active = None
 
     def entries(self, now: Instant, instances: Iterable[WorkerInstance] | None = None) -> tuple[WorkerEntry, ...]:
+        """Returns the entries of these workers, or of all, sorted by instance."""
         wanted = sorted(self.records if instances is None else instances)
         return tuple(self._entry(self.records[instance], now) for instance in wanted if instance in self.records)
 
     def _entry(self, record: WorkerRecord, now: Instant) -> WorkerEntry:
-        """``cold_left`` as of now, since the taker counts it from when the entry comes."""
+        """Sets ``cold_left`` as of now, because the receiver counts it down from the arrival of the entry."""
         worker = record.worker
         if worker.cold_left:
             worker = msgspec.structs.replace(worker, cold_left=self.cold_left(worker.instance, now))
-        return WorkerEntry(worker, record.renewed, record.number, record.announced)
+        return WorkerEntry(worker, record.renewed, record.number, record.attributes_sequence)
 
     def changed_since(self, sequence: int, now: Instant) -> tuple[WorkerEntry, ...]:
         return self.entries(now, [instance for instance, record in self.records.items() if record.sequence > sequence])
@@ -232,4 +252,4 @@
         record.changed_at = now
         record.worker = worker
         record.renewed = renewed
-        self._ready = self._standing = None
+        self._ready = self._active = None
--- a/wingwood/registry/tests/control_fleet.py
+++ b/wingwood/registry/tests/control_fleet.py
@@ -1,7 +1,7 @@
-"""Control daemons that take announcements, and routers, with real membership; workers that announce over HTTP.
+"""A simulated fleet of control daemons and routers with real membership, and workers that announce over HTTP.
 
-In place of the rest of a daemon each has its membership and its registry. Every machine with control runs a router
-too. Workers announce to control only, each 1.2 s, and go on to the next daemon after a second without an answer.
+Each daemon consists of its membership and its registry only. Every machine with a control daemon also runs a router.
+Workers announce only to control daemons, every 1.2 s, and try the next daemon after 1 s without an answer.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 WEB = PoolName("web")
 INTERNAL_PORTS = {"control": 7001, "router": 7101}
 OPERATOR_PORT = 7002
-BEAT = 1.2
-GIVE_UP = 1.0
+ANNOUNCE_INTERVAL_S = 1.2
+ANNOUNCE_TIMEOUT_S = 1.0
 UNRENEWED_AFTER = Seconds(4.0)
 
 
 class Daemon:
-    """A control daemon's or a router's membership and registry."""
+    """Membership and registry of a control daemon or a router."""
 
     def __init__(self, fleet: ControlFleet, context: Context, name: str, machine: Machine) -> None:
         role: Literal["router", "control"] = "control" if name.startswith("control") else "router"
@@ -84,8 +84,8 @@
             self.registry.watch(WEB)
 
 
-class BeatingWorker:
-    """Only the announcing side of a worker."""
+class AnnouncingWorker:
+    """The part of a worker that sends announcements."""
 
     def __init__(self, fleet: ControlFleet, context: Context, name: str, pool: PoolName, address: Address) -> None:
         self.fleet = fleet
@@ -97,40 +97,40 @@
         self.state = "ready"
         self.silent = False
         self.acknowledged_at: dict[str, float] = {}
-        """When each state was first acknowledged."""
+        """Time of the first acknowledgement of each state."""
         self.asked = 0
         self.slowest = 0.0
-        """Longest that a daemon took to answer at all."""
+        """The longest that a daemon took to answer."""
         self._next = context.random.randrange(8)
         self._changed = asyncio.Event()
-        context.tasks.spawn("beats", self._beat_forever())
+        context.tasks.spawn("beats", self._announce_forever())
 
     def leave(self) -> None:
         self.state = "draining"
         self._changed.set()
 
-    async def _beat_forever(self) -> None:
-        await asyncio.sleep(self.context.random.random() * BEAT)
+    async def _announce_forever(self) -> None:
+        await asyncio.sleep(self.context.random.random() * ANNOUNCE_INTERVAL_S)
         while True:
             self._changed.clear()
             if not self.silent:
-                await self._beat()
+                await self._announce()
             try:
-                async with asyncio.timeout(BEAT):
+                async with asyncio.timeout(ANNOUNCE_INTERVAL_S):
                     await self._changed.wait()
             except TimeoutError:
                 continue
 
-    async def _beat(self) -> None:
+    async def _announce(self) -> None:
         state = self.state
         for _ in self.fleet.operators:
-            if await self._tell(self.fleet.operators[self._next % len(self.fleet.operators)], state):
+            if await self._announce_to(self.fleet.operators[self._next % len(self.fleet.operators)], state):
                 self.acknowledged_at.setdefault(state, self.fleet.world.now)
                 return
             self._next += 1
 
-    async def _tell(self, address: Address, state: str) -> bool:
-        told = {
+    async def _announce_to(self, address: Address, state: str) -> bool:
+        announcement = {
             "instance": self.instance,
             "address": str(self.address),
             "pool": self.pool,
@@ -142,11 +142,15 @@
         asked = self.fleet.world.now
         exchange = self.context.http.start(
             HttpRequest(
-                "POST", address, ANNOUNCE_PATH, body=msgspec.json.encode(told), connect_timeout=Seconds(GIVE_UP)
+                "POST",
+                address,
+                ANNOUNCE_PATH,
+                body=msgspec.json.encode(announcement),
+                connect_timeout=Seconds(ANNOUNCE_TIMEOUT_S),
             )
         )
         try:
-            async with asyncio.timeout(GIVE_UP):
+            async with asyncio.timeout(ANNOUNCE_TIMEOUT_S):
                 head = await exchange.head()
                 if not isinstance(head, Success):
                     return False
@@ -170,7 +174,7 @@
         self.world = world
         self.worker_check = worker_check
         self.daemons: dict[str, Daemon] = {}
-        self.workers: dict[str, BeatingWorker] = {}
+        self.workers: dict[str, AnnouncingWorker] = {}
         machines = [world.machine(f"front-{number}", ZONES[number % 3]) for number in range(routers)]
         self.seeds = tuple(address_of(machine, INTERNAL_PORTS["control"]) for machine in machines[:3])
         self.operators: Sequence[Address] = tuple(address_of(machine, OPERATOR_PORT) for machine in machines[:3])
@@ -192,12 +196,12 @@
     def start_worker(self, name: str, pool: PoolName, zone: str) -> None:
         async def main(context: Context) -> None:
             address = Address(self.world.processes[name].machine.host, 24100)
-            self.workers[name] = BeatingWorker(self, context, name, pool, address)
+            self.workers[name] = AnnouncingWorker(self, context, name, pool, address)
 
         self.world.start(name, main, zone=zone)
 
     def settle(self) -> None:
-        """Until every router knows every worker."""
+        """Runs the world until every router knows every worker; raises TimeoutError if that takes more than 20 s."""
         if not self.world.wait_for(self.all_known, 20.0):
             raise TimeoutError("not every router knows every worker")
         self.world.run(3.0)
@@ -220,11 +224,11 @@
         registry = self.daemons[router].registry
         return {worker.instance for pool in (MODEL, WEB) for worker in registry.ready(pool)}
 
-    def home(self, zone: str, pool: PoolName = MODEL) -> str:
-        return str(self.daemons["router-0"].registry.zone_homes(pool)[Zone(zone)].name)
+    def owner(self, zone: str, pool: PoolName = MODEL) -> str:
+        return str(self.daemons["router-0"].registry.pool_owners(pool)[Zone(zone)].name)
 
     def inside(self, daemon: str, work: Callable[[WorkerRegistry], Awaitable[OperatorReply]]) -> int:
-        """The status that a call gets in the daemon's process."""
+        """Runs a call in the daemon's process and returns the status of the reply; raises TimeoutError after 2 s."""
         replies: list[OperatorReply] = []
 
         async def run() -> None:
@@ -232,7 +236,7 @@
 
         self.world.spawn(self.world.processes[daemon], run(), "test")
         if not self.world.wait_for(lambda: bool(replies), 2.0, every=0.005):
-            raise TimeoutError("no answer")
+            raise TimeoutError("no answer within 2 s")
         return replies[0].status
 
     def machine_of(self, name: str) -> str:
--- a/wingwood/registry/tests/test_worker_registry.py
+++ b/wingwood/registry/tests/test_worker_registry.py
@@ -1,3 +1,8 @@
+"""Announcements, drains and counts must reach every router, also while owners fail (docs/DESIGN.md section 10).
+
+The tests run routers in three zones on the simulator; owners freeze, die, are cut off or miss messages.
+"""
+
 from __future__ import annotations
 
 import unittest
@@ -8,8 +13,8 @@
 
 from simulation.world import World
 from wingwood.identifiers import PoolName, WorkerInstance
-from wingwood.registry.feed_limits import ASK_EVERY
-from wingwood.registry.messages import StateSeen, TakeState
+from wingwood.registry.feed_limits import FEED_INTERVAL_S
+from wingwood.registry.messages import ObservedState, WorkerStateReport
 from wingwood.registry.protocols import Engagement
 from wingwood.registry.worker_announcements import read_announcement
 
@@ -28,14 +33,14 @@
     def check_invariants(self) -> None:
         self.assertEqual(self.world.broken_invariants, [])
 
-    def announced(self) -> str:
+    def announce_worker(self) -> str:
         reply = self.fleet.announce(self.worker)
         self.assertEqual(reply.status, 200)
         self.world.run(1.0)
         self.fleet.announce(self.worker)
         return str(self.worker.instance)
 
-    def others_than(self, *names: str) -> list[str]:
+    def other_routers(self, *names: str) -> list[str]:
         return [name for name in sorted(self.fleet.routers) if name not in names]
 
     def test_announcement_at_one_daemon_reaches_every_router(self) -> None:
@@ -45,7 +50,7 @@
             self.assertEqual(self.fleet.ready_at(name), [self.worker.instance])
         self.world.run(1.0)
         for name in self.fleet.routers:
-            self.assertLess(self.fleet.feed_age(name), 2 * ASK_EVERY + 0.05)
+            self.assertLess(self.fleet.feed_age(name), 2 * FEED_INTERVAL_S + 0.05)
 
     def test_malformed_announcements_are_answered_400(self) -> None:
         changes: tuple[dict[str, object], ...] = (
@@ -78,7 +83,7 @@
             self.assertEqual(found and found.pool, POOL)
 
     def test_draining_reaches_every_router_and_is_final(self) -> None:
-        instance = self.announced()
+        instance = self.announce_worker()
         self.assertEqual(self.fleet.announce(self.worker, state="draining").status, 200)
         self.world.run(0.05)
         for name in self.fleet.routers:
@@ -89,7 +94,7 @@
         self.assertFalse(any(self.fleet.confirmed(name, instance) for name in self.fleet.routers))
 
     def test_restart_at_the_same_address_ends_the_older_instance(self) -> None:
-        old = self.announced()
+        old = self.announce_worker()
         self.worker.restart_empty()
         self.fleet.announce(self.worker, "r3")
         self.world.run(0.05)
@@ -98,8 +103,8 @@
             found = self.fleet.routers[name].registry.find(old)  # type: ignore[arg-type]
             self.assertEqual(found and found.state, "gone")
 
-    def test_unrenewed_worker_is_not_ready_after_three_seconds_and_comes_back_with_its_renewal(self) -> None:
-        self.announced()
+    def test_unrenewed_worker_is_not_ready_after_three_seconds_and_returns_with_its_renewal(self) -> None:
+        self.announce_worker()
         self.world.run(2.5)
         self.assertEqual(self.fleet.ready_at("r5"), [self.worker.instance])
         self.world.run(1.2)
@@ -110,65 +115,67 @@
         for name in self.fleet.routers:
             self.assertEqual(self.fleet.ready_at(name), [self.worker.instance])
 
-    def drain_with_home(self, fault: str) -> None:
-        """The drain is announced in the very moment in which zone b's home fails."""
-        instance = self.announced()
-        home = self.fleet.home("b")
-        edge = self.others_than(home)[0]
+    def drain_with_faulty_owner(self, fault: str) -> None:
+        """Announces a drain at the moment when zone b's owner freezes or is killed."""
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        announced_to = self.other_routers(owner)[0]
         self.worker.state = "draining"
-        (self.world.freeze if fault == "freeze" else self.world.kill)(home)
+        (self.world.freeze if fault == "freeze" else self.world.kill)(owner)
         asked = self.world.now
-        self.assertEqual(self.fleet.announce(self.worker, edge, state="draining").status, 200)
-        self.assertLess(self.world.now - asked, 0.2, "two of three homes have it, which is enough")
+        self.assertEqual(self.fleet.announce(self.worker, announced_to, state="draining").status, 200)
+        self.assertLess(self.world.now - asked, 0.2, "two of three owners have it, which suffices")
         self.world.run(0.05)
-        for name in self.others_than(home):
+        for name in self.other_routers(owner):
             self.assertFalse(self.fleet.confirmed(name, instance), name)
         self.world.run(0.8)
-        for name in self.others_than(home):
+        for name in self.other_routers(owner):
             self.assertFalse(self.fleet.confirmed(name, instance), name)
         if fault == "freeze":
-            self.world.wake(home)
-            self.assertFalse(self.fleet.confirmed(home, instance))
-
-    def test_drain_while_the_home_freezes(self) -> None:
-        self.drain_with_home("freeze")
-
-    def test_zone_of_a_frozen_home_hears_of_a_drain_before_the_daemon_gives_the_home_up(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        edge = self.others_than(home)[0]
-        self.world.freeze(home)
-        registry = self.fleet.routers[edge].registry
+            self.world.wake(owner)
+            self.assertFalse(self.fleet.confirmed(owner, instance))
+
+    def test_drain_while_the_owner_freezes(self) -> None:
+        self.drain_with_faulty_owner("freeze")
+
+    def test_zone_of_a_frozen_owner_learns_of_a_drain_before_the_owner_times_out(self) -> None:
+        """The daemon that received the drain sends it to the zone's routers before the call to the owner times out."""
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        announced_to = self.other_routers(owner)[0]
+        self.world.freeze(owner)
+        registry = self.fleet.routers[announced_to].registry
         request = self.fleet.request(self.worker, state="draining")
 
         async def announce() -> None:
-            await registry.announce(request)
+            await registry.handle_announcement(request)
 
-        self.world.spawn(self.world.processes[edge], announce(), "announce")
+        self.world.spawn(self.world.processes[announced_to], announce(), "announce")
         self.world.run(0.15)
-        for name in self.others_than(home):
+        for name in self.other_routers(owner):
             self.assertNotIn(instance, self.fleet.ready_at(name), name)
 
-    def test_drain_while_the_home_is_killed(self) -> None:
-        self.drain_with_home("kill")
+    def test_drain_while_the_owner_is_killed(self) -> None:
+        self.drain_with_faulty_owner("kill")
 
-    def test_home_killed_after_its_acknowledgement_and_before_it_pushed(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        self.fleet.routers[home].registry._push = lambda *_: None  # type: ignore[method-assign]
-        reply = self.fleet.announce(self.worker, self.others_than(home)[0], state="draining")
+    def test_owner_killed_after_its_acknowledgement_and_before_its_push(self) -> None:
+        """The other routers of the zone must learn of the drain although the owner never sent its push."""
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        self.fleet.routers[owner].registry._push = lambda *_: None  # type: ignore[method-assign]
+        reply = self.fleet.announce(self.worker, self.other_routers(owner)[0], state="draining")
         self.assertEqual(reply.status, 200)
-        self.world.kill(home)
+        self.world.kill(owner)
         self.worker.state = "draining"
-        other = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
+        other = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
         self.world.run(1.05)
         self.assertFalse(self.fleet.confirmed(other, instance))
 
     def test_cut_off_router_asks_the_worker_itself(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
-        for name in self.others_than(follower):
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        follower = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
+        for name in self.other_routers(follower):
             self.world.cut(follower, name)
         self.world.run(1.2)
         self.assertTrue(self.fleet.confirmed(follower, instance))
@@ -176,72 +183,75 @@
         self.world.run(0.5)
         self.assertFalse(self.fleet.confirmed(follower, instance))
 
-    def test_home_without_proven_membership_does_not_vouch_for_its_feed(self) -> None:
-        self.announced()
-        home = self.fleet.home("b")
-        membership = self.fleet.routers[home].membership
+    def test_owner_without_proven_membership_proves_nothing_to_followers(self) -> None:
+        """Such an owner may have been replaced and miss announcements without noticing."""
+        self.announce_worker()
+        owner = self.fleet.owner("b")
+        membership = self.fleet.routers[owner].membership
         membership.cut_off_at = membership.context.clock.monotonic()
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
+        follower = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
         for zone in "ac":
-            self.world.cut(follower, self.fleet.home(zone))
+            self.world.cut(follower, self.fleet.owner(zone))
         self.world.run(2.9)
         self.assertGreater(self.fleet.feed_age(follower), 1.0)
-        self.assertGreater(self.fleet.feed_age(home), 1.0)
+        self.assertGreater(self.fleet.feed_age(owner), 1.0)
 
-    def test_home_cut_off_from_the_other_routers_does_not_trust_itself_though_its_membership_stands(self) -> None:
-        instance = self.announced()
+    def test_owner_cut_off_from_other_zones_does_not_trust_itself_despite_its_membership(self) -> None:
+        """It may lack states that the other zones' owners have acknowledged as a majority."""
+        instance = self.announce_worker()
         self.world.run(0.5)
-        home = self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
-        for name in self.others_than(home):
+        owner = self.fleet.owner("b")
+        follower = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
+        for name in self.other_routers(owner):
             if self.fleet.routers[name].identity.zone != "b":
-                self.world.cut(home, name)
+                self.world.cut(owner, name)
                 self.world.cut(follower, name)
         self.worker.state = "draining"
-        self.assertEqual(self.fleet.announce(self.worker, self.fleet.home("a")).status, 200)
+        self.assertEqual(self.fleet.announce(self.worker, self.fleet.owner("a")).status, 200)
         self.world.run(0.95)
-        self.assertFalse(self.fleet.confirmed(home, instance))
-        self.assertGreater(self.fleet.feed_age(follower), 1.0, "a follower's knowledge is no newer than its home's")
+        self.assertFalse(self.fleet.confirmed(owner, instance))
+        self.assertGreater(self.fleet.feed_age(follower), 1.0, "a follower's knowledge is no newer than its owner's")
 
-    def test_follower_of_a_home_that_is_cut_off_hears_from_another_zones_home(self) -> None:
-        instance = self.announced()
+    def test_follower_of_a_cut_off_owner_gets_updates_from_another_zones_owner(self) -> None:
+        instance = self.announce_worker()
         self.world.run(0.5)
-        home = self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
-        for name in self.others_than(home):
+        owner = self.fleet.owner("b")
+        follower = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
+        for name in self.other_routers(owner):
             if self.fleet.routers[name].identity.zone != "b":
-                self.world.cut(home, name)
-        self.fleet.routers[follower].messenger.on_post(StateSeen, lambda *_: None)
+                self.world.cut(owner, name)
+        self.fleet.routers[follower].messenger.on_post(ObservedState, lambda *_: None)
         self.worker.state = "draining"
-        self.assertEqual(self.fleet.announce(self.worker, self.fleet.home("a")).status, 200)
+        self.assertEqual(self.fleet.announce(self.worker, self.fleet.owner("a")).status, 200)
         self.world.run(1.2)
         self.assertEqual(self.fleet.ready_at(follower), [])
         self.assertLess(self.fleet.feed_age(follower), 1.0)
-        self.assertFalse(self.fleet.confirmed(home, instance))
-
-    def test_home_that_wakes_does_not_take_workers_for_silent_whose_renewals_it_slept_through(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        edge = self.others_than(home)[0]
-        identity, callbacks = self.fleet.roster.identities[home], self.fleet.roster.callbacks.pop(home)
-        self.world.freeze(home)
-        self.fleet.roster.remove(home)
+        self.assertFalse(self.fleet.confirmed(owner, instance))
+
+    def test_owner_that_wakes_does_not_mark_workers_whose_renewals_it_missed(self) -> None:
+        """While it was frozen, the renewals went to another owner."""
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        announced_to = self.other_routers(owner)[0]
+        identity, callbacks = self.fleet.roster.identities[owner], self.fleet.roster.callbacks.pop(owner)
+        self.world.freeze(owner)
+        self.fleet.roster.remove(owner)
         for _ in range(5):
-            self.fleet.announce(self.worker, edge)
+            self.fleet.announce(self.worker, announced_to)
             self.world.run(0.9)
         self.fleet.roster.put(identity)
-        self.fleet.roster.callbacks[home] = callbacks
-        self.world.wake(home)
+        self.fleet.roster.callbacks[owner] = callbacks
+        self.world.wake(owner)
         for _ in range(8):
             self.world.run(0.1)
             for name in self.fleet.routers:
                 self.assertEqual(self.fleet.ready_at(name), [instance], name)
 
-    def test_router_that_starts_while_its_home_is_frozen_hears_from_another_zones_home(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
-        self.world.freeze(home)
+    def test_router_that_starts_while_its_owner_is_frozen_asks_another_zones_owner(self) -> None:
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        follower = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
+        self.world.freeze(owner)
         self.world.restart(follower)
         self.world.run(0.1)
 
@@ -253,48 +263,50 @@
         self.assertEqual(self.fleet.ready_at(follower), [instance])
         self.assertLess(self.fleet.feed_age(follower), 1.0)
 
-    def test_home_that_was_passed_over_while_frozen_does_not_trust_itself_when_it_wakes(self) -> None:
-        instance = self.announced()
+    def test_owner_that_missed_announcements_while_frozen_does_not_trust_itself(self) -> None:
+        """While it was frozen and not a member, a drain was acknowledged without it."""
+        instance = self.announce_worker()
         self.world.run(0.5)
-        home = self.fleet.home("b")
-        identity, callbacks = self.fleet.roster.identities[home], self.fleet.roster.callbacks.pop(home)
-        self.world.freeze(home)
-        self.fleet.roster.remove(home)
+        owner = self.fleet.owner("b")
+        identity, callbacks = self.fleet.roster.identities[owner], self.fleet.roster.callbacks.pop(owner)
+        self.world.freeze(owner)
+        self.fleet.roster.remove(owner)
         self.world.run(2.0)
         self.worker.state = "draining"
-        self.assertEqual(self.fleet.announce(self.worker, self.others_than(home)[0]).status, 200)
+        self.assertEqual(self.fleet.announce(self.worker, self.other_routers(owner)[0]).status, 200)
         self.fleet.roster.put(identity)
-        self.fleet.roster.callbacks[home] = callbacks
-        self.world.wake(home)
-        self.assertFalse(self.fleet.confirmed(home, instance))
-
-    def test_new_home_does_not_vouch_before_the_other_zones_homes_have_answered(self) -> None:
-        self.announced()
-        home_a, home = self.fleet.home("a"), self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
-        cut = self.world.cut(follower, home_a)
-        self.world.kill(home)
-        self.fleet.roster.remove(home)
+        self.fleet.roster.callbacks[owner] = callbacks
+        self.world.wake(owner)
+        self.assertFalse(self.fleet.confirmed(owner, instance))
+
+    def test_new_owner_proves_nothing_before_the_other_zones_owners_have_answered(self) -> None:
+        self.announce_worker()
+        owner_a, owner = self.fleet.owner("a"), self.fleet.owner("b")
+        follower = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
+        cut = self.world.cut(follower, owner_a)
+        self.world.kill(owner)
+        self.fleet.roster.remove(owner)
         self.world.run(3.0)
         self.assertGreater(self.fleet.feed_age(follower), 1.0)
         self.world.heal(cut)
         self.world.run(2.0)
-        self.assertLess(self.fleet.feed_age(follower), ASK_EVERY + 0.05)
-
-    def test_router_that_was_its_own_home_while_cut_off_learns_what_was_renewed_meanwhile(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        follower = next(name for name in self.others_than(home) if self.fleet.routers[name].identity.zone == "b")
-        edge = self.others_than(follower)[0]
+        self.assertLess(self.fleet.feed_age(follower), FEED_INTERVAL_S + 0.05)
+
+    def test_router_that_was_owner_while_cut_off_learns_of_renewals_in_between(self) -> None:
+        """Alone it considered itself the owner and marked the worker, whose renewals it could not receive."""
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        follower = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
+        announced_to = self.other_routers(follower)[0]
         router = self.fleet.routers[follower]
-        cuts = [self.world.cut(follower, name) for name in self.others_than(follower)]
+        cuts = [self.world.cut(follower, name) for name in self.other_routers(follower)]
         alone = Roster()
         alone.identities = {follower: router.identity}
         alone.callbacks = {follower: self.fleet.roster.callbacks[follower]}
         router.membership.roster = alone
         alone.changed()
         for _ in range(6):
-            self.fleet.announce(self.worker, edge)
+            self.fleet.announce(self.worker, announced_to)
             self.world.run(0.9)
         self.assertEqual(self.fleet.ready_at(follower), [])
         router.membership.roster = self.fleet.roster
@@ -302,63 +314,65 @@
         for cut in cuts:
             self.world.heal(cut)
         for _ in range(3):
-            self.fleet.announce(self.worker, edge)
+            self.fleet.announce(self.worker, announced_to)
             self.world.run(0.9)
         self.assertEqual(self.fleet.ready_at(follower), [instance])
 
-    def test_new_home_takes_over_what_others_keep(self) -> None:
-        instance = self.announced()
-        home = self.fleet.home("b")
-        self.world.kill(home)
-        self.fleet.roster.remove(home)
+    def test_new_owner_pulls_the_records_of_the_others(self) -> None:
+        instance = self.announce_worker()
+        owner = self.fleet.owner("b")
+        self.world.kill(owner)
+        self.fleet.roster.remove(owner)
         self.world.run(1.2)
-        new = self.fleet.home("b")
-        self.assertNotEqual(new, home)
+        new = self.fleet.owner("b")
+        self.assertNotEqual(new, owner)
         self.assertEqual(self.fleet.ready_at(new), [instance])
-        self.assertLess(self.fleet.feed_age(new), ASK_EVERY + 0.05)
+        self.assertLess(self.fleet.feed_age(new), FEED_INTERVAL_S + 0.05)
         self.fleet.announce(self.worker, "r0", state="gone")
         self.world.run(0.1)
         self.assertEqual(self.fleet.ready_at(new), [])
 
-    def test_homes_are_the_same_whether_members_came_one_by_one_or_at_once(self) -> None:
+    def test_owners_do_not_depend_on_the_order_of_member_changes(self) -> None:
         registry = self.fleet.routers["r0"].registry
         pools = [PoolName(f"pool-{number}") for number in range(12)]
         removed = [self.fleet.roster.identities[name] for name in ("r1", "r4", "r5")]
         for step, identity in enumerate(removed):
             for pool in pools[: 4 * step]:
-                registry.zone_homes(pool)
+                registry.pool_owners(pool)
             self.fleet.roster.remove(identity.name)
         for step, identity in enumerate(removed):
             for pool in pools[8 - 4 * step :]:
-                registry.zone_homes(pool)
+                registry.pool_owners(pool)
             self.fleet.roster.put(identity)
         late = Fleet(self.enterContext(World(9))).routers["r0"].registry
         for pool in pools:
-            names = {zone: home.name for zone, home in registry.zone_homes(pool).items()}
-            self.assertEqual(names, {zone: home.name for zone, home in late.zone_homes(pool).items()})
+            names = {zone: owner.name for zone, owner in registry.pool_owners(pool).items()}
+            self.assertEqual(names, {zone: owner.name for zone, owner in late.pool_owners(pool).items()})
 
-    def test_restarted_home_without_memory_learns_final_states_from_its_followers(self) -> None:
+    def test_restarted_owner_learns_final_states_from_its_followers(self) -> None:
+        """Its new incarnation starts with empty tables, and in a single zone no other owner has the state."""
         for zones in (("a", "b", "c"), ("a",)):
             with self.subTest(zones=zones):
                 self.fleet = Fleet(self.enterContext(World(8)), zones=zones)
                 self.world = self.fleet.world
                 self.worker = self.fleet.start_worker("w0")
-                instance = self.announced()
+                instance = self.announce_worker()
                 self.fleet.announce(self.worker, state="draining")
                 self.world.run(0.5)
-                home = self.fleet.home("a")
-                self.world.restart(home)
+                owner = self.fleet.owner("a")
+                self.world.restart(owner)
                 self.world.run(1.0)
-                found = self.fleet.routers[home].registry.find(instance)  # type: ignore[arg-type]
+                found = self.fleet.routers[owner].registry.find(instance)  # type: ignore[arg-type]
                 self.assertEqual(found and found.state, "draining")
 
-    def test_worker_that_was_forgotten_is_announced_in_full_by_its_renewals(self) -> None:
+    def test_forgotten_worker_is_announced_in_full_by_its_renewals(self) -> None:
+        """The receiving daemon still takes the announcement for a renewal of a worker that the owners have removed."""
         for count in (6, 1):
             with self.subTest(routers=count):
                 self.fleet = Fleet(self.enterContext(World(8)), count)
                 self.world = self.fleet.world
                 self.worker = self.fleet.start_worker("w0")
-                instance = self.announced()
+                instance = self.announce_worker()
                 self.world.run(130.0)
                 self.assertIsNone(self.fleet.routers["r0"].registry.find(instance))  # type: ignore[arg-type]
                 for _ in range(2):
@@ -367,21 +381,24 @@
                 for name in self.fleet.routers:
                     self.assertEqual(self.fleet.ready_at(name), [instance])
 
-    def test_home_that_missed_a_state_learns_it_from_the_other_homes(self) -> None:
-        instance = self.announced()
-        home_a, home_b = self.fleet.home("a"), self.fleet.home("b")
-        worker = self.fleet.routers[home_a].registry.find(instance)  # type: ignore[arg-type]
+    def test_owner_that_missed_a_state_learns_it_from_the_other_owners(self) -> None:
+        instance = self.announce_worker()
+        owner_a, owner_b = self.fleet.owner("a"), self.fleet.owner("b")
+        worker = self.fleet.routers[owner_a].registry.find(instance)  # type: ignore[arg-type]
         assert worker is not None
         drained = msgspec.structs.replace(worker, state="draining")
         messenger = self.fleet.routers["r0"].messenger
         self.fleet.inside(
-            home_a, lambda: self.fleet.routers[home_a].registry._take_state(messenger.identity, TakeState(drained))
+            owner_a,
+            lambda: self.fleet.routers[owner_a].registry._handle_state_report(
+                messenger.identity, WorkerStateReport(drained)
+            ),
         )
         self.world.run(0.8)
-        self.assertEqual(self.fleet.ready_at(home_b), [])
+        self.assertEqual(self.fleet.ready_at(owner_b), [])
 
-    def test_suspected_worker_is_out_until_it_answers_for_itself(self) -> None:
-        instance = self.announced()
+    def test_suspected_worker_is_excluded_until_it_answers_its_health_check(self) -> None:
+        instance = self.announce_worker()
         self.fleet.world.freeze("w0")
         self.fleet.routers["r1"].registry.suspect(self.worker.instance)  # type: ignore[arg-type]
         self.assertEqual(self.fleet.ready_at("r1"), [])
@@ -393,7 +410,7 @@
         self.world.run(1.5)
         self.assertEqual(self.fleet.ready_at("r1"), [instance])
 
-    def test_loads_and_running_turns_are_told(self) -> None:
+    def test_loads_and_running_turns_are_reported(self) -> None:
         instance = WorkerInstance(self.worker.instance)
 
         def engaged(turns: float, pool: PoolName) -> dict[WorkerInstance, Engagement]:
@@ -401,14 +418,14 @@
 
         for number, name in enumerate(sorted(self.fleet.routers)):
             count = partial(engaged, 1.0 + number)
-            self.fleet.routers[name].registry.count_with(count)
-        self.announced()
+            self.fleet.routers[name].registry.register_counter(count)
+        self.announce_worker()
         self.fleet.announce(self.worker, load={"running": 5, "waiting": 2})
         self.world.run(1.5)
         for number, name in enumerate(sorted(self.fleet.routers)):
             registry = self.fleet.routers[name].registry
             others = 21.0 - (1.0 + number)
-            self.assertEqual(registry.elsewhere(instance), Engagement(others, 2 * others, 1000 * others))
+            self.assertEqual(registry.engagement_of_others(instance), Engagement(others, 2 * others, 1000 * others))
             load = registry.ready(POOL)[0].load
             self.assertEqual(load and (load.running, load.waiting), (5, 2))
 
--- a/wingwood/registry/worker_announcements.py
+++ b/wingwood/registry/worker_announcements.py
@@ -1,7 +1,7 @@
-"""The product's own workers' edge: every name, path, body and status code (docs/DESIGN.md section 10.1).
+"""The product's own announcement format: names, paths, bodies and status codes (docs/DESIGN.md section 10.1).
 
 A worker sends ``POST /workers/v1/announce`` to the operator address of any daemon, about once a
-second and at once when its state changes, and answers ``GET /health`` itself.
+second and immediately when its state changes, and answers ``GET /health`` itself.
 """
 
 from __future__ import annotations
@@ -21,17 +21,23 @@
 ANNOUNCE_PATH = "/workers/v1/announce"
 LIST_PATH = "/workers/v1/list"
 HEALTH_PATH = "/health"
-MOST = 10**12
-HEALTH_BYTES = 16 * 1024
+MAX_FIGURE = 10**12
+"""Largest number accepted in an announcement."""
+MAX_HEALTH_BYTES = 16 * 1024
+"""Limit on the body of a health answer."""
 
 
 class _LoadBody(msgspec.Struct):
+    """Load figures in the body of an announcement."""
+
     running: int
     waiting: int = 0
     cache_tokens_used: int = 0
 
 
 class _AnnouncementBody(msgspec.Struct):
+    """JSON body of an announcement."""
+
     instance: str
     address: str
     pool: str
@@ -43,7 +49,7 @@
 
 
 class HealthAnswer(msgspec.Struct, frozen=True):
-    """What a worker says of itself when asked."""
+    """A worker's answer to its health check."""
 
     instance: WorkerInstance
     state: Literal["ready", "draining", "gone"] = "ready"
@@ -52,7 +58,7 @@
 
 
 def read_announcement(body: bytes) -> Result[Worker, str]:
-    """The announced worker, or what is wrong with the body."""
+    """Returns the announced worker, or a text that says what is wrong with the body."""
     try:
         read = msgspec.json.decode(body, type=_AnnouncementBody)
         address = parse_address(read.address)
@@ -63,10 +69,10 @@
             return Failure(f"{name} must be 1 to 200 printable characters")
     if not 0 < read.slots <= 100_000 or len(read.zone) > 200:
         return Failure("slots must be 1 to 100000, zone at most 200 characters")
-    told = (0, 0, 0) if read.load is None else (read.load.running, read.load.waiting, read.load.cache_tokens_used)
-    if not all(0 <= number <= MOST for number in (read.cache_tokens, *told)):
-        return Failure(f"cache_tokens and the figures of load must be 0 to {MOST}")
-    load = None if read.load is None else WorkerLoad(*told)
+    figures = (0, 0, 0) if read.load is None else (read.load.running, read.load.waiting, read.load.cache_tokens_used)
+    if not all(0 <= number <= MAX_FIGURE for number in (read.cache_tokens, *figures)):
+        return Failure(f"cache_tokens and the figures of load must be 0 to {MAX_FIGURE}")
+    load = None if read.load is None else WorkerLoad(*figures)
     return Success(
         Worker(
             instance=WorkerInstance(read.instance),
@@ -81,8 +87,8 @@
     )
 
 
-class OwnAnnouncements:
-    """The product's own ``AnnouncementFormat``."""
+class DefaultAnnouncementFormat:
+    """Implements ``AnnouncementFormat`` with the product's own format."""
 
     routes = (AnnouncementRoute("POST", ANNOUNCE_PATH),)
 
@@ -92,23 +98,23 @@
     def malformed(self, problem: str) -> OperatorReply:
         return OperatorReply(status=400, body={"code": "malformed", "reason": problem})
 
-    def taken(self, worker: Worker) -> OperatorReply:
+    def acknowledged(self, worker: Worker) -> OperatorReply:
         return OperatorReply(body={"code": "taken", "instance": worker.instance, "state": worker.state})
 
-    def departed(self, instance: WorkerInstance) -> OperatorReply:
+    def departure_acknowledged(self, instance: WorkerInstance) -> OperatorReply:
         return OperatorReply(body={"code": "taken", "instance": instance, "state": "gone"})
 
-    def over(self, worker: Worker) -> OperatorReply:
-        """A new life needs a new instance."""
+    def instance_over(self, worker: Worker) -> OperatorReply:
+        """Returns a 409: a worker that starts again needs a new instance id."""
         body: dict[str, object] = {"code": "instance-over", "instance": worker.instance, "state": worker.state}
         return OperatorReply(status=409, body=body)
 
-    def tell_another(self, reason: str) -> OperatorReply:
+    def try_another_daemon(self, reason: str) -> OperatorReply:
         return OperatorReply(status=503, body={"code": "tell-another", "reason": reason})
 
 
-def list_of(workers: list[tuple[Worker, bool, bool]]) -> OperatorReply:
-    """``workers`` with whether each is renewed and whether it is suspected here."""
+def worker_list_reply(workers: list[tuple[Worker, bool, bool]]) -> OperatorReply:
+    """Returns the list of workers; each comes with whether it is renewed and whether it is suspected here."""
     listed: list[object] = [
         {
             "instance": worker.instance,
@@ -128,7 +134,7 @@
 
 
 async def ask_health(http: HttpClient, address: Address, timeout: Seconds) -> HealthAnswer | None:
-    """The worker's own word; None when it does not answer properly in time."""
+    """Asks the worker for its health; returns None if it does not answer properly within the timeout."""
     exchange = http.start(HttpRequest("GET", address, HEALTH_PATH, connect_timeout=timeout))
     try:
         async with asyncio.timeout(timeout):
@@ -136,11 +142,11 @@
             if not isinstance(head, Success) or head.unwrap().status != 200:
                 return None
             body = b""
-            while len(body) <= HEALTH_BYTES:
-                piece = await exchange.next_piece()
-                if not isinstance(piece, Success):
+            while len(body) <= MAX_HEALTH_BYTES:
+                chunk = await exchange.next_piece()
+                if not isinstance(chunk, Success):
                     return None
-                data = piece.unwrap()
+                data = chunk.unwrap()
                 if data is None:
                     return msgspec.json.decode(body, type=HealthAnswer)
                 body += data
--- a/wingwood/registry/worker_checks.py
+++ b/wingwood/registry/worker_checks.py
@@ -1,4 +1,4 @@
-"""How a router finds out whether a doubtful worker works: by asking its health, or by trial calls.
+"""Checks of suspected workers by a router: with health checks or with trial calls.
 
 docs/DESIGN.md sections 10.3 and 10.6.
 """
@@ -19,17 +19,20 @@
 from .protocols import Worker
 from .worker_announcements import HealthAnswer, ask_health
 
-FEED_BOUND = Seconds(1.0)
-"""A feed proven longer ago is not trusted: the worker itself is asked before each turn."""
-HEALTH_TIMEOUT = Seconds(0.3)
-HEALTH_TRUSTED = Seconds(0.4)
-SUSPECT_FIRST = Seconds(0.2)
-SUSPECT_LONGEST = Seconds(5.0)
-SUSPECT_FORGOTTEN = Seconds(30.0)
+FEED_MAX_AGE_S = Seconds(1.0)
+"""If the feed was proven longer ago, the worker itself is asked before each turn."""
+HEALTH_TIMEOUT_S = Seconds(0.3)
+HEALTH_MAX_AGE_S = Seconds(0.4)
+"""For how long the result of a health check is used."""
+FIRST_SUSPICION_S = Seconds(0.2)
+"""Pause before the first check of a suspected worker; it doubles each time the worker is suspected again."""
+MAX_SUSPICION_S = Seconds(5.0)
+SUSPICION_RETENTION_S = Seconds(30.0)
+"""A worker that was last suspected longer ago starts over with the first pause."""
 
 
 class RegistryView(Protocol):
-    """What the checks need of the registry."""
+    """The part of the registry that the checks use."""
 
     def find(self, instance: WorkerInstance) -> Worker | None: ...
 
@@ -40,20 +43,20 @@
     def is_renewed(self, instance: WorkerInstance) -> bool: ...
 
     def is_ejected(self, instance: WorkerInstance) -> bool:
-        """By the zone's home, for the outcomes of calls there."""
+        """Returns whether the zone's owner has ejected the worker because calls to it failed."""
         ...
 
-    def learnt(self, seen: Worker) -> None:
-        """A state learnt from the worker itself, to be told on."""
+    def report_state(self, observed: Worker) -> None:
+        """Records a state learnt from the worker itself and reports it to the owners."""
         ...
 
-    def changed(self, worker: Worker) -> None:
-        """Whether it may get turns has changed here."""
+    def notify_changed(self, worker: Worker) -> None:
+        """Notifies the listeners that the worker was excluded or admitted again here."""
         ...
 
 
 class WorkerCheck(Protocol):
-    """Part of ``Registry``, by one of two ways (``DaemonSettings.worker_check``)."""
+    """The part of ``Registry`` that depends on the method of checking (``DaemonSettings.worker_check``)."""
 
     def ready(self, table: PoolTable) -> Sequence[Worker]: ...
 
@@ -73,21 +76,26 @@
 
     def abandoned(self, instance: WorkerInstance) -> None: ...
 
-    def take_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
-        """Of calls to these workers since the last time."""
+    def collect_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
+        """Returns and clears the outcomes of calls to these workers since the last call of this method."""
         ...
 
     def forget(self, instance: WorkerInstance) -> None: ...
 
 
 class _Suspicion(msgspec.Struct):
+    """How often a worker was suspected, and whether it is excluded now."""
+
     times: int
     last: Instant
-    out: bool
+    excluded: bool
 
 
 class HealthChecks:
-    """A suspected worker is out until it answers its health check; so is one that is doubtful while the feed is old."""
+    """A suspected worker is excluded until it answers a health check.
+
+    While the feed is too old, a worker must answer a health check before it gets a turn.
+    """
 
     def __init__(self, context: Context, view: RegistryView) -> None:
         self._context = context
@@ -104,25 +112,28 @@
 
     def is_suspected(self, instance: WorkerInstance) -> bool:
         suspicion = self._suspicions.get(instance)
-        return suspicion is not None and suspicion.out
+        return suspicion is not None and suspicion.excluded
 
     async def confirm(self, worker: Worker) -> bool:
-        """The smallest exception: a feed older than the bound is backed by the worker's own word (section 10.3)."""
-        if not self._may_run(worker.instance):
+        """Returns whether the worker may get a turn.
+
+        If the feed is older than its limit, the worker's own health answer decides (section 10.3).
+        """
+        if not self._may_get_turns(worker.instance):
             return False
-        if self._view.feed_age(worker.pool) <= FEED_BOUND:
+        if self._view.feed_age(worker.pool) <= FEED_MAX_AGE_S:
             return True
         known = self._health.get(worker.instance)
-        if known is not None and self._now() - known[0] <= HEALTH_TRUSTED:
-            return known[1] and self._may_run(worker.instance)
+        if known is not None and self._now() - known[0] <= HEALTH_MAX_AGE_S:
+            return known[1] and self._may_get_turns(worker.instance)
         asked = self._asked.get(worker.instance)
         if asked is None:
             asked = self._asked[worker.instance] = asyncio.get_running_loop().create_future()
             self._context.tasks.spawn(f"health {worker.instance}", self._ask(worker, asked))
-        return await asyncio.shield(asked) and self._may_run(worker.instance)
+        return await asyncio.shield(asked) and self._may_get_turns(worker.instance)
 
     def begin(self, instance: WorkerInstance) -> bool:
-        return self._may_run(instance)
+        return self._may_get_turns(instance)
 
     def succeeded(self, instance: WorkerInstance) -> None:
         return
@@ -135,14 +146,14 @@
         suspicion = self._suspicions.get(worker.instance)
         if suspicion is None:
             suspicion = self._suspicions[worker.instance] = _Suspicion(0, now, False)
-        if suspicion.out:
+        if suspicion.excluded:
             return
-        suspicion.times = suspicion.times + 1 if now - suspicion.last < SUSPECT_FORGOTTEN else 1
+        suspicion.times = suspicion.times + 1 if now - suspicion.last < SUSPICION_RETENTION_S else 1
         suspicion.last = now
-        suspicion.out = True
+        suspicion.excluded = True
         self._context.log.event("worker-suspected", worker=worker.instance, times=suspicion.times, reason=reason)
         self._context.tasks.spawn(f"recheck {worker.instance}", self._recheck(worker, suspicion))
-        self._view.changed(worker)
+        self._view.notify_changed(worker)
 
     def misplaced(self, worker: Worker) -> None:
         self.suspect(worker, "another worker answers at its address")
@@ -150,7 +161,7 @@
     def abandoned(self, instance: WorkerInstance) -> None:
         return
 
-    def take_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
+    def collect_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
         return {}
 
     def forget(self, instance: WorkerInstance) -> None:
@@ -160,7 +171,7 @@
     def _now(self) -> Instant:
         return self._context.clock.monotonic()
 
-    def _may_run(self, instance: WorkerInstance) -> bool:
+    def _may_get_turns(self, instance: WorkerInstance) -> bool:
         worker = self._view.find(instance)
         return (
             worker is not None
@@ -171,43 +182,47 @@
 
     async def _ask(self, worker: Worker, waiter: asyncio.Future[bool]) -> None:
         asked_at = self._now()
-        answer = await ask_health(self._context.http, worker.address, HEALTH_TIMEOUT)
-        good = self._take(worker, answer)
-        self._health[worker.instance] = (asked_at, good)
+        answer = await ask_health(self._context.http, worker.address, HEALTH_TIMEOUT_S)
+        healthy = self._apply_health_answer(worker, answer)
+        self._health[worker.instance] = (asked_at, healthy)
         del self._asked[worker.instance]
         if not waiter.done():
-            waiter.set_result(good)
+            waiter.set_result(healthy)
         if answer is None and (found := self._view.find(worker.instance)) is not None and found.state != "gone":
             self.suspect(found, "no answer to its health check")
 
-    def _take(self, worker: Worker, answer: HealthAnswer | None) -> bool:
+    def _apply_health_answer(self, worker: Worker, answer: HealthAnswer | None) -> bool:
+        """Returns whether the worker is ready; reports another state, or gone if another instance answered."""
         if answer is None:
             return False
         if answer.instance == worker.instance and answer.state == "ready":
             return True
         state = answer.state if answer.instance == worker.instance else "gone"
-        self._view.learnt(msgspec.structs.replace(worker, state=state, load=None))
+        self._view.report_state(msgspec.structs.replace(worker, state=state, load=None))
         return False
 
     async def _recheck(self, worker: Worker, suspicion: _Suspicion) -> None:
-        pause = min(SUSPECT_LONGEST, SUSPECT_FIRST * 2 ** (suspicion.times - 1))
+        """Checks a suspected worker's health with pauses until it is ready again, leaves or is forgotten."""
+        pause = min(MAX_SUSPICION_S, FIRST_SUSPICION_S * 2 ** (suspicion.times - 1))
         while True:
             await self._context.clock.sleep(Seconds(pause))
             current = self._view.find(worker.instance)
             if current is None or current.state != "ready":
                 self._suspicions.pop(worker.instance, None)
                 return
-            if self._take(current, await ask_health(self._context.http, worker.address, HEALTH_TIMEOUT)):
-                suspicion.out = False
+            if self._apply_health_answer(
+                current, await ask_health(self._context.http, worker.address, HEALTH_TIMEOUT_S)
+            ):
+                suspicion.excluded = False
                 suspicion.last = self._now()
                 self._context.log.event("worker-trusted-again", worker=worker.instance)
-                self._view.changed(current)
+                self._view.notify_changed(current)
                 return
-            pause = min(1.0, max(pause, SUSPECT_FIRST) * 1.5)
+            pause = min(1.0, max(pause, FIRST_SUSPICION_S) * 1.5)
 
 
 class TrialCalls:
-    """Workers are never asked for their health: real calls tell (section 10.6)."""
+    """Workers are never asked for their health: the outcomes of real calls decide (section 10.6)."""
 
     def __init__(self, context: Context, view: RegistryView, unrenewed_after: Seconds) -> None:
         self._context = context
@@ -218,12 +233,15 @@
         self._outcomes: dict[WorkerInstance, Outcomes] = {}
 
     def ready(self, table: PoolTable) -> Sequence[Worker]:
-        """Those heard of late that are not left out, else all that have not said that they leave."""
-        standing = table.standing()
-        heard = self._heard(table, standing)
-        if not self._breakers and not any(self._view.is_ejected(worker.instance) for worker in heard):
-            return heard
-        return self._admitted(heard) or self._admitted(standing) or heard
+        """Returns the responsive workers that are not excluded; if there are none, those of all active workers.
+
+        If none of these is admitted either, it returns all responsive workers.
+        """
+        active = table.active()
+        responsive = self._responsive(table, active)
+        if not self._breakers and not any(self._view.is_ejected(worker.instance) for worker in responsive):
+            return responsive
+        return self._admitted(responsive) or self._admitted(active) or responsive
 
     def is_suspected(self, instance: WorkerInstance) -> bool:
         return not self._breakers.is_closed(instance) or self._view.is_ejected(instance)
@@ -247,10 +265,10 @@
         self._count(instance, Outcomes(succeeded=1))
         if self._breakers.close(instance):
             self._context.log.event("worker-trusted-again", worker=instance)
-            self._tell_changed(instance)
+            self._notify_changed(instance)
 
     def failed(self, instance: WorkerInstance) -> None:
-        """Counted for the zone; a worker that is on trial for worse has failed its trial."""
+        """Counts the failure for the zone's owner; if the worker's breaker is not closed, the trial has failed."""
         self._count(instance, Outcomes(failed=1))
         worker = self._view.find(instance)
         if worker is not None and not self._breakers.is_closed(instance):
@@ -261,13 +279,17 @@
         self._open(worker, reason, longest=False)
 
     def misplaced(self, worker: Worker) -> None:
-        """Not final on one router's word; whoever has the address now announces itself, which is."""
+        """Excludes the worker for the longest pause.
+
+        Its state is not set to gone because of a single router's observation. The worker that has the address now
+        announces itself, and this sets the other to gone.
+        """
         self._open(worker, "another worker answers at its address", longest=True)
 
     def abandoned(self, instance: WorkerInstance) -> None:
         self._breakers.release(instance)
 
-    def take_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
+    def collect_outcomes(self, instances: Sequence[WorkerInstance]) -> dict[WorkerInstance, Outcomes]:
         return {instance: self._outcomes.pop(instance) for instance in instances if instance in self._outcomes}
 
     def forget(self, instance: WorkerInstance) -> None:
@@ -278,48 +300,51 @@
     def _now(self) -> Instant:
         return self._context.clock.monotonic()
 
-    def _heard(self, table: PoolTable, standing: Sequence[Worker]) -> Sequence[Worker]:
-        """Renewed, or answering this router's calls, which is as good; all when that leaves none."""
+    def _responsive(self, table: PoolTable, active: Sequence[Worker]) -> Sequence[Worker]:
+        """Returns the workers that are renewed or recently answered a call of this router; all if there are none."""
         renewed = table.ready()
-        if len(renewed) == len(standing):
+        if len(renewed) == len(active):
             return renewed
         since = self._now() - self._unrenewed_after
-        heard = tuple(
+        responsive = tuple(
             worker
-            for worker in standing
+            for worker in active
             if self._view.is_renewed(worker.instance)
             or self._succeeded_at.get(worker.instance, Instant(float("-inf"))) > since
         )
-        return heard or standing
+        return responsive or active
 
     def _admitted(self, workers: Sequence[Worker]) -> Sequence[Worker]:
-        """At most half are left out at once; those left out longest get their trial sooner for that."""
+        """Returns the admitted workers; at most half of ``workers`` are excluded at once.
+
+        If more would be excluded, those excluded the longest ago are admitted to their trial early.
+        """
         now = self._now()
         admitted = {worker.instance for worker in workers if self._is_admitted(worker.instance, now)}
-        trying = {worker.instance for worker in workers if self._breakers.on_trial(worker.instance, now)}
-        missing = (len(workers) + 1) // 2 - len(admitted | trying)
+        on_trial = {worker.instance for worker in workers if self._breakers.on_trial(worker.instance, now)}
+        missing = (len(workers) + 1) // 2 - len(admitted | on_trial)
         if missing > 0:
-            left_out = [worker.instance for worker in workers if worker.instance not in admitted | trying]
-            left_out.sort(key=lambda instance: (self._breakers.opened_at(instance), instance))
-            admitted.update(left_out[:missing])
+            excluded = [worker.instance for worker in workers if worker.instance not in admitted | on_trial]
+            excluded.sort(key=lambda instance: (self._breakers.opened_at(instance), instance))
+            admitted.update(excluded[:missing])
         return tuple(worker for worker in workers if worker.instance in admitted)
 
     def _is_admitted(self, instance: WorkerInstance, now: Instant) -> bool:
         return self._breakers.admits(instance, now) and not self._view.is_ejected(instance)
 
     def _is_last_resort(self, worker: Worker) -> bool:
-        """Every worker of its pool is on trial."""
+        """Returns whether the worker is listed as ready although it is on trial, because all others are as well."""
         return worker in self._view.ready(worker.pool)
 
     def _open(self, worker: Worker, reason: str, longest: bool) -> None:
         if self._breakers.open(worker.instance, self._now(), longest):
             self._context.log.event("worker-suspected", worker=worker.instance, reason=reason)
-            self._view.changed(worker)
+            self._view.notify_changed(worker)
 
     def _count(self, instance: WorkerInstance, outcomes: Outcomes) -> None:
         self._outcomes[instance] = self._outcomes.get(instance, Outcomes()) + outcomes
 
-    def _tell_changed(self, instance: WorkerInstance) -> None:
+    def _notify_changed(self, instance: WorkerInstance) -> None:
         worker = self._view.find(instance)
         if worker is not None:
-            self._view.changed(worker)
+            self._view.notify_changed(worker)
--- a/wingwood/registry/worker_directory.py
+++ b/wingwood/registry/worker_directory.py
@@ -1,4 +1,4 @@
-"""All workers that one daemon knows, by pool, and who is told of their changes (docs/DESIGN.md section 10.2)."""
+"""All workers that one daemon knows, by pool, and the listeners to their changes (docs/DESIGN.md section 10.2)."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from ..context.protocols import Context
 from ..identifiers import Instant, PoolName, Seconds, WorkerInstance
-from .feed_limits import engaged_trusted, loads_every
+from .feed_limits import engagement_max_age_s, load_interval_s
 from .messages import WorkerEntry
 from .pool_table import PoolTable, WorkerRecord
 from .protocols import Worker
 
 
 class WorkerDirectory:
-    """The tables of all pools. ``on_new_pool`` is called when a pool is asked for the first time."""
+    """Tables of all pools. ``on_new_pool`` is called when a pool is requested for the first time."""
 
     def __init__(self, context: Context, on_new_pool: Callable[[PoolName], None]) -> None:
         self._context = context
@@ -31,25 +31,29 @@
         return [table for _, table in sorted(self._tables.items())]
 
     def table(self, pool: PoolName) -> PoolTable:
+        """Returns the table of the pool; creates an empty one at the first request."""
         table = self._tables.get(pool)
         if table is None:
             table = self._tables[pool] = PoolTable(pool)
             self._on_new_pool(pool)
         return table
 
-    def loads_every(self, pool: PoolName) -> float:
-        return loads_every(len(self._tables[pool].records))
+    def load_interval_s(self, pool: PoolName) -> float:
+        """Returns the seconds between two questions for the loads of this pool."""
+        return load_interval_s(len(self._tables[pool].records))
 
-    def engaged_trusted(self, pool: PoolName) -> float:
-        return engaged_trusted(len(self._tables[pool].records))
+    def engagement_max_age_s(self, pool: PoolName) -> float:
+        """Returns for how many seconds reported counts of this pool are used."""
+        return engagement_max_age_s(len(self._tables[pool].records))
 
     # --- workers ------------------------------------------------------------------------------
 
     def records(self) -> list[WorkerRecord]:
-        """Of every worker, by pool and instance."""
+        """Returns the records of all workers, sorted by pool and instance."""
         return [record for table in self.tables() for _, record in sorted(table.records.items())]
 
     def pool_of(self, instance: WorkerInstance) -> PoolName | None:
+        """Returns the pool in which the worker last counted as renewed."""
         return self._pool_of.get(instance)
 
     def record(self, instance: WorkerInstance) -> WorkerRecord | None:
@@ -64,20 +68,20 @@
         pool = self._pool_of.get(instance)
         return Seconds(0.0) if pool is None else self._tables[pool].cold_left(instance, self._now())
 
-    def merge(self, entry: WorkerEntry, judge_renewal: bool) -> bool:
-        """Takes what another knows, as ``PoolTable.merge``; a change is told."""
+    def merge(self, entry: WorkerEntry, trust_renewal: bool) -> bool:
+        """Merges an entry of another daemon like ``PoolTable.merge``; logs a change and notifies the listeners."""
         worker = entry.worker
         table = self.table(worker.pool)
-        if not table.merge(entry, self._now(), judge_renewal):
+        if not table.merge(entry, self._now(), trust_renewal):
             return False
-        self.changed([table.records[worker.instance].worker])
+        self.record_changes([table.records[worker.instance].worker])
         return True
 
-    def forget_old(self) -> list[WorkerInstance]:
-        """Workers that left memory now."""
+    def evict_old(self) -> list[WorkerInstance]:
+        """Removes workers whose retention has ended and returns them."""
         now = self._now()
         for table in self.tables():
-            table.forget_old(now)
+            table.evict_old(now)
         forgotten = [
             instance for instance, pool in sorted(self._pool_of.items()) if instance not in self._tables[pool].records
         ]
@@ -91,12 +95,13 @@
         self._listeners.append(callback)
 
     def notify(self, workers: Sequence[Worker]) -> None:
+        """Calls each listener for each of the workers."""
         for worker in workers:
             for listener in self._listeners:
                 listener(worker)
 
-    def changed(self, workers: Sequence[Worker]) -> None:
-        """To the log and to the listeners."""
+    def record_changes(self, workers: Sequence[Worker]) -> None:
+        """Logs the workers' new states and notifies the listeners."""
         for worker in workers:
             record = self._tables[worker.pool].records[worker.instance]
             if record.renewed or worker.instance not in self._pool_of:
