--- a/bench/control_losses.py
+++ b/bench/control_losses.py
@@ -96,7 +96,9 @@
         view = control.stores[leader].view
         assert view is not None
         rank = {view.primary: 0} | dict.fromkeys(view.backups, 1)
-        members = [str(seat.name) for seat in sorted(view.members, key=lambda seat: rank.get(seat.incarnation, 2))]
+        members = [
+            str(member.name) for member in sorted(view.members, key=lambda member: rank.get(member.incarnation, 2))
+        ]
         places = {"primary": 0, "backup": 1, "second backup": 2, "witness": len(members) - 1}
         begun = world.now
         for role in roles:
--- a/bench/ledger_bench.py
+++ b/bench/ledger_bench.py
@@ -273,7 +273,7 @@
     elif lost == "primary dark":
         world.power_off(primary)
     elif lost == "backup killed":
-        world.kill(fleet.control.has_role("backup"))
+        world.kill(fleet.control.name_with_role("backup"))
     else:
         for name in CONTROLS:
             world.restart(name)
--- a/wingwood/control/backup.py
+++ b/wingwood/control/backup.py
@@ -12,7 +12,7 @@
     ControlCommitted,
     ControlReplicate,
     ControlReplicated,
-    ControlStatePiece,
+    ControlStateChunk,
     Promise,
     SnapshotEntry,
 )
@@ -21,7 +21,7 @@
 from .store_guard import StoreGuard
 
 ANOTHER_INCARNATION = "another incarnation"
-NEWER_STATE_TAKEN = "a newer state was taken"
+NEWER_STATE_INSTALLED = "a newer state was taken"
 REWRITE_FACTOR = 1.5
 """A backup rewrites its journal at this many times the length at which the primary does."""
 
@@ -43,23 +43,23 @@
         self._state_receiver = StateReceiver()
 
     def _replicated(self, refusal: str | None) -> ControlReplicated:
-        return ControlReplicated(self._me, refusal is None, self._store.promise.epoch, refusal or "")
+        return ControlReplicated(self._own_incarnation, refusal is None, self._store.promise.epoch, refusal or "")
 
     # -- batches
 
     async def _on_replicate(self, _: Identity, message: ControlReplicate) -> ControlReplicated:
-        if message.to != self._me:
+        if message.to != self._own_incarnation:
             return self._replicated(ANOTHER_INCARNATION)
         async with self._lock:
-            refusal = await self._replicate_here(message)
+            refusal = await self._journal_batch(message)
             if refusal is None:
-                self._heard = self._now()
-                self._take_commit(message.epoch, message.committed)
+                self._primary_seen_at = self._now()
+                self._advance_commit(message.epoch, message.committed)
                 self._rewriter.rewrite_if_long(REWRITE_FACTOR)
             return self._replicated(refusal)
 
-    async def _replicate_here(self, message: ControlReplicate) -> str | None:
-        refusal = self._refuses_from(message.epoch)
+    async def _journal_batch(self, message: ControlReplicate) -> str | None:
+        refusal = self._batch_refusal(message.epoch)
         if refusal is not None:
             return refusal
         received = ReceivedBatch(message.epoch, message.before)
@@ -70,78 +70,78 @@
         if message.entry:
             match await self._store.append_batch(message.entry, message.before + 1):
                 case Failure(fault):
-                    self._fail_store(fault)
+                    self._mark_disk_faulty(fault)
                     return f"sick: {fault.kind}"
             self._last_received = received
             self._replica.receive(decode_batch(message.entry))
         return None
 
-    def _refuses_from(self, epoch: Epoch) -> str | None:
+    def _batch_refusal(self, epoch: Epoch) -> str | None:
         """Why no batch is taken under that epoch."""
         view = self._store.view
-        if self._sick is not None or self._stale:
-            return f"sick: {self._sick}"
+        if self._disk_fault is not None or self._stale:
+            return f"sick: {self._disk_fault}"
         if epoch < self._store.promise.epoch:
             return "promised a higher epoch"
-        if view is None or view.epoch != epoch or self._me not in view.backups:
+        if view is None or view.epoch != epoch or self._own_incarnation not in view.backups:
             return "not a backup under this epoch"
         return None
 
     def _on_committed(self, _: Identity, message: ControlCommitted) -> None:
-        if message.to == self._me:
-            self._take_commit(message.epoch, message.committed)
+        if message.to == self._own_incarnation:
+            self._advance_commit(message.epoch, message.committed)
 
-    def _take_commit(self, epoch: Epoch, committed: int) -> None:
+    def _advance_commit(self, epoch: Epoch, committed: int) -> None:
         view = self._store.view
-        if view is None or view.epoch != epoch or self._me not in view.backups:
+        if view is None or view.epoch != epoch or self._own_incarnation not in view.backups:
             return
-        if self._sick is not None or self._stale:
+        if self._disk_fault is not None or self._stale:
             return
         if committed <= self._store.sequence:
             self._replica.commit(committed)
 
     # -- the whole state
 
-    async def _on_state_piece(self, _: Identity, message: ControlStatePiece) -> ControlReplicated:
-        if message.to != self._me:
+    async def _on_state_chunk(self, _: Identity, message: ControlStateChunk) -> ControlReplicated:
+        if message.to != self._own_incarnation:
             return self._replicated(ANOTHER_INCARNATION)
-        return self._replicated(await self._take_piece(message))
+        return self._replicated(await self._take_chunk(message))
 
-    async def _take_piece(self, piece: ControlStatePiece) -> str | None:
-        transfer = transfer_of(piece)
+    async def _take_chunk(self, chunk: ControlStateChunk) -> str | None:
+        transfer = transfer_of(chunk)
         if self._state_receiver.is_outdated(transfer):
-            return NEWER_STATE_TAKEN
-        data = self._state_receiver.add(piece)
+            return NEWER_STATE_INSTALLED
+        data = self._state_receiver.add(chunk)
         if data is None:
             return None
         async with self._lock:
-            return self._refuses_state(transfer) or await self._take_state(transfer, data)
+            return self._state_refusal(transfer) or await self._install_state(transfer, data)
 
-    def _refuses_state(self, transfer: Transfer) -> str | None:
+    def _state_refusal(self, transfer: Transfer) -> str | None:
         """Why this state is not taken."""
         held = self._store.promise
-        if self._sick is not None:
-            return f"sick: {self._sick}"
+        if self._disk_fault is not None:
+            return f"sick: {self._disk_fault}"
         if self._state_receiver.is_outdated(transfer):
-            return NEWER_STATE_TAKEN
+            return NEWER_STATE_INSTALLED
         if transfer.epoch < held.epoch or (transfer.epoch == held.epoch and transfer.sender != held.candidate):
             return "promised another epoch"
         return None
 
-    async def _take_state(self, transfer: Transfer, data: bytes) -> str | None:
+    async def _install_state(self, transfer: Transfer, data: bytes) -> str | None:
         """Journals it in place of all that is here."""
-        if self._lead is not None:
+        if self._leadership is not None:
             self._step_down(f"takes the state of epoch {transfer.epoch}")
         contents = Contents(msgspec.msgpack.decode(data, type=SnapshotEntry), [])
         promise = Promise(transfer.epoch, transfer.sender)
-        match await self._store.rewrite(lambda: contents, self._limits.rewriting(len(data)), promise):
+        match await self._store.rewrite(lambda: contents, self._limits.rewrite_timeout(len(data)), promise):
             case Failure(fault):
-                self._fail_store(fault)
+                self._mark_disk_faulty(fault)
                 return f"sick: {fault.kind}"
-        self._state_receiver.note_taken(transfer)
+        self._state_receiver.note_installed(transfer)
         self._replica.load(contents)
         self._stale = False
         self._last_received = None
-        self._heard = self._now()
+        self._primary_seen_at = self._now()
         self._log("state-taken", epoch=transfer.epoch, sequence=self._store.sequence, bytes=len(data))
         return None
--- a/wingwood/control/bundle_source.py
+++ b/wingwood/control/bundle_source.py
@@ -29,7 +29,7 @@
         """Newest durable version; 0 when there is none."""
         return self._manifest.version if self._manifest is not None else BundleVersion(0)
 
-    def newest(self) -> Manifest | None:
+    def latest(self) -> Manifest | None:
         return self._manifest
 
     def delta_since(self, version: BundleVersion) -> BundleDelta | None:
--- a/wingwood/control/candidate.py
+++ b/wingwood/control/candidate.py
@@ -5,116 +5,127 @@
 from collections.abc import Mapping, Sequence
 
 from ..identifiers import Epoch, Incarnation, Instant, Seconds
-from .messages import ControlAccept, ControlAccepted, ControlGrant, ControlPromise, Promise, Seat, View
+from .messages import ControlAccept, ControlAccepted, ControlGrant, ControlPromise, Promise, View, ViewMember
 from .planning import ViewPlan
 from .store_guard import StoreGuard
 
-LINGER_FOR_GRANTS = Seconds(0.1)
+GRANT_LINGER_S = Seconds(0.1)
 """Further grants are waited for so long: they may show a newer view, or a holder with more batches."""
-PAUSE_FOR_LONGER = 1.0
+PAUSE_FOR_FULLER_HOLDER_S = 1.0
 """Seconds for which a candidate leaves the candidacy to a holder that has more batches."""
 
 
 class Ballot:
     """The promises asked for one epoch, and the newest view accepted among those who granted."""
 
-    def __init__(self, me: Incarnation, epoch: Epoch, newest: View) -> None:
+    def __init__(self, me: Incarnation, epoch: Epoch, latest: View) -> None:
         self.epoch = epoch
-        self.newest = newest
+        self.latest = latest
         self.grants: dict[Incarnation, ControlGrant] = {}
-        self._me = me
+        self._own_incarnation = me
         self._asked = {me}
 
-    def next_voters(self) -> list[Seat]:
+    def next_voters(self) -> list[ViewMember]:
         """Voters of the newest view that have not been asked yet; they count as asked from now on."""
-        seats = [seat for seat in self.newest.voters() if seat.incarnation not in self._asked]
-        self._asked.update(seat.incarnation for seat in seats)
-        return seats
+        voters = [member for member in self.latest.voters() if member.incarnation not in self._asked]
+        self._asked.update(member.incarnation for member in voters)
+        return voters
 
     def has_quorum(self, more: Sequence[ControlGrant] = ()) -> bool:
         """A quorum of the newest view has granted, counting us and the answers ``more``."""
-        return self.newest.quorum({self._me, *self.grants, *(answer.by for answer in more if answer.granted)})
+        return self.latest.quorum(
+            {self._own_incarnation, *self.grants, *(answer.by for answer in more if answer.granted)}
+        )
 
     def add(self, grant: ControlGrant) -> None:
         if not grant.granted:
             return
         self.grants[grant.by] = grant
-        if grant.view is not None and grant.view.supersedes(self.newest):
-            self.newest = grant.view
+        if grant.view is not None and grant.view.supersedes(self.latest):
+            self.latest = grant.view
 
     def holder_has_more(self, sequence: int) -> bool:
         """Another holder of the newest view has journaled more than that."""
-        holders = self.newest.holders
+        holders = self.latest.holders
         return any(by in holders and grant.sequence > sequence for by, grant in self.grants.items())
 
 
 class Candidate(StoreGuard):
     """Stands for a new epoch, whether to take over or to change the view that it leads."""
 
-    async def _stand(self, plan: ViewPlan | None) -> View | None:
+    async def _run_election(self, plan: ViewPlan | None) -> View | None:
         """None: not won; a higher epoch has been promised here in any case. Without a plan it is a take-over."""
         ballot = await self._open_ballot()
         if ballot is None:
             return None
         await self._collect_grants(ballot)
-        self._note_view(ballot.newest)
-        if not self._may_go_on(ballot) or (plan is None and self._leaves_it_to_another(ballot)):
+        self._note_view(ballot.latest)
+        if not self._may_continue(ballot) or (plan is None and self._defers_to_another_holder(ballot)):
             return None
         view = self._proposed_view(ballot, plan)
         if not await self._accept_round(view, everyone=False):
             self._log("candidacy-lost", epoch=ballot.epoch, reason="not accepted by a majority")
             return None
-        return await self._settle(view)
+        return await self._record_chosen(view)
 
     # -- promises
 
     async def _open_ballot(self) -> Ballot | None:
         """Promises a new epoch to ourselves."""
         async with self._lock:
-            if self._sick is not None or self._store.view is None:
+            if self._disk_fault is not None or self._store.view is None:
                 return None
             epoch = Epoch(max(self._highest_epoch, self._store.promise.epoch) + 1)
             self._highest_epoch = epoch
-            if not self._written(await self._store.promised(Promise(epoch, self._me), False)):
+            if not self._write_succeeded(
+                await self._store.record_promise(Promise(epoch, self._own_incarnation), False)
+            ):
                 return None
-            return Ballot(self._me, epoch, self._store.view)
+            return Ballot(self._own_incarnation, epoch, self._store.view)
 
     async def _collect_grants(self, ballot: Ballot) -> None:
         """Asks the voters of the newest view, and those of a newer one when a grant shows it."""
-        while seats := ballot.next_voters():
+        while voters := ballot.next_voters():
             work = [
-                self._ask(seat, ControlPromise(seat.incarnation, self._me, ballot.epoch), ControlGrant)
-                for seat in seats
+                self._ask(member, ControlPromise(member.incarnation, self._own_incarnation, ballot.epoch), ControlGrant)
+                for member in voters
             ]
-            for grant in await self._gather(work, ballot.has_quorum, self._limits.call, linger=LINGER_FOR_GRANTS):
+            for grant in await self._gather(work, ballot.has_quorum, self._limits.call_timeout, linger=GRANT_LINGER_S):
                 self._note_epoch(grant.promised)
                 ballot.add(grant)
 
-    def _may_go_on(self, ballot: Ballot) -> bool:
-        epoch, newest = ballot.epoch, ballot.newest
+    def _may_continue(self, ballot: Ballot) -> bool:
+        epoch, latest = ballot.epoch, ballot.latest
         if not ballot.has_quorum():
             self._log("candidacy-lost", epoch=epoch, granted=len(ballot.grants), highest=self._highest_epoch)
             return False
-        if self._me not in newest.holders:
-            self._log("candidacy-given-up", epoch=epoch, newest=newest.epoch, reason="not a holder of the newest view")
+        if self._own_incarnation not in latest.holders:
+            self._log("candidacy-given-up", epoch=epoch, newest=latest.epoch, reason="not a holder of the newest view")
             return False
         return True
 
-    def _leaves_it_to_another(self, ballot: Ballot) -> bool:
+    def _defers_to_another_holder(self, ballot: Ballot) -> bool:
         if not ballot.holder_has_more(self._store.sequence):
             return False
         reason = "another holder has more"
-        self._log("candidacy-given-up", epoch=ballot.epoch, newest=ballot.newest.epoch, reason=reason)
-        self._not_before = Instant(self._now() + PAUSE_FOR_LONGER)
+        self._log("candidacy-given-up", epoch=ballot.epoch, newest=ballot.latest.epoch, reason=reason)
+        self._no_candidacy_before = Instant(self._now() + PAUSE_FOR_FULLER_HOLDER_S)
         return True
 
     def _proposed_view(self, ballot: Ballot, plan: ViewPlan | None) -> View:
         """The planned view where it may be built on the newest one, else the newest one without backups."""
-        epoch, newest = ballot.epoch, ballot.newest
-        view = View(epoch, self._me, (), newest.members, newest.holders, newest.former)
+        epoch, latest = ballot.epoch, ballot.latest
+        view = View(epoch, self._own_incarnation, (), latest.members, latest.holders, latest.former)
         if plan is not None:
-            if newest in plan.bases:
-                view = View(epoch, self._me, plan.backups, plan.members, (self._me, *plan.backups), plan.former)
+            if latest in plan.bases:
+                view = View(
+                    epoch,
+                    self._own_incarnation,
+                    plan.backups,
+                    plan.members,
+                    (self._own_incarnation, *plan.backups),
+                    plan.former,
+                )
             plan.bases.append(view)
         return view
 
@@ -127,32 +138,36 @@
 
         def chosen(answers: list[ControlAccepted]) -> bool:
             accepted = {answer.by: answer.sequence for answer in answers if answer.accepted}
-            who = {self._me, *accepted}
+            who = {self._own_incarnation, *accepted}
             if everyone:
                 return len(who) == len(view.members)
             return self._in_sync(view, accepted) and view.quorum(who)
 
-        others = [seat for seat in view.voters() if seat.incarnation != self._me]
-        work = [self._ask(seat, ControlAccept(seat.incarnation, view), ControlAccepted) for seat in others]
-        answers = await self._gather(work, chosen, self._limits.call)
+        others = [member for member in view.voters() if member.incarnation != self._own_incarnation]
+        work = [self._ask(member, ControlAccept(member.incarnation, view), ControlAccepted) for member in others]
+        answers = await self._gather(work, chosen, self._limits.call_timeout)
         for answer in answers:
             self._note_epoch(answer.promised)
-        return chosen(answers) and self._store.promise == Promise(view.epoch, self._me) and self._sick is None
+        return (
+            chosen(answers)
+            and self._store.promise == Promise(view.epoch, self._own_incarnation)
+            and self._disk_fault is None
+        )
 
     def _in_sync(self, view: View, sequences: Mapping[Incarnation, int]) -> bool:
         """Each backup has what we have, or it is none: whatever became of what we sent it."""
         return all(sequences.get(backup) == self._store.sequence for backup in view.backups)
 
-    async def _settle(self, view: View) -> View | None:
+    async def _record_chosen(self, view: View) -> View | None:
         """The view is chosen, so its former members count no longer; the others hear so with the heartbeats."""
         if not view.former:
             return view
-        settled = view.settled()
-        return settled if await self._accept_own(settled) else None
+        chosen = view.as_chosen()
+        return chosen if await self._accept_own(chosen) else None
 
     async def _accept_own(self, view: View) -> bool:
         """Journals a view of ours, unless a higher epoch was promised since."""
         async with self._lock:
-            if self._sick is not None or self._store.promise != Promise(view.epoch, self._me):
+            if self._disk_fault is not None or self._store.promise != Promise(view.epoch, self._own_incarnation):
                 return False
-            return self._written(await self._store.accepted(view))
+            return self._write_succeeded(await self._store.record_view(view))
--- a/wingwood/control/client.py
+++ b/wingwood/control/client.py
@@ -13,21 +13,21 @@
 from ..context.protocols import Context
 from ..identifiers import Address, Instant, Seconds
 from ..transport.messenger import Messenger
-from .messages import ControlCommand, ControlDecision, ControlLeader, ControlWhoLeads
+from .messages import ControlCommand, ControlDecision, ControlLeader, ControlLeaderQuery
 from .protocols import NotDecided, SubmitEdition, SubmitOrder
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 
 
 class ControlClientLimits(msgspec.Struct, frozen=True):
-    attempt: Seconds = Seconds(1.2)
+    attempt_timeout: Seconds = Seconds(1.2)
     """How long one control daemon may take to answer before the command is sent again."""
-    look: Seconds = Seconds(0.4)
+    leader_query_timeout: Seconds = Seconds(0.4)
     """How long to wait for control daemons to say who leads ..."""
-    linger: Seconds = Seconds(0.05)
+    leader_query_linger: Seconds = Seconds(0.05)
     """... and for others after the first that did."""
-    pause: Seconds = Seconds(0.05)
-    silent: Seconds = Seconds(3.0)
+    retry_pause: Seconds = Seconds(0.05)
+    avoid_silent_for: Seconds = Seconds(3.0)
     """Who left a command without an answer is the last way for so long."""
 
 
@@ -51,9 +51,9 @@
         self._addresses = addresses
         self._limits = limits or ControlClientLimits()
         self._primary: Address | None = None
-        self._learnt: tuple[Address, ...] = ()
+        self._learned: tuple[Address, ...] = ()
         self._silent_until: dict[Address, Instant] = {}
-        self._finding: asyncio.Task[list[Address]] | None = None
+        self._find_task: asyncio.Task[list[Address]] | None = None
 
     async def decide(
         self, kind: str, command: msgspec.Struct, reply_type: type[Reply], timeout: Seconds
@@ -62,33 +62,33 @@
         now = self._context.clock.monotonic
         encoded = msgspec.msgpack.encode(command)
         deadline = Instant(now() + timeout)
-        maybe = False
+        may_have_run = False
         last = NotDecided("not-leading", detail="no control daemon answers")
-        ways: list[Address] = []
+        targets: list[Address] = []
         """Whom to try next: the primary, then daemons that can pass the command on."""
         while (left := deadline - now()) > 0.0:
-            if self._primary is not None and not ways:
-                ways = [self._primary]
-            if not ways:
-                ways = sorted(await self._find(), key=self._is_silent)
-                if not ways:
+            if self._primary is not None and not targets:
+                targets = [self._primary]
+            if not targets:
+                targets = sorted(await self._find_targets(), key=self._is_silent)
+                if not targets:
                     await self._pause(deadline)
                     continue
                 left = deadline - now()
                 if left <= 0.0:
                     break
-            address = ways.pop(0)
-            patience = Seconds(min(left, self._limits.attempt))
-            message = ControlCommand(kind, encoded, patience, hops=1)
-            match await self._messenger.call(address, message, ControlDecision, patience):
+            address = targets.pop(0)
+            attempt_timeout = Seconds(min(left, self._limits.attempt_timeout))
+            message = ControlCommand(kind, encoded, attempt_timeout, hops=1)
+            match await self._messenger.call(address, message, ControlDecision, attempt_timeout):
                 case Success(found):
                     decision: ControlDecision = found
                 case Failure(fault):
-                    maybe = maybe or fault.sent
+                    may_have_run = may_have_run or fault.sent
                     last = NotDecided("unknown" if fault.sent else "not-leading", None, f"{fault.kind} {fault.detail}")
-                    self._forget(address)
-                    self._silent_until[address] = Instant(now() + self._limits.silent)
-                    if not ways:
+                    self._forget_primary(address)
+                    self._silent_until[address] = Instant(now() + self._limits.avoid_silent_for)
+                    if not targets:
                         await self._pause(deadline)
                     continue
             if decision.reply is not None:
@@ -98,16 +98,18 @@
                     self._primary = address
                 return Success(msgspec.msgpack.decode(decision.reply, type=reply_type))
             last = decision.fault or last
-            maybe = maybe or last.kind == "unknown"
-            self._forget(address)
+            may_have_run = may_have_run or last.kind == "unknown"
+            self._forget_primary(address)
             if last.primary in (None, address):
-                ways = []
+                targets = []
             elif self._is_silent(last.primary):
-                self._silent_until[address] = Instant(now() + self._limits.silent)  # It leads nowhere; others may.
+                self._silent_until[address] = Instant(
+                    now() + self._limits.avoid_silent_for
+                )  # It leads nowhere; others may.
             else:
-                ways = [last.primary]
+                targets = [last.primary]
             await self._pause(deadline)
-        if maybe and last.kind != "unknown":
+        if may_have_run and last.kind != "unknown":
             last = NotDecided("unknown", last.primary, last.detail)
         return Failure(last)
 
@@ -120,36 +122,38 @@
 
     async def _pause(self, deadline: Instant) -> None:
         left = deadline - self._context.clock.monotonic()
-        await self._context.clock.sleep(Seconds(max(0.0, min(self._limits.pause, left))))
+        await self._context.clock.sleep(Seconds(max(0.0, min(self._limits.retry_pause, left))))
 
-    def _forget(self, address: Address) -> None:
+    def _forget_primary(self, address: Address) -> None:
         if self._primary == address:
             self._primary = None
 
-    async def _find(self) -> list[Address]:
+    async def _find_targets(self) -> list[Address]:
         """The presumed primary and the daemons that said so; one question serves all who wait for it."""
-        if self._finding is None or self._finding.done():
-            self._finding = asyncio.get_running_loop().create_task(self._ask_all())
-        return list(await asyncio.shield(self._finding))
+        if self._find_task is None or self._find_task.done():
+            self._find_task = asyncio.get_running_loop().create_task(self._query_leaders())
+        return list(await asyncio.shield(self._find_task))
 
-    async def _ask_all(self) -> list[Address]:
+    async def _query_leaders(self) -> list[Address]:
         answers: list[tuple[Address, ControlLeader]] = []
 
         async def ask(address: Address) -> None:
-            match await self._messenger.call(address, ControlWhoLeads(), ControlLeader, self._limits.look):
+            match await self._messenger.call(
+                address, ControlLeaderQuery(), ControlLeader, self._limits.leader_query_timeout
+            ):
                 case Success(found):
                     answers.append((address, found))
 
-        addresses = dict.fromkeys([*self._addresses(), *self._learnt])
+        addresses = dict.fromkeys([*self._addresses(), *self._learned])
         left = {asyncio.get_running_loop().create_task(ask(address)) for address in addresses}
-        end = Instant(self._context.clock.monotonic() + self._limits.look)
+        end = Instant(self._context.clock.monotonic() + self._limits.leader_query_timeout)
         while left and (wait := end - self._context.clock.monotonic()) > 0.0:
             _, left = await asyncio.wait(left, timeout=wait, return_when=asyncio.FIRST_COMPLETED)
             if answers:
-                end = min(end, Instant(self._context.clock.monotonic() + self._limits.linger))
+                end = min(end, Instant(self._context.clock.monotonic() + self._limits.leader_query_linger))
         if not answers:
             return []
-        newest = max((leader for _, leader in answers), key=lambda leader: leader.epoch)
-        self._learnt = newest.addresses
-        ways = [] if newest.primary is None else [newest.primary]
-        return list(dict.fromkeys([*ways, *sorted(address for address, _ in answers)]))
+        latest_answer = max((leader for _, leader in answers), key=lambda leader: leader.epoch)
+        self._learned = latest_answer.addresses
+        targets = [] if latest_answer.primary is None else [latest_answer.primary]
+        return list(dict.fromkeys([*targets, *sorted(address for address, _ in answers)]))
--- a/wingwood/control/command_intake.py
+++ b/wingwood/control/command_intake.py
@@ -13,17 +13,17 @@
 from ..identifiers import Epoch, Instant, Seconds
 from ..transport.frames import Identity
 from .commands import Answer, DecidedCommand, PendingCommand, deliver_all, fail_all
-from .lead import Lead
+from .leadership import Leadership
 from .member import MemberSetup
 from .messages import ControlCommand, ControlDecision, StateRecord
 from .protocols import NotDecided, PreparingApplier, SubmitOrder
-from .relay import pass_on
+from .relay import forward_command
 from .replicator import Replicator
 from .store import encode_batch
 
 REWRITE_FACTOR = 1.0
 """A primary rewrites its journal at once when it is long; see ``backup.REWRITE_FACTOR``."""
-SHORTEST_WAIT = 0.01
+SHORTEST_WAIT_S = 0.01
 
 
 class CommandIntake(Replicator):
@@ -31,18 +31,18 @@
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
-        self._commands: Queue[PendingCommand] = Queue(self._limits.waiting)
+        self._commands: Queue[PendingCommand] = Queue(self._limits.queued_commands)
         self._command_types: dict[str, Any] = {
             applier.kind: getattr(applier, "command_type", SubmitOrder) for applier in setup.appliers
         }
 
     # -- taking commands
 
-    async def decide(self, kind: str, command: msgspec.Struct, patience: Seconds | None = None) -> Answer:
-        """As in the protocol; ``patience`` may shorten the bound of the wait."""
+    async def decide(self, kind: str, command: msgspec.Struct, timeout: Seconds | None = None) -> Answer:
+        """As in the protocol; ``timeout`` may shorten the bound of the wait."""
         if not self.leads():
             return Failure(NotDecided("not-leading", self._other_primary()))
-        bound = self._limits.decide if patience is None else min(patience, self._limits.decide)
+        bound = self._limits.decide_timeout if timeout is None else min(timeout, self._limits.decide_timeout)
         waiting = PendingCommand(kind, command, Instant(self._now() + bound))
         if self._commands.full():
             return Failure(NotDecided("busy", detail="too many commands wait"))
@@ -58,8 +58,8 @@
 
     async def _on_command(self, _: Identity, message: ControlCommand) -> ControlDecision:
         primary = self._other_primary()
-        if self._lead is None and message.hops > 0 and primary is not None:
-            return await pass_on(self._messenger, primary, message)
+        if self._leadership is None and message.hops > 0 and primary is not None:
+            return await forward_command(self._messenger, primary, message)
         command_type = self._command_types.get(message.kind)
         if command_type is None:
             return ControlDecision(fault=NotDecided("not-leading", detail=f"no state of kind {message.kind!r} here"))
@@ -75,7 +75,7 @@
             await applier.prepare(command)
         match await self.decide(message.kind, command, message.budget):
             case Success(reply):
-                return ControlDecision(reply=msgspec.msgpack.encode(reply), primary=self._seat.address)
+                return ControlDecision(reply=msgspec.msgpack.encode(reply), primary=self._own_member.address)
             case Failure(fault):
                 return ControlDecision(fault=fault)
         raise AssertionError("a result is a success or a failure")
@@ -90,29 +90,29 @@
     async def _decide_waiting(self, batch: list[PendingCommand]) -> None:
         """Until all of the batch, and what came to it meanwhile, are decided or their time is over."""
         while batch:
-            while len(batch) < self._limits.batch and self._commands.qsize():
+            while len(batch) < self._limits.batch_commands and self._commands.qsize():
                 batch.append(self._commands.get_nowait())
-            lead = self._lead
-            if lead is None:
+            leadership = self._leadership
+            if leadership is None:
                 for command in batch:
                     command.resolve(Failure(NotDecided("not-leading", self._other_primary())))
                 return
-            if await self._try_batch(lead, batch):
+            if await self._try_batch(leadership, batch):
                 return
             now = self._now()
             batch = self._without_expired(batch, now)
             if batch:
                 # A primary that hears nobody decides nothing, also when it has just woken up.
-                await self._wait_for_turn(min(command.deadline for command in batch) - now)
+                await self._wait_for_change(min(command.deadline for command in batch) - now)
 
-    async def _try_batch(self, lead: Lead, batch: Sequence[PendingCommand]) -> bool:
+    async def _try_batch(self, leadership: Leadership, batch: Sequence[PendingCommand]) -> bool:
         """Runs it, unless this primary accepts nothing at present."""
-        if not self._accepts(lead) or not self.leads():
+        if not self._accepts_orders(leadership) or not self.leads():
             return False
-        async with lead.batch:
-            if not self._accepts(lead) or self._lead is not lead:
+        async with leadership.batch_lock:
+            if not self._accepts_orders(leadership) or self._leadership is not leadership:
                 return False
-            await self._run_batch(lead, batch)
+            await self._run_batch(leadership, batch)
             return True
 
     def _without_expired(self, batch: Sequence[PendingCommand], now: Instant) -> list[PendingCommand]:
@@ -121,34 +121,34 @@
                 command.resolve(command.undecided("too few backups in time"))
         return [command for command in batch if not command.answer.done()]
 
-    async def _wait_for_turn(self, patience: float) -> None:
-        self._turn.clear()
+    async def _wait_for_change(self, timeout: float) -> None:
+        self._wakeup.clear()
         try:
-            async with asyncio.timeout(max(patience, SHORTEST_WAIT)):
-                await self._turn.wait()
+            async with asyncio.timeout(max(timeout, SHORTEST_WAIT_S)):
+                await self._wakeup.wait()
         except TimeoutError:
             pass
 
     # -- one batch
 
-    async def _run_batch(self, lead: Lead, batch: Sequence[PendingCommand]) -> None:
-        epoch, before = lead.view.epoch, self._store.sequence
+    async def _run_batch(self, leadership: Leadership, batch: Sequence[PendingCommand]) -> None:
+        epoch, before = leadership.view.epoch, self._store.sequence
         decided, records = self._decide_batch(batch)
         if not decided:
             return
         entry = encode_batch(before + 1, epoch, records) if records else b""
         if records:
             self._replica.applied = before + 1
-        replicating = asyncio.get_running_loop().create_task(self._replicate(lead, epoch, before, entry))
-        written = not entry or await self._write_batch(lead, entry, before + 1)
+        replicating = asyncio.get_running_loop().create_task(self._replicate(leadership, epoch, before, entry))
+        written = not entry or await self._write_batch(leadership, entry, before + 1)
         replicated = await replicating
-        if self._lead is not lead or not written:
+        if self._leadership is not leadership or not written:
             fail_all(decided, "stopped leading meanwhile")
         elif not replicated:
-            lead.in_sync = False
-            lead.pending = decided
+            leadership.in_sync = False
+            leadership.pending = decided
         else:
-            self._acknowledge(lead, epoch, decided, wrote=bool(entry))
+            self._acknowledge(leadership, epoch, decided, wrote=bool(entry))
 
     def _decide_batch(self, batch: Sequence[PendingCommand]) -> tuple[list[DecidedCommand], list[StateRecord]]:
         """Decides and applies one command after the other; also gives the records to journal."""
@@ -160,7 +160,7 @@
                 command.resolve(command.undecided("its time was over before its turn"))
                 continue
             applier = self._replica.appliers[command.kind]
-            command.taken = True
+            command.decided = True
             record, reply = applier.decide(command.command)
             if record is not None:
                 applier.apply(record)
@@ -168,18 +168,20 @@
             decided.append(DecidedCommand(command, reply))
         return decided, records
 
-    async def _write_batch(self, lead: Lead, entry: bytes, sequence: int) -> bool:
+    async def _write_batch(self, leadership: Leadership, entry: bytes, sequence: int) -> bool:
         async with self._lock:
-            if self._lead is not lead:
+            if self._leadership is not leadership:
                 return False
-            return self._written(await self._store.append_batch(entry, sequence))
+            return self._write_succeeded(await self._store.append_batch(entry, sequence))
 
-    def _acknowledge(self, lead: Lead, epoch: Epoch, decided: Sequence[DecidedCommand], wrote: bool) -> None:
+    def _acknowledge(
+        self, leadership: Leadership, epoch: Epoch, decided: Sequence[DecidedCommand], wrote: bool
+    ) -> None:
         """The batch is on all disks of the view."""
         if self._store.promise.epoch != epoch:
             raise AssertionError("a primary promised a higher epoch without stepping down")
         self._replica.commit(self._store.sequence)
         deliver_all(decided, self._now())
         if wrote:
-            self._tell_commit(lead)
+            self._announce_commit(leadership)
             self._rewriter.rewrite_if_long(REWRITE_FACTOR)
--- a/wingwood/control/commands.py
+++ b/wingwood/control/commands.py
@@ -20,13 +20,13 @@
 class PendingCommand:
     """A command that waits in the queue, then for its batch."""
 
-    __slots__ = ("answer", "command", "deadline", "kind", "taken")
+    __slots__ = ("answer", "command", "deadline", "decided", "kind")
 
     def __init__(self, kind: str, command: msgspec.Struct, deadline: Instant) -> None:
         self.kind = kind
         self.command = command
         self.deadline = deadline
-        self.taken = False
+        self.decided = False
         """An applier has decided it, so it may become durable."""
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
@@ -37,7 +37,7 @@
 
     def undecided(self, detail: str) -> Answer:
         """The answer to a command whose time is over. One that was not taken yet never runs after this."""
-        if self.taken:
+        if self.decided:
             return Failure(NotDecided("unknown", detail=detail))
         self.deadline = EXPIRED
         return Failure(NotDecided("busy", detail=detail))
--- a/wingwood/control/core.py
+++ b/wingwood/control/core.py
@@ -10,23 +10,23 @@
 from ..transport.messenger import Messenger
 from .command_intake import CommandIntake
 from .follower import Follower
-from .lead import Lead
-from .lead_proofs import LeadProofs
+from .leadership import Leadership
+from .leadership_proofs import LeadershipProofs
 from .limits import ControlLimits
 from .member import MemberSetup
 from .messages import (
     ControlAccept,
-    ControlCanvass,
     ControlCommand,
     ControlCommitted,
     ControlConfirm,
-    ControlGiveWay,
     ControlHeartbeat,
     ControlJoin,
+    ControlLeaderQuery,
+    ControlLeadershipReleased,
     ControlPromise,
     ControlReplicate,
-    ControlStatePiece,
-    ControlWhoLeads,
+    ControlStateChunk,
+    ControlStatusQuery,
 )
 from .protocols import Applier, ViewReport
 from .store import Contents, ControlStore
@@ -34,7 +34,7 @@
 OwnRole = Literal["primary", "backup", "witness", "spare", "candidate"]
 
 
-class ReplicatedCore(Follower, CommandIntake, LeadProofs):
+class ReplicatedCore(Follower, CommandIntake, LeadershipProofs):
     """Primary, backup or witness, as the views have it; a ``ControlCore``.
 
     ``store`` and ``contents`` come from ``open_store``; the messenger's identity must carry
@@ -88,34 +88,38 @@
 
     def _answer_calls(self) -> None:
         messenger = self._messenger
-        messenger.on_call(ControlCanvass, self._on_canvass)
+        messenger.on_call(ControlStatusQuery, self._on_status_query)
         messenger.on_call(ControlPromise, self._on_promise)
         messenger.on_call(ControlAccept, self._on_accept)
         messenger.on_call(ControlHeartbeat, self._on_heartbeat)
         messenger.on_call(ControlReplicate, self._on_replicate)
-        messenger.on_call(ControlStatePiece, self._on_state_piece)
+        messenger.on_call(ControlStateChunk, self._on_state_chunk)
         messenger.on_call(ControlConfirm, self._on_confirm)
         messenger.on_call(ControlJoin, self._on_join)
         messenger.on_call(ControlCommand, self._on_command)
-        messenger.on_call(ControlWhoLeads, self._on_who_leads)
+        messenger.on_call(ControlLeaderQuery, self._on_leader_query)
         messenger.on_post(ControlCommitted, self._on_committed)
-        messenger.on_post(ControlGiveWay, self._on_give_way)
+        messenger.on_post(ControlLeadershipReleased, self._on_leadership_released)
 
-    def give_way(self) -> None:
+    def release_leadership(self) -> None:
         """Before a wanted stop: stops leading and asks the others to take over at once."""
         self._stopped = True
-        if self._lead is not None:
+        if self._leadership is not None:
             self._step_down("stopping")
 
     # -- for health
 
     def report(self) -> ViewReport:
-        lead, view = self._lead, self._known
-        accepts = lead is not None and self._accepts(lead) and self.leads()
-        complete = lead is not None and accepts and all(self._follows(lead, seat) for seat in self._others(lead.view))
-        details = [f"disk: {self._sick}"] if self._sick is not None else []
-        if lead is not None and not complete:
-            details += self._shortcomings(lead)
+        leadership, view = self._leadership, self._known_view
+        accepts = leadership is not None and self._accepts_orders(leadership) and self.leads()
+        complete = (
+            leadership is not None
+            and accepts
+            and all(self._follows(leadership, member) for member in self._other_members(leadership.view))
+        )
+        details = [f"disk: {self._disk_fault}"] if self._disk_fault is not None else []
+        if leadership is not None and not complete:
+            details += self._shortcomings(leadership)
         return ViewReport(
             epoch=self.epoch(),
             own_role=self._own_role(),
@@ -128,23 +132,27 @@
         )
 
     def _own_role(self) -> OwnRole:
-        if self._lead is not None:
+        if self._leadership is not None:
             return "primary"
-        if self._known is None or self._known.seat(self._me) is None:
+        if self._known_view is None or self._known_view.member(self._own_incarnation) is None:
             return "spare"
         if self._candidate:
             return "candidate"
-        return "backup" if self._me in self._known.backups else "witness"
+        return "backup" if self._own_incarnation in self._known_view.backups else "witness"
 
-    def _shortcomings(self, lead: Lead) -> list[str]:
+    def _shortcomings(self, leadership: Leadership) -> list[str]:
         """What the view lacks, in words for the operator."""
         found = []
-        if not lead.in_sync:
+        if not leadership.in_sync:
             found.append("too few backups in sync")
-        short = self._members_wanted - len(lead.view.members)
+        short = self._members_wanted - len(leadership.view.members)
         if short > 0:
             found.append(f"{short} more members with a disk are wanted")
-        missing = [str(seat.name) for seat in self._others(lead.view) if not self._live(lead, seat)]
+        missing = [
+            str(member.name)
+            for member in self._other_members(leadership.view)
+            if not self._member_is_live(leadership, member)
+        ]
         if missing:
             found.append(f"not answering: {', '.join(missing)}")
         return found
--- a/wingwood/control/journal_rewriting.py
+++ b/wingwood/control/journal_rewriting.py
@@ -14,7 +14,7 @@
 from .replica import Replica
 from .store import ControlStore
 
-PAUSE_AFTER_FAILURE = 10.0
+PAUSE_AFTER_FAILURE_S = 10.0
 """Seconds until a rewrite that failed is tried again."""
 
 
@@ -38,11 +38,11 @@
         self._limits = limits
         self._on_fault = on_fault
         self._rewriting = False
-        self._not_before = context.clock.monotonic()
+        self._no_rewrite_before = context.clock.monotonic()
 
     def rewrite_if_long(self, factor: float) -> None:
         """Call between batches. On the backup with a higher factor, so that both don't do it at once."""
-        if self._is_long(factor) and not self._rewriting and self._context.clock.monotonic() >= self._not_before:
+        if self._is_long(factor) and not self._rewriting and self._context.clock.monotonic() >= self._no_rewrite_before:
             self._rewriting = True
             compaction = self._store.compact(self._replica.contents())
             self._context.tasks.spawn("journal rewrite", self._rewrite(compaction))
@@ -53,14 +53,14 @@
 
     async def _rewrite(self, compaction: Coroutine[Any, Any, Result[None, JournalFault]]) -> None:
         clock, log, journal = self._context.clock, self._context.log, self._store.journal
-        begun, before = clock.monotonic(), journal.length
+        started, before = clock.monotonic(), journal.length
         match await compaction:
             case Success(_):
-                took = clock.monotonic() - begun
+                took = clock.monotonic() - started
                 log.event("journal-rewritten", bytes_before=before, bytes_after=journal.length, took=took)
             case Failure(fault):
                 log.event("journal-not-rewritten", kind=fault.kind, detail=fault.detail)
-                self._not_before = Instant(clock.monotonic() + PAUSE_AFTER_FAILURE)
+                self._no_rewrite_before = Instant(clock.monotonic() + PAUSE_AFTER_FAILURE_S)
                 if fault.kind == "slow" or (fault.kind != "sick" and journal.sick is not None):
                     self._on_fault(fault)
         self._rewriting = False
--- a/wingwood/control/lead_proofs.py
+++ b/wingwood/control/leadership_proofs.py
@@ -6,15 +6,15 @@
 from collections.abc import Sequence
 
 from ..identifiers import Seconds
-from .lead import Lead
+from .leadership import Leadership
 from .member import Member, MemberSetup
 from .messages import ControlConfirm, ControlConfirmed
 
-RETRY_PAUSE = Seconds(0.02)
+RETRY_PAUSE_S = Seconds(0.02)
 """Before the next round when one has proved nothing."""
 
 
-class LeadProofs(Member):
+class LeadershipProofs(Member):
     """Collects those who ask for a proof, and asks the other members for all of them at once."""
 
     def __init__(self, setup: MemberSetup) -> None:
@@ -23,14 +23,14 @@
         """Who waits for the next round."""
         self._proof_asked = asyncio.Event()
 
-    async def prove_lead(self) -> bool:
-        if self._lead is None:
+    async def prove_leadership(self) -> bool:
+        if self._leadership is None:
             return False
         asked: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._proofs.append(asked)
         self._proof_asked.set()
         try:
-            async with asyncio.timeout(self._limits.proof):
+            async with asyncio.timeout(self._limits.proof_timeout):
                 return await asked
         except TimeoutError:
             return False
@@ -46,31 +46,31 @@
                 await self._serve(asked)
 
     async def _serve(self, asked: list[asyncio.Future[bool]]) -> None:
-        lead = self._lead
-        if lead is not None and await self._proof_round(lead):
+        leadership = self._leadership
+        if leadership is not None and await self._proof_round(leadership):
             _resolve_all(asked, True)
-        elif self._lead is None:
+        elif self._leadership is None:
             _resolve_all(asked, False)
         else:
-            await self._context.clock.sleep(RETRY_PAUSE)
+            await self._context.clock.sleep(RETRY_PAUSE_S)
             self._proofs = asked + self._proofs
             self._proof_asked.set()
 
-    async def _proof_round(self, lead: Lead) -> bool:
+    async def _proof_round(self, leadership: Leadership) -> bool:
         """A majority, counting us, has promised nothing above our epoch."""
-        view = lead.view
-        if not lead.settled or self._store.promise.epoch != view.epoch:
+        view = leadership.view
+        if not leadership.commit_known or self._store.promise.epoch != view.epoch:
             return False
 
         def confirmed(answers: list[ControlConfirmed]) -> bool:
-            return view.majority({self._me, *(answer.by for answer in answers if answer.holds)})
+            return view.majority({self._own_incarnation, *(answer.by for answer in answers if answer.holds)})
 
         work = [
-            self._ask(seat, ControlConfirm(seat.incarnation, view.epoch), ControlConfirmed)
-            for seat in self._others(view)
+            self._ask(member, ControlConfirm(member.incarnation, view.epoch), ControlConfirmed)
+            for member in self._other_members(view)
         ]
-        answers = await self._gather(work, confirmed, self._limits.call)
-        return confirmed(answers) and self._lead is lead and lead.view is view and not self._stale
+        answers = await self._gather(work, confirmed, self._limits.call_timeout)
+        return confirmed(answers) and self._leadership is leadership and leadership.view is view and not self._stale
 
 
 def _resolve_all(asked: Sequence[asyncio.Future[bool]], proved: bool) -> None:
--- a/wingwood/control/member.py
+++ b/wingwood/control/member.py
@@ -1,7 +1,7 @@
 """What every part of a member of the control core stands on: its state, its knowledge of views, its calls.
 
 ``Member`` and the classes on top of it (``StoreGuard``, ``Backup``, ``Voter``, ``Replicator``, ``CommandIntake``,
-``LeadProofs``, ``Candidate``, ``Primary``, ``Follower``) are the parts of one ``ReplicatedCore``; each names the
+``LeadershipProofs``, ``Candidate``, ``Primary``, ``Follower``) are the parts of one ``ReplicatedCore``; each names the
 parts that it uses as its bases (docs/DESIGN.md section 7).
 """
 
@@ -18,19 +18,19 @@
 from ..identifiers import Address, Epoch, Instant, Seconds
 from ..transport.messenger import Messenger
 from .commands import fail_all
-from .lead import Lead
+from .leadership import Leadership
 from .limits import ControlLimits
-from .messages import ControlGiveWay, Seat, View
+from .messages import ControlLeadershipReleased, View, ViewMember
 from .protocols import Applier
 from .replica import Replica
 from .store import Contents, ControlStore
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 
-HEARD_AT_START = 0.4
+SILENCE_AT_START = 0.4
 """A member counts its primary as heard this part of the borne silence before it started."""
-PAUSE_AFTER_STEPPING_DOWN = (0.8, 1.2)
-PAUSE_BEFORE_CANDIDACY = (0.4, 0.7)
+PAUSE_AFTER_STEPPING_DOWN_S = (0.8, 1.2)
+PAUSE_BEFORE_CANDIDACY_S = (0.4, 0.7)
 """Seconds, drawn at random between these, so that members seldom stand at once."""
 
 
@@ -63,48 +63,48 @@
         self._other_controls = setup.other_controls
         self._backups_wanted = setup.losses_borne
         self._members_wanted = 2 * setup.losses_borne + 1
-        self._seat = Seat(store.incarnation, identity.name, identity.internal)
-        self._me = store.incarnation
+        self._own_member = ViewMember(store.incarnation, identity.name, identity.internal)
+        self._own_incarnation = store.incarnation
         self._store = store
         self._lock = asyncio.Lock()
         """Held for each use of the store."""
-        self._sick: str | None = None
+        self._disk_fault: str | None = None
         """Why the store may not be used; ends with a reload."""
         self._replica = Replica(setup.appliers, setup.contents)
         self._stale = False
         """The replica must be loaded from the journal before it may be used."""
-        self._lead: Lead | None = None
-        self._known = store.view
+        self._leadership: Leadership | None = None
+        self._known_view = store.view
         self._highest_epoch = store.promise.epoch
-        self._gave_way: Epoch | None = None
+        self._released_epoch: Epoch | None = None
         """The epoch whose primary asked the others to take over."""
         now = context.clock.monotonic()
-        self._heard = Instant(now - HEARD_AT_START * self._limits.silence)
+        self._primary_seen_at = Instant(now - SILENCE_AT_START * self._limits.primary_silence)
         """When the primary was last heard."""
-        self._not_before = now
+        self._no_candidacy_before = now
         """No candidacy before this."""
         self._stopped = False
-        self._turn = asyncio.Event()
+        self._wakeup = asyncio.Event()
         """Something changed for the runner of commands."""
         self._on_change: list[Callable[[], None]] = []
 
     # -- public
 
     def leads(self) -> bool:
-        lead = self._lead
-        return lead is not None and self._now() - lead.confirmed < self._limits.lead_unconfirmed
+        leadership = self._leadership
+        return leadership is not None and self._now() - leadership.confirmed < self._limits.leadership_unconfirmed_after
 
     def epoch(self) -> Epoch:
-        return self._known.epoch if self._known is not None else Epoch(0)
+        return self._known_view.epoch if self._known_view is not None else Epoch(0)
 
     def primary_address(self) -> Address | None:
-        seat = self._known.seat(self._known.primary) if self._known is not None else None
-        return seat.address if seat is not None else None
+        member = self._known_view.member(self._known_view.primary) if self._known_view is not None else None
+        return member.address if member is not None else None
 
     def control_addresses(self) -> Sequence[Address]:
         """Of all control daemons known here, the presumed primary first."""
         addresses = [self.primary_address()]
-        addresses += [seat.address for seat in (self._known.members if self._known is not None else ())]
+        addresses += [member.address for member in (self._known_view.members if self._known_view is not None else ())]
         addresses += [*self._seeds, *self._other_controls()]
         return tuple(dict.fromkeys(address for address in addresses if address is not None))
 
@@ -124,7 +124,7 @@
         self._context.log.event(name, **fields)
 
     def _changed(self) -> None:
-        self._turn.set()
+        self._wakeup.set()
         for callback in self._on_change:
             callback()
 
@@ -138,65 +138,68 @@
         if view is None:
             return
         self._note_epoch(view.epoch)
-        if view.supersedes(self._known):
-            self._known = view
+        if view.supersedes(self._known_view):
+            self._known_view = view
             self._changed()
 
     def _other_primary(self) -> Address | None:
         address = self.primary_address()
-        return None if address == self._seat.address else address
+        return None if address == self._own_member.address else address
 
-    def _others(self, view: View) -> list[Seat]:
-        return [seat for seat in view.members if seat.incarnation != self._me]
+    def _other_members(self, view: View) -> list[ViewMember]:
+        return [member for member in view.members if member.incarnation != self._own_incarnation]
 
-    # -- the lead
+    # -- the leadership
 
-    def _live(self, lead: Lead, seat: Seat) -> bool:
-        return lead.is_live(seat.incarnation, self._now(), self._limits.member_silent)
+    def _member_is_live(self, leadership: Leadership, member: ViewMember) -> bool:
+        return leadership.is_live(member.incarnation, self._now(), self._limits.member_silence)
 
-    def _follows(self, lead: Lead, seat: Seat) -> bool:
+    def _follows(self, leadership: Leadership, member: ViewMember) -> bool:
         """It is live and knows our view to be chosen, so it can go on without us and without former members."""
-        return self._live(lead, seat) and lead.current.get(seat.incarnation) == lead.view.epoch
+        return (
+            self._member_is_live(leadership, member)
+            and leadership.chosen_epochs.get(member.incarnation) == leadership.view.epoch
+        )
 
-    def _accepts(self, lead: Lead) -> bool:
-        return lead.in_sync and len(lead.view.members) >= self._members_wanted
+    def _accepts_orders(self, leadership: Leadership) -> bool:
+        return leadership.in_sync and len(leadership.view.members) >= self._members_wanted
 
     def _step_down(self, reason: str) -> None:
         """Stops leading: what waits is answered, and the others are asked to take over."""
-        lead, self._lead = self._lead, None
-        assert lead is not None
-        self._log("stepped-down", epoch=lead.view.epoch, reason=reason)
+        leadership, self._leadership = self._leadership, None
+        assert leadership is not None
+        self._log("stepped-down", epoch=leadership.view.epoch, reason=reason)
         self._stale = True
-        self._heard = self._now()
-        self._put_off_candidacy(PAUSE_AFTER_STEPPING_DOWN)
-        fail_all(lead.take_pending(), f"stopped leading: {reason}")
-        self._ask_to_take_over(lead.view)
+        self._primary_seen_at = self._now()
+        self._put_off_candidacy(PAUSE_AFTER_STEPPING_DOWN_S)
+        fail_all(leadership.take_pending(), f"stopped leading: {reason}")
+        self._announce_release(leadership.view)
         self._changed()
 
-    def _ask_to_take_over(self, view: View) -> None:
+    def _announce_release(self, view: View) -> None:
         """Tells the other members that we lead this view no longer."""
-        for seat in self._others(view):
-            self._messenger.post(seat.address, ControlGiveWay(view.epoch, self._me))
+        for member in self._other_members(view):
+            self._messenger.post(member.address, ControlLeadershipReleased(view.epoch, self._own_incarnation))
 
-    def _put_off_candidacy(self, pause: tuple[float, float] = PAUSE_BEFORE_CANDIDACY) -> None:
-        self._not_before = Instant(self._now() + self._context.random.uniform(*pause))
+    def _put_off_candidacy(self, pause: tuple[float, float] = PAUSE_BEFORE_CANDIDACY_S) -> None:
+        self._no_candidacy_before = Instant(self._now() + self._context.random.uniform(*pause))
 
     # -- calls
 
     async def _ask(
-        self, seat: Seat, message: msgspec.Struct, reply_type: type[Reply], timeout: Seconds | None = None
+        self, member: ViewMember, message: msgspec.Struct, reply_type: type[Reply], timeout: Seconds | None = None
     ) -> Reply | None:
         """The answer of exactly that incarnation, or None."""
-        outcome = await self._messenger.call(seat.address, message, reply_type, timeout or self._limits.call)
+        outcome = await self._messenger.call(member.address, message, reply_type, timeout or self._limits.call_timeout)
         match outcome:
-            case Success(found) if getattr(found, "by", None) == seat.incarnation:
+            case Success(found) if getattr(found, "by", None) == member.incarnation:
                 reply: Reply = found
                 return reply
         return None
 
     async def _ask_address(self, address: Address, message: msgspec.Struct, reply_type: type[Reply]) -> Reply | None:
         """The answer of whoever is at that address, or None."""
-        match await self._messenger.call(address, message, reply_type, self._limits.call):
+        match await self._messenger.call(address, message, reply_type, self._limits.call_timeout):
             case Success(found):
                 reply: Reply = found
                 return reply
@@ -206,14 +209,14 @@
         self,
         work: Sequence[Coroutine[Any, Any, Reply | None]],
         enough: Callable[[list[Reply]], bool],
-        patience: Seconds,
+        timeout: Seconds,
         linger: Seconds = Seconds(0.0),  # noqa: B008
     ) -> list[Reply]:
         """Answers in the order of coming, until there are enough (then ``linger`` longer) or all are in."""
         answers: list[Reply] = []
         loop = asyncio.get_running_loop()
         left = [loop.create_task(one) for one in work]
-        end = self._now() + patience
+        end = self._now() + timeout
         satisfied = False
         while left:
             wait = end - self._now()
--- a/wingwood/control/messages.py
+++ b/wingwood/control/messages.py
@@ -2,14 +2,18 @@
 
 from __future__ import annotations
 
+from typing import ClassVar
+
 import msgspec
 
 from ..identifiers import Address, DaemonName, Epoch, Incarnation, Seconds
 from .protocols import NotDecided
 
 
-class Seat(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A control daemon as views name it."""
+class ViewMember(msgspec.Struct, frozen=True, array_like=True, order=True):
+    """A member of a view: the identity and address of a control daemon."""
+
+    WIRE_NAME: ClassVar[str] = "Seat"
 
     incarnation: Incarnation
     name: DaemonName
@@ -23,17 +27,17 @@
     primary: Incarnation
     backups: tuple[Incarnation, ...]
     """All of them sync a record before it is acknowledged; none after a take-over."""
-    members: tuple[Seat, ...]
+    members: tuple[ViewMember, ...]
     holders: tuple[Incarnation, ...]
     """Whose disks hold everything that was ever acknowledged."""
-    former: tuple[Seat, ...] = ()
+    former: tuple[ViewMember, ...] = ()
     """Members of the view before, when they were others and this view is not known to be chosen."""
 
-    def seat(self, incarnation: Incarnation | None) -> Seat | None:
-        return next((seat for seat in self.members if seat.incarnation == incarnation), None)
+    def member(self, incarnation: Incarnation | None) -> ViewMember | None:
+        return next((member for member in self.members if member.incarnation == incarnation), None)
 
     def incarnations(self) -> tuple[Incarnation, ...]:
-        return tuple(seat.incarnation for seat in self.members)
+        return tuple(member.incarnation for member in self.members)
 
     def majority(self, who: set[Incarnation]) -> bool:
         return _majority(self.members, who)
@@ -42,11 +46,11 @@
         """Enough to choose this view, or to build on it: a majority of the members and of the former ones."""
         return self.majority(who) and (not self.former or _majority(self.former, who))
 
-    def voters(self) -> tuple[Seat, ...]:
+    def voters(self) -> tuple[ViewMember, ...]:
         """Members and former members, each once."""
-        return tuple({seat.incarnation: seat for seat in (*self.former, *self.members)}.values())
+        return tuple({member.incarnation: member for member in (*self.former, *self.members)}.values())
 
-    def settled(self) -> View:
+    def as_chosen(self) -> View:
         """The same view, known to be chosen: the former members are no longer asked."""
         return msgspec.structs.replace(self, former=()) if self.former else self
 
@@ -57,8 +61,8 @@
         return bool(other.former) and not self.former
 
 
-def _majority(seats: tuple[Seat, ...], who: set[Incarnation]) -> bool:
-    return 2 * sum(seat.incarnation in who for seat in seats) > len(seats)
+def _majority(members: tuple[ViewMember, ...], who: set[Incarnation]) -> bool:
+    return 2 * sum(member.incarnation in who for member in members) > len(members)
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True):
@@ -115,13 +119,17 @@
 # between control daemons; `to` and `by` are incarnations, so a machine swapped at an address counts for nothing
 
 
-class ControlCanvass(msgspec.Struct, frozen=True):
-    """Asks anyone how it sees things; changes nothing."""
+class ControlStatusQuery(msgspec.Struct, frozen=True):
+    """Asks any control daemon for its status; the daemon's state does not change."""
+
+    WIRE_NAME: ClassVar[str] = "ControlCanvass"
+
 
+class ControlStatus(msgspec.Struct, frozen=True):
+    WIRE_NAME: ClassVar[str] = "ControlStanding"
 
-class ControlStanding(msgspec.Struct, frozen=True):
     by: Incarnation
-    seat: Seat
+    member: ViewMember = msgspec.field(name="seat")
     promised: Epoch
     view: View | None
     """Newest view it knows of, accepted by itself or not."""
@@ -178,7 +186,7 @@
     promised: Epoch
     healthy: bool
     """Its journal takes writes."""
-    settled: bool = True
+    knows_chosen: bool = msgspec.field(name="settled", default=True)
     """It knows that the view is chosen, and would no longer ask former members."""
     unpacks: bool = False
     """Whether it takes a packed state; daemons from before packing don't say so."""
@@ -210,9 +218,11 @@
     committed: int
 
 
-class ControlStatePiece(msgspec.Struct, frozen=True):
+class ControlStateChunk(msgspec.Struct, frozen=True):
     """A part of an encoded ``SnapshotEntry``, packed or not; the answer to the last one comes after the sync."""
 
+    WIRE_NAME: ClassVar[str] = "ControlStatePiece"
+
     to: Incarnation
     sender: Incarnation
     epoch: Epoch
@@ -236,9 +246,11 @@
     promised: Epoch
 
 
-class ControlGiveWay(msgspec.Struct, frozen=True):
+class ControlLeadershipReleased(msgspec.Struct, frozen=True):
     """Post from a primary that stops leading by its own will (sick disk, stopping)."""
 
+    WIRE_NAME: ClassVar[str] = "ControlGiveWay"
+
     epoch: Epoch
     primary: Incarnation
 
@@ -246,7 +258,7 @@
 class ControlJoin(msgspec.Struct, frozen=True):
     """From a machine without a seat, every half second; anyone who sees itself without one."""
 
-    seat: Seat
+    member: ViewMember = msgspec.field(name="seat")
 
 
 class ControlJoined(msgspec.Struct, frozen=True):
@@ -274,9 +286,11 @@
     primary: Address | None = None
 
 
-class ControlWhoLeads(msgspec.Struct, frozen=True):
+class ControlLeaderQuery(msgspec.Struct, frozen=True):
     """From any daemon that looks for the primary."""
 
+    WIRE_NAME: ClassVar[str] = "ControlWhoLeads"
+
 
 class ControlLeader(msgspec.Struct, frozen=True):
     primary: Address | None
--- a/wingwood/control/primary.py
+++ b/wingwood/control/primary.py
@@ -7,13 +7,13 @@
 from ..identifiers import Instant
 from .candidate import Candidate
 from .commands import deliver_all
-from .lead import Lead
+from .leadership import Leadership
 from .member import MemberSetup
-from .messages import ControlAccept, ControlAccepted, ControlHeartbeat, ControlHeartbeatAnswer, Seat, View
+from .messages import ControlAccept, ControlAccepted, ControlHeartbeat, ControlHeartbeatAnswer, View, ViewMember
 from .planning import ViewPlan, ViewPlanner
 from .replicator import Replicator
 
-TRIES_OF_A_CHANGE = 3
+VIEW_CHANGE_ATTEMPTS = 3
 
 
 class Primary(Candidate, Replicator):
@@ -21,142 +21,160 @@
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
-        self._planner = ViewPlanner(self._seat, self._limits, self._backups_wanted, self._members_wanted)
+        self._planner = ViewPlanner(self._own_member, self._limits, self._backups_wanted, self._members_wanted)
 
-    def _begin_lead(self, view: View) -> None:
-        lead = Lead(view, self._now())
+    def _begin_leadership(self, view: View) -> None:
+        leadership = Leadership(view, self._now())
         self._replica.apply_up_to(None)
-        self._lead = lead
+        self._leadership = leadership
         self._note_view(view)
-        self._set_view(lead, view)
+        self._set_view(leadership, view)
         self._changed()
 
-    def _set_view(self, lead: Lead, view: View) -> None:
+    def _set_view(self, leadership: Leadership, view: View) -> None:
         """The view is chosen and we are its primary."""
-        lead.view = view
-        lead.confirmed = self._now()
-        lead.failing.clear()
-        lead.outbid = False
-        self._gave_way = None
+        leadership.view = view
+        leadership.confirmed = self._now()
+        leadership.failing_backups.clear()
+        leadership.epoch_superseded = False
+        self._released_epoch = None
         self._note_view(view)
         self._log(
             "leading",
             epoch=view.epoch,
             backups=",".join(view.backups),
-            members=",".join(str(seat.name) for seat in view.members),
+            members=",".join(str(member.name) for member in view.members),
             sequence=self._store.sequence,
         )
         if len(view.backups) >= self._backups_wanted:
-            self._note_in_sync(lead)
-        lead.next_call.clear()
-        for seat in self._others(view):
-            self._heartbeat(lead, seat)
+            self._note_in_sync(leadership)
+        leadership.next_heartbeat.clear()
+        for member in self._other_members(view):
+            self._start_heartbeat(leadership, member)
         self._changed()
 
-    def _note_in_sync(self, lead: Lead) -> None:
+    def _note_in_sync(self, leadership: Leadership) -> None:
         """All wanted backups have accepted the view with all that is journaled here, so that is committed."""
-        backups, sequence = lead.view.backups, self._store.sequence
-        lead.answered.update(dict.fromkeys(backups, self._now()))
-        lead.synced = dict.fromkeys(backups, sequence)
-        lead.in_sync = True
-        lead.settled = True
+        backups, sequence = leadership.view.backups, self._store.sequence
+        leadership.answered.update(dict.fromkeys(backups, self._now()))
+        leadership.synced = dict.fromkeys(backups, sequence)
+        leadership.in_sync = True
+        leadership.commit_known = True
         self._replica.commit(sequence)
-        deliver_all(lead.take_pending(), self._now())
-        self._tell_commit(lead)
+        deliver_all(leadership.take_pending(), self._now())
+        self._announce_commit(leadership)
 
-    def _tend(self, lead: Lead) -> None:
+    def _maintain_leadership(self, leadership: Leadership) -> None:
         """Each tick of a primary: heartbeats, its own clock, and whether the view is as wanted."""
-        if self._now() - lead.confirmed > self._limits.lead_abandoned and not lead.changing:
+        if (
+            self._now() - leadership.confirmed > self._limits.leadership_abandoned_after
+            and not leadership.changing_view
+        ):
             self._step_down("no member answers")
             return
-        for seat in self._others(lead.view):
-            self._heartbeat(lead, seat)
-        if not lead.changing:
-            plan = self._wanted(lead)
+        for member in self._other_members(leadership.view):
+            self._start_heartbeat(leadership, member)
+        if not leadership.changing_view:
+            plan = self._wanted_view(leadership)
             if plan is not None:
-                lead.changing = True
-                self._context.tasks.spawn("control view change", self._change_view(lead, plan))
+                leadership.changing_view = True
+                self._context.tasks.spawn("control view change", self._change_view(leadership, plan))
 
     # -- heartbeats
 
-    def _heartbeat(self, lead: Lead, seat: Seat) -> None:
+    def _start_heartbeat(self, leadership: Leadership, member: ViewMember) -> None:
         now = self._now()
-        if seat.incarnation in lead.calls or now < lead.next_call.get(seat.incarnation, now):
+        if member.incarnation in leadership.heartbeats_in_flight or now < leadership.next_heartbeat.get(
+            member.incarnation, now
+        ):
             return
-        lead.calls.add(seat.incarnation)
-        lead.next_call[seat.incarnation] = Instant(now + self._limits.heartbeat - self._limits.tick / 2)
-        self._context.tasks.spawn(f"heartbeat {seat.name}", self._beat(lead, seat, lead.view, now))
-
-    async def _beat(self, lead: Lead, seat: Seat, view: View, begun: Instant) -> None:
-        committed = self._replica.committed if lead.settled else 0
-        message = ControlHeartbeat(seat.incarnation, self._me, view.epoch, committed)
-        outcome = await self._messenger.call(seat.address, message, ControlHeartbeatAnswer, self._limits.call)
-        lead.calls.discard(seat.incarnation)
-        if not isinstance(outcome, Success) or self._lead is not lead:
+        leadership.heartbeats_in_flight.add(member.incarnation)
+        leadership.next_heartbeat[member.incarnation] = Instant(
+            now + self._limits.heartbeat_interval - self._limits.tick_interval / 2
+        )
+        self._context.tasks.spawn(
+            f"heartbeat {member.name}", self._send_heartbeat(leadership, member, leadership.view, now)
+        )
+
+    async def _send_heartbeat(self, leadership: Leadership, member: ViewMember, view: View, started: Instant) -> None:
+        committed = self._replica.committed if leadership.commit_known else 0
+        message = ControlHeartbeat(member.incarnation, self._own_incarnation, view.epoch, committed)
+        outcome = await self._messenger.call(member.address, message, ControlHeartbeatAnswer, self._limits.call_timeout)
+        leadership.heartbeats_in_flight.discard(member.incarnation)
+        if not isinstance(outcome, Success) or self._leadership is not leadership:
             return
         answer = outcome.unwrap()
-        if not answer.accepted and answer.promised <= view.epoch and lead.view is view and not lead.changing:
-            await self._tell_view(lead, seat, view, answer)
-        if answer.by == seat.incarnation and self._lead is lead:
-            await self._note_beat(lead, seat, view, begun, answer)
-
-    async def _tell_view(self, lead: Lead, seat: Seat, view: View, answer: ControlHeartbeatAnswer) -> None:
+        if (
+            not answer.accepted
+            and answer.promised <= view.epoch
+            and leadership.view is view
+            and not leadership.changing_view
+        ):
+            await self._send_view(leadership, member, view, answer)
+        if answer.by == member.incarnation and self._leadership is leadership:
+            await self._note_heartbeat_answer(leadership, member, view, started, answer)
+
+    async def _send_view(
+        self, leadership: Leadership, member: ViewMember, view: View, answer: ControlHeartbeatAnswer
+    ) -> None:
         """It missed the view, or it is another incarnation and learns from it whom to ask for a seat."""
-        told = await self._ask(seat, ControlAccept(seat.incarnation, view), ControlAccepted)
-        if told is not None and not told.accepted and told.promised >= view.epoch and answer.healthy:
-            lead.outbid = True  # It promised the same epoch to another (to itself, when it stood meanwhile).
-
-    async def _note_beat(
-        self, lead: Lead, seat: Seat, view: View, begun: Instant, answer: ControlHeartbeatAnswer
+        acceptance = await self._ask(member, ControlAccept(member.incarnation, view), ControlAccepted)
+        if acceptance is not None and not acceptance.accepted and acceptance.promised >= view.epoch and answer.healthy:
+            leadership.epoch_superseded = (
+                True  # It promised the same epoch to another (to itself, when it stood meanwhile).
+            )
+
+    async def _note_heartbeat_answer(
+        self, leadership: Leadership, member: ViewMember, view: View, started: Instant, answer: ControlHeartbeatAnswer
     ) -> None:
         self._note_epoch(answer.promised)
         if answer.unpacks:
-            lead.unpacks.add(seat.incarnation)
+            leadership.unpacks.add(member.incarnation)
         if answer.accepted and not self.leads():
-            self._turn.set()
+            self._wakeup.set()
         if answer.healthy:
-            lead.note_answered(seat.incarnation, begun)
+            leadership.note_answered(member.incarnation, started)
         if answer.accepted:
-            lead.note_accepted(seat.incarnation, begun)
-            await self._note_settled(lead, seat, view, answer.settled)
-        elif lead.view is view and answer.promised > view.epoch and not lead.changing:
-            lead.outbid = True
-
-    async def _note_settled(self, lead: Lead, seat: Seat, view: View, settled: bool) -> None:
-        if not settled:
-            told = await self._ask(seat, ControlAccept(seat.incarnation, view), ControlAccepted)
-            settled = told is not None and told.accepted
-        if settled:
-            lead.current[seat.incarnation] = view.epoch
+            leadership.note_accepted(member.incarnation, started)
+            await self._note_chosen(leadership, member, view, answer.knows_chosen)
+        elif leadership.view is view and answer.promised > view.epoch and not leadership.changing_view:
+            leadership.epoch_superseded = True
+
+    async def _note_chosen(self, leadership: Leadership, member: ViewMember, view: View, knows_chosen: bool) -> None:
+        if not knows_chosen:
+            acceptance = await self._ask(member, ControlAccept(member.incarnation, view), ControlAccepted)
+            knows_chosen = acceptance is not None and acceptance.accepted
+        if knows_chosen:
+            leadership.chosen_epochs[member.incarnation] = view.epoch
 
     # -- other backups and members
 
-    def _wanted(self, lead: Lead) -> ViewPlan | None:
+    def _wanted_view(self, leadership: Leadership) -> ViewPlan | None:
         """The view that this primary wants next; None when the one it has is as wanted."""
-        return self._planner.plan(lead, self._now())
+        return self._planner.plan(leadership, self._now())
 
-    async def _change_view(self, lead: Lead, plan: ViewPlan) -> None:
+    async def _change_view(self, leadership: Leadership, plan: ViewPlan) -> None:
         """Rule 4 of section 7.2: stop deciding, send the state, then the two rounds."""
-        begun = self._now()
+        started = self._now()
         try:
-            async with lead.batch:
-                if self._lead is not lead:
+            async with leadership.batch_lock:
+                if self._leadership is not leadership:
                     return
-                lead.in_sync = False
-                if await self._recruit(lead, plan.seats):
-                    await self._choose_planned(lead, plan, begun)
+                leadership.in_sync = False
+                if await self._sync_backups(leadership, plan.backup_members):
+                    await self._choose_planned(leadership, plan, started)
         finally:
-            lead.changing = False
+            leadership.changing_view = False
 
-    async def _choose_planned(self, lead: Lead, plan: ViewPlan, begun: Instant) -> None:
-        for _ in range(TRIES_OF_A_CHANGE):
-            if self._lead is not lead:
+    async def _choose_planned(self, leadership: Leadership, plan: ViewPlan, started: Instant) -> None:
+        for _ in range(VIEW_CHANGE_ATTEMPTS):
+            if self._leadership is not leadership:
                 return
-            view = await self._stand(plan)
-            if self._lead is not lead:
+            view = await self._run_election(plan)
+            if self._leadership is not leadership:
                 return
             if view is not None:
-                self._set_view(lead, view)
-                self._log("view-changed", epoch=view.epoch, took=self._now() - begun)
+                self._set_view(leadership, view)
+                self._log("view-changed", epoch=view.epoch, took=self._now() - started)
                 return
         self._step_down("no majority for a new view")
--- a/wingwood/control/protocols.py
+++ b/wingwood/control/protocols.py
@@ -85,7 +85,7 @@
         """Runs the command in the applier of that kind; Success only when durable on two disks under this view."""
         ...
 
-    async def prove_lead(self) -> bool:
+    async def prove_leadership(self) -> bool:
         """Question and answer with one other member, begun after this call: nobody else leads as of now."""
         ...
 
@@ -97,7 +97,7 @@
 class BundleSource(Protocol):
     """The acknowledged bundles on the primary and the backup, for distribution."""
 
-    def newest(self) -> Manifest | None:
+    def latest(self) -> Manifest | None:
         """Newest version that is durable on two disks."""
         ...
 
--- a/wingwood/control/relay.py
+++ b/wingwood/control/relay.py
@@ -14,14 +14,14 @@
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
 from .messages import (
-    ControlCanvass,
     ControlCommand,
     ControlDecision,
     ControlJoin,
     ControlJoined,
     ControlLeader,
-    ControlStanding,
-    ControlWhoLeads,
+    ControlLeaderQuery,
+    ControlStatus,
+    ControlStatusQuery,
     View,
 )
 from .protocols import NotDecided, ViewReport
@@ -30,9 +30,9 @@
 class RelayLimits(msgspec.Struct, frozen=True, kw_only=True):
     """Durations in seconds."""
 
-    look: Seconds = Seconds(0.5)
+    view_query_interval: Seconds = Seconds(0.5)
     """Between two questions to the presumed primary."""
-    call: Seconds = Seconds(0.6)
+    call_timeout: Seconds = Seconds(0.6)
 
 
 class RelayCore:
@@ -68,13 +68,13 @@
         return self._view.epoch if self._view is not None else Epoch(0)
 
     def primary_address(self) -> Address | None:
-        seat = self._view.seat(self._view.primary) if self._view is not None else None
-        return seat.address if seat is not None else None
+        member = self._view.member(self._view.primary) if self._view is not None else None
+        return member.address if member is not None else None
 
     def control_addresses(self) -> Sequence[Address]:
         """Of all control daemons known here, the presumed primary first."""
         members = self._view.members if self._view is not None else ()
-        addresses = [self.primary_address(), *(seat.address for seat in members)]
+        addresses = [self.primary_address(), *(member.address for member in members)]
         addresses += [*self._seeds, *self._other_controls()]
         own = self._messenger.identity.internal
         return tuple(dict.fromkeys(address for address in addresses if address not in (None, own)))
@@ -98,11 +98,11 @@
         )
 
     async def decide(
-        self, kind: str, command: msgspec.Struct, patience: Seconds | None = None
+        self, kind: str, command: msgspec.Struct, timeout: Seconds | None = None
     ) -> Result[msgspec.Struct, NotDecided]:
         return Failure(NotDecided("not-leading", self.primary_address()))
 
-    async def prove_lead(self) -> bool:
+    async def prove_leadership(self) -> bool:
         return False
 
     # -- life
@@ -110,10 +110,10 @@
     def start(self) -> None:
         self._messenger.on_call(ControlJoin, self._on_join)
         self._messenger.on_call(ControlCommand, self._on_command)
-        self._messenger.on_call(ControlWhoLeads, self._on_who_leads)
+        self._messenger.on_call(ControlLeaderQuery, self._on_leader_query)
         self._task = self._context.tasks.spawn("control relay", self._look_forever())
 
-    def give_way(self) -> None:
+    def release_leadership(self) -> None:
         """It has nothing to give away."""
 
     # -- whom to pass on to
@@ -121,20 +121,20 @@
     async def _look_forever(self) -> None:
         while True:
             primary = self.primary_address()
-            standing = await self._canvass(primary) if primary is not None else None
-            if standing is None or not self._confirms(standing):
-                await asyncio.gather(*(self._canvass(address) for address in self.control_addresses()))
-            await self._context.clock.sleep(self._limits.look)
+            status = await self._query_status(primary) if primary is not None else None
+            if status is None or not self._confirms(status):
+                await asyncio.gather(*(self._query_status(address) for address in self.control_addresses()))
+            await self._context.clock.sleep(self._limits.view_query_interval)
 
-    def _confirms(self, standing: ControlStanding) -> bool:
-        return standing.hears_primary and self._view is not None and standing.by == self._view.primary
+    def _confirms(self, status: ControlStatus) -> bool:
+        return status.hears_primary and self._view is not None and status.by == self._view.primary
 
-    async def _canvass(self, address: Address) -> ControlStanding | None:
-        match await self._messenger.call(address, ControlCanvass(), ControlStanding, self._limits.call):
+    async def _query_status(self, address: Address) -> ControlStatus | None:
+        match await self._messenger.call(address, ControlStatusQuery(), ControlStatus, self._limits.call_timeout):
             case Success(found):
-                standing: ControlStanding = found
-                self._note(standing.view)
-                return standing
+                status: ControlStatus = found
+                self._note(status.view)
+                return status
         return None
 
     def _note(self, view: View | None) -> None:
@@ -148,20 +148,20 @@
     async def _on_join(self, _: Identity, __: ControlJoin) -> ControlJoined:
         return ControlJoined(self._view)
 
-    async def _on_who_leads(self, _: Identity, __: ControlWhoLeads) -> ControlLeader:
+    async def _on_leader_query(self, _: Identity, __: ControlLeaderQuery) -> ControlLeader:
         return ControlLeader(self.primary_address(), tuple(self.control_addresses()), self.epoch())
 
     async def _on_command(self, _: Identity, message: ControlCommand) -> ControlDecision:
         primary = self.primary_address()
         if primary is None or message.hops <= 0:
             return ControlDecision(fault=NotDecided("not-leading", primary))
-        return await pass_on(self._messenger, primary, message)
+        return await forward_command(self._messenger, primary, message)
 
 
-async def pass_on(messenger: Messenger, primary: Address, message: ControlCommand) -> ControlDecision:
+async def forward_command(messenger: Messenger, primary: Address, message: ControlCommand) -> ControlDecision:
     """The primary's answer to a command that came here; ``unknown`` when it may have arrived there."""
-    passed = msgspec.structs.replace(message, hops=message.hops - 1)
-    match await messenger.call(primary, passed, ControlDecision, message.budget):
+    forwarded = msgspec.structs.replace(message, hops=message.hops - 1)
+    match await messenger.call(primary, forwarded, ControlDecision, message.budget):
         case Success(found):
             decision: ControlDecision = found
             return decision
--- a/wingwood/control/replica.py
+++ b/wingwood/control/replica.py
@@ -21,7 +21,7 @@
         if len(self.appliers) != len(appliers):
             raise ValueError("two appliers of one kind")
         self.committed = 0
-        self._shown = -1
+        self._announced = -1
         self._waiting = contents
         self.applied = -1
         self._on_commit: list[Callable[[], None]] = []
@@ -67,8 +67,8 @@
         """``sequence`` is durable on primary and backup, and this journal's batches up to it are the same."""
         self.committed = max(self.committed, sequence)
         self.apply_up_to(self.committed)
-        if self.applied == self.committed and self._shown != self.committed:
-            self._shown = self.committed
+        if self.applied == self.committed and self._announced != self.committed:
+            self._announced = self.committed
             for callback in self._on_commit:
                 callback()
 
--- a/wingwood/control/replicator.py
+++ b/wingwood/control/replicator.py
@@ -8,20 +8,20 @@
 import msgspec
 
 from ..identifiers import Epoch, Seconds
-from .lead import Lead
+from .leadership import Leadership
 from .member import MemberSetup
-from .messages import ControlCommitted, ControlReplicate, ControlReplicated, ControlStatePiece, Seat
-from .state_transfer import Transfer, split_state
+from .messages import ControlCommitted, ControlReplicate, ControlReplicated, ControlStateChunk, ViewMember
+from .state_transfer import Transfer, split_into_chunks
 from .store_guard import StoreGuard
 
-RETRY_PAUSE = Seconds(0.05)
+RETRY_PAUSE_S = Seconds(0.05)
 """Before a batch is sent again to a backup that did not answer."""
-RETRIES_END = 0.4
+RETRY_WINDOW_S = 0.4
 """Seconds after which a batch that was not answered is not sent again."""
 
 
 class Replicator(StoreGuard):
-    """Sends batches and states, and keeps in ``Lead`` what each backup is known to have."""
+    """Sends batches and states, and keeps in ``Leadership`` what each backup is known to have."""
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
@@ -29,86 +29,92 @@
 
     # -- batches
 
-    async def _replicate(self, lead: Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
+    async def _replicate(self, leadership: Leadership, epoch: Epoch, before: int, entry: bytes) -> bool:
         """To all backups of the view; whether each has synced it."""
-        seats = lead.backup_seats()
-        done = await asyncio.gather(*(self._replicate_to(lead, seat, epoch, before, entry) for seat in seats))
-        for seat, synced in zip(seats, done, strict=True):
+        backups = leadership.backup_members()
+        done = await asyncio.gather(
+            *(self._replicate_to(leadership, member, epoch, before, entry) for member in backups)
+        )
+        for member, synced in zip(backups, done, strict=True):
             if synced:
-                lead.synced[seat.incarnation] = before + bool(entry)
+                leadership.synced[member.incarnation] = before + bool(entry)
             else:
-                lead.synced.pop(seat.incarnation, None)
-                lead.failing.add(seat.incarnation)
+                leadership.synced.pop(member.incarnation, None)
+                leadership.failing_backups.add(member.incarnation)
         return all(done)
 
-    async def _replicate_to(self, lead: Lead, seat: Seat, epoch: Epoch, before: int, entry: bytes) -> bool:
-        message = ControlReplicate(seat.incarnation, epoch, before, self._replica.committed, entry)
-        begun = self._now()
-        bound = self._limits.replicate + 2 * len(entry) / self._limits.rewrite_rate
+    async def _replicate_to(
+        self, leadership: Leadership, member: ViewMember, epoch: Epoch, before: int, entry: bytes
+    ) -> bool:
+        message = ControlReplicate(member.incarnation, epoch, before, self._replica.committed, entry)
+        started = self._now()
+        bound = self._limits.replicate_timeout + 2 * len(entry) / self._limits.rewrite_bytes_per_second
         while True:
-            left = bound - (self._now() - begun)
-            if left <= 0 or self._lead is not lead:
+            left = bound - (self._now() - started)
+            if left <= 0 or self._leadership is not leadership:
                 return False
-            answer = await self._ask(seat, message, ControlReplicated, Seconds(left))
+            answer = await self._ask(member, message, ControlReplicated, Seconds(left))
             if answer is not None:
-                self._note_replicated(lead, seat, answer)
+                self._note_replicated(leadership, member, answer)
                 return answer.synced
-            if self._now() - begun > RETRIES_END:
-                self._note_failed(lead, seat)
-                self._log("backup-silent", backup=seat.name)
+            if self._now() - started > RETRY_WINDOW_S:
+                self._note_failed(leadership, member)
+                self._log("backup-silent", backup=member.name)
                 return False
-            await self._context.clock.sleep(RETRY_PAUSE)
+            await self._context.clock.sleep(RETRY_PAUSE_S)
 
-    def _note_replicated(self, lead: Lead, seat: Seat, answer: ControlReplicated) -> None:
+    def _note_replicated(self, leadership: Leadership, member: ViewMember, answer: ControlReplicated) -> None:
         self._note_epoch(answer.promised)
         if not answer.synced:
-            self._note_failed(lead, seat)
-            self._log("backup-refused", backup=seat.name, reason=answer.reason)
+            self._note_failed(leadership, member)
+            self._log("backup-refused", backup=member.name, reason=answer.reason)
 
-    def _note_failed(self, lead: Lead, seat: Seat) -> None:
-        lead.failed[seat.incarnation] = self._now()
+    def _note_failed(self, leadership: Leadership, member: ViewMember) -> None:
+        leadership.failed_at[member.incarnation] = self._now()
 
-    def _tell_commit(self, lead: Lead) -> None:
-        for seat in lead.backup_seats():
-            if seat.incarnation != self._me:
-                message = ControlCommitted(seat.incarnation, lead.view.epoch, self._replica.committed)
-                self._messenger.post(seat.address, message)
+    def _announce_commit(self, leadership: Leadership) -> None:
+        for member in leadership.backup_members():
+            if member.incarnation != self._own_incarnation:
+                message = ControlCommitted(member.incarnation, leadership.view.epoch, self._replica.committed)
+                self._messenger.post(member.address, message)
 
     # -- the whole state
 
-    async def _recruit(self, lead: Lead, seats: Sequence[Seat]) -> bool:
+    async def _sync_backups(self, leadership: Leadership, backups: Sequence[ViewMember]) -> bool:
         """All of them have our whole state on their disks; who already has it is sent nothing."""
-        behind = [seat for seat in seats if lead.synced.get(seat.incarnation) != self._store.sequence]
-        sent = await asyncio.gather(*(self._send_state(lead, seat) for seat in behind))
-        for seat, synced in zip(behind, sent, strict=True):
+        behind = [member for member in backups if leadership.synced.get(member.incarnation) != self._store.sequence]
+        sent = await asyncio.gather(*(self._send_state(leadership, member) for member in behind))
+        for member, synced in zip(behind, sent, strict=True):
             if synced:
-                lead.synced[seat.incarnation] = self._store.sequence
+                leadership.synced[member.incarnation] = self._store.sequence
             else:
-                lead.synced.pop(seat.incarnation, None)
-                self._note_failed(lead, seat)
-                self._log("recruit-failed", backup=seat.name)
+                leadership.synced.pop(member.incarnation, None)
+                self._note_failed(leadership, member)
+                self._log("recruit-failed", backup=member.name)
         return all(sent)
 
-    async def _send_state(self, lead: Lead, seat: Seat) -> bool:
+    async def _send_state(self, leadership: Leadership, member: ViewMember) -> bool:
         if self._replica.applied != self._store.sequence:
             raise AssertionError(f"applied {self._replica.applied}, journaled {self._store.sequence}")
         data = msgspec.msgpack.encode(self._replica.snapshot())
         self._transfers += 1
-        transfer = Transfer(self._me, lead.view.epoch, self._transfers)
-        packed = seat.incarnation in lead.unpacks
-        for piece in split_state(data, seat.incarnation, transfer, self._limits.piece_bytes, packed):
-            last = piece.index == piece.count - 1
-            patience = self._limits.rewriting(len(data)) if last else self._limits.call
-            if not await self._send_piece(lead, seat, piece, patience):
+        transfer = Transfer(self._own_incarnation, leadership.view.epoch, self._transfers)
+        packed = member.incarnation in leadership.unpacks
+        for chunk in split_into_chunks(data, member.incarnation, transfer, self._limits.chunk_bytes, packed):
+            last = chunk.index == chunk.count - 1
+            timeout = self._limits.rewrite_timeout(len(data)) if last else self._limits.call_timeout
+            if not await self._send_chunk(leadership, member, chunk, timeout):
                 return False
         return True
 
-    async def _send_piece(self, lead: Lead, seat: Seat, piece: ControlStatePiece, patience: Seconds) -> bool:
-        answer = await self._ask(seat, piece, ControlReplicated, patience)
+    async def _send_chunk(
+        self, leadership: Leadership, member: ViewMember, chunk: ControlStateChunk, timeout: Seconds
+    ) -> bool:
+        answer = await self._ask(member, chunk, ControlReplicated, timeout)
         if answer is None:
             return False
-        if answer.synced and self._lead is lead:
+        if answer.synced and self._leadership is leadership:
             return True
         self._note_epoch(answer.promised)
-        lead.outbid = lead.outbid or answer.promised > piece.epoch
+        leadership.epoch_superseded = leadership.epoch_superseded or answer.promised > chunk.epoch
         return False
--- a/wingwood/control/state_transfer.py
+++ b/wingwood/control/state_transfer.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ..identifiers import Epoch, Incarnation
-from .messages import ControlStatePiece
+from .messages import ControlStateChunk
 
 PACKING_LEVEL = 1
 """The fastest: a state is mostly slices, which are repetitive text."""
@@ -22,15 +22,15 @@
     number: int
 
 
-def split_state(
-    state: bytes, to: Incarnation, transfer: Transfer, piece_bytes: int, packed: bool = False
-) -> Iterator[ControlStatePiece]:
+def split_into_chunks(
+    state: bytes, to: Incarnation, transfer: Transfer, chunk_bytes: int, packed: bool = False
+) -> Iterator[ControlStateChunk]:
     """The encoded state in pieces of at most that size; at least one piece."""
     data = zlib.compress(state, PACKING_LEVEL) if packed else state
-    count = max(1, -(-len(data) // piece_bytes))
+    count = max(1, -(-len(data) // chunk_bytes))
     for index in range(count):
-        part = data[index * piece_bytes : (index + 1) * piece_bytes]
-        yield ControlStatePiece(to, transfer.sender, transfer.epoch, transfer.number, index, count, part, packed)
+        part = data[index * chunk_bytes : (index + 1) * chunk_bytes]
+        yield ControlStateChunk(to, transfer.sender, transfer.epoch, transfer.number, index, count, part, packed)
 
 
 class StateReceiver:
@@ -38,31 +38,31 @@
 
     def __init__(self) -> None:
         self._current: Transfer | None = None
-        self._pieces: dict[int, bytes] = {}
-        self._taken = Transfer(Incarnation(""), Epoch(0), 0)
+        self._chunks: dict[int, bytes] = {}
+        self._latest_installed = Transfer(Incarnation(""), Epoch(0), 0)
         """The newest one taken; an older one of the same sender and epoch may arrive late."""
 
     def is_outdated(self, transfer: Transfer) -> bool:
-        taken = self._taken
-        same_origin = (taken.sender, taken.epoch) == (transfer.sender, transfer.epoch)
-        return same_origin and transfer.number < taken.number
+        latest_installed = self._latest_installed
+        same_origin = (latest_installed.sender, latest_installed.epoch) == (transfer.sender, transfer.epoch)
+        return same_origin and transfer.number < latest_installed.number
 
-    def add(self, piece: ControlStatePiece) -> bytes | None:
+    def add(self, chunk: ControlStateChunk) -> bytes | None:
         """The whole encoded state once all its pieces are here."""
-        transfer = transfer_of(piece)
+        transfer = transfer_of(chunk)
         if self._current != transfer:
-            self._current, self._pieces = transfer, {}
-        self._pieces[piece.index] = piece.data
-        if len(self._pieces) < piece.count:
+            self._current, self._chunks = transfer, {}
+        self._chunks[chunk.index] = chunk.data
+        if len(self._chunks) < chunk.count:
             return None
-        pieces = self._pieces
-        self._current, self._pieces = None, {}
-        data = b"".join(pieces[index] for index in range(piece.count))
-        return zlib.decompress(data) if piece.packed else data
+        chunks = self._chunks
+        self._current, self._chunks = None, {}
+        data = b"".join(chunks[index] for index in range(chunk.count))
+        return zlib.decompress(data) if chunk.packed else data
 
-    def note_taken(self, transfer: Transfer) -> None:
-        self._taken = transfer
+    def note_installed(self, transfer: Transfer) -> None:
+        self._latest_installed = transfer
 
 
-def transfer_of(piece: ControlStatePiece) -> Transfer:
-    return Transfer(piece.sender, piece.epoch, piece.transfer)
+def transfer_of(chunk: ControlStateChunk) -> Transfer:
+    return Transfer(chunk.sender, chunk.epoch, chunk.transfer)
--- a/wingwood/control/store.py
+++ b/wingwood/control/store.py
@@ -25,7 +25,7 @@
 )
 
 JOURNAL_NAME = "control.journal"
-NOBODY = Promise(Epoch(0), Incarnation(""))
+NO_PROMISE = Promise(Epoch(0), Incarnation(""))
 
 _decoder = msgspec.msgpack.Decoder(Entry)
 _encode = msgspec.msgpack.Encoder().encode
@@ -57,24 +57,24 @@
         self.context = context
         self.journal = journal
         self.incarnation = incarnation
-        self.promise = NOBODY
-        self.touched = False
+        self.promise = NO_PROMISE
+        self.ever_used = False
         """Has accepted a view, granted a promise outside of forming, or held state."""
         self.view: View | None = None
         self.sequence = 0
         self.rewritten_bytes = 0
 
-    async def promised(self, promise: Promise, forming: bool) -> Result[None, JournalFault]:
+    async def record_promise(self, promise: Promise, forming: bool) -> Result[None, JournalFault]:
         if promise.epoch <= self.promise.epoch:
             raise AssertionError(f"epoch {promise.epoch} promised after {self.promise.epoch}")
         match await self.journal.append(_encode(PromisedEntry(promise, forming))):
             case Failure(fault):
                 return Failure(fault)
         self.promise = promise
-        self.touched = self.touched or not forming
+        self.ever_used = self.ever_used or not forming
         return Success(None)
 
-    async def accepted(self, view: View) -> Result[None, JournalFault]:
+    async def record_view(self, view: View) -> Result[None, JournalFault]:
         if view.epoch < self.promise.epoch:
             raise AssertionError(f"view of epoch {view.epoch} accepted after promising {self.promise.epoch}")
         match await self.journal.append(_encode(AcceptedEntry(view))):
@@ -85,7 +85,7 @@
 
     def _accept(self, view: View) -> None:
         self.view = view
-        self.touched = True
+        self.ever_used = True
         if view.epoch > self.promise.epoch:
             self.promise = Promise(view.epoch, view.primary)
 
@@ -102,28 +102,30 @@
         return await self.journal.append(_encode(ProbeEntry()))
 
     async def rewrite(
-        self, contents: Callable[[], Contents], patience: Seconds, promise: Promise | None = None
+        self, contents: Callable[[], Contents], timeout: Seconds, promise: Promise | None = None
     ) -> Result[None, JournalFault]:
         """Takes the place of the journal. The last batch of ``contents`` becomes the sequence."""
         promise = promise or self.promise
-        kept = Contents()
+        written = Contents()
 
         def payloads() -> Sequence[bytes]:
-            nonlocal kept
-            kept = contents()
-            return self._payloads(kept, promise)
+            nonlocal written
+            written = contents()
+            return self._payloads(written, promise)
 
-        match await self.journal.rewrite(payloads, patience):
+        match await self.journal.rewrite(payloads, timeout):
             case Failure(fault):
                 return Failure(fault)
         self.promise = promise
-        self.sequence = kept.batches[-1].sequence if kept.batches else kept.snapshot.sequence if kept.snapshot else 0
-        self.touched = self.touched or kept.snapshot is not None
+        self.sequence = (
+            written.batches[-1].sequence if written.batches else written.snapshot.sequence if written.snapshot else 0
+        )
+        self.ever_used = self.ever_used or written.snapshot is not None
         self.rewritten_bytes = self.journal.length
         return Success(None)
 
     def _payloads(self, contents: Contents, promise: Promise) -> list[bytes]:
-        entries: list[Entry] = [FoundedEntry(self.incarnation), PromisedEntry(promise, not self.touched)]
+        entries: list[Entry] = [FoundedEntry(self.incarnation), PromisedEntry(promise, not self.ever_used)]
         if self.view is not None:
             entries.append(AcceptedEntry(self.view))
         if contents.snapshot is not None:
@@ -141,17 +143,17 @@
             self.rewritten_bytes = self.journal.length
         return outcome
 
-    async def reload(self, patience: Seconds) -> Result[Contents, JournalFault]:
+    async def reload(self, timeout: Seconds) -> Result[Contents, JournalFault]:
         """Reads everything back from the disk; the way out of each failure."""
-        match await self.journal.open(patience):
+        match await self.journal.open(timeout):
             case Failure(fault):
                 return Failure(fault)
             case Success(payloads):
-                return Success(self._take(payloads))
+                return Success(self._read_entries(payloads))
         raise AssertionError("a result is a success or a failure")
 
-    def _take(self, payloads: Sequence[bytes]) -> Contents:
-        self.promise, self.touched, self.view, self.sequence = NOBODY, False, None, 0
+    def _read_entries(self, payloads: Sequence[bytes]) -> Contents:
+        self.promise, self.ever_used, self.view, self.sequence = NO_PROMISE, False, None, 0
         contents = Contents()
         read = 0
         for payload in payloads:
@@ -162,13 +164,13 @@
                     self.incarnation = incarnation
                 case PromisedEntry(promise, forming):
                     self.promise = promise
-                    self.touched = self.touched or not forming
+                    self.ever_used = self.ever_used or not forming
                 case AcceptedEntry(view):
                     self._accept(view)
                 case SnapshotEntry():
                     contents = Contents(entry, [])
                     self.sequence = entry.sequence
-                    self.touched = True
+                    self.ever_used = True
                     self.rewritten_bytes = read
                 case BatchEntry():
                     if entry.sequence != self.sequence + 1:
@@ -208,14 +210,14 @@
 async def _open_store(
     context: Context, start_empty_when_damaged: bool
 ) -> Result[tuple[ControlStore, Contents], StoreFault]:
-    patience = Seconds(60.0)
+    timeout = Seconds(60.0)
     match await context.disk.lock():
         case Failure(fault):
             kind: Literal["locked", "disk"] = "locked" if fault.kind == "locked" else "disk"
             return Failure(StoreFault(kind, f"the data folder cannot be locked: {fault.detail}"))
     journal = Journal(context, JOURNAL_NAME)
     store = ControlStore(context, journal, Incarnation(""))
-    match await store.reload(patience):
+    match await store.reload(timeout):
         case Success(contents):
             context.log.event(
                 "control-store-opened",
@@ -247,7 +249,7 @@
     elif problem.kind != "missing":
         return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be read: {problem.kind} {problem.detail}"))
     store.incarnation = Incarnation(context.random.randbytes(8).hex())
-    match await journal.create([_encode(FoundedEntry(store.incarnation))], patience):
+    match await journal.create([_encode(FoundedEntry(store.incarnation))], timeout):
         case Failure(problem):
             return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be made: {problem.kind} {problem.detail}"))
     context.log.event("control-store-founded", incarnation=store.incarnation)
--- a/wingwood/control/store_guard.py
+++ b/wingwood/control/store_guard.py
@@ -9,7 +9,7 @@
 from .journal_rewriting import JournalRewriter
 from .member import Member, MemberSetup
 
-RELOAD_PATIENCE = Seconds(5.0)
+RELOAD_TIMEOUT_S = Seconds(5.0)
 
 
 class StoreGuard(Member):
@@ -18,56 +18,58 @@
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
         self._on_data_lost = setup.on_data_lost
-        self._rewriter = JournalRewriter(self._context, self._store, self._replica, self._limits, self._fail_store)
+        self._rewriter = JournalRewriter(
+            self._context, self._store, self._replica, self._limits, self._mark_disk_faulty
+        )
 
-    def _fail_store(self, fault: JournalFault) -> None:
+    def _mark_disk_faulty(self, fault: JournalFault) -> None:
         """Nothing is promised, accepted or acknowledged until the journal was read back."""
-        if self._sick is None:
+        if self._disk_fault is None:
             self._log("control-disk-sick", kind=fault.kind, detail=fault.detail)
-        self._sick = f"{fault.kind} {fault.detail}"
+        self._disk_fault = f"{fault.kind} {fault.detail}"
         self._stale = True
-        if self._lead is not None:
+        if self._leadership is not None:
             self._step_down(f"own disk: {fault.kind}")
         self._changed()
 
-    def _written(self, outcome: Result[None, JournalFault]) -> bool:
+    def _write_succeeded(self, outcome: Result[None, JournalFault]) -> bool:
         """Whether a write succeeded; after a failed one the store counts as sick."""
         match outcome:
             case Failure(fault):
-                self._fail_store(fault)
+                self._mark_disk_faulty(fault)
                 return False
         return True
 
-    async def _heal(self) -> bool:
+    async def _recover_disk(self) -> bool:
         """Under the lock. Reads the journal back, and shows with a probe that it takes writes."""
-        if self._sick is None and not self._stale:
+        if self._disk_fault is None and not self._stale:
             return True
-        match await self._store.reload(RELOAD_PATIENCE):
+        match await self._store.reload(RELOAD_TIMEOUT_S):
             case Failure(fault):
-                self._unreadable(fault)
+                self._handle_unreadable(fault)
                 return False
             case Success(contents):
                 pass
-        if self._sick is not None:
+        if self._disk_fault is not None:
             match await self._store.probe():
                 case Failure(fault):
-                    self._sick = f"{fault.kind} {fault.detail}"
+                    self._disk_fault = f"{fault.kind} {fault.detail}"
                     return False
             self._log("control-disk-healed", sequence=self._store.sequence)
         self._replica.load(contents)
-        self._sick, self._stale = None, False
+        self._disk_fault, self._stale = None, False
         self._changed()
         return True
 
-    def _unreadable(self, fault: JournalFault) -> None:
-        self._sick = f"{fault.kind} {fault.detail}"
+    def _handle_unreadable(self, fault: JournalFault) -> None:
+        self._disk_fault = f"{fault.kind} {fault.detail}"
         if fault.kind == "missing":
-            self._data_lost()
+            self._handle_data_loss()
         elif fault.kind == "damaged":
             self._log("journal-damaged", offset=fault.offset, detail=fault.detail)
             self._context.tasks.stop_process(f"the control journal is damaged at byte {fault.offset}")
 
-    def _data_lost(self) -> None:
+    def _handle_data_loss(self) -> None:
         detail = "the data folder was emptied under this process"
         self._log("control-data-lost", detail=detail)
         if self._on_data_lost is not None:
@@ -77,14 +79,14 @@
 
     async def _check_disk(self) -> None:
         while not self._stopped:
-            await self._context.clock.sleep(self._limits.check)
+            await self._context.clock.sleep(self._limits.disk_check_interval)
             async with self._lock:
-                if self._sick is None:
+                if self._disk_fault is None:
                     await self._check_journal()
 
     async def _check_journal(self) -> None:
         match await self._store.journal.check():
             case Failure(fault):
-                self._fail_store(fault)
+                self._mark_disk_faulty(fault)
                 if fault.kind == "missing":
-                    self._unreadable(fault)
+                    self._handle_unreadable(fault)
--- a/wingwood/control/tests/control_world.py
+++ b/wingwood/control/tests/control_world.py
@@ -24,7 +24,7 @@
 
 Value = TypeVar("Value")
 KEY = b"control tests"
-WALK_LIMITS = ControlLimits(rewrite_bytes=20_000, piece_bytes=4096)
+WALK_LIMITS = ControlLimits(rewrite_bytes=20_000, chunk_bytes=4096)
 PORT = 7000
 
 
@@ -42,7 +42,7 @@
     version: int
 
 
-class _Kept(msgspec.Struct):
+class _RegisterState(msgspec.Struct):
     version: int = 0
     outcomes: dict[int, PutOutcome] = {}
     filler: dict[int, bytes] = {}
@@ -55,28 +55,28 @@
     command_type = Put
 
     def __init__(self) -> None:
-        self.kept = _Kept()
+        self.stored = _RegisterState()
 
     def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
         assert isinstance(command, Put)
-        known = self.kept.outcomes.get(command.order)
+        known = self.stored.outcomes.get(command.order)
         if known is not None:
             return None, known
-        accepted = command.base == self.kept.version
-        outcome = PutOutcome(command.order, accepted, self.kept.version + accepted)
+        accepted = command.base == self.stored.version
+        outcome = PutOutcome(command.order, accepted, self.stored.version + accepted)
         return msgspec.msgpack.encode((outcome, command.filler)), outcome
 
     def apply(self, record: bytes) -> None:
         outcome, filler = msgspec.msgpack.decode(record, type=tuple[PutOutcome, bytes])
-        self.kept.version = outcome.version
-        self.kept.outcomes[outcome.order] = outcome
-        self.kept.filler[outcome.version % 16] = filler
+        self.stored.version = outcome.version
+        self.stored.outcomes[outcome.order] = outcome
+        self.stored.filler[outcome.version % 16] = filler
 
     def snapshot(self) -> bytes:
-        return msgspec.msgpack.encode(self.kept)
+        return msgspec.msgpack.encode(self.stored)
 
     def restore(self, snapshot: bytes | None) -> None:
-        self.kept = _Kept() if snapshot is None else msgspec.msgpack.decode(snapshot, type=_Kept)
+        self.stored = _RegisterState() if snapshot is None else msgspec.msgpack.decode(snapshot, type=_RegisterState)
 
 
 MakeCore = Callable[[Context, TcpMessenger, ControlStore, Contents, Register, Sequence[Address]], ReplicatedCore]
@@ -113,13 +113,13 @@
         self.outcomes: dict[int, PutOutcome] = {}
         self.winners: dict[int, int] = {}
         self.newest = 0
-        self.first_asked: dict[int, int] = {}
+        self.first_sent: dict[int, int] = {}
         """The newest acknowledged version when the order was sent for the first time."""
         self.acknowledged = 0
         self.proofs = 0
         self.last_acknowledged = 0.0
 
-    def answered(self, now: float, outcome: PutOutcome, newest_when_first_asked: int) -> None:
+    def answered(self, now: float, outcome: PutOutcome, newest_when_first_sent: int) -> None:
         self.acknowledged += 1
         self.last_acknowledged = now
         known = self.outcomes.setdefault(outcome.order, outcome)
@@ -129,9 +129,9 @@
             winner = self.winners.setdefault(outcome.version, outcome.order)
             if winner != outcome.order:
                 self.faults.append(f"{now:.3f} version {outcome.version}: won by {winner} and {outcome.order}")
-        elif known is outcome and outcome.version < newest_when_first_asked:
+        elif known is outcome and outcome.version < newest_when_first_sent:
             self.faults.append(
-                f"{now:.3f} order {outcome.order}: {outcome}, but {newest_when_first_asked} was acknowledged"
+                f"{now:.3f} order {outcome.order}: {outcome}, but {newest_when_first_sent} was acknowledged"
             )
         self.newest = max(self.newest, outcome.version)
 
@@ -191,12 +191,12 @@
 
     def report(self, name: str) -> ViewReport:
         """As the daemon itself would say it, on its own clock."""
-        return self.inside(name, self.cores[name].report)
+        return self.run_in_process(name, self.cores[name].report)
 
     def leads(self, name: str) -> bool:
-        return self.inside(name, self.cores[name].leads)
+        return self.run_in_process(name, self.cores[name].leads)
 
-    def inside(self, name: str, question: Callable[[], Value]) -> Value:
+    def run_in_process(self, name: str, question: Callable[[], Value]) -> Value:
         self.world.loop.running_life = self.world.processes[name].life
         try:
             return question()
@@ -214,7 +214,7 @@
     def epoch(self) -> Epoch:
         return max((core.epoch() for core in self.cores.values()), default=Epoch(0))
 
-    def has_role(self, role: str) -> str:
+    def name_with_role(self, role: str) -> str:
         """The daemon that has the role in the newest view."""
         return next(name for name in self.cores if self.alive(name) and self.report(name).own_role == role)
 
@@ -234,7 +234,7 @@
         self.world.run(0.01)
 
     async def put(self, client: ControlClient, put: Put, timeout: float = 4.0) -> PutOutcome | None:
-        newest = self.observer.first_asked.setdefault(put.order, self.observer.newest)
+        newest = self.observer.first_sent.setdefault(put.order, self.observer.newest)
         match await client.decide("register", put, PutOutcome, Seconds(timeout)):
             case Success(outcome):
                 self.observer.answered(self.world.now, outcome, newest)
--- a/wingwood/control/tests/edition_world.py
+++ b/wingwood/control/tests/edition_world.py
@@ -73,10 +73,10 @@
         self.editions[str(messenger.identity.name)] = self.make_client(control, local, remote, context)
         return core
 
-    def submit(self, name: str, change: EditionChange, patience: float = 5.0) -> Answer | None:
+    def submit(self, name: str, change: EditionChange, timeout: float = 5.0) -> Answer | None:
         """Sent to that daemon and waited for; None: no answer at all."""
         answers = self.start_submit(name, change)
-        self.world.wait_for(lambda: bool(answers), patience, every=0.005)
+        self.world.wait_for(lambda: bool(answers), timeout, every=0.005)
         return answers[0] if answers else None
 
     def start_submit(self, name: str, change: EditionChange) -> list[Answer]:
--- a/wingwood/control/tests/mutants.py
+++ b/wingwood/control/tests/mutants.py
@@ -12,43 +12,51 @@
 from ...transport.frames import Identity
 from ...transport.messenger import TcpMessenger
 from ..core import ReplicatedCore
-from ..lead import Lead as _Lead
-from ..messages import ControlConfirm, ControlConfirmed, ControlGrant, ControlPromise, ControlReplicate, Seat, View
+from ..leadership import Leadership as _Lead
+from ..messages import (
+    ControlConfirm,
+    ControlConfirmed,
+    ControlGrant,
+    ControlPromise,
+    ControlReplicate,
+    View,
+    ViewMember,
+)
 from ..planning import ViewPlan as _Plan
 from ..store import Contents, ControlStore, decode_batch
 from .control_world import SIX, MakeCore, Register, core_maker
 
 
 class AcknowledgesBeforeBackup(ReplicatedCore):
-    async def _replicate(self, lead: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
-        self._context.tasks.spawn("late", self._late(lead, epoch, before, entry))
+    async def _replicate(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
+        self._context.tasks.spawn("late", self._late(leadership, epoch, before, entry))
         return True
 
-    async def _late(self, lead: _Lead, epoch: Epoch, before: int, entry: bytes) -> None:
-        if not await super()._replicate(lead, epoch, before, entry):
-            lead.in_sync = False
+    async def _late(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> None:
+        if not await super()._replicate(leadership, epoch, before, entry):
+            leadership.in_sync = False
 
 
 class BackupIgnoresPromise(ReplicatedCore):
     """Journals what any former primary sends, as long as the numbers fit."""
 
-    async def _replicate_here(self, message: ControlReplicate) -> str | None:
-        if message.before == self._store.sequence and message.entry and self._sick is None and not self._stale:
+    async def _journal_batch(self, message: ControlReplicate) -> str | None:
+        if message.before == self._store.sequence and message.entry and self._disk_fault is None and not self._stale:
             await self._store.append_batch(message.entry, message.before + 1)
             self._replica.receive(decode_batch(message.entry))
             return None
-        return await super()._replicate_here(message)
+        return await super()._journal_batch(message)
 
 
 class ViewBeforeTransfer(ReplicatedCore):
-    async def _send_state(self, lead: _Lead, seat: Seat) -> bool:
-        self._context.tasks.spawn("late", self._late_state(lead, seat))
+    async def _send_state(self, leadership: _Lead, member: ViewMember) -> bool:
+        self._context.tasks.spawn("late", self._late_state(leadership, member))
         return True
 
-    async def _late_state(self, lead: _Lead, seat: Seat) -> None:
+    async def _late_state(self, leadership: _Lead, member: ViewMember) -> None:
         await asyncio.sleep(0.3)
-        if self._lead is lead and self._replica.applied == self._store.sequence:
-            await super()._send_state(lead, seat)
+        if self._leadership is leadership and self._replica.applied == self._store.sequence:
+            await super()._send_state(leadership, member)
 
     def _in_sync(self, view: View, sequences: Mapping[Incarnation, int]) -> bool:
         return True
@@ -57,19 +65,22 @@
 class AnyGranteeMayWin(ReplicatedCore):
     """Witnesses stand too, and nobody asks whether the winner holds the state."""
 
-    async def _may_stand(self, view: View) -> bool:
+    async def _may_be_candidate(self, view: View) -> bool:
         newest = self._store.view
         if newest is not None:
             self._store.view = View(newest.epoch, newest.primary, newest.backups, newest.members, newest.incarnations())
-        return await super()._may_stand(view)
+        return await super()._may_be_candidate(view)
 
-    async def _stand(self, plan: _Plan | None) -> View | None:
+    async def _run_election(self, plan: _Plan | None) -> View | None:
         ask = self._ask
 
         async def forget_holders(
-            seat: Seat, message: msgspec.Struct, reply_type: type[msgspec.Struct], timeout: Seconds | None = None
+            member: ViewMember,
+            message: msgspec.Struct,
+            reply_type: type[msgspec.Struct],
+            timeout: Seconds | None = None,
         ) -> msgspec.Struct | None:
-            reply = await ask(seat, message, reply_type, timeout)
+            reply = await ask(member, message, reply_type, timeout)
             if isinstance(reply, ControlGrant) and isinstance(message, ControlPromise) and reply.view is not None:
                 view = reply.view
                 everyone = View(view.epoch, view.primary, view.backups, view.members, view.incarnations())
@@ -78,7 +89,7 @@
 
         self._ask = forget_holders  # type: ignore[method-assign, assignment]
         try:
-            return await super()._stand(plan)
+            return await super()._run_election(plan)
         finally:
             self._ask = ask  # type: ignore[method-assign]
 
@@ -87,25 +98,25 @@
     """A former primary that doesn't notice: whoever doesn't answer, it goes on alone."""
 
     def leads(self) -> bool:
-        return self._lead is not None
+        return self._leadership is not None
 
-    def _tend(self, lead: _Lead) -> None:
-        lead.confirmed = self._now()
-        super()._tend(lead)
+    def _maintain_leadership(self, leadership: _Lead) -> None:
+        leadership.confirmed = self._now()
+        super()._maintain_leadership(leadership)
 
-    def _wanted(self, lead: _Lead) -> _Plan | None:
-        alone = not any(self._live(lead, seat) for seat in self._others(lead.view))
-        return None if alone else super()._wanted(lead)
+    def _wanted_view(self, leadership: _Lead) -> _Plan | None:
+        alone = not any(self._member_is_live(leadership, member) for member in self._other_members(leadership.view))
+        return None if alone else super()._wanted_view(leadership)
 
-    async def _replicate(self, lead: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
-        replicating = asyncio.get_running_loop().create_task(super()._replicate(lead, epoch, before, entry))
+    async def _replicate(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
+        replicating = asyncio.get_running_loop().create_task(super()._replicate(leadership, epoch, before, entry))
         await asyncio.wait((replicating,), timeout=0.1)
         return True
 
 
 class ProvesWithoutAsking(ReplicatedCore):
-    async def _proof_round(self, lead: _Lead) -> bool:
-        return self._lead is lead
+    async def _proof_round(self, leadership: _Lead) -> bool:
+        return self._leadership is leadership
 
 
 with_core = core_maker
@@ -129,17 +140,17 @@
 class ForgetsFormerMembers(ReplicatedCore):
     """A second try for a view with other members asks those only."""
 
-    async def _change_view(self, lead: _Lead, plan: _Plan) -> None:
+    async def _change_view(self, leadership: _Lead, plan: _Plan) -> None:
         plan.former = ()
-        await super()._change_view(lead, plan)
+        await super()._change_view(leadership, plan)
 
 
 class OneBackupIsEnough(ReplicatedCore):
-    async def _replicate(self, lead: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
-        seats = [seat for seat in lead.view.members if seat.incarnation in lead.view.backups]
+    async def _replicate(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
+        backups = [member for member in leadership.view.members if member.incarnation in leadership.view.backups]
         replicating = {
-            asyncio.get_running_loop().create_task(self._replicate_to(lead, seat, epoch, before, entry))
-            for seat in seats
+            asyncio.get_running_loop().create_task(self._replicate_to(leadership, member, epoch, before, entry))
+            for member in backups
         }
         while replicating:
             done, replicating = await asyncio.wait(replicating, return_when=asyncio.FIRST_COMPLETED)
@@ -151,26 +162,26 @@
 class TakesBackupsForInSync(ReplicatedCore):
     """Sends the state to newcomers only, and doesn't look what the others have."""
 
-    async def _recruit(self, lead: _Lead, seats: Sequence[Seat]) -> bool:
-        newcomers = [seat for seat in seats if lead.view.seat(seat.incarnation) is None]
-        return await super()._recruit(lead, newcomers)
+    async def _sync_backups(self, leadership: _Lead, backups: Sequence[ViewMember]) -> bool:
+        newcomers = [member for member in backups if leadership.view.member(member.incarnation) is None]
+        return await super()._sync_backups(leadership, newcomers)
 
     def _in_sync(self, view: View, sequences: Mapping[Incarnation, int]) -> bool:
         return True
 
 
 class ProvesWithOneMember(ReplicatedCore):
-    async def _proof_round(self, lead: _Lead) -> bool:
-        view = lead.view
+    async def _proof_round(self, leadership: _Lead) -> bool:
+        view = leadership.view
         answers = await self._gather(
             [
-                self._ask(seat, ControlConfirm(seat.incarnation, view.epoch), ControlConfirmed)
-                for seat in self._others(view)
+                self._ask(member, ControlConfirm(member.incarnation, view.epoch), ControlConfirmed)
+                for member in self._other_members(view)
             ],
             lambda found: any(answer.holds for answer in found),
-            self._limits.call,
+            self._limits.call_timeout,
         )
-        return any(answer.holds for answer in answers) and self._lead is lead and lead.settled
+        return any(answer.holds for answer in answers) and self._leadership is leadership and leadership.commit_known
 
 
 class Mutant(msgspec.Struct, frozen=True):
--- a/wingwood/control/tests/protocol_model.py
+++ b/wingwood/control/tests/protocol_model.py
@@ -29,11 +29,11 @@
 from .walk import Walk
 
 OPERATORS = ("oa", "ob")
-ORDER_PAUSE = 0.08
+ORDER_PAUSE_S = 0.08
 """Between an operator's orders, about."""
-READ_EVERY = 0.15
-ORDER_PATIENCE = 2.0
-LONGEST_START = 5.0
+READ_INTERVAL_S = 0.15
+ORDER_TIMEOUT_S = 2.0
+LONGEST_START_S = 5.0
 
 whom = st.integers(0, 6)
 """0 is the primary of the moment; the others are numbered."""
@@ -73,8 +73,8 @@
         self.walk.operators = OPERATORS
         for name, zone in zip(OPERATORS, "ab", strict=True):
             self.control.operator(name, zone)
-            self.control.keep_sending(name, ORDER_PAUSE)
-        self.world.wait_for(self.control.complete, LONGEST_START)
+            self.control.keep_sending(name, ORDER_PAUSE_S)
+        self.world.wait_for(self.control.complete, LONGEST_START_S)
 
     def _make(
         self,
@@ -90,7 +90,7 @@
         self.committed[name] = 0
 
         def note() -> None:
-            self.committed[name] = register.kept.version
+            self.committed[name] = register.stored.version
 
         core.on_commit(note)
         return core
@@ -115,7 +115,7 @@
         least = max(observer.newest, self.newest_read)
 
         async def ask() -> None:
-            if not await core.prove_lead():
+            if not await core.prove_leadership():
                 return
             version = self.committed[name]
             observer.proofs += 1
@@ -158,7 +158,7 @@
     def cut(self, one: int, other: int, both: bool, then: float) -> None:
         near, far = self._named(one), self._named(other)
         if near != far:
-            self.walk.did(f"cut {near} {far} both={both}")
+            self.walk.log_step(f"cut {near} {far} both={both}")
             self.walk.cuts.append(self.world.cut(near, far, both))
         self._pass(then)
 
@@ -175,7 +175,7 @@
     def slow_wire(self, one: int, other: int, seconds: float, then: float) -> None:
         near, far = self._named(one), self._named(other)
         if near != far:
-            self.walk.did(f"slow wire from {near} to {far}")
+            self.walk.log_step(f"slow wire from {near} to {far}")
             self.world.network.slowness[near, far] = seconds
         self._pass(then)
 
@@ -189,7 +189,7 @@
     @rule(who=whom, mode=st.sampled_from(("slow", "stalled", "full", "failing")), seconds=a_while, then=then)
     def sicken(self, who: int, mode: str, seconds: float, then: float) -> None:
         name = self._named(who)
-        self.walk.did(f"disk of {name} {mode}")
+        self.walk.log_step(f"disk of {name} {mode}")
         self.world.machines[name].disk.set_mode(mode)  # type: ignore[arg-type]
         self.walk.sick[name] = self.world.now + seconds
         self._pass(then)
@@ -200,7 +200,7 @@
         """As many as may be lost at once; under the running process, or with it."""
         chosen = list(dict.fromkeys((self._named(first), self._named(second))))
         for name in chosen[: self.fleet.losses_borne]:
-            self.walk.did(f"wipe {name}")
+            self.walk.log_step(f"wipe {name}")
             self.walk.losses += 1
             if killed and self.world.processes[name].alive:
                 self.walk.kill(name)
@@ -230,7 +230,7 @@
         before = self.control.report(leader).backups
         for name in [name for name in self.walk.up() if self.walk.incarnation_on_disk(name) in before]:
             self.walk.freeze(name)
-            self.walk.frozen[name] = self.world.now + LONGEST_START
+            self.walk.frozen[name] = self.world.now + LONGEST_START_S
 
         def replaced() -> bool:
             if not self.control.alive(leader):
@@ -238,7 +238,7 @@
             report = self.control.report(leader)
             return report.accepts_orders and not set(before) & set(report.backups)
 
-        self.world.wait_for(replaced, LONGEST_START, every=0.05)
+        self.world.wait_for(replaced, LONGEST_START_S, every=0.05)
         self._pass(0.2)
         for name in list(self.walk.frozen):
             self.world.wake(name)
@@ -292,8 +292,8 @@
         return Put(self.control.orders, self.control.observer.newest)
 
     def _send(self, by: str, put: Put) -> None:
-        sending = self.control.put(self.control.clients[by], put, ORDER_PATIENCE)
-        self.world.spawn(self.world.processes[by], _ignoring_the_answer(sending), "order")
+        sending = self.control.put(self.control.clients[by], put, ORDER_TIMEOUT_S)
+        self.world.spawn(self.world.processes[by], _ignore_answer(sending), "order")
 
     def _recovered(self) -> bool:
         self.walk.recover_due()
@@ -303,12 +303,12 @@
         """Time passes; what was down, frozen or sick comes back when it is due."""
         until = self.world.now + seconds
         while self.world.now < until - 1e-9:
-            self.world.run(min(READ_EVERY, until - self.world.now))
+            self.world.run(min(READ_INTERVAL_S, until - self.world.now))
             self.walk.recover_due()
             for name in self.walk.names:
                 self.read(name)
 
 
-async def _ignoring_the_answer(sending: object) -> None:
+async def _ignore_answer(sending: object) -> None:
     with contextlib.suppress(TimeoutError):
         await sending  # type: ignore[misc]
--- a/wingwood/control/tests/protocol_variants.py
+++ b/wingwood/control/tests/protocol_variants.py
@@ -19,7 +19,7 @@
 
 Handler = Callable[[Identity, Any], Awaitable[msgspec.Struct]]
 Tamper = Callable[[Context, Handler], Handler]
-LATE = 1.5
+LATE_WRITE_DELAY_S = 1.5
 """Longer than a take-over takes."""
 
 
@@ -61,7 +61,7 @@
 
     def tamper(context: Context, handler: Handler) -> Handler:
         async def late(peer: Identity, message: ControlReplicate) -> None:
-            await asyncio.sleep(LATE)
+            await asyncio.sleep(LATE_WRITE_DELAY_S)
             await handler(peer, message)
 
         async def answer(peer: Identity, message: ControlReplicate) -> msgspec.Struct:
@@ -80,8 +80,8 @@
 
     def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
         assert isinstance(command, Put)
-        accepted = command.base == self.kept.version
-        outcome = PutOutcome(command.order, accepted, self.kept.version + accepted)
+        accepted = command.base == self.stored.version
+        outcome = PutOutcome(command.order, accepted, self.stored.version + accepted)
         return msgspec.msgpack.encode((outcome, command.filler)), outcome
 
 
@@ -92,10 +92,10 @@
     return _prepared(prepare, losses_borne)
 
 
-class _ProvesByBelief(ReplicatedCore):
-    async def prove_lead(self) -> bool:
+class _ProvesByOwnRole(ReplicatedCore):
+    async def prove_leadership(self) -> bool:
         return self.report().own_role == "primary"
 
 
 def proves_without_asking(losses_borne: int = 1) -> MakeCore:
-    return core_maker(_ProvesByBelief, WALK_LIMITS, losses_borne)
+    return core_maker(_ProvesByOwnRole, WALK_LIMITS, losses_borne)
--- a/wingwood/control/tests/test_bundle_source.py
+++ b/wingwood/control/tests/test_bundle_source.py
@@ -23,7 +23,7 @@
 class CommittedBundlesTests(unittest.TestCase):
     def setUp(self) -> None:
         self.sources: dict[str, CommittedBundles] = {}
-        self.told: list[tuple[str, int]] = []
+        self.announced: list[tuple[str, int]] = []
         self.control = ControlWorld(1, self.make)
         self.addCleanup(self.control.close)
         self.control.operator()
@@ -43,7 +43,7 @@
         name, state = str(messenger.identity.name), BundleState(OPERATOR_KEYS)
         core = ReplicatedCore(context, messenger, store, contents, [register, state], seeds, limits=WALK_LIMITS)
         source = self.sources[name] = CommittedBundles(core, state)
-        source.on_committed(lambda manifest: self.told.append((name, manifest.version)))
+        source.on_committed(lambda manifest: self.announced.append((name, manifest.version)))
         return core
 
     def start_order(self, tenants: int) -> list[object]:
@@ -90,9 +90,9 @@
         self.assertEqual((state.version, answers), (2, []))
         self.assertEqual(self.sources["c1"].version, 1)
         self.assertIsNone(self.sources["c1"].delta_since(BundleVersion(1)))
-        whole = self.sources["c1"].delta_since(BundleVersion(0))
-        assert whole is not None
-        self.assertEqual(whole.manifest.version, 1)
+        complete_delta = self.sources["c1"].delta_since(BundleVersion(0))
+        assert complete_delta is not None
+        self.assertEqual(complete_delta.manifest.version, 1)
         for cut in cuts:
             self.control.world.heal(cut)
         self.assertTrue(self.control.world.wait_for(lambda: bool(answers), 9.0))
@@ -117,7 +117,7 @@
         self.assertEqual(self.sources[leader].version, 4)
         self.assertEqual(sorted(self.versions().values()), [0, 4, 4])
         for name in ("c1", "c2", "c3"):
-            lives = [version for told, version in self.told if told == name]
+            lives = [version for announced, version in self.announced if announced == name]
             self.assertLessEqual(max(lives, default=0), 4)
 
 
--- a/wingwood/control/tests/test_client.py
+++ b/wingwood/control/tests/test_client.py
@@ -9,7 +9,7 @@
 
 from ...identifiers import Address, Epoch, Seconds
 from ...transport.messenger import TransportFault
-from ..messages import ControlLeader, ControlWhoLeads
+from ..messages import ControlLeader, ControlLeaderQuery
 from ..protocols import NotDecided
 from .control_world import ControlWorld, Put, PutOutcome
 
@@ -74,7 +74,7 @@
         sent = [True]
 
         async def call(address: Address, message: msgspec.Struct, *_: object) -> Result[msgspec.Struct, TransportFault]:
-            if isinstance(message, ControlWhoLeads):
+            if isinstance(message, ControlLeaderQuery):
                 return Success(ControlLeader(seed, (), Epoch(1)))
             return Failure(TransportFault("unreachable", sent.pop() if sent else False))
 
@@ -85,9 +85,9 @@
     def test_a_frozen_primary_costs_one_attempt(self) -> None:
         self.assertIsInstance(self.decide(1), Success)
         self.control.world.freeze("c1")
-        begun = self.control.world.now
+        started = self.control.world.now
         self.assertIsInstance(self.decide(2, 5.0), Success)
-        self.assertLess(self.control.world.now - begun, 2.0)
+        self.assertLess(self.control.world.now - started, 2.0)
 
 
 if __name__ == "__main__":
--- a/wingwood/control/tests/test_core.py
+++ b/wingwood/control/tests/test_core.py
@@ -21,11 +21,11 @@
 from .control_world import ControlWorld, MakeCore, Put, make_core
 from .mutants import BackupIgnoresPromise, with_core
 
-GAP = 3.0
-SERVICE_BACK = 12.0
-BACK_AFTER_RESTART = 0.55
+LONGEST_GAP_S = 3.0
+SERVICE_BACK_S = 12.0
+BACK_AFTER_RESTART_S = 0.55
 """Seconds in which restarted members take orders again; the silence borne of a primary is 1 s."""
-PATIENT = ControlLimits(replicate=Seconds(6.0), decide=Seconds(8.0))
+LONG_TIMEOUTS = ControlLimits(replicate_timeout=Seconds(6.0), decide_timeout=Seconds(8.0))
 """Bounds so long that only the rules keep a woken primary from acknowledging."""
 
 
@@ -40,23 +40,23 @@
             self.assertIsNotNone(control.send())
         return control
 
-    def hold(self, control: ControlWorld) -> None:
+    def assert_nothing_lost(self, control: ControlWorld) -> None:
         """All that was acknowledged is kept; complete again."""
-        self.assertTrue(control.world.wait_for(control.complete, SERVICE_BACK), control.world.timeline(60))
+        self.assertTrue(control.world.wait_for(control.complete, SERVICE_BACK_S), control.world.timeline(60))
         self.assertIsNotNone(control.send())
         leader = control.leader()
         assert leader is not None
-        kept = control.registers[leader].kept.outcomes
+        stored = control.registers[leader].stored.outcomes
         for order, outcome in control.observer.outcomes.items():
-            self.assertEqual(kept.get(order), outcome)
+            self.assertEqual(stored.get(order), outcome)
         self.assertEqual(control.observer.faults, [])
         self.assertEqual(control.world.broken_invariants, [])
 
-    def served_after(self, control: ControlWorld) -> float:
-        begun = control.world.now
+    def seconds_until_served(self, control: ControlWorld) -> float:
+        started = control.world.now
         while control.send() is None:
-            self.assertLess(control.world.now - begun, 30.0, control.world.timeline(60))
-        return control.world.now - begun
+            self.assertLess(control.world.now - started, 30.0, control.world.timeline(60))
+        return control.world.now - started
 
 
 class FormingTests(ControlCase):
@@ -114,18 +114,18 @@
                 getattr(control.world, lose)(leader)
                 if lose == "wipe":
                     control.world.kill(leader)
-                self.assertLess(self.served_after(control), GAP)
+                self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
 
     def test_each_way_to_lose_the_backup_ends_in_a_new_one_within_the_gap(self) -> None:
         for seed, lose in enumerate(("kill", "freeze", "power_off", "cut_off", "stalled", "failing") * 2):
             with self.subTest(lose=lose, seed=seed):
                 control = self.fleet(seed)
-                backup = control.has_role("backup")
+                backup = control.name_with_role("backup")
                 if lose in ("stalled", "failing"):
                     control.world.machines[backup].disk.set_mode(lose)  # type: ignore[arg-type]
                 else:
                     getattr(control.world, lose)(backup)
-                self.assertLess(self.served_after(control), GAP)
+                self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
 
     def test_all_restarted_at_once_do_not_wait_out_the_silence_of_their_primary(self) -> None:
         for seed in range(6):
@@ -134,8 +134,8 @@
                 control.world.run(0.04 * seed)
                 for name in ("c1", "c2", "c3"):
                     control.world.restart(name)
-                self.assertLess(self.served_after(control), BACK_AFTER_RESTART)
-                self.hold(control)
+                self.assertLess(self.seconds_until_served(control), BACK_AFTER_RESTART_S)
+                self.assert_nothing_lost(control)
 
     def test_restarted_primary_asks_the_others_to_take_over(self) -> None:
         for seed in range(6):
@@ -143,8 +143,8 @@
                 control = self.fleet(seed)
                 control.world.run(0.04 * seed)
                 control.world.restart("c1")
-                self.assertLess(self.served_after(control), BACK_AFTER_RESTART)
-                self.hold(control)
+                self.assertLess(self.seconds_until_served(control), BACK_AFTER_RESTART_S)
+                self.assert_nothing_lost(control)
 
     def test_all_killed_with_any_one_disk_wiped_keep_everything(self) -> None:
         for seed, wiped in enumerate((None, "c1", "c2", "c3")):
@@ -156,40 +156,40 @@
                     control.world.wipe(wiped)
                 for name in ("c3", "c1", "c2"):
                     control.world.restart(name)
-                self.assertLess(self.served_after(control), SERVICE_BACK)
-                self.hold(control)
+                self.assertLess(self.seconds_until_served(control), SERVICE_BACK_S)
+                self.assert_nothing_lost(control)
 
     def test_an_empty_machine_at_a_new_address_takes_the_seat_and_the_next_loss_is_borne(self) -> None:
         for seed, role in enumerate(("primary", "backup", "witness")):
             with self.subTest(role=role):
                 control = self.fleet(seed)
-                lost = control.has_role(role)
+                lost = control.name_with_role(role)
                 control.world.power_off(lost)
                 control.world.wipe(lost)
                 control.start("s1")
                 control.world.run(1.0)
                 self.assertFalse(control.complete())
-                self.assertTrue(control.world.wait_for(control.complete, SERVICE_BACK), control.world.timeline(60))
-                second = control.has_role("primary")
+                self.assertTrue(control.world.wait_for(control.complete, SERVICE_BACK_S), control.world.timeline(60))
+                second = control.name_with_role("primary")
                 control.world.power_off(second)
                 control.world.wipe(second)
-                self.assertLess(self.served_after(control), GAP)
+                self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
                 control.start("s2")
-                self.hold(control)
+                self.assert_nothing_lost(control)
 
     def test_a_wiped_machine_at_its_old_address_is_seated_anew(self) -> None:
         for seed, role in enumerate(("primary", "backup", "witness")):
             with self.subTest(role=role):
                 control = self.fleet(seed)
-                lost = control.has_role(role)
+                lost = control.name_with_role(role)
                 control.world.kill(lost)
                 control.world.wipe(lost)
                 control.world.restart(lost)
-                begun = control.world.now
+                started = control.world.now
                 control.world.run(1.2)
-                self.assertTrue(control.world.wait_for(control.complete, GAP), control.world.timeline(60))
-                self.assertLess(control.world.now - begun, GAP + 1.2)
-                self.hold(control)
+                self.assertTrue(control.world.wait_for(control.complete, LONGEST_GAP_S), control.world.timeline(60))
+                self.assertLess(control.world.now - started, LONGEST_GAP_S + 1.2)
+                self.assert_nothing_lost(control)
 
     def test_a_wiped_machine_whose_seeds_are_all_gone_hears_of_the_fleet_from_its_primary(self) -> None:
         control = self.fleet()
@@ -197,29 +197,29 @@
             control.world.power_off(lost)
             control.start(fresh)
             control.world.run(2.0)
-            self.hold(control)
+            self.assert_nothing_lost(control)
         control.world.kill("c1")
         control.world.wipe("c1")
         control.world.restart("c1")
         control.world.run(2.0)
-        self.hold(control)
+        self.assert_nothing_lost(control)
 
     def test_a_first_primary_may_lead_again_when_its_successor_was_lost_before_it_had_a_backup(self) -> None:
         control = self.fleet()
-        first, second = control.has_role("primary"), control.has_role("backup")
+        first, second = control.name_with_role("primary"), control.name_with_role("backup")
         control.world.kill(first)
-        self.assertTrue(control.world.wait_for(lambda: control.leads(second), GAP, every=0.002))
+        self.assertTrue(control.world.wait_for(lambda: control.leads(second), LONGEST_GAP_S, every=0.002))
         self.assertIsNone(control.leader())
         control.world.power_off(second)
         control.world.wipe(second)
         control.world.restart(first)
-        self.assertLess(self.served_after(control), SERVICE_BACK)
+        self.assertLess(self.seconds_until_served(control), SERVICE_BACK_S)
         control.start("s1")
-        self.hold(control)
+        self.assert_nothing_lost(control)
 
     def test_a_damaged_journal_stops_the_daemon_and_peers_fill_it_anew(self) -> None:
         control = self.fleet()
-        backup = control.has_role("backup")
+        backup = control.name_with_role("backup")
         control.world.kill(backup)
         disk = control.world.machines[backup].disk
         data = bytearray(disk.visible["control.journal"])
@@ -227,11 +227,11 @@
         disk.visible["control.journal"] = disk.durable["control.journal"] = bytes(data)
         control.world.restart(backup)
         control.world.run(1.0)
-        told = [event for event in control.world.events if event.name == "store-fault"]
-        self.assertIn("damaged at byte", str(told[-1].fields["detail"]))
+        reported = [event for event in control.world.events if event.name == "store-fault"]
+        self.assertIn("damaged at byte", str(reported[-1].fields["detail"]))
         control.begin_empty.add(backup)
         control.world.restart(backup)
-        self.hold(control)
+        self.assert_nothing_lost(control)
         self.assertTrue(any("damaged-" in name for name in disk.durable))
 
 
@@ -246,29 +246,31 @@
         control.world.start("intruder", main, machine="c1")
         control.world.run(0.1)
         self.assertEqual(refused, ["locked"])
-        self.hold(control)
+        self.assert_nothing_lost(control)
 
     def test_a_primary_with_a_sick_disk_gives_way_and_is_a_member_again_when_healed(self) -> None:
         for seed, mode in enumerate(("stalled", "full", "failing", "slow")):
             with self.subTest(mode=mode):
                 control = self.fleet(seed)
-                sick = control.has_role("primary")
+                sick = control.name_with_role("primary")
                 disk = control.world.machines[sick].disk
                 disk.slow_factor = 2000.0
                 disk.set_mode(mode)  # type: ignore[arg-type]
                 # One that knows of its sickness at once gives way without waiting for the silence.
-                self.assertLess(self.served_after(control), 1.0 if mode in ("full", "failing") else GAP)
+                self.assertLess(
+                    self.seconds_until_served(control), 1.0 if mode in ("full", "failing") else LONGEST_GAP_S
+                )
                 self.assertNotEqual(control.leader(), sick)
                 disk.set_mode("well")
-                self.hold(control)
+                self.assert_nothing_lost(control)
 
     def test_a_folder_wiped_under_the_running_primary_is_noticed_without_any_order(self) -> None:
         control = self.fleet()
-        wiped = control.has_role("primary")
+        wiped = control.name_with_role("primary")
         control.world.wipe(wiped)
         self.assertTrue(control.world.wait_for(lambda: control.leader() not in (None, wiped), 4.0))
         control.world.restart(wiped)
-        self.hold(control)
+        self.assert_nothing_lost(control)
 
 
 class DeposedPrimaryTests(ControlCase):
@@ -278,45 +280,45 @@
         It wakes with the answer, if there is one, already in its buffers. Third: what it then says.
         """
         control = self.fleet(seed, make)
-        old, backup = control.has_role("primary"), control.has_role("backup")
+        old, backup = control.name_with_role("primary"), control.name_with_role("backup")
         control.world.run(0.5)
         cut = control.world.cut(old, backup, both_ways=False)
-        said: list[object] = []
-        self.spawn(control, old, partial(self.put_at, control, old, Put(999, control.observer.newest), said))
+        given_answers: list[object] = []
+        self.spawn(control, old, partial(self.put_at, control, old, Put(999, control.observer.newest), given_answers))
         control.world.run(0.02)
         control.world.freeze(old)
-        self.assertTrue(control.world.wait_for(lambda: control.leader() == backup, GAP))
+        self.assertTrue(control.world.wait_for(lambda: control.leader() == backup, LONGEST_GAP_S))
         control.world.heal(cut)
         control.world.run(0.9)
         control.world.wake(old)
         control.world.run(0.5)
-        return control, old, said
+        return control, old, given_answers
 
-    async def put_at(self, control: ControlWorld, name: str, put: Put, said: list[object]) -> None:
-        said.append(await control.cores[name].decide("register", put))
+    async def put_at(self, control: ControlWorld, name: str, put: Put, given_answers: list[object]) -> None:
+        given_answers.append(await control.cores[name].decide("register", put))
 
     def test_a_frozen_primary_acknowledges_nothing_after_it_woke(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
-                control, old, said = self.late_batch(with_core(ReplicatedCore, PATIENT), seed)
+                control, old, given_answers = self.late_batch(with_core(ReplicatedCore, LONG_TIMEOUTS), seed)
                 self.assertFalse(control.leads(old))
-                self.assertEqual([answer.failure().kind for answer in said], ["unknown"])  # type: ignore[attr-defined]
-                self.hold(control)
+                self.assertEqual([answer.failure().kind for answer in given_answers], ["unknown"])  # type: ignore[attr-defined]
+                self.assert_nothing_lost(control)
 
     def test_a_backup_that_ignored_its_promise_would_be_caught(self) -> None:
-        said = [self.late_batch(with_core(BackupIgnoresPromise, PATIENT), seed)[2] for seed in range(8)]
-        self.assertTrue(any(isinstance(answer, Success) for answers in said for answer in answers))
+        given_answers = [self.late_batch(with_core(BackupIgnoresPromise, LONG_TIMEOUTS), seed)[2] for seed in range(8)]
+        self.assertTrue(any(isinstance(answer, Success) for answers in given_answers for answer in answers))
 
     def test_cut_off_primaries_say_so_and_prove_nothing(self) -> None:
         for inward, outward in ((True, True), (True, False), (False, True)):
             with self.subTest(inward=inward, outward=outward):
                 control = self.fleet()
-                old = control.has_role("primary")
+                old = control.name_with_role("primary")
                 core = control.cores[old]
-                self.assertEqual(self.ask(control, old, core.prove_lead), [True])
+                self.assertEqual(self.ask(control, old, core.prove_leadership), [True])
                 cut = control.world.cut_off(old, inward, outward)
                 control.world.run(0.02)
-                self.assertEqual(self.ask(control, old, core.prove_lead), [False])
+                self.assertEqual(self.ask(control, old, core.prove_leadership), [False])
                 control.world.run(2.0)
                 self.assertFalse(control.leads(old))
                 answers = self.ask(control, old, partial(core.decide, "register", Put(1000, 0)))
@@ -325,11 +327,11 @@
                 self.assertEqual(fault.kind, "not-leading")
                 self.assertNotIn(control.leader(), (None, old))
                 control.world.heal(cut)
-                self.hold(control)
+                self.assert_nothing_lost(control)
 
     def test_standing_never_lowers_a_promise_given_meanwhile(self) -> None:
         control = self.fleet()
-        name = control.has_role("backup")
+        name = control.name_with_role("backup")
         core, store = control.cores[name], control.stores[name]
 
         async def promise_then_stand() -> None:
@@ -337,7 +339,7 @@
             promise = ControlPromise(store.incarnation, Incarnation("another"), Epoch(50))
             waiting = [
                 asyncio.ensure_future(core._on_promise(core._messenger.identity, promise)),
-                asyncio.ensure_future(core._stand(None)),
+                asyncio.ensure_future(core._run_election(None)),
             ]
             await asyncio.sleep(0.001)
             core._lock.release()
@@ -350,28 +352,30 @@
 
     def test_an_order_under_way_when_the_backup_is_lost_is_answered_once_there_is_another(self) -> None:
         control = self.fleet()
-        old, backup = control.has_role("primary"), control.has_role("backup")
+        old, backup = control.name_with_role("primary"), control.name_with_role("backup")
         control.world.freeze(backup)
         answers = self.ask(control, old, partial(control.cores[old].decide, "register", Put(999, 5)))
         self.assertIsInstance(answers[0], Success)
 
     def test_a_member_that_promised_a_failed_candidate_follows_again(self) -> None:
         control = self.fleet()
-        witness = control.cores[control.has_role("witness")]
-        promise = ControlPromise(witness._me, Incarnation("failed"), Epoch(40))
+        witness = control.cores[control.name_with_role("witness")]
+        promise = ControlPromise(witness._own_incarnation, Incarnation("failed"), Epoch(40))
         self.ask(
-            control, control.has_role("witness"), lambda: witness._on_promise(witness._messenger.identity, promise)
+            control,
+            control.name_with_role("witness"),
+            lambda: witness._on_promise(witness._messenger.identity, promise),
         )
         control.world.run(1.5)
         self.assertEqual(control.leader(), "c1")
         self.assertGreater(control.epoch(), 40)
-        self.hold(control)
+        self.assert_nothing_lost(control)
 
     def test_what_was_decided_but_not_journaled_is_forgotten_with_the_lead(self) -> None:
         """The promise to another comes between the decision and its append; then the same daemon must lead again."""
         control = self.fleet()
         core = control.cores["c1"]
-        promise = ControlPromise(core._me, Incarnation("failed"), Epoch(40))
+        promise = ControlPromise(core._own_incarnation, Incarnation("failed"), Epoch(40))
 
         async def promise_before_append() -> None:
             await core._lock.acquire()
@@ -385,12 +389,12 @@
         control.world.run(0.02)
         control.world.kill("c2")
         self.assertTrue(control.world.wait_for(lambda: control.leader() == "c1", 6.0), control.world.timeline(20))
-        self.hold_without(control, "c2")
+        self.assert_nothing_lost_without(control, "c2")
 
-    def hold_without(self, control: ControlWorld, name: str) -> None:
+    def assert_nothing_lost_without(self, control: ControlWorld, name: str) -> None:
         self.assertIsNotNone(control.send())
         control.world.restart(name)
-        self.hold(control)
+        self.assert_nothing_lost(control)
 
     def test_a_short_freeze_of_all_changes_no_view(self) -> None:
         for seed in range(5):
@@ -406,15 +410,15 @@
                 self.assertTrue(control.world.wait_for(control.complete, 1.0))
                 control.world.run(3.0)
                 self.assertEqual(control.epoch(), epoch)
-                self.hold(control)
+                self.assert_nothing_lost(control)
 
     def test_one_deaf_member_deposes_nobody(self) -> None:
         control = self.fleet()
-        leader, backup = control.has_role("primary"), control.has_role("backup")
+        leader, backup = control.name_with_role("primary"), control.name_with_role("backup")
         control.world.cut(leader, backup, both_ways=False)
         control.world.run(15.0)
         self.assertEqual(control.leader(), leader)
-        self.assertNotEqual(control.has_role("witness"), leader)
+        self.assertNotEqual(control.name_with_role("witness"), leader)
 
     def ask(self, control: ControlWorld, name: str, question: Callable[[], object]) -> list[object]:
         answers: list[object] = []
@@ -428,20 +432,20 @@
 
     def test_a_proof_is_never_given_by_a_round_begun_before_the_question(self) -> None:
         control = self.fleet()
-        leader = control.has_role("primary")
+        leader = control.name_with_role("primary")
         core, rounds = control.cores[leader], [0]
         seen: list[tuple[int, int]] = []
         real = core._proof_round
 
-        async def counted(lead: object) -> bool:
+        async def counted(leadership: object) -> bool:
             rounds[0] += 1
-            return await real(lead)  # type: ignore[arg-type]
+            return await real(leadership)  # type: ignore[arg-type]
 
         core._proof_round = counted  # type: ignore[method-assign]
 
         async def prove() -> None:
             before = rounds[0]
-            if await core.prove_lead():
+            if await core.prove_leadership():
                 seen.append((before, rounds[0]))
 
         for number in range(50):
--- a/wingwood/control/tests/test_editions.py
+++ b/wingwood/control/tests/test_editions.py
@@ -47,7 +47,7 @@
         self.assertEqual(outcome_of(self.control.submit(name, change)), "accepted")
         self.sent.append(change)
 
-    def hold(self, *names: str) -> None:
+    def assert_nothing_lost(self, *names: str) -> None:
         """Every daemon acknowledges again all that was acknowledged, refuses the rest, and reads the newest back."""
         self.assertTrue(self.control.world.wait_for(self.control.complete, 15.0), self.control.world.timeline(40))
         newest = self.sent[-1].number
@@ -62,22 +62,22 @@
 
 class ResendingTests(EditionCase):
     def test_to_any_daemon(self) -> None:
-        self.hold()
+        self.assert_nothing_lost()
         self.accept("c3", 9, 12)
-        self.hold()
+        self.assert_nothing_lost()
 
     def test_after_a_take_over(self) -> None:
         self.control.world.kill("c1")
         self.accept("c2", 9, 10)
         self.control.world.restart("c1")
-        self.hold()
+        self.assert_nothing_lost()
 
     def test_after_all_were_killed_and_came_back_with_their_disks(self) -> None:
         for name in DAEMONS:
             self.control.world.kill(name)
         for name in DAEMONS:
             self.control.world.restart(name)
-        self.hold()
+        self.assert_nothing_lost()
 
     def test_after_a_loss_of_power_of_all_with_one_disk_gone(self) -> None:
         for name in DAEMONS:
@@ -85,14 +85,14 @@
         self.control.world.wipe("c1")
         for name in DAEMONS:
             self.control.world.power_on(name)
-        self.hold()
+        self.assert_nothing_lost()
 
     def test_after_one_by_one_was_replaced_by_an_empty_machine(self) -> None:
         for lost, fresh in (("c1", "s1"), ("c2", "s2")):
             self.control.world.power_off(lost)
             self.control.start(fresh)
             self.assertTrue(self.control.world.wait_for(self.control.complete, 15.0))
-        self.hold("c3", "s1", "s2")
+        self.assert_nothing_lost("c3", "s1", "s2")
 
 
 class RaceTests(EditionCase):
@@ -105,7 +105,7 @@
             outcomes = [outcome_of(answers[0]) for answers in racing]
             self.assertEqual(sorted(outcomes), ["accepted", "conflict", "conflict"])
             self.sent.append(changes[outcomes.index("accepted")])
-        self.hold()
+        self.assert_nothing_lost()
 
     def test_a_race_during_a_take_over_has_one_winner_too(self) -> None:
         changes = [edition_change(9, 10, self.slices, name) for name in ("one", "two")]
@@ -120,20 +120,20 @@
         for before, after in zip(racing, outcomes, strict=True):
             self.assertIn(outcome_of(before[0]), (after, "unknown", "not-leading"))
         self.sent.append(changes[outcomes.index("accepted")])
-        self.hold()
+        self.assert_nothing_lost()
 
 
 class LostAnswerTests(EditionCase):
     def test_an_order_whose_answer_was_lost_is_acknowledged_when_it_comes_again(self) -> None:
         cuts = [self.control.world.cut(name, "c3", both_ways=False) for name in ("c1", "c2")]
         change = edition_change(9, 10, self.slices)
-        first = outcome_of(self.control.submit("c3", change, patience=8.0))
+        first = outcome_of(self.control.submit("c3", change, timeout=8.0))
         self.assertIn(first, ("unknown", "not-leading", "none"))
         for cut in cuts:
             self.control.world.heal(cut)
         self.assertEqual(outcome_of(self.control.submit("c2", change)), "accepted")
         self.sent.append(change)
-        self.hold()
+        self.assert_nothing_lost()
 
     def test_a_primary_that_is_lost_before_it_could_answer(self) -> None:
         change = edition_change(9, 10, self.slices)
@@ -146,7 +146,7 @@
         self.assertTrue(self.control.world.wait_for(self.control.complete, 15.0))
         self.assertEqual(outcome_of(self.control.submit("c3", change)), "accepted")
         self.sent.append(change)
-        self.hold()
+        self.assert_nothing_lost()
 
 
 class ReadingTests(EditionCase):
@@ -249,17 +249,17 @@
 class BrokenVariantTests(unittest.TestCase):
     """Each must be caught by some walk; the walks themselves are those of ``RandomWalkTests``."""
 
-    def caught(self, walk: EditionWalk, fault: str) -> None:
+    def assert_caught(self, walk: EditionWalk, fault: str) -> None:
         faults = walk.run(40.0)
         self.assertTrue(any(fault in each for each in faults), faults)
 
     def test_a_state_that_forgets_accepted_orders(self) -> None:
         walk = EditionWalk(1, lambda: ForgetsEditions(OPERATOR_KEYS, signing_key=SIGNING_KEY))
-        self.caught(walk, "was accepted, then conflict")
+        self.assert_caught(walk, "was accepted, then conflict")
 
     def test_a_state_that_takes_any_base(self) -> None:
         walk = EditionWalk(1, lambda: AnyBaseWins(OPERATOR_KEYS, signing_key=SIGNING_KEY))
-        self.caught(walk, "were both accepted")
+        self.assert_caught(walk, "were both accepted")
 
     def test_a_state_whose_refusals_stick(self) -> None:
         """An order that came before its base is taken once its base is there."""
@@ -277,7 +277,7 @@
         ) -> EditionClient:
             return ReadsWithoutProof(control, local, context)
 
-        self.caught(EditionWalk(1, make_client=unproven), "was acknowledged before")
+        self.assert_caught(EditionWalk(1, make_client=unproven), "was acknowledged before")
 
 
 def signing() -> BundleState:
--- a/wingwood/control/tests/test_member_rules.py
+++ b/wingwood/control/tests/test_member_rules.py
@@ -9,7 +9,7 @@
 from returns.result import Result, Success
 
 from ...identifiers import DaemonName, Epoch, Incarnation, Seconds
-from ..lead import Lead as _Lead
+from ..leadership import Leadership as _Lead
 from ..messages import (
     ControlAccept,
     ControlAccepted,
@@ -21,11 +21,11 @@
     ControlPromise,
     ControlReplicate,
     ControlReplicated,
-    ControlStatePiece,
-    Seat,
+    ControlStateChunk,
     SnapshotEntry,
     StateRecord,
     View,
+    ViewMember,
 )
 from ..planning import ViewPlan as _Plan
 from ..protocols import NotDecided
@@ -53,13 +53,13 @@
         assert view is not None
         return view
 
-    def me(self, name: str) -> Incarnation:
+    def incarnation_of(self, name: str) -> Incarnation:
         return self.control.stores[name].incarnation
 
     def ask(self, name: str, message: msgspec.Struct, reply_type: type[Reply]) -> Reply:
         answers: list[Reply] = []
         client = self.control.clients["operator"]
-        address = next(seat.address for seat in self.view.members if str(seat.name) == name)
+        address = next(member.address for member in self.view.members if str(member.name) == name)
 
         async def run() -> None:
             match await client._messenger.call(address, message, reply_type, Seconds(1.0)):
@@ -71,19 +71,19 @@
         return answers[0]
 
     def promise(self, name: str, epoch: int, candidate: Incarnation = X, to: Incarnation | None = None) -> ControlGrant:
-        return self.ask(name, ControlPromise(to or self.me(name), candidate, Epoch(epoch)), ControlGrant)
+        return self.ask(name, ControlPromise(to or self.incarnation_of(name), candidate, Epoch(epoch)), ControlGrant)
 
     def accept(self, name: str, view: View, to: Incarnation | None = None) -> bool:
-        return self.ask(name, ControlAccept(to or self.me(name), view), ControlAccepted).accepted
+        return self.ask(name, ControlAccept(to or self.incarnation_of(name), view), ControlAccepted).accepted
 
     def replicate(self, epoch: int, before: int, to: Incarnation | None = None, name: str = "c2") -> bool:
         entry = encode_batch(before + 1, Epoch(epoch), [StateRecord("register", msgspec.msgpack.encode((None, b"")))])
-        message = ControlReplicate(to or self.me(name), Epoch(epoch), before, 0, entry)
+        message = ControlReplicate(to or self.incarnation_of(name), Epoch(epoch), before, 0, entry)
         return self.ask(name, message, ControlReplicated).synced
 
     def state(self, epoch: int, sender: Incarnation, to: Incarnation | None = None, name: str = "c2") -> bool:
         data = msgspec.msgpack.encode(SnapshotEntry(70, {}))
-        message = ControlStatePiece(to or self.me(name), sender, Epoch(epoch), 1, 0, 1, data)
+        message = ControlStateChunk(to or self.incarnation_of(name), sender, Epoch(epoch), 1, 0, 1, data)
         return self.ask(name, message, ControlReplicated).synced
 
     def new_view(self, epoch: int, primary: Incarnation) -> View:
@@ -160,7 +160,7 @@
 
     def test_a_proof_is_confirmed_unless_more_was_promised(self) -> None:
         def confirm(epoch: int, to: Incarnation | None = None) -> bool:
-            message = ControlConfirm(to or self.me("c3"), Epoch(epoch))
+            message = ControlConfirm(to or self.incarnation_of("c3"), Epoch(epoch))
             return self.ask("c3", message, ControlConfirmed).holds
 
         self.assertTrue(confirm(self.view.epoch))
@@ -171,7 +171,7 @@
 
     def test_a_heartbeat_is_accepted_under_the_accepted_view_only(self) -> None:
         def beat(epoch: int, to: Incarnation | None = None) -> bool:
-            message = ControlHeartbeat(to or self.me("c3"), self.me("c1"), Epoch(epoch), 0)
+            message = ControlHeartbeat(to or self.incarnation_of("c3"), self.incarnation_of("c1"), Epoch(epoch), 0)
             return self.ask("c3", message, ControlHeartbeatAnswer).accepted
 
         self.assertTrue(beat(self.view.epoch))
@@ -181,12 +181,12 @@
         self.assertFalse(beat(self.view.epoch))
 
     def test_answers_of_another_incarnation_count_for_nothing(self) -> None:
-        core, seat = self.control.cores["c1"], self.view.members[2]
-        replaced = type(seat)(Y, seat.name, seat.address)
+        core, member = self.control.cores["c1"], self.view.members[2]
+        replaced = type(member)(Y, member.name, member.address)
         answers: list[object] = []
 
         async def run() -> None:
-            for whom in (seat, replaced):
+            for whom in (member, replaced):
                 answers.append(await core._ask(whom, ControlConfirm(whom.incarnation, Epoch(9)), ControlConfirmed))
 
         self.control.world.spawn(self.control.world.processes["c1"], run(), "ask")
@@ -196,18 +196,18 @@
 
     def test_a_late_answer_is_unknown(self) -> None:
         """The process is frozen past the bound with the answer ready to be taken."""
-        core, said = self.control.cores["c1"], list[Result[msgspec.Struct, NotDecided]]()
+        core, given_answers = self.control.cores["c1"], list[Result[msgspec.Struct, NotDecided]]()
 
         async def run() -> None:
-            said.append(await core.decide("register", Put(500, 3), Seconds(0.5)))
+            given_answers.append(await core.decide("register", Put(500, 3), Seconds(0.5)))
 
         core.on_commit(lambda: self.control.world.freeze("c1"))
         self.control.world.spawn(self.control.world.processes["c1"], run(), "late")
         self.control.world.run(0.9)
-        self.assertEqual(said, [])
+        self.assertEqual(given_answers, [])
         self.control.world.wake("c1")
         self.control.world.run(0.1)
-        self.assertEqual([answer.failure().kind for answer in said], ["unknown"])
+        self.assertEqual([answer.failure().kind for answer in given_answers], ["unknown"])
 
 
 class EmptyMemberRules(unittest.TestCase):
@@ -219,7 +219,7 @@
 
         async def run() -> None:
             for epoch, forming in ((5, True), (6, False), (7, True)):
-                promise = ControlPromise(core._me, X, Epoch(epoch), forming)
+                promise = ControlPromise(core._own_incarnation, X, Epoch(epoch), forming)
                 granted.append((await core._on_promise(core._messenger.identity, promise)).granted)
 
         control.world.spawn(control.world.processes["c1"], run(), "promise")
@@ -244,33 +244,35 @@
         self.asked: list[tuple[str, Incarnation]] = []
         self.core._ask = self.answer  # type: ignore[method-assign, assignment]
 
-    async def answer(self, seat: Seat, message: msgspec.Struct, _: object, __: object = None) -> msgspec.Struct | None:
-        self.asked.append((type(message).__name__, seat.incarnation))
+    async def answer(
+        self, member: ViewMember, message: msgspec.Struct, _: object, __: object = None
+    ) -> msgspec.Struct | None:
+        self.asked.append((type(message).__name__, member.incarnation))
         match message:
-            case ControlPromise(epoch=epoch) if seat.incarnation in self.grants:
-                return ControlGrant(seat.incarnation, True, epoch, self.grants[seat.incarnation])
-            case ControlAccept(view=view) if seat.incarnation in self.acceptors:
-                return ControlAccepted(seat.incarnation, True, view.epoch, self.sequences.get(seat.incarnation, 3))
-            case ControlStatePiece(epoch=epoch):
-                return ControlReplicated(seat.incarnation, True, epoch)
+            case ControlPromise(epoch=epoch) if member.incarnation in self.grants:
+                return ControlGrant(member.incarnation, True, epoch, self.grants[member.incarnation])
+            case ControlAccept(view=view) if member.incarnation in self.acceptors:
+                return ControlAccepted(member.incarnation, True, view.epoch, self.sequences.get(member.incarnation, 3))
+            case ControlStateChunk(epoch=epoch):
+                return ControlReplicated(member.incarnation, True, epoch)
         return None
 
-    def stand(self, plan: _Plan | None = None) -> View | None:
+    def run_election(self, plan: _Plan | None = None) -> View | None:
         views: list[View | None] = []
 
         async def run() -> None:
-            views.append(await self.core._stand(plan))
+            views.append(await self.core._run_election(plan))
 
         self.control.world.spawn(self.control.world.processes["c2"], run(), "stand")
         self.assertTrue(self.control.world.wait_for(lambda: bool(views), 3.0, every=0.01))
         return views[0]
 
     def test_a_majority_must_grant_and_a_majority_accept(self) -> None:
-        self.assertIsNone(self.stand())
+        self.assertIsNone(self.run_election())
         self.grants = {self.three.incarnation: self.view}
-        self.assertIsNone(self.stand())
+        self.assertIsNone(self.run_election())
         self.acceptors = {self.three.incarnation}
-        view = self.stand()
+        view = self.run_election()
         assert view is not None
         self.assertEqual((view.primary, view.backups, view.holders), (self.two.incarnation, (), self.view.holders))
 
@@ -278,23 +280,23 @@
         self.acceptors = {self.three.incarnation}
         newer = View(Epoch(7), self.one.incarnation, (self.three.incarnation,), self.view.members, (X, Y))
         self.grants = {self.three.incarnation: newer}
-        self.assertIsNone(self.stand())
+        self.assertIsNone(self.run_election())
         self.assertNotIn("ControlAccept", [name for name, _ in self.asked])
 
     def test_members_of_a_newer_view_are_asked_too(self) -> None:
-        new, newer = Seat(X, DaemonName("x"), self.one.address), Seat(Y, DaemonName("y"), self.one.address)
+        new, newer = ViewMember(X, DaemonName("x"), self.one.address), ViewMember(Y, DaemonName("y"), self.one.address)
         view = View(Epoch(7), self.two.incarnation, (), (self.two, new, newer), self.view.holders)
         self.grants = {self.three.incarnation: view}
         self.acceptors = {self.three.incarnation, X}
-        self.assertIsNone(self.stand())
+        self.assertIsNone(self.run_election())
         self.assertIn(("ControlPromise", X), self.asked)
         self.grants[X] = view
-        won = self.stand()
+        won = self.run_election()
         assert won is not None
         self.assertEqual(won.members, view.members)
 
     def test_a_planned_view_needs_the_old_and_the_new_majority_and_its_backup(self) -> None:
-        new, newer = Seat(X, DaemonName("x"), self.one.address), Seat(Y, DaemonName("y"), self.one.address)
+        new, newer = ViewMember(X, DaemonName("x"), self.one.address), ViewMember(Y, DaemonName("y"), self.one.address)
         for members, backup, acceptors, won in (
             ((self.two, new, self.three), new, {X}, False),
             ((self.two, new, self.three), new, {X, self.three.incarnation}, True),
@@ -306,7 +308,7 @@
                 current = self.view_of("c2")
                 self.grants = {self.three.incarnation: None}
                 self.acceptors = set(acceptors)
-                view = self.stand(_Plan((backup,), members, current))
+                view = self.run_election(_Plan((backup,), members, current))
                 self.assertEqual(view is not None, won)
                 self.setUp()
 
@@ -314,25 +316,25 @@
         self.grants = {self.three.incarnation: None}
         self.acceptors = {self.three.incarnation}
         self.sequences = {self.three.incarnation: 2}
-        self.assertIsNone(self.stand(_Plan((self.three,), self.view.members, self.view)))
+        self.assertIsNone(self.run_election(_Plan((self.three,), self.view.members, self.view)))
         self.sequences = {}
-        self.assertIsNotNone(self.stand(_Plan((self.three,), self.view.members, self.view_of("c2"))))
+        self.assertIsNotNone(self.run_election(_Plan((self.three,), self.view.members, self.view_of("c2"))))
 
     def test_a_view_with_other_members_that_too_few_accepted_still_needs_the_former_ones(self) -> None:
         """Else the first try's newcomer and its primary could lead beside the two former members."""
-        newcomer = Seat(X, DaemonName("x"), self.one.address)
+        newcomer = ViewMember(X, DaemonName("x"), self.one.address)
         plan = _Plan((newcomer,), (self.two, newcomer, self.three), self.view)
         self.grants = {self.three.incarnation: self.view}
         self.acceptors = {X}
-        self.assertIsNone(self.stand(plan))
+        self.assertIsNone(self.run_election(plan))
         self.assertEqual(self.view_of("c2").former, self.view.members)
         self.grants = {X: self.view_of("c2")}
         self.acceptors = {X}
-        self.assertIsNone(self.stand(plan))
-        self.assertIsNone(self.stand())
+        self.assertIsNone(self.run_election(plan))
+        self.assertIsNone(self.run_election())
         self.grants = {X: self.view_of("c2"), self.three.incarnation: self.view}
         self.acceptors = {X, self.three.incarnation}
-        won = self.stand(plan)
+        won = self.run_election(plan)
         assert won is not None
         self.assertEqual((won.former, self.view_of("c2")), ((), won))
 
@@ -340,41 +342,41 @@
         other = View(Epoch(7), self.one.incarnation, (), self.view.members, self.view.holders)
         self.grants = {self.three.incarnation: other}
         self.acceptors = {self.three.incarnation}
-        view = self.stand(_Plan((self.three,), self.view.members, self.view))
+        view = self.run_election(_Plan((self.three,), self.view.members, self.view))
         assert view is not None
         self.assertEqual((view.backups, view.holders), ((), self.view.holders))
 
     def test_another_holder_with_more_goes_first(self) -> None:
         answer = self.core._ask
 
-        async def longer(seat: Seat, message: msgspec.Struct, *rest: object) -> msgspec.Struct | None:
-            reply = await answer(seat, message, *rest)  # type: ignore[arg-type, func-returns-value]
+        async def longer(member: ViewMember, message: msgspec.Struct, *rest: object) -> msgspec.Struct | None:
+            reply = await answer(member, message, *rest)  # type: ignore[arg-type, func-returns-value]
             return msgspec.structs.replace(reply, sequence=99) if isinstance(reply, ControlGrant) else reply
 
         self.grants = {self.one.incarnation: self.view, self.three.incarnation: self.view}
         self.acceptors = {self.three.incarnation}
         self.core._ask = longer  # type: ignore[method-assign, assignment]
-        self.assertIsNone(self.stand())
+        self.assertIsNone(self.run_election())
 
     def test_a_new_primary_proves_nothing_before_it_has_a_backup(self) -> None:
         """Its predecessor may have acknowledged what it only holds as uncommitted."""
         self.grants = {self.three.incarnation: self.view}
         self.acceptors = {self.three.incarnation}
-        view = self.stand()
+        view = self.run_election()
         assert view is not None
         proofs: list[bool] = []
 
-        async def confirm(seat: Seat, message: msgspec.Struct, *_: object) -> msgspec.Struct | None:
-            return ControlConfirmed(seat.incarnation, True, view.epoch)
+        async def confirm(member: ViewMember, message: msgspec.Struct, *_: object) -> msgspec.Struct | None:
+            return ControlConfirmed(member.incarnation, True, view.epoch)
 
         self.core._ask = confirm  # type: ignore[method-assign, assignment]
 
         async def run() -> None:
-            lead = _Lead(view, self.core._now())
-            self.core._lead = lead
-            proofs.append(await self.core._proof_round(lead))
-            lead.settled = True
-            proofs.append(await self.core._proof_round(lead))
+            leadership = _Lead(view, self.core._now())
+            self.core._leadership = leadership
+            proofs.append(await self.core._proof_round(leadership))
+            leadership.commit_known = True
+            proofs.append(await self.core._proof_round(leadership))
 
         self.control.world.spawn(self.control.world.processes["c2"], run(), "prove")
         self.control.world.run(0.05)
--- a/wingwood/control/tests/test_protocol_model.py
+++ b/wingwood/control/tests/test_protocol_model.py
@@ -23,11 +23,11 @@
 RUN_EACH_ALONE = True
 """For the runner of tests: these are long."""
 
-BY_HAND = int(os.environ.get("WINGWOOD_MODEL_EXAMPLES", "0"))
+EXAMPLES_BY_HAND = int(os.environ.get("WINGWOOD_MODEL_EXAMPLES", "0"))
 FOUR = ("c1", "c2", "c3", "c4")
 """Three members and a spare; six machines are five members and a spare."""
 STEPS = 30
-MOST_TRIES = 200
+MAX_RUNS = 200
 """Runs after which a broken variant counts as not caught."""
 
 
@@ -36,7 +36,7 @@
     chosen = settings(
         max_examples=examples,
         stateful_step_count=steps,
-        derandomize=not BY_HAND,
+        derandomize=not EXAMPLES_BY_HAND,
         database=None,
         deadline=None,
         phases=phases,
@@ -56,34 +56,34 @@
 
 class HealthyCores(unittest.TestCase):
     def test_three_members_and_a_spare(self) -> None:
-        run(protocol_of(Fleet(core_maker(), FOUR, 1)), BY_HAND or 24)
+        run(protocol_of(Fleet(core_maker(), FOUR, 1)), EXAMPLES_BY_HAND or 24)
 
     def test_five_members_and_a_spare(self) -> None:
-        run(protocol_of(Fleet(core_maker(losses_borne=2), SIX, 2)), BY_HAND or 20)
+        run(protocol_of(Fleet(core_maker(losses_borne=2), SIX, 2)), EXAMPLES_BY_HAND or 20)
 
 
 class BrokenCores(unittest.TestCase):
-    def caught(self, fleet: Fleet, *rules: str) -> None:
+    def assert_caught(self, fleet: Fleet, *rules: str) -> None:
         with self.assertRaisesRegex(AssertionError, "^[0-9]+[.][0-9]{3} |^lost: "):  # What the observer says.
-            run(protocol_of(fleet, *rules), MOST_TRIES, shrink=False)
+            run(protocol_of(fleet, *rules), MAX_RUNS, shrink=False)
 
     def test_answers_before_the_backup_has_written(self) -> None:
-        self.caught(Fleet(answers_before_it_has_written(), FOUR[:3], 1), "kill", "freeze")
+        self.assert_caught(Fleet(answers_before_it_has_written(), FOUR[:3], 1), "kill", "freeze")
 
     def test_answers_before_the_backups_have_written_with_five_members(self) -> None:
-        self.caught(Fleet(answers_before_it_has_written(2), SIX, 2), "kill", "freeze")
+        self.assert_caught(Fleet(answers_before_it_has_written(2), SIX, 2), "kill", "freeze")
 
     def test_forgets_order_ids(self) -> None:
-        self.caught(Fleet(forgets_order_ids(), FOUR[:3], 1), "kill")
+        self.assert_caught(Fleet(forgets_order_ids(), FOUR[:3], 1), "kill")
 
     def test_forgets_order_ids_with_five_members(self) -> None:
-        self.caught(Fleet(forgets_order_ids(2), SIX, 2), "kill")
+        self.assert_caught(Fleet(forgets_order_ids(2), SIX, 2), "kill")
 
     def test_proves_without_asking(self) -> None:
-        self.caught(Fleet(proves_without_asking(), FOUR[:3], 1), "kill", "freeze", "cut_off", "heal")
+        self.assert_caught(Fleet(proves_without_asking(), FOUR[:3], 1), "kill", "freeze", "cut_off", "heal")
 
     def test_proves_without_asking_with_five_members(self) -> None:
-        self.caught(Fleet(proves_without_asking(2), SIX, 2), "kill", "freeze", "cut_off", "heal")
+        self.assert_caught(Fleet(proves_without_asking(2), SIX, 2), "kill", "freeze", "cut_off", "heal")
 
 
 if __name__ == "__main__":
--- a/wingwood/control/tests/test_state_transfer.py
+++ b/wingwood/control/tests/test_state_transfer.py
@@ -6,7 +6,7 @@
 import unittest
 
 from ...identifiers import Epoch, Incarnation
-from ..state_transfer import StateReceiver, Transfer, split_state
+from ..state_transfer import StateReceiver, Transfer, split_into_chunks
 
 RECEIVER = Incarnation("backup")
 TRANSFER = Transfer(Incarnation("primary"), Epoch(3), 1)
@@ -17,13 +17,13 @@
 class StateTransferTest(unittest.TestCase):
     def received(self, state: bytes, packed: bool) -> tuple[bytes | None, int]:
         """What the receiver has after the last piece, and the bytes that travelled; pieces come in any order."""
-        pieces = list(split_state(state, RECEIVER, TRANSFER, PIECE_BYTES, packed))
-        travelled = sum(len(piece.data) for piece in pieces)
-        random.Random(1).shuffle(pieces)
+        chunks = list(split_into_chunks(state, RECEIVER, TRANSFER, PIECE_BYTES, packed))
+        travelled = sum(len(chunk.data) for chunk in chunks)
+        random.Random(1).shuffle(chunks)
         receiver = StateReceiver()
-        for piece in pieces[:-1]:
-            self.assertIsNone(receiver.add(piece))
-        return receiver.add(pieces[-1]), travelled
+        for chunk in chunks[:-1]:
+            self.assertIsNone(receiver.add(chunk))
+        return receiver.add(chunks[-1]), travelled
 
     def test_a_state_arrives_as_it_was_sent(self) -> None:
         for packed in (False, True):
--- a/wingwood/control/tests/test_two_losses.py
+++ b/wingwood/control/tests/test_two_losses.py
@@ -8,10 +8,10 @@
 
 from .control_world import SIX, ControlWorld, make_core_for_two_losses
 
-GAP = 3.0
+LONGEST_GAP_S = 3.0
 """Longest wait for an acknowledgement after a fault."""
-SERVICE_BACK = 5.0
-CATCH_UP = 6.0
+SERVICE_BACK_S = 5.0
+CATCH_UP_S = 6.0
 
 
 class TwoLossesCase(unittest.TestCase):
@@ -31,21 +31,21 @@
         view = control.stores[leader].view
         assert view is not None
         rank = {view.primary: 0} | dict.fromkeys(view.backups, 1)
-        return [str(seat.name) for seat in sorted(view.members, key=lambda seat: rank.get(seat.incarnation, 2))]
+        return [str(member.name) for member in sorted(view.members, key=lambda member: rank.get(member.incarnation, 2))]
 
-    def served_after(self, control: ControlWorld) -> float:
-        begun = control.world.now
+    def seconds_until_served(self, control: ControlWorld) -> float:
+        started = control.world.now
         while control.send() is None:
-            self.assertLess(control.world.now - begun, 30.0, control.world.timeline(60))
-        return control.world.now - begun
+            self.assertLess(control.world.now - started, 30.0, control.world.timeline(60))
+        return control.world.now - started
 
-    def hold(self, control: ControlWorld) -> None:
-        self.assertTrue(control.world.wait_for(control.complete, SERVICE_BACK), control.world.timeline(60))
+    def assert_nothing_lost(self, control: ControlWorld) -> None:
+        self.assertTrue(control.world.wait_for(control.complete, SERVICE_BACK_S), control.world.timeline(60))
         leader = control.leader()
         assert leader is not None
-        kept = control.registers[leader].kept.outcomes
+        stored = control.registers[leader].stored.outcomes
         for order, outcome in control.observer.outcomes.items():
-            self.assertEqual(kept.get(order), outcome)
+            self.assertEqual(stored.get(order), outcome)
         self.assertEqual(control.observer.faults, [])
         self.assertEqual(control.world.broken_invariants, [])
 
@@ -81,24 +81,24 @@
 
 class LossTests(TwoLossesCase):
     def test_any_two_lost_at_once_are_borne_within_the_gap(self) -> None:
-        ways = ("kill", "freeze", "power_off", "cut_off", "wipe", "stalled", "full")
+        fault_kinds = ("kill", "freeze", "power_off", "cut_off", "wipe", "stalled", "full")
         for number, (one, other) in enumerate(combinations(range(5), 2)):
             for turn in range(2):
-                way = ways[(number * 2 + turn) % len(ways)]
-                with self.subTest(way=way, lost=(one, other)):
+                fault = fault_kinds[(number * 2 + turn) % len(fault_kinds)]
+                with self.subTest(fault=fault, lost=(one, other)):
                     control = self.fleet(number)
                     members = self.members(control)
                     for name in (members[one], members[other]):
-                        self.lose(control, name, way)
-                    self.assertLess(self.served_after(control), GAP)
+                        self.lose(control, name, fault)
+                    self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
                     self.assertEqual(control.observer.faults, [])
 
-    def lose(self, control: ControlWorld, name: str, way: str) -> None:
-        if way in ("stalled", "full"):
-            control.world.machines[name].disk.set_mode(way)  # type: ignore[arg-type]
+    def lose(self, control: ControlWorld, name: str, fault: str) -> None:
+        if fault in ("stalled", "full"):
+            control.world.machines[name].disk.set_mode(fault)  # type: ignore[arg-type]
             return
-        getattr(control.world, way)(name)
-        if way == "wipe":
+        getattr(control.world, fault)(name)
+        if fault == "wipe":
             control.world.kill(name)
 
     def test_two_wiped_and_two_others_wiped_once_those_are_back(self) -> None:
@@ -109,12 +109,12 @@
                     members = self.members(control)
                     lost = [members[one], members[other]]
                     self.replace(control, lost, ("s1", "s2") if elsewhere else lost, away=2.0)
-                    control.world.run(CATCH_UP)
+                    control.world.run(CATCH_UP_S)
                     self.assertTrue(control.complete(), control.world.timeline(60))
                     again = self.members(control)[:2]
                     self.replace(control, again, ("s3", "s4") if elsewhere else again, away=0.0)
-                    self.assertLess(self.served_after(control), GAP)
-                    self.hold(control)
+                    self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
+                    self.assert_nothing_lost(control)
 
     def replace(self, control: ControlWorld, lost: Sequence[str], fresh: Sequence[str], away: float) -> None:
         left = [name for name in self.members(control) if name not in lost]
@@ -139,8 +139,8 @@
                     control.world.wipe(name)
                 for name in control.world.random.sample(SIX, 6):
                     control.world.power_on(name)
-                self.assertLess(self.served_after(control), GAP)
-                self.hold(control)
+                self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
+                self.assert_nothing_lost(control)
 
     def test_all_processes_killed_at_once(self) -> None:
         for seed in range(5):
@@ -150,8 +150,8 @@
                     control.world.kill(name)
                 for name in control.world.random.sample(SIX, 6):
                     control.world.restart(name)
-                self.assertLess(self.served_after(control), GAP)
-                self.hold(control)
+                self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
+                self.assert_nothing_lost(control)
 
     def test_a_spare_takes_the_seat_of_a_silent_member_and_then_two_others_may_be_lost(self) -> None:
         control = self.fleet()
@@ -161,7 +161,7 @@
         self.assertTrue(control.complete(), control.world.timeline(60))
         for name in self.members(control)[:2]:
             control.world.power_off(name)
-        self.assertLess(self.served_after(control), GAP)
+        self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
 
     def test_a_primary_beside_one_other_in_a_cut_says_that_it_does_not_lead(self) -> None:
         control = self.fleet()
@@ -170,7 +170,7 @@
         control.world.network.cut([(a, b) for a in group for b in others] + [(b, a) for a in group for b in others])
         control.world.run(2.0)
         self.assertFalse(control.leads(members[0]))
-        self.assertLess(self.served_after(control), GAP)
+        self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
 
 
 if __name__ == "__main__":
--- a/wingwood/control/tests/test_walks.py
+++ b/wingwood/control/tests/test_walks.py
@@ -10,7 +10,7 @@
 
 SEEDS = range(10)
 STEPS = 30
-MOST_WALKS = 40
+MAX_WALKS = 40
 RUN_EACH_ALONE = True
 """For the runner of tests: these are long."""
 
@@ -21,15 +21,15 @@
 
 class WalkTests(unittest.TestCase):
     def test_nothing_acknowledged_is_lost_or_contradicted_and_service_comes_back(self) -> None:
-        self.hold(Mutant(core_maker(), ()), least_losses=5)
+        self.assert_walks_hold(Mutant(core_maker(), ()), least_losses=5)
 
     def test_the_same_with_two_losses_at_once(self) -> None:
-        self.hold(Mutant(core_maker(losses_borne=2), (), SIX, 2), least_losses=10)
+        self.assert_walks_hold(Mutant(core_maker(losses_borne=2), (), SIX, 2), least_losses=10)
 
     def test_the_same_with_a_spare(self) -> None:
-        self.hold(Mutant(core_maker(), (), SIX[:4], 1), least_losses=5)
+        self.assert_walks_hold(Mutant(core_maker(), (), SIX[:4], 1), least_losses=5)
 
-    def hold(self, fleet: Mutant, least_losses: int) -> None:
+    def assert_walks_hold(self, fleet: Mutant, least_losses: int) -> None:
         acknowledged = losses = proofs = 0
         for seed in SEEDS:
             one = walk(seed, fleet, fleet.make)
@@ -42,16 +42,16 @@
         self.assertGreater(proofs, 20)
 
     def test_walks_catch_each_broken_variant(self) -> None:
-        self.catch(losses_borne=1)
+        self.assert_each_caught(losses_borne=1)
 
     def test_walks_catch_each_broken_variant_with_two_losses(self) -> None:
-        self.catch(losses_borne=2)
+        self.assert_each_caught(losses_borne=2)
 
-    def catch(self, losses_borne: int) -> None:
+    def assert_each_caught(self, losses_borne: int) -> None:
         for name, mutant in MUTANTS.items():
             if mutant.losses_borne == losses_borne:
                 with self.subTest(mutant=name):
-                    self.assertTrue(any(walk(seed, mutant, mutant.make).run(STEPS) for seed in range(MOST_WALKS)))
+                    self.assertTrue(any(walk(seed, mutant, mutant.make).run(STEPS) for seed in range(MAX_WALKS)))
 
     def test_the_unbroken_core_holds_in_the_same_walks(self) -> None:
         for name, mutant in MUTANTS.items():
