--- a/wingwood/control/tests/walk.py
+++ b/wingwood/control/tests/walk.py
@@ -19,7 +19,7 @@
 from ..messages import FoundedEntry, View
 from .control_world import ControlWorld, MakeCore, Put, make_core
 
-SERVICE_BACK = 12.0
+SERVICE_BACK_S = 12.0
 
 
 class Walk:
@@ -80,10 +80,10 @@
 
         async def ask() -> None:
             newest = observer.newest
-            if await core.prove_lead():
+            if await core.prove_leadership():
                 observer.proofs += 1
-                if register.kept.version < newest:
-                    version = register.kept.version
+                if register.stored.version < newest:
+                    version = register.stored.version
                     observer.faults.append(f"{self.world.now:.3f} {name} proves version {version}, {newest} is newer")
 
         self.world.spawn(self.world.processes[name], ask(), "proof")
@@ -119,7 +119,7 @@
             self.nothing,
         ]
 
-    def did(self, what: str) -> None:
+    def log_step(self, what: str) -> None:
         self.steps.append(f"{self.world.now:8.3f} {what}")
         self.world.note("walk", what)
 
@@ -129,7 +129,7 @@
     def hush(self) -> None:
         """The operators are silent for a while."""
         self.control.quiet_until = self.world.now + self.random.choice((0.5, 2.0, 8.0))
-        self.did("hush")
+        self.log_step("hush")
 
     def up(self) -> list[str]:
         return [name for name in self.names if self.world.processes[name].alive]
@@ -139,7 +139,7 @@
         if not up:
             return
         name = name or self.random.choice(up)
-        self.did(f"kill {name}")
+        self.log_step(f"kill {name}")
         if self.random.random() < 0.5:
             self.world.kill(name)
         else:
@@ -153,8 +153,8 @@
             self.kill(leader)
 
     def kill_all(self) -> None:
-        lost = self.some_of(self.names) if self.loss_can_be_borne() and self.random.random() < 0.6 else []
-        self.did(f"kill all, wipe {lost}")
+        lost = self.sample_names(self.names) if self.loss_can_be_borne() and self.random.random() < 0.6 else []
+        self.log_step(f"kill all, wipe {lost}")
         for name in self.up():
             self.kill(name)
         for name in lost:
@@ -166,7 +166,7 @@
         if not up:
             return
         name = name or self.random.choice(up)
-        self.did(f"freeze {name}")
+        self.log_step(f"freeze {name}")
         self.world.freeze(name)
         self.frozen[name] = self.world.now + self.random.choice((0.1, 1.0, 3.0, 20.0)) * self.random.random()
 
@@ -179,21 +179,21 @@
         everyone = [*self.names, *self.operators]
         one, other = self.random.sample(everyone, 2)
         both = self.random.random() < 0.5
-        self.did(f"cut {one} {other} both={both}")
+        self.log_step(f"cut {one} {other} both={both}")
         self.cuts.append(self.world.cut(one, other, both))
 
     def cut_off(self) -> None:
         """A control daemon with one operator, away from all others."""
         name, friend = self.random.choice(self.names), self.random.choice(list(self.operators))
         inward, outward = self.random.choice(((True, True), (True, False), (False, True)))
-        self.did(f"cut off {name} with {friend} inward={inward} outward={outward}")
+        self.log_step(f"cut off {name} with {friend} inward={inward} outward={outward}")
         others = [other for other in (*self.names, *self.operators) if other not in (name, friend)]
         pairs = [(other, name) for other in others if inward] + [(name, other) for other in others if outward]
         self.cuts.append(self.world.network.cut(pairs))
 
     def slow_wire(self) -> None:
         one, other = self.random.sample(self.names, 2)
-        self.did(f"slow wire from {one} to {other}")
+        self.log_step(f"slow wire from {one} to {other}")
         self.world.network.slowness[(one, other)] = self.random.choice((0.01, 0.1, 0.4))
 
     def split(self) -> None:
@@ -204,7 +204,7 @@
         self.cut_apart(everyone[:size])
 
     def cut_apart(self, group: Sequence[str]) -> None:
-        self.did(f"cut {' '.join(group)} from the others")
+        self.log_step(f"cut {' '.join(group)} from the others")
         others = [name for name in (*self.names, *self.operators) if name not in group]
         pairs = [(one, other) for one in group for other in others]
         self.cuts.append(self.world.network.cut([*pairs, *((other, one) for one, other in pairs)]))
@@ -233,7 +233,7 @@
         out = self.random.sample([name for name in members if name != leader], min(len(spares), self.losses_borne))
         if not out or any(name not in self.up() or name in self.frozen for name in out):
             return
-        self.did(f"freeze {out}, {spares} are spares")
+        self.log_step(f"freeze {out}, {spares} are spares")
         for name in out:
             self.world.freeze(name)
             self.frozen[name] = self.world.now + 5.0
@@ -255,7 +255,7 @@
         self.world.run(self.random.uniform(3.0, 7.0))
 
     def heal_cuts(self) -> None:
-        self.did("heal cuts")
+        self.log_step("heal cuts")
         self.world.network.slowness.clear()
         for cut in self.cuts:
             self.world.heal(cut)
@@ -264,7 +264,7 @@
     def sicken(self) -> None:
         name = self.random.choice(self.names)
         mode = self.random.choice(("slow", "stalled", "full", "failing"))
-        self.did(f"disk of {name} {mode}")
+        self.log_step(f"disk of {name} {mode}")
         self.world.machines[name].disk.set_mode(mode)  # type: ignore[arg-type]
         self.sick[name] = self.world.now + self.random.choice((0.2, 1.5, 8.0)) * self.random.random() * 2
 
@@ -287,7 +287,7 @@
                 return store.incarnation if store is not None and store.incarnation.startswith("at ") else incarnation
         return None
 
-    def some_of(self, names: Sequence[str], first: str | None = None) -> list[str]:
+    def sample_names(self, names: Sequence[str], first: str | None = None) -> list[str]:
         """As many as may be lost at once, or fewer; ``first`` is one of them."""
         most = self.random.randint(1, self.losses_borne)
         firsts = [first] if first is not None else []
@@ -307,9 +307,9 @@
             return
         leader = self.control.leader() if self.random.random() < 0.4 else None
         among = self.holders() if self.losses_borne > 1 and self.random.random() < 0.5 else self.names
-        names = self.some_of(among, leader)
+        names = self.sample_names(among, leader)
         self.losses += len(names)
-        self.did(f"wipe {names}")
+        self.log_step(f"wipe {names}")
         for name in names:
             if self.random.random() < 0.7 and self.world.processes[name].alive:
                 self.kill(name)
@@ -322,11 +322,11 @@
         if not self.loss_can_be_borne() or leader is None or len(holders) < 2:
             return
         late = self.random.choice([name for name in holders if name != leader])
-        self.did(f"slow wire from {leader} to {late}")
+        self.log_step(f"slow wire from {leader} to {late}")
         self.world.network.slowness[(leader, late)] = 0.4
         self.world.run(self.random.uniform(0.02, 0.4))
         for name in [name for name in holders if name != late][: self.losses_borne]:
-            self.did(f"wipe {name}")
+            self.log_step(f"wipe {name}")
             self.losses += 1
             if self.world.processes[name].alive:
                 self.kill(name)
@@ -338,10 +338,10 @@
         if not self.loss_can_be_borne():
             return
         leader = self.control.leader()
-        names = self.some_of([name for name in self.names if name != leader])
+        names = self.sample_names([name for name in self.names if name != leader])
         self.hush()
         self.losses += len(names)
-        self.did(f"wipe {names}, then kill {leader}")
+        self.log_step(f"wipe {names}, then kill {leader}")
         for name in names:
             self.world.kill(name)
             self.world.wipe(name)
@@ -356,17 +356,17 @@
         if not self.loss_can_be_borne():
             return
         leader = self.control.leader()
-        names = self.some_of([name for name in self.names if name != leader])
+        names = self.sample_names([name for name in self.names if name != leader])
         self.losses += len(names)
-        self.did(f"wipe {names}, then the primary")
+        self.log_step(f"wipe {names}, then the primary")
         for name in names:
             self.world.kill(name)
             self.world.wipe(name)
             self.start(name)
         if self.world.wait_for(self.loss_can_be_borne, 3.0, every=0.001):
             others = [name for name in self.holders() if name not in names]
-            for name in self.some_of(others if len(others) > 1 else self.names, self.control.leader()):
-                self.did(f"wipe {name}")
+            for name in self.sample_names(others if len(others) > 1 else self.names, self.control.leader()):
+                self.log_step(f"wipe {name}")
                 self.losses += 1
                 self.world.power_off(name)
                 self.world.wipe(name)
@@ -382,7 +382,7 @@
         name = self.random.choice([name for name in self.names if self.incarnation_on_disk(name) is not None])
         disk = self.world.machines[name].disk
         self.losses += 1
-        self.did(f"damage {name}")
+        self.log_step(f"damage {name}")
         self.kill(name)
         data = bytearray(disk.visible["control.journal"])
         match scan(bytes(data)):
@@ -408,16 +408,16 @@
         name = self.random.choice([name for name in self.names if len(seeds) > 1 or name not in seeds])
         fresh = f"s{len(self.retired) + 1}"
         self.losses += 1
-        self.did(f"replace {name} by {fresh}")
+        self.log_step(f"replace {name} by {fresh}")
         self.world.power_off(name)
         self.world.wipe(name)
         self.names.remove(name)
         self.retired.add(name)
-        self.forget(name)
+        self.forget_machine(name)
         self.names.append(fresh)
         self.control.start(fresh)
 
-    def forget(self, name: str) -> None:
+    def forget_machine(self, name: str) -> None:
         for times in (self.down, self.frozen, self.sick):
             times.pop(name, None)
         self.control.cores.pop(name, None)
@@ -439,7 +439,7 @@
                 self.down[name] = self.world.now + 0.2
 
     def start(self, name: str) -> None:
-        self.did(f"start {name}")
+        self.log_step(f"start {name}")
         if self.world.machines[name].powered:
             self.world.restart(name)
         else:
@@ -449,33 +449,33 @@
 
     def end(self) -> None:
         observer = self.control.observer
-        self.did("end")
+        self.log_step("end")
         self.control.quiet_until = 0.0
         self.heal_cuts()
         self.recover_due(everything=True)
-        begun = self.world.now
+        started = self.world.now
         served: list[float] = []
 
         def service() -> bool:
             self.recover_due()
-            if not served and observer.last_acknowledged > begun:
+            if not served and observer.last_acknowledged > started:
                 served.append(self.world.now)
             return bool(served) and self.control.complete()
 
-        if not self.world.wait_for(service, 2 * SERVICE_BACK) or served[0] - begun > SERVICE_BACK:
-            observer.faults.append(f"{self.world.now:.3f} service back: {served}, since {begun}; complete or not")
+        if not self.world.wait_for(service, 2 * SERVICE_BACK_S) or served[0] - started > SERVICE_BACK_S:
+            observer.faults.append(f"{self.world.now:.3f} service back: {served}, since {started}; complete or not")
             return
         leader = self.control.leader()
         if leader is None:
             return
-        kept = self.control.registers[leader].kept
+        stored = self.control.registers[leader].stored
         for order, outcome in observer.outcomes.items():
-            if kept.outcomes.get(order) != outcome:
-                observer.faults.append(f"lost: {outcome}, kept: {kept.outcomes.get(order)}")
+            if stored.outcomes.get(order) != outcome:
+                observer.faults.append(f"lost: {outcome}, kept: {stored.outcomes.get(order)}")
                 return
-        self.ask_again()
+        self.resend_orders()
 
-    def ask_again(self) -> None:
+    def resend_orders(self) -> None:
         """Orders sent again get their first outcome (the observer compares)."""
         control = self.control
         orders = sorted(control.observer.outcomes)[-40:]
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -63,7 +63,7 @@
 
     async def drain(self) -> None:
         if self._parts is not None:
-            self._parts.core.give_way()
+            self._parts.core.release_leadership()
             await self._context.clock.sleep(Seconds(0.3))
 
     def stop(self) -> None:
@@ -174,7 +174,7 @@
 
     def current(self) -> Bundle | None:
         """The newest durable bundle, on primary and backup."""
-        manifest = self.source.newest()
+        manifest = self.source.latest()
         if manifest is None:
             return None
         if self._parsed is None or self._parsed.version != manifest.version:
--- a/wingwood/distribution/freshness.py
+++ b/wingwood/distribution/freshness.py
@@ -68,7 +68,7 @@
         )
 
     def _own_newest(self) -> BundleVersion:
-        manifest = self._source.newest()
+        manifest = self._source.latest()
         return BundleVersion(0) if manifest is None else manifest.version
 
     def _on_announced(self, peer: Identity, message: BundleAnnounced) -> None:
@@ -155,7 +155,7 @@
             proven = False
             try:
                 async with asyncio.timeout(self._limits.proof_answer):
-                    proven = await self._core.prove_lead() and self._core.leads()
+                    proven = await self._core.prove_leadership() and self._core.leads()
             except TimeoutError:
                 pass
             self._running.set_result(proven)
--- a/wingwood/distribution/publisher.py
+++ b/wingwood/distribution/publisher.py
@@ -76,7 +76,7 @@
             self._wake.set()
 
     async def _on_fetch(self, peer: Identity, message: FetchBundle) -> BundleChunk:
-        newest = self._source.newest()
+        newest = self._source.latest()
         if newest is None:
             primary = self._core.primary_address()
             return BundleChunk(False, BundleVersion(0), ask=None if self._core.leads() else primary)
@@ -100,7 +100,7 @@
         return self._ranked[1]
 
     def _publish(self) -> None:
-        newest = self._source.newest()
+        newest = self._source.latest()
         if newest is None or not self._core.leads():
             return
         self._published = self._context.clock.monotonic()
--- a/wingwood/distribution/tests/stand_ins.py
+++ b/wingwood/distribution/tests/stand_ins.py
@@ -55,7 +55,7 @@
     async def decide(self, kind: str, command: msgspec.Struct) -> Result[msgspec.Struct, NotDecided]:
         return Failure(NotDecided("not-leading"))
 
-    async def prove_lead(self) -> bool:
+    async def prove_leadership(self) -> bool:
         epoch = self._epoch
         for other in self._others:
             if other == self._messenger.identity.internal:
@@ -79,7 +79,7 @@
         self._state = state
         self._callbacks: list[Callable[[Manifest], None]] = []
 
-    def newest(self) -> Manifest | None:
+    def latest(self) -> Manifest | None:
         return self._state.manifest_at(self._state.version)
 
     def delta_since(self, version: BundleVersion) -> BundleDelta | None:
@@ -89,7 +89,7 @@
         self._callbacks.append(callback)
 
     def committed(self) -> None:
-        manifest = self.newest()
+        manifest = self.latest()
         assert manifest is not None
         for callback in self._callbacks:
             callback(manifest)
--- a/wingwood/ledger/tests/test_core.py
+++ b/wingwood/ledger/tests/test_core.py
@@ -45,7 +45,7 @@
         seeds: Sequence[Address],
     ) -> ReplicatedCore:
         ledger = LedgerState(context.clock, RETENTION, self._is_member)
-        limits = ControlLimits(rewrite_bytes=50_000, piece_bytes=16_384)
+        limits = ControlLimits(rewrite_bytes=50_000, chunk_bytes=16_384)
         return self.core_type(context, messenger, store, contents, [ledger], seeds, limits=limits)
 
     def _is_member(self, router: Incarnation) -> bool:
