--- a/wingwood/control/backup.py
+++ b/wingwood/control/backup.py
@@ -1,4 +1,4 @@
-"""A backup: journals the primary's batches and takes over its whole state (docs/DESIGN.md section 7.2)."""
+"""A backup: journals the batches of the primary and installs its complete state (docs/DESIGN.md section 7.2)."""
 
 from __future__ import annotations
 
@@ -23,23 +23,29 @@
 ANOTHER_INCARNATION = "another incarnation"
 NEWER_STATE_INSTALLED = "a newer state was taken"
 REWRITE_FACTOR = 1.5
-"""A backup rewrites its journal at this many times the length at which the primary does."""
+"""A backup rewrites its journal at this many times the length at which the primary does.
+
+So the two do not rewrite at the same time.
+"""
 
 
 class ReceivedBatch(msgspec.Struct, frozen=True):
-    """Which batch a backup journaled: the epoch it came under, and the sequence before it."""
+    """Identifies a batch that a backup journaled: the epoch under which it came, and the sequence before it."""
 
     epoch: Epoch
     before: int
 
 
 class Backup(StoreGuard):
-    """Answers of a member to the primary that replicates to it. A refusal is a string, None means done."""
+    """Answers a primary that replicates to this member.
+
+    Methods return the reason of a refusal as a string, or None when they did what was asked.
+    """
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
         self._last_received: ReceivedBatch | None = None
-        """The newest batch journaled as backup."""
+        """The latest batch that this member journaled as a backup."""
         self._state_receiver = StateReceiver()
 
     def _replicated(self, refusal: str | None) -> ControlReplicated:
@@ -71,16 +77,16 @@
             match await self._store.append_batch(message.entry, message.before + 1):
                 case Failure(fault):
                     self._mark_disk_faulty(fault)
-                    return f"sick: {fault.kind}"
+                    return f"disk fault: {fault.kind}"
             self._last_received = received
             self._replica.receive(decode_batch(message.entry))
         return None
 
     def _batch_refusal(self, epoch: Epoch) -> str | None:
-        """Why no batch is taken under that epoch."""
+        """Returns why batches under that epoch are refused, or None when they are accepted."""
         view = self._store.view
         if self._disk_fault is not None or self._stale:
-            return f"sick: {self._disk_fault}"
+            return f"disk fault: {self._disk_fault}"
         if epoch < self._store.promise.epoch:
             return "promised a higher epoch"
         if view is None or view.epoch != epoch or self._own_incarnation not in view.backups:
@@ -100,7 +106,7 @@
         if committed <= self._store.sequence:
             self._replica.commit(committed)
 
-    # -- the whole state
+    # -- the complete state
 
     async def _on_state_chunk(self, _: Identity, message: ControlStateChunk) -> ControlReplicated:
         if message.to != self._own_incarnation:
@@ -118,10 +124,10 @@
             return self._state_refusal(transfer) or await self._install_state(transfer, data)
 
     def _state_refusal(self, transfer: Transfer) -> str | None:
-        """Why this state is not taken."""
+        """Returns why this state is refused, or None when it may be installed."""
         held = self._store.promise
         if self._disk_fault is not None:
-            return f"sick: {self._disk_fault}"
+            return f"disk fault: {self._disk_fault}"
         if self._state_receiver.is_outdated(transfer):
             return NEWER_STATE_INSTALLED
         if transfer.epoch < held.epoch or (transfer.epoch == held.epoch and transfer.sender != held.candidate):
@@ -129,7 +135,7 @@
         return None
 
     async def _install_state(self, transfer: Transfer, data: bytes) -> str | None:
-        """Journals it in place of all that is here."""
+        """Replaces the journal and the state of this member by the received state."""
         if self._leadership is not None:
             self._step_down(f"takes the state of epoch {transfer.epoch}")
         contents = Contents(msgspec.msgpack.decode(data, type=SnapshotEntry), [])
@@ -137,7 +143,7 @@
         match await self._store.rewrite(lambda: contents, self._limits.rewrite_timeout(len(data)), promise):
             case Failure(fault):
                 self._mark_disk_faulty(fault)
-                return f"sick: {fault.kind}"
+                return f"disk fault: {fault.kind}"
         self._state_receiver.note_installed(transfer)
         self._replica.load(contents)
         self._stale = False
--- a/wingwood/control/bundle_source.py
+++ b/wingwood/control/bundle_source.py
@@ -1,4 +1,4 @@
-"""The acknowledged bundles of this control daemon, for distribution (docs/DESIGN.md section 7.2.6)."""
+"""The acknowledged bundles of this control daemon, as distribution reads them (docs/DESIGN.md section 7.2.6)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CommittedBundles:
-    """A ``BundleSource`` over the bundle applier: shows only what is durable on primary and backup."""
+    """A ``BundleSource`` over the bundle applier that shows only versions durable on the primary and all backups."""
 
     def __init__(self, core: ReplicatedCore | RelayCore, state: BundleState) -> None:
         self._state = state
@@ -26,7 +26,7 @@
 
     @property
     def version(self) -> BundleVersion:
-        """Newest durable version; 0 when there is none."""
+        """The latest durable version; 0 when there is none."""
         return self._manifest.version if self._manifest is not None else BundleVersion(0)
 
     def latest(self) -> Manifest | None:
--- a/wingwood/control/candidate.py
+++ b/wingwood/control/candidate.py
@@ -1,4 +1,4 @@
-"""The two rounds that choose a view: promises, then acceptances (docs/DESIGN.md sections 7.2.3 and 7.2.4)."""
+"""The two rounds of an election: promises, then acceptances (docs/DESIGN.md sections 7.2.3 and 7.2.4)."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 from .store_guard import StoreGuard
 
 GRANT_LINGER_S = Seconds(0.1)
-"""Further grants are waited for so long: they may show a newer view, or a holder with more batches."""
+"""Further grants are awaited for this long after a quorum.
+
+They may show a newer view, or a holder with more batches.
+"""
 PAUSE_FOR_FULLER_HOLDER_S = 1.0
-"""Seconds for which a candidate leaves the candidacy to a holder that has more batches."""
+"""Time for which a candidate does not stand again, so that a holder with more batches may win."""
 
 
 class Ballot:
-    """The promises asked for one epoch, and the newest view accepted among those who granted."""
+    """The promises asked for under one epoch, and the latest view accepted by any member that granted one."""
 
     def __init__(self, me: Incarnation, epoch: Epoch, latest: View) -> None:
         self.epoch = epoch
@@ -26,13 +29,13 @@
         self._asked = {me}
 
     def next_voters(self) -> list[ViewMember]:
-        """Voters of the newest view that have not been asked yet; they count as asked from now on."""
+        """Returns the voters of the latest view that have not been asked yet, and marks them as asked."""
         voters = [member for member in self.latest.voters() if member.incarnation not in self._asked]
         self._asked.update(member.incarnation for member in voters)
         return voters
 
     def has_quorum(self, more: Sequence[ControlGrant] = ()) -> bool:
-        """A quorum of the newest view has granted, counting us and the answers ``more``."""
+        """Whether a quorum of the latest view has granted, counting us and the answers in ``more``."""
         return self.latest.quorum(
             {self._own_incarnation, *self.grants, *(answer.by for answer in more if answer.granted)}
         )
@@ -45,16 +48,20 @@
             self.latest = grant.view
 
     def holder_has_more(self, sequence: int) -> bool:
-        """Another holder of the newest view has journaled more than that."""
+        """Whether another holder of the latest view has journaled batches above ``sequence``."""
         holders = self.latest.holders
         return any(by in holders and grant.sequence > sequence for by, grant in self.grants.items())
 
 
 class Candidate(StoreGuard):
-    """Stands for a new epoch, whether to take over or to change the view that it leads."""
+    """Runs elections for a new epoch, either to take over or to change the view that this member leads."""
 
     async def _run_election(self, plan: ViewPlan | None) -> View | None:
-        """None: not won; a higher epoch has been promised here in any case. Without a plan it is a take-over."""
+        """Runs one election; without a plan it is a take-over.
+
+        Returns the chosen view, or None when the election was lost. In either case this member may have
+        promised itself a higher epoch.
+        """
         ballot = await self._open_ballot()
         if ballot is None:
             return None
@@ -71,7 +78,7 @@
     # -- promises
 
     async def _open_ballot(self) -> Ballot | None:
-        """Promises a new epoch to ourselves."""
+        """Promises a new epoch to ourselves; returns None when the store may not be used or the write fails."""
         async with self._lock:
             if self._disk_fault is not None or self._store.view is None:
                 return None
@@ -84,7 +91,7 @@
             return Ballot(self._own_incarnation, epoch, self._store.view)
 
     async def _collect_grants(self, ballot: Ballot) -> None:
-        """Asks the voters of the newest view, and those of a newer one when a grant shows it."""
+        """Asks the voters of the latest view for promises, and those of any newer view that a grant shows."""
         while voters := ballot.next_voters():
             work = [
                 self._ask(member, ControlPromise(member.incarnation, self._own_incarnation, ballot.epoch), ControlGrant)
@@ -100,20 +107,20 @@
             self._log("candidacy-lost", epoch=epoch, granted=len(ballot.grants), highest=self._highest_epoch)
             return False
         if self._own_incarnation not in latest.holders:
-            self._log("candidacy-given-up", epoch=epoch, newest=latest.epoch, reason="not a holder of the newest view")
+            self._log("candidacy-given-up", epoch=epoch, newest=latest.epoch, reason="not a holder of the latest view")
             return False
         return True
 
     def _defers_to_another_holder(self, ballot: Ballot) -> bool:
         if not ballot.holder_has_more(self._store.sequence):
             return False
-        reason = "another holder has more"
+        reason = "another holder has journaled more batches"
         self._log("candidacy-given-up", epoch=ballot.epoch, newest=ballot.latest.epoch, reason=reason)
         self._no_candidacy_before = Instant(self._now() + PAUSE_FOR_FULLER_HOLDER_S)
         return True
 
     def _proposed_view(self, ballot: Ballot, plan: ViewPlan | None) -> View:
-        """The planned view where it may be built on the newest one, else the newest one without backups."""
+        """Returns the planned view if it may be built on the latest one, else the latest one without backups."""
         epoch, latest = ballot.epoch, ballot.latest
         view = View(epoch, self._own_incarnation, (), latest.members, latest.holders, latest.former)
         if plan is not None:
@@ -132,7 +139,10 @@
     # -- acceptances
 
     async def _accept_round(self, view: View, everyone: bool) -> bool:
-        """Accepted here and by a quorum with all its backups in sync, or by ``everyone``."""
+        """Returns whether the view was accepted here and by a quorum, with all its backups in sync.
+
+        With ``everyone``, all members must accept it instead.
+        """
         if not await self._accept_own(view):
             return False
 
@@ -155,18 +165,22 @@
         )
 
     def _in_sync(self, view: View, sequences: Mapping[Incarnation, int]) -> bool:
-        """Each backup has what we have, or it is none: whatever became of what we sent it."""
+        """Whether each backup has journaled exactly what we have, whatever became of the state that we sent it."""
         return all(sequences.get(backup) == self._store.sequence for backup in view.backups)
 
     async def _record_chosen(self, view: View) -> View | None:
-        """The view is chosen, so its former members count no longer; the others hear so with the heartbeats."""
+        """Journals that the view is chosen, so that its former members no longer count.
+
+        The other members learn this with the heartbeats. Returns None when the write failed or a higher
+        epoch was promised meanwhile.
+        """
         if not view.former:
             return view
         chosen = view.as_chosen()
         return chosen if await self._accept_own(chosen) else None
 
     async def _accept_own(self, view: View) -> bool:
-        """Journals a view of ours, unless a higher epoch was promised since."""
+        """Journals a view of ours, unless a higher epoch was promised meanwhile; returns whether it was journaled."""
         async with self._lock:
             if self._disk_fault is not None or self._store.promise != Promise(view.epoch, self._own_incarnation):
                 return False
--- a/wingwood/control/client.py
+++ b/wingwood/control/client.py
@@ -1,4 +1,4 @@
-"""Any daemon's way to the control core's primary (docs/DESIGN.md section 7.11)."""
+"""Client of the control core for any daemon: finds the primary, sends commands (docs/DESIGN.md section 7.11)."""
 
 from __future__ import annotations
 
@@ -20,23 +20,26 @@
 
 
 class ControlClientLimits(msgspec.Struct, frozen=True):
+    """Limits of a client; durations are in seconds."""
+
     attempt_timeout: Seconds = Seconds(1.2)
-    """How long one control daemon may take to answer before the command is sent again."""
+    """How long one control daemon may take to answer before the command is sent to another."""
     leader_query_timeout: Seconds = Seconds(0.4)
-    """How long to wait for control daemons to say who leads ..."""
+    """How long to wait for the control daemons' answers to the question who leads."""
     leader_query_linger: Seconds = Seconds(0.05)
-    """... and for others after the first that did."""
+    """How long to wait for further answers after the first one."""
     retry_pause: Seconds = Seconds(0.05)
+    """Pause before the next attempt."""
     avoid_silent_for: Seconds = Seconds(3.0)
-    """Who left a command without an answer is the last way for so long."""
+    """For this long, a daemon that left a command unanswered is tried only after all others."""
 
 
 class ControlClient:
-    """Sends commands to the primary, wherever it is, until one answer is certain or the time is over.
+    """Sends commands to the primary, whichever daemon that is, until an answer is certain or the timeout passes.
 
-    A command may reach the appliers more than once, so it must be one that they recognise when it
-    comes again (orders by their id, the ledger by its tickets). ``addresses`` gives the internal
-    addresses of all control daemons known now: the seeds and those learnt since.
+    A command may reach the appliers more than once, so they must recognise a repeated command: orders by
+    their id, the ledger by its tickets. ``addresses`` returns the internal addresses of all control daemons
+    known now: the seeds and those learned since.
     """
 
     def __init__(
@@ -58,14 +61,18 @@
     async def decide(
         self, kind: str, command: msgspec.Struct, reply_type: type[Reply], timeout: Seconds
     ) -> Result[Reply, NotDecided]:
-        """``unknown`` when it may have been sent and no answer was certain; the other kinds: nothing happened."""
+        """Sends the command until it gets a reply or ``timeout`` passes.
+
+        The failure is ``unknown`` when the command may have been sent and no answer was certain; every other
+        kind means that nothing happened.
+        """
         now = self._context.clock.monotonic
         encoded = msgspec.msgpack.encode(command)
         deadline = Instant(now() + timeout)
         may_have_run = False
         last = NotDecided("not-leading", detail="no control daemon answers")
         targets: list[Address] = []
-        """Whom to try next: the primary, then daemons that can pass the command on."""
+        """The addresses to try next: the primary, then daemons that can forward the command."""
         while (left := deadline - now()) > 0.0:
             if self._primary is not None and not targets:
                 targets = [self._primary]
@@ -94,7 +101,7 @@
             if decision.reply is not None:
                 self._silent_until.pop(address, None)
                 self._primary = decision.primary or address
-                if self._is_silent(self._primary):  # Only to us: who passed the command on is the way to it.
+                if self._is_silent(self._primary):  # Unreachable from here only: use the forwarder.
                     self._primary = address
                 return Success(msgspec.msgpack.decode(decision.reply, type=reply_type))
             last = decision.fault or last
@@ -105,7 +112,7 @@
             elif self._is_silent(last.primary):
                 self._silent_until[address] = Instant(
                     now() + self._limits.avoid_silent_for
-                )  # It leads nowhere; others may.
+                )  # It refers us to a silent primary.
             else:
                 targets = [last.primary]
             await self._pause(deadline)
@@ -114,7 +121,7 @@
         return Failure(last)
 
     async def submit(self, command: SubmitOrder | SubmitEdition, timeout: Seconds) -> Result[OrderOutcome, NotDecided]:
-        """An operator's order; sending it again is always safe."""
+        """Sends an operator's order; repeating it is always safe."""
         return await self.decide("bundle", command, OrderOutcome, timeout)
 
     def _is_silent(self, address: Address) -> bool:
@@ -129,7 +136,10 @@
             self._primary = None
 
     async def _find_targets(self) -> list[Address]:
-        """The presumed primary and the daemons that said so; one question serves all who wait for it."""
+        """Returns the presumed primary and the daemons that answered.
+
+        Concurrent callers share one round of questions.
+        """
         if self._find_task is None or self._find_task.done():
             self._find_task = asyncio.get_running_loop().create_task(self._query_leaders())
         return list(await asyncio.shield(self._find_task))
--- a/wingwood/control/command_intake.py
+++ b/wingwood/control/command_intake.py
@@ -1,4 +1,4 @@
-"""Commands to the primary: the queue, the batches and the answers (docs/DESIGN.md sections 7.2.5 and 7.7)."""
+"""Commands to the primary: their queue, batches and answers (docs/DESIGN.md sections 7.2.5 and 7.7)."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from .store import encode_batch
 
 REWRITE_FACTOR = 1.0
-"""A primary rewrites its journal at once when it is long; see ``backup.REWRITE_FACTOR``."""
+"""A primary rewrites its journal as soon as it is long; see ``backup.REWRITE_FACTOR``."""
 SHORTEST_WAIT_S = 0.01
 
 
 class CommandIntake(Replicator):
-    """Takes commands, decides them in batches, and answers when a batch is durable."""
+    """Accepts commands, decides them in batches, and answers them once their batch is durable."""
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
@@ -36,10 +36,10 @@
             applier.kind: getattr(applier, "command_type", SubmitOrder) for applier in setup.appliers
         }
 
-    # -- taking commands
+    # -- accepting commands
 
     async def decide(self, kind: str, command: msgspec.Struct, timeout: Seconds | None = None) -> Answer:
-        """As in the protocol; ``timeout`` may shorten the bound of the wait."""
+        """As in ``ControlCore``; ``timeout`` may shorten the limit on the time to decide."""
         if not self.leads():
             return Failure(NotDecided("not-leading", self._other_primary()))
         bound = self._limits.decide_timeout if timeout is None else min(timeout, self._limits.decide_timeout)
@@ -80,15 +80,15 @@
                 return ControlDecision(fault=fault)
         raise AssertionError("a result is a success or a failure")
 
-    # -- the runner
+    # -- the task that runs commands
 
     async def _run_commands(self) -> None:
-        """The one runner: takes what waits, decides it as a batch, answers when it is durable."""
+        """The only task that decides commands: decides those that wait as a batch, and answers once it is durable."""
         while True:
             await self._decide_waiting([await self._commands.get()])
 
     async def _decide_waiting(self, batch: list[PendingCommand]) -> None:
-        """Until all of the batch, and what came to it meanwhile, are decided or their time is over."""
+        """Runs until all commands of the batch, and those added meanwhile, are decided or past their deadline."""
         while batch:
             while len(batch) < self._limits.batch_commands and self._commands.qsize():
                 batch.append(self._commands.get_nowait())
@@ -102,11 +102,11 @@
             now = self._now()
             batch = self._without_expired(batch, now)
             if batch:
-                # A primary that hears nobody decides nothing, also when it has just woken up.
+                # A primary that gets no answers decides nothing, even right after it was frozen.
                 await self._wait_for_change(min(command.deadline for command in batch) - now)
 
     async def _try_batch(self, leadership: Leadership, batch: Sequence[PendingCommand]) -> bool:
-        """Runs it, unless this primary accepts nothing at present."""
+        """Runs the batch unless this primary accepts no orders now; returns whether it ran."""
         if not self._accepts_orders(leadership) or not self.leads():
             return False
         async with leadership.batch_lock:
@@ -118,7 +118,7 @@
     def _without_expired(self, batch: Sequence[PendingCommand], now: Instant) -> list[PendingCommand]:
         for command in batch:
             if now > command.deadline:
-                command.resolve(command.undecided("too few backups in time"))
+                command.resolve(command.undecided("too few backups in sync before its deadline"))
         return [command for command in batch if not command.answer.done()]
 
     async def _wait_for_change(self, timeout: float) -> None:
@@ -151,13 +151,16 @@
             self._acknowledge(leadership, epoch, decided, wrote=bool(entry))
 
     def _decide_batch(self, batch: Sequence[PendingCommand]) -> tuple[list[DecidedCommand], list[StateRecord]]:
-        """Decides and applies one command after the other; also gives the records to journal."""
+        """Decides and applies the commands one after another.
+
+        Returns the commands with their replies, and the records to journal.
+        """
         now = self._now()
         decided: list[DecidedCommand] = []
         records: list[StateRecord] = []
         for command in batch:
             if command.answer.done() or now > command.deadline:
-                command.resolve(command.undecided("its time was over before its turn"))
+                command.resolve(command.undecided("its deadline passed before it was decided"))
                 continue
             applier = self._replica.appliers[command.kind]
             command.decided = True
@@ -177,7 +180,7 @@
     def _acknowledge(
         self, leadership: Leadership, epoch: Epoch, decided: Sequence[DecidedCommand], wrote: bool
     ) -> None:
-        """The batch is on all disks of the view."""
+        """Commits and answers a batch that is on the disks of the primary and of all backups of the view."""
         if self._store.promise.epoch != epoch:
             raise AssertionError("a primary promised a higher epoch without stepping down")
         self._replica.commit(self._store.sequence)
--- a/wingwood/control/commands.py
+++ b/wingwood/control/commands.py
@@ -1,4 +1,4 @@
-"""Commands on their way through the primary: waiting, decided, answered (docs/DESIGN.md section 7.7)."""
+"""Commands in the primary: waiting, decided, answered (docs/DESIGN.md section 7.7)."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from .protocols import NotDecided
 
 Answer = Result[msgspec.Struct, NotDecided]
-"""The applier's reply, or why there is none."""
+"""The reply of the applier, or why there is none."""
 
 EXPIRED = Instant(float("-inf"))
 
 
 class PendingCommand:
-    """A command that waits in the queue, then for its batch."""
+    """A command that waits in the queue, then for its batch to become durable."""
 
     __slots__ = ("answer", "command", "deadline", "decided", "kind")
 
@@ -27,16 +27,19 @@
         self.command = command
         self.deadline = deadline
         self.decided = False
-        """An applier has decided it, so it may become durable."""
+        """Whether an applier has decided the command, so that it may become durable."""
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
     def resolve(self, answer: Answer) -> None:
-        """Answers it, unless it has been answered (or its asker has given up) already."""
+        """Answers the command unless it has been answered or its requester has given up."""
         if not self.answer.done():
             self.answer.set_result(answer)
 
     def undecided(self, detail: str) -> Answer:
-        """The answer to a command whose time is over. One that was not taken yet never runs after this."""
+        """Returns the answer to a command whose deadline has passed.
+
+        A command that was not decided by then is never run.
+        """
         if self.decided:
             return Failure(NotDecided("unknown", detail=detail))
         self.deadline = EXPIRED
@@ -44,13 +47,13 @@
 
 
 class DecidedCommand(msgspec.Struct, frozen=True):
-    """A command with its applier's reply, which may be given once its batch is durable."""
+    """A command with the reply of its applier, which may be sent once the batch is durable."""
 
     command: PendingCommand
     reply: msgspec.Struct
 
     def deliver(self, now: Instant) -> None:
-        """Its batch is durable: gives the reply if that is still in time."""
+        """Sends the reply after the batch has become durable, unless the deadline has passed."""
         if now <= self.command.deadline:
             self.command.resolve(Success(self.reply))
         else:
@@ -63,6 +66,6 @@
 
 
 def fail_all(decided: Sequence[DecidedCommand], detail: str) -> None:
-    """Their batch may or may not become durable."""
+    """Answers all commands with ``unknown``, since their batch may or may not become durable."""
     for one in decided:
         one.command.resolve(Failure(NotDecided("unknown", detail=detail)))
--- a/wingwood/control/core.py
+++ b/wingwood/control/core.py
@@ -1,4 +1,4 @@
-"""One control daemon's part in the control core (docs/DESIGN.md section 7)."""
+"""The part of one control daemon in the control core (docs/DESIGN.md section 7)."""
 
 from __future__ import annotations
 
@@ -35,13 +35,14 @@
 
 
 class ReplicatedCore(Follower, CommandIntake, LeadershipProofs):
-    """Primary, backup or witness, as the views have it; a ``ControlCore``.
+    """A ``ControlCore`` that is primary, backup or witness, depending on the current view.
 
     ``store`` and ``contents`` come from ``open_store``; the messenger's identity must carry
-    ``store.incarnation``. ``knows_of_history`` says whether any daemon known here has seen a bundle or
-    an epoch. ``other_controls`` gives further internal addresses of control daemons. When the data folder is
-    emptied under the process, ``on_data_lost`` is called, or the process is stopped. ``losses_borne``: how many
-    members may be lost at once; so many backups and twice as many members and one are wanted (section 7.1).
+    ``store.incarnation``. ``knows_of_history`` returns whether any daemon known here has seen a bundle or
+    an epoch. ``other_controls`` returns further internal addresses of control daemons. If the data folder is
+    emptied while the process runs, ``on_data_lost`` is called; without it the process is stopped.
+    ``losses_borne`` is the number of members that may be lost at the same time: the core then wants that
+    many backups and twice as many members plus one (section 7.1).
     """
 
     def __init__(
@@ -76,7 +77,7 @@
             )
         )
 
-    # -- life
+    # -- start and stop
 
     def start(self) -> None:
         self._answer_calls()
@@ -102,12 +103,12 @@
         messenger.on_post(ControlLeadershipReleased, self._on_leadership_released)
 
     def release_leadership(self) -> None:
-        """Before a wanted stop: stops leading and asks the others to take over at once."""
+        """Called before a planned stop: stops leading and asks the other members to take over at once."""
         self._stopped = True
         if self._leadership is not None:
             self._step_down("stopping")
 
-    # -- for health
+    # -- health report
 
     def report(self) -> ViewReport:
         leadership, view = self._leadership, self._known_view
@@ -141,7 +142,7 @@
         return "backup" if self._own_incarnation in self._known_view.backups else "witness"
 
     def _shortcomings(self, leadership: Leadership) -> list[str]:
-        """What the view lacks, in words for the operator."""
+        """Describes for the operator what the view lacks."""
         found = []
         if not leadership.in_sync:
             found.append("too few backups in sync")
--- a/wingwood/control/follower.py
+++ b/wingwood/control/follower.py
@@ -1,4 +1,4 @@
-"""A member or spare that does not lead: joins, forms, heals, looks, takes over (docs/DESIGN.md sections 7.2 to 7.4)."""
+"""A daemon that does not lead: joining, forming, disk recovery and take-over (docs/DESIGN.md sections 7.2 to 7.4)."""
 
 from __future__ import annotations
 
@@ -20,20 +20,26 @@
 from .voter import Voter
 
 FOUNDING_SEEDS = 3
-"""A fleet is formed by exactly so many seeds."""
+"""A fleet is formed by exactly this many seeds."""
 NEVER = Instant(0.0)
 RELEASED_PRIMARY_SILENCE = 0.7
-"""Of the silence borne otherwise: for a primary that resigned, so that its backups stand first."""
+"""Fraction of ``primary_silence`` that a primary waits after it gave up leadership.
+
+So its backups become candidates first.
+"""
 
 
 class Follower(Primary, Voter):
-    """Wanted: a live primary that we hear, or a seat, or the lead. Works out what is missing."""
+    """Brings this daemon to a state in which it is a member and either leads or receives messages of a primary.
+
+    Each tick finds out what is missing for this and takes the next step.
+    """
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
         self._candidate = False
         self._last_join = self._last_recovery = self._last_status_query = self._last_release = NEVER
-        """When each was last tried."""
+        """When each of these was last attempted."""
 
     async def _follow(self) -> None:
         while not self._stopped:
@@ -50,7 +56,10 @@
                 await self._seek_primary(now)
 
     def _after_freeze(self, now: Instant) -> None:
-        """We were frozen: the silence of the others was ours. (Whether we lead is judged by answers alone.)"""
+        """Called after this process was frozen: what looked like silence of the others was its own standstill.
+
+        Whether this daemon still leads is judged by answers alone.
+        """
         self._primary_seen_at = max(self._primary_seen_at, Instant(now - 0.5 * self._limits.primary_silence))
         if self._leadership is not None:
             self._leadership.reset_silence(now)
@@ -91,9 +100,10 @@
     # -- taking over
 
     def _repeat_release(self, view: View, now: Instant) -> None:
-        """We lead no longer, for instance since a restart: the others need not wait out our silence.
+        """Notifies the others, at intervals, that we no longer lead a view that names us as primary.
 
-        Sent again and again, since they may be restarting too.
+        This happens after a restart, for instance; the others then need not wait for the silence limit. The
+        message is repeated, since the others may be restarting too.
         """
         if now - self._last_release < self._limits.status_query_interval:
             return
@@ -102,7 +112,10 @@
         self._announce_release(view)
 
     def _silence_limit(self, view: View) -> float:
-        """The backups try first, one after another, then other holders; a witness only looks for newer views."""
+        """Returns how long this member waits without a message of the primary before it tries to take over.
+
+        The backups try first, one after another, then other holders; a witness only looks for newer views.
+        """
         rank = view.backups.index(self._own_incarnation) if self._own_incarnation in view.backups else None
         if self._released_epoch == view.epoch:
             if view.primary == self._own_incarnation:
@@ -115,7 +128,7 @@
         return 1.4 * self._limits.primary_silence
 
     async def _may_be_candidate(self, view: View) -> bool:
-        """Whether a majority of the newest known view's members does not hear its primary either."""
+        """Whether a majority of the members of the latest known view receives no messages of its primary either."""
 
         async def ask(member: ViewMember) -> ControlStatus | None:
             return await self._ask(member, ControlStatusQuery(), ControlStatus)
@@ -134,7 +147,10 @@
         return majority_misses_primary(answers) and self._is_eligible(view)
 
     def _is_eligible(self, view: View) -> bool:
-        """Nothing newer is known, this disk holds the newest view's state, and nobody leads that we hear."""
+        """Whether this member may become a candidate.
+
+        It knows no newer view, its disk holds the state of the latest view, and no primary sends it messages.
+        """
         latest_view = self._store.view
         return (
             self._known_view == view
@@ -172,7 +188,7 @@
     # -- forming the first view (section 7.2.8)
 
     async def _form(self) -> None:
-        """All three seeds answer, all are empty, and nobody knows of any history."""
+        """Forms the first view if all three seeds answer, are empty, and know of no earlier fleet."""
         statuses = [self._status(), *await self._query_status(self._seeds)]
         members = self._founders(statuses)
         if members is None:
@@ -197,7 +213,10 @@
         return sorted(statuses, key=lambda status: status.member)
 
     def _founders(self, statuses: Sequence[ControlStatus]) -> list[ViewMember] | None:
-        """The seeds in their order, when these standings are all of them and allow a first view."""
+        """Returns the seeds in their order.
+
+        Returns None unless all of them answered and their statuses allow a first view.
+        """
         founders = {status.member.incarnation: status.member for status in statuses}
         addresses = {member.address for member in founders.values()}
         if len(founders) != FOUNDING_SEEDS or len(self._seeds) != FOUNDING_SEEDS or addresses != set(self._seeds):
--- a/wingwood/control/journal_rewriting.py
+++ b/wingwood/control/journal_rewriting.py
@@ -1,4 +1,4 @@
-"""Keeps the control journal short (docs/DESIGN.md section 7.5)."""
+"""Rewrites the control journal when it has grown long (docs/DESIGN.md section 7.5)."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from .store import ControlStore
 
 PAUSE_AFTER_FAILURE_S = 10.0
-"""Seconds until a rewrite that failed is tried again."""
+"""Pause before a failed rewrite is tried again."""
 
 
 class JournalRewriter:
-    """Rewrites the journal in the background when it has grown; one rewrite at a time.
+    """Rewrites the journal in the background when it has grown; at most one rewrite runs at a time.
 
-    ``on_fault`` is told of a failure after which the store may not be used.
+    ``on_fault`` is called with a failure after which the store may not be used.
     """
 
     def __init__(
@@ -41,7 +41,10 @@
         self._no_rewrite_before = context.clock.monotonic()
 
     def rewrite_if_long(self, factor: float) -> None:
-        """Call between batches. On the backup with a higher factor, so that both don't do it at once."""
+        """Starts a rewrite if the journal is long; call it between batches.
+
+        A backup passes a higher ``factor`` than the primary, so that they do not rewrite at the same time.
+        """
         if self._is_long(factor) and not self._rewriting and self._context.clock.monotonic() >= self._no_rewrite_before:
             self._rewriting = True
             compaction = self._store.compact(self._replica.contents())
--- a/wingwood/control/leadership.py
+++ b/wingwood/control/leadership.py
@@ -1,4 +1,4 @@
-"""What a primary knows while it leads (docs/DESIGN.md sections 7.2 and 7.4)."""
+"""The state of a primary while it leads (docs/DESIGN.md sections 7.2 and 7.4)."""
 
 from __future__ import annotations
 
@@ -12,54 +12,57 @@
 
 
 class Spare(msgspec.Struct, frozen=True):
-    """A control daemon without a seat, and when it last asked for one."""
+    """A control daemon that is not a member, and when its last request to join arrived."""
 
     member: ViewMember
     last_heard: Instant
 
 
 class Leadership:
-    """The primary's own knowledge while it leads; a change of view by itself keeps it."""
+    """What a primary knows while it leads. It stays when the primary itself changes the view."""
 
     def __init__(self, view: View, now: Instant) -> None:
         self.view = view
         self.since = now
         self.in_sync = False
-        """The view has the wanted backups, and none of them failed since."""
+        """Whether the view has the wanted backups and none of them has failed since it was chosen."""
         self.commit_known = False
-        """What is committed is known exactly, not only from below (after a take-over: once the backups are there)."""
+        """Whether it is known exactly which batches are committed.
+
+        After a take-over only a lower bound is known until the backups are in sync.
+        """
         self.confirmed = now
-        """By when a majority, counting us, had answered under our epoch to calls begun after it."""
+        """The latest time such that a majority, counting us, answered under our epoch calls started at or after it."""
         self.accepted: dict[Incarnation, Instant] = {}
-        """When the newest call to a member began that it answered under our epoch."""
+        """By member: the start of the latest call that it answered under our epoch."""
         self.chosen_epochs: dict[Incarnation, Epoch] = {}
-        """Under which view a member last answered that knew it to be chosen."""
+        """By member: the epoch of the latest view of ours that it knows to be chosen."""
         self.synced: dict[Incarnation, int] = {}
-        """Newest batch that a backup is known to have on its disk, all taken from us."""
+        """By backup: the latest batch known to be on its disk, all batches having come from us."""
         self.answered: dict[Incarnation, Instant] = {}
-        """When the newest answered call to a healthy member began."""
+        """By member: the start of the latest call that it answered while its disk was healthy."""
         self.unpacks: set[Incarnation] = set()
-        """Members that take a packed state."""
+        """Members that accept a packed state."""
         self.failed_at: dict[Incarnation, Instant] = {}
-        """When a member last failed as backup."""
+        """By member: when it last failed as a backup."""
         self.failing_backups: set[Incarnation] = set()
-        """Backups of this view that left a batch undone."""
+        """Backups of this view that did not journal a batch."""
         self.epoch_superseded = False
-        """A member promised a higher epoch, so it follows again only under a newer one."""
+        """Whether a member promised a higher epoch; it follows us again only under an epoch above that one."""
         self.replaced: set[Incarnation] = set()
-        """Members whose address is used by another incarnation now."""
+        """Members whose address is now used by another incarnation."""
         self.spares: dict[Incarnation, Spare] = {}
         self.pending: list[DecidedCommand] = []
-        """A batch that is journaled here but not at all backups."""
+        """The commands of a batch that is journaled here but not yet by all backups."""
         self.batch_lock = asyncio.Lock()
-        """Held while a batch runs or the view changes."""
+        """Held while a batch is replicated or the view changes."""
         self.changing_view = False
         self.heartbeats_in_flight: set[Incarnation] = set()
-        """Members with a heartbeat under way."""
+        """Members to which a heartbeat was sent that is not answered yet."""
         self.next_heartbeat: dict[Incarnation, Instant] = {}
 
     def note_accepted(self, incarnation: Incarnation, started: Instant) -> None:
-        """A member answered under our epoch to a call that began then."""
+        """Records that a member answered, under our epoch, a call started at ``started``."""
         self.accepted[incarnation] = max(started, self.accepted.get(incarnation, started))
         needed = len(self.view.members) // 2
         times = sorted((at for who, at in self.accepted.items() if self.view.member(who) is not None), reverse=True)
@@ -67,30 +70,30 @@
             self.confirmed = max(self.confirmed, times[needed - 1])
 
     def note_answered(self, incarnation: Incarnation, started: Instant) -> None:
-        """A healthy member answered a call that began then."""
+        """Records that a healthy member answered a call started at ``started``."""
         self.answered[incarnation] = max(started, self.answered.get(incarnation, started))
 
     def is_live(self, incarnation: Incarnation, now: Instant, silence: Seconds) -> bool:
-        """It answered a call begun less than ``silence`` ago."""
+        """Whether the member answered a call that was started less than ``silence`` seconds ago."""
         answered = self.answered.get(incarnation)
         return answered is not None and now - answered < silence
 
     def is_departed(self, incarnation: Incarnation, now: Instant, silence: Seconds) -> bool:
-        """Its address is another's now, or it has been silent or sick for longer than ``silence``."""
+        """Whether another incarnation uses its address, or it was silent or unhealthy for longer than ``silence``."""
         answered = max(self.since, self.answered.get(incarnation, self.since))
         return incarnation in self.replaced or now - answered > silence
 
     def backup_members(self) -> list[ViewMember]:
-        """The backups of the view, in the order of its members."""
+        """Returns the backups of the view, in the order of its members."""
         return [member for member in self.view.members if member.incarnation in self.view.backups]
 
     def take_pending(self) -> list[DecidedCommand]:
-        """The batch that is not at all backups yet; it is no longer kept here."""
+        """Returns and clears the commands of the batch that not all backups have journaled yet."""
         pending, self.pending = self.pending, []
         return pending
 
     def reset_silence(self, now: Instant) -> None:
-        """This process was frozen: nobody's silence until now counts against them."""
+        """Called after this process was frozen: treats the members as if they had answered just now."""
         self.since = now
         self.answered = dict.fromkeys(self.answered, now)
         self.spares.clear()
--- a/wingwood/control/leadership_proofs.py
+++ b/wingwood/control/leadership_proofs.py
@@ -1,4 +1,4 @@
-"""Proofs that nobody else leads, for reads (docs/DESIGN.md section 7.2.7)."""
+"""Proofs that no other daemon leads, needed by reads (docs/DESIGN.md section 7.2.7)."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from .messages import ControlConfirm, ControlConfirmed
 
 RETRY_PAUSE_S = Seconds(0.02)
-"""Before the next round when one has proved nothing."""
+"""Pause before the next round after one that proved nothing."""
 
 
 class LeadershipProofs(Member):
-    """Collects those who ask for a proof, and asks the other members for all of them at once."""
+    """Collects requests for a proof of leadership and serves them together with one round of questions."""
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
         self._proofs: list[asyncio.Future[bool]] = []
-        """Who waits for the next round."""
+        """Requests that wait for the next round."""
         self._proof_asked = asyncio.Event()
 
     async def prove_leadership(self) -> bool:
@@ -36,7 +36,7 @@
             return False
 
     async def _run_proofs(self) -> None:
-        """Each round serves who asked before it began."""
+        """Runs the rounds; each serves the requests made before it started."""
         while True:
             await self._proof_asked.wait()
             self._proof_asked.clear()
@@ -57,7 +57,7 @@
             self._proof_asked.set()
 
     async def _proof_round(self, leadership: Leadership) -> bool:
-        """A majority, counting us, has promised nothing above our epoch."""
+        """Returns whether a majority, counting us, confirmed that it has promised nothing above our epoch."""
         view = leadership.view
         if not leadership.commit_known or self._store.promise.epoch != view.epoch:
             return False
--- a/wingwood/control/limits.py
+++ b/wingwood/control/limits.py
@@ -1,4 +1,4 @@
-"""How long the control core waits for what (docs/DESIGN.md section 7.4). Durations in seconds."""
+"""Timeouts, intervals and sizes of the control core (docs/DESIGN.md section 7.4). Durations are in seconds."""
 
 from __future__ import annotations
 
@@ -10,43 +10,50 @@
 class ControlLimits(msgspec.Struct, frozen=True, kw_only=True):
     heartbeat_interval: Seconds = Seconds(0.25)
     call_timeout: Seconds = Seconds(0.6)
-    """Bound of heartbeats, grants, acceptances and proofs."""
+    """Timeout of heartbeats, promises, acceptances and questions for proofs."""
     replicate_timeout: Seconds = Seconds(0.8)
+    """Timeout of one batch at a backup, to which twice the time to write the batch is added."""
     primary_silence: Seconds = Seconds(1.0)
-    """After which a member looks whether the others hear the primary."""
+    """After this time without a message of the primary, a member asks the others whether they receive its messages."""
     status_query_interval: Seconds = Seconds(0.2)
-    """Between two such looks."""
+    """Interval between two rounds of such questions."""
     primary_recency: Seconds = Seconds(0.9)
-    """A primary heard within this counts as heard when another asks."""
+    """A member answers that it hears the primary if it received a message of it within this time."""
     member_silence: Seconds = Seconds(0.9)
-    """A backup silent for this long is passed over for another."""
+    """A member silent for this long is not chosen as a backup; another member is."""
     member_departed_after: Seconds = Seconds(2.2)
-    """A member silent or sick for this long gives its seat to a live spare."""
+    """A member silent or unhealthy for this long is replaced by a live spare."""
     recruit_pause: Seconds = Seconds(0.3)
-    """Before a member that failed as backup is tried again."""
+    """Pause before a member that failed as a backup is tried again."""
     spare_silence: Seconds = Seconds(1.5)
+    """A spare that has not asked to join for this long is not made a member."""
     leadership_unconfirmed_after: Seconds = Seconds(1.2)
-    """Without an answer from any member begun within this, a primary says that it does not lead."""
+    """A primary reports that it does not lead when no majority answered calls started within this time."""
     leadership_abandoned_after: Seconds = Seconds(3.0)
-    """... and after this it gives up its role."""
+    """After this time without such answers it gives up leadership."""
     decide_timeout: Seconds = Seconds(2.5)
+    """Longest time from the arrival of a command at the primary to its reply."""
     proof_timeout: Seconds = Seconds(1.0)
     tick_interval: Seconds = Seconds(0.1)
+    """Interval of the periodic work of each member."""
     join_interval: Seconds = Seconds(0.5)
+    """Interval at which a daemon that is not a member asks to join."""
     recovery_interval: Seconds = Seconds(0.5)
-    """Between tries to use a sick disk again."""
+    """Interval between attempts to use a failed disk again."""
     disk_check_interval: Seconds = Seconds(1.0)
-    """Between looks whether the journal file is still there."""
+    """Interval of the checks that the journal file still exists."""
     batch_commands: int = 512
+    """Most commands in one batch."""
     queued_commands: int = 8192
-    """Commands that may wait; one more is refused as busy."""
+    """Most commands that may wait in the queue; further ones are refused as busy."""
     chunk_bytes: int = 512 * 1024
     rewrite_bytes: int = 8 * 1024 * 1024
-    """The journal is rewritten when longer than this and than twice its length after the last rewrite."""
+    """The journal is rewritten when it is longer than this and than twice its length after the last rewrite."""
     rewrite_timeout_floor: Seconds = Seconds(1.0)
+    """Timeout of a rewrite, to which the time to write the file is added."""
     rewrite_bytes_per_second: float = 20e6
-    """Bytes a second that a disk writes at least."""
+    """The lowest write rate that a healthy disk is expected to reach."""
 
     def rewrite_timeout(self, length: int) -> Seconds:
-        """How long a whole file of that length may take to be written and synced."""
+        """Returns how long writing and syncing a complete file of ``length`` bytes may take."""
         return Seconds(self.rewrite_timeout_floor + length / self.rewrite_bytes_per_second)
--- a/wingwood/control/member.py
+++ b/wingwood/control/member.py
@@ -1,8 +1,8 @@
-"""What every part of a member of the control core stands on: its state, its knowledge of views, its calls.
+"""The common base of all parts of a member of the control core: state, known views, calls to other members.
 
 ``Member`` and the classes on top of it (``StoreGuard``, ``Backup``, ``Voter``, ``Replicator``, ``CommandIntake``,
-``LeadershipProofs``, ``Candidate``, ``Primary``, ``Follower``) are the parts of one ``ReplicatedCore``; each names the
-parts that it uses as its bases (docs/DESIGN.md section 7).
+``LeadershipProofs``, ``Candidate``, ``Primary``, ``Follower``) are the parts of one ``ReplicatedCore``; each
+inherits from the parts that it uses (docs/DESIGN.md section 7).
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 
 SILENCE_AT_START = 0.4
-"""A member counts its primary as heard this part of the borne silence before it started."""
+"""At its start, a member assumes that it last saw its primary this fraction of ``primary_silence`` ago."""
 PAUSE_AFTER_STEPPING_DOWN_S = (0.8, 1.2)
 PAUSE_BEFORE_CANDIDACY_S = (0.4, 0.7)
-"""Seconds, drawn at random between these, so that members seldom stand at once."""
+"""Each pause is drawn at random from its range, so that two members rarely become candidates at the same time."""
 
 
 class MemberSetup(msgspec.Struct, frozen=True, kw_only=True):
-    """What a member is made of; see ``ReplicatedCore``."""
+    """The parts that a member is built from; see ``ReplicatedCore``."""
 
     context: Context
     messenger: Messenger
@@ -51,7 +51,7 @@
 
 
 class Member:
-    """The shared state of all parts, and what they all need."""
+    """The state and the operations that all parts share."""
 
     def __init__(self, setup: MemberSetup) -> None:
         context, store, identity = setup.context, setup.store, setup.messenger.identity
@@ -59,7 +59,7 @@
         self._messenger = setup.messenger
         self._limits = setup.limits
         self._seeds = tuple(sorted(setup.seeds))
-        """In the same order everywhere, whatever the order in the settings."""
+        """Sorted, so that all daemons have the same order, whatever the order in their settings."""
         self._other_controls = setup.other_controls
         self._backups_wanted = setup.losses_borne
         self._members_wanted = 2 * setup.losses_borne + 1
@@ -67,9 +67,9 @@
         self._own_incarnation = store.incarnation
         self._store = store
         self._lock = asyncio.Lock()
-        """Held for each use of the store."""
+        """Held during each use of the store."""
         self._disk_fault: str | None = None
-        """Why the store may not be used; ends with a reload."""
+        """Why the store may not be used; None when it may. Cleared once the journal was read back."""
         self._replica = Replica(setup.appliers, setup.contents)
         self._stale = False
         """The replica must be loaded from the journal before it may be used."""
@@ -77,15 +77,15 @@
         self._known_view = store.view
         self._highest_epoch = store.promise.epoch
         self._released_epoch: Epoch | None = None
-        """The epoch whose primary asked the others to take over."""
+        """The epoch whose primary gave up leadership and asked the others to take over."""
         now = context.clock.monotonic()
         self._primary_seen_at = Instant(now - SILENCE_AT_START * self._limits.primary_silence)
-        """When the primary was last heard."""
+        """When a message of the primary was last received."""
         self._no_candidacy_before = now
-        """No candidacy before this."""
+        """Until then this member does not become a candidate."""
         self._stopped = False
         self._wakeup = asyncio.Event()
-        """Something changed for the runner of commands."""
+        """Set when something changed that the task running commands may be waiting for."""
         self._on_change: list[Callable[[], None]] = []
 
     # -- public
@@ -102,7 +102,7 @@
         return member.address if member is not None else None
 
     def control_addresses(self) -> Sequence[Address]:
-        """Of all control daemons known here, the presumed primary first."""
+        """Returns the addresses of all control daemons known here, that of the presumed primary first."""
         addresses = [self.primary_address()]
         addresses += [member.address for member in (self._known_view.members if self._known_view is not None else ())]
         addresses += [*self._seeds, *self._other_controls()]
@@ -112,7 +112,7 @@
         self._on_change.append(callback)
 
     def on_commit(self, callback: Callable[[], None]) -> None:
-        """Called on primary and backup when the appliers hold exactly the committed state, after each advance."""
+        """Calls back on primary and backups after each advance, when the appliers hold exactly the committed state."""
         self._replica.on_commit(callback)
 
     # -- time, log and events
@@ -131,7 +131,7 @@
     # -- views and epochs
 
     def _note_epoch(self, epoch: Epoch) -> None:
-        """Somebody has promised this epoch; a candidate goes above it."""
+        """Records that a member has promised this epoch; a candidate uses a higher one."""
         self._highest_epoch = max(self._highest_epoch, epoch)
 
     def _note_view(self, view: View | None) -> None:
@@ -149,13 +149,16 @@
     def _other_members(self, view: View) -> list[ViewMember]:
         return [member for member in view.members if member.incarnation != self._own_incarnation]
 
-    # -- the leadership
+    # -- leadership
 
     def _member_is_live(self, leadership: Leadership, member: ViewMember) -> bool:
         return leadership.is_live(member.incarnation, self._now(), self._limits.member_silence)
 
     def _follows(self, leadership: Leadership, member: ViewMember) -> bool:
-        """It is live and knows our view to be chosen, so it can go on without us and without former members."""
+        """Whether the member is live and knows that our view is chosen.
+
+        Such a member can continue without us and without the former members.
+        """
         return (
             self._member_is_live(leadership, member)
             and leadership.chosen_epochs.get(member.incarnation) == leadership.view.epoch
@@ -165,7 +168,7 @@
         return leadership.in_sync and len(leadership.view.members) >= self._members_wanted
 
     def _step_down(self, reason: str) -> None:
-        """Stops leading: what waits is answered, and the others are asked to take over."""
+        """Stops leading: fails the commands that wait for backups and asks the other members to take over."""
         leadership, self._leadership = self._leadership, None
         assert leadership is not None
         self._log("stepped-down", epoch=leadership.view.epoch, reason=reason)
@@ -177,7 +180,7 @@
         self._changed()
 
     def _announce_release(self, view: View) -> None:
-        """Tells the other members that we lead this view no longer."""
+        """Notifies the other members that this daemon no longer leads the view."""
         for member in self._other_members(view):
             self._messenger.post(member.address, ControlLeadershipReleased(view.epoch, self._own_incarnation))
 
@@ -189,7 +192,7 @@
     async def _ask(
         self, member: ViewMember, message: msgspec.Struct, reply_type: type[Reply], timeout: Seconds | None = None
     ) -> Reply | None:
-        """The answer of exactly that incarnation, or None."""
+        """Returns the answer of exactly that incarnation, or None."""
         outcome = await self._messenger.call(member.address, message, reply_type, timeout or self._limits.call_timeout)
         match outcome:
             case Success(found) if getattr(found, "by", None) == member.incarnation:
@@ -198,7 +201,7 @@
         return None
 
     async def _ask_address(self, address: Address, message: msgspec.Struct, reply_type: type[Reply]) -> Reply | None:
-        """The answer of whoever is at that address, or None."""
+        """Returns the answer of whichever daemon is at that address, or None."""
         match await self._messenger.call(address, message, reply_type, self._limits.call_timeout):
             case Success(found):
                 reply: Reply = found
@@ -212,7 +215,10 @@
         timeout: Seconds,
         linger: Seconds = Seconds(0.0),  # noqa: B008
     ) -> list[Reply]:
-        """Answers in the order of coming, until there are enough (then ``linger`` longer) or all are in."""
+        """Collects answers in the order of their arrival.
+
+        Ends when all have arrived, after ``timeout``, or ``linger`` seconds after the answers were ``enough``.
+        """
         answers: list[Reply] = []
         loop = asyncio.get_running_loop()
         left = [loop.create_task(one) for one in work]
--- a/wingwood/control/messages.py
+++ b/wingwood/control/messages.py
@@ -1,4 +1,4 @@
-"""What control daemons say to each other, and what they keep (docs/DESIGN.md sections 7.1 to 7.4)."""
+"""Messages between control daemons, and entries of the control journal (docs/DESIGN.md sections 7.1 to 7.4)."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 class View(msgspec.Struct, frozen=True, array_like=True):
-    """Who leads under an epoch (section 7.1)."""
+    """Which daemons are members, primary and backups under an epoch (section 7.1)."""
 
     epoch: Epoch
     primary: Incarnation
     backups: tuple[Incarnation, ...]
-    """All of them sync a record before it is acknowledged; none after a take-over."""
+    """Every backup syncs a record to disk before the record is acknowledged; empty right after a take-over."""
     members: tuple[ViewMember, ...]
     holders: tuple[Incarnation, ...]
-    """Whose disks hold everything that was ever acknowledged."""
+    """Members whose disks hold every record that was ever acknowledged."""
     former: tuple[ViewMember, ...] = ()
-    """Members of the view before, when they were others and this view is not known to be chosen."""
+    """Members of the previous view, if they differ and this view is not yet known to be chosen."""
 
     def member(self, incarnation: Incarnation | None) -> ViewMember | None:
         return next((member for member in self.members if member.incarnation == incarnation), None)
@@ -43,19 +43,22 @@
         return _majority(self.members, who)
 
     def quorum(self, who: set[Incarnation]) -> bool:
-        """Enough to choose this view, or to build on it: a majority of the members and of the former ones."""
+        """Whether ``who`` suffices to choose this view or to build on it.
+
+        It needs a majority of the members and, while there are former members, a majority of those too.
+        """
         return self.majority(who) and (not self.former or _majority(self.former, who))
 
     def voters(self) -> tuple[ViewMember, ...]:
-        """Members and former members, each once."""
+        """All members and former members, without duplicates."""
         return tuple({member.incarnation: member for member in (*self.former, *self.members)}.values())
 
     def as_chosen(self) -> View:
-        """The same view, known to be chosen: the former members are no longer asked."""
+        """Returns the same view, known to be chosen: its former members are no longer asked."""
         return msgspec.structs.replace(self, former=()) if self.former else self
 
     def supersedes(self, other: View | None) -> bool:
-        """Newer, or the same one with more known of it."""
+        """Whether this view has a higher epoch than ``other``, or is the same view and now known to be chosen."""
         if other is None or self.epoch != other.epoch:
             return other is None or self.epoch > other.epoch
         return bool(other.former) and not self.former
@@ -68,14 +71,14 @@
 class Promise(msgspec.Struct, frozen=True, array_like=True):
     epoch: Epoch
     candidate: Incarnation
-    """Nobody ("") under epoch 0."""
+    """Empty ("") under epoch 0, when nothing has been promised yet."""
 
 
-# what the journal keeps
+# entries of the control journal
 
 
 class FoundedEntry(msgspec.Struct, frozen=True, tag="founded", array_like=True):
-    """First record of a journal."""
+    """The first entry of every journal."""
 
     incarnation: Incarnation
 
@@ -95,7 +98,7 @@
 
 
 class BatchEntry(msgspec.Struct, frozen=True, tag="batch", array_like=True):
-    """Records of one batch; ``sequence`` counts batches from 1."""
+    """The records of one batch; ``sequence`` counts batches from 1."""
 
     sequence: int
     epoch: Epoch
@@ -103,20 +106,21 @@
 
 
 class SnapshotEntry(msgspec.Struct, frozen=True, tag="snapshot", array_like=True):
-    """The whole state after batch ``sequence``; takes the place of all before it."""
+    """The complete state after batch ``sequence``; it replaces all earlier entries."""
 
     sequence: int
     parts: dict[str, bytes]
 
 
 class ProbeEntry(msgspec.Struct, frozen=True, tag="probe", array_like=True):
-    """Nothing; written to see whether the disk takes writes again."""
+    """An entry without content, written to find out whether the disk accepts writes again."""
 
 
 Entry = FoundedEntry | PromisedEntry | AcceptedEntry | BatchEntry | SnapshotEntry | ProbeEntry
 
 
-# between control daemons; `to` and `by` are incarnations, so a machine swapped at an address counts for nothing
+# Messages between control daemons. `to` and `by` are incarnations, so that a message meant for a machine, or
+# answered by one, has no effect after another machine has replaced it at the same address.
 
 
 class ControlStatusQuery(msgspec.Struct, frozen=True):
@@ -126,38 +130,48 @@
 
 
 class ControlStatus(msgspec.Struct, frozen=True):
+    """A control daemon's own view of the cluster."""
+
     WIRE_NAME: ClassVar[str] = "ControlStanding"
 
     by: Incarnation
     member: ViewMember = msgspec.field(name="seat")
     promised: Epoch
     view: View | None
-    """Newest view it knows of, accepted by itself or not."""
+    """The latest view that it knows of, whether or not it accepted the view itself."""
     hears_primary: bool
+    """Whether it received a message of the primary recently."""
     empty: bool
-    """Never accepted a view, granted a promise outside of forming, or held state."""
+    """It never accepted a view, never granted a promise except to form the first view, and never held state."""
     knows_history: bool
-    """Knows a daemon that has seen a bundle or an epoch."""
+    """It knows a daemon that has seen a bundle or an epoch, so a fleet has existed before."""
 
 
 class ControlPromise(msgspec.Struct, frozen=True):
+    """A candidate's request: promise this epoch to it, and accept nothing under a lower epoch."""
+
     to: Incarnation
     candidate: Incarnation
     epoch: Epoch
     forming: bool = False
+    """Whether the promise is asked for to form the first view of a fleet."""
 
 
 class ControlGrant(msgspec.Struct, frozen=True):
+    """Answer to ``ControlPromise``: whether the epoch was promised, and what the voter has."""
+
     by: Incarnation
     granted: bool
     promised: Epoch
     view: View | None = None
-    """Newest view that it accepted itself."""
+    """The latest view that it accepted itself."""
     sequence: int = 0
     empty: bool = False
 
 
 class ControlAccept(msgspec.Struct, frozen=True):
+    """A primary's request to accept its view."""
+
     to: Incarnation
     view: View
 
@@ -167,11 +181,14 @@
     accepted: bool
     promised: Epoch
     sequence: int = 0
-    """Newest batch that it has journaled; a backup counts only with as many as the primary."""
+    """The latest batch that it has journaled; a backup counts only if it has as many as the primary."""
 
 
 class ControlHeartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """From the primary of that epoch's view; who hasn't accepted the view says so and is sent it."""
+    """Sent by the primary of the view of that epoch.
+
+    A member that has not accepted the view answers so, and is then sent the view.
+    """
 
     to: Incarnation
     primary: Incarnation
@@ -182,28 +199,30 @@
 class ControlHeartbeatAnswer(msgspec.Struct, frozen=True, array_like=True):
     by: Incarnation
     accepted: bool
-    """It has accepted the view of that epoch and promised nothing higher."""
+    """It has accepted the view of that epoch and has promised no higher epoch."""
     promised: Epoch
     healthy: bool
-    """Its journal takes writes."""
+    """Its journal accepts writes."""
     knows_chosen: bool = msgspec.field(name="settled", default=True)
-    """It knows that the view is chosen, and would no longer ask former members."""
+    """It knows that the view is chosen, so as a candidate it would not ask the former members."""
     unpacks: bool = False
-    """Whether it takes a packed state; daemons from before packing don't say so."""
+    """Whether it accepts a packed (compressed) state; daemons older than packing leave it out."""
 
 
 class ControlReplicate(msgspec.Struct, frozen=True):
-    """One batch to journal, or none (``entry`` empty: only whether the backup still follows)."""
+    """One batch to journal. An empty ``entry`` only asks whether the backup still follows this epoch."""
 
     to: Incarnation
     epoch: Epoch
     before: int
-    """Sequence that the backup must have now."""
+    """The sequence of the latest batch that the backup must already have."""
     committed: int
     entry: bytes
 
 
 class ControlReplicated(msgspec.Struct, frozen=True):
+    """Answer to a batch or a chunk of state; when ``synced`` is False, ``reason`` says why."""
+
     by: Incarnation
     synced: bool
     promised: Epoch
@@ -211,7 +230,7 @@
 
 
 class ControlCommitted(msgspec.Struct, frozen=True):
-    """Post to the backup: these batches are on both disks."""
+    """Posted to a backup: all batches up to ``committed`` are on the disks of the primary and all backups."""
 
     to: Incarnation
     epoch: Epoch
@@ -219,7 +238,10 @@
 
 
 class ControlStateChunk(msgspec.Struct, frozen=True):
-    """A part of an encoded ``SnapshotEntry``, packed or not; the answer to the last one comes after the sync."""
+    """One chunk of an encoded ``SnapshotEntry``, packed or not.
+
+    The last chunk is answered only after the complete state has been synced to disk.
+    """
 
     WIRE_NAME: ClassVar[str] = "ControlStatePiece"
 
@@ -231,10 +253,12 @@
     count: int
     data: bytes
     packed: bool = False
-    """Whether the pieces make a zlib stream."""
+    """Whether the chunks, joined, are a zlib stream."""
 
 
 class ControlConfirm(msgspec.Struct, frozen=True):
+    """A primary's question whether the member has promised nothing above its epoch; proves leadership for reads."""
+
     to: Incarnation
     epoch: Epoch
 
@@ -242,12 +266,12 @@
 class ControlConfirmed(msgspec.Struct, frozen=True):
     by: Incarnation
     holds: bool
-    """It has promised nothing above the epoch."""
+    """The member has promised nothing above the epoch asked about."""
     promised: Epoch
 
 
 class ControlLeadershipReleased(msgspec.Struct, frozen=True):
-    """Post from a primary that stops leading by its own will (sick disk, stopping)."""
+    """Posted by a primary that gives up leadership itself, because its disk fails or the process stops."""
 
     WIRE_NAME: ClassVar[str] = "ControlGiveWay"
 
@@ -256,21 +280,21 @@
 
 
 class ControlJoin(msgspec.Struct, frozen=True):
-    """From a machine without a seat, every half second; anyone who sees itself without one."""
+    """Sent every half second by a control daemon that is not a member of the latest view it knows."""
 
     member: ViewMember = msgspec.field(name="seat")
 
 
 class ControlJoined(msgspec.Struct, frozen=True):
     view: View | None
-    """Newest known; its primary is whom to call next."""
+    """The latest view known to the answering daemon; the newcomer asks the primary of this view next."""
 
 
-# from any daemon
+# Messages from any daemon.
 
 
 class ControlCommand(msgspec.Struct, frozen=True):
-    """A command for an applier, encoded in msgpack. ``hops``: how often it may still be passed on."""
+    """A command for an applier, encoded in msgpack. ``hops`` is how many times it may still be forwarded."""
 
     kind: str
     command: bytes
@@ -279,7 +303,7 @@
 
 
 class ControlDecision(msgspec.Struct, frozen=True):
-    """``reply`` in msgpack, or why there is none. ``primary``: whom to ask next time."""
+    """The applier's ``reply`` in msgpack, or a ``fault``; ``primary`` is the address to ask next time."""
 
     reply: bytes | None = None
     fault: NotDecided | None = None
@@ -287,12 +311,14 @@
 
 
 class ControlLeaderQuery(msgspec.Struct, frozen=True):
-    """From any daemon that looks for the primary."""
+    """Sent by any daemon that looks for the primary."""
 
     WIRE_NAME: ClassVar[str] = "ControlWhoLeads"
 
 
 class ControlLeader(msgspec.Struct, frozen=True):
+    """The presumed primary, all known addresses of control daemons, and the epoch of this knowledge."""
+
     primary: Address | None
     addresses: tuple[Address, ...]
     epoch: Epoch
--- a/wingwood/control/planning.py
+++ b/wingwood/control/planning.py
@@ -1,4 +1,4 @@
-"""Which view a primary wants next: spares for lost members, live members as backups (docs/DESIGN.md section 7.4)."""
+"""Plans the next view of a primary: spares replace lost members, live members back up (docs/DESIGN.md section 7.4)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .messages import View, ViewMember
 
 RECENT_FAILURE_S = 5.0
-"""A member that failed as backup within so many seconds is chosen after the others."""
+"""A member that failed as a backup within this time is chosen only after the others."""
 
 
 class ViewPlan:
@@ -22,9 +22,12 @@
         self.members = members
         changed = {member.incarnation for member in members} != set(base.incarnations())
         self.former = base.members if changed else ()
-        """``base`` is chosen, so its own former members need not be asked again."""
+        """The members of ``base`` if the plan changes the members.
+
+        ``base`` itself is chosen, so its own former members need not be asked again.
+        """
         self.bases = [base]
-        """``base``, then the planned views that were not accepted by enough."""
+        """The views on which the plan may be built: ``base``, then its own proposals that too few members accepted."""
 
     @property
     def backups(self) -> tuple[Incarnation, ...]:
@@ -32,7 +35,7 @@
 
 
 class ViewPlanner:
-    """Plans the next view of the primary ``own``, with so many backups and members as are wanted."""
+    """Plans the next view of the primary ``own``, with the wanted numbers of backups and members."""
 
     def __init__(self, own: ViewMember, limits: ControlLimits, backups_wanted: int, members_wanted: int) -> None:
         self._own = own
@@ -41,7 +44,7 @@
         self._members_wanted = members_wanted
 
     def plan(self, leadership: Leadership, now: Instant) -> ViewPlan | None:
-        """None when the present view is as wanted, or when a better one is not possible yet."""
+        """Returns None when the current view is as wanted, or when a better one is not possible yet."""
         view = leadership.view
         members = self._wanted_members(leadership, now)
         backups = self._wanted_backups(leadership, members, now)
@@ -53,12 +56,12 @@
         return ViewPlan(backups, members, view)
 
     def _any_paused(self, leadership: Leadership, backups: Sequence[ViewMember], now: Instant) -> bool:
-        """One of them failed as backup so recently that it is not tried again yet."""
+        """Whether one of ``backups`` failed so recently that it is not tried again yet."""
         paused = Instant(now - self._limits.recruit_pause)
         return any(leadership.failed_at.get(member.incarnation, paused) > paused for member in backups)
 
     def _wanted_members(self, leadership: Leadership, now: Instant) -> tuple[ViewMember, ...]:
-        """The members as they are, with spares in the seats of those that are gone and in empty ones."""
+        """Returns the current members, with spares in place of departed members and in vacant places."""
         spares = self._live_spares(leadership, now)
         updated = {member.incarnation: member for member in (self._own, *spares)}
         members = [updated.get(member.incarnation, member) for member in leadership.view.members]
@@ -69,7 +72,7 @@
         return (*members, *newcomers[:missing])
 
     def _live_spares(self, leadership: Leadership, now: Instant) -> list[ViewMember]:
-        """The most recently heard first."""
+        """Returns the spares that asked to join recently, the most recent request first."""
         latest_first = sorted(leadership.spares.values(), key=lambda spare: (-spare.last_heard, spare.member))
         return [spare.member for spare in latest_first if now - spare.last_heard < self._limits.spare_silence]
 
@@ -81,7 +84,7 @@
     def _wanted_backups(
         self, leadership: Leadership, members: Sequence[ViewMember], now: Instant
     ) -> tuple[ViewMember, ...]:
-        """The backups that are well, and the likeliest of the other live members in place of the rest."""
+        """Returns the healthy backups, and in place of the others the live members most likely to succeed."""
         healthy = [member for member in members if self._is_healthy_backup(leadership, member, now)]
         others = [member for member in members if member not in healthy and self._may_back_up(leadership, member, now)]
         recently = now - RECENT_FAILURE_S
@@ -97,7 +100,7 @@
         return (*healthy, *sorted(others, key=preference))[: self._backups_wanted]
 
     def _is_healthy_backup(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
-        """A backup already, live, and it has left no batch undone."""
+        """Whether the member is already a backup, is live, and has journaled every batch sent to it."""
         incarnation = member.incarnation
         return (
             incarnation in leadership.view.backups
@@ -106,7 +109,7 @@
         )
 
     def _may_back_up(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
-        """A newcomer (it asked for its seat lately), or another live member."""
+        """Whether the member is a newcomer, which asked to join recently, or another live member."""
         if member.incarnation == self._own.incarnation:
             return False
         return leadership.view.member(member.incarnation) is None or self._is_live(leadership, member, now)
--- a/wingwood/control/primary.py
+++ b/wingwood/control/primary.py
@@ -1,4 +1,4 @@
-"""A primary's own work: heartbeats, and changes of the view that it leads (docs/DESIGN.md sections 7.2 and 7.4)."""
+"""The work of a primary: heartbeats, and changes of the view that it leads (docs/DESIGN.md sections 7.2 and 7.4)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Primary(Candidate, Replicator):
-    """Leads a view that was chosen, and keeps its members and backups as wanted."""
+    """Leads a chosen view, and changes it until it has the wanted members and backups."""
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
@@ -32,7 +32,7 @@
         self._changed()
 
     def _set_view(self, leadership: Leadership, view: View) -> None:
-        """The view is chosen and we are its primary."""
+        """Starts to lead a chosen view of which we are the primary."""
         leadership.view = view
         leadership.confirmed = self._now()
         leadership.failing_backups.clear()
@@ -54,7 +54,10 @@
         self._changed()
 
     def _note_in_sync(self, leadership: Leadership) -> None:
-        """All wanted backups have accepted the view with all that is journaled here, so that is committed."""
+        """Records that the backups are in sync, and commits all batches journaled here.
+
+        All wanted backups have accepted the view and have all of these batches.
+        """
         backups, sequence = leadership.view.backups, self._store.sequence
         leadership.answered.update(dict.fromkeys(backups, self._now()))
         leadership.synced = dict.fromkeys(backups, sequence)
@@ -65,7 +68,10 @@
         self._announce_commit(leadership)
 
     def _maintain_leadership(self, leadership: Leadership) -> None:
-        """Each tick of a primary: heartbeats, its own clock, and whether the view is as wanted."""
+        """Called at each tick of a primary.
+
+        Steps down if no majority answers, sends heartbeats, and changes the view if it is not as wanted.
+        """
         if (
             self._now() - leadership.confirmed > self._limits.leadership_abandoned_after
             and not leadership.changing_view
@@ -117,11 +123,15 @@
     async def _send_view(
         self, leadership: Leadership, member: ViewMember, view: View, answer: ControlHeartbeatAnswer
     ) -> None:
-        """It missed the view, or it is another incarnation and learns from it whom to ask for a seat."""
+        """Sends the view to a member that missed it.
+
+        The address may also be used by another incarnation now, which learns from the view whom to ask for
+        membership.
+        """
         acceptance = await self._ask(member, ControlAccept(member.incarnation, view), ControlAccepted)
         if acceptance is not None and not acceptance.accepted and acceptance.promised >= view.epoch and answer.healthy:
             leadership.epoch_superseded = (
-                True  # It promised the same epoch to another (to itself, when it stood meanwhile).
+                True  # It promised the same epoch to another candidate, or to itself when it became one meanwhile.
             )
 
     async def _note_heartbeat_answer(
@@ -150,11 +160,11 @@
     # -- other backups and members
 
     def _wanted_view(self, leadership: Leadership) -> ViewPlan | None:
-        """The view that this primary wants next; None when the one it has is as wanted."""
+        """Returns the plan of the next view, or None when the current one is as wanted."""
         return self._planner.plan(leadership, self._now())
 
     async def _change_view(self, leadership: Leadership, plan: ViewPlan) -> None:
-        """Rule 4 of section 7.2: stop deciding, send the state, then the two rounds."""
+        """Changes the view by rule 4 of section 7.2: stop deciding, send the state, then run the two rounds."""
         started = self._now()
         try:
             async with leadership.batch_lock:
--- a/wingwood/control/protocols.py
+++ b/wingwood/control/protocols.py
@@ -1,4 +1,4 @@
-"""The replicated control state, as the slices that keep something in it see it (docs/DESIGN.md section 7)."""
+"""Interfaces of the replicated control state for the slices that store data in it (docs/DESIGN.md section 7)."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class Applier(Protocol):
-    """State kept in the control journal: bundles with order outcomes; the at-most-once ledger; roll-outs.
+    """A state machine stored in the control journal: bundles with order outcomes, the at-most-once ledger, roll-outs.
 
     ``decide`` runs on the primary only, in one task, against the state with all earlier records
-    applied; the record it returns is applied at once, and its reply is given to the asker only after
-    the record is synced here and on the backup. ``apply`` must be deterministic: the backup and a
-    restart replay the same records.
+    applied. The record that it returns is applied at once; its reply is sent to the requester only after
+    the record has been synced here and on the backups. ``apply`` must be deterministic, because the
+    backups and a restarted process replay the same records.
     """
 
     kind: str
 
     def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
-        """Record to write (None: nothing to write) and the reply for when it is durable."""
+        """Returns the record to write (None: nothing to write) and the reply to send once the record is durable."""
         ...
 
     def apply(self, record: bytes) -> None: ...
@@ -33,21 +33,25 @@
     def snapshot(self) -> bytes: ...
 
     def restore(self, snapshot: bytes | None) -> None:
-        """Takes the place of all state; None: empty."""
+        """Replaces the complete state; None empties it."""
         ...
 
 
 @runtime_checkable
 class PreparingApplier(Protocol):
-    """An applier whose large commands are worked on before their turn, in steps that let others run."""
+    """An applier that prepares large commands before they are decided, in steps between which other tasks run."""
 
     async def prepare(self, command: msgspec.Struct) -> None:
-        """Changes nothing that is replicated; ``decide`` comes to the same without it, but holds up more."""
+        """Changes nothing that is replicated. ``decide`` gives the same result without it, but blocks for longer."""
         ...
 
 
 class NotDecided(msgspec.Struct, frozen=True):
-    """``not-leading``: nothing happened here, ask ``primary``. ``unknown``: it may or may not become durable."""
+    """Why a command has no reply.
+
+    ``not-leading``: this daemon did nothing; ask ``primary``. ``unknown``: the command may or may not
+    become durable. ``busy``: the command was not run and will not be.
+    """
 
     kind: Literal["not-leading", "unknown", "busy"]
     primary: Address | None = None
@@ -55,7 +59,7 @@
 
 
 class ViewReport(msgspec.Struct, frozen=True, kw_only=True):
-    """For health: who leads, who backs up, whether the wanted losses could be borne now."""
+    """For the health report: who is primary and backup, and whether the configured losses could be survived now."""
 
     epoch: Epoch
     own_role: Literal["primary", "backup", "witness", "spare", "candidate", "relay"]
@@ -64,29 +68,35 @@
     members: tuple[Incarnation, ...]
     accepts_orders: bool
     complete: bool
-    """All members live, as many as wanted, with the wanted backups in sync: the wanted losses may be borne."""
+    """There are as many members as wanted, all of them live, and the wanted backups are in sync.
+
+    Then as many losses as configured (``losses_borne``) can be survived.
+    """
     detail: str = ""
 
 
 class ControlCore(Protocol):
-    """One control daemon's part in the control core."""
+    """The part of one control daemon in the control core."""
 
     def leads(self) -> bool: ...
 
     def epoch(self) -> Epoch:
-        """Newest epoch of which this daemon knows; singleton duties are done under it."""
+        """The highest epoch that this daemon knows of; duties that only one daemon may have are performed under it."""
         ...
 
     def primary_address(self) -> Address | None:
-        """Internal address of the presumed primary."""
+        """Returns the internal address of the presumed primary."""
         ...
 
     async def decide(self, kind: str, command: msgspec.Struct) -> Result[msgspec.Struct, NotDecided]:
-        """Runs the command in the applier of that kind; Success only when durable on two disks under this view."""
+        """Runs the command in the applier of that kind.
+
+        Returns Success only when the result is durable on the disks of the primary and all backups of the view.
+        """
         ...
 
     async def prove_leadership(self) -> bool:
-        """Question and answer with one other member, begun after this call: nobody else leads as of now."""
+        """Whether a majority confirmed, in an exchange started after this call, that no other daemon leads."""
         ...
 
     def report(self) -> ViewReport: ...
@@ -95,42 +105,43 @@
 
 
 class BundleSource(Protocol):
-    """The acknowledged bundles on the primary and the backup, for distribution."""
+    """The acknowledged bundles on the primary and on the backups, as distribution reads them."""
 
     def latest(self) -> Manifest | None:
-        """Newest version that is durable on two disks."""
+        """Returns the manifest of the latest version that is durable on the primary and the backups."""
         ...
 
     def delta_since(self, version: BundleVersion) -> BundleDelta | None:
-        """None when ``version`` is the newest already, or there is none."""
+        """Returns None when ``version`` is already the latest one, or when there is no bundle."""
         ...
 
     def on_committed(self, callback: Callable[[Manifest], None]) -> None: ...
 
 
 class SubmitOrder(msgspec.Struct, frozen=True, tag=True):
-    """Command: an operator's order, from any daemon. Reply: OrderOutcome."""
+    """Command with an operator's order, sent by any daemon. Its reply is an OrderOutcome."""
 
     order: Order
 
 
 class SubmitEdition(msgspec.Struct, frozen=True, tag=True):
-    """Command: an order on the operator's own numbers, from any daemon. Reply: OrderOutcome."""
+    """Command with an order that uses the operator's own edition numbers. Its reply is an OrderOutcome."""
 
     change: EditionChange
 
 
 class FindEdition(msgspec.Struct, frozen=True, tag=True):
-    """Command: the newest edition, and whether this order (empty: none) was accepted. Reply: EditionStanding.
+    """Command that asks for the latest edition and whether ``order`` was accepted (empty: no order is asked about).
 
-    As any command it is answered by a primary that its backup confirms, so nothing acknowledged before it is missing.
+    Its reply is an EditionStanding. Like every command it is answered by a primary that its backups
+    confirm, so the reply misses nothing that was acknowledged earlier.
     """
 
     order: OrderId = OrderId("")
 
 
 BundleCommand = SubmitOrder | SubmitEdition | FindEdition
-"""What the applier of kind ``bundle`` takes."""
+"""The commands that the applier of kind ``bundle`` accepts."""
 
 
 __all__ = [
--- a/wingwood/control/relay.py
+++ b/wingwood/control/relay.py
@@ -1,4 +1,4 @@
-"""A control daemon without a disk: passes calls on to the control core, of which it is no part (section 7.12)."""
+"""A control daemon without a disk, which forwards calls to the control core (docs/DESIGN.md section 7.12)."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 
 class RelayLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Durations in seconds."""
+    """Limits of a relay; durations are in seconds."""
 
     view_query_interval: Seconds = Seconds(0.5)
-    """Between two questions to the presumed primary."""
+    """Interval between two status queries to the presumed primary."""
     call_timeout: Seconds = Seconds(0.6)
 
 
 class RelayCore:
-    """A ``ControlCore`` that never leads, has no seat, keeps nothing and decides nothing.
+    """A ``ControlCore`` that never leads, is never a member, stores nothing and decides nothing.
 
-    It asks the presumed primary for its view, and everyone that it knows when that one no longer leads.
-    ``other_controls`` gives further internal addresses of control daemons.
+    It asks the presumed primary for its view at intervals, and all known control daemons when that primary
+    no longer leads. ``other_controls`` returns further internal addresses of control daemons.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._on_change: list[Callable[[], None]] = []
         self._task: Task | None = None
 
-    # -- what the other slices see
+    # -- interface for the other slices
 
     def leads(self) -> bool:
         return False
@@ -72,7 +72,7 @@
         return member.address if member is not None else None
 
     def control_addresses(self) -> Sequence[Address]:
-        """Of all control daemons known here, the presumed primary first."""
+        """Returns the addresses of all control daemons known here, that of the presumed primary first."""
         members = self._view.members if self._view is not None else ()
         addresses = [self.primary_address(), *(member.address for member in members)]
         addresses += [*self._seeds, *self._other_controls()]
@@ -83,7 +83,7 @@
         self._on_change.append(callback)
 
     def on_commit(self, callback: Callable[[], None]) -> None:
-        """Never called: nothing is committed here."""
+        """Ignores the callback, since nothing is committed here."""
 
     def report(self) -> ViewReport:
         view = self._view
@@ -105,7 +105,7 @@
     async def prove_leadership(self) -> bool:
         return False
 
-    # -- life
+    # -- start and stop
 
     def start(self) -> None:
         self._messenger.on_call(ControlJoin, self._on_join)
@@ -114,9 +114,9 @@
         self._task = self._context.tasks.spawn("control relay", self._look_forever())
 
     def release_leadership(self) -> None:
-        """It has nothing to give away."""
+        """Does nothing, since a relay never leads."""
 
-    # -- whom to pass on to
+    # -- finding the primary
 
     async def _look_forever(self) -> None:
         while True:
@@ -159,7 +159,10 @@
 
 
 async def forward_command(messenger: Messenger, primary: Address, message: ControlCommand) -> ControlDecision:
-    """The primary's answer to a command that came here; ``unknown`` when it may have arrived there."""
+    """Forwards a command to the primary and returns its answer.
+
+    When the call fails, the fault is ``unknown`` if the command may have reached the primary, else ``not-leading``.
+    """
     forwarded = msgspec.structs.replace(message, hops=message.hops - 1)
     match await messenger.call(primary, forwarded, ControlDecision, message.budget):
         case Success(found):
--- a/wingwood/control/replica.py
+++ b/wingwood/control/replica.py
@@ -1,4 +1,4 @@
-"""The replicated state of one control daemon: appliers, and what waits to be applied (docs/DESIGN.md section 7.2.6)."""
+"""The replicated state of one control daemon: appliers and batches not yet applied (docs/DESIGN.md section 7.2.6)."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class Replica:
-    """``applied`` is the batch the appliers stand at; -1: what they hold counts for nothing.
+    """The appliers of one daemon, and the journaled batches that wait to be applied to them.
 
-    ``committed`` is the newest batch known to be durable on primary and backup. Committed batches are
-    the same everywhere, so this knowledge survives a change of role.
+    ``applied`` is the latest batch applied to the appliers; -1 means that their state is invalid.
+    ``committed`` is the latest batch known to be durable on the primary and all backups. Committed batches
+    are the same on every daemon, so this knowledge survives a change of role.
     """
 
     def __init__(self, appliers: Sequence[Applier], contents: Contents) -> None:
@@ -27,11 +28,11 @@
         self._on_commit: list[Callable[[], None]] = []
 
     def on_commit(self, callback: Callable[[], None]) -> None:
-        """Called when the appliers hold exactly the committed state, after each advance of it."""
+        """Calls back after each advance of the committed state, when the appliers hold exactly that state."""
         self._on_commit.append(callback)
 
     def load(self, contents: Contents) -> None:
-        """Takes a journal's content in place of all state; nothing of it is applied yet."""
+        """Replaces all state by the contents of a journal, none of which are applied yet."""
         self._waiting = contents
         self.applied = -1
 
@@ -39,7 +40,7 @@
         self._waiting.batches.append(batch)
 
     def apply_up_to(self, sequence: int | None) -> None:
-        """Applies what waits, up to that batch (None: all)."""
+        """Applies the waiting batches up to and including ``sequence`` (None: all of them)."""
         waiting = self._waiting
         if self.applied < 0:
             snapshot = waiting.snapshot
@@ -64,7 +65,10 @@
         del waiting.batches[:done]
 
     def commit(self, sequence: int) -> None:
-        """``sequence`` is durable on primary and backup, and this journal's batches up to it are the same."""
+        """Commits all batches up to ``sequence``.
+
+        The caller knows that they are durable on the primary and all backups and that this journal has the same ones.
+        """
         self.committed = max(self.committed, sequence)
         self.apply_up_to(self.committed)
         if self.applied == self.committed and self._announced != self.committed:
@@ -76,7 +80,7 @@
         return SnapshotEntry(self.applied, {kind: applier.snapshot() for kind, applier in self.appliers.items()})
 
     def contents(self) -> Contents:
-        """Everything, for a rewrite of the journal."""
+        """Returns the complete state, applied or not, for a rewrite of the journal."""
         if self.applied < 0:
             return Contents(self._waiting.snapshot, list(self._waiting.batches))
         return Contents(self.snapshot(), list(self._waiting.batches))
--- a/wingwood/control/replicator.py
+++ b/wingwood/control/replicator.py
@@ -1,4 +1,4 @@
-"""The primary's side of replication: batches, commits and whole states to backups (docs/DESIGN.md section 7.2)."""
+"""Replication by the primary: batches, commits and complete states sent to backups (docs/DESIGN.md section 7.2)."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from .store_guard import StoreGuard
 
 RETRY_PAUSE_S = Seconds(0.05)
-"""Before a batch is sent again to a backup that did not answer."""
+"""Pause before a batch is sent again to a backup that did not answer."""
 RETRY_WINDOW_S = 0.4
-"""Seconds after which a batch that was not answered is not sent again."""
+"""Time after which an unanswered batch is no longer sent again."""
 
 
 class Replicator(StoreGuard):
-    """Sends batches and states, and keeps in ``Leadership`` what each backup is known to have."""
+    """Sends batches and complete states, and records in ``Leadership`` what each backup is known to have."""
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
@@ -30,7 +30,7 @@
     # -- batches
 
     async def _replicate(self, leadership: Leadership, epoch: Epoch, before: int, entry: bytes) -> bool:
-        """To all backups of the view; whether each has synced it."""
+        """Sends a batch to all backups of the view; returns whether every one of them has synced it."""
         backups = leadership.backup_members()
         done = await asyncio.gather(
             *(self._replicate_to(leadership, member, epoch, before, entry) for member in backups)
@@ -78,10 +78,13 @@
                 message = ControlCommitted(member.incarnation, leadership.view.epoch, self._replica.committed)
                 self._messenger.post(member.address, message)
 
-    # -- the whole state
+    # -- the complete state
 
     async def _sync_backups(self, leadership: Leadership, backups: Sequence[ViewMember]) -> bool:
-        """All of them have our whole state on their disks; who already has it is sent nothing."""
+        """Brings the complete state to the disks of all these backups; returns whether that succeeded.
+
+        A backup that already has the state is sent nothing.
+        """
         behind = [member for member in backups if leadership.synced.get(member.incarnation) != self._store.sequence]
         sent = await asyncio.gather(*(self._send_state(leadership, member) for member in behind))
         for member, synced in zip(behind, sent, strict=True):
@@ -95,7 +98,9 @@
 
     async def _send_state(self, leadership: Leadership, member: ViewMember) -> bool:
         if self._replica.applied != self._store.sequence:
-            raise AssertionError(f"applied {self._replica.applied}, journaled {self._store.sequence}")
+            raise AssertionError(
+                f"batch {self._replica.applied} is applied, but batch {self._store.sequence} is journaled"
+            )
         data = msgspec.msgpack.encode(self._replica.snapshot())
         self._transfers += 1
         transfer = Transfer(self._own_incarnation, leadership.view.epoch, self._transfers)
--- a/wingwood/control/state_transfer.py
+++ b/wingwood/control/state_transfer.py
@@ -1,4 +1,4 @@
-"""The whole state on its way to a new backup, in pieces (docs/DESIGN.md section 7.2)."""
+"""Transfer of the complete state to a new backup in chunks (docs/DESIGN.md section 7.2)."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from .messages import ControlStateChunk
 
 PACKING_LEVEL = 1
-"""The fastest: a state is mostly slices, which are repetitive text."""
+"""The fastest level of zlib. A state consists mostly of slices, repetitive text that compresses well even so."""
 
 
 class Transfer(msgspec.Struct, frozen=True):
-    """One sending of the state; ``number`` counts the sender's transfers."""
+    """Identifies one transfer of the state; ``number`` counts the transfers of the sender."""
 
     sender: Incarnation
     epoch: Epoch
@@ -25,7 +25,7 @@
 def split_into_chunks(
     state: bytes, to: Incarnation, transfer: Transfer, chunk_bytes: int, packed: bool = False
 ) -> Iterator[ControlStateChunk]:
-    """The encoded state in pieces of at most that size; at least one piece."""
+    """Yields the encoded state in chunks of at most ``chunk_bytes``; an empty state gives one empty chunk."""
     data = zlib.compress(state, PACKING_LEVEL) if packed else state
     count = max(1, -(-len(data) // chunk_bytes))
     for index in range(count):
@@ -34,21 +34,22 @@
 
 
 class StateReceiver:
-    """Puts the pieces of one transfer together. A piece of another transfer drops what came of the one before."""
+    """Joins the chunks of one transfer. A chunk of another transfer discards the chunks received before."""
 
     def __init__(self) -> None:
         self._current: Transfer | None = None
         self._chunks: dict[int, bytes] = {}
         self._latest_installed = Transfer(Incarnation(""), Epoch(0), 0)
-        """The newest one taken; an older one of the same sender and epoch may arrive late."""
+        """The latest transfer installed; chunks of an older one of the same sender and epoch may still arrive late."""
 
     def is_outdated(self, transfer: Transfer) -> bool:
+        """Whether a later transfer of the same sender and epoch has been installed already."""
         latest_installed = self._latest_installed
         same_origin = (latest_installed.sender, latest_installed.epoch) == (transfer.sender, transfer.epoch)
         return same_origin and transfer.number < latest_installed.number
 
     def add(self, chunk: ControlStateChunk) -> bytes | None:
-        """The whole encoded state once all its pieces are here."""
+        """Adds a chunk; returns the complete encoded state once all its chunks have arrived, else None."""
         transfer = transfer_of(chunk)
         if self._current != transfer:
             self._current, self._chunks = transfer, {}
--- a/wingwood/control/store.py
+++ b/wingwood/control/store.py
@@ -1,4 +1,4 @@
-"""What one control daemon keeps on its disk (docs/DESIGN.md section 7.1)."""
+"""The durable state of one control daemon: its journal on disk (docs/DESIGN.md section 7.1)."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class StoreFault(msgspec.Struct, frozen=True):
-    """Why a data folder cannot be used; ``detail`` says it in words for the operator."""
+    """Why a data folder cannot be used; ``detail`` is a sentence for the operator."""
 
     kind: Literal["locked", "damaged", "disk"]
     detail: str
@@ -40,17 +40,17 @@
 
 
 class Contents(msgspec.Struct):
-    """State as the journal has it, not yet in the appliers."""
+    """State as read from the journal, not yet applied to the appliers."""
 
     snapshot: SnapshotEntry | None = None
     batches: list[BatchEntry] = []
 
 
 class ControlStore:
-    """The durable side of a member. Its methods are called one at a time (under the core's lock).
+    """The durable state of a member. Its methods are called one at a time, under the lock of the core.
 
-    The attributes are what is synced; each changes when its append has succeeded. After a failure
-    the caller must ``reload`` before it uses the store again.
+    The attributes reflect what has been synced to disk: each changes only after its append has succeeded.
+    After a failure the caller must call ``reload`` before it uses the store again.
     """
 
     def __init__(self, context: Context, journal: Journal, incarnation: Incarnation) -> None:
@@ -59,10 +59,12 @@
         self.incarnation = incarnation
         self.promise = NO_PROMISE
         self.ever_used = False
-        """Has accepted a view, granted a promise outside of forming, or held state."""
+        """It has accepted a view, granted a promise other than to form the first view, or held state."""
         self.view: View | None = None
         self.sequence = 0
+        """The latest batch in the journal."""
         self.rewritten_bytes = 0
+        """The length of the journal after its last rewrite."""
 
     async def record_promise(self, promise: Promise, forming: bool) -> Result[None, JournalFault]:
         if promise.epoch <= self.promise.epoch:
@@ -104,7 +106,7 @@
     async def rewrite(
         self, contents: Callable[[], Contents], timeout: Seconds, promise: Promise | None = None
     ) -> Result[None, JournalFault]:
-        """Takes the place of the journal. The last batch of ``contents`` becomes the sequence."""
+        """Replaces the journal by ``contents``. The sequence of its last batch becomes that of the store."""
         promise = promise or self.promise
         written = Contents()
 
@@ -134,7 +136,7 @@
         return [_encode(entry) for entry in entries]
 
     def compact(self, contents: Contents) -> Coroutine[Any, Any, Result[None, JournalFault]]:
-        """Makes the journal short. ``contents`` is all state up to ``sequence``; nothing else changes by it."""
+        """Shortens the journal. ``contents`` is the complete state up to ``sequence``; nothing else changes."""
         return self._compact(self.journal.compact(self._payloads(contents, self.promise)))
 
     async def _compact(self, compaction: Coroutine[Any, Any, Result[None, JournalFault]]) -> Result[None, JournalFault]:
@@ -144,7 +146,7 @@
         return outcome
 
     async def reload(self, timeout: Seconds) -> Result[Contents, JournalFault]:
-        """Reads everything back from the disk; the way out of each failure."""
+        """Reads everything back from the disk; every failure of a write is recovered from in this way."""
         match await self.journal.open(timeout):
             case Failure(fault):
                 return Failure(fault)
@@ -191,11 +193,11 @@
 async def open_store(
     context: Context, start_empty_when_damaged: bool = False, retry_pause: Seconds | None = None
 ) -> Result[tuple[ControlStore, Contents], StoreFault]:
-    """Locks the data folder and reads its journal; an empty folder gets a new incarnation.
+    """Locks the data folder and reads its journal; in an empty folder it creates a journal of a new incarnation.
 
-    A damaged journal is a fault, unless the operator said ``start_empty_when_damaged``: then it is put
-    aside under another name and the daemon starts as an empty, new incarnation, to be filled by its peers.
-    With ``retry_pause`` a disk that fails or is full is tried again until it is well.
+    A damaged journal is a fault, unless the operator set ``start_empty_when_damaged``: then the journal is
+    renamed, and the daemon starts empty, as a new incarnation, and receives the state from its peers.
+    With ``retry_pause``, opening a disk that fails or is full is retried until it succeeds.
     """
     while True:
         opened = await _open_store(context, start_empty_when_damaged)
@@ -237,20 +239,22 @@
                 StoreFault(
                     "damaged",
                     f"{JOURNAL_NAME} is damaged at byte {problem.offset} ({problem.detail}); "
-                    "to fill this machine anew from its peers, start it once with the word to begin empty when damaged",
+                    "to refill this machine from its peers, start it once with --begin-empty-when-damaged",
                     problem.offset,
                 )
             )
         aside = f"{JOURNAL_NAME}.damaged-{int(context.clock.wall())}"
         match await context.disk.rename(JOURNAL_NAME, aside):
             case Failure(fault):
-                return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be put aside: {fault.detail}"))
+                return Failure(
+                    StoreFault("disk", f"the damaged {JOURNAL_NAME} cannot be renamed to {aside}: {fault.detail}")
+                )
         context.log.event("journal-put-aside", file=aside)
     elif problem.kind != "missing":
         return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be read: {problem.kind} {problem.detail}"))
     store.incarnation = Incarnation(context.random.randbytes(8).hex())
     match await journal.create([_encode(FoundedEntry(store.incarnation))], timeout):
         case Failure(problem):
-            return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be made: {problem.kind} {problem.detail}"))
+            return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be created: {problem.kind} {problem.detail}"))
     context.log.event("control-store-founded", incarnation=store.incarnation)
     return Success((store, Contents()))
--- a/wingwood/control/store_guard.py
+++ b/wingwood/control/store_guard.py
@@ -1,4 +1,4 @@
-"""A member's disk: faults, and the way back from them (docs/DESIGN.md section 7.6)."""
+"""Faults of a member's disk, and the recovery from them (docs/DESIGN.md section 7.6)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StoreGuard(Member):
-    """Keeps a sick store from being used, and heals it."""
+    """Prevents the use of a store whose disk failed, and recovers it."""
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
@@ -23,7 +23,7 @@
         )
 
     def _mark_disk_faulty(self, fault: JournalFault) -> None:
-        """Nothing is promised, accepted or acknowledged until the journal was read back."""
+        """Marks the store unusable: nothing is promised, accepted or acknowledged until the journal was read back."""
         if self._disk_fault is None:
             self._log("control-disk-sick", kind=fault.kind, detail=fault.detail)
         self._disk_fault = f"{fault.kind} {fault.detail}"
@@ -33,7 +33,7 @@
         self._changed()
 
     def _write_succeeded(self, outcome: Result[None, JournalFault]) -> bool:
-        """Whether a write succeeded; after a failed one the store counts as sick."""
+        """Returns whether a write succeeded; after a failed one the store is marked as faulty."""
         match outcome:
             case Failure(fault):
                 self._mark_disk_faulty(fault)
@@ -41,7 +41,10 @@
         return True
 
     async def _recover_disk(self) -> bool:
-        """Under the lock. Reads the journal back, and shows with a probe that it takes writes."""
+        """Reads the journal back and checks with a probe entry that it accepts writes; returns whether both succeeded.
+
+        The caller holds the lock of the store.
+        """
         if self._disk_fault is None and not self._stale:
             return True
         match await self._store.reload(RELOAD_TIMEOUT_S):
@@ -70,7 +73,7 @@
             self._context.tasks.stop_process(f"the control journal is damaged at byte {fault.offset}")
 
     def _handle_data_loss(self) -> None:
-        detail = "the data folder was emptied under this process"
+        detail = "the data folder was emptied while this process was running"
         self._log("control-data-lost", detail=detail)
         if self._on_data_lost is not None:
             self._on_data_lost()
@@ -78,6 +81,7 @@
             self._context.tasks.stop_process(detail)
 
     async def _check_disk(self) -> None:
+        """Checks at regular intervals that the journal file still exists, even when nothing is written."""
         while not self._stopped:
             await self._context.clock.sleep(self._limits.disk_check_interval)
             async with self._lock:
--- a/wingwood/control/voter.py
+++ b/wingwood/control/voter.py
@@ -1,4 +1,4 @@
-"""A member's votes: promises, acceptances, heartbeats and confirmations (docs/DESIGN.md section 7.2)."""
+"""Votes of a member: promises, acceptances, heartbeats and confirmations (docs/DESIGN.md section 7.2)."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 class Voter(Backup):
-    """Answers of a member to candidates, to the primary and to daemons that look for them."""
+    """Answers candidates, the primary, and daemons that look for either."""
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
         self._knows_of_history = setup.knows_of_history
 
-    # -- how it sees things
+    # -- status
 
     def _status(self) -> ControlStatus:
         return ControlStatus(
@@ -96,7 +96,7 @@
 
     async def _on_accept(self, _: Identity, message: ControlAccept) -> ControlAccepted:
         if message.to != self._own_incarnation:
-            # We are a new incarnation at a member's address; this tells us whom to ask for membership.
+            # The view names an earlier incarnation at our address; it shows whom to ask for membership.
             self._note_view(message.view)
             return ControlAccepted(self._own_incarnation, False, self._store.promise.epoch)
         async with self._lock:
@@ -116,7 +116,7 @@
         return True
 
     async def _journal_view(self, view: View) -> bool:
-        """Journals it as the newest accepted view."""
+        """Journals the view as the latest accepted one; returns whether that succeeded."""
         if self._leadership is not None:
             self._step_down(f"accepted epoch {view.epoch} of another")
         known = self._store.view
@@ -127,7 +127,7 @@
         self._log("view-accepted", epoch=view.epoch, primary=view.primary, backups=",".join(view.backups))
         return True
 
-    # -- the primary's calls
+    # -- calls of the primary
 
     async def _on_heartbeat(self, _: Identity, message: ControlHeartbeat) -> ControlHeartbeatAnswer:
         promise, view = self._store.promise, self._store.view
