--- a/wingwood/control/tests/control_world.py
+++ b/wingwood/control/tests/control_world.py
@@ -1,4 +1,4 @@
-"""Control daemons on a simulated world, operators that send orders, and an observer of the answers."""
+"""Control daemons in a simulated world, operators that send orders, and an observer that checks the answers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Takes the next version when ``base`` is the newest one."""
+    """Command that sets the next version if ``base`` is the latest one."""
 
     order: int
     base: int
@@ -49,7 +49,7 @@
 
 
 class Register:
-    """A small applier: versions by compare-and-set, outcomes kept for ever."""
+    """A small applier: versions change by compare-and-set, and outcomes are stored for ever."""
 
     kind = "register"
     command_type = Put
@@ -106,7 +106,7 @@
 
 
 class Observer:
-    """Sees answers to operators and proofs only. ``faults`` lists what must never happen."""
+    """Sees only the answers to operators and the proofs. ``faults`` lists observations that must never occur."""
 
     def __init__(self) -> None:
         self.faults: list[str] = []
@@ -114,7 +114,7 @@
         self.winners: dict[int, int] = {}
         self.newest = 0
         self.first_sent: dict[int, int] = {}
-        """The newest acknowledged version when the order was sent for the first time."""
+        """By order: the latest acknowledged version when the order was sent for the first time."""
         self.acknowledged = 0
         self.proofs = 0
         self.last_acknowledged = 0.0
@@ -137,7 +137,7 @@
 
 
 class ControlWorld:
-    """``c1`` to ``c3`` are seeds; more daemons may be started on new machines with the same settings."""
+    """``c1`` to ``c3`` are the seeds; more daemons may be started on new machines with the same settings."""
 
     def __init__(self, seed: int, make: MakeCore = make_core, start: Sequence[str] = ("c1", "c2", "c3")) -> None:
         self.world = World(seed)
@@ -152,13 +152,14 @@
         self.clients: dict[str, ControlClient] = {}
         self.orders = 0
         self.begin_empty: set[str] = set()
-        """Daemons whose operator said that they may begin empty when their journal is damaged."""
+        """Daemons whose operator allows them to start empty when their journal is damaged."""
         self.quiet_until = 0.0
+        """Operators send nothing before this time."""
         for name in start:
             self.start(name)
 
     def start(self, name: str, seeds: Sequence[str] = ()) -> Process:
-        """``seeds``: the machines that its settings name, when not the first three."""
+        """Starts a daemon. ``seeds`` are the machines named in its settings (default: the first three)."""
         addresses = tuple(address_of(self.world.machine(seed), PORT) for seed in seeds) or self.seeds
         address = address_of(self.world.machine(name, "a"), PORT)
 
@@ -183,14 +184,14 @@
     def close(self) -> None:
         self.world.close()
 
-    # -- who leads
+    # -- roles
 
     def alive(self, name: str) -> bool:
         process = self.world.processes.get(name)
         return process is not None and process.alive and not process.frozen and name in self.cores
 
     def report(self, name: str) -> ViewReport:
-        """As the daemon itself would say it, on its own clock."""
+        """Returns the report of the daemon, made on its own clock."""
         return self.run_in_process(name, self.cores[name].report)
 
     def leads(self, name: str) -> bool:
@@ -204,7 +205,7 @@
             self.world.loop.running_life = None
 
     def leader(self) -> str | None:
-        """A live daemon that accepts orders now."""
+        """Returns a live daemon that accepts orders now, or None."""
         return next((name for name in self.cores if self.alive(name) and self.report(name).accepts_orders), None)
 
     def complete(self) -> bool:
@@ -215,13 +216,13 @@
         return max((core.epoch() for core in self.cores.values()), default=Epoch(0))
 
     def name_with_role(self, role: str) -> str:
-        """The daemon that has the role in the newest view."""
+        """Returns the live daemon that reports this role."""
         return next(name for name in self.cores if self.alive(name) and self.report(name).own_role == role)
 
     # -- operators
 
     def operator(self, name: str = "operator", zone: str = "a", limits: ControlClientLimits | None = None) -> None:
-        """A process that can send orders (it keeps no state)."""
+        """Starts a process that can send orders; it stores no state."""
 
         async def main(context: Context) -> None:
             address = address_of(self.world.machine(name, zone), PORT)
@@ -243,7 +244,7 @@
         return None
 
     def send(self, name: str = "operator", filler: bytes = b"", timeout: float = 4.0) -> PutOutcome | None:
-        """One order on the newest acknowledged version, waited for."""
+        """Sends one order based on the latest acknowledged version, and waits for its outcome."""
         answers: list[PutOutcome | None] = []
         self.orders += 1
         put = Put(self.orders, self.observer.newest, filler)
@@ -256,7 +257,7 @@
         return answers[0] if answers else None
 
     def keep_sending(self, name: str, pause: float = 0.05) -> None:
-        """Orders without end: on the newest version, some on an older one, unanswered ones again."""
+        """Sends orders without end: most on the latest version, some on an older one; repeats unanswered ones."""
         client, random = self.clients[name], self.world.random
 
         async def run() -> None:
--- a/wingwood/control/tests/edition_world.py
+++ b/wingwood/control/tests/edition_world.py
@@ -1,4 +1,4 @@
-"""Control daemons that take orders on the operator's own numbers, and an observer of what operators are told."""
+"""Control daemons that accept orders with the operator's own edition numbers, and an observer of the answers."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class EditionWorld(ControlWorld):
-    """``editions`` holds the way that each live control daemon offers to its operators."""
+    """``editions`` holds, by name of control daemon, the client through which it serves its operators."""
 
     def __init__(
         self, seed: int, make_state: MakeState = signing_state, make_client: MakeClient = edition_client
@@ -74,7 +74,7 @@
         return core
 
     def submit(self, name: str, change: EditionChange, timeout: float = 5.0) -> Answer | None:
-        """Sent to that daemon and waited for; None: no answer at all."""
+        """Sends the change to that daemon and waits for the answer; None means that there was none."""
         answers = self.start_submit(name, change)
         self.world.wait_for(lambda: bool(answers), timeout, every=0.005)
         return answers[0] if answers else None
@@ -89,7 +89,7 @@
         return answers
 
     def newest_number(self, name: str) -> int | None:
-        """As that daemon reads it back; None: it says that it can't."""
+        """Returns the latest edition number as that daemon reads it back; None if it answers that it cannot."""
         answers: list[int | None] = []
 
         async def run() -> None:
@@ -107,12 +107,12 @@
 
 
 class EditionObserver(msgspec.Struct):
-    """What operators were told. ``faults`` lists what must never happen."""
+    """Checks the answers to operators. ``faults`` lists observations that must never occur."""
 
     faults: list[str] = []
     accepted: dict[str, EditionChange] = {}
     winners: dict[int, str] = {}
-    """Order by base."""
+    """By base: the order that was accepted on it."""
     newest: int = 0
     unclear: list[EditionChange] = []
 
@@ -132,7 +132,7 @@
 
 
 class EditionWalk:
-    """Operators that send, resend and read at random daemons while these are lost and come back."""
+    """Operators that send, resend and read at random daemons while daemons fail and come back."""
 
     def __init__(
         self, seed: int, make_state: MakeState = signing_state, make_client: MakeClient = edition_client
@@ -144,7 +144,7 @@
         self.reads = 0
 
     def run(self, seconds: float) -> list[str]:
-        """Faults; the world is closed."""
+        """Runs the walk, closes the world, and returns the faults found."""
         try:
             assert self.world.world.wait_for(self.world.complete, 5.0)
             for number in range(3):
@@ -189,7 +189,7 @@
         self.world.world.start(name, main)
 
     async def _act(self, target: str) -> None:
-        """The daemon's own work runs in the daemon's process and may end with it."""
+        """Performs one action in the process of the daemon, with which the action may end."""
         done = asyncio.Event()
         choice = self.world.world.random.random()
 
@@ -218,7 +218,7 @@
                     self.observer.faults.append(f"{target} read {number}, but {known} was acknowledged before")
 
     def _choose(self, choice: float) -> EditionChange:
-        """A new one on the newest acknowledged edition, one on a later or an older one, or one that was sent before."""
+        """Returns a new change on the latest acknowledged edition or one beside it, or a change sent before."""
         random = self.world.world.random
         if self.sent and choice < 0.6:
             return random.choice(self.sent[-8:])
--- a/wingwood/control/tests/mutants.py
+++ b/wingwood/control/tests/mutants.py
@@ -1,4 +1,4 @@
-"""Broken variants of the control core; each must be caught by the walks. Only the test harness has them."""
+"""Broken variants of the control core, used by tests only; the random walks must catch each of them."""
 
 from __future__ import annotations
 
@@ -28,6 +28,8 @@
 
 
 class AcknowledgesBeforeBackup(ReplicatedCore):
+    """A primary that answers before the backups have journaled the batch."""
+
     async def _replicate(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
         self._context.tasks.spawn("late", self._late(leadership, epoch, before, entry))
         return True
@@ -38,7 +40,7 @@
 
 
 class BackupIgnoresPromise(ReplicatedCore):
-    """Journals what any former primary sends, as long as the numbers fit."""
+    """A backup that journals batches of a former primary, as long as the sequence fits."""
 
     async def _journal_batch(self, message: ControlReplicate) -> str | None:
         if message.before == self._store.sequence and message.entry and self._disk_fault is None and not self._stale:
@@ -49,6 +51,8 @@
 
 
 class ViewBeforeTransfer(ReplicatedCore):
+    """A primary that chooses a view before its new backups have received the state."""
+
     async def _send_state(self, leadership: _Lead, member: ViewMember) -> bool:
         self._context.tasks.spawn("late", self._late_state(leadership, member))
         return True
@@ -63,7 +67,7 @@
 
 
 class AnyGranteeMayWin(ReplicatedCore):
-    """Witnesses stand too, and nobody asks whether the winner holds the state."""
+    """Witnesses become candidates too, and no member checks whether the winner holds the state."""
 
     async def _may_be_candidate(self, view: View) -> bool:
         newest = self._store.view
@@ -95,7 +99,7 @@
 
 
 class AnswersWhenCutOff(ReplicatedCore):
-    """A former primary that doesn't notice: whoever doesn't answer, it goes on alone."""
+    """A former primary that does not notice that no member answers, and continues alone."""
 
     def leads(self) -> bool:
         return self._leadership is not None
@@ -115,6 +119,8 @@
 
 
 class ProvesWithoutAsking(ReplicatedCore):
+    """A primary that claims a proof without asking any member."""
+
     async def _proof_round(self, leadership: _Lead) -> bool:
         return self._leadership is leadership
 
@@ -130,7 +136,7 @@
     register: Register,
     seeds: Sequence[Address],
 ) -> ReplicatedCore:
-    """The incarnation is the machine's address, and an empty folder passes for one that forgot nothing."""
+    """A core whose incarnation is the address of its machine, so that a wiped machine counts as the old member."""
     identity = messenger.identity
     store.incarnation = Incarnation(f"at {identity.internal}")
     messenger.identity = Identity(identity.name, store.incarnation, "control", identity.zone, identity.internal)
@@ -138,7 +144,7 @@
 
 
 class ForgetsFormerMembers(ReplicatedCore):
-    """A second try for a view with other members asks those only."""
+    """A primary that, on the second attempt for a view with other members, asks only the new members."""
 
     async def _change_view(self, leadership: _Lead, plan: _Plan) -> None:
         plan.former = ()
@@ -146,6 +152,8 @@
 
 
 class OneBackupIsEnough(ReplicatedCore):
+    """A primary that answers when the first of two backups has journaled the batch."""
+
     async def _replicate(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
         backups = [member for member in leadership.view.members if member.incarnation in leadership.view.backups]
         replicating = {
@@ -160,7 +168,7 @@
 
 
 class TakesBackupsForInSync(ReplicatedCore):
-    """Sends the state to newcomers only, and doesn't look what the others have."""
+    """A primary that sends the state to newcomers only and does not check what the other backups have."""
 
     async def _sync_backups(self, leadership: _Lead, backups: Sequence[ViewMember]) -> bool:
         newcomers = [member for member in backups if leadership.view.member(member.incarnation) is None]
@@ -171,6 +179,8 @@
 
 
 class ProvesWithOneMember(ReplicatedCore):
+    """A primary that claims a proof when one other member confirms, which of five members is no majority."""
+
     async def _proof_round(self, leadership: _Lead) -> bool:
         view = leadership.view
         answers = await self._gather(
@@ -185,7 +195,7 @@
 
 
 class Mutant(msgspec.Struct, frozen=True):
-    """A broken core, and the faults and the fleet of the walks that catch it."""
+    """A broken core, with the faults and the machines of the walks that catch it."""
 
     make: MakeCore
     faults: tuple[str, ...]
@@ -203,7 +213,7 @@
         ("slow_wire", "slow_wire", "kill_primary", "heal_cuts"),
     ),
     "identity survives wipe": Mutant(identity_survives_wipe, ("lose_then_kill", "nothing")),
-    "view before transfer": Mutant(with_core(ViewBeforeTransfer), ("second_loss", "hush", "nothing")),
+    "view before transfer": Mutant(with_core(ViewBeforeTransfer), ("second_loss", "pause_operators", "nothing")),
     "any grantee may win": Mutant(with_core(AnyGranteeMayWin), ("cut_off", "cut", "freeze_primary", "heal_cuts")),
     "proves without asking": Mutant(
         with_core(ProvesWithoutAsking), ("cut_off", "heal_cuts", "freeze_primary", "nothing")
@@ -214,9 +224,11 @@
     ),
     "acknowledges before backups, two losses": _for_two(AcknowledgesBeforeBackup, "lose_behind_slow_wire", "nothing"),
     "one backup is enough, two losses": _for_two(OneBackupIsEnough, "lose_behind_slow_wire", "nothing"),
-    "view before transfer, two losses": _for_two(ViewBeforeTransfer, "second_loss", "hush", "nothing"),
-    "takes backups for in sync, two losses": _for_two(TakesBackupsForInSync, "second_loss", "lose", "kill", "hush"),
+    "view before transfer, two losses": _for_two(ViewBeforeTransfer, "second_loss", "pause_operators", "nothing"),
+    "takes backups for in sync, two losses": _for_two(
+        TakesBackupsForInSync, "second_loss", "lose", "kill", "pause_operators"
+    ),
     "any grantee may win, two losses": _for_two(AnyGranteeMayWin, "split", "freeze_primary", "heal_cuts"),
     "proves with one member, two losses": _for_two(ProvesWithOneMember, "cut_minority", "heal_cuts", "nothing"),
 }
-"""(A backup that ignores its promise: see test_core.)"""
+"""``BackupIgnoresPromise`` is not listed here; test_core catches it."""
--- a/wingwood/control/tests/protocol_model.py
+++ b/wingwood/control/tests/protocol_model.py
@@ -1,14 +1,14 @@
 """The control core's protocol as a state machine that hypothesis drives (docs/DESIGN.md section 7.10).
 
-The machine causes faults, lets time pass, and races orders and repeats them beside those that two operators
-send all the time; daemons are the real classes on simulated time. Unlike in the random walks hypothesis
-chooses each step, so a failing run is made as short as possible and printed as the steps that lead to it.
-It uses the core through its public interface and the messages between members only.
-
-Held at every step: an acknowledged order keeps its outcome, no two orders win one version, and a reader
-with a proof never sees an older version than one acknowledged or read with a proof before it asked. At the
-end all but the lost disks is mended: service is back, and every acknowledged order is there and is
-acknowledged again when it is sent again.
+The machine causes faults, lets time pass, and sends competing and repeated orders in addition to those that two
+operators send all the time. The daemons are the real classes on simulated time. Unlike in the random walks,
+hypothesis chooses each step, so a failing run is shortened and printed as the steps that lead to the failure.
+The core is used only through its public interface and the messages between members.
+
+Checked after every step: an acknowledged order keeps its outcome, no two orders win the same version, and a
+reader with a proof never sees an older version than one that was acknowledged, or read with a proof, before it
+asked. At the end all faults but the lost disks are mended; service must return, and every acknowledged order must
+be there and be acknowledged again when it is repeated.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 
 OPERATORS = ("oa", "ob")
 ORDER_PAUSE_S = 0.08
-"""Between an operator's orders, about."""
+"""The approximate pause between two orders of an operator."""
 READ_INTERVAL_S = 0.15
 ORDER_TIMEOUT_S = 2.0
 LONGEST_START_S = 5.0
 
 whom = st.integers(0, 6)
-"""0 is the primary of the moment; the others are numbered."""
+"""0 is the current primary; higher numbers are machines."""
 a_while = st.sampled_from((0.05, 0.4, 1.3, 2.5, 6.0))
 then = st.sampled_from((0.01, 0.1, 0.4, 1.3, 2.5))
-"""How long after a fault the next step comes."""
+"""Seconds from a fault to the next step."""
 
 
 class Fleet:
-    """What is run: the core, its machines, and how many disks may be lost at once."""
+    """What is run: the core, its machines, and how many disks may be lost at the same time."""
 
     def __init__(self, make: MakeCore, names: Sequence[str], losses_borne: int) -> None:
         self.make = make
@@ -52,7 +52,7 @@
 
 
 class ControlProtocol(RuleBasedStateMachine):
-    """``fleet`` is set by subclasses; ``only`` names the rules that a broken variant needs (empty: all)."""
+    """The state machine. Subclasses set ``fleet``, and in ``only`` the rules to use (empty: all)."""
 
     fleet: ClassVar[Fleet] = Fleet(core_maker(), ("c1", "c2", "c3", "c4"), 1)
     only: ClassVar[frozenset[str]] = frozenset()
@@ -62,7 +62,7 @@
         self.walk: Walk
         self.failed = False
         self.committed: dict[str, int] = {}
-        """What each daemon would show, as distribution does: committed versions only."""
+        """By daemon: the latest committed version, which is what distribution would show."""
         self.newest_read = 0
 
     @initialize(seed=st.integers(0, 15))
@@ -99,7 +99,7 @@
 
     @rule()
     def race(self) -> None:
-        """Two orders on one version at the same time, each then sent again to whoever answers."""
+        """Sends two orders on the same version at the same time, then each again through the other operator."""
         puts = [self._new_order() for _ in OPERATORS]
         for name, put in zip(OPERATORS, puts, strict=True):
             self._send(name, put)
@@ -108,7 +108,7 @@
             self._send(name, put)
 
     def read(self, name: str) -> None:
-        """The version in force, from a member that proves that it leads."""
+        """Reads the committed version from a member if that proves that it leads."""
         if not self.control.alive(name):
             return
         core, observer = self.control.cores[name], self.control.observer
@@ -165,7 +165,7 @@
     @precondition(lambda self: self._may("cut_off"))
     @rule(who=whom, friend=st.sampled_from(OPERATORS), with_member=st.sampled_from((0, 0, 1, 2, 3)), then=then)
     def cut_off(self, who: int, friend: str, with_member: int, then: float) -> None:
-        """A member, with one operator and perhaps another member, away from all others."""
+        """Cuts off a member, with one operator and perhaps another member, from all others."""
         others = {self._named(with_member)} if with_member else set()
         self.walk.cut_apart(sorted({self._named(who), friend} | others))
         self._pass(then)
@@ -197,7 +197,7 @@
     @precondition(lambda self: self._may("lose_disks") and self.walk.loss_can_be_borne())
     @rule(first=whom, second=whom, killed=st.booleans(), seconds=a_while, then=then)
     def lose_disks(self, first: int, second: int, killed: bool, seconds: float, then: float) -> None:
-        """As many as may be lost at once; under the running process, or with it."""
+        """Wipes up to ``losses_borne`` disks, while their processes run or after killing them."""
         chosen = list(dict.fromkeys((self._named(first), self._named(second))))
         for name in chosen[: self.fleet.losses_borne]:
             self.walk.log_step(f"wipe {name}")
@@ -211,7 +211,7 @@
     @precondition(lambda self: self._may("lose_then_kill") and self.walk.loss_can_be_borne())
     @rule(who=st.integers(1, 6), seconds=a_while, then=then)
     def lose_then_kill(self, who: int, seconds: float, then: float) -> None:
-        """A machine is back at once with an empty disk, and right then the primary goes down."""
+        """Restarts a machine at once with an empty disk, then kills the primary."""
         name, leader = self._named(who), self.control.leader()
         if leader is None or name == leader:
             return
@@ -224,7 +224,7 @@
     @precondition(lambda self: self._may("replace_backups") and self.control.leader() is not None)
     @rule(seconds=a_while, then=then)
     def replace_backups(self, seconds: float, then: float) -> None:
-        """The backups are frozen until others took their place; as they wake, the primary goes down."""
+        """Freezes the backups until others have replaced them; when they continue, kills the primary."""
         leader = self.control.leader()
         assert leader is not None
         before = self.control.report(leader).backups
@@ -251,10 +251,10 @@
     @precondition(lambda self: self._may("wait_until_whole"))
     @rule()
     def wait_until_whole(self) -> None:
-        """A repair ends; right then the next loss must be borne."""
+        """Waits until the fleet is complete again; from that moment the next loss must be survived."""
         self.world.wait_for(lambda: self._recovered() and self.control.complete(), 8.0, every=0.01)
 
-    # -- what is held
+    # -- checks
 
     @invariant()
     def nothing_contradicts(self) -> None:
@@ -274,11 +274,11 @@
             self.control.close()
 
     def _end(self) -> None:
-        """Everything but the lost disks is mended."""
+        """Mends all faults but the lost disks, and checks the result."""
         self.walk.end()
         self.nothing_contradicts()
 
-    # -- small helps
+    # -- helpers
 
     def _may(self, name: str) -> bool:
         return not self.only or name in self.only
@@ -300,7 +300,7 @@
         return True
 
     def _pass(self, seconds: float) -> None:
-        """Time passes; what was down, frozen or sick comes back when it is due."""
+        """Lets time pass; stopped or frozen daemons and failed disks recover when they are due."""
         until = self.world.now + seconds
         while self.world.now < until - 1e-9:
             self.world.run(min(READ_INTERVAL_S, until - self.world.now))
--- a/wingwood/control/tests/protocol_variants.py
+++ b/wingwood/control/tests/protocol_variants.py
@@ -1,4 +1,4 @@
-"""Broken variants of the control core for the protocol's model; they use its public interface and its messages only."""
+"""Broken variants of the control core for the protocol model, built on its public interface and its messages."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 Handler = Callable[[Identity, Any], Awaitable[msgspec.Struct]]
 Tamper = Callable[[Context, Handler], Handler]
 LATE_WRITE_DELAY_S = 1.5
-"""Longer than a take-over takes."""
+"""Longer than a take-over."""
 
 
 def _prepared(prepare: Callable[[Context, TcpMessenger, Register], None], losses_borne: int) -> MakeCore:
-    """A core that is made after ``prepare`` has spoilt what it is made of."""
+    """Makes a core after ``prepare`` has changed the parts that it is built from."""
     inner = core_maker(losses_borne=losses_borne)
 
     def make(
@@ -42,7 +42,7 @@
 
 
 def _tampered(tampers: dict[type[msgspec.Struct], Tamper], losses_borne: int) -> MakeCore:
-    """A core whose answers to some messages of other members are not its own."""
+    """Makes a core whose handlers of the given messages are replaced."""
 
     def prepare(context: Context, messenger: TcpMessenger, _: Register) -> None:
         on_call = messenger.on_call
@@ -57,7 +57,7 @@
 
 
 def answers_before_it_has_written(losses_borne: int = 1) -> MakeCore:
-    """A backup says that a batch is on its disk, and writes it later."""
+    """Makes a core that, as a backup, confirms a batch at once and writes it ``LATE_WRITE_DELAY_S`` later."""
 
     def tamper(context: Context, handler: Handler) -> Handler:
         async def late(peer: Identity, message: ControlReplicate) -> None:
@@ -76,7 +76,7 @@
 
 
 class _ForgetfulRegister(Register):
-    """Takes an order that it has seen for a new one."""
+    """Treats an order that it has seen as a new one."""
 
     def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
         assert isinstance(command, Put)
@@ -86,6 +86,8 @@
 
 
 def forgets_order_ids(losses_borne: int = 1) -> MakeCore:
+    """Makes a core whose applier does not recognise repeated orders."""
+
     def prepare(_: Context, __: TcpMessenger, register: Register) -> None:
         register.__class__ = _ForgetfulRegister
 
@@ -93,9 +95,12 @@
 
 
 class _ProvesByOwnRole(ReplicatedCore):
+    """Claims a proof whenever it is primary in its own view."""
+
     async def prove_leadership(self) -> bool:
         return self.report().own_role == "primary"
 
 
 def proves_without_asking(losses_borne: int = 1) -> MakeCore:
+    """Makes a core that proves leadership without asking another member."""
     return core_maker(_ProvesByOwnRole, WALK_LIMITS, losses_borne)
--- a/wingwood/control/tests/test_bundle_source.py
+++ b/wingwood/control/tests/test_bundle_source.py
@@ -1,4 +1,4 @@
-"""Distribution sees only bundles that are durable on primary and backup."""
+"""Tests that distribution sees only bundles that are durable on the primary and the backup."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         return core
 
     def start_order(self, tenants: int) -> list[object]:
-        """Sends an order for the next version; the list gets the outcome."""
+        """Sends an order for the next version; the returned list receives the outcome."""
         after = sample_slices(tenants)
         order = order_between(self.version, self.slices, after)
         answers: list[object] = []
@@ -101,7 +101,7 @@
         assert leader is not None
         self.assertEqual(self.sources[leader].version, 2)
 
-    def test_after_a_take_over_and_a_restart_of_all_the_newest_version_shows_again(self) -> None:
+    def test_the_latest_version_shows_again_after_a_take_over_and_a_restart_of_all(self) -> None:
         for tenants in (3, 4, 5):
             self.order(tenants)
         self.control.world.kill("c1")
--- a/wingwood/control/tests/test_client.py
+++ b/wingwood/control/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Finding the primary, passing commands on, and what is said when no answer was certain."""
+"""Tests of the client: finding the primary, forwarding commands, and the failures when no answer is certain."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
         self.assertTrue(self.control.world.wait_for(lambda: bool(answers), timeout + 0.5, every=0.01))
         return answers[0]
 
-    def test_a_caller_cut_off_from_the_primary_gets_its_answer_through_another(self) -> None:
+    def test_a_caller_cut_off_from_the_primary_is_answered_through_another_daemon(self) -> None:
         self.control.world.cut("operator", "c1")
         self.assertEqual(self.decide(1), Success(PutOutcome(1, True, 1)))
 
-    def test_short_tries_find_the_one_daemon_left_that_can_pass_them_on(self) -> None:
-        """The ledger gives each try 0.6 s: all of it went to the silent ones, for as long as the cut lasted."""
+    def test_short_attempts_find_the_only_daemon_that_can_forward_them(self) -> None:
+        """The ledger gives each attempt 0.6 s. All of it was once spent on unreachable daemons while the cut lasted."""
         self.assertIsInstance(self.decide(1, 0.6), Success)
         for name in ("c1", "c2"):
             self.control.world.cut("operator", name, both_ways=False)
@@ -47,18 +47,18 @@
             self.control.world.run(0.5)
         self.assertLessEqual(sum(isinstance(outcome, Failure) for outcome in outcomes), 2)
 
-    def test_nobody_there_means_that_nothing_happened(self) -> None:
+    def test_without_any_control_daemon_nothing_happened(self) -> None:
         for name in ("c1", "c2", "c3"):
             self.control.world.kill(name)
         self.assertEqual(self.decide(1).failure().kind, "not-leading")
 
-    def test_no_majority_means_that_nothing_happened(self) -> None:
+    def test_without_a_majority_nothing_happened(self) -> None:
         self.control.world.kill("c2")
         self.control.world.kill("c3")
         self.control.world.run(4.0)
         self.assertEqual(self.decide(1).failure().kind, "not-leading")
 
-    def test_a_command_whose_answer_was_lost_is_unknown_and_the_same_one_later_gets_the_first_outcome(self) -> None:
+    def test_a_command_whose_answer_was_lost_is_unknown_and_gets_its_first_outcome_when_repeated(self) -> None:
         self.assertIsInstance(self.decide(1), Success)
         cuts = [self.control.world.cut(name, "operator", both_ways=False) for name in ("c1", "c2", "c3")]
         self.assertEqual(self.decide(2).failure().kind, "unknown")
@@ -69,7 +69,7 @@
         self.assertEqual(outcomes[0], outcomes[1])
         self.assertNotIsInstance(outcomes[0], Failure)
 
-    def test_what_may_have_been_sent_stays_unknown_though_later_tries_were_not_sent(self) -> None:
+    def test_a_command_that_may_have_been_sent_stays_unknown_though_later_attempts_were_not_sent(self) -> None:
         client, seed = self.control.clients["operator"], self.control.seeds[0]
         sent = [True]
 
--- a/wingwood/control/tests/test_core.py
+++ b/wingwood/control/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The control core on simulated time: forming, losses, replacement, sick disks, deposed primaries."""
+"""Tests of the control core on simulated time: forming, losses, replacement, disk faults, deposed primaries."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 LONGEST_GAP_S = 3.0
 SERVICE_BACK_S = 12.0
 BACK_AFTER_RESTART_S = 0.55
-"""Seconds in which restarted members take orders again; the silence borne of a primary is 1 s."""
+"""Restarted members accept orders again within this time; a primary is given up only after 1 s of silence."""
 LONG_TIMEOUTS = ControlLimits(replicate_timeout=Seconds(6.0), decide_timeout=Seconds(8.0))
-"""Bounds so long that only the rules keep a woken primary from acknowledging."""
+"""Timeouts so long that only the rules of the protocol keep a primary from acknowledging after a freeze."""
 
 
 class ControlCase(unittest.TestCase):
     def fleet(self, seed: int = 1, make: MakeCore = make_core, orders: int = 5) -> ControlWorld:
-        """Three daemons that have formed and acknowledged some orders."""
+        """Returns three daemons that have formed a fleet and acknowledged some orders."""
         control = ControlWorld(seed, make)
         self.addCleanup(control.close)
         control.operator()
@@ -41,7 +41,7 @@
         return control
 
     def assert_nothing_lost(self, control: ControlWorld) -> None:
-        """All that was acknowledged is kept; complete again."""
+        """Checks that the fleet is complete again and that all acknowledged orders are still there."""
         self.assertTrue(control.world.wait_for(control.complete, SERVICE_BACK_S), control.world.timeline(60))
         self.assertIsNotNone(control.send())
         leader = control.leader()
@@ -65,7 +65,7 @@
         self.assertEqual(control.leader(), "c1")
         self.assertEqual([control.report(name).own_role for name in ("c2", "c3")], ["backup", "witness"])
 
-    def test_the_order_of_the_seeds_in_the_settings_does_not_matter(self) -> None:
+    def test_the_order_of_the_seeds_in_the_settings_has_no_effect(self) -> None:
         def turned(context: Context, messenger: TcpMessenger, *rest: Any) -> ReplicatedCore:
             store, contents, register, seeds = rest
             turn = int(str(messenger.identity.name)[1]) % 3
@@ -92,7 +92,7 @@
         control.world.run(20.0)
         self.assertIsNone(control.leader())
 
-    def test_two_wiped_disks_beside_a_living_one_found_no_new_fleet(self) -> None:
+    def test_two_wiped_machines_beside_an_intact_one_form_no_new_fleet(self) -> None:
         control = self.fleet()
         for name in ("c1", "c2", "c3"):
             control.world.kill(name)
@@ -105,7 +105,7 @@
 
 
 class LossTests(ControlCase):
-    def test_each_way_to_lose_the_primary_ends_in_a_take_over_within_the_gap(self) -> None:
+    def test_each_kind_of_loss_of_the_primary_leads_to_a_take_over_within_the_gap(self) -> None:
         for seed, lose in enumerate(("kill", "freeze", "power_off", "cut_off", "wipe") * 2):
             with self.subTest(lose=lose, seed=seed):
                 control = self.fleet(seed)
@@ -116,7 +116,7 @@
                     control.world.kill(leader)
                 self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
 
-    def test_each_way_to_lose_the_backup_ends_in_a_new_one_within_the_gap(self) -> None:
+    def test_each_kind_of_loss_of_the_backup_leads_to_a_new_one_within_the_gap(self) -> None:
         for seed, lose in enumerate(("kill", "freeze", "power_off", "cut_off", "stalled", "failing") * 2):
             with self.subTest(lose=lose, seed=seed):
                 control = self.fleet(seed)
@@ -127,7 +127,7 @@
                     getattr(control.world, lose)(backup)
                 self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
 
-    def test_all_restarted_at_once_do_not_wait_out_the_silence_of_their_primary(self) -> None:
+    def test_members_restarted_together_do_not_wait_for_the_silence_limit_of_the_primary(self) -> None:
         for seed in range(6):
             with self.subTest(seed=seed):
                 control = self.fleet(seed)
@@ -146,7 +146,7 @@
                 self.assertLess(self.seconds_until_served(control), BACK_AFTER_RESTART_S)
                 self.assert_nothing_lost(control)
 
-    def test_all_killed_with_any_one_disk_wiped_keep_everything(self) -> None:
+    def test_nothing_is_lost_when_all_are_killed_and_any_one_disk_is_wiped(self) -> None:
         for seed, wiped in enumerate((None, "c1", "c2", "c3")):
             with self.subTest(wiped=wiped):
                 control = self.fleet(seed, orders=30)
@@ -159,7 +159,7 @@
                 self.assertLess(self.seconds_until_served(control), SERVICE_BACK_S)
                 self.assert_nothing_lost(control)
 
-    def test_an_empty_machine_at_a_new_address_takes_the_seat_and_the_next_loss_is_borne(self) -> None:
+    def test_an_empty_machine_at_a_new_address_becomes_a_member_and_the_next_loss_is_survived(self) -> None:
         for seed, role in enumerate(("primary", "backup", "witness")):
             with self.subTest(role=role):
                 control = self.fleet(seed)
@@ -177,7 +177,7 @@
                 control.start("s2")
                 self.assert_nothing_lost(control)
 
-    def test_a_wiped_machine_at_its_old_address_is_seated_anew(self) -> None:
+    def test_a_wiped_machine_at_its_old_address_becomes_a_member_again(self) -> None:
         for seed, role in enumerate(("primary", "backup", "witness")):
             with self.subTest(role=role):
                 control = self.fleet(seed)
@@ -191,7 +191,7 @@
                 self.assertLess(control.world.now - started, LONGEST_GAP_S + 1.2)
                 self.assert_nothing_lost(control)
 
-    def test_a_wiped_machine_whose_seeds_are_all_gone_hears_of_the_fleet_from_its_primary(self) -> None:
+    def test_a_wiped_machine_whose_seeds_were_all_replaced_learns_of_the_fleet_from_its_primary(self) -> None:
         control = self.fleet()
         for lost, fresh in (("c2", "s1"), ("c3", "s2")):
             control.world.power_off(lost)
@@ -217,7 +217,7 @@
         control.start("s1")
         self.assert_nothing_lost(control)
 
-    def test_a_damaged_journal_stops_the_daemon_and_peers_fill_it_anew(self) -> None:
+    def test_a_damaged_journal_stops_the_daemon_and_peers_refill_it(self) -> None:
         control = self.fleet()
         backup = control.name_with_role("backup")
         control.world.kill(backup)
@@ -235,7 +235,7 @@
         self.assertTrue(any("damaged-" in name for name in disk.durable))
 
 
-class SickDiskTests(ControlCase):
+class DiskFaultTests(ControlCase):
     def test_a_second_process_on_the_same_folder_is_refused(self) -> None:
         control = self.fleet()
         refused: list[str] = []
@@ -248,7 +248,7 @@
         self.assertEqual(refused, ["locked"])
         self.assert_nothing_lost(control)
 
-    def test_a_primary_with_a_sick_disk_gives_way_and_is_a_member_again_when_healed(self) -> None:
+    def test_a_primary_with_a_disk_fault_steps_down_and_is_a_member_again_after_recovery(self) -> None:
         for seed, mode in enumerate(("stalled", "full", "failing", "slow")):
             with self.subTest(mode=mode):
                 control = self.fleet(seed)
@@ -256,7 +256,7 @@
                 disk = control.world.machines[sick].disk
                 disk.slow_factor = 2000.0
                 disk.set_mode(mode)  # type: ignore[arg-type]
-                # One that knows of its sickness at once gives way without waiting for the silence.
+                # A primary whose write fails at once steps down, so nobody waits for the silence limit.
                 self.assertLess(
                     self.seconds_until_served(control), 1.0 if mode in ("full", "failing") else LONGEST_GAP_S
                 )
@@ -275,9 +275,10 @@
 
 class DeposedPrimaryTests(ControlCase):
     def late_batch(self, make: MakeCore, seed: int) -> tuple[ControlWorld, str, list[object]]:
-        """The primary freezes while a batch is held up on its way to the backup, which then leads with the third.
+        """Freezes the primary while its batch is delayed on the way to the backup, which takes over with the witness.
 
-        It wakes with the answer, if there is one, already in its buffers. Third: what it then says.
+        The old primary continues with the answer of the backup, if there is one, already in its buffers.
+        Returns the world, the old primary, and the answers that it then gives.
         """
         control = self.fleet(seed, make)
         old, backup = control.name_with_role("primary"), control.name_with_role("backup")
@@ -297,7 +298,7 @@
     async def put_at(self, control: ControlWorld, name: str, put: Put, given_answers: list[object]) -> None:
         given_answers.append(await control.cores[name].decide("register", put))
 
-    def test_a_frozen_primary_acknowledges_nothing_after_it_woke(self) -> None:
+    def test_a_primary_acknowledges_nothing_after_a_freeze(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
                 control, old, given_answers = self.late_batch(with_core(ReplicatedCore, LONG_TIMEOUTS), seed)
@@ -305,11 +306,11 @@
                 self.assertEqual([answer.failure().kind for answer in given_answers], ["unknown"])  # type: ignore[attr-defined]
                 self.assert_nothing_lost(control)
 
-    def test_a_backup_that_ignored_its_promise_would_be_caught(self) -> None:
+    def test_a_backup_that_ignores_its_promise_is_caught(self) -> None:
         given_answers = [self.late_batch(with_core(BackupIgnoresPromise, LONG_TIMEOUTS), seed)[2] for seed in range(8)]
         self.assertTrue(any(isinstance(answer, Success) for answers in given_answers for answer in answers))
 
-    def test_cut_off_primaries_say_so_and_prove_nothing(self) -> None:
+    def test_primaries_that_are_cut_off_report_it_and_prove_nothing(self) -> None:
         for inward, outward in ((True, True), (True, False), (False, True)):
             with self.subTest(inward=inward, outward=outward):
                 control = self.fleet()
@@ -329,7 +330,7 @@
                 control.world.heal(cut)
                 self.assert_nothing_lost(control)
 
-    def test_standing_never_lowers_a_promise_given_meanwhile(self) -> None:
+    def test_a_candidacy_never_lowers_a_promise_given_meanwhile(self) -> None:
         control = self.fleet()
         name = control.name_with_role("backup")
         core, store = control.cores[name], control.stores[name]
@@ -371,8 +372,8 @@
         self.assertGreater(control.epoch(), 40)
         self.assert_nothing_lost(control)
 
-    def test_what_was_decided_but_not_journaled_is_forgotten_with_the_lead(self) -> None:
-        """The promise to another comes between the decision and its append; then the same daemon must lead again."""
+    def test_what_was_decided_but_not_journaled_is_discarded_with_the_leadership(self) -> None:
+        """A promise to another candidate comes between a decision and its append; then the same daemon leads again."""
         control = self.fleet()
         core = control.cores["c1"]
         promise = ControlPromise(core._own_incarnation, Incarnation("failed"), Epoch(40))
@@ -412,7 +413,7 @@
                 self.assertEqual(control.epoch(), epoch)
                 self.assert_nothing_lost(control)
 
-    def test_one_deaf_member_deposes_nobody(self) -> None:
+    def test_one_member_without_heartbeats_does_not_depose_the_primary(self) -> None:
         control = self.fleet()
         leader, backup = control.name_with_role("primary"), control.name_with_role("backup")
         control.world.cut(leader, backup, both_ways=False)
@@ -430,7 +431,7 @@
         control.world.wait_for(lambda: bool(answers), 5.0, every=0.01)
         return answers
 
-    def test_a_proof_is_never_given_by_a_round_begun_before_the_question(self) -> None:
+    def test_a_proof_is_never_given_by_a_round_started_before_the_question(self) -> None:
         control = self.fleet()
         leader = control.name_with_role("primary")
         core, rounds = control.cores[leader], [0]
--- a/wingwood/control/tests/test_editions.py
+++ b/wingwood/control/tests/test_editions.py
@@ -1,4 +1,4 @@
-"""Orders on the operator's own numbers across losses of control daemons (docs/DESIGN.md section 5.8)."""
+"""Tests of orders with the operator's own edition numbers while daemons fail (docs/DESIGN.md section 5.8)."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         self.sent.append(change)
 
     def assert_nothing_lost(self, *names: str) -> None:
-        """Every daemon acknowledges again all that was acknowledged, refuses the rest, and reads the newest back."""
+        """Checks that each daemon acknowledges all accepted orders again, refuses others, and reads the latest back."""
         self.assertTrue(self.control.world.wait_for(self.control.complete, 15.0), self.control.world.timeline(40))
         newest = self.sent[-1].number
         for name in names or DAEMONS:
@@ -61,6 +61,8 @@
 
 
 class ResendingTests(EditionCase):
+    """An accepted order that is sent again is acknowledged again, whatever failed in between."""
+
     def test_to_any_daemon(self) -> None:
         self.assert_nothing_lost()
         self.accept("c3", 9, 12)
@@ -194,7 +196,7 @@
 
 
 class ForgetsEditions(BundleState):
-    """Remembers no accepted order, so one that comes again meets its own edition."""
+    """Stores no accepted order, so that a repeated order conflicts with its own edition."""
 
     def _remember(self, entry: _Remembered) -> None:
         super()._remember(entry)
@@ -202,7 +204,7 @@
 
 
 class KeepsRefusals(BundleState):
-    """A refused edition stays refused, whatever comes after."""
+    """Repeats an earlier refusal, even when the edition would be accepted now."""
 
     def __init__(self) -> None:
         super().__init__(OPERATOR_KEYS, signing_key=SIGNING_KEY)
@@ -218,7 +220,7 @@
 
 
 class AnyBaseWins(BundleState):
-    """Looks at the number alone."""
+    """Accepts a change on any base and checks its number alone."""
 
     _asked: int | None = None
 
@@ -233,7 +235,7 @@
 
 
 class ReadsWithoutProof(EditionClient):
-    """Gives what this daemon holds as durable, whoever leads."""
+    """Returns what this daemon holds as durable, without a proof from the primary."""
 
     def __init__(self, control: ControlClient, local: LocalBundleReader, context: Context) -> None:
         super().__init__(control, (local,), context.clock, Seconds(3.0))
@@ -247,7 +249,7 @@
 
 
 class BrokenVariantTests(unittest.TestCase):
-    """Each must be caught by some walk; the walks themselves are those of ``RandomWalkTests``."""
+    """Each broken variant must be caught; the walks are the same as in ``RandomWalkTests``."""
 
     def assert_caught(self, walk: EditionWalk, fault: str) -> None:
         faults = walk.run(40.0)
@@ -257,12 +259,12 @@
         walk = EditionWalk(1, lambda: ForgetsEditions(OPERATOR_KEYS, signing_key=SIGNING_KEY))
         self.assert_caught(walk, "was accepted, then conflict")
 
-    def test_a_state_that_takes_any_base(self) -> None:
+    def test_a_state_that_accepts_any_base(self) -> None:
         walk = EditionWalk(1, lambda: AnyBaseWins(OPERATOR_KEYS, signing_key=SIGNING_KEY))
         self.assert_caught(walk, "were both accepted")
 
-    def test_a_state_whose_refusals_stick(self) -> None:
-        """An order that came before its base is taken once its base is there."""
+    def test_a_state_that_repeats_earlier_refusals(self) -> None:
+        """An order that came before its base must be accepted once its base is there."""
         early, taken = edition_change(1, 2, sample_slices(), "early"), edition_change(0, 1, sample_slices())
         for make, last in ((KeepsRefusals, "conflict"), (signing, "accepted")):
             control = EditionWorld(1, make)
--- a/wingwood/control/tests/test_member_rules.py
+++ b/wingwood/control/tests/test_member_rules.py
@@ -1,4 +1,4 @@
-"""The rules of a member, message by message (docs/DESIGN.md section 7.2)."""
+"""Tests of the rules of a member, message by message (docs/DESIGN.md section 7.2)."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class MemberCase(unittest.TestCase):
-    """``c1`` leads, ``c2`` is the backup, ``c3`` the witness; c1 is then killed and the test speaks instead of it."""
+    """``c1`` leads, ``c2`` is the backup, ``c3`` the witness; tests send messages to them in place of a member."""
 
     def setUp(self) -> None:
         self.control = ControlWorld(1)
@@ -112,7 +112,7 @@
         self.assertGreaterEqual(self.control.stores["c2"].promise.epoch, 61)
         self.assertEqual((self.view_of("c2").epoch, self.control.stores["c2"].sequence), (self.view.epoch, 70))
 
-    def test_a_promise_given_ends_the_own_primacy_at_once(self) -> None:
+    def test_a_primary_that_promises_another_epoch_stops_leading_at_once(self) -> None:
         self.assertTrue(self.control.leads("c1"))
         self.assertTrue(self.promise("c1", 40).granted)
         self.assertFalse(self.control.leads("c1"))
@@ -127,7 +127,7 @@
         self.assertEqual(self.view_of("c3"), self.new_view(40, X))
         self.assertEqual(self.promise("c3", 41, Y).view, self.new_view(40, X))
 
-    def test_a_backup_takes_records_of_its_view_in_their_order_only(self) -> None:
+    def test_a_backup_accepts_batches_of_its_view_in_order_only(self) -> None:
         self.control.world.kill("c1")
         epoch, sequence = self.view.epoch, self.control.stores["c2"].sequence
         self.assertEqual(sequence, 3)
@@ -135,14 +135,14 @@
         self.assertFalse(self.replicate(epoch, 4))
         self.assertFalse(self.replicate(epoch + 1, 3))
         self.assertFalse(self.replicate(epoch, 3, to=Y))
-        self.assertFalse(self.replicate(epoch, 0, name="c3"), "a witness takes none")
+        self.assertFalse(self.replicate(epoch, 0, name="c3"), "a witness accepts none")
         self.assertTrue(self.replicate(epoch, 3))
         self.assertTrue(self.replicate(epoch, 3), "the same batch again")
         self.assertEqual(self.control.stores["c2"].sequence, 4)
         self.promise("c2", epoch + 1)
         self.assertFalse(self.replicate(epoch, 4))
 
-    def test_a_state_is_taken_under_an_epoch_that_was_not_promised_away(self) -> None:
+    def test_a_state_is_accepted_only_under_an_epoch_not_promised_to_another(self) -> None:
         self.promise("c2", 40)
         self.assertFalse(self.state(39, X))
         self.assertFalse(self.state(40, Y))
@@ -152,13 +152,13 @@
         self.assertEqual(self.control.stores["c2"].sequence, 70)
         self.assertFalse(self.promise("c2", 41, Y).granted)
 
-    def test_what_is_journaled_is_applied_when_it_is_committed(self) -> None:
+    def test_a_journaled_batch_is_applied_only_when_it_is_committed(self) -> None:
         self.control.world.kill("c1")
         self.replicate(self.view.epoch, 3)
         core = self.control.cores["c2"]
         self.assertEqual((core._replica.applied, core._replica.committed), (3, 3))
 
-    def test_a_proof_is_confirmed_unless_more_was_promised(self) -> None:
+    def test_a_proof_is_confirmed_unless_a_higher_epoch_was_promised(self) -> None:
         def confirm(epoch: int, to: Incarnation | None = None) -> bool:
             message = ControlConfirm(to or self.incarnation_of("c3"), Epoch(epoch))
             return self.ask("c3", message, ControlConfirmed).holds
@@ -180,7 +180,7 @@
         self.promise("c3", 40)
         self.assertFalse(beat(self.view.epoch))
 
-    def test_answers_of_another_incarnation_count_for_nothing(self) -> None:
+    def test_answers_of_another_incarnation_are_ignored(self) -> None:
         core, member = self.control.cores["c1"], self.view.members[2]
         replaced = type(member)(Y, member.name, member.address)
         answers: list[object] = []
@@ -195,7 +195,7 @@
         self.assertIsNone(answers[1])
 
     def test_a_late_answer_is_unknown(self) -> None:
-        """The process is frozen past the bound with the answer ready to be taken."""
+        """The process is frozen past the deadline while the answer is ready to be delivered."""
         core, given_answers = self.control.cores["c1"], list[Result[msgspec.Struct, NotDecided]]()
 
         async def run() -> None:
@@ -211,7 +211,7 @@
 
 
 class EmptyMemberRules(unittest.TestCase):
-    def test_a_machine_that_promised_outside_of_forming_forms_nothing(self) -> None:
+    def test_a_machine_that_made_an_ordinary_promise_forms_no_fleet(self) -> None:
         control = ControlWorld(1, start=("c1",))
         self.addCleanup(control.close)
         control.world.run(0.05)
@@ -228,7 +228,7 @@
 
 
 class CandidateRules(MemberCase):
-    """``c2``, backup of the view, stands; the others' answers are written by the test."""
+    """``c2``, the backup of the view, is a candidate; the test supplies the answers of the others."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -237,10 +237,10 @@
         self.core = self.control.cores["c2"]
         self.one, self.two, self.three = self.view.members
         self.grants: dict[Incarnation, View | None] = {}
-        """Who grants, and the view that it tells."""
+        """The members that grant a promise, and the view that each reports."""
         self.acceptors: set[Incarnation] = set()
         self.sequences: dict[Incarnation, int] = {}
-        """How many batches an acceptor has, where that isn't the 3 of the candidate."""
+        """How many batches an acceptor has, if not 3 as the candidate has."""
         self.asked: list[tuple[str, Incarnation]] = []
         self.core._ask = self.answer  # type: ignore[method-assign, assignment]
 
@@ -267,7 +267,7 @@
         self.assertTrue(self.control.world.wait_for(lambda: bool(views), 3.0, every=0.01))
         return views[0]
 
-    def test_a_majority_must_grant_and_a_majority_accept(self) -> None:
+    def test_a_majority_must_grant_and_a_majority_must_accept(self) -> None:
         self.assertIsNone(self.run_election())
         self.grants = {self.three.incarnation: self.view}
         self.assertIsNone(self.run_election())
@@ -276,7 +276,7 @@
         assert view is not None
         self.assertEqual((view.primary, view.backups, view.holders), (self.two.incarnation, (), self.view.holders))
 
-    def test_who_holds_nothing_of_the_newest_granted_view_gives_up(self) -> None:
+    def test_a_candidate_that_is_no_holder_of_the_latest_granted_view_gives_up(self) -> None:
         self.acceptors = {self.three.incarnation}
         newer = View(Epoch(7), self.one.incarnation, (self.three.incarnation,), self.view.members, (X, Y))
         self.grants = {self.three.incarnation: newer}
@@ -321,7 +321,7 @@
         self.assertIsNotNone(self.run_election(_Plan((self.three,), self.view.members, self.view_of("c2"))))
 
     def test_a_view_with_other_members_that_too_few_accepted_still_needs_the_former_ones(self) -> None:
-        """Else the first try's newcomer and its primary could lead beside the two former members."""
+        """Otherwise the newcomer of the first attempt and its primary could lead beside the two former members."""
         newcomer = ViewMember(X, DaemonName("x"), self.one.address)
         plan = _Plan((newcomer,), (self.two, newcomer, self.three), self.view)
         self.grants = {self.three.incarnation: self.view}
@@ -346,7 +346,7 @@
         assert view is not None
         self.assertEqual((view.backups, view.holders), ((), self.view.holders))
 
-    def test_another_holder_with_more_goes_first(self) -> None:
+    def test_a_candidate_defers_to_another_holder_with_more_batches(self) -> None:
         answer = self.core._ask
 
         async def longer(member: ViewMember, message: msgspec.Struct, *rest: object) -> msgspec.Struct | None:
@@ -359,7 +359,7 @@
         self.assertIsNone(self.run_election())
 
     def test_a_new_primary_proves_nothing_before_it_has_a_backup(self) -> None:
-        """Its predecessor may have acknowledged what it only holds as uncommitted."""
+        """Its predecessor may have acknowledged batches that it does not know to be committed."""
         self.grants = {self.three.incarnation: self.view}
         self.acceptors = {self.three.incarnation}
         view = self.run_election()
--- a/wingwood/control/tests/test_protocol_model.py
+++ b/wingwood/control/tests/test_protocol_model.py
@@ -1,7 +1,7 @@
-"""The control core's protocol under runs that hypothesis chooses, and the broken variants that these catch.
+"""Tests of the control core's protocol in runs that hypothesis chooses, and of broken variants that these must catch.
 
-``WINGWOOD_MODEL_EXAMPLES=N`` tries N runs of each core, other ones each time, where the tests as they are try a few
-and always the same.
+``WINGWOOD_MODEL_EXAMPLES=N`` tries N runs of each core, different ones each time. Without it the tests try a few
+runs, always the same.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 )
 
 RUN_EACH_ALONE = True
-"""For the runner of tests: these are long."""
+"""Tells the test runner to run each test in its own process, since they are long."""
 
 EXAMPLES_BY_HAND = int(os.environ.get("WINGWOOD_MODEL_EXAMPLES", "0"))
 FOUR = ("c1", "c2", "c3", "c4")
-"""Three members and a spare; six machines are five members and a spare."""
+"""Three members and a spare. (``SIX`` machines are five members and a spare.)"""
 STEPS = 30
 MAX_RUNS = 200
 """Runs after which a broken variant counts as not caught."""
@@ -64,7 +64,9 @@
 
 class BrokenCores(unittest.TestCase):
     def assert_caught(self, fleet: Fleet, *rules: str) -> None:
-        with self.assertRaisesRegex(AssertionError, "^[0-9]+[.][0-9]{3} |^lost: "):  # What the observer says.
+        with self.assertRaisesRegex(
+            AssertionError, "^[0-9]+[.][0-9]{3} |^lost: "
+        ):  # A fault that the observer reports.
             run(protocol_of(fleet, *rules), MAX_RUNS, shrink=False)
 
     def test_answers_before_the_backup_has_written(self) -> None:
--- a/wingwood/control/tests/test_state_transfer.py
+++ b/wingwood/control/tests/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""The whole state in pieces, packed or not (docs/DESIGN.md section 7.2)."""
+"""Tests that a state sent in chunks, packed or not, arrives unchanged (docs/DESIGN.md section 7.2)."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 class StateTransferTest(unittest.TestCase):
     def received(self, state: bytes, packed: bool) -> tuple[bytes | None, int]:
-        """What the receiver has after the last piece, and the bytes that travelled; pieces come in any order."""
+        """Sends the chunks in random order; returns the state received after the last one, and the bytes sent."""
         chunks = list(split_into_chunks(state, RECEIVER, TRANSFER, PIECE_BYTES, packed))
         travelled = sum(len(chunk.data) for chunk in chunks)
         random.Random(1).shuffle(chunks)
--- a/wingwood/control/tests/test_two_losses.py
+++ b/wingwood/control/tests/test_two_losses.py
@@ -1,4 +1,4 @@
-"""Two losses at once, borne by five members and three copies (docs/DESIGN.md sections 7.1 and 7.2.5)."""
+"""Tests that five members with three copies survive two losses at once (docs/DESIGN.md sections 7.1 and 7.2.5)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 LONGEST_GAP_S = 3.0
 """Longest wait for an acknowledgement after a fault."""
 SERVICE_BACK_S = 5.0
+"""Longest time until the fleet is complete again."""
 CATCH_UP_S = 6.0
+"""Time given to replaced machines to receive the state."""
 
 
 class TwoLossesCase(unittest.TestCase):
@@ -25,7 +27,7 @@
         return control
 
     def members(self, control: ControlWorld) -> list[str]:
-        """Primary, backups, witnesses."""
+        """Returns the members in the order primary, backups, witnesses."""
         leader = control.leader()
         assert leader is not None
         view = control.stores[leader].view
@@ -70,7 +72,7 @@
         control.operator()
         control.world.run(5.0)
         self.assertIsNone(control.leader())
-        self.assertTrue(control.leads("c1"), "it leads all the same, and can prove that there is nothing")
+        self.assertTrue(control.leads("c1"), "it leads all the same, and can prove that there is no state")
         self.assertIsNone(control.send())
         self.assertIn("1 more members with a disk are wanted", control.report("c1").detail)
         control.start("c5")
@@ -80,7 +82,7 @@
 
 
 class LossTests(TwoLossesCase):
-    def test_any_two_lost_at_once_are_borne_within_the_gap(self) -> None:
+    def test_service_survives_any_two_losses_at_once_within_the_gap(self) -> None:
         fault_kinds = ("kill", "freeze", "power_off", "cut_off", "wipe", "stalled", "full")
         for number, (one, other) in enumerate(combinations(range(5), 2)):
             for turn in range(2):
@@ -101,7 +103,7 @@
         if fault == "wipe":
             control.world.kill(name)
 
-    def test_two_wiped_and_two_others_wiped_once_those_are_back(self) -> None:
+    def test_two_wiped_machines_and_two_others_wiped_once_the_first_are_back(self) -> None:
         for seed, (one, other) in enumerate(combinations(range(5), 2)):
             for elsewhere in (False, True):
                 with self.subTest(lost=(one, other), elsewhere=elsewhere):
@@ -128,7 +130,7 @@
             else:
                 control.start(name, left)
 
-    def test_all_lose_power_and_two_their_disks_right_after_an_acknowledgement(self) -> None:
+    def test_power_loss_of_all_with_two_lost_disks_right_after_an_acknowledgement(self) -> None:
         for seed, (one, other) in enumerate(combinations(range(5), 2)):
             with self.subTest(wiped=(one, other)):
                 control = self.fleet(seed, orders=20)
@@ -153,7 +155,7 @@
                 self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
                 self.assert_nothing_lost(control)
 
-    def test_a_spare_takes_the_seat_of_a_silent_member_and_then_two_others_may_be_lost(self) -> None:
+    def test_a_spare_replaces_a_silent_member_and_then_two_others_may_be_lost(self) -> None:
         control = self.fleet()
         members = self.members(control)
         control.world.power_off(members[1])
@@ -163,7 +165,7 @@
             control.world.power_off(name)
         self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
 
-    def test_a_primary_beside_one_other_in_a_cut_says_that_it_does_not_lead(self) -> None:
+    def test_a_primary_cut_off_with_one_other_member_reports_that_it_does_not_lead(self) -> None:
         control = self.fleet()
         members = self.members(control)
         group, others = members[:2], [*members[2:], *set(SIX) - set(members), "operator"]
--- a/wingwood/control/tests/test_walks.py
+++ b/wingwood/control/tests/test_walks.py
@@ -1,4 +1,4 @@
-"""Random walks of the control core through faults, and the broken variants that they catch."""
+"""Random walks of the control core through faults, and the broken variants that they must catch."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 STEPS = 30
 MAX_WALKS = 40
 RUN_EACH_ALONE = True
-"""For the runner of tests: these are long."""
+"""Tells the test runner to run each test in its own process, since they are long."""
 
 
 def walk(seed: int, mutant: Mutant, make: MakeCore) -> Walk:
--- a/wingwood/control/tests/walk.py
+++ b/wingwood/control/tests/walk.py
@@ -1,8 +1,9 @@
-"""Random walks of the real control classes through faults, judged by the observer (docs/DESIGN.md section 7.10).
+"""Random walks of the real control classes through faults, checked by the observer (docs/DESIGN.md section 7.10).
 
-Rules of the walk: a disk is lost only while health says that any loss can be borne (and says so about the
-machines that are there); everything else may happen at any moment, together and twice. At the end
-all is healed but what was lost, and service is expected back within 12 s with nothing acknowledged missing.
+Rules of a walk: a disk is lost only while the health report says that any loss can be survived, and says so
+about the machines that are there. Every other fault may occur at any moment, also together or repeatedly. At the
+end all faults but the lost disks are mended; service must be back within 12 s (``SERVICE_BACK_S``), and no
+acknowledged order may be missing.
 """
 
 from __future__ import annotations
@@ -23,6 +24,8 @@
 
 
 class Walk:
+    """One random walk: a fleet, its operators, and the faults that are in effect."""
+
     def __init__(
         self,
         seed: int,
@@ -38,13 +41,15 @@
         self.random = self.world.random
         self.cuts: list[Cut] = []
         self.down: dict[str, float] = {}
-        """Killed daemons and when they are started again."""
+        """Killed daemons, and when they are started again."""
         self.frozen: dict[str, float] = {}
+        """Frozen daemons, and when they continue."""
         self.sick: dict[str, float] = {}
+        """Machines with a disk fault, and when the disk recovers."""
         self.retired: set[str] = set()
         self.losses = 0
         self.only = only
-        """Names of the faults that happen; empty: all."""
+        """The names of the faults that occur; empty means all."""
         self.steps: list[str] = []
         self.names = list(names)
         self.operators = operators
@@ -56,7 +61,7 @@
             self.control.keep_sending(name)
 
     def run(self, steps: int) -> list[str]:
-        """Faults found; empty when all held."""
+        """Runs the walk; returns the observations that must not occur, none when the core is correct."""
         try:
             self.world.wait_for(self.control.complete, 5.0)
             for _ in range(steps):
@@ -73,7 +78,7 @@
             self.control.close()
 
     def ask_for_proof(self, name: str) -> None:
-        """Who proves that it leads must have all that was acknowledged before the question."""
+        """A daemon that proves that it leads must have everything that was acknowledged before it was asked."""
         if not self.control.alive(name):
             return
         core, register, observer = self.control.cores[name], self.control.registers[name], self.control.observer
@@ -110,7 +115,7 @@
             self.damage,
             self.replace,
             self.kill_all,
-            self.hush,
+            self.pause_operators,
             self.slow_wire,
             self.split,
             self.cut_minority,
@@ -126,10 +131,10 @@
     def nothing(self) -> None:
         pass
 
-    def hush(self) -> None:
-        """The operators are silent for a while."""
+    def pause_operators(self) -> None:
+        """The operators send nothing for a while."""
         self.control.quiet_until = self.world.now + self.random.choice((0.5, 2.0, 8.0))
-        self.log_step("hush")
+        self.log_step("pause operators")
 
     def up(self) -> list[str]:
         return [name for name in self.names if self.world.processes[name].alive]
@@ -183,7 +188,7 @@
         self.cuts.append(self.world.cut(one, other, both))
 
     def cut_off(self) -> None:
-        """A control daemon with one operator, away from all others."""
+        """Cuts a control daemon and one operator off from all others."""
         name, friend = self.random.choice(self.names), self.random.choice(list(self.operators))
         inward, outward = self.random.choice(((True, True), (True, False), (False, True)))
         self.log_step(f"cut off {name} with {friend} inward={inward} outward={outward}")
@@ -197,7 +202,7 @@
         self.world.network.slowness[(one, other)] = self.random.choice((0.01, 0.1, 0.4))
 
     def split(self) -> None:
-        """All of them fall into two groups that don't reach each other."""
+        """Splits all daemons and operators into two groups that cannot reach each other."""
         everyone = [*self.names, *self.operators]
         self.random.shuffle(everyone)
         size = self.random.randrange(2, len(everyone) - 1)
@@ -210,7 +215,7 @@
         self.cuts.append(self.world.network.cut([*pairs, *((other, one) for one, other in pairs)]))
 
     def cut_minority(self) -> None:
-        """The primary stays with as many members as may be lost, one too few; it is asked for proofs meanwhile."""
+        """Cuts off the primary with one member too few for a majority, and asks it for proofs meanwhile."""
         leader = self.control.leader()
         view = self.control.stores[leader].view if leader is not None else None
         if leader is None or view is None:
@@ -223,7 +228,7 @@
             self.ask_for_proof(leader)
 
     def cut_in_replacement(self) -> None:
-        """Members are frozen until spares get their seats; between the two rounds for that the new and old part."""
+        """Freezes members until spares replace them, and separates old and new members between the two rounds of it."""
         leader = self.control.leader()
         view = self.control.stores[leader].view if leader is not None and self.loss_can_be_borne() else None
         if leader is None or view is None:
@@ -240,7 +245,7 @@
         store = self.control.stores[leader]
 
         def between_the_rounds() -> bool:
-            """Its own backups may be changed first; wait for the view with other members."""
+            """Whether the new view is promised but not accepted; the primary may replace only backups first."""
             now = self.control.stores[leader].view
             return now is not None and now.incarnations() == view.incarnations() and store.promise.epoch > now.epoch
 
@@ -269,7 +274,7 @@
         self.sick[name] = self.world.now + self.random.choice((0.2, 1.5, 8.0)) * self.random.random() * 2
 
     def loss_can_be_borne(self) -> bool:
-        """Health says so, and it speaks of the machines whose disks are there."""
+        """Whether the health report says so, about members whose disks are all still there."""
         leader = self.control.leader()
         if leader is None or not self.control.report(leader).complete:
             return False
@@ -283,26 +288,26 @@
             case Success(found) if found.payloads:
                 incarnation = str(msgspec.msgpack.decode(found.payloads[0], type=FoundedEntry).incarnation)
                 store = self.control.stores.get(name)
-                # The mutant whose identity survives calls itself otherwise than its journal does.
+                # The mutant whose identity survives a wipe uses another incarnation than the one in its journal.
                 return store.incarnation if store is not None and store.incarnation.startswith("at ") else incarnation
         return None
 
     def sample_names(self, names: Sequence[str], first: str | None = None) -> list[str]:
-        """As many as may be lost at once, or fewer; ``first`` is one of them."""
+        """Returns up to ``losses_borne`` of the names, ``first`` among them."""
         most = self.random.randint(1, self.losses_borne)
         firsts = [first] if first is not None else []
         others = [name for name in names if name != first]
         return [*firsts, *self.random.sample(others, most - len(firsts))]
 
     def holders(self) -> list[str]:
-        """Whose disks hold everything that was acknowledged, by the newest view."""
+        """Returns the machines whose disks hold everything acknowledged, according to the latest view."""
         leader = self.control.leader()
         view = self.control.stores[leader].view if leader is not None else None
         holders = view.holders if view is not None else ()
         return [name for name in self.names if self.incarnation_on_disk(name) in holders]
 
     def lose(self) -> None:
-        """Machines' disks are wiped; often those of primary and backups, often under the running process."""
+        """Wipes disks, often those of the primary and backups, sometimes while the process runs."""
         if not self.loss_can_be_borne():
             return
         leader = self.control.leader() if self.random.random() < 0.4 else None
@@ -316,7 +321,7 @@
             self.world.wipe(name)
 
     def lose_behind_slow_wire(self) -> None:
-        """The wire to one backup gets slow, and right then as many other holders as may be are lost."""
+        """Slows the network to one backup, then loses as many other holders as can be survived."""
         holders = self.holders()
         leader = self.control.leader()
         if not self.loss_can_be_borne() or leader is None or len(holders) < 2:
@@ -334,12 +339,12 @@
         self.world.network.slowness.clear()
 
     def lose_then_kill(self) -> None:
-        """A disk is lost, its machine is back at once, and right then the primary goes down for a while."""
+        """Loses disks whose machines return at once, then stops the primary for a while."""
         if not self.loss_can_be_borne():
             return
         leader = self.control.leader()
         names = self.sample_names([name for name in self.names if name != leader])
-        self.hush()
+        self.pause_operators()
         self.losses += len(names)
         self.log_step(f"wipe {names}, then kill {leader}")
         for name in names:
@@ -352,7 +357,7 @@
             self.down[leader] = self.world.now + 4.0
 
     def second_loss(self) -> None:
-        """Disks are lost and repaired, and in the moment that health calls it whole the primary's (and more) are."""
+        """Loses disks and, as soon as the health report is complete again, those of the primary and others."""
         if not self.loss_can_be_borne():
             return
         leader = self.control.leader()
@@ -373,9 +378,9 @@
                 self.down[name] = self.world.now + 1.0
 
     def damage(self) -> None:
-        """A byte before the last frame of a journal flips; its operator has the daemon begin empty.
+        """Flips a byte before the last frame of a journal; the operator then lets the daemon start empty.
 
-        (In the last frame it would look as if its append had been cut short.)
+        In the last frame the damage would look like an append that was cut short.
         """
         if not self.loss_can_be_borne():
             return
@@ -395,7 +400,7 @@
         self.control.begin_empty.add(name)
 
     def replace(self) -> None:
-        """Machines are gone for good; empty ones start at new addresses, with the old seeds in their settings."""
+        """Removes machines for good and starts empty ones at new addresses, with the old seeds in their settings."""
         if not self.loss_can_be_borne():
             return
         for _ in range(self.random.randint(1, self.losses_borne)):
@@ -404,7 +409,7 @@
 
     def replace_one(self) -> None:
         seeds = [name for name in self.names if name.startswith("c")]
-        # A new machine finds the others through the seeds of its settings: one of them must live.
+        # A new machine finds the others through the seeds in its settings, so one of them must remain.
         name = self.random.choice([name for name in self.names if len(seeds) > 1 or name not in seeds])
         fresh = f"s{len(self.retired) + 1}"
         self.losses += 1
@@ -423,6 +428,7 @@
         self.control.cores.pop(name, None)
 
     def recover_due(self, everything: bool = False) -> None:
+        """Ends the faults whose time has come, or all of them with ``everything``."""
         now = float("inf") if everything else self.world.now
         for name in [name for name, due in self.sick.items() if due <= now]:
             del self.sick[name]
@@ -448,6 +454,7 @@
     # -- the end
 
     def end(self) -> None:
+        """Mends all faults but lost disks, then checks that service returns and no acknowledged order is missing."""
         observer = self.control.observer
         self.log_step("end")
         self.control.quiet_until = 0.0
@@ -476,7 +483,7 @@
         self.resend_orders()
 
     def resend_orders(self) -> None:
-        """Orders sent again get their first outcome (the observer compares)."""
+        """Sends orders again; the observer checks that each gets its first outcome."""
         control = self.control
         orders = sorted(control.observer.outcomes)[-40:]
         name = self.operators[0]
