--- a/wingwood/control/client.py
+++ b/wingwood/control/client.py
@@ -110,9 +110,8 @@
             if last.primary in (None, address):
                 targets = []
             elif self._is_silent(last.primary):
-                self._silent_until[address] = Instant(
-                    now() + self._limits.avoid_silent_for
-                )  # It refers us to a silent primary.
+                # It refers us to a silent primary, so other daemons are tried first.
+                self._silent_until[address] = Instant(now() + self._limits.avoid_silent_for)
             else:
                 targets = [last.primary]
             await self._pause(deadline)
--- a/wingwood/control/planning.py
+++ b/wingwood/control/planning.py
@@ -18,7 +18,7 @@
 
     def __init__(self, backup_members: tuple[ViewMember, ...], members: tuple[ViewMember, ...], base: View) -> None:
         self.backup_members = backup_members
-        """The backups."""
+        """The planned backups."""
         self.members = members
         changed = {member.incarnation for member in members} != set(base.incarnations())
         self.former = base.members if changed else ()
--- a/wingwood/control/primary.py
+++ b/wingwood/control/primary.py
@@ -130,9 +130,8 @@
         """
         acceptance = await self._ask(member, ControlAccept(member.incarnation, view), ControlAccepted)
         if acceptance is not None and not acceptance.accepted and acceptance.promised >= view.epoch and answer.healthy:
-            leadership.epoch_superseded = (
-                True  # It promised the same epoch to another candidate, or to itself when it became one meanwhile.
-            )
+            # It promised the same epoch to another candidate, or to itself when it became one meanwhile.
+            leadership.epoch_superseded = True
 
     async def _note_heartbeat_answer(
         self, leadership: Leadership, member: ViewMember, view: View, started: Instant, answer: ControlHeartbeatAnswer
--- a/wingwood/control/tests/walk.py
+++ b/wingwood/control/tests/walk.py
@@ -478,7 +478,7 @@
         stored = self.control.registers[leader].stored
         for order, outcome in observer.outcomes.items():
             if stored.outcomes.get(order) != outcome:
-                observer.faults.append(f"lost: {outcome}, kept: {stored.outcomes.get(order)}")
+                observer.faults.append(f"lost: {outcome}, stored: {stored.outcomes.get(order)}")
                 return
         self.resend_orders()
 
