--- a/wingwood/control/messages.py
+++ b/wingwood/control/messages.py
@@ -69,6 +69,8 @@
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True):
+    """A member's promise to accept nothing under a lower epoch, given to one candidate per epoch."""
+
     epoch: Epoch
     candidate: Incarnation
     """Empty ("") under epoch 0, when nothing has been promised yet."""
@@ -84,15 +86,21 @@
 
 
 class PromisedEntry(msgspec.Struct, frozen=True, tag="promised", array_like=True):
+    """A promise given; ``forming`` when it was asked for to form the first view."""
+
     promise: Promise
     forming: bool
 
 
 class AcceptedEntry(msgspec.Struct, frozen=True, tag="accepted", array_like=True):
+    """A view that this daemon accepted."""
+
     view: View
 
 
 class StateRecord(msgspec.Struct, frozen=True, array_like=True):
+    """A record for the applier of this kind."""
+
     kind: str
     record: bytes
 
@@ -177,6 +185,8 @@
 
 
 class ControlAccepted(msgspec.Struct, frozen=True):
+    """Answer to ``ControlAccept``."""
+
     by: Incarnation
     accepted: bool
     promised: Epoch
@@ -197,6 +207,8 @@
 
 
 class ControlHeartbeatAnswer(msgspec.Struct, frozen=True, array_like=True):
+    """Answer to ``ControlHeartbeat``."""
+
     by: Incarnation
     accepted: bool
     """It has accepted the view of that epoch and has promised no higher epoch."""
@@ -264,6 +276,8 @@
 
 
 class ControlConfirmed(msgspec.Struct, frozen=True):
+    """Answer to ``ControlConfirm``."""
+
     by: Incarnation
     holds: bool
     """The member has promised nothing above the epoch asked about."""
@@ -271,7 +285,10 @@
 
 
 class ControlLeadershipReleased(msgspec.Struct, frozen=True):
-    """Posted by a primary that gives up leadership itself, because its disk fails or the process stops."""
+    """Posted by a primary that no longer leads, for instance after a disk fault, a stop or a restart.
+
+    The members that receive it need not wait for the silence limit before they take over.
+    """
 
     WIRE_NAME: ClassVar[str] = "ControlGiveWay"
 
@@ -286,6 +303,8 @@
 
 
 class ControlJoined(msgspec.Struct, frozen=True):
+    """Answer to ``ControlJoin``."""
+
     view: View | None
     """The latest view known to the answering daemon; the newcomer asks the primary of this view next."""
 
--- a/wingwood/control/protocols.py
+++ b/wingwood/control/protocols.py
@@ -101,7 +101,9 @@
 
     def report(self) -> ViewReport: ...
 
-    def on_change(self, callback: Callable[[], None]) -> None: ...
+    def on_change(self, callback: Callable[[], None]) -> None:
+        """Calls back after each change of the known view, of the own role or of the state of the disk."""
+        ...
 
 
 class BundleSource(Protocol):
--- a/wingwood/control/tests/protocol_model.py
+++ b/wingwood/control/tests/protocol_model.py
@@ -191,7 +191,7 @@
         name = self._named(who)
         self.walk.log_step(f"disk of {name} {mode}")
         self.world.machines[name].disk.set_mode(mode)  # type: ignore[arg-type]
-        self.walk.sick[name] = self.world.now + seconds
+        self.walk.failed_disks[name] = self.world.now + seconds
         self._pass(then)
 
     @precondition(lambda self: self._may("lose_disks") and self.walk.loss_can_be_borne())
--- a/wingwood/control/tests/test_core.py
+++ b/wingwood/control/tests/test_core.py
@@ -252,15 +252,15 @@
         for seed, mode in enumerate(("stalled", "full", "failing", "slow")):
             with self.subTest(mode=mode):
                 control = self.fleet(seed)
-                sick = control.name_with_role("primary")
-                disk = control.world.machines[sick].disk
+                faulty = control.name_with_role("primary")
+                disk = control.world.machines[faulty].disk
                 disk.slow_factor = 2000.0
                 disk.set_mode(mode)  # type: ignore[arg-type]
                 # A primary whose write fails at once steps down, so nobody waits for the silence limit.
                 self.assertLess(
                     self.seconds_until_served(control), 1.0 if mode in ("full", "failing") else LONGEST_GAP_S
                 )
-                self.assertNotEqual(control.leader(), sick)
+                self.assertNotEqual(control.leader(), faulty)
                 disk.set_mode("well")
                 self.assert_nothing_lost(control)
 
--- a/wingwood/control/tests/walk.py
+++ b/wingwood/control/tests/walk.py
@@ -44,7 +44,7 @@
         """Killed daemons, and when they are started again."""
         self.frozen: dict[str, float] = {}
         """Frozen daemons, and when they continue."""
-        self.sick: dict[str, float] = {}
+        self.failed_disks: dict[str, float] = {}
         """Machines with a disk fault, and when the disk recovers."""
         self.retired: set[str] = set()
         self.losses = 0
@@ -271,7 +271,7 @@
         mode = self.random.choice(("slow", "stalled", "full", "failing"))
         self.log_step(f"disk of {name} {mode}")
         self.world.machines[name].disk.set_mode(mode)  # type: ignore[arg-type]
-        self.sick[name] = self.world.now + self.random.choice((0.2, 1.5, 8.0)) * self.random.random() * 2
+        self.failed_disks[name] = self.world.now + self.random.choice((0.2, 1.5, 8.0)) * self.random.random() * 2
 
     def loss_can_be_borne(self) -> bool:
         """Whether the health report says so, about members whose disks are all still there."""
@@ -423,15 +423,15 @@
         self.control.start(fresh)
 
     def forget_machine(self, name: str) -> None:
-        for times in (self.down, self.frozen, self.sick):
+        for times in (self.down, self.frozen, self.failed_disks):
             times.pop(name, None)
         self.control.cores.pop(name, None)
 
     def recover_due(self, everything: bool = False) -> None:
         """Ends the faults whose time has come, or all of them with ``everything``."""
         now = float("inf") if everything else self.world.now
-        for name in [name for name, due in self.sick.items() if due <= now]:
-            del self.sick[name]
+        for name in [name for name, due in self.failed_disks.items() if due <= now]:
+            del self.failed_disks[name]
             self.world.machines[name].disk.set_mode("well")
         for name in [name for name, due in self.frozen.items() if due <= now]:
             del self.frozen[name]
