--- a/wingwood/control/client.py
+++ b/wingwood/control/client.py
@@ -124,6 +124,7 @@
         return await self.decide("bundle", command, OrderOutcome, timeout)
 
     def _is_silent(self, address: Address) -> bool:
+        """Whether the daemon left a command unanswered recently."""
         return self._silent_until.get(address, 0.0) > self._context.clock.monotonic()
 
     async def _pause(self, deadline: Instant) -> None:
--- a/wingwood/control/follower.py
+++ b/wingwood/control/follower.py
@@ -226,6 +226,7 @@
         return sorted(founders.values(), key=lambda member: self._seeds.index(member.address))
 
     async def _promised_by_founders(self, members: Sequence[ViewMember], epoch: Epoch) -> bool:
+        """Returns whether this member and all other founders promised the epoch and the others are still empty."""
         async with self._lock:
             if not await self._promise(
                 ControlPromise(self._own_incarnation, self._own_incarnation, epoch, forming=True)
--- a/wingwood/control/leadership.py
+++ b/wingwood/control/leadership.py
@@ -15,7 +15,7 @@
     """A control daemon that is not a member, and when its last request to join arrived."""
 
     member: ViewMember
-    last_heard: Instant
+    last_requested: Instant
 
 
 class Leadership:
@@ -24,6 +24,7 @@
     def __init__(self, view: View, now: Instant) -> None:
         self.view = view
         self.since = now
+        """When the leadership began, or when this process last continued after a freeze."""
         self.in_sync = False
         """Whether the view has the wanted backups and none of them has failed since it was chosen."""
         self.commit_known = False
@@ -52,14 +53,17 @@
         self.replaced: set[Incarnation] = set()
         """Members whose address is now used by another incarnation."""
         self.spares: dict[Incarnation, Spare] = {}
+        """Daemons that asked to join."""
         self.pending: list[DecidedCommand] = []
         """The commands of a batch that is journaled here but not yet by all backups."""
         self.batch_lock = asyncio.Lock()
         """Held while a batch is replicated or the view changes."""
         self.changing_view = False
+        """Whether a change of the view is in progress."""
         self.heartbeats_in_flight: set[Incarnation] = set()
         """Members to which a heartbeat was sent that is not answered yet."""
         self.next_heartbeat: dict[Incarnation, Instant] = {}
+        """By member: the earliest time of the next heartbeat."""
 
     def note_accepted(self, incarnation: Incarnation, started: Instant) -> None:
         """Records that a member answered, under our epoch, a call started at ``started``."""
--- a/wingwood/control/limits.py
+++ b/wingwood/control/limits.py
@@ -8,6 +8,8 @@
 
 
 class ControlLimits(msgspec.Struct, frozen=True, kw_only=True):
+    """Limits of one control daemon."""
+
     heartbeat_interval: Seconds = Seconds(0.25)
     call_timeout: Seconds = Seconds(0.6)
     """Timeout of heartbeats, promises, acceptances and questions for proofs."""
@@ -34,6 +36,7 @@
     decide_timeout: Seconds = Seconds(2.5)
     """Longest time from the arrival of a command at the primary to its reply."""
     proof_timeout: Seconds = Seconds(1.0)
+    """Longest time from a request for a proof of leadership to its answer."""
     tick_interval: Seconds = Seconds(0.1)
     """Interval of the periodic work of each member."""
     join_interval: Seconds = Seconds(0.5)
@@ -47,6 +50,7 @@
     queued_commands: int = 8192
     """Most commands that may wait in the queue; further ones are refused as busy."""
     chunk_bytes: int = 512 * 1024
+    """Size of the chunks in which a complete state is sent."""
     rewrite_bytes: int = 8 * 1024 * 1024
     """The journal is rewritten when it is longer than this and than twice its length after the last rewrite."""
     rewrite_timeout_floor: Seconds = Seconds(1.0)
--- a/wingwood/control/planning.py
+++ b/wingwood/control/planning.py
@@ -73,8 +73,8 @@
 
     def _live_spares(self, leadership: Leadership, now: Instant) -> list[ViewMember]:
         """Returns the spares that asked to join recently, the most recent request first."""
-        latest_first = sorted(leadership.spares.values(), key=lambda spare: (-spare.last_heard, spare.member))
-        return [spare.member for spare in latest_first if now - spare.last_heard < self._limits.spare_silence]
+        latest_first = sorted(leadership.spares.values(), key=lambda spare: (-spare.last_requested, spare.member))
+        return [spare.member for spare in latest_first if now - spare.last_requested < self._limits.spare_silence]
 
     def _is_departed(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
         if member.incarnation == self._own.incarnation:
--- a/wingwood/control/tests/test_client.py
+++ b/wingwood/control/tests/test_client.py
@@ -15,6 +15,8 @@
 
 
 class ClientTests(unittest.TestCase):
+    """The client must find an answer while any path exists, and report ``unknown`` only if a command may have run."""
+
     def setUp(self) -> None:
         self.control = ControlWorld(1)
         self.addCleanup(self.control.close)
--- a/wingwood/control/tests/test_core.py
+++ b/wingwood/control/tests/test_core.py
@@ -60,6 +60,8 @@
 
 
 class FormingTests(ControlCase):
+    """A first view is formed only by all three empty seeds; otherwise wiped machines could lose a fleet's state."""
+
     def test_three_empty_seeds_form_one_fleet_and_the_first_leads(self) -> None:
         control = self.fleet()
         self.assertEqual(control.leader(), "c1")
@@ -105,6 +107,8 @@
 
 
 class LossTests(ControlCase):
+    """Any one loss leaves the fleet in service within the gap and loses no acknowledged order."""
+
     def test_each_kind_of_loss_of_the_primary_leads_to_a_take_over_within_the_gap(self) -> None:
         for seed, lose in enumerate(("kill", "freeze", "power_off", "cut_off", "wipe") * 2):
             with self.subTest(lose=lose, seed=seed):
@@ -236,6 +240,8 @@
 
 
 class DiskFaultTests(ControlCase):
+    """Disk faults of a running daemon: it must stop leading, and may return only with a journal read back."""
+
     def test_a_second_process_on_the_same_folder_is_refused(self) -> None:
         control = self.fleet()
         refused: list[str] = []
@@ -274,6 +280,8 @@
 
 
 class DeposedPrimaryTests(ControlCase):
+    """A former primary that was frozen or cut off must not acknowledge or prove anything after its successor leads."""
+
     def late_batch(self, make: MakeCore, seed: int) -> tuple[ControlWorld, str, list[object]]:
         """Freezes the primary while its batch is delayed on the way to the backup, which takes over with the witness.
 
--- a/wingwood/control/tests/test_editions.py
+++ b/wingwood/control/tests/test_editions.py
@@ -98,6 +98,8 @@
 
 
 class RaceTests(EditionCase):
+    """Of several changes on one base exactly one is accepted, also during a take-over."""
+
     def test_of_two_on_one_base_exactly_one_wins(self) -> None:
         for turn in range(6):
             base = 9 + turn
@@ -126,6 +128,8 @@
 
 
 class LostAnswerTests(EditionCase):
+    """A change whose answer was lost must be acknowledged, not refused by its own edition, when it is repeated."""
+
     def test_an_order_whose_answer_was_lost_is_acknowledged_when_it_comes_again(self) -> None:
         cuts = [self.control.world.cut(name, "c3", both_ways=False) for name in ("c1", "c2")]
         change = edition_change(9, 10, self.slices)
@@ -152,6 +156,8 @@
 
 
 class ReadingTests(EditionCase):
+    """A daemon without a proof from the primary must answer that it cannot read, and never give an older edition."""
+
     def test_a_daemon_that_is_cut_off_reads_nothing_back(self) -> None:
         for name in DAEMONS:
             cut = self.control.world.cut_off(name)
--- a/wingwood/control/tests/test_protocol_model.py
+++ b/wingwood/control/tests/test_protocol_model.py
@@ -63,6 +63,8 @@
 
 
 class BrokenCores(unittest.TestCase):
+    """Each broken variant must fail, so that the model is known to detect such faults."""
+
     def assert_caught(self, fleet: Fleet, *rules: str) -> None:
         with self.assertRaisesRegex(
             AssertionError, "^[0-9]+[.][0-9]{3} |^lost: "
--- a/wingwood/control/tests/test_two_losses.py
+++ b/wingwood/control/tests/test_two_losses.py
@@ -82,6 +82,8 @@
 
 
 class LossTests(TwoLossesCase):
+    """Any two losses at once leave the fleet in service within the gap and lose no acknowledged order."""
+
     def test_service_survives_any_two_losses_at_once_within_the_gap(self) -> None:
         fault_kinds = ("kill", "freeze", "power_off", "cut_off", "wipe", "stalled", "full")
         for number, (one, other) in enumerate(combinations(range(5), 2)):
--- a/wingwood/control/tests/test_walks.py
+++ b/wingwood/control/tests/test_walks.py
@@ -20,6 +20,8 @@
 
 
 class WalkTests(unittest.TestCase):
+    """The core withstands all walks; each broken variant fails in one, so the walks can detect such faults."""
+
     def test_nothing_acknowledged_is_lost_or_contradicted_and_service_comes_back(self) -> None:
         self.assert_walks_hold(Mutant(core_maker(), ()), least_losses=5)
 
--- a/wingwood/control/voter.py
+++ b/wingwood/control/voter.py
@@ -76,6 +76,7 @@
             )
 
     async def _promise(self, message: ControlPromise) -> bool:
+        """Promises the epoch to the candidate unless the rules forbid it; returns whether it is promised."""
         store = self._store
         if message.to != self._own_incarnation or self._disk_fault is not None or (message.forming and store.ever_used):
             return False
@@ -104,6 +105,7 @@
             return ControlAccepted(self._own_incarnation, accepted, self._store.promise.epoch, self._store.sequence)
 
     async def _accept(self, view: View) -> bool:
+        """Accepts the view unless a higher epoch, or this one to another primary, was promised."""
         if self._disk_fault is not None:
             return False
         held = self._store.promise
