--- a/wingwood/control/lead_proofs.py
+++ b/wingwood/control/leadership_proofs.py
@@ -1,4 +1,4 @@
-"""Proofs that nobody else leads, for reads (docs/DESIGN.md section 7.2.7)."""
+"""Proofs that no other daemon leads, needed by reads (docs/DESIGN.md section 7.2.7)."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 from collections.abc import Sequence
 
 from ..identifiers import Seconds
-from .lead import Lead
+from .leadership import Leadership
 from .member import Member, MemberSetup
 from .messages import ControlConfirm, ControlConfirmed
 
-RETRY_PAUSE = Seconds(0.02)
-"""Before the next round when one has proved nothing."""
+RETRY_PAUSE_S = Seconds(0.02)
+"""Pause before the next round after one that proved nothing."""
 
 
-class LeadProofs(Member):
-    """Collects those who ask for a proof, and asks the other members for all of them at once."""
+class LeadershipProofs(Member):
+    """Collects requests for a proof of leadership and serves them together with one round of questions."""
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
         self._proofs: list[asyncio.Future[bool]] = []
-        """Who waits for the next round."""
+        """Requests that wait for the next round."""
         self._proof_asked = asyncio.Event()
 
-    async def prove_lead(self) -> bool:
-        if self._lead is None:
+    async def prove_leadership(self) -> bool:
+        if self._leadership is None:
             return False
         asked: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._proofs.append(asked)
         self._proof_asked.set()
         try:
-            async with asyncio.timeout(self._limits.proof):
+            async with asyncio.timeout(self._limits.proof_timeout):
                 return await asked
         except TimeoutError:
             return False
 
     async def _run_proofs(self) -> None:
-        """Each round serves who asked before it began."""
+        """Runs the rounds; each serves the requests made before it started."""
         while True:
             await self._proof_asked.wait()
             self._proof_asked.clear()
@@ -46,31 +46,31 @@
                 await self._serve(asked)
 
     async def _serve(self, asked: list[asyncio.Future[bool]]) -> None:
-        lead = self._lead
-        if lead is not None and await self._proof_round(lead):
+        leadership = self._leadership
+        if leadership is not None and await self._proof_round(leadership):
             _resolve_all(asked, True)
-        elif self._lead is None:
+        elif self._leadership is None:
             _resolve_all(asked, False)
         else:
-            await self._context.clock.sleep(RETRY_PAUSE)
+            await self._context.clock.sleep(RETRY_PAUSE_S)
             self._proofs = asked + self._proofs
             self._proof_asked.set()
 
-    async def _proof_round(self, lead: Lead) -> bool:
-        """A majority, counting us, has promised nothing above our epoch."""
-        view = lead.view
-        if not lead.settled or self._store.promise.epoch != view.epoch:
+    async def _proof_round(self, leadership: Leadership) -> bool:
+        """Returns whether a majority, counting us, confirmed that it has promised nothing above our epoch."""
+        view = leadership.view
+        if not leadership.commit_known or self._store.promise.epoch != view.epoch:
             return False
 
         def confirmed(answers: list[ControlConfirmed]) -> bool:
-            return view.majority({self._me, *(answer.by for answer in answers if answer.holds)})
+            return view.majority({self._own_incarnation, *(answer.by for answer in answers if answer.holds)})
 
         work = [
-            self._ask(seat, ControlConfirm(seat.incarnation, view.epoch), ControlConfirmed)
-            for seat in self._others(view)
+            self._ask(member, ControlConfirm(member.incarnation, view.epoch), ControlConfirmed)
+            for member in self._other_members(view)
         ]
-        answers = await self._gather(work, confirmed, self._limits.call)
-        return confirmed(answers) and self._lead is lead and lead.view is view and not self._stale
+        answers = await self._gather(work, confirmed, self._limits.call_timeout)
+        return confirmed(answers) and self._leadership is leadership and leadership.view is view and not self._stale
 
 
 def _resolve_all(asked: Sequence[asyncio.Future[bool]], proved: bool) -> None:
--- a/wingwood/control/limits.py
+++ b/wingwood/control/limits.py
@@ -1,4 +1,4 @@
-"""How long the control core waits for what (docs/DESIGN.md section 7.4). Durations in seconds."""
+"""Timeouts, intervals and sizes of the control core (docs/DESIGN.md section 7.4). Durations are in seconds."""
 
 from __future__ import annotations
 
@@ -8,45 +8,56 @@
 
 
 class ControlLimits(msgspec.Struct, frozen=True, kw_only=True):
-    heartbeat: Seconds = Seconds(0.25)
-    call: Seconds = Seconds(0.6)
-    """Bound of heartbeats, grants, acceptances and proofs."""
-    replicate: Seconds = Seconds(0.8)
-    silence: Seconds = Seconds(1.0)
-    """After which a member looks whether the others hear the primary."""
-    look: Seconds = Seconds(0.2)
-    """Between two such looks."""
-    heard: Seconds = Seconds(0.9)
-    """A primary heard within this counts as heard when another asks."""
-    member_silent: Seconds = Seconds(0.9)
-    """A backup silent for this long is passed over for another."""
-    member_gone: Seconds = Seconds(2.2)
-    """A member silent or sick for this long gives its seat to a live spare."""
+    """Limits of one control daemon."""
+
+    heartbeat_interval: Seconds = Seconds(0.25)
+    call_timeout: Seconds = Seconds(0.6)
+    """Timeout of heartbeats, promises, acceptances and questions for proofs."""
+    replicate_timeout: Seconds = Seconds(0.8)
+    """Timeout of one batch at a backup, to which twice the time to write the batch is added."""
+    primary_silence: Seconds = Seconds(1.0)
+    """After this time without a message of the primary, a member asks the others whether they receive its messages."""
+    status_query_interval: Seconds = Seconds(0.2)
+    """Interval between two rounds of such questions."""
+    primary_recency: Seconds = Seconds(0.9)
+    """A member answers that it hears the primary if it received a message of it within this time."""
+    member_silence: Seconds = Seconds(0.9)
+    """A member silent for this long is not chosen as a backup; another member is."""
+    member_departed_after: Seconds = Seconds(2.2)
+    """A member silent or unhealthy for this long is replaced by a live spare."""
     recruit_pause: Seconds = Seconds(0.3)
-    """Before a member that failed as backup is tried again."""
-    spare_silent: Seconds = Seconds(1.5)
-    lead_unconfirmed: Seconds = Seconds(1.2)
-    """Without an answer from any member begun within this, a primary says that it does not lead."""
-    lead_abandoned: Seconds = Seconds(3.0)
-    """... and after this it gives up its role."""
-    decide: Seconds = Seconds(2.5)
-    proof: Seconds = Seconds(1.0)
-    tick: Seconds = Seconds(0.1)
-    join: Seconds = Seconds(0.5)
-    heal: Seconds = Seconds(0.5)
-    """Between tries to use a sick disk again."""
-    check: Seconds = Seconds(1.0)
-    """Between looks whether the journal file is still there."""
-    batch: int = 512
-    waiting: int = 8192
-    """Commands that may wait; one more is refused as busy."""
-    piece_bytes: int = 512 * 1024
+    """Pause before a member that failed as a backup is tried again."""
+    spare_silence: Seconds = Seconds(1.5)
+    """A spare that has not asked to join for this long is not made a member."""
+    leadership_unconfirmed_after: Seconds = Seconds(1.2)
+    """A primary reports that it does not lead when no majority answered calls started within this time."""
+    leadership_abandoned_after: Seconds = Seconds(3.0)
+    """After this time without such answers it gives up leadership."""
+    decide_timeout: Seconds = Seconds(2.5)
+    """Longest time from the arrival of a command at the primary to its reply."""
+    proof_timeout: Seconds = Seconds(1.0)
+    """Longest time from a request for a proof of leadership to its answer."""
+    tick_interval: Seconds = Seconds(0.1)
+    """Interval of the periodic work of each member."""
+    join_interval: Seconds = Seconds(0.5)
+    """Interval at which a daemon that is not a member asks to join."""
+    recovery_interval: Seconds = Seconds(0.5)
+    """Interval between attempts to use a failed disk again."""
+    disk_check_interval: Seconds = Seconds(1.0)
+    """Interval of the checks that the journal file still exists."""
+    batch_commands: int = 512
+    """Most commands in one batch."""
+    queued_commands: int = 8192
+    """Most commands that may wait in the queue; further ones are refused as busy."""
+    chunk_bytes: int = 512 * 1024
+    """Size of the chunks in which a complete state is sent."""
     rewrite_bytes: int = 8 * 1024 * 1024
-    """The journal is rewritten when longer than this and than twice its length after the last rewrite."""
-    rewrite_floor: Seconds = Seconds(1.0)
-    rewrite_rate: float = 20e6
-    """Bytes a second that a disk writes at least."""
+    """The journal is rewritten when it is longer than this and than twice its length after the last rewrite."""
+    rewrite_timeout_floor: Seconds = Seconds(1.0)
+    """Timeout of a rewrite, to which the time to write the file is added."""
+    rewrite_bytes_per_second: float = 20e6
+    """The lowest write rate that a healthy disk is expected to reach."""
 
-    def rewriting(self, length: int) -> Seconds:
-        """How long a whole file of that length may take to be written and synced."""
-        return Seconds(self.rewrite_floor + length / self.rewrite_rate)
+    def rewrite_timeout(self, length: int) -> Seconds:
+        """Returns how long writing and syncing a complete file of ``length`` bytes may take."""
+        return Seconds(self.rewrite_timeout_floor + length / self.rewrite_bytes_per_second)
--- a/wingwood/control/planning.py
+++ b/wingwood/control/planning.py
@@ -1,105 +1,118 @@
-"""Which view a primary wants next: spares for lost members, live members as backups (docs/DESIGN.md section 7.4)."""
+"""Plans the next view of a primary: spares replace lost members, live members back up (docs/DESIGN.md section 7.4)."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
 from ..identifiers import Incarnation, Instant
-from .lead import Lead
+from .leadership import Leadership
 from .limits import ControlLimits
-from .messages import Seat, View
+from .messages import View, ViewMember
 
-FAILED_RECENTLY = 5.0
-"""A member that failed as backup within so many seconds is chosen after the others."""
+RECENT_FAILURE_S = 5.0
+"""A member that failed as a backup within this time is chosen only after the others."""
 
 
 class ViewPlan:
     """The view that a primary wants next, and the views on which it may be built."""
 
-    def __init__(self, seats: tuple[Seat, ...], members: tuple[Seat, ...], base: View) -> None:
-        self.seats = seats
-        """The backups."""
+    def __init__(self, backup_members: tuple[ViewMember, ...], members: tuple[ViewMember, ...], base: View) -> None:
+        self.backup_members = backup_members
+        """The planned backups."""
         self.members = members
-        changed = {seat.incarnation for seat in members} != set(base.incarnations())
+        changed = {member.incarnation for member in members} != set(base.incarnations())
         self.former = base.members if changed else ()
-        """``base`` is chosen, so its own former members need not be asked again."""
+        """The members of ``base`` if the plan changes the members.
+
+        ``base`` itself is chosen, so its own former members need not be asked again.
+        """
         self.bases = [base]
-        """``base``, then the planned views that were not accepted by enough."""
+        """The views on which the plan may be built: ``base``, then its own proposals that too few members accepted."""
 
     @property
     def backups(self) -> tuple[Incarnation, ...]:
-        return tuple(seat.incarnation for seat in self.seats)
+        return tuple(member.incarnation for member in self.backup_members)
 
 
 class ViewPlanner:
-    """Plans the next view of the primary ``own``, with so many backups and members as are wanted."""
+    """Plans the next view of the primary ``own``, with the wanted numbers of backups and members."""
 
-    def __init__(self, own: Seat, limits: ControlLimits, backups_wanted: int, members_wanted: int) -> None:
+    def __init__(self, own: ViewMember, limits: ControlLimits, backups_wanted: int, members_wanted: int) -> None:
         self._own = own
         self._limits = limits
         self._backups_wanted = backups_wanted
         self._members_wanted = members_wanted
 
-    def plan(self, lead: Lead, now: Instant) -> ViewPlan | None:
-        """None when the present view is as wanted, or when a better one is not possible yet."""
-        view = lead.view
-        members = self._wanted_members(lead, now)
-        backups = self._wanted_backups(lead, members, now)
-        as_wanted = members == view.members and {seat.incarnation for seat in backups} == set(view.backups)
-        if as_wanted and lead.in_sync and not lead.outbid:
+    def plan(self, leadership: Leadership, now: Instant) -> ViewPlan | None:
+        """Returns None when the current view is as wanted, or when a better one is not possible yet."""
+        view = leadership.view
+        members = self._wanted_members(leadership, now)
+        backups = self._wanted_backups(leadership, members, now)
+        as_wanted = members == view.members and {member.incarnation for member in backups} == set(view.backups)
+        if as_wanted and leadership.in_sync and not leadership.epoch_superseded:
             return None
-        if len(backups) < self._backups_wanted or self._any_paused(lead, backups, now):
+        if len(backups) < self._backups_wanted or self._any_paused(leadership, backups, now):
             return None
         return ViewPlan(backups, members, view)
 
-    def _any_paused(self, lead: Lead, backups: Sequence[Seat], now: Instant) -> bool:
-        """One of them failed as backup so recently that it is not tried again yet."""
+    def _any_paused(self, leadership: Leadership, backups: Sequence[ViewMember], now: Instant) -> bool:
+        """Whether one of ``backups`` failed so recently that it is not tried again yet."""
         paused = Instant(now - self._limits.recruit_pause)
-        return any(lead.failed.get(seat.incarnation, paused) > paused for seat in backups)
-
-    def _wanted_members(self, lead: Lead, now: Instant) -> tuple[Seat, ...]:
-        """The members as they are, with spares in the seats of those that are gone and in empty ones."""
-        spares = self._live_spares(lead, now)
-        moved = {seat.incarnation: seat for seat in (self._own, *spares)}
-        members = [moved.get(seat.incarnation, seat) for seat in lead.view.members]
-        newcomers = [seat for seat in spares if lead.view.seat(seat.incarnation) is None]
-        for seat in [seat for seat in members if self._is_gone(lead, seat, now)][: len(newcomers)]:
-            members[members.index(seat)] = newcomers.pop(0)
+        return any(leadership.failed_at.get(member.incarnation, paused) > paused for member in backups)
+
+    def _wanted_members(self, leadership: Leadership, now: Instant) -> tuple[ViewMember, ...]:
+        """Returns the current members, with spares in place of departed members and in vacant places."""
+        spares = self._live_spares(leadership, now)
+        updated = {member.incarnation: member for member in (self._own, *spares)}
+        members = [updated.get(member.incarnation, member) for member in leadership.view.members]
+        newcomers = [member for member in spares if leadership.view.member(member.incarnation) is None]
+        for member in [member for member in members if self._is_departed(leadership, member, now)][: len(newcomers)]:
+            members[members.index(member)] = newcomers.pop(0)
         missing = max(0, self._members_wanted - len(members))
         return (*members, *newcomers[:missing])
 
-    def _live_spares(self, lead: Lead, now: Instant) -> list[Seat]:
-        """The most recently heard first."""
-        newest_first = sorted(lead.spares.values(), key=lambda spare: (-spare.heard, spare.seat))
-        return [spare.seat for spare in newest_first if now - spare.heard < self._limits.spare_silent]
+    def _live_spares(self, leadership: Leadership, now: Instant) -> list[ViewMember]:
+        """Returns the spares that asked to join recently, the most recent request first."""
+        latest_first = sorted(leadership.spares.values(), key=lambda spare: (-spare.last_requested, spare.member))
+        return [spare.member for spare in latest_first if now - spare.last_requested < self._limits.spare_silence]
 
-    def _is_gone(self, lead: Lead, seat: Seat, now: Instant) -> bool:
-        if seat.incarnation == self._own.incarnation:
+    def _is_departed(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
+        if member.incarnation == self._own.incarnation:
             return False
-        return lead.is_gone(seat.incarnation, now, self._limits.member_gone)
-
-    def _wanted_backups(self, lead: Lead, members: Sequence[Seat], now: Instant) -> tuple[Seat, ...]:
-        """The backups that are well, and the likeliest of the other live members in place of the rest."""
-        well = [seat for seat in members if self._is_well(lead, seat, now)]
-        others = [seat for seat in members if seat not in well and self._may_back_up(lead, seat, now)]
-        recently = now - FAILED_RECENTLY
-
-        def unlikely(seat: Seat) -> tuple[bool, bool, float]:
-            failed = lead.failed.get(seat.incarnation, Instant(0.0)) > recently
-            return failed, lead.view.seat(seat.incarnation) is None, -lead.answered.get(seat.incarnation, 0.0)
-
-        return (*well, *sorted(others, key=unlikely))[: self._backups_wanted]
-
-    def _is_well(self, lead: Lead, seat: Seat, now: Instant) -> bool:
-        """A backup already, live, and it has left no batch undone."""
-        member = seat.incarnation
-        return member in lead.view.backups and member not in lead.failing and self._is_live(lead, seat, now)
-
-    def _may_back_up(self, lead: Lead, seat: Seat, now: Instant) -> bool:
-        """A newcomer (it asked for its seat lately), or another live member."""
-        if seat.incarnation == self._own.incarnation:
+        return leadership.is_departed(member.incarnation, now, self._limits.member_departed_after)
+
+    def _wanted_backups(
+        self, leadership: Leadership, members: Sequence[ViewMember], now: Instant
+    ) -> tuple[ViewMember, ...]:
+        """Returns the healthy backups, and in place of the others the live members most likely to succeed."""
+        healthy = [member for member in members if self._is_healthy_backup(leadership, member, now)]
+        others = [member for member in members if member not in healthy and self._may_back_up(leadership, member, now)]
+        recently = now - RECENT_FAILURE_S
+
+        def preference(member: ViewMember) -> tuple[bool, bool, float]:
+            failed_recently = leadership.failed_at.get(member.incarnation, Instant(0.0)) > recently
+            return (
+                failed_recently,
+                leadership.view.member(member.incarnation) is None,
+                -leadership.answered.get(member.incarnation, 0.0),
+            )
+
+        return (*healthy, *sorted(others, key=preference))[: self._backups_wanted]
+
+    def _is_healthy_backup(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
+        """Whether the member is already a backup, is live, and has journaled every batch sent to it."""
+        incarnation = member.incarnation
+        return (
+            incarnation in leadership.view.backups
+            and incarnation not in leadership.failing_backups
+            and self._is_live(leadership, member, now)
+        )
+
+    def _may_back_up(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
+        """Whether the member is a newcomer, which asked to join recently, or another live member."""
+        if member.incarnation == self._own.incarnation:
             return False
-        return lead.view.seat(seat.incarnation) is None or self._is_live(lead, seat, now)
+        return leadership.view.member(member.incarnation) is None or self._is_live(leadership, member, now)
 
-    def _is_live(self, lead: Lead, seat: Seat, now: Instant) -> bool:
-        return lead.is_live(seat.incarnation, now, self._limits.member_silent)
+    def _is_live(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
+        return leadership.is_live(member.incarnation, now, self._limits.member_silence)
--- a/wingwood/control/store.py
+++ b/wingwood/control/store.py
@@ -1,4 +1,4 @@
-"""What one control daemon keeps on its disk (docs/DESIGN.md section 7.1)."""
+"""The durable state of one control daemon: its journal on disk (docs/DESIGN.md section 7.1)."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 )
 
 JOURNAL_NAME = "control.journal"
-NOBODY = Promise(Epoch(0), Incarnation(""))
+NO_PROMISE = Promise(Epoch(0), Incarnation(""))
 
 _decoder = msgspec.msgpack.Decoder(Entry)
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class StoreFault(msgspec.Struct, frozen=True):
-    """Why a data folder cannot be used; ``detail`` says it in words for the operator."""
+    """Why a data folder cannot be used; ``detail`` is a sentence for the operator."""
 
     kind: Literal["locked", "damaged", "disk"]
     detail: str
@@ -40,41 +40,43 @@
 
 
 class Contents(msgspec.Struct):
-    """State as the journal has it, not yet in the appliers."""
+    """State as read from the journal, not yet applied to the appliers."""
 
     snapshot: SnapshotEntry | None = None
     batches: list[BatchEntry] = []
 
 
 class ControlStore:
-    """The durable side of a member. Its methods are called one at a time (under the core's lock).
+    """The durable state of a member. Its methods are called one at a time, under the lock of the core.
 
-    The attributes are what is synced; each changes when its append has succeeded. After a failure
-    the caller must ``reload`` before it uses the store again.
+    The attributes reflect what has been synced to disk: each changes only after its append has succeeded.
+    After a failure the caller must call ``reload`` before it uses the store again.
     """
 
     def __init__(self, context: Context, journal: Journal, incarnation: Incarnation) -> None:
         self.context = context
         self.journal = journal
         self.incarnation = incarnation
-        self.promise = NOBODY
-        self.touched = False
-        """Has accepted a view, granted a promise outside of forming, or held state."""
+        self.promise = NO_PROMISE
+        self.ever_used = False
+        """It has accepted a view, granted a promise other than to form the first view, or held state."""
         self.view: View | None = None
         self.sequence = 0
+        """The latest batch in the journal."""
         self.rewritten_bytes = 0
+        """The length of the journal after its last rewrite."""
 
-    async def promised(self, promise: Promise, forming: bool) -> Result[None, JournalFault]:
+    async def record_promise(self, promise: Promise, forming: bool) -> Result[None, JournalFault]:
         if promise.epoch <= self.promise.epoch:
             raise AssertionError(f"epoch {promise.epoch} promised after {self.promise.epoch}")
         match await self.journal.append(_encode(PromisedEntry(promise, forming))):
             case Failure(fault):
                 return Failure(fault)
         self.promise = promise
-        self.touched = self.touched or not forming
+        self.ever_used = self.ever_used or not forming
         return Success(None)
 
-    async def accepted(self, view: View) -> Result[None, JournalFault]:
+    async def record_view(self, view: View) -> Result[None, JournalFault]:
         if view.epoch < self.promise.epoch:
             raise AssertionError(f"view of epoch {view.epoch} accepted after promising {self.promise.epoch}")
         match await self.journal.append(_encode(AcceptedEntry(view))):
@@ -85,7 +87,7 @@
 
     def _accept(self, view: View) -> None:
         self.view = view
-        self.touched = True
+        self.ever_used = True
         if view.epoch > self.promise.epoch:
             self.promise = Promise(view.epoch, view.primary)
 
@@ -102,28 +104,30 @@
         return await self.journal.append(_encode(ProbeEntry()))
 
     async def rewrite(
-        self, contents: Callable[[], Contents], patience: Seconds, promise: Promise | None = None
+        self, contents: Callable[[], Contents], timeout: Seconds, promise: Promise | None = None
     ) -> Result[None, JournalFault]:
-        """Takes the place of the journal. The last batch of ``contents`` becomes the sequence."""
+        """Replaces the journal by ``contents``. The sequence of its last batch becomes that of the store."""
         promise = promise or self.promise
-        kept = Contents()
+        written = Contents()
 
         def payloads() -> Sequence[bytes]:
-            nonlocal kept
-            kept = contents()
-            return self._payloads(kept, promise)
+            nonlocal written
+            written = contents()
+            return self._payloads(written, promise)
 
-        match await self.journal.rewrite(payloads, patience):
+        match await self.journal.rewrite(payloads, timeout):
             case Failure(fault):
                 return Failure(fault)
         self.promise = promise
-        self.sequence = kept.batches[-1].sequence if kept.batches else kept.snapshot.sequence if kept.snapshot else 0
-        self.touched = self.touched or kept.snapshot is not None
+        self.sequence = (
+            written.batches[-1].sequence if written.batches else written.snapshot.sequence if written.snapshot else 0
+        )
+        self.ever_used = self.ever_used or written.snapshot is not None
         self.rewritten_bytes = self.journal.length
         return Success(None)
 
     def _payloads(self, contents: Contents, promise: Promise) -> list[bytes]:
-        entries: list[Entry] = [FoundedEntry(self.incarnation), PromisedEntry(promise, not self.touched)]
+        entries: list[Entry] = [FoundedEntry(self.incarnation), PromisedEntry(promise, not self.ever_used)]
         if self.view is not None:
             entries.append(AcceptedEntry(self.view))
         if contents.snapshot is not None:
@@ -132,7 +136,7 @@
         return [_encode(entry) for entry in entries]
 
     def compact(self, contents: Contents) -> Coroutine[Any, Any, Result[None, JournalFault]]:
-        """Makes the journal short. ``contents`` is all state up to ``sequence``; nothing else changes by it."""
+        """Shortens the journal. ``contents`` is the complete state up to ``sequence``; nothing else changes."""
         return self._compact(self.journal.compact(self._payloads(contents, self.promise)))
 
     async def _compact(self, compaction: Coroutine[Any, Any, Result[None, JournalFault]]) -> Result[None, JournalFault]:
@@ -141,17 +145,17 @@
             self.rewritten_bytes = self.journal.length
         return outcome
 
-    async def reload(self, patience: Seconds) -> Result[Contents, JournalFault]:
-        """Reads everything back from the disk; the way out of each failure."""
-        match await self.journal.open(patience):
+    async def reload(self, timeout: Seconds) -> Result[Contents, JournalFault]:
+        """Reads everything back from the disk; every failure of a write is recovered from in this way."""
+        match await self.journal.open(timeout):
             case Failure(fault):
                 return Failure(fault)
             case Success(payloads):
-                return Success(self._take(payloads))
+                return Success(self._read_entries(payloads))
         raise AssertionError("a result is a success or a failure")
 
-    def _take(self, payloads: Sequence[bytes]) -> Contents:
-        self.promise, self.touched, self.view, self.sequence = NOBODY, False, None, 0
+    def _read_entries(self, payloads: Sequence[bytes]) -> Contents:
+        self.promise, self.ever_used, self.view, self.sequence = NO_PROMISE, False, None, 0
         contents = Contents()
         read = 0
         for payload in payloads:
@@ -162,13 +166,13 @@
                     self.incarnation = incarnation
                 case PromisedEntry(promise, forming):
                     self.promise = promise
-                    self.touched = self.touched or not forming
+                    self.ever_used = self.ever_used or not forming
                 case AcceptedEntry(view):
                     self._accept(view)
                 case SnapshotEntry():
                     contents = Contents(entry, [])
                     self.sequence = entry.sequence
-                    self.touched = True
+                    self.ever_used = True
                     self.rewritten_bytes = read
                 case BatchEntry():
                     if entry.sequence != self.sequence + 1:
@@ -189,11 +193,11 @@
 async def open_store(
     context: Context, start_empty_when_damaged: bool = False, retry_pause: Seconds | None = None
 ) -> Result[tuple[ControlStore, Contents], StoreFault]:
-    """Locks the data folder and reads its journal; an empty folder gets a new incarnation.
+    """Locks the data folder and reads its journal; in an empty folder it creates a journal of a new incarnation.
 
-    A damaged journal is a fault, unless the operator said ``start_empty_when_damaged``: then it is put
-    aside under another name and the daemon starts as an empty, new incarnation, to be filled by its peers.
-    With ``retry_pause`` a disk that fails or is full is tried again until it is well.
+    A damaged journal is a fault, unless the operator set ``start_empty_when_damaged``: then the journal is
+    renamed, and the daemon starts empty, as a new incarnation, and receives the state from its peers.
+    With ``retry_pause``, opening a disk that fails or is full is retried until it succeeds.
     """
     while True:
         opened = await _open_store(context, start_empty_when_damaged)
@@ -208,14 +212,14 @@
 async def _open_store(
     context: Context, start_empty_when_damaged: bool
 ) -> Result[tuple[ControlStore, Contents], StoreFault]:
-    patience = Seconds(60.0)
+    timeout = Seconds(60.0)
     match await context.disk.lock():
         case Failure(fault):
             kind: Literal["locked", "disk"] = "locked" if fault.kind == "locked" else "disk"
             return Failure(StoreFault(kind, f"the data folder cannot be locked: {fault.detail}"))
     journal = Journal(context, JOURNAL_NAME)
     store = ControlStore(context, journal, Incarnation(""))
-    match await store.reload(patience):
+    match await store.reload(timeout):
         case Success(contents):
             context.log.event(
                 "control-store-opened",
@@ -235,20 +239,22 @@
                 StoreFault(
                     "damaged",
                     f"{JOURNAL_NAME} is damaged at byte {problem.offset} ({problem.detail}); "
-                    "to fill this machine anew from its peers, start it once with the word to begin empty when damaged",
+                    "to refill this machine from its peers, start it once with --begin-empty-when-damaged",
                     problem.offset,
                 )
             )
         aside = f"{JOURNAL_NAME}.damaged-{int(context.clock.wall())}"
         match await context.disk.rename(JOURNAL_NAME, aside):
             case Failure(fault):
-                return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be put aside: {fault.detail}"))
+                return Failure(
+                    StoreFault("disk", f"the damaged {JOURNAL_NAME} cannot be renamed to {aside}: {fault.detail}")
+                )
         context.log.event("journal-put-aside", file=aside)
     elif problem.kind != "missing":
         return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be read: {problem.kind} {problem.detail}"))
     store.incarnation = Incarnation(context.random.randbytes(8).hex())
-    match await journal.create([_encode(FoundedEntry(store.incarnation))], patience):
+    match await journal.create([_encode(FoundedEntry(store.incarnation))], timeout):
         case Failure(problem):
-            return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be made: {problem.kind} {problem.detail}"))
+            return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be created: {problem.kind} {problem.detail}"))
     context.log.event("control-store-founded", incarnation=store.incarnation)
     return Success((store, Contents()))
--- a/wingwood/control/tests/control_world.py
+++ b/wingwood/control/tests/control_world.py
@@ -1,4 +1,4 @@
-"""Control daemons on a simulated world, operators that send orders, and an observer of the answers."""
+"""Control daemons in a simulated world, operators that send orders, and an observer that checks the answers."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 Value = TypeVar("Value")
 KEY = b"control tests"
-WALK_LIMITS = ControlLimits(rewrite_bytes=20_000, piece_bytes=4096)
+WALK_LIMITS = ControlLimits(rewrite_bytes=20_000, chunk_bytes=4096)
 PORT = 7000
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Takes the next version when ``base`` is the newest one."""
+    """Command that sets the next version if ``base`` is the latest one."""
 
     order: int
     base: int
@@ -42,41 +42,41 @@
     version: int
 
 
-class _Kept(msgspec.Struct):
+class _RegisterState(msgspec.Struct):
     version: int = 0
     outcomes: dict[int, PutOutcome] = {}
     filler: dict[int, bytes] = {}
 
 
 class Register:
-    """A small applier: versions by compare-and-set, outcomes kept for ever."""
+    """A small applier: versions change by compare-and-set, and outcomes are stored for ever."""
 
     kind = "register"
     command_type = Put
 
     def __init__(self) -> None:
-        self.kept = _Kept()
+        self.stored = _RegisterState()
 
     def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
         assert isinstance(command, Put)
-        known = self.kept.outcomes.get(command.order)
+        known = self.stored.outcomes.get(command.order)
         if known is not None:
             return None, known
-        accepted = command.base == self.kept.version
-        outcome = PutOutcome(command.order, accepted, self.kept.version + accepted)
+        accepted = command.base == self.stored.version
+        outcome = PutOutcome(command.order, accepted, self.stored.version + accepted)
         return msgspec.msgpack.encode((outcome, command.filler)), outcome
 
     def apply(self, record: bytes) -> None:
         outcome, filler = msgspec.msgpack.decode(record, type=tuple[PutOutcome, bytes])
-        self.kept.version = outcome.version
-        self.kept.outcomes[outcome.order] = outcome
-        self.kept.filler[outcome.version % 16] = filler
+        self.stored.version = outcome.version
+        self.stored.outcomes[outcome.order] = outcome
+        self.stored.filler[outcome.version % 16] = filler
 
     def snapshot(self) -> bytes:
-        return msgspec.msgpack.encode(self.kept)
+        return msgspec.msgpack.encode(self.stored)
 
     def restore(self, snapshot: bytes | None) -> None:
-        self.kept = _Kept() if snapshot is None else msgspec.msgpack.decode(snapshot, type=_Kept)
+        self.stored = _RegisterState() if snapshot is None else msgspec.msgpack.decode(snapshot, type=_RegisterState)
 
 
 MakeCore = Callable[[Context, TcpMessenger, ControlStore, Contents, Register, Sequence[Address]], ReplicatedCore]
@@ -106,20 +106,20 @@
 
 
 class Observer:
-    """Sees answers to operators and proofs only. ``faults`` lists what must never happen."""
+    """Sees only the answers to operators and the proofs. ``faults`` lists observations that must never occur."""
 
     def __init__(self) -> None:
         self.faults: list[str] = []
         self.outcomes: dict[int, PutOutcome] = {}
         self.winners: dict[int, int] = {}
         self.newest = 0
-        self.first_asked: dict[int, int] = {}
-        """The newest acknowledged version when the order was sent for the first time."""
+        self.first_sent: dict[int, int] = {}
+        """By order: the latest acknowledged version when the order was sent for the first time."""
         self.acknowledged = 0
         self.proofs = 0
         self.last_acknowledged = 0.0
 
-    def answered(self, now: float, outcome: PutOutcome, newest_when_first_asked: int) -> None:
+    def answered(self, now: float, outcome: PutOutcome, newest_when_first_sent: int) -> None:
         self.acknowledged += 1
         self.last_acknowledged = now
         known = self.outcomes.setdefault(outcome.order, outcome)
@@ -129,15 +129,15 @@
             winner = self.winners.setdefault(outcome.version, outcome.order)
             if winner != outcome.order:
                 self.faults.append(f"{now:.3f} version {outcome.version}: won by {winner} and {outcome.order}")
-        elif known is outcome and outcome.version < newest_when_first_asked:
+        elif known is outcome and outcome.version < newest_when_first_sent:
             self.faults.append(
-                f"{now:.3f} order {outcome.order}: {outcome}, but {newest_when_first_asked} was acknowledged"
+                f"{now:.3f} order {outcome.order}: {outcome}, but {newest_when_first_sent} was acknowledged"
             )
         self.newest = max(self.newest, outcome.version)
 
 
 class ControlWorld:
-    """``c1`` to ``c3`` are seeds; more daemons may be started on new machines with the same settings."""
+    """``c1`` to ``c3`` are the seeds; more daemons may be started on new machines with the same settings."""
 
     def __init__(self, seed: int, make: MakeCore = make_core, start: Sequence[str] = ("c1", "c2", "c3")) -> None:
         self.world = World(seed)
@@ -152,13 +152,14 @@
         self.clients: dict[str, ControlClient] = {}
         self.orders = 0
         self.begin_empty: set[str] = set()
-        """Daemons whose operator said that they may begin empty when their journal is damaged."""
+        """Daemons whose operator allows them to start empty when their journal is damaged."""
         self.quiet_until = 0.0
+        """Operators send nothing before this time."""
         for name in start:
             self.start(name)
 
     def start(self, name: str, seeds: Sequence[str] = ()) -> Process:
-        """``seeds``: the machines that its settings name, when not the first three."""
+        """Starts a daemon. ``seeds`` are the machines named in its settings (default: the first three)."""
         addresses = tuple(address_of(self.world.machine(seed), PORT) for seed in seeds) or self.seeds
         address = address_of(self.world.machine(name, "a"), PORT)
 
@@ -183,20 +184,20 @@
     def close(self) -> None:
         self.world.close()
 
-    # -- who leads
+    # -- roles
 
     def alive(self, name: str) -> bool:
         process = self.world.processes.get(name)
         return process is not None and process.alive and not process.frozen and name in self.cores
 
     def report(self, name: str) -> ViewReport:
-        """As the daemon itself would say it, on its own clock."""
-        return self.inside(name, self.cores[name].report)
+        """Returns the report of the daemon, made on its own clock."""
+        return self.run_in_process(name, self.cores[name].report)
 
     def leads(self, name: str) -> bool:
-        return self.inside(name, self.cores[name].leads)
+        return self.run_in_process(name, self.cores[name].leads)
 
-    def inside(self, name: str, question: Callable[[], Value]) -> Value:
+    def run_in_process(self, name: str, question: Callable[[], Value]) -> Value:
         self.world.loop.running_life = self.world.processes[name].life
         try:
             return question()
@@ -204,7 +205,7 @@
             self.world.loop.running_life = None
 
     def leader(self) -> str | None:
-        """A live daemon that accepts orders now."""
+        """Returns a live daemon that accepts orders now, or None."""
         return next((name for name in self.cores if self.alive(name) and self.report(name).accepts_orders), None)
 
     def complete(self) -> bool:
@@ -214,14 +215,14 @@
     def epoch(self) -> Epoch:
         return max((core.epoch() for core in self.cores.values()), default=Epoch(0))
 
-    def has_role(self, role: str) -> str:
-        """The daemon that has the role in the newest view."""
+    def name_with_role(self, role: str) -> str:
+        """Returns the live daemon that reports this role."""
         return next(name for name in self.cores if self.alive(name) and self.report(name).own_role == role)
 
     # -- operators
 
     def operator(self, name: str = "operator", zone: str = "a", limits: ControlClientLimits | None = None) -> None:
-        """A process that can send orders (it keeps no state)."""
+        """Starts a process that can send orders; it stores no state."""
 
         async def main(context: Context) -> None:
             address = address_of(self.world.machine(name, zone), PORT)
@@ -234,7 +235,7 @@
         self.world.run(0.01)
 
     async def put(self, client: ControlClient, put: Put, timeout: float = 4.0) -> PutOutcome | None:
-        newest = self.observer.first_asked.setdefault(put.order, self.observer.newest)
+        newest = self.observer.first_sent.setdefault(put.order, self.observer.newest)
         match await client.decide("register", put, PutOutcome, Seconds(timeout)):
             case Success(outcome):
                 self.observer.answered(self.world.now, outcome, newest)
@@ -243,7 +244,7 @@
         return None
 
     def send(self, name: str = "operator", filler: bytes = b"", timeout: float = 4.0) -> PutOutcome | None:
-        """One order on the newest acknowledged version, waited for."""
+        """Sends one order based on the latest acknowledged version, and waits for its outcome."""
         answers: list[PutOutcome | None] = []
         self.orders += 1
         put = Put(self.orders, self.observer.newest, filler)
@@ -256,7 +257,7 @@
         return answers[0] if answers else None
 
     def keep_sending(self, name: str, pause: float = 0.05) -> None:
-        """Orders without end: on the newest version, some on an older one, unanswered ones again."""
+        """Sends orders without end: most on the latest version, some on an older one; repeats unanswered ones."""
         client, random = self.clients[name], self.world.random
 
         async def run() -> None:
--- a/wingwood/control/tests/mutants.py
+++ b/wingwood/control/tests/mutants.py
@@ -1,4 +1,4 @@
-"""Broken variants of the control core; each must be caught by the walks. Only the test harness has them."""
+"""Broken variants of the control core, used by tests only; the random walks must catch each of them."""
 
 from __future__ import annotations
 
@@ -12,64 +12,79 @@
 from ...transport.frames import Identity
 from ...transport.messenger import TcpMessenger
 from ..core import ReplicatedCore
-from ..lead import Lead as _Lead
-from ..messages import ControlConfirm, ControlConfirmed, ControlGrant, ControlPromise, ControlReplicate, Seat, View
+from ..leadership import Leadership as _Lead
+from ..messages import (
+    ControlConfirm,
+    ControlConfirmed,
+    ControlGrant,
+    ControlPromise,
+    ControlReplicate,
+    View,
+    ViewMember,
+)
 from ..planning import ViewPlan as _Plan
 from ..store import Contents, ControlStore, decode_batch
 from .control_world import SIX, MakeCore, Register, core_maker
 
 
 class AcknowledgesBeforeBackup(ReplicatedCore):
-    async def _replicate(self, lead: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
-        self._context.tasks.spawn("late", self._late(lead, epoch, before, entry))
+    """A primary that answers before the backups have journaled the batch."""
+
+    async def _replicate(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
+        self._context.tasks.spawn("late", self._late(leadership, epoch, before, entry))
         return True
 
-    async def _late(self, lead: _Lead, epoch: Epoch, before: int, entry: bytes) -> None:
-        if not await super()._replicate(lead, epoch, before, entry):
-            lead.in_sync = False
+    async def _late(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> None:
+        if not await super()._replicate(leadership, epoch, before, entry):
+            leadership.in_sync = False
 
 
 class BackupIgnoresPromise(ReplicatedCore):
-    """Journals what any former primary sends, as long as the numbers fit."""
+    """A backup that journals batches of a former primary, as long as the sequence fits."""
 
-    async def _replicate_here(self, message: ControlReplicate) -> str | None:
-        if message.before == self._store.sequence and message.entry and self._sick is None and not self._stale:
+    async def _journal_batch(self, message: ControlReplicate) -> str | None:
+        if message.before == self._store.sequence and message.entry and self._disk_fault is None and not self._stale:
             await self._store.append_batch(message.entry, message.before + 1)
             self._replica.receive(decode_batch(message.entry))
             return None
-        return await super()._replicate_here(message)
+        return await super()._journal_batch(message)
 
 
 class ViewBeforeTransfer(ReplicatedCore):
-    async def _send_state(self, lead: _Lead, seat: Seat) -> bool:
-        self._context.tasks.spawn("late", self._late_state(lead, seat))
+    """A primary that chooses a view before its new backups have received the state."""
+
+    async def _send_state(self, leadership: _Lead, member: ViewMember) -> bool:
+        self._context.tasks.spawn("late", self._late_state(leadership, member))
         return True
 
-    async def _late_state(self, lead: _Lead, seat: Seat) -> None:
+    async def _late_state(self, leadership: _Lead, member: ViewMember) -> None:
         await asyncio.sleep(0.3)
-        if self._lead is lead and self._replica.applied == self._store.sequence:
-            await super()._send_state(lead, seat)
+        if self._leadership is leadership and self._replica.applied == self._store.sequence:
+            await super()._send_state(leadership, member)
 
     def _in_sync(self, view: View, sequences: Mapping[Incarnation, int]) -> bool:
         return True
 
 
 class AnyGranteeMayWin(ReplicatedCore):
-    """Witnesses stand too, and nobody asks whether the winner holds the state."""
+    """Witnesses become candidates too, and no member checks whether the winner holds the state."""
 
-    async def _may_stand(self, view: View) -> bool:
+    async def _may_be_candidate(self, view: View) -> bool:
         newest = self._store.view
         if newest is not None:
             self._store.view = View(newest.epoch, newest.primary, newest.backups, newest.members, newest.incarnations())
-        return await super()._may_stand(view)
+        return await super()._may_be_candidate(view)
 
-    async def _stand(self, plan: _Plan | None) -> View | None:
+    async def _run_election(self, plan: _Plan | None) -> View | None:
         ask = self._ask
 
         async def forget_holders(
-            seat: Seat, message: msgspec.Struct, reply_type: type[msgspec.Struct], timeout: Seconds | None = None
+            member: ViewMember,
+            message: msgspec.Struct,
+            reply_type: type[msgspec.Struct],
+            timeout: Seconds | None = None,
         ) -> msgspec.Struct | None:
-            reply = await ask(seat, message, reply_type, timeout)
+            reply = await ask(member, message, reply_type, timeout)
             if isinstance(reply, ControlGrant) and isinstance(message, ControlPromise) and reply.view is not None:
                 view = reply.view
                 everyone = View(view.epoch, view.primary, view.backups, view.members, view.incarnations())
@@ -78,34 +93,36 @@
 
         self._ask = forget_holders  # type: ignore[method-assign, assignment]
         try:
-            return await super()._stand(plan)
+            return await super()._run_election(plan)
         finally:
             self._ask = ask  # type: ignore[method-assign]
 
 
 class AnswersWhenCutOff(ReplicatedCore):
-    """A former primary that doesn't notice: whoever doesn't answer, it goes on alone."""
+    """A former primary that does not notice that no member answers, and continues alone."""
 
     def leads(self) -> bool:
-        return self._lead is not None
+        return self._leadership is not None
 
-    def _tend(self, lead: _Lead) -> None:
-        lead.confirmed = self._now()
-        super()._tend(lead)
+    def _maintain_leadership(self, leadership: _Lead) -> None:
+        leadership.confirmed = self._now()
+        super()._maintain_leadership(leadership)
 
-    def _wanted(self, lead: _Lead) -> _Plan | None:
-        alone = not any(self._live(lead, seat) for seat in self._others(lead.view))
-        return None if alone else super()._wanted(lead)
+    def _wanted_view(self, leadership: _Lead) -> _Plan | None:
+        alone = not any(self._member_is_live(leadership, member) for member in self._other_members(leadership.view))
+        return None if alone else super()._wanted_view(leadership)
 
-    async def _replicate(self, lead: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
-        replicating = asyncio.get_running_loop().create_task(super()._replicate(lead, epoch, before, entry))
+    async def _replicate(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
+        replicating = asyncio.get_running_loop().create_task(super()._replicate(leadership, epoch, before, entry))
         await asyncio.wait((replicating,), timeout=0.1)
         return True
 
 
 class ProvesWithoutAsking(ReplicatedCore):
-    async def _proof_round(self, lead: _Lead) -> bool:
-        return self._lead is lead
+    """A primary that claims a proof without asking any member."""
+
+    async def _proof_round(self, leadership: _Lead) -> bool:
+        return self._leadership is leadership
 
 
 with_core = core_maker
@@ -119,7 +136,7 @@
     register: Register,
     seeds: Sequence[Address],
 ) -> ReplicatedCore:
-    """The incarnation is the machine's address, and an empty folder passes for one that forgot nothing."""
+    """A core whose incarnation is the address of its machine, so that a wiped machine counts as the old member."""
     identity = messenger.identity
     store.incarnation = Incarnation(f"at {identity.internal}")
     messenger.identity = Identity(identity.name, store.incarnation, "control", identity.zone, identity.internal)
@@ -127,19 +144,21 @@
 
 
 class ForgetsFormerMembers(ReplicatedCore):
-    """A second try for a view with other members asks those only."""
+    """A primary that, on the second attempt for a view with other members, asks only the new members."""
 
-    async def _change_view(self, lead: _Lead, plan: _Plan) -> None:
+    async def _change_view(self, leadership: _Lead, plan: _Plan) -> None:
         plan.former = ()
-        await super()._change_view(lead, plan)
+        await super()._change_view(leadership, plan)
 
 
 class OneBackupIsEnough(ReplicatedCore):
-    async def _replicate(self, lead: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
-        seats = [seat for seat in lead.view.members if seat.incarnation in lead.view.backups]
+    """A primary that answers when the first of two backups has journaled the batch."""
+
+    async def _replicate(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
+        backups = [member for member in leadership.view.members if member.incarnation in leadership.view.backups]
         replicating = {
-            asyncio.get_running_loop().create_task(self._replicate_to(lead, seat, epoch, before, entry))
-            for seat in seats
+            asyncio.get_running_loop().create_task(self._replicate_to(leadership, member, epoch, before, entry))
+            for member in backups
         }
         while replicating:
             done, replicating = await asyncio.wait(replicating, return_when=asyncio.FIRST_COMPLETED)
@@ -149,32 +168,34 @@
 
 
 class TakesBackupsForInSync(ReplicatedCore):
-    """Sends the state to newcomers only, and doesn't look what the others have."""
+    """A primary that sends the state to newcomers only and does not check what the other backups have."""
 
-    async def _recruit(self, lead: _Lead, seats: Sequence[Seat]) -> bool:
-        newcomers = [seat for seat in seats if lead.view.seat(seat.incarnation) is None]
-        return await super()._recruit(lead, newcomers)
+    async def _sync_backups(self, leadership: _Lead, backups: Sequence[ViewMember]) -> bool:
+        newcomers = [member for member in backups if leadership.view.member(member.incarnation) is None]
+        return await super()._sync_backups(leadership, newcomers)
 
     def _in_sync(self, view: View, sequences: Mapping[Incarnation, int]) -> bool:
         return True
 
 
 class ProvesWithOneMember(ReplicatedCore):
-    async def _proof_round(self, lead: _Lead) -> bool:
-        view = lead.view
+    """A primary that claims a proof when one other member confirms, which of five members is no majority."""
+
+    async def _proof_round(self, leadership: _Lead) -> bool:
+        view = leadership.view
         answers = await self._gather(
             [
-                self._ask(seat, ControlConfirm(seat.incarnation, view.epoch), ControlConfirmed)
-                for seat in self._others(view)
+                self._ask(member, ControlConfirm(member.incarnation, view.epoch), ControlConfirmed)
+                for member in self._other_members(view)
             ],
             lambda found: any(answer.holds for answer in found),
-            self._limits.call,
+            self._limits.call_timeout,
         )
-        return any(answer.holds for answer in answers) and self._lead is lead and lead.settled
+        return any(answer.holds for answer in answers) and self._leadership is leadership and leadership.commit_known
 
 
 class Mutant(msgspec.Struct, frozen=True):
-    """A broken core, and the faults and the fleet of the walks that catch it."""
+    """A broken core, with the faults and the machines of the walks that catch it."""
 
     make: MakeCore
     faults: tuple[str, ...]
@@ -192,7 +213,7 @@
         ("slow_wire", "slow_wire", "kill_primary", "heal_cuts"),
     ),
     "identity survives wipe": Mutant(identity_survives_wipe, ("lose_then_kill", "nothing")),
-    "view before transfer": Mutant(with_core(ViewBeforeTransfer), ("second_loss", "hush", "nothing")),
+    "view before transfer": Mutant(with_core(ViewBeforeTransfer), ("second_loss", "pause_operators", "nothing")),
     "any grantee may win": Mutant(with_core(AnyGranteeMayWin), ("cut_off", "cut", "freeze_primary", "heal_cuts")),
     "proves without asking": Mutant(
         with_core(ProvesWithoutAsking), ("cut_off", "heal_cuts", "freeze_primary", "nothing")
@@ -203,9 +224,11 @@
     ),
     "acknowledges before backups, two losses": _for_two(AcknowledgesBeforeBackup, "lose_behind_slow_wire", "nothing"),
     "one backup is enough, two losses": _for_two(OneBackupIsEnough, "lose_behind_slow_wire", "nothing"),
-    "view before transfer, two losses": _for_two(ViewBeforeTransfer, "second_loss", "hush", "nothing"),
-    "takes backups for in sync, two losses": _for_two(TakesBackupsForInSync, "second_loss", "lose", "kill", "hush"),
+    "view before transfer, two losses": _for_two(ViewBeforeTransfer, "second_loss", "pause_operators", "nothing"),
+    "takes backups for in sync, two losses": _for_two(
+        TakesBackupsForInSync, "second_loss", "lose", "kill", "pause_operators"
+    ),
     "any grantee may win, two losses": _for_two(AnyGranteeMayWin, "split", "freeze_primary", "heal_cuts"),
     "proves with one member, two losses": _for_two(ProvesWithOneMember, "cut_minority", "heal_cuts", "nothing"),
 }
-"""(A backup that ignores its promise: see test_core.)"""
+"""``BackupIgnoresPromise`` is not listed here; test_core catches it."""
--- a/wingwood/control/tests/walk.py
+++ b/wingwood/control/tests/walk.py
@@ -1,8 +1,9 @@
-"""Random walks of the real control classes through faults, judged by the observer (docs/DESIGN.md section 7.10).
+"""Random walks of the real control classes through faults, checked by the observer (docs/DESIGN.md section 7.10).
 
-Rules of the walk: a disk is lost only while health says that any loss can be borne (and says so about the
-machines that are there); everything else may happen at any moment, together and twice. At the end
-all is healed but what was lost, and service is expected back within 12 s with nothing acknowledged missing.
+Rules of a walk: a disk is lost only while the health report says that any loss can be survived, and says so
+about the machines that are there. Every other fault may occur at any moment, also together or repeatedly. At the
+end all faults but the lost disks are mended; service must be back within 12 s (``SERVICE_BACK_S``), and no
+acknowledged order may be missing.
 """
 
 from __future__ import annotations
@@ -19,10 +20,12 @@
 from ..messages import FoundedEntry, View
 from .control_world import ControlWorld, MakeCore, Put, make_core
 
-SERVICE_BACK = 12.0
+SERVICE_BACK_S = 12.0
 
 
 class Walk:
+    """One random walk: a fleet, its operators, and the faults that are in effect."""
+
     def __init__(
         self,
         seed: int,
@@ -38,13 +41,15 @@
         self.random = self.world.random
         self.cuts: list[Cut] = []
         self.down: dict[str, float] = {}
-        """Killed daemons and when they are started again."""
+        """Killed daemons, and when they are started again."""
         self.frozen: dict[str, float] = {}
-        self.sick: dict[str, float] = {}
+        """Frozen daemons, and when they continue."""
+        self.failed_disks: dict[str, float] = {}
+        """Machines with a disk fault, and when the disk recovers."""
         self.retired: set[str] = set()
         self.losses = 0
         self.only = only
-        """Names of the faults that happen; empty: all."""
+        """The names of the faults that occur; empty means all."""
         self.steps: list[str] = []
         self.names = list(names)
         self.operators = operators
@@ -56,7 +61,7 @@
             self.control.keep_sending(name)
 
     def run(self, steps: int) -> list[str]:
-        """Faults found; empty when all held."""
+        """Runs the walk; returns the observations that must not occur, none when the core is correct."""
         try:
             self.world.wait_for(self.control.complete, 5.0)
             for _ in range(steps):
@@ -73,17 +78,17 @@
             self.control.close()
 
     def ask_for_proof(self, name: str) -> None:
-        """Who proves that it leads must have all that was acknowledged before the question."""
+        """A daemon that proves that it leads must have everything that was acknowledged before it was asked."""
         if not self.control.alive(name):
             return
         core, register, observer = self.control.cores[name], self.control.registers[name], self.control.observer
 
         async def ask() -> None:
             newest = observer.newest
-            if await core.prove_lead():
+            if await core.prove_leadership():
                 observer.proofs += 1
-                if register.kept.version < newest:
-                    version = register.kept.version
+                if register.stored.version < newest:
+                    version = register.stored.version
                     observer.faults.append(f"{self.world.now:.3f} {name} proves version {version}, {newest} is newer")
 
         self.world.spawn(self.world.processes[name], ask(), "proof")
@@ -110,7 +115,7 @@
             self.damage,
             self.replace,
             self.kill_all,
-            self.hush,
+            self.pause_operators,
             self.slow_wire,
             self.split,
             self.cut_minority,
@@ -119,17 +124,17 @@
             self.nothing,
         ]
 
-    def did(self, what: str) -> None:
+    def log_step(self, what: str) -> None:
         self.steps.append(f"{self.world.now:8.3f} {what}")
         self.world.note("walk", what)
 
     def nothing(self) -> None:
         pass
 
-    def hush(self) -> None:
-        """The operators are silent for a while."""
+    def pause_operators(self) -> None:
+        """The operators send nothing for a while."""
         self.control.quiet_until = self.world.now + self.random.choice((0.5, 2.0, 8.0))
-        self.did("hush")
+        self.log_step("pause operators")
 
     def up(self) -> list[str]:
         return [name for name in self.names if self.world.processes[name].alive]
@@ -139,7 +144,7 @@
         if not up:
             return
         name = name or self.random.choice(up)
-        self.did(f"kill {name}")
+        self.log_step(f"kill {name}")
         if self.random.random() < 0.5:
             self.world.kill(name)
         else:
@@ -153,8 +158,8 @@
             self.kill(leader)
 
     def kill_all(self) -> None:
-        lost = self.some_of(self.names) if self.loss_can_be_borne() and self.random.random() < 0.6 else []
-        self.did(f"kill all, wipe {lost}")
+        lost = self.sample_names(self.names) if self.loss_can_be_borne() and self.random.random() < 0.6 else []
+        self.log_step(f"kill all, wipe {lost}")
         for name in self.up():
             self.kill(name)
         for name in lost:
@@ -166,7 +171,7 @@
         if not up:
             return
         name = name or self.random.choice(up)
-        self.did(f"freeze {name}")
+        self.log_step(f"freeze {name}")
         self.world.freeze(name)
         self.frozen[name] = self.world.now + self.random.choice((0.1, 1.0, 3.0, 20.0)) * self.random.random()
 
@@ -179,38 +184,38 @@
         everyone = [*self.names, *self.operators]
         one, other = self.random.sample(everyone, 2)
         both = self.random.random() < 0.5
-        self.did(f"cut {one} {other} both={both}")
+        self.log_step(f"cut {one} {other} both={both}")
         self.cuts.append(self.world.cut(one, other, both))
 
     def cut_off(self) -> None:
-        """A control daemon with one operator, away from all others."""
+        """Cuts a control daemon and one operator off from all others."""
         name, friend = self.random.choice(self.names), self.random.choice(list(self.operators))
         inward, outward = self.random.choice(((True, True), (True, False), (False, True)))
-        self.did(f"cut off {name} with {friend} inward={inward} outward={outward}")
+        self.log_step(f"cut off {name} with {friend} inward={inward} outward={outward}")
         others = [other for other in (*self.names, *self.operators) if other not in (name, friend)]
         pairs = [(other, name) for other in others if inward] + [(name, other) for other in others if outward]
         self.cuts.append(self.world.network.cut(pairs))
 
     def slow_wire(self) -> None:
         one, other = self.random.sample(self.names, 2)
-        self.did(f"slow wire from {one} to {other}")
+        self.log_step(f"slow wire from {one} to {other}")
         self.world.network.slowness[(one, other)] = self.random.choice((0.01, 0.1, 0.4))
 
     def split(self) -> None:
-        """All of them fall into two groups that don't reach each other."""
+        """Splits all daemons and operators into two groups that cannot reach each other."""
         everyone = [*self.names, *self.operators]
         self.random.shuffle(everyone)
         size = self.random.randrange(2, len(everyone) - 1)
         self.cut_apart(everyone[:size])
 
     def cut_apart(self, group: Sequence[str]) -> None:
-        self.did(f"cut {' '.join(group)} from the others")
+        self.log_step(f"cut {' '.join(group)} from the others")
         others = [name for name in (*self.names, *self.operators) if name not in group]
         pairs = [(one, other) for one in group for other in others]
         self.cuts.append(self.world.network.cut([*pairs, *((other, one) for one, other in pairs)]))
 
     def cut_minority(self) -> None:
-        """The primary stays with as many members as may be lost, one too few; it is asked for proofs meanwhile."""
+        """Cuts off the primary with one member too few for a majority, and asks it for proofs meanwhile."""
         leader = self.control.leader()
         view = self.control.stores[leader].view if leader is not None else None
         if leader is None or view is None:
@@ -223,7 +228,7 @@
             self.ask_for_proof(leader)
 
     def cut_in_replacement(self) -> None:
-        """Members are frozen until spares get their seats; between the two rounds for that the new and old part."""
+        """Freezes members until spares replace them, and separates old and new members between the two rounds of it."""
         leader = self.control.leader()
         view = self.control.stores[leader].view if leader is not None and self.loss_can_be_borne() else None
         if leader is None or view is None:
@@ -233,14 +238,14 @@
         out = self.random.sample([name for name in members if name != leader], min(len(spares), self.losses_borne))
         if not out or any(name not in self.up() or name in self.frozen for name in out):
             return
-        self.did(f"freeze {out}, {spares} are spares")
+        self.log_step(f"freeze {out}, {spares} are spares")
         for name in out:
             self.world.freeze(name)
             self.frozen[name] = self.world.now + 5.0
         store = self.control.stores[leader]
 
         def between_the_rounds() -> bool:
-            """Its own backups may be changed first; wait for the view with other members."""
+            """Whether the new view is promised but not accepted; the primary may replace only backups first."""
             now = self.control.stores[leader].view
             return now is not None and now.incarnations() == view.incarnations() and store.promise.epoch > now.epoch
 
@@ -255,7 +260,7 @@
         self.world.run(self.random.uniform(3.0, 7.0))
 
     def heal_cuts(self) -> None:
-        self.did("heal cuts")
+        self.log_step("heal cuts")
         self.world.network.slowness.clear()
         for cut in self.cuts:
             self.world.heal(cut)
@@ -264,12 +269,12 @@
     def sicken(self) -> None:
         name = self.random.choice(self.names)
         mode = self.random.choice(("slow", "stalled", "full", "failing"))
-        self.did(f"disk of {name} {mode}")
+        self.log_step(f"disk of {name} {mode}")
         self.world.machines[name].disk.set_mode(mode)  # type: ignore[arg-type]
-        self.sick[name] = self.world.now + self.random.choice((0.2, 1.5, 8.0)) * self.random.random() * 2
+        self.failed_disks[name] = self.world.now + self.random.choice((0.2, 1.5, 8.0)) * self.random.random() * 2
 
     def loss_can_be_borne(self) -> bool:
-        """Health says so, and it speaks of the machines whose disks are there."""
+        """Whether the health report says so, about members whose disks are all still there."""
         leader = self.control.leader()
         if leader is None or not self.control.report(leader).complete:
             return False
@@ -283,50 +288,50 @@
             case Success(found) if found.payloads:
                 incarnation = str(msgspec.msgpack.decode(found.payloads[0], type=FoundedEntry).incarnation)
                 store = self.control.stores.get(name)
-                # The mutant whose identity survives calls itself otherwise than its journal does.
+                # The mutant whose identity survives a wipe uses another incarnation than the one in its journal.
                 return store.incarnation if store is not None and store.incarnation.startswith("at ") else incarnation
         return None
 
-    def some_of(self, names: Sequence[str], first: str | None = None) -> list[str]:
-        """As many as may be lost at once, or fewer; ``first`` is one of them."""
+    def sample_names(self, names: Sequence[str], first: str | None = None) -> list[str]:
+        """Returns up to ``losses_borne`` of the names, ``first`` among them."""
         most = self.random.randint(1, self.losses_borne)
         firsts = [first] if first is not None else []
         others = [name for name in names if name != first]
         return [*firsts, *self.random.sample(others, most - len(firsts))]
 
     def holders(self) -> list[str]:
-        """Whose disks hold everything that was acknowledged, by the newest view."""
+        """Returns the machines whose disks hold everything acknowledged, according to the latest view."""
         leader = self.control.leader()
         view = self.control.stores[leader].view if leader is not None else None
         holders = view.holders if view is not None else ()
         return [name for name in self.names if self.incarnation_on_disk(name) in holders]
 
     def lose(self) -> None:
-        """Machines' disks are wiped; often those of primary and backups, often under the running process."""
+        """Wipes disks, often those of the primary and backups, sometimes while the process runs."""
         if not self.loss_can_be_borne():
             return
         leader = self.control.leader() if self.random.random() < 0.4 else None
         among = self.holders() if self.losses_borne > 1 and self.random.random() < 0.5 else self.names
-        names = self.some_of(among, leader)
+        names = self.sample_names(among, leader)
         self.losses += len(names)
-        self.did(f"wipe {names}")
+        self.log_step(f"wipe {names}")
         for name in names:
             if self.random.random() < 0.7 and self.world.processes[name].alive:
                 self.kill(name)
             self.world.wipe(name)
 
     def lose_behind_slow_wire(self) -> None:
-        """The wire to one backup gets slow, and right then as many other holders as may be are lost."""
+        """Slows the network to one backup, then loses as many other holders as can be survived."""
         holders = self.holders()
         leader = self.control.leader()
         if not self.loss_can_be_borne() or leader is None or len(holders) < 2:
             return
         late = self.random.choice([name for name in holders if name != leader])
-        self.did(f"slow wire from {leader} to {late}")
+        self.log_step(f"slow wire from {leader} to {late}")
         self.world.network.slowness[(leader, late)] = 0.4
         self.world.run(self.random.uniform(0.02, 0.4))
         for name in [name for name in holders if name != late][: self.losses_borne]:
-            self.did(f"wipe {name}")
+            self.log_step(f"wipe {name}")
             self.losses += 1
             if self.world.processes[name].alive:
                 self.kill(name)
@@ -334,14 +339,14 @@
         self.world.network.slowness.clear()
 
     def lose_then_kill(self) -> None:
-        """A disk is lost, its machine is back at once, and right then the primary goes down for a while."""
+        """Loses disks whose machines return at once, then stops the primary for a while."""
         if not self.loss_can_be_borne():
             return
         leader = self.control.leader()
-        names = self.some_of([name for name in self.names if name != leader])
-        self.hush()
+        names = self.sample_names([name for name in self.names if name != leader])
+        self.pause_operators()
         self.losses += len(names)
-        self.did(f"wipe {names}, then kill {leader}")
+        self.log_step(f"wipe {names}, then kill {leader}")
         for name in names:
             self.world.kill(name)
             self.world.wipe(name)
@@ -352,37 +357,37 @@
             self.down[leader] = self.world.now + 4.0
 
     def second_loss(self) -> None:
-        """Disks are lost and repaired, and in the moment that health calls it whole the primary's (and more) are."""
+        """Loses disks and, as soon as the health report is complete again, those of the primary and others."""
         if not self.loss_can_be_borne():
             return
         leader = self.control.leader()
-        names = self.some_of([name for name in self.names if name != leader])
+        names = self.sample_names([name for name in self.names if name != leader])
         self.losses += len(names)
-        self.did(f"wipe {names}, then the primary")
+        self.log_step(f"wipe {names}, then the primary")
         for name in names:
             self.world.kill(name)
             self.world.wipe(name)
             self.start(name)
         if self.world.wait_for(self.loss_can_be_borne, 3.0, every=0.001):
             others = [name for name in self.holders() if name not in names]
-            for name in self.some_of(others if len(others) > 1 else self.names, self.control.leader()):
-                self.did(f"wipe {name}")
+            for name in self.sample_names(others if len(others) > 1 else self.names, self.control.leader()):
+                self.log_step(f"wipe {name}")
                 self.losses += 1
                 self.world.power_off(name)
                 self.world.wipe(name)
                 self.down[name] = self.world.now + 1.0
 
     def damage(self) -> None:
-        """A byte before the last frame of a journal flips; its operator has the daemon begin empty.
+        """Flips a byte before the last frame of a journal; the operator then lets the daemon start empty.
 
-        (In the last frame it would look as if its append had been cut short.)
+        In the last frame the damage would look like an append that was cut short.
         """
         if not self.loss_can_be_borne():
             return
         name = self.random.choice([name for name in self.names if self.incarnation_on_disk(name) is not None])
         disk = self.world.machines[name].disk
         self.losses += 1
-        self.did(f"damage {name}")
+        self.log_step(f"damage {name}")
         self.kill(name)
         data = bytearray(disk.visible["control.journal"])
         match scan(bytes(data)):
@@ -395,7 +400,7 @@
         self.control.begin_empty.add(name)
 
     def replace(self) -> None:
-        """Machines are gone for good; empty ones start at new addresses, with the old seeds in their settings."""
+        """Removes machines for good and starts empty ones at new addresses, with the old seeds in their settings."""
         if not self.loss_can_be_borne():
             return
         for _ in range(self.random.randint(1, self.losses_borne)):
@@ -404,28 +409,29 @@
 
     def replace_one(self) -> None:
         seeds = [name for name in self.names if name.startswith("c")]
-        # A new machine finds the others through the seeds of its settings: one of them must live.
+        # A new machine finds the others through the seeds in its settings, so one of them must remain.
         name = self.random.choice([name for name in self.names if len(seeds) > 1 or name not in seeds])
         fresh = f"s{len(self.retired) + 1}"
         self.losses += 1
-        self.did(f"replace {name} by {fresh}")
+        self.log_step(f"replace {name} by {fresh}")
         self.world.power_off(name)
         self.world.wipe(name)
         self.names.remove(name)
         self.retired.add(name)
-        self.forget(name)
+        self.forget_machine(name)
         self.names.append(fresh)
         self.control.start(fresh)
 
-    def forget(self, name: str) -> None:
-        for times in (self.down, self.frozen, self.sick):
+    def forget_machine(self, name: str) -> None:
+        for times in (self.down, self.frozen, self.failed_disks):
             times.pop(name, None)
         self.control.cores.pop(name, None)
 
     def recover_due(self, everything: bool = False) -> None:
+        """Ends the faults whose time has come, or all of them with ``everything``."""
         now = float("inf") if everything else self.world.now
-        for name in [name for name, due in self.sick.items() if due <= now]:
-            del self.sick[name]
+        for name in [name for name, due in self.failed_disks.items() if due <= now]:
+            del self.failed_disks[name]
             self.world.machines[name].disk.set_mode("well")
         for name in [name for name, due in self.frozen.items() if due <= now]:
             del self.frozen[name]
@@ -439,7 +445,7 @@
                 self.down[name] = self.world.now + 0.2
 
     def start(self, name: str) -> None:
-        self.did(f"start {name}")
+        self.log_step(f"start {name}")
         if self.world.machines[name].powered:
             self.world.restart(name)
         else:
@@ -448,35 +454,36 @@
     # -- the end
 
     def end(self) -> None:
+        """Mends all faults but lost disks, then checks that service returns and no acknowledged order is missing."""
         observer = self.control.observer
-        self.did("end")
+        self.log_step("end")
         self.control.quiet_until = 0.0
         self.heal_cuts()
         self.recover_due(everything=True)
-        begun = self.world.now
+        started = self.world.now
         served: list[float] = []
 
         def service() -> bool:
             self.recover_due()
-            if not served and observer.last_acknowledged > begun:
+            if not served and observer.last_acknowledged > started:
                 served.append(self.world.now)
             return bool(served) and self.control.complete()
 
-        if not self.world.wait_for(service, 2 * SERVICE_BACK) or served[0] - begun > SERVICE_BACK:
-            observer.faults.append(f"{self.world.now:.3f} service back: {served}, since {begun}; complete or not")
+        if not self.world.wait_for(service, 2 * SERVICE_BACK_S) or served[0] - started > SERVICE_BACK_S:
+            observer.faults.append(f"{self.world.now:.3f} service back: {served}, since {started}; complete or not")
             return
         leader = self.control.leader()
         if leader is None:
             return
-        kept = self.control.registers[leader].kept
+        stored = self.control.registers[leader].stored
         for order, outcome in observer.outcomes.items():
-            if kept.outcomes.get(order) != outcome:
-                observer.faults.append(f"lost: {outcome}, kept: {kept.outcomes.get(order)}")
+            if stored.outcomes.get(order) != outcome:
+                observer.faults.append(f"lost: {outcome}, stored: {stored.outcomes.get(order)}")
                 return
-        self.ask_again()
+        self.resend_orders()
 
-    def ask_again(self) -> None:
-        """Orders sent again get their first outcome (the observer compares)."""
+    def resend_orders(self) -> None:
+        """Sends orders again; the observer checks that each gets its first outcome."""
         control = self.control
         orders = sorted(control.observer.outcomes)[-40:]
         name = self.operators[0]
