--- a/bench/configuration_steps.py
+++ b/bench/configuration_steps.py
@@ -90,7 +90,7 @@
         number=content.number,
         changed=content.changed,
         removed=content.removed,
-        whole=content.whole,
+        replaces_all=content.whole,
     )
 
 
--- a/wingwood/bundle/canonical.py
+++ b/wingwood/bundle/canonical.py
@@ -18,7 +18,7 @@
     rf"(service|route|class|tenant|rollout|pool|limits|edition)/({NAME_PATTERN})(?:@([a-z]+=[a-z0-9._-]{{1,64}}))?"
 )
 """Kind, bare name, and for a variant (section 19) whom it is for."""
-STEP_NAMES = 2_000
+NAMES_PER_STEP = 2_000
 EMPTY_ROOT = Digest(hashlib.sha256(b"").hexdigest())
 
 
@@ -49,9 +49,9 @@
     """As ``root_digest``."""
     root = hashlib.sha256()
     names = sorted(digests)
-    for start in range(0, len(names), STEP_NAMES):
+    for start in range(0, len(names), NAMES_PER_STEP):
         if start:
             yield
-        lines = "".join([f"{name} {digests[name]}\n" for name in names[start : start + STEP_NAMES]])
+        lines = "".join([f"{name} {digests[name]}\n" for name in names[start : start + NAMES_PER_STEP]])
         root.update(lines.encode())
     return Digest(root.hexdigest())
--- a/wingwood/bundle/draft.py
+++ b/wingwood/bundle/draft.py
@@ -10,16 +10,16 @@
 from collections.abc import Collection, Mapping
 
 from ..identifiers import ClassName, KeyDigest, PoolName, ServiceName, SliceName, TenantName
-from .field_checks import Part
+from .field_checks import ParsedSlice
 from .gradual import Steps
 from .model import Bundle, CallerLimits, Edition, Pool, PriorityClass, Rollout, Service, Tenant
-from .problem import Broken, BundleProblem
+from .problem import BundleProblem, BundleProblemError
 from .route import Route
 from .route_index import RouteIndex
 
-STEP_PARTS = 1_000
+SLICES_PER_STEP = 1_000
 """What is looked at without a pause."""
-INSERTED_ROUTES = 100
+MAX_INSERTED_ROUTES = 100
 """Up to so many changed routes are put in their places one by one; more are sorted and merged."""
 
 
@@ -38,14 +38,14 @@
         self.pools: dict[PoolName, Pool] = dict(held.pools)
         self.caller_limits: CallerLimits | None = held.caller_limits
         self.edition: Edition | None = held.edition
-        self._old_routes: list[Route] = []
+        self._replaced_routes: list[Route] = []
         """Taken out or replaced."""
         self._new_routes: list[Route] = []
         self._new_services: list[Service] = []
         self._new_tenants: list[Tenant] = []
-        self._lost: set[str] = set()
+        self._removed_kinds: set[str] = set()
         """Kinds of which something that others name is gone."""
-        self._first_pools = not held.pools
+        self._pools_newly_declared = not held.pools
         """Services never had to name declared pools."""
 
     def remove(self, name: SliceName) -> None:
@@ -53,14 +53,14 @@
         if "@" in bare:
             del self.variants[name]
             return
-        self._lost.add(kind)
+        self._removed_kinds.add(kind)
         match kind:
             case "rollout":
                 del self.rollouts[bare]
             case "service":
                 del self.services[ServiceName(bare)]
             case "route":
-                self._old_routes.append(self.routes.pop(bare))
+                self._replaced_routes.append(self.routes.pop(bare))
             case "class":
                 del self.classes[ClassName(bare)]
             case "pool":
@@ -70,38 +70,38 @@
             case "edition":
                 self.edition = None
             case _:
-                self._take_keys(self.tenants.pop(TenantName(bare)))
+                self._remove_keys(self.tenants.pop(TenantName(bare)))
 
-    def put(self, name: SliceName, part: Part) -> None:
-        match part:
+    def put(self, name: SliceName, content: ParsedSlice) -> None:
+        match content:
             case Service() | Route() | PriorityClass() if "@" in name:
-                self.variants[name] = part
+                self.variants[name] = content
             case Rollout():
-                self.rollouts[part.name] = part
+                self.rollouts[content.name] = content
             case Service():
-                self.services[part.name] = part
-                self._new_services.append(part)
+                self.services[content.name] = content
+                self._new_services.append(content)
             case Route():
-                if part.name in self.routes:
-                    self._old_routes.append(self.routes[part.name])
-                self.routes[part.name] = part
-                self._new_routes.append(part)
+                if content.name in self.routes:
+                    self._replaced_routes.append(self.routes[content.name])
+                self.routes[content.name] = content
+                self._new_routes.append(content)
             case PriorityClass():
-                self.classes[part.name] = part
+                self.classes[content.name] = content
             case Pool():
-                self.pools[part.name] = part
+                self.pools[content.name] = content
             case CallerLimits():
-                self.caller_limits = part
+                self.caller_limits = content
             case Edition():
-                self.edition = part
+                self.edition = content
             case Tenant():
-                before = self.tenants.get(part.name)
+                before = self.tenants.get(content.name)
                 if before is not None:
-                    self._take_keys(before)
-                self.tenants[part.name] = part
-                self._new_tenants.append(part)
+                    self._remove_keys(before)
+                self.tenants[content.name] = content
+                self._new_tenants.append(content)
 
-    def _take_keys(self, tenant: Tenant) -> None:
+    def _remove_keys(self, tenant: Tenant) -> None:
         for digest in tenant.keys:
             del self.keys[digest]
 
@@ -113,102 +113,102 @@
             for digest in tenant.keys:
                 other = self.keys.setdefault(digest, tenant.name)
                 if other != tenant.name:
-                    raise Broken(
+                    raise BundleProblemError(
                         BundleProblem(
                             code="double",
                             slice=f"tenant/{tenant.name}",
                             field="keys",
                             value=digest,
-                            mend=f"tenant/{other} has this key too; a key belongs to one tenant",
+                            remedy=f"tenant/{other} has this key too; a key belongs to one tenant",
                         )
                     )
-            if number % STEP_PARTS == 0:
+            if number % SLICES_PER_STEP == 0:
                 yield
 
     def check_references(self) -> Steps[None]:
         """All where something named may be gone, else those of changed slices."""
-        lost_target = bool(self._lost & {"service", "class"})
-        for number, route in enumerate(self.routes.values() if lost_target else self._new_routes, 1):
+        target_removed = bool(self._removed_kinds & {"service", "class"})
+        for number, route in enumerate(self.routes.values() if target_removed else self._new_routes, 1):
             if route.service not in self.services:
-                raise _missing(f"route/{route.name}", "service", route.service, "service", self.services)
-            if number % STEP_PARTS == 0:
+                raise _missing_reference(f"route/{route.name}", "service", route.service, "service", self.services)
+            if number % SLICES_PER_STEP == 0:
                 yield
-        for number, tenant in enumerate(self.tenants.values() if lost_target else self._new_tenants, 1):
+        for number, tenant in enumerate(self.tenants.values() if target_removed else self._new_tenants, 1):
             self._check_tenant(tenant)
-            if number % STEP_PARTS == 0:
+            if number % SLICES_PER_STEP == 0:
                 yield
         if self.pools:
-            all_services = "pool" in self._lost or self._first_pools
+            all_services = "pool" in self._removed_kinds or self._pools_newly_declared
             for number, service in enumerate(self.services.values() if all_services else self._new_services, 1):
                 check_pools(SliceName(f"service/{service.name}"), service, self.pools)
-                if number % STEP_PARTS == 0:
+                if number % SLICES_PER_STEP == 0:
                     yield
 
     def _check_tenant(self, tenant: Tenant) -> None:
         where = f"tenant/{tenant.name}"
         if tenant.priority_class not in self.classes:
-            raise _missing(where, "priority_class", tenant.priority_class, "class", self.classes)
+            raise _missing_reference(where, "priority_class", tenant.priority_class, "class", self.classes)
         for service in tenant.services:
             if service not in self.services:
-                raise _missing(where, "services", service, "service", self.services)
+                raise _missing_reference(where, "services", service, "service", self.services)
 
     # routes
 
     def route_index(self) -> Steps[RouteIndex]:
         """Of all routes; two that take the same calls are refused."""
-        if not self._old_routes and not self._new_routes:
+        if not self._replaced_routes and not self._new_routes:
             return self._held.route_index
-        return (yield from self._held.route_index.changed(self._old_routes, self._new_routes))
+        return (yield from self._held.route_index.changed(self._replaced_routes, self._new_routes))
 
     def ordered_routes(self) -> Steps[tuple[Route, ...]]:
         """All routes, longest path prefix first."""
-        if not self._old_routes and not self._new_routes:
+        if not self._replaced_routes and not self._new_routes:
             return self._held.routes
-        replaced = {route.name for route in self._old_routes}
-        kept = [route for route in self._held.routes if route.name not in replaced]
-        if len(self._new_routes) <= INSERTED_ROUTES:
+        replaced = {route.name for route in self._replaced_routes}
+        remaining = [route for route in self._held.routes if route.name not in replaced]
+        if len(self._new_routes) <= MAX_INSERTED_ROUTES:
             for route in self._new_routes:
-                insort(kept, route, key=_place)
-            return tuple(kept)
+                insort(remaining, route, key=_route_sort_key)
+            return tuple(remaining)
         yield
-        return tuple((yield from _merged(kept, self._new_routes)))
+        return tuple((yield from _merge_routes(remaining, self._new_routes)))
 
 
 def check_pools(where: SliceName, service: Service, pools: Mapping[PoolName, Pool]) -> None:
     """In a bundle that declares pools, whatever a service names is one of them."""
     if service.pool not in pools:
-        raise _missing(where, "pool", service.pool, "pool", pools)
+        raise _missing_reference(where, "pool", service.pool, "pool", pools)
     for share in service.split:
         if share.pool not in pools:
-            raise _missing(where, "split", share.pool, "pool", pools)
+            raise _missing_reference(where, "split", share.pool, "pool", pools)
 
 
-def _merged(kept: list[Route], fresh: list[Route]) -> Steps[list[Route]]:
-    """Both in order; ``kept`` is in order already."""
-    runs: list[list[Route]] = [kept]
-    for start in range(0, len(fresh), STEP_PARTS):
-        runs.append(sorted(fresh[start : start + STEP_PARTS], key=_place))
+def _merge_routes(remaining: list[Route], added: list[Route]) -> Steps[list[Route]]:
+    """Both in order; ``remaining`` is in order already."""
+    runs: list[list[Route]] = [remaining]
+    for start in range(0, len(added), SLICES_PER_STEP):
+        runs.append(sorted(added[start : start + SLICES_PER_STEP], key=_route_sort_key))
         yield
     merged: list[Route] = []
-    for route in heapq.merge(*runs, key=_place):
+    for route in heapq.merge(*runs, key=_route_sort_key):
         merged.append(route)
-        if len(merged) % STEP_PARTS == 0:
+        if len(merged) % SLICES_PER_STEP == 0:
             yield
     return merged
 
 
-def _place(route: Route) -> tuple[int, str, str]:
+def _route_sort_key(route: Route) -> tuple[int, str, str]:
     return -len(route.path_prefix), route.path_prefix, route.name
 
 
-def _missing(where: str, field: str, value: str, kind: str, known: Collection[str]) -> Broken:
+def _missing_reference(where: str, field: str, value: str, kind: str, known: Collection[str]) -> BundleProblemError:
     names = ", ".join(sorted(known)[:8]) or "none"
-    return Broken(
+    return BundleProblemError(
         BundleProblem(
             code="reference",
             slice=where,
             field=field,
             value=value,
-            mend=f"there is no {kind}/{value} in the bundle; add it or use one of: {names}",
+            remedy=f"there is no {kind}/{value} in the bundle; add it or use one of: {names}",
         )
     )
--- a/wingwood/bundle/edition_decisions.py
+++ b/wingwood/bundle/edition_decisions.py
@@ -11,13 +11,13 @@
 from ..identifiers import OrderId
 from .editions import edition_fingerprint, signed_steps
 from .gradual import Steps, at_once, gradually_while
-from .kept_bundles import KeptBundles, StateOptions
-from .model import Bundle, EditionChange, EditionStanding, OrderOutcome
-from .order_decisions import refuse_order_id
+from .model import Bundle, EditionChange, EditionStatus, OrderOutcome
+from .order_decisions import order_id_refusal
 from .parse import Checked, parse_steps
-from .state_records import Decided, RememberedOrder
+from .state_records import RecordedOutcome, RememberedOrder
+from .stored_bundles import StateOptions, StoredBundles
 
-PREPARED_ORDERS = 4
+MAX_PREPARED_EDITIONS = 4
 """Each may hold all slices of a bundle."""
 
 
@@ -29,7 +29,7 @@
     checked: Checked
 
 
-class EditionDecisions(KeptBundles):
+class EditionDecisions(StoredBundles):
     """Only what is accepted is recorded: a refusal says how things stand, and the same order may come again."""
 
     _prepared: dict[bytes, PreparedEdition]
@@ -38,7 +38,7 @@
     def __init__(self, options: StateOptions) -> None:
         super().__init__(options)
         self._signing_key = options.signing_key
-        self._wall = options.wall
+        self._wall_clock = options.wall_clock
         self._preparing = asyncio.Lock()
         """One order at a time, so that those that come together cost no more memory and time than one."""
 
@@ -52,10 +52,10 @@
         self._prepared = {}
         super().restore(snapshot)
 
-    def _standing(self, order: OrderId) -> EditionStanding:
+    def _edition_status(self, order: OrderId) -> EditionStatus:
         known = self._remembered.get(order)
         accepted = known is not None and known.outcome == "accepted"
-        return EditionStanding(
+        return EditionStatus(
             number=self._edition_number(),
             version=self._version,
             outcome=known.as_outcome() if known is not None and accepted else None,
@@ -64,59 +64,59 @@
     # deciding
 
     def _decide_edition(self, change: EditionChange) -> tuple[bytes | None, OrderOutcome]:
-        mark = edition_fingerprint(change)
+        order_fingerprint = edition_fingerprint(change)
         known = self._remembered.get(change.order)
-        if known is not None and known.fingerprint == mark:
+        if known is not None and known.fingerprint == order_fingerprint:
             return None, msgspec.structs.replace(known.as_outcome(), edition=change.number)
         current = self._edition_number()
         if known is None and change.base != current:
             reason = f"base is {change.base}, but edition {current} is the newest: read it and build on it"
-            return None, self._edition_refused(change, "conflict", reason)
-        refusal = self._refuse_ill_formed(change, known, current)
+            return None, self._edition_refusal(change, "conflict", reason)
+        refusal = self._malformed_refusal(change, known, current)
         if refusal is not None:
-            return None, self._edition_refused(change, "invalid", refusal)
+            return None, self._edition_refusal(change, "invalid", refusal)
         held = self._parsed_bundle()
-        match self._checked(held, change, mark):
+        match self._checked(held, change, order_fingerprint):
             case Success(bundle):
-                return self._decide_checked(held, bundle, change, mark)
+                return self._decide_checked(held, bundle, change, order_fingerprint)
             case Failure(problem):
-                return None, self._edition_refused(change, "invalid", str(problem))
+                return None, self._edition_refusal(change, "invalid", str(problem))
         raise AssertionError("a result is a success or a failure")
 
     def _decide_checked(
-        self, held: Bundle, bundle: Bundle, change: EditionChange, mark: bytes
+        self, held: Bundle, bundle: Bundle, change: EditionChange, order_fingerprint: bytes
     ) -> tuple[bytes | None, OrderOutcome]:
         """Of an order whose bundle is valid and signed."""
-        refusal = self._refuse_large_bundle(bundle)
+        refusal = self._bundle_size_refusal(bundle)
         if refusal is not None:
-            return None, self._edition_refused(change, "invalid", refusal)
+            return None, self._edition_refusal(change, "invalid", refusal)
         outcome = OrderOutcome(order=change.order, outcome="accepted", version=bundle.version, edition=change.number)
-        return self._record_acceptance(held, bundle, mark), outcome
+        return self._record_acceptance(held, bundle, order_fingerprint), outcome
 
-    def _checked(self, held: Bundle, change: EditionChange, mark: bytes) -> Checked:
+    def _checked(self, held: Bundle, change: EditionChange, order_fingerprint: bytes) -> Checked:
         """As it was prepared, if it was for this very bundle."""
-        prepared = self._prepared.get(mark)
+        prepared = self._prepared.get(order_fingerprint)
         if prepared is not None and prepared.held is held:
             return prepared.checked
         return at_once(self._edition_steps(held, change))
 
     def _edition_steps(self, held: Bundle, change: EditionChange) -> Steps[Checked]:
         assert self._signing_key is not None, "an order without a key to sign it is refused"
-        return signed_steps(held, change, self._signing_key, self._wall)
+        return signed_steps(held, change, self._signing_key, self._wall_clock)
 
-    def _refuse_ill_formed(self, change: EditionChange, known: RememberedOrder | None, current: int) -> str | None:
+    def _malformed_refusal(self, change: EditionChange, known: RememberedOrder | None, current: int) -> str | None:
         if self._signing_key is None:
             return "this fleet takes signed orders only: control has no signing_key in its settings"
         if known is not None:
             return f"order {change.order} was used before with other content; make a new order id"
-        refusal = refuse_order_id(change.order)
+        refusal = order_id_refusal(change.order)
         if refusal is not None:
             return refusal
         if change.number <= current:
             return f"number is {change.number}: it must be above {current}, the newest edition"
-        return self._refuse_large("order", sum(len(data) for data in change.changed.values()))
+        return self._size_refusal("order", sum(len(data) for data in change.changed.values()))
 
-    def _edition_refused(self, change: EditionChange, outcome: Decided, reason: str) -> OrderOutcome:
+    def _edition_refusal(self, change: EditionChange, outcome: RecordedOutcome, reason: str) -> OrderOutcome:
         return OrderOutcome(
             order=change.order,
             outcome=outcome,
@@ -134,32 +134,32 @@
         """
         if not isinstance(command, SubmitEdition):
             return
-        change, mark = command.change, edition_fingerprint(command.change)
+        change, order_fingerprint = command.change, edition_fingerprint(command.change)
         async with self._preparing:
-            if self._is_worth_preparing(change, mark):
-                await self._prepare(change, mark)
+            if self._is_worth_preparing(change, order_fingerprint):
+                await self._prepare(change, order_fingerprint)
 
-    def _is_worth_preparing(self, change: EditionChange, mark: bytes) -> bool:
+    def _is_worth_preparing(self, change: EditionChange, order_fingerprint: bytes) -> bool:
         current = self._edition_number()
-        if mark in self._prepared or change.base != current or change.order in self._remembered:
+        if order_fingerprint in self._prepared or change.base != current or change.order in self._remembered:
             return False
-        return self._refuse_ill_formed(change, None, current) is None
+        return self._malformed_refusal(change, None, current) is None
 
-    async def _prepare(self, change: EditionChange, mark: bytes) -> None:
+    async def _prepare(self, change: EditionChange, order_fingerprint: bytes) -> None:
         held = await self._parsed_gradually()
         if held is None:
             return
         checked = await gradually_while(lambda: self._parsed is held, self._edition_steps(held, change))
         if checked is not None and self._parsed is held:
-            while len(self._prepared) >= PREPARED_ORDERS:
+            while len(self._prepared) >= MAX_PREPARED_EDITIONS:
                 del self._prepared[next(iter(self._prepared))]
-            self._prepared[mark] = PreparedEdition(held, checked)
+            self._prepared[order_fingerprint] = PreparedEdition(held, checked)
 
     async def _parsed_gradually(self) -> Bundle | None:
         """As ``_parsed_bundle``; None when another version came meanwhile."""
         if self._parsed is None and self._version > 0:
             manifest = self._manifests[self._version]
-            steps = parse_steps(manifest, self._slices.newest())
+            steps = parse_steps(manifest, self._slices.latest())
             parsed = await gradually_while(lambda: self._manifests.get(self._version) is manifest, steps)
             if parsed is None or self._manifests.get(self._version) is not manifest:
                 return None
--- a/wingwood/bundle/editions.py
+++ b/wingwood/bundle/editions.py
@@ -14,13 +14,13 @@
 from .canonical import canonical_json
 from .gradual import Steps
 from .model import Bundle, Edition, EditionChange, Manifest
-from .parse import Checked, change_steps, read_part
-from .positions import with_kept_positions
-from .problem import Broken, BundleProblem
+from .parse import Checked, change_steps, parse_slice
+from .positions import with_retained_positions
+from .problem import BundleProblem, BundleProblemError
 from .signing import sign_manifest
 
 EDITION_SLICE: Final = SliceName("edition/operator")
-_PURPOSE: Final = b"wingwood edition order 1\n"
+_FINGERPRINT_PREFIX: Final = b"wingwood edition order 1\n"
 
 
 def edition_fingerprint(change: EditionChange) -> bytes:
@@ -28,11 +28,11 @@
 
     The slices do not count: whoever translates an order may read them from later content when it comes again.
     """
-    told = msgspec.msgpack.encode((change.order, change.base, change.number))
-    return hashlib.sha256(_PURPOSE + told).digest()[:16]
+    order_identity = msgspec.msgpack.encode((change.order, change.base, change.number))
+    return hashlib.sha256(_FINGERPRINT_PREFIX + order_identity).digest()[:16]
 
 
-def number_in(data: bytes | None) -> int:
+def edition_number_in(data: bytes | None) -> int:
     """The operator's number in the slice of an edition; 0 without one."""
     return 0 if data is None else msgspec.json.decode(data, type=Edition).number
 
@@ -52,7 +52,7 @@
         )
         return Success(sign_manifest(manifest, key))
 
-    given = (yield from with_kept_positions(held.slices, change.changed)) if change.whole else change.changed
+    given = (yield from with_retained_positions(held.slices, change.changed)) if change.replaces_all else change.changed
     changed = {**given, EDITION_SLICE: edition}
     return (yield from change_steps(held, sign, changed, removed_by(held.slices, changed, change)))
 
@@ -60,7 +60,7 @@
 def removed_by(
     held: Mapping[SliceName, bytes], changed: Mapping[SliceName, bytes], change: EditionChange
 ) -> Collection[SliceName]:
-    if change.whole:
+    if change.replaces_all:
         return [name for name in held if name not in changed]
     return [name for name in change.removed if name not in changed]
 
@@ -69,14 +69,14 @@
     """With the new number; the annotations are the change's, else they stay (and go with all else in a whole one)."""
     given = change.changed.get(EDITION_SLICE)
     if given is None:
-        annotations = {} if change.whole or held.edition is None else held.edition.annotations
+        annotations = {} if change.replaces_all or held.edition is None else held.edition.annotations
         return canonical_json(Edition(number=change.number, annotations=annotations))
     try:
-        edition = read_part(EDITION_SLICE, given)
-    except Broken as broken:
-        return broken.problem
+        edition = parse_slice(EDITION_SLICE, given)
+    except BundleProblemError as error:
+        return error.problem
     if not isinstance(edition, Edition) or edition.number != change.number:
         return BundleProblem(
-            code="field", slice=EDITION_SLICE, field="number", mend=f"must be {change.number} as in the order"
+            code="field", slice=EDITION_SLICE, field="number", remedy=f"must be {change.number} as in the order"
         )
     return given
--- a/wingwood/bundle/model.py
+++ b/wingwood/bundle/model.py
@@ -239,13 +239,13 @@
 class Order(msgspec.Struct, frozen=True, kw_only=True):
     """What an operator sends: the signed manifest of the result, and what differs from the base.
 
-    ``whole`` True means that ``changed`` is everything and nothing else remains.
+    ``replaces_all`` True means that ``changed`` is everything and nothing else remains.
     """
 
     manifest: Manifest
     changed: dict[SliceName, bytes]
     removed: tuple[SliceName, ...] = ()
-    whole: bool = False
+    replaces_all: bool = msgspec.field(name="whole", default=False)
 
 
 class EditionChange(msgspec.Struct, frozen=True, kw_only=True):
@@ -262,7 +262,7 @@
     """Its own edition, above the base."""
     changed: dict[SliceName, bytes]
     removed: tuple[SliceName, ...] = ()
-    whole: bool = False
+    replaces_all: bool = msgspec.field(name="whole", default=False)
     """``changed`` is everything and nothing else remains."""
 
 
@@ -278,7 +278,7 @@
     """Of an ``EditionChange``: the accepted edition; for a conflict the one that is newest."""
 
 
-class EditionStanding(msgspec.Struct, frozen=True, kw_only=True):
+class EditionStatus(msgspec.Struct, frozen=True, kw_only=True):
     """Where the operator's numbers stand, as the primary knows it."""
 
     number: int
--- a/wingwood/bundle/order_decisions.py
+++ b/wingwood/bundle/order_decisions.py
@@ -10,25 +10,25 @@
 
 from ..identifiers import BundleVersion, OrderId, SliceName
 from .editions import EDITION_SLICE
-from .kept_bundles import KeptBundles, StateOptions
 from .model import Bundle, Manifest, Order, OrderOutcome
-from .orders import fingerprint
+from .orders import manifest_fingerprint
 from .parse import change_bundle
 from .problem import BundleProblem
 from .signing import verify_manifest
-from .state_records import Decided, RefusedRecord, RememberedOrder
+from .state_records import RecordedOutcome, RefusedRecord, RememberedOrder
+from .stored_bundles import StateOptions, StoredBundles
 
 _ORDER_ID = re.compile(r"[!-~]{1,64}")
 
 
-def refuse_order_id(order: OrderId) -> str | None:
+def order_id_refusal(order: OrderId) -> str | None:
     """Why this is no id of an order."""
     if _ORDER_ID.fullmatch(order):
         return None
     return f"order is {order[:80]!r}: 1 to 64 letters without spaces"
 
 
-class OrderDecisions(KeptBundles):
+class OrderDecisions(StoredBundles):
     """Each order gets the same outcome for ever after; authentic refusals are recorded too."""
 
     def __init__(self, options: StateOptions) -> None:
@@ -37,42 +37,42 @@
 
     def _decide_order(self, order: Order) -> tuple[bytes | None, OrderOutcome]:
         manifest = order.manifest
-        mark = fingerprint(manifest)
+        order_fingerprint = manifest_fingerprint(manifest)
         known = self._remembered.get(manifest.order)
-        if known is not None and known.fingerprint == mark:
+        if known is not None and known.fingerprint == order_fingerprint:
             return None, known.as_outcome()
-        refusal = self._refuse_unsigned(order, known)
+        refusal = self._unauthentic_refusal(order, known)
         if refusal is not None:
-            return None, self._refused(manifest, "invalid", refusal)
+            return None, self._refusal_outcome(manifest, "invalid", refusal)
         if manifest.base != self._version:
-            return self._record_refusal(manifest, mark, "conflict", self._conflict(manifest))
+            return self._record_refusal(manifest, order_fingerprint, "conflict", self._conflict_reason(manifest))
         held = self._parsed_bundle()
         match change_bundle(held, manifest, order.changed, _removed_by(order, held)):
             case Success(bundle):
-                return self._decide_bundle(held, bundle, mark)
+                return self._decide_bundle(held, bundle, order_fingerprint)
             case Failure(BundleProblem() as problem):
                 if problem.code == "root":
                     # The slices are not those that were signed, so nothing authentic is refused.
-                    return None, self._refused(manifest, "invalid", str(problem))
-                return self._record_refusal(manifest, mark, "invalid", str(problem))
+                    return None, self._refusal_outcome(manifest, "invalid", str(problem))
+                return self._record_refusal(manifest, order_fingerprint, "invalid", str(problem))
         raise AssertionError("a result is a success or a failure")
 
-    def _decide_bundle(self, held: Bundle, bundle: Bundle, mark: bytes) -> tuple[bytes, OrderOutcome]:
+    def _decide_bundle(self, held: Bundle, bundle: Bundle, order_fingerprint: bytes) -> tuple[bytes, OrderOutcome]:
         """Of an order that is well-formed and builds on the newest version."""
         manifest = bundle.manifest
-        refusal = self._refuse_large_bundle(bundle) or self._refuse_older_edition(bundle)
+        refusal = self._bundle_size_refusal(bundle) or self._older_edition_refusal(bundle)
         if refusal is not None:
-            return self._record_refusal(manifest, mark, "invalid", refusal)
+            return self._record_refusal(manifest, order_fingerprint, "invalid", refusal)
         outcome = OrderOutcome(order=manifest.order, outcome="accepted", version=manifest.version)
-        return self._record_acceptance(held, bundle, mark), outcome
+        return self._record_acceptance(held, bundle, order_fingerprint), outcome
 
-    def _refuse_older_edition(self, bundle: Bundle) -> str | None:
+    def _older_edition_refusal(self, bundle: Bundle) -> str | None:
         current = self._edition_number()
         if (bundle.edition.number if bundle.edition is not None else 0) >= current:
             return None
         return f"{EDITION_SLICE}: the operator's number is {current} and never goes back"
 
-    def _refuse_unsigned(self, order: Order, known: RememberedOrder | None) -> str | None:
+    def _unauthentic_refusal(self, order: Order, known: RememberedOrder | None) -> str | None:
         """Of what is not authentic no refusal is recorded."""
         manifest = order.manifest
         reason = verify_manifest(manifest, self._operator_keys)
@@ -80,32 +80,32 @@
             return f"{reason}; sign with an operator's key"
         if known is not None:
             return f"order {manifest.order} was used before with other content; make a new order id"
-        refusal = refuse_order_id(manifest.order)
+        refusal = order_id_refusal(manifest.order)
         if refusal is not None:
             return refusal
         if manifest.base != manifest.version - 1 or manifest.base < 0:
             return f"base is {manifest.base} and version {manifest.version}: the version follows its base"
-        return self._refuse_large("order", sum(len(data) for data in order.changed.values()))
+        return self._size_refusal("order", sum(len(data) for data in order.changed.values()))
 
-    def _conflict(self, manifest: Manifest) -> str:
+    def _conflict_reason(self, manifest: Manifest) -> str:
         if manifest.base > self._version:
             return f"base is {manifest.base}, but version {self._version} is the newest: read it and build on it"
         winner = self._history.get(BundleVersion(manifest.base + 1))
         by = f", made by order {winner.order} of signer {winner.signer[:16]}" if winner is not None else ""
         return f"version {manifest.version} is taken{by}; the newest is {self._version}: read it and build on it"
 
-    def _refused(self, manifest: Manifest, outcome: Decided, reason: str) -> OrderOutcome:
+    def _refusal_outcome(self, manifest: Manifest, outcome: RecordedOutcome, reason: str) -> OrderOutcome:
         return OrderOutcome(order=manifest.order, outcome=outcome, version=self._version, reason=reason)
 
     def _record_refusal(
-        self, manifest: Manifest, mark: bytes, decided: Decided, reason: str
+        self, manifest: Manifest, order_fingerprint: bytes, decided: RecordedOutcome, reason: str
     ) -> tuple[bytes, OrderOutcome]:
-        outcome = self._refused(manifest, decided, reason)
-        record = RefusedRecord(outcome, mark, manifest.signer, manifest.signed_at)
+        outcome = self._refusal_outcome(manifest, decided, reason)
+        record = RefusedRecord(outcome, order_fingerprint, manifest.signer, manifest.signed_at)
         return msgspec.msgpack.encode(record), outcome
 
 
 def _removed_by(order: Order, held: Bundle) -> Collection[SliceName]:
-    if order.whole:
+    if order.replaces_all:
         return [name for name in held.slices if name not in order.changed]
     return order.removed
--- a/wingwood/bundle/orders.py
+++ b/wingwood/bundle/orders.py
@@ -40,9 +40,9 @@
         signed_at=signed_at,
         signer="",
     )
-    return Order(manifest=sign_manifest(manifest, key), changed=changed, removed=removed, whole=base == 0)
+    return Order(manifest=sign_manifest(manifest, key), changed=changed, removed=removed, replaces_all=base == 0)
 
 
-def fingerprint(manifest: Manifest) -> bytes:
+def manifest_fingerprint(manifest: Manifest) -> bytes:
     """Sixteen bytes that tell one signed manifest from any other."""
     return hashlib.sha256(msgspec.msgpack.encode(manifest)).digest()[:16]
--- a/wingwood/bundle/positions.py
+++ b/wingwood/bundle/positions.py
@@ -18,9 +18,9 @@
 from .canonical import canonical_json
 from .gradual import Steps
 
-STEP_SLICES: Final = 100
+SLICES_PER_STEP: Final = 100
 """Slices whose position is read, or written anew, without a pause."""
-ROOM: Final = 1 << 16
+POSITION_GAP: Final = 1 << 16
 """Between the positions of two new items, for those that will be put in between."""
 POSITIONED_KINDS: Final = ("route", "pool", "tenant")
 
@@ -34,12 +34,12 @@
 _positioned = msgspec.json.Decoder(_Positioned)
 
 
-def with_kept_positions(held: Mapping[SliceName, bytes], changed: Mapping[SliceName, bytes]) -> Steps[Slices]:
+def with_retained_positions(held: Mapping[SliceName, bytes], changed: Mapping[SliceName, bytes]) -> Steps[Slices]:
     """``changed``, a whole edition, in the same order; most items that ``held`` has keep their position there.
 
     Slices that can't be read are left as they are: what follows refuses them.
     """
-    kept = dict(changed)
+    result = dict(changed)
     for kind in POSITIONED_KINDS:
         names = [name for name in changed if name.startswith(f"{kind}/")]
         given = yield from _positions(changed, names)
@@ -51,11 +51,11 @@
         for name, position in _assigned(in_order, before).items():
             if position == given[name]:
                 continue
-            kept[name] = canonical_json({**msgspec.json.decode(changed[name]), "position": position})
+            result[name] = canonical_json({**msgspec.json.decode(changed[name]), "position": position})
             written += 1
-            if written % STEP_SLICES == 0:
+            if written % SLICES_PER_STEP == 0:
                 yield
-    return kept
+    return result
 
 
 def _positions(slices: Mapping[SliceName, bytes], names: Sequence[SliceName]) -> Steps[dict[SliceName, int]]:
@@ -63,7 +63,7 @@
     for number, name in enumerate(names, 1):
         with contextlib.suppress(msgspec.MsgspecError, UnicodeError):
             found[name] = _positioned.decode(slices[name]).position
-        if number % STEP_SLICES == 0:
+        if number % SLICES_PER_STEP == 0:
             yield
     return found
 
@@ -73,29 +73,29 @@
 
     Where there is no room, the items behind move up until there is some again.
     """
-    staying = _longest_rising([name for name in in_order if name in before], before)
+    unmoved = _longest_increasing([name for name in in_order if name in before], before)
     assigned: dict[SliceName, int] = {}
     low = -1
     new: list[SliceName] = []
     for name in in_order:
-        if name not in staying:
+        if name not in unmoved:
             new.append(name)
             continue
         high = before[name]
         if high - low <= len(new):
-            high = low + ROOM * (len(new) + 1)
-        _spread(assigned, new, low, (high - low) // (len(new) + 1))
+            high = low + POSITION_GAP * (len(new) + 1)
+        _assign_evenly(assigned, new, low, (high - low) // (len(new) + 1))
         assigned[name] = low = high
         new = []
-    _spread(assigned, new, low, ROOM)
+    _assign_evenly(assigned, new, low, POSITION_GAP)
     return assigned
 
 
-def _spread(assigned: dict[SliceName, int], names: Sequence[SliceName], low: int, step: int) -> None:
+def _assign_evenly(assigned: dict[SliceName, int], names: Sequence[SliceName], low: int, step: int) -> None:
     assigned.update({name: low + step * number for number, name in enumerate(names, 1)})
 
 
-def _longest_rising(names: Sequence[SliceName], before: Mapping[SliceName, int]) -> frozenset[SliceName]:
+def _longest_increasing(names: Sequence[SliceName], before: Mapping[SliceName, int]) -> frozenset[SliceName]:
     """A longest choice of ``names``, in their order, whose positions rise (patience sorting)."""
     ends: list[int] = []
     last: list[SliceName] = []
--- a/wingwood/bundle/problem.py
+++ b/wingwood/bundle/problem.py
@@ -14,15 +14,15 @@
     slice: str = ""
     field: str = ""
     value: str = ""
-    mend: str
+    remedy: str = msgspec.field(name="mend")
 
     def __str__(self) -> str:
         where = " ".join(part for part in (self.slice, self.field and f"field {self.field}") if part)
         shown = f" is {self.value}" if self.value else ""
-        return f"{where}{shown}: {self.mend}" if where else self.mend
+        return f"{where}{shown}: {self.remedy}" if where else self.remedy
 
 
-class Broken(Exception):
+class BundleProblemError(Exception):
     """Carries a problem out of the nested checks; never leaves this package."""
 
     def __init__(self, problem: BundleProblem) -> None:
--- a/wingwood/bundle/reading.py
+++ b/wingwood/bundle/reading.py
@@ -15,9 +15,9 @@
 from .state import BundleState
 from .state_records import HistoryEntry
 
-ASK_WITHIN = Seconds(1.0)
+READ_TIMEOUT_SECONDS = Seconds(1.0)
 
-Answer = TypeVar("Answer", "BundleAnswer", "HistoryAnswer")
+ReplyType = TypeVar("ReplyType", "BundleAnswer", "HistoryAnswer")
 
 
 class AskBundle(msgspec.Struct, frozen=True):
@@ -34,24 +34,24 @@
 
 
 class BundleAnswer(msgspec.Struct, frozen=True):
-    newest: BundleVersion
+    latest: BundleVersion = msgspec.field(name="newest")
     view: BundleView | None
     """None when there is no bundle yet, or the version asked for is not kept."""
-    sure: bool = True
+    authoritative: bool = msgspec.field(name="sure", default=True)
     """False: this daemon does not keep the bundles now; another does."""
 
 
 class AskHistory(msgspec.Struct, frozen=True):
     """To a control daemon. Reply: HistoryAnswer."""
 
-    most: int
+    limit: int = msgspec.field(name="most")
 
 
 class HistoryAnswer(msgspec.Struct, frozen=True):
-    newest: BundleVersion
+    latest: BundleVersion = msgspec.field(name="newest")
     entries: list[HistoryEntry]
     """Newest first."""
-    sure: bool = True
+    authoritative: bool = msgspec.field(name="sure", default=True)
 
 
 class NotReadable(msgspec.Struct, frozen=True):
@@ -65,48 +65,51 @@
         """``version`` 0: the newest."""
         ...
 
-    async def history(self, most: int) -> Result[HistoryAnswer, NotReadable]: ...
+    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]: ...
 
 
 class LocalBundleReader:
     """On a control daemon. ``durable`` tells the newest version that this daemon knows to be durable.
 
-    ``keeps``: whether the bundles are its own to keep now. A spare holds none, and a witness that was backup
+    ``stores_bundles``: whether the bundles are its own to keep now. A spare holds none, and a witness that was backup
     once holds old ones; neither may speak for the fleet, nor say that there is no bundle.
     """
 
     def __init__(
-        self, state: BundleState, durable: Callable[[], BundleVersion], keeps: Callable[[], bool] = lambda: True
+        self,
+        state: BundleState,
+        durable_version: Callable[[], BundleVersion],
+        stores_bundles: Callable[[], bool] = lambda: True,
     ) -> None:
         self._state = state
-        self._durable = durable
-        self._keeps = keeps
+        self._durable_version = durable_version
+        self._stores_bundles = stores_bundles
 
-    def is_sure(self) -> bool:
+    def is_authoritative(self) -> bool:
         """Whether what is read here stands for the fleet.
 
         A primary that just took over holds versions and doesn't know yet that they are durable: not sure.
         """
-        return self._keeps() and (self._durable() > 0 or self._state.version == 0)
+        return self._stores_bundles() and (self._durable_version() > 0 or self._state.version == 0)
 
     def read_bundle(self, version: BundleVersion) -> BundleAnswer:
-        newest = self._durable()
-        wanted = version or newest
-        manifest = self._state.manifest_at(wanted) if wanted <= newest else None
+        latest = self._durable_version()
+        wanted = version or latest
+        manifest = self._state.manifest_at(wanted) if wanted <= latest else None
         slices = self._state.slices_at(wanted) if manifest is not None else None
         if manifest is None or slices is None:
-            return BundleAnswer(newest, None, self.is_sure())
-        return BundleAnswer(newest, BundleView(manifest, slices), self.is_sure())
+            return BundleAnswer(latest, None, self.is_authoritative())
+        return BundleAnswer(latest, BundleView(manifest, slices), self.is_authoritative())
 
-    def read_history(self, most: int) -> HistoryAnswer:
-        newest = self._durable()
-        return HistoryAnswer(newest, self._state.history(newest, most), self.is_sure())
+    def read_history(self, limit: int) -> HistoryAnswer:
+        latest = self._durable_version()
+        return HistoryAnswer(latest, self._state.history(latest, limit), self.is_authoritative())
 
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
         return Success(self.read_bundle(version))
 
-    async def history(self, most: int) -> Result[HistoryAnswer, NotReadable]:
-        return Success(self.read_history(most))
+    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+        return Success(self.read_history(limit))
 
     def serve(self, messenger: Messenger) -> None:
         """Answers the other daemons' ``RemoteBundleReader``."""
@@ -115,7 +118,7 @@
             return self.read_bundle(question.version)
 
         async def answer_history(_peer: Identity, question: AskHistory) -> HistoryAnswer:
-            return self.read_history(question.most)
+            return self.read_history(question.limit)
 
         messenger.on_call(AskBundle, answer_bundle)
         messenger.on_call(AskHistory, answer_history)
@@ -125,23 +128,23 @@
     """On a router: asks the control daemons one after another, the presumed primary first."""
 
     def __init__(
-        self, messenger: Messenger, controls: Callable[[], Sequence[Address]], timeout: Seconds = ASK_WITHIN
+        self, messenger: Messenger, controls: Callable[[], Sequence[Address]], timeout: Seconds = READ_TIMEOUT_SECONDS
     ) -> None:
         self._messenger = messenger
         self._controls = controls
         self._timeout = timeout
 
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-        return await self._ask(AskBundle(version), BundleAnswer)
+        return await self._call_any(AskBundle(version), BundleAnswer)
 
-    async def history(self, most: int) -> Result[HistoryAnswer, NotReadable]:
-        return await self._ask(AskHistory(most), HistoryAnswer)
+    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+        return await self._call_any(AskHistory(limit), HistoryAnswer)
 
-    async def _ask(self, question: msgspec.Struct, answer_type: type[Answer]) -> Result[Answer, NotReadable]:
+    async def _call_any(self, question: msgspec.Struct, answer_type: type[ReplyType]) -> Result[ReplyType, NotReadable]:
         reasons = []
         for address in self._controls():
             match await self._messenger.call(address, question, answer_type, self._timeout):
-                case Success(answer) if answer.sure:
+                case Success(answer) if answer.authoritative:
                     return Success(answer)
                 case Success():
                     reasons.append(f"{address} does not keep them")
--- a/wingwood/bundle/rollouts.py
+++ b/wingwood/bundle/rollouts.py
@@ -12,28 +12,28 @@
 from ..identifiers import SliceName
 from .canonical import NAME_PATTERN, canonical_json
 from .model import Bundle, Rollout
-from .problem import Broken, BundleProblem
-from .variants import KINDS, is_whom
+from .problem import BundleProblem, BundleProblemError
+from .variants import VARIANT_KINDS, is_selector
 
-ALL = "all"
-MOST_STAGES = 10
-MOST_CHANGES = 100
-MOST_RUNNING_CHANGES = 500
+ALL_ROUTERS_STAGE = "all"
+MAX_STAGES = 10
+MAX_CHANGES = 100
+MAX_RUNNING_CHANGES = 500
 """Of all running roll-outs together: they are checked with each change of the bundle."""
-LONGEST_WATCH = 86_400.0
+MAX_WATCH_SECONDS = 86_400.0
 
-_PLAIN = re.compile(rf"({'|'.join(KINDS)})/{NAME_PATTERN}")
+_PLAIN_SLICE_NAME = re.compile(rf"({'|'.join(VARIANT_KINDS)})/{NAME_PATTERN}")
 
 
-def wanted_slices(rollout: Rollout) -> dict[SliceName, bytes]:
+def required_slices(rollout: Rollout) -> dict[SliceName, bytes]:
     """What the bundle holds of the changed slices while the roll-out is running: plain ones and variants."""
     wanted: dict[SliceName, bytes] = {}
-    promoted = rollout.stages[rollout.stage] == ALL
+    promoted = rollout.stages[rollout.stage] == ALL_ROUTERS_STAGE
     for change in rollout.changes:
         wanted[change.slice] = canonical_json(change.after if promoted else change.before)
         if not promoted:
-            for whom in rollout.stages[: rollout.stage + 1]:
-                wanted[SliceName(f"{change.slice}@{whom}")] = canonical_json(change.after)
+            for selector in rollout.stages[: rollout.stage + 1]:
+                wanted[SliceName(f"{change.slice}@{selector}")] = canonical_json(change.after)
     return wanted
 
 
@@ -48,36 +48,36 @@
                 raise _problem(
                     rollout, "changes", change.slice, f"rollout/{other} is changing it; finish that or roll it back"
                 )
-    if len(holder) > MOST_RUNNING_CHANGES:
-        told = f"{len(holder)} slices"
-        mend = f"keep to {MOST_RUNNING_CHANGES} slices in running roll-outs; finish some or roll them back"
-        raise Broken(BundleProblem(code="large", slice="rollout", value=told, mend=mend))
-    wanted = {name: data for rollout in running for name, data in wanted_slices(rollout).items()}
+    if len(holder) > MAX_RUNNING_CHANGES:
+        size = f"{len(holder)} slices"
+        remedy = f"keep to {MAX_RUNNING_CHANGES} slices in running roll-outs; finish some or roll them back"
+        raise BundleProblemError(BundleProblem(code="large", slice="rollout", value=size, remedy=remedy))
+    wanted = {name: data for rollout in running for name, data in required_slices(rollout).items()}
     for name in sorted({*wanted, *(name for name in bundle.variants if name.partition("@")[0] in holder)}):
         if bundle.slices.get(name) != wanted.get(name):
-            raise _not_as_wanted(bundle.rollouts[holder[SliceName(name.partition("@")[0])]], name, wanted)
+            raise _disagreement(bundle.rollouts[holder[SliceName(name.partition("@")[0])]], name, wanted)
 
 
-def _not_as_wanted(rollout: Rollout, name: SliceName, wanted: Mapping[SliceName, bytes]) -> Broken:
-    held = "must stand in the bundle as the roll-out says" if name in wanted else "must not stand in the bundle"
-    return Broken(
+def _disagreement(rollout: Rollout, name: SliceName, wanted: Mapping[SliceName, bytes]) -> BundleProblemError:
+    requirement = "must stand in the bundle as the roll-out says" if name in wanted else "must not stand in the bundle"
+    return BundleProblemError(
         BundleProblem(
             code="field",
             slice=name,
-            mend=f"rollout/{rollout.name} is running and at stage {rollout.stages[rollout.stage]}, so it {held}; "
-            f"to change it otherwise: wingwood rollout roll-back {rollout.name}",
+            remedy=f"rollout/{rollout.name} is running and at stage {rollout.stages[rollout.stage]}, "
+            f"so it {requirement}; to change it otherwise: wingwood rollout roll-back {rollout.name}",
         )
     )
 
 
 def check_rollout(rollout: Rollout) -> None:
     """The slice's own fields; raises the package's private problem."""
-    if not 1 <= len(rollout.stages) <= MOST_STAGES or rollout.stages[-1] != ALL:
-        raise _problem(rollout, "stages", ", ".join(rollout.stages), f"1 to {MOST_STAGES} stages, the last one is all")
-    for whom in rollout.stages[:-1]:
-        if not is_whom(whom):
+    if not 1 <= len(rollout.stages) <= MAX_STAGES or rollout.stages[-1] != ALL_ROUTERS_STAGE:
+        raise _problem(rollout, "stages", ", ".join(rollout.stages), f"1 to {MAX_STAGES} stages, the last one is all")
+    for selector in rollout.stages[:-1]:
+        if not is_selector(selector):
             raise _problem(
-                rollout, "stages", whom, "a stage is zone=ZONE, share=PERCENT from 1 to 99, or all at the end"
+                rollout, "stages", selector, "a stage is zone=ZONE, share=PERCENT from 1 to 99, or all at the end"
             )
     if len(set(rollout.stages)) != len(rollout.stages):
         raise _problem(rollout, "stages", ", ".join(rollout.stages), "name each stage once")
@@ -85,27 +85,27 @@
         raise _problem(rollout, "stage", str(rollout.stage), f"from 0 to {len(rollout.stages) - 1}")
     if rollout.reached < 0:
         raise _problem(rollout, "reached", str(rollout.reached), "a number of routers")
-    if not 0 <= rollout.watch <= LONGEST_WATCH:
-        raise _problem(rollout, "watch", str(rollout.watch), f"seconds from 0 to {LONGEST_WATCH:.0f}")
+    if not 0 <= rollout.watch <= MAX_WATCH_SECONDS:
+        raise _problem(rollout, "watch", str(rollout.watch), f"seconds from 0 to {MAX_WATCH_SECONDS:.0f}")
     for field in ("highest_failures", "highest_refusals"):
         if not 0 <= getattr(rollout, field) <= 1:
             raise _problem(rollout, field, str(getattr(rollout, field)), "a share from 0 to 1")
     if len(rollout.reason) > 500:
         raise _problem(rollout, "reason", rollout.reason, "up to 500 letters")
     names = [change.slice for change in rollout.changes]
-    if not 1 <= len(names) <= MOST_CHANGES or names != sorted(set(names)):
-        raise _problem(rollout, "changes", f"{len(names)} slices", f"1 to {MOST_CHANGES}, sorted, each once")
+    if not 1 <= len(names) <= MAX_CHANGES or names != sorted(set(names)):
+        raise _problem(rollout, "changes", f"{len(names)} slices", f"1 to {MAX_CHANGES}, sorted, each once")
     for change in rollout.changes:
-        if not _PLAIN.fullmatch(change.slice):
-            mend = (
+        if not _PLAIN_SLICE_NAME.fullmatch(change.slice):
+            remedy = (
                 "only services, routes and classes are rolled out in stages; tenants and keys change everywhere at once"
             )
-            raise _problem(rollout, "changes", change.slice, mend)
+            raise _problem(rollout, "changes", change.slice, remedy)
         if change.before == change.after:
             raise _problem(rollout, "changes", change.slice, "before and after are the same")
 
 
-def _problem(rollout: Rollout, field: str, value: str, mend: str) -> Broken:
-    return Broken(
-        BundleProblem(code="field", slice=f"rollout/{rollout.name}", field=field, value=value[:80], mend=mend)
+def _problem(rollout: Rollout, field: str, value: str, remedy: str) -> BundleProblemError:
+    return BundleProblemError(
+        BundleProblem(code="field", slice=f"rollout/{rollout.name}", field=field, value=value[:80], remedy=remedy)
     )
--- a/wingwood/bundle/route_index.py
+++ b/wingwood/bundle/route_index.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from .gradual import at_once
-from .problem import Broken, BundleProblem
+from .problem import BundleProblem, BundleProblemError
 from .route import Route
 
-STEP_ROUTES = 1_000
+ROUTES_PER_STEP = 1_000
 ANY_HOST = ""
 
 _Prefixes = Mapping[str, tuple[Route, ...]]
@@ -43,7 +43,7 @@
                         return found
         return ()
 
-    def changed(self, gone: Collection[Route], fresh: Collection[Route]) -> Generator[None, None, RouteIndex]:
+    def changed(self, removed: Collection[Route], added: Collection[Route]) -> Generator[None, None, RouteIndex]:
         """In steps. Two routes that take the same calls raise the package's private problem."""
         hosts = dict(self.hosts)
         copies: dict[str, dict[str, tuple[Route, ...]]] = {}
@@ -53,21 +53,21 @@
                 hosts[host] = copies[host] = dict(hosts.get(host, {}))
             return copies[host]
 
-        for number, route in enumerate(gone):
-            if number % STEP_ROUTES == STEP_ROUTES - 1:
+        for number, route in enumerate(removed):
+            if number % ROUTES_PER_STEP == ROUTES_PER_STEP - 1:
                 yield
             table = table_of(route.host)
-            left = tuple(other for other in table[route.path_prefix] if other.name != route.name)
-            if left:
-                table[route.path_prefix] = left
+            remaining = tuple(other for other in table[route.path_prefix] if other.name != route.name)
+            if remaining:
+                table[route.path_prefix] = remaining
             else:
                 del table[route.path_prefix]
-        for number, route in enumerate(fresh):
-            if number % STEP_ROUTES == STEP_ROUTES - 1:
+        for number, route in enumerate(added):
+            if number % ROUTES_PER_STEP == ROUTES_PER_STEP - 1:
                 yield
             table = table_of(route.host)
             others = table.get(route.path_prefix, ())
-            _check_apart(route, others)
+            _check_no_overlap(route, others)
             table[route.path_prefix] = tuple(sorted((*others, route), key=lambda each: each.name))
         return RouteIndex({host: table for host, table in hosts.items() if table})
 
@@ -89,17 +89,17 @@
             yield path[:end]
 
 
-def _check_apart(route: Route, others: Collection[Route]) -> None:
+def _check_no_overlap(route: Route, others: Collection[Route]) -> None:
     for other in others:
         shared = sorted(set(route.methods) & set(other.methods))
         if shared:
             at = f" at {route.host}" if route.host else ""
-            raise Broken(
+            raise BundleProblemError(
                 BundleProblem(
                     code="double",
                     slice=f"route/{route.name}",
                     field="path_prefix",
                     value=route.path_prefix,
-                    mend=f"route/{other.name} takes {shared[0]} of this prefix{at} already; change one of them",
+                    remedy=f"route/{other.name} takes {shared[0]} of this prefix{at} already; change one of them",
                 )
             )
--- a/wingwood/bundle/signing.py
+++ b/wingwood/bundle/signing.py
@@ -10,13 +10,13 @@
 
 from .model import Manifest
 
-PURPOSE = b"wingwood bundle manifest 1\n"
+SIGNATURE_PREFIX = b"wingwood bundle manifest 1\n"
 
 
 def signed_bytes(manifest: Manifest) -> bytes:
     """What the signature covers: every field but ``signature``, after a prefix that says what it is for."""
     bare = msgspec.structs.replace(manifest, signature=b"")
-    return PURPOSE + msgspec.msgpack.encode(bare)
+    return SIGNATURE_PREFIX + msgspec.msgpack.encode(bare)
 
 
 def public_hex(key: Ed25519PrivateKey) -> str:
--- a/wingwood/bundle/slice_history.py
+++ b/wingwood/bundle/slice_history.py
@@ -10,7 +10,7 @@
 
 
 class SliceHistory:
-    """Each slice's contents by the version that brought them, oldest first; ``forget`` drops what is too old."""
+    """Each slice's contents by the version that brought them, oldest first; ``drop_before`` drops what is too old."""
 
     def __init__(
         self,
@@ -43,15 +43,15 @@
         self.superseded_bytes += _bytes_of(past[-1:])
         past.append(entry)
 
-    def forget(self, oldest: BundleVersion) -> None:
+    def drop_before(self, oldest: BundleVersion) -> None:
         """Drops the contents that only versions before ``oldest`` had."""
         while self._changed_in and self._changed_in[0][0] <= oldest:
             _, names = self._changed_in.popleft()
             for name in names:
                 if name in self.past:
-                    self._forget_slice(name, oldest)
+                    self._drop_slice_before(name, oldest)
 
-    def _forget_slice(self, name: SliceName, oldest: BundleVersion) -> None:
+    def _drop_slice_before(self, name: SliceName, oldest: BundleVersion) -> None:
         past = self.past[name]
         keep = max((index for index, (version, _) in enumerate(past) if version <= oldest), default=0)
         self.superseded_bytes -= _bytes_of(past[:keep])
@@ -63,11 +63,11 @@
             if not past:
                 del self.past[name]
 
-    def newest_of(self, name: SliceName) -> bytes | None:
+    def latest_of(self, name: SliceName) -> bytes | None:
         past = self.past.get(name)
         return past[-1][1] if past else None
 
-    def newest(self) -> dict[SliceName, bytes]:
+    def latest(self) -> dict[SliceName, bytes]:
         """All slices, by sorted name."""
         contents = {name: self.past[name][-1][1] for name in sorted(self.past)}
         return {name: data for name, data in contents.items() if data is not None}
@@ -81,9 +81,9 @@
         """When the slice last changed up to ``version``, and its bytes then; (0, None) before it was."""
         return next((entry for entry in reversed(self.past[name]) if entry[0] <= version), (BundleVersion(0), None))
 
-    def changed_between(self, since: BundleVersion, upto: BundleVersion) -> list[SliceName]:
+    def changed_between(self, since: BundleVersion, up_to: BundleVersion) -> list[SliceName]:
         """Sorted; by a look at every slice."""
-        return sorted(name for name in self.past if self.content_at(name, upto)[0] > since)
+        return sorted(name for name in self.past if self.content_at(name, up_to)[0] > since)
 
 
 def _bytes_of(entries: Sequence[SliceVersion]) -> int:
--- a/wingwood/bundle/state.py
+++ b/wingwood/bundle/state.py
@@ -18,10 +18,10 @@
 from ..control.protocols import BundleCommand, FindEdition, SubmitEdition, SubmitOrder
 from ..identifiers import WallTime
 from .edition_decisions import EditionDecisions
-from .kept_bundles import StateOptions
 from .order_decisions import OrderDecisions
-from .parse import BUNDLE_BYTES
+from .parse import DEFAULT_MAX_BUNDLE_BYTES
 from .signing import public_hex
+from .stored_bundles import StateOptions
 
 
 class BundleState(OrderDecisions, EditionDecisions):
@@ -30,7 +30,7 @@
     ``operator_keys``: hex Ed25519 keys whose orders count. ``outcome_retention``: orders remembered.
     ``history_versions``: past versions whose slices and manifests are kept. ``bundle_bytes``: largest bundle.
     ``signing_key``: seed of the Ed25519 key with which editions are signed (None: none are taken; its public key
-    counts as an operator's); ``wall`` tells when, for people.
+    counts as an operator's); ``wall_clock`` tells when, for people.
     """
 
     kind = "bundle"
@@ -41,9 +41,9 @@
         operator_keys: Collection[str],
         outcome_retention: int = 100_000,
         history_versions: int = 200,
-        bundle_bytes: int = BUNDLE_BYTES,
+        bundle_bytes: int = DEFAULT_MAX_BUNDLE_BYTES,
         signing_key: bytes | None = None,
-        wall: Callable[[], WallTime] = lambda: WallTime(0.0),
+        wall_clock: Callable[[], WallTime] = lambda: WallTime(0.0),
     ) -> None:
         key = None if signing_key is None else Ed25519PrivateKey.from_private_bytes(signing_key)
         own = () if key is None else (public_hex(key),)
@@ -54,7 +54,7 @@
                 history_versions=history_versions,
                 bundle_bytes=bundle_bytes,
                 signing_key=key,
-                wall=wall,
+                wall_clock=wall_clock,
             )
         )
 
@@ -66,5 +66,5 @@
             case SubmitEdition(change):
                 return self._decide_edition(change)
             case FindEdition(wanted):
-                return None, self._standing(wanted)
+                return None, self._edition_status(wanted)
         raise TypeError(f"bundle state got {type(command).__name__}")
--- a/wingwood/bundle/state_records.py
+++ b/wingwood/bundle/state_records.py
@@ -9,8 +9,8 @@
 from ..identifiers import BundleVersion, OrderId, SliceName, WallTime
 from .model import Manifest, OrderOutcome
 
-Decided = Literal["accepted", "conflict", "invalid"]
-OUTCOMES: tuple[Decided, ...] = ("accepted", "conflict", "invalid")
+RecordedOutcome = Literal["accepted", "conflict", "invalid"]
+OUTCOMES: tuple[RecordedOutcome, ...] = ("accepted", "conflict", "invalid")
 """In snapshots outcomes stand by their place here."""
 
 SliceVersion = tuple[BundleVersion, bytes | None]
@@ -43,7 +43,7 @@
 
     order: OrderId
     fingerprint: bytes
-    outcome: Decided
+    outcome: RecordedOutcome
     version: BundleVersion
     reason: str
     signer: str
--- a/wingwood/bundle/kept_bundles.py
+++ b/wingwood/bundle/stored_bundles.py
@@ -12,7 +12,7 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from ..identifiers import BundleVersion, OrderId, SliceName, WallTime
-from .editions import EDITION_SLICE, number_in
+from .editions import EDITION_SLICE, edition_number_in
 from .model import Bundle, BundleDelta, Manifest, OrderOutcome
 from .orders import difference
 from .parse import empty_bundle, parse_bundle
@@ -27,11 +27,11 @@
     record_decoder,
 )
 
-HISTORY_BYTES = 8 * 1024 * 1024
+MAX_HISTORY_BYTES = 8 * 1024 * 1024
 """Of contents that later versions have replaced; beyond it the oldest versions are dropped early ..."""
-LEAST_HISTORY = 10
+MIN_HISTORY_VERSIONS = 10
 """... but for so many."""
-SCAN_ABOVE = 1_000
+MAX_WALKED_VERSIONS = 1_000
 """A holder further behind than this is served by a look at every slice, not by the history."""
 
 
@@ -43,10 +43,10 @@
     history_versions: int
     bundle_bytes: int
     signing_key: Ed25519PrivateKey | None
-    wall: Callable[[], WallTime]
+    wall_clock: Callable[[], WallTime]
 
 
-class KeptBundles:
+class StoredBundles:
     """Everything that records and snapshots hold; the same on every control daemon."""
 
     _version: BundleVersion
@@ -59,8 +59,8 @@
     _remembered: dict[OrderId, RememberedOrder]
     _remembered_order: deque[RememberedOrder]
     _history: dict[BundleVersion, RememberedOrder]
-    _signers: dict[str, str]
-    _names: dict[SliceName, SliceName]
+    _interned_signers: dict[str, str]
+    _interned_names: dict[SliceName, SliceName]
 
     def __init__(self, options: StateOptions) -> None:
         self._outcome_retention = options.outcome_retention
@@ -77,7 +77,7 @@
 
     def _edition_number(self) -> int:
         """Of the newest edition of the operator's own numbers; 0: none."""
-        return number_in(self._slices.newest_of(EDITION_SLICE))
+        return edition_number_in(self._slices.latest_of(EDITION_SLICE))
 
     def _parsed_bundle(self) -> Bundle:
         """The newest bundle, read from its slices when records came without being decided here."""
@@ -85,19 +85,19 @@
         if bundle is None:
             bundle = empty_bundle()
             if self._version > 0:
-                bundle = parse_bundle(self._manifests[self._version], self._slices.newest()).unwrap()
+                bundle = parse_bundle(self._manifests[self._version], self._slices.latest()).unwrap()
             self._parsed = bundle
         return bundle
 
-    def _record_acceptance(self, held: Bundle, bundle: Bundle, mark: bytes) -> bytes:
-        changed, gone = difference(held.slices, bundle.slices)
+    def _record_acceptance(self, held: Bundle, bundle: Bundle, order_fingerprint: bytes) -> bytes:
+        changed, removed = difference(held.slices, bundle.slices)
         self._candidate = bundle
-        return msgspec.msgpack.encode(AcceptedRecord(bundle.manifest, changed, gone, mark))
+        return msgspec.msgpack.encode(AcceptedRecord(bundle.manifest, changed, removed, order_fingerprint))
 
-    def _refuse_large_bundle(self, bundle: Bundle) -> str | None:
-        return self._refuse_large("bundle", sum(map(len, bundle.slices.values())))
+    def _bundle_size_refusal(self, bundle: Bundle) -> str | None:
+        return self._size_refusal("bundle", sum(map(len, bundle.slices.values())))
 
-    def _refuse_large(self, what: str, size: int) -> str | None:
+    def _size_refusal(self, what: str, size: int) -> str | None:
         if size <= self._bundle_bytes:
             return None
         return f"the {what} has {size} bytes: keep it to {self._bundle_bytes} (bundle_bytes in settings)"
@@ -133,8 +133,8 @@
         self._parsed = candidate if candidate is not None and candidate.manifest == manifest else None
         self._version = manifest.version
         self._manifests[manifest.version] = manifest
-        changed = {self._shared_name(name): data for name, data in accepted.changed.items()}
-        removed = tuple(map(self._shared_name, accepted.removed))
+        changed = {self._interned_name(name): data for name, data in accepted.changed.items()}
+        removed = tuple(map(self._interned_name, accepted.removed))
         self._slices.add(manifest.version, changed, removed)
         self._remember(
             RememberedOrder(
@@ -143,17 +143,17 @@
                 "accepted",
                 manifest.version,
                 "",
-                self._signers.setdefault(manifest.signer, manifest.signer),
+                self._interned_signers.setdefault(manifest.signer, manifest.signer),
                 manifest.signed_at,
                 tuple(changed),
                 removed,
             )
         )
-        self._forget_past()
+        self._drop_old_versions()
 
-    def _shared_name(self, name: SliceName) -> SliceName:
+    def _interned_name(self, name: SliceName) -> SliceName:
         """The same string for each order that names the slice."""
-        return self._names.setdefault(name, name)
+        return self._interned_names.setdefault(name, name)
 
     def _remember(self, entry: RememberedOrder) -> None:
         self._remembered[entry.order] = entry
@@ -166,20 +166,20 @@
             if oldest.outcome == "accepted":
                 self._history.pop(oldest.version, None)
 
-    def _forget_past(self) -> None:
+    def _drop_old_versions(self) -> None:
         """Drops the manifest and the slices' contents that only versions before the kept ones had.
 
         Fewer versions are kept where many slices changed in each: the history has to fit into memory and journal.
         """
         oldest = BundleVersion(self._version - self._history_versions)
-        self._forget_before(oldest)
-        while self._slices.superseded_bytes > HISTORY_BYTES and oldest < self._version - LEAST_HISTORY:
+        self._drop_before(oldest)
+        while self._slices.superseded_bytes > MAX_HISTORY_BYTES and oldest < self._version - MIN_HISTORY_VERSIONS:
             oldest = BundleVersion(oldest + 1)
-            self._forget_before(oldest)
+            self._drop_before(oldest)
 
-    def _forget_before(self, oldest: BundleVersion) -> None:
+    def _drop_before(self, oldest: BundleVersion) -> None:
         self._manifests.pop(BundleVersion(oldest - 1), None)
-        self._slices.forget(oldest)
+        self._slices.drop_before(oldest)
 
     # reading, as of a version that the caller knows to be durable
 
@@ -187,35 +187,35 @@
         """None when the version is not (or no longer) kept, and for 0."""
         return self._manifests.get(version)
 
-    def delta_since(self, since: BundleVersion, upto: BundleVersion) -> BundleDelta | None:
-        """What takes a holder of ``since`` straight to ``upto``, intermediates skipped.
+    def delta_since(self, since: BundleVersion, up_to: BundleVersion) -> BundleDelta | None:
+        """What takes a holder of ``since`` straight to ``up_to``, intermediates skipped.
 
-        ``upto`` is the newest durable version; what was decided after it does not show. ``since`` of
+        ``up_to`` is the newest durable version; what was decided after it does not show. ``since`` of
         the delta is 0 when the holder has nothing, or is so far behind that removals it has not
         seen are forgotten: the delta then is everything. None when there is nothing newer than
-        ``since``, or ``upto`` is no longer kept (more than ``history_versions`` behind).
+        ``since``, or ``up_to`` is no longer kept (more than ``history_versions`` behind).
         """
-        manifest = self._manifests.get(upto)
-        if manifest is None or since >= upto:
+        manifest = self._manifests.get(up_to)
+        if manifest is None or since >= up_to:
             return None
         if since < self._slices.forgotten_removal:
             since = BundleVersion(0)
         changed: dict[SliceName, bytes] = {}
         removed: list[SliceName] = []
-        for name in self._names_changed(since, upto):
-            version, data = self._slices.content_at(name, upto)
+        for name in self._names_changed(since, up_to):
+            version, data = self._slices.content_at(name, up_to)
             if data is not None:
                 changed[name] = data
             elif since and version > since:
                 removed.append(name)
         return BundleDelta(since=since, manifest=manifest, changed=changed, removed=tuple(removed))
 
-    def _names_changed(self, since: BundleVersion, upto: BundleVersion) -> Sequence[SliceName]:
-        entries = range(since + 1, upto + 1)
-        if since and len(entries) <= SCAN_ABOVE and BundleVersion(since + 1) in self._history:
+    def _names_changed(self, since: BundleVersion, up_to: BundleVersion) -> Sequence[SliceName]:
+        entries = range(since + 1, up_to + 1)
+        if since and len(entries) <= MAX_WALKED_VERSIONS and BundleVersion(since + 1) in self._history:
             names = {name for version in entries for name in self._touched(BundleVersion(version))}
             return sorted(name for name in names if name in self._slices.past)
-        return self._slices.changed_between(since, upto)
+        return self._slices.changed_between(since, up_to)
 
     def _touched(self, version: BundleVersion) -> tuple[SliceName, ...]:
         entry = self._history[version]
@@ -228,12 +228,12 @@
         if version not in self._manifests:
             return None
         if version == self._version:
-            return self._slices.newest()
+            return self._slices.latest()
         return self._slices.at(version)
 
-    def history(self, upto: BundleVersion, most: int = 50) -> list[HistoryEntry]:
-        """Newest first, from ``upto`` back."""
-        versions = range(upto, max(0, upto - most), -1)
+    def history(self, up_to: BundleVersion, limit: int = 50) -> list[HistoryEntry]:
+        """Newest first, from ``up_to`` back."""
+        versions = range(up_to, max(0, up_to - limit), -1)
         entries = (self._history.get(BundleVersion(version)) for version in versions)
         return [
             HistoryEntry(
@@ -287,7 +287,7 @@
     def restore(self, snapshot: bytes | None) -> None:
         self._clear()
         if snapshot is not None:
-            self._read(msgspec.msgpack.decode(snapshot, type=StateSnapshot))
+            self._load(msgspec.msgpack.decode(snapshot, type=StateSnapshot))
 
     def _clear(self) -> None:
         self._version = BundleVersion(0)
@@ -298,19 +298,19 @@
         self._remembered = {}
         self._remembered_order = deque()
         self._history = {}
-        self._signers = {}
-        self._names = {}
+        self._interned_signers = {}
+        self._interned_names = {}
 
-    def _read(self, read: StateSnapshot) -> None:
+    def _load(self, read: StateSnapshot) -> None:
         self._version = read.version
         self._slices = SliceHistory(read.past, read.forgotten_removal)
-        self._signers = {signer: signer for signer in read.signers}
-        self._names = {name: name for name in read.names}
-        for order, mark, outcome, version, reason, signer, signed_at, changed, removed in read.remembered:
+        self._interned_signers = {signer: signer for signer in read.signers}
+        self._interned_names = {name: name for name in read.names}
+        for order, order_fingerprint, outcome, version, reason, signer, signed_at, changed, removed in read.remembered:
             self._remember(
                 RememberedOrder(
                     order,
-                    mark,
+                    order_fingerprint,
                     OUTCOMES[outcome],
                     version,
                     reason,
@@ -322,4 +322,4 @@
             )
         oldest = self._version - self._history_versions
         self._manifests = {manifest.version: manifest for manifest in read.manifests if manifest.version >= oldest}
-        self._forget_past()
+        self._drop_old_versions()
--- a/wingwood/bundle/tests/samples.py
+++ b/wingwood/bundle/tests/samples.py
@@ -111,5 +111,9 @@
     base: int, number: int, changed: dict[SliceName, bytes], order: str = "", whole: bool = True
 ) -> EditionChange:
     return EditionChange(
-        order=OrderId(order or f"edition-{base}-{number}"), base=base, number=number, changed=changed, whole=whole
+        order=OrderId(order or f"edition-{base}-{number}"),
+        base=base,
+        number=number,
+        changed=changed,
+        replaces_all=whole,
     )
--- a/wingwood/bundle/tests/test_editions.py
+++ b/wingwood/bundle/tests/test_editions.py
@@ -14,7 +14,7 @@
 from ...control.protocols import FindEdition, SubmitEdition
 from ...identifiers import BundleVersion, ClassName, OrderId, SliceName, WallTime
 from ..editions import EDITION_SLICE
-from ..model import Bundle, Edition, EditionChange, EditionStanding, OrderOutcome, PriorityClass
+from ..model import Bundle, Edition, EditionChange, EditionStatus, OrderOutcome, PriorityClass
 from ..parse import apply_delta
 from ..signing import verify_manifest
 from ..state import BundleState
@@ -35,7 +35,7 @@
 
 
 def new_state(**changes: Any) -> BundleState:
-    return BundleState(OPERATOR_KEYS, signing_key=SIGNING_KEY, wall=lambda: WallTime(5.0), **changes)
+    return BundleState(OPERATOR_KEYS, signing_key=SIGNING_KEY, wall_clock=lambda: WallTime(5.0), **changes)
 
 
 def restarted(state: BundleState, **changes: Any) -> BundleState:
@@ -50,9 +50,9 @@
     return slices
 
 
-def standing(state: BundleState, order: str = "") -> EditionStanding:
+def standing(state: BundleState, order: str = "") -> EditionStatus:
     record, answer = state.decide(FindEdition(OrderId(order)))
-    assert record is None and isinstance(answer, EditionStanding)
+    assert record is None and isinstance(answer, EditionStatus)
     return answer
 
 
--- a/wingwood/bundle/tests/test_parse.py
+++ b/wingwood/bundle/tests/test_parse.py
@@ -121,11 +121,11 @@
                 "tenant/tenant-0",
             ),
         ]
-        for part, field, value, mend in cases:
+        for part, field, value, remedy in cases:
             name, data = slice_of(part)
             problem = problem_of({**sample_slices(), name: data})
             self.assertEqual((problem.slice, problem.field, problem.value), (name, field, value))
-            self.assertIn(mend, problem.mend)
+            self.assertIn(remedy, problem.remedy)
 
     def test_bounds_of_what_deployments_with_pools_set(self) -> None:
         chat: dict[str, Any] = {"name": ServiceName("chat"), "pool": PoolName("model")}
@@ -158,11 +158,11 @@
             (Edition(number=-1), "number", "from 0"),
             (Edition(name="mine", number=1), "name", "operator"),
         ]
-        for part, field, mend in cases:
+        for part, field, remedy in cases:
             name, data = slice_of(part)
             problem = problem_of({**sample_slices(), name: data})
             self.assertEqual((problem.code, problem.slice, problem.field), ("field", name, field))
-            self.assertIn(mend, problem.mend)
+            self.assertIn(remedy, problem.remedy)
         for fine in (
             Tenant(**tenant, paid_rate=1e10, burst=Seconds(0), unit="tokens"),
             Service(**chat, split=(shares[0], PoolShare(pool=PoolName("spare"), weight=1))),
@@ -217,7 +217,7 @@
 
     def test_slices_that_are_not_as_they_should_be_written(self) -> None:
         name = SliceName("class/gold")
-        for data, mend in (
+        for data, remedy in (
             (b'{"name": "gold", "weight": 4.0}', "sorted keys"),
             (b'{"name":"gold","name":"gold","weight":4.0}', "sorted keys"),
             (b'{"name":"iron","weight":4.0}', "must be gold"),
@@ -226,8 +226,8 @@
             (b"[" * 100_000, ""),
             (b'{"name":"gold","weight":' + b" " * 300_000 + b"1}", "keep below"),
         ):
-            self.assertIn(mend, problem_of({**sample_slices(), name: data}).mend)
-        self.assertIn("are called", problem_of({**sample_slices(), SliceName("odd/x"): b"{}"}).mend)
+            self.assertIn(remedy, problem_of({**sample_slices(), name: data}).remedy)
+        self.assertIn("are called", problem_of({**sample_slices(), SliceName("odd/x"): b"{}"}).remedy)
 
 
 class DeltaTest(unittest.TestCase):
--- a/wingwood/bundle/tests/test_positions.py
+++ b/wingwood/bundle/tests/test_positions.py
@@ -11,7 +11,7 @@
 from ...identifiers import SliceName
 from ..canonical import canonical_json
 from ..gradual import at_once
-from ..positions import with_kept_positions
+from ..positions import with_retained_positions
 
 Slices = dict[SliceName, bytes]
 
@@ -26,7 +26,7 @@
 
 
 def kept(held: Slices, names: list[str]) -> Slices:
-    return at_once(with_kept_positions(held, whole(names)))
+    return at_once(with_retained_positions(held, whole(names)))
 
 
 def in_order(slices: Slices) -> list[str]:
@@ -67,7 +67,7 @@
 
     def test_what_cannot_be_read_is_left_for_the_checks_that_follow(self) -> None:
         broken = {SliceName("route/a"): b"{", SliceName("route/b"): item(4)}
-        self.assertEqual(at_once(with_kept_positions(broken, broken))[SliceName("route/a")], b"{")
+        self.assertEqual(at_once(with_retained_positions(broken, broken))[SliceName("route/a")], b"{")
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.lists(st.sampled_from("abcdefgh"), unique=True), max_size=8))
--- a/wingwood/bundle/tests/test_reading.py
+++ b/wingwood/bundle/tests/test_reading.py
@@ -59,11 +59,11 @@
     def test_a_new_primary_that_has_not_committed_yet_does_not_say_that_there_is_no_bundle(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
         nothing = LocalBundleReader(state, lambda: BundleVersion(0))
-        self.assertTrue(nothing.read_bundle(BundleVersion(0)).sure)
+        self.assertTrue(nothing.read_bundle(BundleVersion(0)).authoritative)
         submit(state, order_between(0, {}, slices))
-        self.assertFalse(nothing.read_bundle(BundleVersion(0)).sure)
-        self.assertFalse(nothing.read_history(10).sure)
-        self.assertTrue(LocalBundleReader(state, lambda: BundleVersion(1)).read_bundle(BundleVersion(0)).sure)
+        self.assertFalse(nothing.read_bundle(BundleVersion(0)).authoritative)
+        self.assertFalse(nothing.read_history(10).authoritative)
+        self.assertTrue(LocalBundleReader(state, lambda: BundleVersion(1)).read_bundle(BundleVersion(0)).authoritative)
 
     def test_only_a_daemon_that_keeps_the_bundles_speaks_for_the_fleet(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
@@ -96,8 +96,8 @@
             async def router(context: Context) -> None:
                 link = messenger(context, "r1")
                 both = RemoteBundleReader(link, lambda: [addresses[name] for name in readers])
-                found.append((await both.bundle(BundleVersion(0))).unwrap().newest)
-                found.append((await both.history(10)).unwrap().newest)
+                found.append((await both.bundle(BundleVersion(0))).unwrap().latest)
+                found.append((await both.history(10)).unwrap().latest)
                 alone = RemoteBundleReader(link, lambda: [addresses["spare"]])
                 found.append(str((await alone.bundle(BundleVersion(0))).failure()))
 
--- a/wingwood/bundle/tests/test_route_index.py
+++ b/wingwood/bundle/tests/test_route_index.py
@@ -13,7 +13,7 @@
 from ...identifiers import ServiceName
 from ..gradual import at_once
 from ..parse import empty_bundle
-from ..problem import Broken
+from ..problem import BundleProblemError
 from ..route import Route
 from ..route_index import RouteIndex, plain_host
 
@@ -80,11 +80,11 @@
         self.assertEqual(self.index.find("c.example", "/x"), ())
 
     def test_routes_that_take_the_same_calls_are_refused(self) -> None:
-        with self.assertRaises(Broken) as refused:
+        with self.assertRaises(BundleProblemError) as refused:
             at_once(self.index.changed([], [route("other", "a.example", "/v1/chat", ("PUT", "GET"))]))
         problem = refused.exception.problem
         self.assertEqual((problem.code, problem.slice), ("double", "route/other"))
-        self.assertIn("route/bare takes GET", problem.mend)
+        self.assertIn("route/bare takes GET", problem.remedy)
 
     def test_ten_thousand_routes_do_not_slow_a_call(self) -> None:
         few = RouteIndex.of([route(f"r{number}", "a.example", f"/p{number}/") for number in range(10)])
--- a/wingwood/bundle/tests/test_state.py
+++ b/wingwood/bundle/tests/test_state.py
@@ -105,7 +105,7 @@
 
     def test_a_whole_order_drops_what_it_does_not_name(self) -> None:
         fewer = {name: data for name, data in self.slices.items() if name != "tenant/tenant-4"}
-        order = msgspec.structs.replace(order_between(1, {}, fewer, "less"), whole=True)
+        order = msgspec.structs.replace(order_between(1, {}, fewer, "less"), replaces_all=True)
         self.assertEqual(submit(self.state, order).outcome, "accepted")
         self.assertEqual(self.state.slices_at(BundleVersion(2)), fewer)
         entry = self.state.history(BundleVersion(2))[0]
@@ -150,7 +150,7 @@
         state, slices = BundleState(OPERATOR_KEYS), sample_slices(tenants=40)
         size = sum(map(len, slices.values()))
         self.assertEqual(submit(state, order_between(0, {}, slices)).outcome, "accepted")
-        with patch("wingwood.bundle.kept_bundles.HISTORY_BYTES", 5 * size):
+        with patch("wingwood.bundle.stored_bundles.MAX_HISTORY_BYTES", 5 * size):
             for version in range(1, 60):
                 after = resized(slices, version)
                 outcome = submit(state, order_between(version, slices, after, f"large-{version}"))
--- a/wingwood/bundle/tests/test_variants.py
+++ b/wingwood/bundle/tests/test_variants.py
@@ -15,23 +15,23 @@
 from ..orders import difference
 from ..parse import apply_delta, parse_bundle
 from ..problem import BundleProblem
-from ..rollouts import wanted_slices
+from ..rollouts import required_slices
 from ..route import Route
-from ..variants import Place, chosen, fits, share_mark
+from ..variants import VariantTarget, choose_variants, selects, share_bucket
 from .samples import OPERATOR_KEYS, key_digest, order_between, sample_slices, slice_of
 
 Slices = dict[SliceName, bytes]
 CHAT = SliceName("service/chat")
-A = Place(Zone("a"), DaemonName("router-1"))
-B = Place(Zone("b"), DaemonName("router-2"))
-PLACES = (None, *(Place(Zone(zone), DaemonName(f"router-{number}")) for number in range(1, 5) for zone in "ab"))
+A = VariantTarget(Zone("a"), DaemonName("router-1"))
+B = VariantTarget(Zone("b"), DaemonName("router-2"))
+PLACES = (None, *(VariantTarget(Zone(zone), DaemonName(f"router-{number}")) for number in range(1, 5) for zone in "ab"))
 
 
 def changed(name: SliceName, /, **fields: object) -> bytes:
     return canonical_json({**msgspec.json.decode(sample_slices()[name]), **fields})
 
 
-def read(slices: Slices, place: Place | None = None) -> Bundle:
+def read(slices: Slices, place: VariantTarget | None = None) -> Bundle:
     return parse_bundle(order_between(0, {}, slices).manifest, slices, place).unwrap()
 
 
@@ -58,7 +58,7 @@
 def under_way(rollout: Rollout) -> Slices:
     return {
         **sample_slices(),
-        **wanted_slices(rollout),
+        **required_slices(rollout),
         SliceName(f"rollout/{rollout.name}"): canonical_json(rollout),
     }
 
@@ -83,16 +83,16 @@
         self.assertEqual([view.classes[ClassName("gold")].weight for view in (here, there)], [9.0, 4.0])
 
     def test_shares_grow_and_a_zone_goes_before_a_share(self) -> None:
-        places = [Place(Zone("a"), DaemonName(f"router-{number}")) for number in range(1000)]
-        insides = [{place.name for place in places if fits(f"share={share}", place)} for share in (10, 25, 99)]
+        places = [VariantTarget(Zone("a"), DaemonName(f"router-{number}")) for number in range(1000)]
+        insides = [{place.name for place in places if selects(f"share={share}", place)} for share in (10, 25, 99)]
         self.assertTrue(insides[0] < insides[1] < insides[2])
-        self.assertEqual(insides[0], {place.name for place in places if share_mark(place.name) in range(10)})
+        self.assertEqual(insides[0], {place.name for place in places if share_bucket(place.name) in range(10)})
         for share, inside in zip((10, 25, 99), insides, strict=True):
             self.assertAlmostEqual(len(inside) / 1000, share / 100, delta=0.03)
         names = [SliceName(f"{CHAT}@{whom}") for whom in ("share=50", "share=99", "zone=a", "zone=b")]
-        early = next(place for place in places if share_mark(place.name) < 50)
-        self.assertEqual(chosen(names, early), {CHAT: f"{CHAT}@zone=a"})
-        self.assertEqual(chosen(names[:2], early), {CHAT: f"{CHAT}@share=50"})
+        early = next(place for place in places if share_bucket(place.name) < 50)
+        self.assertEqual(choose_variants(names, early), {CHAT: f"{CHAT}@zone=a"})
+        self.assertEqual(choose_variants(names[:2], early), {CHAT: f"{CHAT}@share=50"})
 
     def test_what_may_not_be_a_variant_is_refused_with_its_reason(self) -> None:
         tenant, cards = SliceName("tenant/tenant-1"), SliceName("service/cards")
@@ -185,7 +185,7 @@
                 for name in names
             )
             rollout = rollout_of(name=f"r{number}", changes=changes)
-            more = {SliceName(f"rollout/r{number}"): canonical_json(rollout), **wanted_slices(rollout)}
+            more = {SliceName(f"rollout/r{number}"): canonical_json(rollout), **required_slices(rollout)}
             if number == 5:
                 self.assertIn("keep to 500 slices", str(problem_of({**slices, **more})))
             slices.update(more)
--- a/wingwood/command_line/bundle.py
+++ b/wingwood/command_line/bundle.py
@@ -126,7 +126,7 @@
         check_bundle(slices)
     signed = sign_order(version, before, slices, private, order)
     if not before:
-        signed = msgspec.structs.replace(signed, whole=True)
+        signed = msgspec.structs.replace(signed, replaces_all=True)
     try:
         output.write_bytes(msgspec.json.encode(signed) + b"\n")
     except OSError as problem:
--- a/wingwood/command_line/daemons.py
+++ b/wingwood/command_line/daemons.py
@@ -10,14 +10,14 @@
 import msgspec
 from returns.result import Failure
 
-from ..settings.load import FLAG_OF, SECRETS, expectation, read_settings
+from ..settings.load import FLAG_FOR_KEY, SECRET_KEYS, expectation, read_settings
 from ..settings.model import DaemonSettings
 from .options import json_option
 from .output import Problem, print_json
 
 LISTS = ("seeds", "operator_keys")
 """Settings that are lists: their flag is given once for each entry."""
-HIDDEN = ("role", *SECRETS)
+HIDDEN = ("role", *SECRET_KEYS)
 """Not flags: the subcommand says the role, and a secret does not belong on a command line."""
 MEANINGS = {
     "name": "The daemon's name, alone in the fleet",
@@ -64,7 +64,7 @@
             "" if field.required or field.default in (None, msgspec.NODEFAULT) else f", {field.default} if left out"
         )
         command = click.option(
-            f"--{FLAG_OF[field.name]}",
+            f"--{FLAG_FOR_KEY[field.name]}",
             field.name,
             multiple=several,
             metavar="TEXT",
--- a/wingwood/command_line/tests/test_command_line.py
+++ b/wingwood/command_line/tests/test_command_line.py
@@ -323,7 +323,7 @@
 
     def test_start_status_go_on_and_roll_back(self) -> None:
         self.assertIn("accepted: version 2", self.start())
-        self.assertEqual([order.whole for _, order in self.fleet.orders], [True, False])
+        self.assertEqual([order.replaces_all for _, order in self.fleet.orders], [True, False])
         told = self.run_("rollout", "status", "patience", *self.fleet.to).output
         self.assertRegex(told, r"router-a +a +yes")
         self.assertRegex(told, r"router-b +b +no")
--- a/wingwood/control/tests/test_editions.py
+++ b/wingwood/control/tests/test_editions.py
@@ -6,7 +6,7 @@
 
 from returns.result import Failure, Result, Success
 
-from ...bundle.editions import EDITION_SLICE, number_in
+from ...bundle.editions import EDITION_SLICE, edition_number_in
 from ...bundle.model import EditionChange, OrderOutcome
 from ...bundle.reading import LocalBundleReader, NotReadable, RemoteBundleReader
 from ...bundle.state import BundleState
@@ -243,7 +243,7 @@
         answer = self._local.read_bundle(BundleVersion(0))
         if answer.view is None:
             return Failure(NotReadable("none"))
-        return Success(NewestEdition(number_in(answer.view.slices[EDITION_SLICE]), answer.view))
+        return Success(NewestEdition(edition_number_in(answer.view.slices[EDITION_SLICE]), answer.view))
 
 
 class BrokenVariantTests(unittest.TestCase):
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -215,10 +215,10 @@
     # -- BundleReader: own state where it is kept, else the primary's
 
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-        return await (self.local_reader if self.local_reader.is_sure() else self.remote_reader).bundle(version)
+        return await (self.local_reader if self.local_reader.is_authoritative() else self.remote_reader).bundle(version)
 
-    async def history(self, most: int) -> Result[HistoryAnswer, NotReadable]:
-        return await (self.local_reader if self.local_reader.is_sure() else self.remote_reader).history(most)
+    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+        return await (self.local_reader if self.local_reader.is_authoritative() else self.remote_reader).history(limit)
 
     def _keeps_bundles(self) -> bool:
         """The primary, or a backup that has heard what is durable."""
--- a/wingwood/daemons/tests/test_relay.py
+++ b/wingwood/daemons/tests/test_relay.py
@@ -71,7 +71,7 @@
 
         async def read() -> int:
             outcome = await self.parts(name).history(1)
-            return outcome.unwrap().newest if isinstance(outcome, Success) else -1
+            return outcome.unwrap().latest if isinstance(outcome, Success) else -1
 
         return self.inside(name, read)
 
--- a/wingwood/distribution/follower.py
+++ b/wingwood/distribution/follower.py
@@ -10,7 +10,7 @@
 
 from ..bundle.model import Bundle, BundleDelta
 from ..bundle.parse import apply_delta_gradually
-from ..bundle.variants import Place
+from ..bundle.variants import VariantTarget
 from ..context.protocols import Context, Task
 from ..identifiers import Address, BundleVersion, Epoch, Instant, Seconds
 from ..membership.client import MembershipClient
@@ -54,7 +54,7 @@
         self._messenger = messenger
         self._membership = membership
         self._operator_keys = frozenset(operator_keys)
-        self._place = Place(messenger.identity.zone, messenger.identity.name)
+        self._place = VariantTarget(messenger.identity.zone, messenger.identity.name)
         self._bound = removed_key_bound
         self._limits = limits or DistributionLimits()
         self._bundle: Bundle | None = None
--- a/wingwood/operator_api/editions.py
+++ b/wingwood/operator_api/editions.py
@@ -11,7 +11,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from ..bundle.model import EditionChange, EditionStanding, OrderOutcome
+from ..bundle.model import EditionChange, EditionStatus, OrderOutcome
 from ..bundle.reading import BundleReader, BundleView, NotReadable
 from ..context.protocols import Clock
 from ..control.protocols import FindEdition, NotDecided, SubmitEdition
@@ -56,9 +56,9 @@
         """The outcome is certain. A failure of kind ``unknown``: the order may have been taken, send it again."""
         return await self._control.decide("bundle", SubmitEdition(change), OrderOutcome, self._within)
 
-    async def standing(self, order: OrderId = NO_ORDER) -> Result[EditionStanding, NotDecided]:
+    async def standing(self, order: OrderId = NO_ORDER) -> Result[EditionStatus, NotDecided]:
         """As the primary knows it, proven after this call began; with the outcome of ``order`` if it was accepted."""
-        return await self._control.decide("bundle", FindEdition(order), EditionStanding, self._within)
+        return await self._control.decide("bundle", FindEdition(order), EditionStatus, self._within)
 
     async def newest(self) -> Result[NewestEdition | None, NotReadable]:
         """Never older than what was acknowledged before the call; None: there is proof that nothing was yet."""
@@ -82,7 +82,7 @@
                     case Success(answer) if answer.view is not None:
                         return Success(answer.view)
                     case Success(answer):
-                        reason = f"version {version} is not kept there, {answer.newest} is"
+                        reason = f"version {version} is not kept there, {answer.latest} is"
                     case Failure(fault):
                         reason = fault.reason
             if self._clock.monotonic() + PAUSE >= deadline:
--- a/wingwood/operator_api/reading.py
+++ b/wingwood/operator_api/reading.py
@@ -119,13 +119,13 @@
         match await self._reader.bundle(version):
             case Success(answer):
                 if answer.view is not None:
-                    return _shown(answer.view, newest=answer.view.manifest.version == answer.newest)
-                if answer.newest == 0:
+                    return _shown(answer.view, newest=answer.view.manifest.version == answer.latest)
+                if answer.latest == 0:
                     return error_reply(404, "no-bundle", "there is no bundle yet; push one")
                 return error_reply(
                     404,
                     "not-kept",
-                    f"version {version} is not kept; the newest is {answer.newest}, see history_versions",
+                    f"version {version} is not kept; the newest is {answer.latest}, see history_versions",
                 )
             case Failure(NotReadable(reason)):
                 return _unreachable(reason) if version or must else None
--- a/wingwood/operator_api/tests/test_routes.py
+++ b/wingwood/operator_api/tests/test_routes.py
@@ -89,7 +89,7 @@
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
         return Failure(NotReadable("cut off"))
 
-    async def history(self, most: int) -> Result[HistoryAnswer, NotReadable]:
+    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
         return Failure(NotReadable("cut off"))
 
 
--- a/wingwood/rollout/plan.py
+++ b/wingwood/rollout/plan.py
@@ -15,8 +15,8 @@
 
 from ..bundle.canonical import canonical_json
 from ..bundle.model import Rollout, RolloutChange
-from ..bundle.rollouts import ALL, wanted_slices
-from ..bundle.variants import KINDS, is_whom
+from ..bundle.rollouts import ALL_ROUTERS_STAGE, required_slices
+from ..bundle.variants import VARIANT_KINDS, is_selector
 from ..identifiers import Seconds, SliceName
 
 Slices = dict[SliceName, bytes]
@@ -52,12 +52,12 @@
         percent = _PERCENT.fullmatch(part)
         stage = f"share={int(percent[1])}" if percent else part
         if stage == "share=100":
-            stage = ALL
-        if stage != ALL and not is_whom(stage):
+            stage = ALL_ROUTERS_STAGE
+        if stage != ALL_ROUTERS_STAGE and not is_selector(stage):
             wrong = f"stage {part!r}: write zone=NAME, a percentage of the routers from 1% to 99%, or all"
             return Failure(NotPlanned("invalid", wrong))
         stages.append(stage)
-    return Success(tuple(stages if stages[-1] == ALL else [*stages, ALL]))
+    return Success(tuple(stages if stages[-1] == ALL_ROUTERS_STAGE else [*stages, ALL_ROUTERS_STAGE]))
 
 
 def begin(
@@ -93,7 +93,7 @@
                     f"{each} is {done}: a roll-out changes slices that are there. Add a service by an ordinary order "
                     "first (it harms nobody while no route leads to it), and take one out when none does any more"
                 )
-            if "@" in each or each.partition("/")[0] not in KINDS:
+            if "@" in each or each.partition("/")[0] not in VARIANT_KINDS:
                 return _invalid(f"{each}: only services, routes and classes are rolled out in stages")
             if each in holders:
                 return _conflict(f"{each} is in rollout/{holders[each].name}; finish that or roll it back first")
@@ -170,11 +170,11 @@
     """The slices with the roll-out's own part of them moved from one state to the other."""
     result = dict(slices)
     if before is not None and before.state == "running":
-        for name in wanted_slices(before):
+        for name in required_slices(before):
             if "@" in name:
                 result.pop(name, None)
     if after.state == "running":
-        result.update(wanted_slices(after))
+        result.update(required_slices(after))
     elif after.state == "rolled-back":
         result.update({change.slice: canonical_json(change.before) for change in after.changes})
     result[rollout_slice(after.name)] = canonical_json(after)
@@ -186,7 +186,7 @@
     kept = {name: data for name, data in held.items() if name.startswith("rollout/")}
     for rollout in read_rollouts(held).values():
         if rollout.state == "running":
-            kept.update({name: data for name, data in wanted_slices(rollout).items() if "@" in name})
+            kept.update({name: data for name, data in required_slices(rollout).items() if "@" in name})
     return {**wanted, **kept}
 
 
--- a/wingwood/rollout/tests/test_rollout_on_fleet.py
+++ b/wingwood/rollout/tests/test_rollout_on_fleet.py
@@ -17,7 +17,7 @@
 
 from ...bundle.canonical import canonical_json
 from ...bundle.model import OrderOutcome, Rollout
-from ...bundle.variants import share_mark
+from ...bundle.variants import share_bucket
 from ...identifiers import Address, BundleVersion, DaemonName, Seconds, SliceName
 from ...operator_api.reading import HealthReport
 from ...transport.frames import Identity
@@ -178,7 +178,7 @@
 class RolloutOnFleetTest(FleetCase):
     def test_through_all_stages_while_routers_zones_and_operators_are_lost(self) -> None:
         routers = set(self.fleet.names("router"))
-        half = {name for name in routers if share_mark(DaemonName(name)) < 50}
+        half = {name for name in routers if share_bucket(DaemonName(name)) < 50}
         self.assertTrue(half - self.in_zone() and routers - half - self.in_zone())
         self.start(self.change(first_byte_patience=3.5), f"zone={self.zone}", "share=50", "all")
         self.run_by("operator-1")
--- a/wingwood/rollout/watch.py
+++ b/wingwood/rollout/watch.py
@@ -9,8 +9,8 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from ..bundle.model import Rollout
-from ..bundle.rollouts import ALL
-from ..bundle.variants import Place, fits
+from ..bundle.rollouts import ALL_ROUTERS_STAGE
+from ..bundle.variants import VariantTarget, selects
 from ..identifiers import BundleVersion, DaemonName, Incarnation, Seconds
 from ..transport.frames import Identity
 
@@ -116,8 +116,8 @@
 
 
 def in_stage(rollout: Rollout, stage: int, member: Identity) -> bool:
-    place = Place(member.zone, member.name)
-    return any(whom == ALL or fits(whom, place) for whom in rollout.stages[: stage + 1])
+    place = VariantTarget(member.zone, member.name)
+    return any(whom == ALL_ROUTERS_STAGE or selects(whom, place) for whom in rollout.stages[: stage + 1])
 
 
 def changed_services(rollout: Rollout) -> frozenset[str] | None:
@@ -176,7 +176,7 @@
         unknown = [f"{total - len(stage)} that control no longer lists"] if total > len(stage) else []
         names = ", ".join([*away[:5], *unknown])
         told = f"{len(away) + total - len(stage)} of {total} routers of the stage are away or not ready: {names}"
-        if not rest and rollout.stages[rollout.stage] != ALL:
+        if not rest and rollout.stages[rollout.stage] != ALL_ROUTERS_STAGE:
             return Verdict(do="begin-anew", reason=f"{told}; no others are to be seen either")
         if len(rest_away) > MOST_AWAY * len(rest):
             return Verdict(do="begin-anew", reason=f"{told}; so are {len(rest_away)} of the {len(rest)} others")
--- a/wingwood/settings/load.py
+++ b/wingwood/settings/load.py
@@ -15,10 +15,10 @@
 from ..identifiers import Address, parse_address
 from .model import DaemonSettings
 
-FLEET_KEY_BYTES = 16
+MIN_FLEET_KEY_BYTES = 16
 """Shortest shared secret that is taken."""
-KEY_FILE = "fleet_key_file"
-SECRETS = ("fleet_key", "signing_key")
+FLEET_KEY_FILE = "fleet_key_file"
+SECRET_KEYS = ("fleet_key", "signing_key")
 """Never shown, and not taken from a command line."""
 
 
@@ -40,7 +40,7 @@
     """A value that is not as expected; the message says what is."""
 
 
-def _whole(low: int, high: int) -> Callable[[Any], int]:
+def _whole_number(low: int, high: int) -> Callable[[Any], int]:
     def check(value: Any) -> int:
         if type(value) is not int or not low <= value <= high:
             raise _Expected(f"expected a whole number from {low} to {high}")
@@ -105,7 +105,9 @@
 
 def _fleet_key(value: Any) -> bytes:
     if not isinstance(value, str) or not re.fullmatch(r"([0-9a-fA-F]{2}){16,64}", value):
-        raise _Expected(f"expected {FLEET_KEY_BYTES} to 64 bytes as hex digits; `wingwood key new --fleet` makes them")
+        raise _Expected(
+            f"expected {MIN_FLEET_KEY_BYTES} to 64 bytes as hex digits; `wingwood key new --fleet` makes them"
+        )
     if len(set(value)) == 1:
         raise _Expected("expected a secret, not one digit over and over; `wingwood key new --fleet` makes one")
     return bytes.fromhex(value)
@@ -119,7 +121,7 @@
     return bytes.fromhex(value)
 
 
-def _yes_or_no(value: Any) -> bool:
+def _boolean(value: Any) -> bool:
     if not isinstance(value, bool):
         raise _Expected("expected true or false")
     return value
@@ -155,7 +157,7 @@
     "worker_check": _one_of(*_literals["worker_check"]),
     "worker_unrenewed_after": _seconds(1.0, 600.0),
     "record_file": _PATH,
-    "log_calls": _yes_or_no,
+    "log_calls": _boolean,
     "quota_window": _seconds(1.0, 3600.0),
     "quota_over": _number(0.0, 1.0),
     "quota_slack": _number(0.0, 1e12),
@@ -163,20 +165,20 @@
     "retry_ratio": _number(0.0, 1.0),
     "retry_slack": _number(0.0, 1e6),
     "call_bounds": _one_of(*_literals["call_bounds"]),
-    "keep_connections": _yes_or_no,
+    "keep_connections": _boolean,
     "drain_notice": _seconds(0.0, 600.0),
     "stop_within": _seconds(0.0, 600.0),
     "ledger_retention": _seconds(60.0, 7 * 86400.0),
-    "outcome_retention": _whole(1_000, 10_000_000),
-    "history_versions": _whole(10, 100_000),
-    "body_bytes": _whole(1024, 64 * 1024 * 1024),
-    "losses_borne": _whole(1, 2),
-    "begin_empty_when_damaged": _yes_or_no,
-    "bundle_bytes": _whole(64 * 1024, 64 * 1024 * 1024),
+    "outcome_retention": _whole_number(1_000, 10_000_000),
+    "history_versions": _whole_number(10, 100_000),
+    "body_bytes": _whole_number(1024, 64 * 1024 * 1024),
+    "losses_borne": _whole_number(1, 2),
+    "begin_empty_when_damaged": _boolean,
+    "bundle_bytes": _whole_number(64 * 1024, 64 * 1024 * 1024),
 }
 """One check per key of ``DaemonSettings``; a test holds the two together."""
 
-FLAG_OF: Mapping[str, str] = {name: name.replace("_", "-") for name in CHECKS} | {
+FLAG_FOR_KEY: Mapping[str, str] = {name: name.replace("_", "-") for name in CHECKS} | {
     "seeds": "seed",
     "operator_keys": "operator-key",
 }
@@ -200,21 +202,21 @@
                 document = read
             case Failure(problem):
                 return Failure(problem)
-    replaced = [each for each in ("fleet_key", KEY_FILE) if each in flags]
-    given = {key: value for key, value in document.items() if not (replaced and key in ("fleet_key", KEY_FILE))}
+    replaced = [each for each in ("fleet_key", FLEET_KEY_FILE) if each in flags]
+    given = {key: value for key, value in document.items() if not (replaced and key in ("fleet_key", FLEET_KEY_FILE))}
     given.update(flags)
     name = str(file) if file is not None else "flags"
-    if KEY_FILE in given:
+    if FLEET_KEY_FILE in given:
         if "fleet_key" in given:
             return Failure(
-                SettingsProblem(file=name, key=KEY_FILE, expected="give fleet_key or fleet_key_file, not both")
+                SettingsProblem(file=name, key=FLEET_KEY_FILE, expected="give fleet_key or fleet_key_file, not both")
             )
-        path = given.pop(KEY_FILE)
+        path = given.pop(FLEET_KEY_FILE)
         try:
             given["fleet_key"] = Path(str(path)).read_text().strip()
         except (OSError, ValueError) as problem:
-            mend = f"cannot be read ({problem}); `wingwood key new --fleet {path}` makes it"
-            return Failure(SettingsProblem(file=name, key=KEY_FILE, value=repr(path), expected=mend))
+            expected = f"cannot be read ({problem}); `wingwood key new --fleet {path}` makes it"
+            return Failure(SettingsProblem(file=name, key=FLEET_KEY_FILE, value=repr(path), expected=expected))
     return check_settings(given, name, flags)
 
 
@@ -236,13 +238,13 @@
     except voluptuous.MultipleInvalid as several:
         first = min(several.errors, key=lambda error: (str(error.path[0]) not in document, str(error.path)))
         key = str(first.path[0]) if first.path else ""
-        where = f"flag --{FLAG_OF.get(key, key)}" if key in (flags or {}) else file
+        where = f"flag --{FLAG_FOR_KEY.get(key, key)}" if key in (flags or {}) else file
         if key not in CHECKS:
-            near = f"unknown key; the keys are {', '.join([*CHECKS, KEY_FILE])}"
+            near = f"unknown key; the keys are {', '.join([*CHECKS, FLEET_KEY_FILE])}"
             return Failure(SettingsProblem(file=where, key=key, expected=near))
         if key not in document:
             return Failure(SettingsProblem(file=file, key=key, expected=f"missing; {expectation(key)}"))
-        shown = "(hidden)" if key in SECRETS else repr(document[key])[:80]
+        shown = "(hidden)" if key in SECRET_KEYS else repr(document[key])[:80]
         return Failure(SettingsProblem(file=where, key=key, value=shown, expected=first.msg))
     return _check_together(DaemonSettings(**checked), file)
 
--- a/wingwood/tests/outer_names.py
+++ b/wingwood/tests/outer_names.py
@@ -130,7 +130,7 @@
     "bundle Order": "wingwood.bundle.model:Order",
     "bundle EditionChange": "wingwood.bundle.model:EditionChange",
     "bundle OrderOutcome": "wingwood.bundle.model:OrderOutcome",
-    "bundle EditionStanding": "wingwood.bundle.model:EditionStanding",
+    "bundle EditionStanding": "wingwood.bundle.model:EditionStatus",
     "bundle BundleDelta": "wingwood.bundle.model:BundleDelta",
     "bundle Route": "wingwood.bundle.route:Route",
     "bundle positioned slice": "wingwood.bundle.positions:_Positioned",
