--- a/wingwood/bundle/canonical.py
+++ b/wingwood/bundle/canonical.py
@@ -1,4 +1,4 @@
-"""Canonical slices, their digests and the root (docs/DESIGN.md section 5)."""
+"""Canonical form of slices, their digests and the root digest of a bundle (docs/DESIGN.md section 5)."""
 
 from __future__ import annotations
 
@@ -17,18 +17,20 @@
 SLICE_NAME = re.compile(
     rf"(service|route|class|tenant|rollout|pool|limits|edition)/({NAME_PATTERN})(?:@([a-z]+=[a-z0-9._-]{{1,64}}))?"
 )
-"""Kind, bare name, and for a variant (section 19) whom it is for."""
+"""Groups: the kind, the name without its kind, and for a variant (section 19) the routers it applies to."""
 NAMES_PER_STEP = 2_000
+"""Slice names hashed into the root digest before other tasks may run."""
 EMPTY_ROOT = Digest(hashlib.sha256(b"").hexdigest())
+"""Root digest of a bundle without slices."""
 
 
 def canonical_json(value: msgspec.Struct | Mapping[str, object]) -> bytes:
-    """JSON with sorted keys and no white space; the same value gives the same bytes everywhere."""
+    """Encodes a value as JSON with sorted keys and no white space; equal values give equal bytes on every machine."""
     return _encoder.encode(value)
 
 
 def is_canonical(data: bytes) -> bool:
-    """Whether the bytes are JSON exactly as ``canonical_json`` would write it (doubled keys are not)."""
+    """Returns whether the bytes are JSON exactly as ``canonical_json`` writes it. JSON with a repeated key is not."""
     try:
         return _encoder.encode(msgspec.json.decode(data)) == data
     except (msgspec.MsgspecError, RecursionError):
@@ -36,17 +38,20 @@
 
 
 def slice_digest(data: bytes) -> Digest:
-    """Hex SHA-256 of a slice's bytes."""
+    """Returns the SHA-256 of a slice's bytes in hex digits."""
     return Digest(hashlib.sha256(data).hexdigest())
 
 
 def root_digest(digests: Mapping[SliceName, Digest]) -> Digest:
-    """Hex SHA-256 over the lines ``NAME DIGEST``, sorted by name. Names hold neither spaces nor line ends."""
+    """Returns the SHA-256, in hex digits, of the lines ``NAME DIGEST`` sorted by name.
+
+    The lines are unambiguous, since slice names contain neither spaces nor line ends.
+    """
     return at_once(root_digest_steps(digests))
 
 
 def root_digest_steps(digests: Mapping[SliceName, Digest]) -> Steps[Digest]:
-    """As ``root_digest``."""
+    """Does the work of ``root_digest`` in steps of ``NAMES_PER_STEP`` names."""
     root = hashlib.sha256()
     names = sorted(digests)
     for start in range(0, len(names), NAMES_PER_STEP):
--- a/wingwood/bundle/draft.py
+++ b/wingwood/bundle/draft.py
@@ -1,6 +1,6 @@
-"""A bundle in the making: what changed is put in, then what it can have broken is checked (docs/DESIGN.md section 5.2).
+"""A draft of the next bundle: changes are applied to it, then everything they can have broken is checked.
 
-All checks raise the package's private problem.
+See docs/DESIGN.md section 5.2. All checks raise ``BundleProblemError``.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from .route_index import RouteIndex
 
 SLICES_PER_STEP = 1_000
-"""What is looked at without a pause."""
+"""Slices that are processed before other tasks may run."""
 MAX_INSERTED_ROUTES = 100
-"""Up to so many changed routes are put in their places one by one; more are sorted and merged."""
+"""Up to this many changed routes are inserted one by one into the sorted list; more are sorted and merged with it."""
 
 
 class Draft:
-    """Copies of the held bundle's tables, to be changed."""
+    """Copies of the tables of the held bundle, to which a change is applied."""
 
     def __init__(self, held: Bundle) -> None:
         self._held = held
@@ -39,16 +39,17 @@
         self.caller_limits: CallerLimits | None = held.caller_limits
         self.edition: Edition | None = held.edition
         self._replaced_routes: list[Route] = []
-        """Taken out or replaced."""
+        """Routes of the held bundle that were removed or replaced."""
         self._new_routes: list[Route] = []
         self._new_services: list[Service] = []
         self._new_tenants: list[Tenant] = []
         self._removed_kinds: set[str] = set()
-        """Kinds of which something that others name is gone."""
+        """Kinds of the removed slices; slices that refer to one of these kinds must be checked again."""
         self._pools_newly_declared = not held.pools
-        """Services never had to name declared pools."""
+        """The held bundle declares no pools, so its services were never checked against them."""
 
     def remove(self, name: SliceName) -> None:
+        """Removes a slice of the held bundle."""
         kind, _, bare = name.partition("/")
         if "@" in bare:
             del self.variants[name]
@@ -73,6 +74,7 @@
                 self._remove_keys(self.tenants.pop(TenantName(bare)))
 
     def put(self, name: SliceName, content: ParsedSlice) -> None:
+        """Adds a slice or replaces it."""
         match content:
             case Service() | Route() | PriorityClass() if "@" in name:
                 self.variants[name] = content
@@ -108,7 +110,7 @@
     # checks
 
     def check_keys(self) -> Steps[None]:
-        """Gives the changed tenants their keys; a key belongs to one tenant."""
+        """Enters the keys of the changed tenants; raises when a key belongs to two tenants."""
         for number, tenant in enumerate(self._new_tenants, 1):
             for digest in tenant.keys:
                 other = self.keys.setdefault(digest, tenant.name)
@@ -126,7 +128,11 @@
                 yield
 
     def check_references(self) -> Steps[None]:
-        """All where something named may be gone, else those of changed slices."""
+        """Checks that every slice referred to exists.
+
+        When a slice that others may refer to was removed, the references of all slices are checked, else only those
+        of the changed slices.
+        """
         target_removed = bool(self._removed_kinds & {"service", "class"})
         for number, route in enumerate(self.routes.values() if target_removed else self._new_routes, 1):
             if route.service not in self.services:
@@ -155,13 +161,13 @@
     # routes
 
     def route_index(self) -> Steps[RouteIndex]:
-        """Of all routes; two that take the same calls are refused."""
+        """Returns the index of all routes; raises when two of them accept the same calls."""
         if not self._replaced_routes and not self._new_routes:
             return self._held.route_index
         return (yield from self._held.route_index.changed(self._replaced_routes, self._new_routes))
 
     def ordered_routes(self) -> Steps[tuple[Route, ...]]:
-        """All routes, longest path prefix first."""
+        """Returns all routes, sorted by length of the path prefix, the longest first."""
         if not self._replaced_routes and not self._new_routes:
             return self._held.routes
         replaced = {route.name for route in self._replaced_routes}
@@ -175,7 +181,7 @@
 
 
 def check_pools(where: SliceName, service: Service, pools: Mapping[PoolName, Pool]) -> None:
-    """In a bundle that declares pools, whatever a service names is one of them."""
+    """Raises when a service refers to a pool that is not declared; for bundles that declare pools."""
     if service.pool not in pools:
         raise _missing_reference(where, "pool", service.pool, "pool", pools)
     for share in service.split:
@@ -184,7 +190,7 @@
 
 
 def _merge_routes(remaining: list[Route], added: list[Route]) -> Steps[list[Route]]:
-    """Both in order; ``remaining`` is in order already."""
+    """Merges ``added`` into ``remaining``, which is sorted already, and returns the sorted list."""
     runs: list[list[Route]] = [remaining]
     for start in range(0, len(added), SLICES_PER_STEP):
         runs.append(sorted(added[start : start + SLICES_PER_STEP], key=_route_sort_key))
--- a/wingwood/bundle/edition_decisions.py
+++ b/wingwood/bundle/edition_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions on orders by the operator's own numbers, which control signs itself (docs/DESIGN.md section 5.4)."""
+"""Decides orders with the operator's own edition numbers, which control daemons sign (docs/DESIGN.md section 5.4)."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from .stored_bundles import StateOptions, StoredBundles
 
 MAX_PREPARED_EDITIONS = 4
-"""Each may hold all slices of a bundle."""
+"""Largest number of prepared editions; each of them may hold all slices of a bundle."""
 
 
 class PreparedEdition(msgspec.Struct, frozen=True):
-    """An edition that was checked, and signed if it is valid, before its turn to be decided."""
+    """An edition that was checked, and signed if it is valid, before it is decided."""
 
     held: Bundle
-    """On which it builds."""
+    """The bundle to which the change was applied."""
     checked: Checked
 
 
 class EditionDecisions(StoredBundles):
-    """Only what is accepted is recorded: a refusal says how things stand, and the same order may come again."""
+    """Records only accepted orders. A refusal reports the present state, and the same order may be sent again later."""
 
     _prepared: dict[bytes, PreparedEdition]
-    """By fingerprint; the oldest first."""
+    """Prepared editions by fingerprint, the oldest first."""
 
     def __init__(self, options: StateOptions) -> None:
         super().__init__(options)
         self._signing_key = options.signing_key
         self._wall_clock = options.wall_clock
         self._preparing = asyncio.Lock()
-        """One order at a time, so that those that come together cost no more memory and time than one."""
+        """Held while an order is prepared, so that several orders at once need no more memory and time than one."""
 
     def apply(self, record: bytes) -> None:
         before = self._version
@@ -61,7 +61,7 @@
             outcome=known.as_outcome() if known is not None and accepted else None,
         )
 
-    # deciding
+    # decisions
 
     def _decide_edition(self, change: EditionChange) -> tuple[bytes | None, OrderOutcome]:
         order_fingerprint = edition_fingerprint(change)
@@ -86,7 +86,7 @@
     def _decide_checked(
         self, held: Bundle, bundle: Bundle, change: EditionChange, order_fingerprint: bytes
     ) -> tuple[bytes | None, OrderOutcome]:
-        """Of an order whose bundle is valid and signed."""
+        """Decides an order whose resulting bundle is valid and signed."""
         refusal = self._bundle_size_refusal(bundle)
         if refusal is not None:
             return None, self._edition_refusal(change, "invalid", refusal)
@@ -94,7 +94,7 @@
         return self._record_acceptance(held, bundle, order_fingerprint), outcome
 
     def _checked(self, held: Bundle, change: EditionChange, order_fingerprint: bytes) -> Checked:
-        """As it was prepared, if it was for this very bundle."""
+        """Returns the prepared result if it was made for this bundle, else checks and signs the change now."""
         prepared = self._prepared.get(order_fingerprint)
         if prepared is not None and prepared.held is held:
             return prepared.checked
@@ -125,12 +125,12 @@
             edition=self._edition_number(),
         )
 
-    # preparing
+    # preparation
 
     async def prepare(self, command: msgspec.Struct) -> None:
-        """Checks and signs a large order beforehand, step by step, so that ``decide`` holds up nothing for long.
+        """Checks and signs an edition in advance, in steps, so that ``decide`` does not block other tasks for long.
 
-        What was prepared counts only for the version that was newest meanwhile.
+        The result is used only if no other version was applied since.
         """
         if not isinstance(command, SubmitEdition):
             return
@@ -156,7 +156,7 @@
             self._prepared[order_fingerprint] = PreparedEdition(held, checked)
 
     async def _parsed_gradually(self) -> Bundle | None:
-        """As ``_parsed_bundle``; None when another version came meanwhile."""
+        """Does the work of ``_parsed_bundle`` in steps; returns None when another version was applied meanwhile."""
         if self._parsed is None and self._version > 0:
             manifest = self._manifests[self._version]
             steps = parse_steps(manifest, self._slices.latest())
--- a/wingwood/bundle/editions.py
+++ b/wingwood/bundle/editions.py
@@ -1,4 +1,4 @@
-"""Orders on the operator's own numbers, as control turns them into signed bundles (docs/DESIGN.md section 5.8)."""
+"""Turns orders with the operator's own edition numbers into signed bundles (docs/DESIGN.md section 5.8)."""
 
 from __future__ import annotations
 
@@ -20,27 +20,28 @@
 from .signing import sign_manifest
 
 EDITION_SLICE: Final = SliceName("edition/operator")
+"""The slice that holds the operator's edition number."""
 _FINGERPRINT_PREFIX: Final = b"wingwood edition order 1\n"
 
 
 def edition_fingerprint(change: EditionChange) -> bytes:
-    """Sixteen bytes that tell one order on operators' numbers from any other, and from all signed ones.
+    """Returns sixteen bytes that distinguish an edition order from any other, and from all signed orders.
 
-    The slices do not count: whoever translates an order may read them from later content when it comes again.
+    The slices are left out: when an order is resent, the translator may derive them from later content.
     """
     order_identity = msgspec.msgpack.encode((change.order, change.base, change.number))
     return hashlib.sha256(_FINGERPRINT_PREFIX + order_identity).digest()[:16]
 
 
 def edition_number_in(data: bytes | None) -> int:
-    """The operator's number in the slice of an edition; 0 without one."""
+    """Returns the operator's number in the content of an edition slice; 0 when there is no slice."""
     return 0 if data is None else msgspec.json.decode(data, type=Edition).number
 
 
 def signed_steps(
     held: Bundle, change: EditionChange, key: Ed25519PrivateKey, signed_at: Callable[[], WallTime]
 ) -> Steps[Checked]:
-    """The bundle that follows ``held``, in steps: changed, checked and signed."""
+    """Returns, in steps, the bundle that results from applying ``change`` to ``held``, checked and signed."""
     edition = _edition_slice(held, change)
     if isinstance(edition, BundleProblem):
         return Failure(edition)
@@ -60,13 +61,18 @@
 def removed_by(
     held: Mapping[SliceName, bytes], changed: Mapping[SliceName, bytes], change: EditionChange
 ) -> Collection[SliceName]:
+    """Returns the names of the slices that the change removes; those in ``changed`` are never among them."""
     if change.replaces_all:
         return [name for name in held if name not in changed]
     return [name for name in change.removed if name not in changed]
 
 
 def _edition_slice(held: Bundle, change: EditionChange) -> bytes | BundleProblem:
-    """With the new number; the annotations are the change's, else they stay (and go with all else in a whole one)."""
+    """Returns the edition slice with the new number, or the problem with the one in the change.
+
+    The annotations are those of the change, if it has any. Otherwise those of the held edition stay, unless the change
+    replaces all slices.
+    """
     given = change.changed.get(EDITION_SLICE)
     if given is None:
         annotations = {} if change.replaces_all or held.edition is None else held.edition.annotations
--- a/wingwood/bundle/field_checks.py
+++ b/wingwood/bundle/field_checks.py
@@ -1,4 +1,4 @@
-"""Each slice's own fields (docs/DESIGN.md section 5.2). Bounds may only be relaxed, see section 5.4."""
+"""Checks the fields of each slice (docs/DESIGN.md section 5.2). Limits may only be relaxed, see section 5.4."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 MAX_SPLIT_WEIGHT = 1_000_000_000
 MAX_ATTEMPTS = 100
 LEAST_URGENT = 9
-"""0 goes first."""
+"""Largest urgency number; urgency 0 is served first."""
 MAX_DEADLINE_SECONDS = 3600.0
 MAX_SILENCE_SECONDS = 600.0
 MAX_IDLE_SECONDS = 86_400.0
@@ -31,11 +31,11 @@
 
 _PATH_REMEDY = "starts with /, without spaces, ? and #, up to 256 letters"
 _SINGLE_SLICE_NAMES: dict[type[ParsedSlice], str] = {CallerLimits: "callers", Edition: "operator"}
-"""There is one slice of these kinds, of this name."""
+"""Kinds with a single slice, and the name of that slice."""
 
 
 class _InvalidField(Exception):
-    """The first field that is not as it must be."""
+    """Raised for the first field with an invalid value."""
 
     def __init__(self, field: str, value: object, remedy: str) -> None:
         super().__init__(field)
@@ -43,7 +43,7 @@
 
 
 def check_fields(where: str, content: ParsedSlice) -> BundleProblem | None:
-    """None when all fields are within their bounds; ``where`` is the slice's name."""
+    """Returns None when all fields are within their limits, else the first problem; ``where`` is the slice's name."""
     try:
         _check_slice(content)
     except _InvalidField as invalid:
@@ -72,7 +72,7 @@
         case Tenant():
             _check_tenant(content)
         case Rollout():
-            pass  # Checked where roll-outs are read.
+            pass  # Checked by ``check_rollout`` when the slice is parsed.
     only = _SINGLE_SLICE_NAMES.get(type(content))
     _require(
         only is None or content.name == only, "name", content.name, f"must be {only}; there is one slice of this kind"
--- a/wingwood/bundle/gradual.py
+++ b/wingwood/bundle/gradual.py
@@ -1,4 +1,4 @@
-"""Long work in steps of about a millisecond, so that other tasks run in between (docs/DESIGN.md section 5.2)."""
+"""Runs long work in steps of about a millisecond, so that other tasks run in between (docs/DESIGN.md section 5.2)."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 Value = TypeVar("Value")
 
 Steps = Generator[None, None, Value]
-"""Work that yields after each step and returns its result."""
+"""A generator that does a long piece of work: it yields after each step and returns the result."""
 
 
 def at_once(steps: Steps[Value]) -> Value:
-    """All steps without a pause."""
+    """Runs all steps without a pause and returns the result."""
     while True:
         try:
             next(steps)
@@ -23,7 +23,7 @@
 
 
 async def gradually(steps: Steps[Value]) -> Value:
-    """Other tasks run after each step. What the steps raise is raised here."""
+    """Runs the steps and lets other tasks run after each of them; an exception of a step is raised to the caller."""
     while True:
         try:
             next(steps)
@@ -34,7 +34,7 @@
 
 
 async def gradually_while(wanted: Callable[[], bool], steps: Steps[Value]) -> Value | None:
-    """As ``gradually``; None once the result is not wanted any more."""
+    """Runs the steps as ``gradually`` does; stops and returns None as soon as ``wanted()`` is false."""
     while wanted():
         try:
             next(steps)
--- a/wingwood/bundle/model.py
+++ b/wingwood/bundle/model.py
@@ -1,8 +1,8 @@
-"""What operators sign and routers put in force (docs/DESIGN.md section 5).
+"""The configuration that operators sign and routers apply (docs/DESIGN.md section 5).
 
-A bundle is a signed manifest over content-addressed slices. A slice is one route, service, tenant
-(with its keys' digests) or priority class, as canonical JSON. The manifest's root digest covers
-the sorted pairs of slice name and slice digest, so the signature covers everything while a change
+A bundle is a signed manifest over content-addressed slices. A slice is one route, service, tenant (with the digests
+of its keys), priority class, pool, roll-out, edition or the limits for callers, as canonical JSON. The manifest's root
+digest covers the sorted pairs of slice name and slice digest, so the signature covers all slices although a change
 carries only the slices that differ.
 """
 
@@ -31,14 +31,14 @@
 
 
 class PoolShare(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One pool of a split service and its part of the calls."""
+    """One pool of a split service and its share of the calls, in proportion to the weights of all its pools."""
 
     pool: PoolName
     weight: int
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Slice ``service/NAME``: how calls of one kind are treated."""
+    """Slice ``service/NAME``: the rules by which calls of one kind are handled."""
 
     name: ServiceName
     pool: PoolName
@@ -46,50 +46,50 @@
     repeatable: bool = True
     streaming: bool = True
     deadline: Seconds = Seconds(60.0)
-    """Longest a call may take in all."""
+    """Longest total duration of a call."""
     first_byte_patience: Seconds = Seconds(4.0)
-    """How long its callers wait in silence before they give up."""
+    """How long callers of this service wait for the first byte of the answer before they give up."""
     silence_patience: Seconds = Seconds(10.0)
-    """Longest pause between two pieces before the worker counts as dark."""
+    """Longest pause between two chunks of an answer; after it the worker counts as unresponsive."""
     retry_share: float = 0.15
-    """Tries beyond the first, as a share of the service's calls."""
+    """Largest number of retries, as a share of the service's calls."""
     split: tuple[PoolShare, ...] = ()
-    """Pools that share the calls in proportion to their weights; empty: all calls go to ``pool``."""
+    """Pools that share the calls in proportion to their weights. Empty: all calls go to ``pool``."""
     latency_objective: Seconds | None = None
-    """A first piece (stream) or whole answer within this is on time; None: no objective is set."""
+    """Time within which the first chunk of a stream, or a complete answer, is on time. None: there is no objective."""
     longest_pause: Seconds | None = None
-    """Longest pause between two pieces of a stream that is still on time."""
+    """Longest pause between two chunks of a stream that is on time. None: there is no objective."""
     attempts: int = 4
-    """Most workers to which one call may be sent."""
+    """Largest number of workers to which one call may be sent."""
     urgency: int = 5
-    """0 goes first, 9 last; a tenant's priority class may set another."""
+    """From 0 (served first) to 9 (served last); the tenant's priority class may override it."""
     resumable: bool = False
-    """A broken stream may be continued at another worker after the last whole event."""
+    """Whether an aborted stream may be continued at another worker after its last complete event."""
     idempotency_keys: bool = True
-    """Calls that may not be repeated carry an idempotency key, which the ledger claims.
+    """Whether calls that may not be repeated carry an idempotency key, which is claimed in the ledger.
 
-    False: callers send none. Each call is then sent to a worker at most once by this fleet, and a
-    caller's own repetition is another call.
+    False: callers send no key. The fleet then sends each call to a worker at most once, and a repetition by the
+    caller counts as another call.
     """
 
 
 class Engine(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What is known beforehand of the model engines of a pool's workers."""
+    """Configured properties of the model engines that the workers of a pool run."""
 
     slots: int
-    """Calls that one worker runs side by side."""
+    """Number of calls that one worker runs at the same time."""
     cache_tokens: int
-    """KV cache of one worker, shared by running calls and kept prefixes."""
+    """Size of a worker's KV cache in tokens; running calls and cached prefixes share it."""
     tokens_per_event: int = 1
-    """Generated tokens that one event of a stream holds."""
+    """Number of generated tokens in one event of a stream."""
 
 
 class Pool(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Slice ``pool/NAME``: what is true of all workers of one pool. A bundle declares all of its pools or none."""
+    """Slice ``pool/NAME``: properties of all workers of one pool. A bundle declares all of its pools or none."""
 
     name: PoolName
     connections: int = 0
-    """Most connections that one worker takes from all routers together; 0: no bound is known."""
+    """Largest number of connections that one worker accepts from all routers together. 0: no limit is known."""
     health_path: str = "/health"
     engine: Engine | None = None
     position: int = 0
@@ -97,7 +97,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Slice ``limits/callers``: what callers may send and how long they may take or rest."""
+    """Slice ``limits/callers``: limits on the size of requests and on the time callers may take or be idle."""
 
     name: str = "callers"
     head_bytes: int = 32 * 1024
@@ -108,7 +108,7 @@
 
 
 class Edition(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Slice ``edition/operator``: the number that the operator gave to this bundle, beside the fleet's own version."""
+    """Slice ``edition/operator``: the operator's own number of this bundle, besides the fleet's version number."""
 
     name: str = "operator"
     number: int = 0
@@ -116,38 +116,38 @@
 
 
 class PriorityClass(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Slice ``class/NAME``: what a tenant's payment weighs in bids and queues."""
+    """Slice ``class/NAME``: a priority class, whose weight counts in bids and queues."""
 
     name: ClassName
     weight: float = 1.0
     urgency: int | None = None
-    """In place of the service's, when given; 0 goes first, 9 last."""
+    """Replaces the urgency of the service when set; from 0 (served first) to 9 (served last)."""
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Slice ``tenant/NAME``: a paying customer, its paid share and its keys (digests only)."""
+    """Slice ``tenant/NAME``: a paying customer with its paid share and the digests of its keys."""
 
     name: TenantName
     priority_class: ClassName
     paid_rate: float
-    """Calls (or tokens, see ``unit``) per second over the whole fleet that it has paid for."""
+    """Calls or tokens per second (see ``unit``) that the tenant has paid for, over the whole fleet."""
     burst: Seconds = Seconds(1.0)
-    """How many seconds' worth of unused share it may save up."""
+    """Largest unused allowance that the tenant may accumulate, in seconds of ``paid_rate``."""
     keys: tuple[KeyDigest, ...] = ()
     services: tuple[ServiceName, ...] = ()
-    """Which services it may call; empty means all."""
+    """Services that the tenant may call. Empty: all services."""
     limited: bool = True
-    """False: ``paid_rate`` does not count and nothing is refused."""
+    """False: ``paid_rate`` is ignored and no call is refused for it."""
     unit: Literal["calls", "tokens"] = "calls"
-    """What ``paid_rate`` counts."""
+    """Unit of ``paid_rate``."""
     plain_tokens: int = 1
-    """What a call that tells no token counts costs, where ``unit`` is ``tokens``."""
+    """Cost in tokens of a call that states no token counts, when ``unit`` is ``tokens``."""
     position: int = 0
     annotations: dict[str, Any] = {}
 
 
 class RolloutChange(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One slice's fields before and after a roll-out; its canonical JSON is the slice itself."""
+    """The fields of one slice before and after a roll-out. The canonical JSON of either is the content of the slice."""
 
     slice: SliceName
     before: dict[str, Any]
@@ -155,68 +155,69 @@
 
 
 class Rollout(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Slice ``rollout/NAME``: a change that reaches the fleet in stages (docs/DESIGN.md section 19)."""
+    """Slice ``rollout/NAME``: a change that is applied to the fleet in stages (docs/DESIGN.md section 19)."""
 
     name: str
     stages: tuple[str, ...]
-    """``zone=NAME``, ``share=PERCENT``, and ``all`` as the last; each keeps those before it."""
+    """Each is ``zone=NAME`` or ``share=PERCENT``, the last is ``all``. Each stage includes those before it."""
     stage: int
-    """Index of the stage reached."""
+    """Index of the current stage."""
     state: Literal["running", "finished", "rolled-back"]
     changes: tuple[RolloutChange, ...]
-    """Sorted by slice."""
+    """Sorted by slice name."""
     watch: Seconds
-    """How long a stage is watched before the next one."""
+    """How long a stage is observed before the next one starts."""
     highest_failures: float
-    """Share of the changed services' calls that may fail at the stage's routers."""
+    """Largest share of failed calls of the changed services at the routers of the stage."""
     highest_refusals: float
-    """Share of the changed services' calls that may be refused for want of room at the stage's routers."""
+    """Largest share of the changed services' calls that the stage's routers may refuse for lack of capacity."""
     reached: int = 0
-    """How many routers the stage had when it was put in place; whoever takes over can tell that some are gone."""
+    """Number of routers of the stage when it started; a client that takes over can tell that some are missing."""
     reason: str = ""
-    """Why it was rolled back."""
+    """Reason for rolling it back."""
 
 
 class Manifest(msgspec.Struct, frozen=True, kw_only=True):
-    """What is signed: Ed25519 over the canonical msgpack of all fields but ``signature``."""
+    """The signed part of a bundle: Ed25519 over the canonical msgpack of all fields except ``signature``."""
 
     version: BundleVersion
     base: BundleVersion
-    """Always ``version - 1``; the order races on it."""
+    """Always ``version - 1``. Of several orders with the same base only one is accepted."""
     root: Digest
     order: OrderId
     signed_at: WallTime
     signer: str
-    """Hex of the operator's public key."""
+    """Public key of the operator, in hex digits."""
     signature: bytes = b""
 
 
 class Bundle(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole, verified bundle with its parsed slices. ``slices`` holds canonical JSON by slice name.
+    """A complete, checked bundle with its parsed slices. ``slices`` holds canonical JSON by slice name.
 
-    At a place (a router's) ``services``, ``routes`` and ``classes`` hold the variants chosen for it.
+    In a bundle that was parsed for a router (a ``VariantTarget``) ``services``, ``routes`` and ``classes`` hold the
+    variants chosen for that router.
     """
 
     manifest: Manifest
     slices: Mapping[SliceName, bytes]
     services: Mapping[ServiceName, Service]
     routes: tuple[Route, ...]
-    """Longest path prefix first."""
+    """Sorted by length of the path prefix, the longest first."""
     tenants: Mapping[TenantName, Tenant]
     classes: Mapping[ClassName, PriorityClass]
     keys: Mapping[KeyDigest, TenantName]
     digests: Mapping[SliceName, Digest] = msgspec.field(default_factory=dict)
-    """Of all slices; kept so that a change costs one hash per changed slice."""
+    """Digests of all slices; stored so that a change needs to hash only the changed slices."""
     variants: Mapping[SliceName, Service | Route | PriorityClass] = msgspec.field(default_factory=dict)
-    """By full name, such as ``service/chat@zone=a``."""
+    """All variants by full name, such as ``service/chat@zone=a``."""
     rollouts: Mapping[str, Rollout] = msgspec.field(default_factory=dict)
     plain: Bundle | None = None
-    """Without any variant chosen; None where this is it."""
+    """The same bundle without any variant applied; None when no variant is applied to this one."""
     pools: Mapping[PoolName, Pool] = msgspec.field(default_factory=dict)
     caller_limits: CallerLimits | None = None
     edition: Edition | None = None
     route_index: RouteIndex = msgspec.field(default_factory=RouteIndex)
-    """Over ``routes``; made from them where it is not given."""
+    """Index of ``routes``; built from them when it is not given."""
 
     def __post_init__(self) -> None:
         if self.routes and self.route_index.is_empty():
@@ -227,19 +228,21 @@
         return self.manifest.version
 
     def find_route(self, host: str, path: str, method: str) -> Route | None:
-        """The route of a call: of the longest prefix, for its host before any host, in time O(parts of the path).
+        """Returns the route of a call, or None; the time needed is proportional to the number of segments of the path.
 
-        ``host`` as callers send it, with or without a port. Where routes stand at that prefix but none takes the
-        method, one of them is given: its ``methods`` lack it. A prefix ends where a part of the path does.
+        Routes for the host take precedence over routes for any host, then longer prefixes over shorter ones. ``host``
+        may be given as the caller sent it, with or without a port. When routes match the path but none accepts the
+        method, one of them is returned: its ``methods`` lack the method. A prefix matches only up to the end of a
+        segment of the path.
         """
         found = self.route_index.find(host, path)
         return next((route for route in found if method in route.methods), found[0] if found else None)
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """What an operator sends: the signed manifest of the result, and what differs from the base.
+    """An operator's request to change the bundle: the signed manifest of the result and the differences to its base.
 
-    ``replaces_all`` True means that ``changed`` is everything and nothing else remains.
+    With ``replaces_all`` the slices in ``changed`` are all slices of the result; any other slice is removed.
     """
 
     manifest: Manifest
@@ -249,48 +252,48 @@
 
 
 class EditionChange(msgspec.Struct, frozen=True, kw_only=True):
-    """An order on the operator's own numbers: control makes the manifest and signs it.
+    """An order that uses the operator's own edition numbers; a control daemon makes the manifest and signs it.
 
-    ``order`` is the same whenever the same order is sent again, and differs between orders. The slice of the
-    edition itself may stand in ``changed``, with this ``number``, for the sake of its annotations.
+    ``order`` is the same whenever the same order is sent again, and differs between orders. ``changed`` may contain
+    the slice of the edition itself, with this ``number``, to set its annotations.
     """
 
     order: OrderId
     base: int
-    """Edition on which it builds; 0: there is none yet."""
+    """Edition that the order changes; 0: there is none yet."""
     number: int
-    """Its own edition, above the base."""
+    """Number of the new edition; greater than ``base``."""
     changed: dict[SliceName, bytes]
     removed: tuple[SliceName, ...] = ()
     replaces_all: bool = msgspec.field(name="whole", default=False)
-    """``changed`` is everything and nothing else remains."""
+    """Whether ``changed`` holds all slices of the result, so that any other slice is removed."""
 
 
 class OrderOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """The first outcome of an order, given again to each resending."""
+    """Outcome of an order. The first outcome is stored and returned again when the same order is resent."""
 
     order: OrderId
     outcome: Literal["accepted", "conflict", "invalid", "unknown"]
     version: BundleVersion
-    """The accepted version; for a conflict the version that is newest."""
+    """The accepted version; for a conflict the latest version."""
     reason: str = ""
     edition: int = 0
-    """Of an ``EditionChange``: the accepted edition; for a conflict the one that is newest."""
+    """For an ``EditionChange``: the accepted edition; for a conflict the latest edition."""
 
 
 class EditionStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the operator's numbers stand, as the primary knows it."""
+    """The latest edition and its version, as the primary knows them."""
 
     number: int
-    """Newest edition; 0: there is none yet."""
+    """Latest edition; 0: there is none yet."""
     version: BundleVersion
-    """Newest version; the edition's content is the one of this version."""
+    """Latest version; the content of the edition is that of this version."""
     outcome: OrderOutcome | None = None
-    """Of the order asked about, when it was accepted."""
+    """Outcome of the order named in the request, if it was accepted."""
 
 
 class BundleDelta(msgspec.Struct, frozen=True, kw_only=True):
-    """What takes a holder of ``since`` (0: nothing) to ``manifest.version``."""
+    """The difference between version ``since`` (0: no slices) and ``manifest.version``."""
 
     since: BundleVersion
     manifest: Manifest
--- a/wingwood/bundle/order_decisions.py
+++ b/wingwood/bundle/order_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions on operators' signed orders, by compare-and-set on the base version (docs/DESIGN.md section 5.4)."""
+"""Decides operators' signed orders by compare-and-set on the base version (docs/DESIGN.md section 5.4)."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 def order_id_refusal(order: OrderId) -> str | None:
-    """Why this is no id of an order."""
+    """Returns the reason why this is not a valid order id; None when it is valid."""
     if _ORDER_ID.fullmatch(order):
         return None
     return f"order is {order[:80]!r}: 1 to 64 letters without spaces"
 
 
 class OrderDecisions(StoredBundles):
-    """Each order gets the same outcome for ever after; authentic refusals are recorded too."""
+    """Returns the same outcome whenever an order is resent; for this, refusals of authentic orders are recorded too."""
 
     def __init__(self, options: StateOptions) -> None:
         super().__init__(options)
@@ -52,13 +52,13 @@
                 return self._decide_bundle(held, bundle, order_fingerprint)
             case Failure(BundleProblem() as problem):
                 if problem.code == "root":
-                    # The slices are not those that were signed, so nothing authentic is refused.
+                    # The slices are not the signed ones, so the refusal of this order must not be recorded.
                     return None, self._refusal_outcome(manifest, "invalid", str(problem))
                 return self._record_refusal(manifest, order_fingerprint, "invalid", str(problem))
         raise AssertionError("a result is a success or a failure")
 
     def _decide_bundle(self, held: Bundle, bundle: Bundle, order_fingerprint: bytes) -> tuple[bytes, OrderOutcome]:
-        """Of an order that is well-formed and builds on the newest version."""
+        """Decides an order that is well-formed and based on the latest version."""
         manifest = bundle.manifest
         refusal = self._bundle_size_refusal(bundle) or self._older_edition_refusal(bundle)
         if refusal is not None:
@@ -73,7 +73,7 @@
         return f"{EDITION_SLICE}: the operator's number is {current} and never goes back"
 
     def _unauthentic_refusal(self, order: Order, known: RememberedOrder | None) -> str | None:
-        """Of what is not authentic no refusal is recorded."""
+        """Returns the reason for a refusal that is not recorded, since the order is not authentic or not well-formed."""
         manifest = order.manifest
         reason = verify_manifest(manifest, self._operator_keys)
         if reason is not None:
--- a/wingwood/bundle/orders.py
+++ b/wingwood/bundle/orders.py
@@ -1,4 +1,4 @@
-"""What an operator's client makes: the difference to the base, signed (docs/DESIGN.md section 5.3)."""
+"""Makes orders on an operator's client: the differences to the base, signed (docs/DESIGN.md section 5.3)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def difference(
     before: Mapping[SliceName, bytes], after: Mapping[SliceName, bytes]
 ) -> tuple[dict[SliceName, bytes], tuple[SliceName, ...]]:
-    """Slices to put in, and names to take out, both sorted by name."""
+    """Returns the slices to add or replace, and the names of those to remove, both sorted by name."""
     changed = {name: after[name] for name in sorted(after) if before.get(name) != after[name]}
     return changed, tuple(sorted(name for name in before if name not in after))
 
@@ -30,7 +30,7 @@
     order: OrderId,
     signed_at: WallTime,
 ) -> Order:
-    """The signed order that takes version ``base`` with slices ``before`` to ``after``."""
+    """Returns the signed order that changes version ``base`` with slices ``before`` into slices ``after``."""
     changed, removed = difference(before, after)
     manifest = Manifest(
         version=BundleVersion(base + 1),
@@ -44,5 +44,5 @@
 
 
 def manifest_fingerprint(manifest: Manifest) -> bytes:
-    """Sixteen bytes that tell one signed manifest from any other."""
+    """Returns sixteen bytes that distinguish a signed manifest from any other."""
     return hashlib.sha256(msgspec.msgpack.encode(manifest)).digest()[:16]
--- a/wingwood/bundle/parse.py
+++ b/wingwood/bundle/parse.py
@@ -1,7 +1,7 @@
-"""From slices to a checked bundle, whole or by what changed (docs/DESIGN.md section 5.2).
+"""Parses slices into a checked bundle, from all slices or from a change (docs/DESIGN.md section 5.2).
 
-There is one way in: ``_assemble`` takes a checked bundle and what differs, reads only the changed
-slices and checks only what they can have broken. A whole bundle is the change of an empty one.
+Both take the same path: ``change_steps`` takes a checked bundle and the differences, parses only the changed slices
+and checks only what they can have broken. A complete bundle is parsed as a change of the empty bundle.
 """
 
 from __future__ import annotations
@@ -24,21 +24,24 @@
 from .variants import VariantTarget, apply_variants, check_variants, plain_name
 
 MAX_SLICE_BYTES = 256 * 1024
+"""Largest size of one slice."""
 MAX_SLICES = 100_000
+"""Largest number of slices in a bundle."""
 DEFAULT_MAX_BUNDLE_BYTES = 16 * 1024 * 1024
+"""Largest total size of a bundle's slices, unless settings (``bundle_bytes``) say otherwise."""
 
 BYTES_PER_STEP = 100_000
-"""About a millisecond's worth of slices."""
+"""Bytes of slices processed before other tasks may run; they take about a millisecond."""
 SLICE_OVERHEAD_BYTES = 1_000
-"""What reading any slice costs, in bytes of reading more of one."""
+"""Fixed cost of parsing one slice, expressed as the number of bytes that take as long to parse."""
 
 Checked = Result[Bundle, BundleProblem]
 ManifestForRoot = Callable[[Digest], Result[Manifest, BundleProblem]]
-"""The manifest for slices of that root, or why there is none."""
+"""Returns the manifest for slices with this root digest, or the reason why there is none."""
 
 
 def empty_bundle() -> Bundle:
-    """Version 0: no slices."""
+    """Returns the bundle of version 0, which has no slices."""
     manifest = Manifest(
         version=BundleVersion(0),
         base=BundleVersion(-1),
@@ -51,23 +54,24 @@
 
 
 def parse_bundle(manifest: Manifest, slices: Mapping[SliceName, bytes], target: VariantTarget | None = None) -> Checked:
-    """A whole bundle, its root and its cross references checked; the signature is not looked at."""
+    """Parses a complete bundle and checks its root digest and cross references, but not its signature."""
     return change_bundle(empty_bundle(), manifest, slices, (), target)
 
 
 def parse_steps(manifest: Manifest, slices: Mapping[SliceName, bytes]) -> Steps[Checked]:
-    """As ``parse_bundle``, in steps."""
+    """Does the work of ``parse_bundle`` in steps, without applying variants."""
     return change_steps(empty_bundle(), _require_root(manifest), slices, ())
 
 
 def apply_delta(
     bundle: Bundle | None, delta: BundleDelta, operator_keys: Collection[str], target: VariantTarget | None = None
 ) -> Checked:
-    """The verified bundle that ``delta`` leads to. ``bundle`` itself stays as it is.
+    """Returns the verified bundle that results from applying ``delta`` to ``bundle``, which itself stays unchanged.
 
-    ``delta.since`` 0 carries everything and replaces all slices; otherwise the holder must have
-    ``since`` or a newer version. Never goes back: a version that is not newer is a ``stale`` problem.
-    ``target``: whose variants are chosen (section 19); None chooses none.
+    A delta with ``since`` 0 carries all slices and replaces those held; for any other the held bundle must have
+    version ``since`` or a later one (else the problem is ``gap``). A bundle is never replaced by an older one: a delta
+    to a version that is not newer than the held one is a ``stale`` problem. ``target`` is the router whose variants
+    are applied (section 19); None applies no variants.
     """
     return at_once(_delta_steps(bundle, delta, operator_keys, target))
 
@@ -75,9 +79,9 @@
 async def apply_delta_gradually(
     bundle: Bundle | None, delta: BundleDelta, operator_keys: Collection[str], target: VariantTarget | None = None
 ) -> Checked:
-    """As ``apply_delta``, but lets other tasks run in between, so that a large bundle holds up no stream.
+    """Does the work of ``apply_delta``, but lets other tasks run in between, so that a large bundle delays no stream.
 
-    The result counts for ``bundle`` as given: whoever holds a newer one meanwhile drops it.
+    The result is based on the given ``bundle``. A caller that holds a newer bundle by then must discard it.
     """
     return await gradually(_delta_steps(bundle, delta, operator_keys, target))
 
@@ -113,15 +117,16 @@
     removed: Collection[SliceName],
     target: VariantTarget | None = None,
 ) -> Checked:
-    """``held`` with those slices put in and taken out, checked against the manifest's root.
+    """Returns ``held`` with the ``changed`` slices added and the ``removed`` ones left out.
 
-    Costs by what changed, apart from one pass over the slices' digests for the root.
+    The result is checked against the manifest's root digest. The cost grows with the size of the change, apart from
+    one pass over the digests of all slices for the root digest.
     """
     return at_once(change_steps(held, _require_root(manifest), changed, removed, target))
 
 
 def _require_root(manifest: Manifest) -> ManifestForRoot:
-    """That manifest, if it is of these slices."""
+    """Returns a function that accepts this manifest for slices with its root digest, and refuses any other root."""
 
     def check(root: Digest) -> Result[Manifest, BundleProblem]:
         if root == manifest.root:
@@ -145,7 +150,11 @@
     removed: Collection[SliceName],
     target: VariantTarget | None = None,
 ) -> Steps[Checked]:
-    """As ``change_bundle``, in steps of about ``BYTES_PER_STEP`` of slices. The manifest may depend on the new root."""
+    """Does the work of ``change_bundle`` in steps of about ``BYTES_PER_STEP`` bytes of slices.
+
+    The manifest is requested from ``manifest_for_root`` once the root digest is known, since an edition is signed only
+    then.
+    """
     held = held.plain or held
     digests = dict(held.digests)
     slices = dict(held.slices)
@@ -189,6 +198,10 @@
     parsed: Collection[tuple[SliceName, ParsedSlice]],
     removed_names: Collection[SliceName],
 ) -> Steps[Bundle]:
+    """Builds the bundle from the held one, the parsed changed slices and the names of the removed ones.
+
+    Raises ``BundleProblemError`` when the result is inconsistent or has too many slices.
+    """
     if len(slices) > MAX_SLICES:
         raise BundleProblemError(
             BundleProblem(code="large", value=f"{len(slices)} slices", remedy=f"keep below {MAX_SLICES}")
@@ -229,7 +242,7 @@
 
 
 def parse_slice(name: SliceName, data: bytes) -> ParsedSlice:
-    """One slice read and its own fields checked; raises the module's private problem."""
+    """Parses one slice and checks its own fields; raises ``BundleProblemError`` when it is invalid."""
     matched = SLICE_NAME.fullmatch(name)
     if matched is None:
         raise BundleProblemError(
--- a/wingwood/bundle/positions.py
+++ b/wingwood/bundle/positions.py
@@ -1,8 +1,9 @@
-"""Positions of the items of a whole edition, so that an item that stays costs nothing (docs/DESIGN.md section 5.8).
+"""Assigns positions to the items of an edition that replaces all slices (docs/DESIGN.md section 5.8).
 
-Whoever translates a whole order numbers its items from 0. If one is left out, all behind it would differ from what is
-held by nothing but their position: thousands of slices in the record, in the history and on the way to each router.
-Positions assigned here leave room, so that an item may be put in anywhere too.
+The translator of such an edition numbers its items from 0. If an item is left out, all items after it would differ
+from the held ones in their position only: thousands of slices in the journal record, in the history and in the
+updates sent to each router. Therefore unchanged items retain their held positions. New positions are assigned with
+gaps between them, so that an item may be inserted anywhere later without changing others.
 """
 
 from __future__ import annotations
@@ -19,10 +20,11 @@
 from .gradual import Steps
 
 SLICES_PER_STEP: Final = 100
-"""Slices whose position is read, or written anew, without a pause."""
+"""Slices whose position is read or rewritten before other tasks may run."""
 POSITION_GAP: Final = 1 << 16
-"""Between the positions of two new items, for those that will be put in between."""
+"""Distance between the positions of two new items, for items that are inserted between them later."""
 POSITIONED_KINDS: Final = ("route", "pool", "tenant")
+"""Kinds of slices that have a position."""
 
 Slices = dict[SliceName, bytes]
 
@@ -35,16 +37,17 @@
 
 
 def with_retained_positions(held: Mapping[SliceName, bytes], changed: Mapping[SliceName, bytes]) -> Steps[Slices]:
-    """``changed``, a whole edition, in the same order; most items that ``held`` has keep their position there.
+    """Returns ``changed``, all slices of an edition, with new positions in the same order.
 
-    Slices that can't be read are left as they are: what follows refuses them.
+    Most items that ``held`` has retain their position from there. Slices that can't be decoded are left as they are;
+    the later checks refuse them.
     """
     result = dict(changed)
     for kind in POSITIONED_KINDS:
         names = [name for name in changed if name.startswith(f"{kind}/")]
         given = yield from _positions(changed, names)
         if len(set(given.values())) < len(given):
-            continue  # Nobody numbered them.
+            continue  # Two items have the same position, so the translator did not number them.
         before = yield from _positions(held, [name for name in given if name in held])
         in_order = sorted(given, key=given.__getitem__)
         written = 0
@@ -59,6 +62,7 @@
 
 
 def _positions(slices: Mapping[SliceName, bytes], names: Sequence[SliceName]) -> Steps[dict[SliceName, int]]:
+    """Returns the positions of the named slices, without those that can't be decoded."""
     found: dict[SliceName, int] = {}
     for number, name in enumerate(names, 1):
         with contextlib.suppress(msgspec.MsgspecError, UnicodeError):
@@ -69,9 +73,10 @@
 
 
 def _assigned(in_order: Sequence[SliceName], before: Mapping[SliceName, int]) -> dict[SliceName, int]:
-    """Rising positions; most items of ``before`` keep theirs, and new ones share the room in between.
+    """Returns increasing positions for the items in this order.
 
-    Where there is no room, the items behind move up until there is some again.
+    Most items of ``before`` retain their position, and new items share the gaps between them. Where a gap is too
+    small, the items after it get higher positions, up to the first one that fits without a change.
     """
     unmoved = _longest_increasing([name for name in in_order if name in before], before)
     assigned: dict[SliceName, int] = {}
@@ -92,11 +97,12 @@
 
 
 def _assign_evenly(assigned: dict[SliceName, int], names: Sequence[SliceName], low: int, step: int) -> None:
+    """Assigns positions at distances of ``step`` above ``low``."""
     assigned.update({name: low + step * number for number, name in enumerate(names, 1)})
 
 
 def _longest_increasing(names: Sequence[SliceName], before: Mapping[SliceName, int]) -> frozenset[SliceName]:
-    """A longest choice of ``names``, in their order, whose positions rise (patience sorting)."""
+    """Returns a longest subsequence of ``names`` with increasing positions, found by patience sorting."""
     ends: list[int] = []
     last: list[SliceName] = []
     previous: dict[SliceName, SliceName | None] = {}
--- a/wingwood/bundle/problem.py
+++ b/wingwood/bundle/problem.py
@@ -1,4 +1,4 @@
-"""Why a bundle is refused (docs/DESIGN.md section 5.2)."""
+"""The reason for which a bundle is refused (docs/DESIGN.md section 5.2)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class BundleProblem(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a bundle is refused: where, what stands there, and what to do about it."""
+    """Reason for refusing a bundle: the slice and field at fault, the value found there, and how to correct it."""
 
     code: Literal["signature", "root", "gap", "stale", "slice", "field", "reference", "double", "large"]
     slice: str = ""
@@ -23,7 +23,7 @@
 
 
 class BundleProblemError(Exception):
-    """Carries a problem out of the nested checks; never leaves this package."""
+    """Raised by the nested checks to report a problem. It is caught within this package and never leaves it."""
 
     def __init__(self, problem: BundleProblem) -> None:
         super().__init__(str(problem))
--- a/wingwood/bundle/reading.py
+++ b/wingwood/bundle/reading.py
@@ -1,9 +1,9 @@
-"""Reading bundles and their history from a control daemon (docs/DESIGN.md section 5.5)."""
+"""Reads bundles and their history, on a control daemon or from another daemon (docs/DESIGN.md section 5.5)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import Protocol, TypeVar
+from typing import ClassVar, Protocol, TypeVar
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -16,63 +16,79 @@
 from .state_records import HistoryEntry
 
 READ_TIMEOUT_SECONDS = Seconds(1.0)
+"""Time within which one control daemon has to answer; after it the next one is asked."""
 
 ReplyType = TypeVar("ReplyType", "BundleAnswer", "HistoryAnswer")
 
 
-class AskBundle(msgspec.Struct, frozen=True):
-    """To a control daemon; ``version`` 0 asks for the newest durable one. Reply: BundleAnswer."""
+class BundleRequest(msgspec.Struct, frozen=True):
+    """Request to a control daemon; ``version`` 0 requests the latest durable version. The reply is a BundleAnswer."""
+
+    WIRE_NAME: ClassVar[str] = "AskBundle"
 
     version: BundleVersion
 
 
 class BundleView(msgspec.Struct, frozen=True):
-    """A bundle as it was signed."""
+    """A bundle as it was signed: its manifest and the bytes of its slices."""
 
     manifest: Manifest
     slices: dict[SliceName, bytes]
 
 
 class BundleAnswer(msgspec.Struct, frozen=True):
+    """Reply to a BundleRequest."""
+
     latest: BundleVersion = msgspec.field(name="newest")
+    """The latest version that the daemon knows to be durable; 0 when it knows none."""
     view: BundleView | None
-    """None when there is no bundle yet, or the version asked for is not kept."""
+    """The requested bundle; None when there is no bundle yet or the requested version is not stored."""
     authoritative: bool = msgspec.field(name="sure", default=True)
-    """False: this daemon does not keep the bundles now; another does."""
+    """False: the reply does not speak for the fleet, because another daemon stores the bundles now."""
+
 
+class HistoryRequest(msgspec.Struct, frozen=True):
+    """Request to a control daemon for the latest versions. The reply is a HistoryAnswer."""
 
-class AskHistory(msgspec.Struct, frozen=True):
-    """To a control daemon. Reply: HistoryAnswer."""
+    WIRE_NAME: ClassVar[str] = "AskHistory"
 
     limit: int = msgspec.field(name="most")
+    """Largest number of versions to return."""
 
 
 class HistoryAnswer(msgspec.Struct, frozen=True):
+    """Reply to a HistoryRequest; ``latest`` and ``authoritative`` mean the same as in a BundleAnswer."""
+
     latest: BundleVersion = msgspec.field(name="newest")
     entries: list[HistoryEntry]
-    """Newest first."""
+    """The versions, the latest first."""
     authoritative: bool = msgspec.field(name="sure", default=True)
 
 
 class NotReadable(msgspec.Struct, frozen=True):
+    """No control daemon gave an authoritative answer; ``reason`` says why for each daemon asked."""
+
     reason: str
 
 
 class BundleReader(Protocol):
-    """What the operator API asks for the bundles that control keeps."""
+    """Source from which the operator API reads the bundles that control daemons store."""
 
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-        """``version`` 0: the newest."""
+        """Reads the bundle of that version; 0 stands for the latest."""
         ...
 
-    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]: ...
+    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+        """Reads up to ``limit`` versions of the history, the latest first."""
+        ...
 
 
 class LocalBundleReader:
-    """On a control daemon. ``durable`` tells the newest version that this daemon knows to be durable.
+    """Reads the bundles stored on this control daemon.
 
-    ``stores_bundles``: whether the bundles are its own to keep now. A spare holds none, and a witness that was backup
-    once holds old ones; neither may speak for the fleet, nor say that there is no bundle.
+    ``durable_version`` returns the latest version that this daemon knows to be durable. ``stores_bundles`` returns
+    whether this daemon is one of those that store the bundles now. A spare stores none, and a witness that was once
+    a backup stores old ones; neither may answer for the fleet, nor report that there is no bundle.
     """
 
     def __init__(
@@ -86,9 +102,10 @@
         self._stores_bundles = stores_bundles
 
     def is_authoritative(self) -> bool:
-        """Whether what is read here stands for the fleet.
+        """Returns whether answers of this daemon are valid for the fleet.
 
-        A primary that just took over holds versions and doesn't know yet that they are durable: not sure.
+        They aren't on a primary that has just taken over: it has versions of which it does not know yet whether
+        they are durable.
         """
         return self._stores_bundles() and (self._durable_version() > 0 or self._state.version == 0)
 
@@ -112,20 +129,23 @@
         return Success(self.read_history(limit))
 
     def serve(self, messenger: Messenger) -> None:
-        """Answers the other daemons' ``RemoteBundleReader``."""
+        """Answers the requests that other daemons' ``RemoteBundleReader`` send."""
 
-        async def answer_bundle(_peer: Identity, question: AskBundle) -> BundleAnswer:
+        async def answer_bundle(_peer: Identity, question: BundleRequest) -> BundleAnswer:
             return self.read_bundle(question.version)
 
-        async def answer_history(_peer: Identity, question: AskHistory) -> HistoryAnswer:
+        async def answer_history(_peer: Identity, question: HistoryRequest) -> HistoryAnswer:
             return self.read_history(question.limit)
 
-        messenger.on_call(AskBundle, answer_bundle)
-        messenger.on_call(AskHistory, answer_history)
+        messenger.on_call(BundleRequest, answer_bundle)
+        messenger.on_call(HistoryRequest, answer_history)
 
 
 class RemoteBundleReader:
-    """On a router: asks the control daemons one after another, the presumed primary first."""
+    """Reads bundles from other daemons: asks the control daemons one after another, the presumed primary first.
+
+    An answer that is not authoritative counts as none.
+    """
 
     def __init__(
         self, messenger: Messenger, controls: Callable[[], Sequence[Address]], timeout: Seconds = READ_TIMEOUT_SECONDS
@@ -135,10 +155,10 @@
         self._timeout = timeout
 
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-        return await self._call_any(AskBundle(version), BundleAnswer)
+        return await self._call_any(BundleRequest(version), BundleAnswer)
 
     async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
-        return await self._call_any(AskHistory(limit), HistoryAnswer)
+        return await self._call_any(HistoryRequest(limit), HistoryAnswer)
 
     async def _call_any(self, question: msgspec.Struct, answer_type: type[ReplyType]) -> Result[ReplyType, NotReadable]:
         reasons = []
@@ -154,4 +174,5 @@
 
 
 def view_of(bundle: Bundle) -> BundleView:
+    """Returns the signed form of a parsed bundle."""
     return BundleView(bundle.manifest, dict(bundle.slices))
--- a/wingwood/bundle/rollouts.py
+++ b/wingwood/bundle/rollouts.py
@@ -1,7 +1,7 @@
-"""Staged roll-outs as they stand in a bundle (docs/DESIGN.md section 19.3).
+"""Checks of the staged roll-outs in a bundle (docs/DESIGN.md section 19.3).
 
-A running roll-out and what the bundle holds of its slices always agree: whoever changes one in an order
-changes the other, else the order is invalid. So there is nothing half done to find out after a lost client.
+A running roll-out and the slices that it changes always agree: an order that changes one without the other is
+invalid. So a client that fails in the middle of a roll-out leaves nothing half done behind.
 """
 
 from __future__ import annotations
@@ -16,17 +16,21 @@
 from .variants import VARIANT_KINDS, is_selector
 
 ALL_ROUTERS_STAGE = "all"
+"""Last stage of every roll-out, in which all routers apply the change."""
 MAX_STAGES = 10
+"""Largest number of stages of a roll-out."""
 MAX_CHANGES = 100
+"""Largest number of slices that a roll-out changes."""
 MAX_RUNNING_CHANGES = 500
-"""Of all running roll-outs together: they are checked with each change of the bundle."""
+"""Largest number of slices that all running roll-outs together change; they are checked with each change of the
+bundle."""
 MAX_WATCH_SECONDS = 86_400.0
 
 _PLAIN_SLICE_NAME = re.compile(rf"({'|'.join(VARIANT_KINDS)})/{NAME_PATTERN}")
 
 
 def required_slices(rollout: Rollout) -> dict[SliceName, bytes]:
-    """What the bundle holds of the changed slices while the roll-out is running: plain ones and variants."""
+    """Returns the slices and variants that the bundle must contain while the roll-out is running."""
     wanted: dict[SliceName, bytes] = {}
     promoted = rollout.stages[rollout.stage] == ALL_ROUTERS_STAGE
     for change in rollout.changes:
@@ -38,7 +42,7 @@
 
 
 def check_rollouts(bundle: Bundle) -> None:
-    """Raises the package's private problem when a running roll-out and the slices disagree."""
+    """Raises ``BundleProblemError`` when a running roll-out and the slices of the bundle disagree."""
     holder: dict[SliceName, str] = {}
     running = [bundle.rollouts[name] for name in sorted(bundle.rollouts) if bundle.rollouts[name].state == "running"]
     for rollout in running:
@@ -71,7 +75,7 @@
 
 
 def check_rollout(rollout: Rollout) -> None:
-    """The slice's own fields; raises the package's private problem."""
+    """Checks the fields of a roll-out slice; raises ``BundleProblemError`` when one is invalid."""
     if not 1 <= len(rollout.stages) <= MAX_STAGES or rollout.stages[-1] != ALL_ROUTERS_STAGE:
         raise _problem(rollout, "stages", ", ".join(rollout.stages), f"1 to {MAX_STAGES} stages, the last one is all")
     for selector in rollout.stages[:-1]:
--- a/wingwood/bundle/route.py
+++ b/wingwood/bundle/route.py
@@ -10,17 +10,20 @@
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Slice ``route/NAME``: calls whose path starts with ``path_prefix`` belong to ``service``; longest wins."""
+    """Slice ``route/NAME``: assigns calls whose path starts with ``path_prefix`` to ``service``.
+
+    When several routes match a call, the one with the longest prefix applies.
+    """
 
     name: str
     path_prefix: str
     service: ServiceName
     methods: tuple[str, ...] = ("POST",)
     host: str = ""
-    """Lower-case host name that callers ask for; empty: any host for which no other route stands."""
+    """Host name of the calls, in lower case. Empty: any host that has no matching route of its own."""
     needs_key: bool = True
-    """False: callers without a key are taken too, and belong to no tenant."""
+    """False: calls without a key are accepted too; they belong to no tenant."""
     position: int = 0
-    """Place among the operator's routes, for reading back in the same order."""
+    """Sort position among the operator's routes; it lets the routes be read back in the order they were given in."""
     annotations: dict[str, Any] = {}
-    """What the operator's own tools keep with it; daemons only give it back."""
+    """Data of the operator's own tools; daemons store and return it without interpreting it."""
--- a/wingwood/bundle/route_index.py
+++ b/wingwood/bundle/route_index.py
@@ -1,4 +1,7 @@
-"""Finds the routes of a call by host and path, however many routes there are (docs/DESIGN.md section 5.7)."""
+"""Finds the routes of a call by its host and path (docs/DESIGN.md section 5.7).
+
+The time for a search depends on the path and not on the number of routes.
+"""
 
 from __future__ import annotations
 
@@ -11,29 +14,36 @@
 from .route import Route
 
 ROUTES_PER_STEP = 1_000
+"""Routes added to or removed from an index before other tasks may run."""
 ANY_HOST = ""
+"""Key of the table of routes that apply to any host."""
 
 _Prefixes = Mapping[str, tuple[Route, ...]]
-"""Routes of one host by path prefix, sorted by name; those of one prefix take different methods."""
+"""Routes of one host by path prefix, sorted by name. Routes with the same prefix accept different methods."""
 
 
 class RouteIndex(msgspec.Struct, frozen=True):
-    """A change shares with its origin the tables of all hosts that it does not touch."""
+    """Routes by host and path prefix.
+
+    An index made by ``changed`` shares the tables of all unchanged hosts with the index it was made from.
+    """
 
     hosts: Mapping[str, _Prefixes] = {}
 
     @staticmethod
     def of(routes: Iterable[Route]) -> RouteIndex:
+        """Builds the index of these routes; raises ``BundleProblemError`` when two of them accept the same calls."""
         return at_once(RouteIndex().changed((), list(routes)))
 
     def is_empty(self) -> bool:
         return not self.hosts
 
     def find(self, host: str, path: str) -> tuple[Route, ...]:
-        """The routes of the longest prefix that the path begins with: those of ``host``, else those of any host.
+        """Returns the routes with the longest matching prefix: those of ``host``, else those for any host.
 
-        ``host`` as callers send it: its case and port don't count. A prefix ends where a part of the path does.
-        Looks once or twice at each slash of the path.
+        ``host`` may be given as the caller sent it: its case and port are ignored. A prefix matches only up to the
+        end of a segment of the path (``/v1/chat`` does not match ``/v1/chatter``). The search makes one or two
+        look-ups for each slash of the path. The result is empty when no route matches.
         """
         for table in (self.hosts.get(plain_host(host)), self.hosts.get(ANY_HOST)):
             if table is not None:
@@ -44,7 +54,10 @@
         return ()
 
     def changed(self, removed: Collection[Route], added: Collection[Route]) -> Generator[None, None, RouteIndex]:
-        """In steps. Two routes that take the same calls raise the package's private problem."""
+        """Returns, in steps, a new index without the ``removed`` and with the ``added`` routes.
+
+        Raises ``BundleProblemError`` when an added route accepts the same calls as another one.
+        """
         hosts = dict(self.hosts)
         copies: dict[str, dict[str, tuple[Route, ...]]] = {}
 
@@ -73,13 +86,13 @@
 
 
 def plain_host(host: str) -> str:
-    """Lower case, without a port."""
+    """Returns the host in lower case and without its port."""
     name, colon, port = host.rpartition(":")
     return (name if colon and (port.isdigit() or not port) else host).lower()
 
 
 def _prefixes_of(path: str) -> Iterator[str]:
-    """All prefixes of the path that end with one of its parts, the longest first."""
+    """Yields the prefixes of the path that end at the end of a segment, with and without a slash, the longest first."""
     end = len(path)
     if not path.endswith("/"):
         yield path
@@ -90,6 +103,7 @@
 
 
 def _check_no_overlap(route: Route, others: Collection[Route]) -> None:
+    """Raises ``BundleProblemError`` when another route of the same host and prefix accepts a method of ``route``."""
     for other in others:
         shared = sorted(set(route.methods) & set(other.methods))
         if shared:
--- a/wingwood/bundle/signing.py
+++ b/wingwood/bundle/signing.py
@@ -1,4 +1,4 @@
-"""Signatures of manifests: Ed25519 by operators' keys (docs/DESIGN.md section 5)."""
+"""Signs manifests with operators' Ed25519 keys and verifies their signatures (docs/DESIGN.md section 5)."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 from .model import Manifest
 
 SIGNATURE_PREFIX = b"wingwood bundle manifest 1\n"
+"""Precedes the signed bytes, so that a signature made for another purpose can't be used for a manifest."""
 
 
 def signed_bytes(manifest: Manifest) -> bytes:
-    """What the signature covers: every field but ``signature``, after a prefix that says what it is for."""
+    """Returns the bytes that the signature covers: ``SIGNATURE_PREFIX`` and every field except ``signature``."""
     bare = msgspec.structs.replace(manifest, signature=b"")
     return SIGNATURE_PREFIX + msgspec.msgpack.encode(bare)
 
 
 def public_hex(key: Ed25519PrivateKey) -> str:
-    """The operator's public key as settings list it."""
+    """Returns the public key in hex digits, in the form in which settings list operators' keys."""
     return key.public_key().public_bytes_raw().hex()
 
 
 def sign_manifest(manifest: Manifest, key: Ed25519PrivateKey) -> Manifest:
-    """The manifest with ``signer`` and ``signature`` of this key."""
+    """Returns the manifest signed with ``key``, with its ``signer`` and ``signature`` filled in."""
     named = msgspec.structs.replace(
         manifest, signer=public_hex(key), signed_at=float(manifest.signed_at), signature=b""
     )
@@ -33,7 +34,7 @@
 
 
 def verify_manifest(manifest: Manifest, operator_keys: Collection[str]) -> str | None:
-    """None when one of the operators signed it; else the reason why not."""
+    """Returns None when one of ``operator_keys`` signed the manifest, else the reason for refusing it."""
     if manifest.signer not in operator_keys:
         return f"signer {manifest.signer[:64]!r} is not one of the {len(operator_keys)} operator keys in the settings"
     try:
--- a/wingwood/bundle/slice_history.py
+++ b/wingwood/bundle/slice_history.py
@@ -1,4 +1,4 @@
-"""The slices' contents over the last versions (docs/DESIGN.md section 5.4)."""
+"""Stores the contents of slices over the latest versions (docs/DESIGN.md section 5.4)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SliceHistory:
-    """Each slice's contents by the version that brought them, oldest first; ``drop_before`` drops what is too old."""
+    """The contents of each slice with the version that introduced them, the oldest first."""
 
     def __init__(
         self,
@@ -19,9 +19,9 @@
     ) -> None:
         self.past = past if past is not None else {}
         self.forgotten_removal = forgotten_removal
-        """The newest removal of which no trace is kept in ``past``."""
+        """Latest version with a removal that is no longer recorded in ``past``."""
         self.superseded_bytes = sum(_bytes_of(entries[:-1]) for entries in self.past.values())
-        """Of contents that a later version has replaced; the newest contents don't count."""
+        """Total size of the contents that a later version has replaced; the latest contents don't count."""
         self._changed_in: deque[tuple[BundleVersion, tuple[SliceName, ...]]] = deque(self._changes())
 
     def _changes(self) -> Iterable[tuple[BundleVersion, tuple[SliceName, ...]]]:
@@ -32,6 +32,7 @@
         return [(version, tuple(changes[version])) for version in sorted(changes)]
 
     def add(self, version: BundleVersion, changed: Mapping[SliceName, bytes], removed: Sequence[SliceName]) -> None:
+        """Records a new version and the slices that it changed or removed."""
         for name, data in changed.items():
             self._append(name, (version, data))
         for name in removed:
@@ -44,7 +45,7 @@
         past.append(entry)
 
     def drop_before(self, oldest: BundleVersion) -> None:
-        """Drops the contents that only versions before ``oldest`` had."""
+        """Drops the contents that only versions before ``oldest`` have."""
         while self._changed_in and self._changed_in[0][0] <= oldest:
             _, names = self._changed_in.popleft()
             for name in names:
@@ -64,25 +65,29 @@
                 del self.past[name]
 
     def latest_of(self, name: SliceName) -> bytes | None:
+        """Returns the content of the slice in the latest version; None when that version has no such slice."""
         past = self.past.get(name)
         return past[-1][1] if past else None
 
     def latest(self) -> dict[SliceName, bytes]:
-        """All slices, by sorted name."""
+        """Returns all slices of the latest version, sorted by name."""
         contents = {name: self.past[name][-1][1] for name in sorted(self.past)}
         return {name: data for name, data in contents.items() if data is not None}
 
     def at(self, version: BundleVersion) -> dict[SliceName, bytes]:
-        """All slices as of that version, by sorted name."""
+        """Returns all slices of that version, sorted by name."""
         contents = ((name, self.content_at(name, version)[1]) for name in sorted(self.past))
         return {name: data for name, data in contents if data is not None}
 
     def content_at(self, name: SliceName, version: BundleVersion) -> SliceVersion:
-        """When the slice last changed up to ``version``, and its bytes then; (0, None) before it was."""
+        """Returns the content of the slice in ``version``, and the version that introduced it.
+
+        The content is None when that version removed the slice; the result is (0, None) before its first version.
+        """
         return next((entry for entry in reversed(self.past[name]) if entry[0] <= version), (BundleVersion(0), None))
 
     def changed_between(self, since: BundleVersion, up_to: BundleVersion) -> list[SliceName]:
-        """Sorted; by a look at every slice."""
+        """Returns the sorted names of the slices changed after ``since`` and up to ``up_to``. Searches all slices."""
         return sorted(name for name in self.past if self.content_at(name, up_to)[0] > since)
 
 
--- a/wingwood/bundle/state.py
+++ b/wingwood/bundle/state.py
@@ -1,11 +1,10 @@
 """The replicated bundle state: orders, their outcomes and the history (docs/DESIGN.md section 5.4).
 
-``BundleState`` is control's ``Applier`` of kind ``bundle``. What it holds is decided, but on the
-primary not always durable yet. Whoever shows or distributes from it therefore names the newest
-version that *is* durable: ``manifest_at``, ``delta_since`` and ``slices_at`` answer as of that
-version, whatever has been decided since. They can do so for the last ``history_versions`` versions.
-A reply without a record (a resent order) rests on earlier records, so it must not leave before
-every record decided earlier is durable.
+``BundleState`` is the ``Applier`` of kind ``bundle`` in control daemons. Its contents are decided, but on the primary
+they may not be durable yet. Code that shows or distributes bundles therefore names the latest version that *is*
+durable: ``manifest_at``, ``delta_since`` and ``slices_at`` answer for that version, whatever has been decided since.
+They can do so for the last ``history_versions`` versions. A reply without a record (to a resent order) is based on
+earlier records, so it must not be sent before all records decided earlier are durable.
 """
 
 from __future__ import annotations
@@ -25,12 +24,13 @@
 
 
 class BundleState(OrderDecisions, EditionDecisions):
-    """Decides orders by compare-and-set on the base version and gives each the same outcome for ever after.
+    """Decides orders by compare-and-set on the base version, and returns the same outcome when an order is resent.
 
-    ``operator_keys``: hex Ed25519 keys whose orders count. ``outcome_retention``: orders remembered.
-    ``history_versions``: past versions whose slices and manifests are kept. ``bundle_bytes``: largest bundle.
-    ``signing_key``: seed of the Ed25519 key with which editions are signed (None: none are taken; its public key
-    counts as an operator's); ``wall_clock`` tells when, for people.
+    ``operator_keys`` are the Ed25519 public keys, in hex digits, whose orders are accepted; the public key of
+    ``signing_key`` is added to them. ``outcome_retention`` is the number of orders whose outcome is remembered,
+    ``history_versions`` the number of past versions whose slices and manifests are stored, and ``bundle_bytes`` the
+    largest size of a bundle. ``signing_key`` is the seed of the Ed25519 key that signs editions; when it is None,
+    editions are refused. ``wall_clock`` gives the time of signing, which is only shown to people.
     """
 
     kind = "bundle"
@@ -59,7 +59,11 @@
         )
 
     def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
-        """Orders to ``OrderOutcome``; no record when the order is not authentic or was decided before."""
+        """Decides a command; returns the record to be journaled, or None, and the reply.
+
+        The reply to an order is an ``OrderOutcome``. There is no record for an order that is not authentic, was decided
+        before, or is a refused edition order; nor for a ``FindEdition``, whose reply is an ``EditionStatus``.
+        """
         match command:
             case SubmitOrder(order):
                 return self._decide_order(order)
--- a/wingwood/bundle/state_records.py
+++ b/wingwood/bundle/state_records.py
@@ -1,4 +1,4 @@
-"""What the bundle state writes to the journal, and what it remembers of orders (docs/DESIGN.md section 5.4)."""
+"""Journal records and snapshots of the bundle state, and the orders in its memory (docs/DESIGN.md section 5.4)."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 RecordedOutcome = Literal["accepted", "conflict", "invalid"]
 OUTCOMES: tuple[RecordedOutcome, ...] = ("accepted", "conflict", "invalid")
-"""In snapshots outcomes stand by their place here."""
+"""Snapshots store an outcome as its index in this tuple, so its order must not change."""
 
 SliceVersion = tuple[BundleVersion, bytes | None]
-"""The version that brought a slice's bytes; None: it removed the slice."""
+"""A version that changed a slice, and the content it gave the slice; None when it removed the slice."""
 
 
 class AcceptedRecord(msgspec.Struct, frozen=True, tag="accepted", array_like=True):
-    """Journal record: the version and only what really differs from its base."""
+    """Journal record of an accepted order: the manifest and the slices that actually differ from the base."""
 
     manifest: Manifest
     changed: dict[SliceName, bytes]
@@ -27,7 +27,7 @@
 
 
 class RefusedRecord(msgspec.Struct, frozen=True, tag="refused", array_like=True):
-    """Journal record: an order that its operator really signed, and why it was refused."""
+    """Journal record of a refused order with a valid signature, and the reason for the refusal."""
 
     outcome: OrderOutcome
     fingerprint: bytes
@@ -39,7 +39,7 @@
 
 
 class RememberedOrder(msgspec.Struct, array_like=True, gc=False):
-    """An order's first outcome; for an accepted one also its line of the history."""
+    """First outcome of an order; for an accepted order also its entry in the history."""
 
     order: OrderId
     fingerprint: bytes
@@ -56,7 +56,7 @@
 
 
 class HistoryEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One version as operators read it."""
+    """Entry of the history that operators read: one version and the slices that it changed."""
 
     version: BundleVersion
     order: OrderId
@@ -67,7 +67,7 @@
 
 
 class StateSnapshot(msgspec.Struct, array_like=True):
-    """The whole state. Signers and slice names stand once, and by their places in remembered orders."""
+    """The complete bundle state. Remembered orders refer to ``signers`` and slice ``names`` by index."""
 
     version: BundleVersion
     manifests: list[Manifest]
--- a/wingwood/bundle/stored_bundles.py
+++ b/wingwood/bundle/stored_bundles.py
@@ -1,4 +1,4 @@
-"""The bundles and orders that the bundle state keeps: applying records, reading as of a version (docs/DESIGN.md 5.4).
+"""Stores the bundles and orders of the bundle state: applies records and reads past versions (docs/DESIGN.md 5.4).
 
 ``OrderDecisions`` and ``EditionDecisions`` decide on top of it; together they are ``BundleState``.
 """
@@ -28,15 +28,15 @@
 )
 
 MAX_HISTORY_BYTES = 8 * 1024 * 1024
-"""Of contents that later versions have replaced; beyond it the oldest versions are dropped early ..."""
+"""Largest total size of contents that later versions have replaced; above it the oldest versions are dropped early."""
 MIN_HISTORY_VERSIONS = 10
-"""... but for so many."""
+"""Number of past versions that are retained even above ``MAX_HISTORY_BYTES``."""
 MAX_WALKED_VERSIONS = 1_000
-"""A holder further behind than this is served by a look at every slice, not by the history."""
+"""For a holder that is more versions behind than this, all slices are searched instead of walking the history."""
 
 
 class StateOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """See ``BundleState``."""
+    """Options of ``BundleState``; see there."""
 
     operator_keys: frozenset[str]
     outcome_retention: int
@@ -47,13 +47,13 @@
 
 
 class StoredBundles:
-    """Everything that records and snapshots hold; the same on every control daemon."""
+    """The part of the bundle state that records and snapshots define; it is the same on every control daemon."""
 
     _version: BundleVersion
     _parsed: Bundle | None
-    """The newest bundle, when it was decided here or has been read since."""
+    """The latest bundle in parsed form; None when it was neither decided here nor parsed since."""
     _candidate: Bundle | None
-    """The bundle of the record that ``decide`` returned last, until it is applied."""
+    """The bundle of the record that ``decide`` returned last; None once a record of a version is applied."""
     _manifests: dict[BundleVersion, Manifest]
     _slices: SliceHistory
     _remembered: dict[OrderId, RememberedOrder]
@@ -70,17 +70,17 @@
 
     @property
     def version(self) -> BundleVersion:
-        """Newest decided version; not always durable yet."""
+        """The latest decided version, which may not be durable yet."""
         return self._version
 
-    # what decisions need
+    # used by decisions
 
     def _edition_number(self) -> int:
-        """Of the newest edition of the operator's own numbers; 0: none."""
+        """Returns the operator's number of the latest edition; 0 when there is none."""
         return edition_number_in(self._slices.latest_of(EDITION_SLICE))
 
     def _parsed_bundle(self) -> Bundle:
-        """The newest bundle, read from its slices when records came without being decided here."""
+        """Returns the latest bundle; parses it when its record was applied without having been decided here."""
         bundle = self._parsed
         if bundle is None:
             bundle = empty_bundle()
@@ -102,7 +102,7 @@
             return None
         return f"the {what} has {size} bytes: keep it to {self._bundle_bytes} (bundle_bytes in settings)"
 
-    # applying
+    # applying records
 
     def apply(self, record: bytes) -> None:
         decoded = record_decoder.decode(record)
@@ -152,7 +152,7 @@
         self._drop_old_versions()
 
     def _interned_name(self, name: SliceName) -> SliceName:
-        """The same string for each order that names the slice."""
+        """Returns one shared string object per slice name, so that remembered orders don't each store a copy."""
         return self._interned_names.setdefault(name, name)
 
     def _remember(self, entry: RememberedOrder) -> None:
@@ -167,9 +167,10 @@
                 self._history.pop(oldest.version, None)
 
     def _drop_old_versions(self) -> None:
-        """Drops the manifest and the slices' contents that only versions before the kept ones had.
+        """Drops the manifests and contents of versions that are older than the retained ones.
 
-        Fewer versions are kept where many slices changed in each: the history has to fit into memory and journal.
+        Fewer versions are retained when many slices change in each of them, since the history has to fit into memory
+        and into the journal.
         """
         oldest = BundleVersion(self._version - self._history_versions)
         self._drop_before(oldest)
@@ -181,19 +182,19 @@
         self._manifests.pop(BundleVersion(oldest - 1), None)
         self._slices.drop_before(oldest)
 
-    # reading, as of a version that the caller knows to be durable
+    # reading; the caller names a version that it knows to be durable
 
     def manifest_at(self, version: BundleVersion) -> Manifest | None:
-        """None when the version is not (or no longer) kept, and for 0."""
+        """Returns the manifest of a version; None for version 0 and for a version that is not stored."""
         return self._manifests.get(version)
 
     def delta_since(self, since: BundleVersion, up_to: BundleVersion) -> BundleDelta | None:
-        """What takes a holder of ``since`` straight to ``up_to``, intermediates skipped.
+        """Returns the difference between versions ``since`` and ``up_to``, without the versions in between.
 
-        ``up_to`` is the newest durable version; what was decided after it does not show. ``since`` of
-        the delta is 0 when the holder has nothing, or is so far behind that removals it has not
-        seen are forgotten: the delta then is everything. None when there is nothing newer than
-        ``since``, or ``up_to`` is no longer kept (more than ``history_versions`` behind).
+        ``up_to`` is the latest durable version; later decisions don't show. ``since`` of the delta is 0 when the
+        holder has no bundle, or is so far behind that removals it has not seen are no longer recorded; the delta then
+        holds all slices. Returns None when ``up_to`` is not newer than ``since``, or is no longer stored (more than
+        ``history_versions`` behind).
         """
         manifest = self._manifests.get(up_to)
         if manifest is None or since >= up_to:
@@ -222,7 +223,7 @@
         return (*entry.changed, *entry.removed)
 
     def slices_at(self, version: BundleVersion) -> dict[SliceName, bytes] | None:
-        """All slices of a version that is still kept, by sorted name; None otherwise."""
+        """Returns all slices of a version, sorted by name; None when the version is not stored."""
         if version == 0:
             return {}
         if version not in self._manifests:
@@ -232,7 +233,7 @@
         return self._slices.at(version)
 
     def history(self, up_to: BundleVersion, limit: int = 50) -> list[HistoryEntry]:
-        """Newest first, from ``up_to`` back."""
+        """Returns the history entries of at most ``limit`` versions from ``up_to`` backwards, the latest first."""
         versions = range(up_to, max(0, up_to - limit), -1)
         entries = (self._history.get(BundleVersion(version)) for version in versions)
         return [
@@ -249,11 +250,11 @@
         ]
 
     def outcome(self, order: OrderId) -> OrderOutcome | None:
-        """What was decided of an order; not always durable yet."""
+        """Returns the outcome of an order, which may not be durable yet; None when it is not remembered."""
         known = self._remembered.get(order)
         return None if known is None else known.as_outcome()
 
-    # whole state
+    # snapshots
 
     def snapshot(self) -> bytes:
         signers: dict[str, int] = {}
--- a/wingwood/bundle/variants.py
+++ b/wingwood/bundle/variants.py
@@ -1,4 +1,4 @@
-"""Variants of slices for some routers, within one signed bundle (docs/DESIGN.md section 19.2)."""
+"""Variants of slices that apply to some routers only, within one signed bundle (docs/DESIGN.md section 19.2)."""
 
 from __future__ import annotations
 
@@ -16,37 +16,49 @@
 from .route import Route
 
 MAX_VARIANTS = 1_000
+"""Largest number of variants in a bundle."""
 VARIANT_KINDS = ("service", "route", "class")
-"""Tenants have none: their rates are counted once for the fleet and their keys must go everywhere at once."""
+"""Kinds of slices that may have variants.
+
+Tenants have none: their rates apply to the fleet as a whole, and their keys must change everywhere at once.
+"""
 
 _ZONE = re.compile(r"zone=([a-z0-9._-]{1,64})")
 _SHARE = re.compile(r"share=([1-9][0-9]?)")
 
 
 class VariantTarget(msgspec.Struct, frozen=True):
-    """Whose view of the bundle it is."""
+    """The router for which variants are chosen."""
 
     zone: Zone
     name: DaemonName
 
 
 def share_bucket(name: DaemonName) -> int:
-    """From 0 to 99, by the daemon's name alone: share 10 lies within share 25, and the same routers go first."""
+    """Returns a number from 0 to 99 that depends on the daemon's name only.
+
+    A variant for ``share=PERCENT`` applies to the routers with a smaller number, so the routers of share 10 are among
+    those of share 25, and every roll-out starts with the same routers.
+    """
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest()) % 100
 
 
 def is_selector(selector: str) -> bool:
-    """``zone=NAME`` or ``share=PERCENT`` of 1 to 99."""
+    """Returns whether the text has the form ``zone=NAME`` or ``share=PERCENT`` with 1 to 99 percent."""
     return bool(_ZONE.fullmatch(selector) or _SHARE.fullmatch(selector))
 
 
 def selects(selector: str, target: VariantTarget) -> bool:
+    """Returns whether variants with this selector apply to the router."""
     kind, _, value = selector.partition("=")
     return value == target.zone if kind == "zone" else share_bucket(target.name) < int(value)
 
 
 def plain_name(variant: SliceName) -> SliceName:
-    """``service/chat`` of ``service/chat@zone=a``; raises the package's private problem."""
+    """Returns the plain name of a variant, such as ``service/chat`` for ``service/chat@zone=a``.
+
+    Raises ``BundleProblemError`` when slices of this kind have no variants, or the selector is malformed.
+    """
     name, _, selector = variant.partition("@")
     kind = name.partition("/")[0]
     if kind not in VARIANT_KINDS:
@@ -65,7 +77,7 @@
 
 
 def choose_variants(names: Iterable[SliceName], target: VariantTarget) -> dict[SliceName, SliceName]:
-    """For each plain name the variant that counts at ``target``: its zone's, else the smallest share that it is in."""
+    """Returns, by plain name, the variants that apply to the router: that of its zone, else that of the smallest share."""
     found: dict[SliceName, tuple[int, SliceName]] = {}
     for name in names:
         plain, _, selector = name.partition("@")
@@ -77,7 +89,7 @@
 
 
 def apply_variants(plain: Bundle, target: VariantTarget) -> Bundle:
-    """The bundle as the router at ``target`` acts on it; ``plain`` itself when no variant is for it."""
+    """Returns the bundle with the variants for the router applied; ``plain`` itself when no variant applies."""
     names = choose_variants(plain.variants, target)
     if not names:
         return plain
@@ -97,10 +109,10 @@
 
 
 def check_variants(bundle: Bundle) -> None:
-    """Each variant against its plain slice; raises the package's private problem.
+    """Checks each variant against its plain slice; raises ``BundleProblemError`` when they don't fit together.
 
-    What decides whether a call may run again, and under which key the ledger knows it, is the same everywhere:
-    a caller may retry at a router that has another variant.
+    The fields that decide whether a call may run again, and under which key it is recorded in the ledger, must not
+    differ between variants, since a caller may retry at a router that has another variant.
     """
     if len(bundle.variants) > MAX_VARIANTS:
         count = f"{len(bundle.variants)} variants"
@@ -127,6 +139,7 @@
 def _check_same_fields(
     name: SliceName, variant: msgspec.Struct, plain: msgspec.Struct | None, fields: tuple[str, ...]
 ) -> None:
+    """Raises when there is no plain slice, or when the variant differs from it in one of the fields."""
     if plain is None:
         raise BundleProblemError(
             BundleProblem(
@@ -149,6 +162,7 @@
 
 
 def _check_target(name: SliceName, route: Route, plain: Route, services: Mapping[ServiceName, Service]) -> None:
+    """Raises when a variant of a route leads to an unknown service, or to or from one that is not repeatable."""
     if route.service == plain.service:
         return
     target = services.get(route.service)
--- a/wingwood/settings/load.py
+++ b/wingwood/settings/load.py
@@ -16,14 +16,15 @@
 from .model import DaemonSettings
 
 MIN_FLEET_KEY_BYTES = 16
-"""Shortest shared secret that is taken."""
+"""Length of the shortest fleet key that is accepted."""
 FLEET_KEY_FILE = "fleet_key_file"
+"""Settings key that names a file with the fleet key; it replaces ``fleet_key``."""
 SECRET_KEYS = ("fleet_key", "signing_key")
-"""Never shown, and not taken from a command line."""
+"""Settings keys whose values are never shown and have no flag on the command line."""
 
 
 class SettingsProblem(msgspec.Struct, frozen=True, kw_only=True):
-    """Why settings are refused: which file, which key, what stands there, and what is expected."""
+    """Reason for refusing settings: the file, the key, the value found there, and the value expected."""
 
     file: str
     key: str = ""
@@ -37,7 +38,7 @@
 
 
 class _Expected(voluptuous.Invalid):
-    """A value that is not as expected; the message says what is."""
+    """Raised for an invalid value; the message says which values are valid."""
 
 
 def _whole_number(low: int, high: int) -> Callable[[Any], int]:
@@ -176,13 +177,13 @@
     "begin_empty_when_damaged": _boolean,
     "bundle_bytes": _whole_number(64 * 1024, 64 * 1024 * 1024),
 }
-"""One check per key of ``DaemonSettings``; a test holds the two together."""
+"""One check for each key of ``DaemonSettings``; a test compares the keys of both."""
 
 FLAG_FOR_KEY: Mapping[str, str] = {name: name.replace("_", "-") for name in CHECKS} | {
     "seeds": "seed",
     "operator_keys": "operator-key",
 }
-"""The command line's flag for each key; lists take theirs once for each entry."""
+"""Command-line flag for each key; the flag of a list is given once per entry."""
 
 _REQUIRED = tuple(each.name for each in msgspec.structs.fields(DaemonSettings) if each.required)
 _SCHEMA = voluptuous.Schema(
@@ -191,9 +192,10 @@
 
 
 def read_settings(file: Path | None, flags: Mapping[str, object]) -> Result[DaemonSettings, SettingsProblem]:
-    """Settings from a TOML file (None: flags only), then flags over them; flags are of TOML's types.
+    """Reads and checks settings from a TOML file (None: from flags only); flags override the file.
 
-    ``fleet_key_file`` may stand for ``fleet_key``: a file with the secret's hex digits.
+    Values of flags have the types that TOML would give them. Instead of ``fleet_key`` the settings may contain
+    ``fleet_key_file``, the path of a file with the hex digits of the key.
     """
     document: dict[str, object] = {}
     if file is not None:
@@ -221,6 +223,7 @@
 
 
 def read_toml(file: Path) -> Result[dict[str, object], SettingsProblem]:
+    """Returns the content of a TOML file, or the problem when it can't be read or is not TOML."""
     try:
         return Success(tomllib.loads(file.read_text()))
     except OSError as problem:
@@ -232,7 +235,7 @@
 def check_settings(
     document: Mapping[str, object], file: str, flags: Mapping[str, object] | None = None
 ) -> Result[DaemonSettings, SettingsProblem]:
-    """The checked settings; the problem names the first key that is wrong, and whether a flag gave it."""
+    """Returns the checked settings; otherwise a problem that names the first invalid key and the flag or file with it."""
     try:
         checked = _SCHEMA(dict(document))
     except voluptuous.MultipleInvalid as several:
@@ -250,6 +253,8 @@
 
 
 def _check_together(settings: DaemonSettings, file: str) -> Result[DaemonSettings, SettingsProblem]:
+    """Checks the rules that involve more than one key."""
+
     def problem(key: str, value: object, expected: str) -> Result[DaemonSettings, SettingsProblem]:
         return Failure(SettingsProblem(file=file, key=key, value=str(value), expected=expected))
 
@@ -266,7 +271,7 @@
 
 
 def expectation(key: str) -> str:
-    """What a key's value must be, in words."""
+    """Returns a description of the valid values of a key."""
     try:
         CHECKS[key](None)
     except _Expected as expected:
--- a/wingwood/settings/model.py
+++ b/wingwood/settings/model.py
@@ -1,4 +1,4 @@
-"""Where a daemon stands and how it behaves (docs/DESIGN.md section 6)."""
+"""The settings of a daemon: its role, zone, addresses, keys and options (docs/DESIGN.md section 6)."""
 
 from __future__ import annotations
 
@@ -12,75 +12,84 @@
 
 
 class DaemonSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """One daemon's settings, read from a TOML file and flags (flags win)."""
+    """Settings of one daemon, read from a TOML file and from flags; flags override the file."""
 
     name: DaemonName
     role: Literal["router", "control"]
     zone: Zone
     internal: Address
-    """Where other daemons reach it."""
+    """Address for messages of other daemons."""
     operator: Address
-    """Where workers announce themselves, operators send orders, and the platform asks live/ready/metrics."""
+    """Address for announcements of workers, for orders of operators, and for the platform's live, ready and metrics
+    requests."""
     caller: Address | None = None
-    """Where callers send their calls (routers only)."""
+    """Address for calls of callers (routers only)."""
     seeds: tuple[Address, ...]
-    """Internal addresses of three other daemons; control daemons found the fleet only from these."""
+    """Internal addresses of three other daemons. Control daemons form a new fleet only from these."""
     data_folder: str | None = None
-    """A control daemon without one is a relay (section 7.12); routers keep nothing on disk."""
+    """Folder for stored state. A control daemon without one is a relay (section 7.12); routers store no state on disk."""
     fleet_key: bytes
-    """Shared secret of the daemons."""
+    """Secret shared by all daemons of the fleet."""
     operator_keys: tuple[str, ...]
-    """Hex Ed25519 public keys whose bundles are taken."""
+    """Ed25519 public keys, in hex digits, whose signed bundles are accepted."""
     signing_key: bytes | None = None
-    """Seed (32 bytes) of the Ed25519 key with which control signs operators' editions; its public key counts too."""
+    """Seed (32 bytes) of the Ed25519 key with which control daemons sign operators' editions.
+
+    Bundles signed with it are accepted as well.
+    """
     removed_key_bound: Seconds | None = None
-    """Seconds after which a removed key must be refused everywhere: a router that cannot prove its bundle newest stops
-    serving in time. None: it serves on."""
+    """Time after which all routers must refuse a removed key.
+
+    A router that can't prove in time that its bundle is the latest stops serving. None: it continues to serve.
+    """
     balancing: Literal["award", "round-robin", "least-loaded", "sticky"] = "award"
     worker_check: Literal["health", "trial"] = "health"
-    """How doubtful workers are found to work: their health check, or real calls, one at a time (section 10.6)."""
+    """Method of testing suspected workers: their health check, or real calls, one at a time (section 10.6)."""
     worker_unrenewed_after: Seconds = Seconds(3.0)
-    """Silence after which a worker is avoided; three announcements and a little more."""
+    """Time without an announcement after which a worker is avoided; it slightly exceeds three announcement intervals."""
     record_file: str | None = None
-    """Where a router records its day for the replay tool; a path below the data folder."""
+    """File in which a router records its calls for the replay tool; a path below the data folder."""
     log_calls: bool = True
-    """Whether a router writes a line for each call; lines cost processor time."""
+    """Whether a router logs a line for each call; logging costs processor time."""
     quota_window: Seconds = Seconds(8.0)
-    """Over any window of this length the tolerance of tenants' shares is meant (docs/DESIGN.md section 14.1)."""
+    """Length of the windows to which the tolerance of tenants' shares applies (docs/DESIGN.md section 14.1)."""
     quota_over: float = 0.0
-    """Part by which a tenant may pass its share in a window."""
+    """Fraction by which a tenant may exceed its share in a window."""
     quota_slack: float = 0.0
-    """What it may pass it by beside that, in the tenant's unit."""
+    """Additional amount by which a tenant may exceed its share in a window, in the tenant's unit."""
     retry_window: Seconds = Seconds(10.0)
-    """Over any window of this length the fleet's tries beyond the first are bounded (section 14.2)."""
+    """Length of the windows to which the fleet's limit on retries applies (section 14.2)."""
     retry_ratio: float = 0.19
-    """Tries beyond the first, as a part of the window's calls."""
+    """Largest number of retries in a window, as a fraction of its calls."""
     retry_slack: float | None = None
-    """Tries beyond that which the fleet may make in a window; None: each router earns all of them."""
+    """Number of additional retries that the fleet may make in a window. None: each router earns all its retries."""
     call_bounds: Literal["service", "caller"] = "service"
-    """Whether callers' patience is the service's, or is told with each call and ends it (section 12.5)."""
+    """Source of the wait limits of callers: the service's settings, or headers of each call, which then end the call
+    (section 12.5)."""
     keep_connections: bool = False
-    """Whether routers keep connections to workers for later calls."""
+    """Whether routers reuse connections to workers for later calls."""
     drain_notice: Seconds = Seconds(1.0)
-    """How long a router that goes down still takes calls, until it is no longer sent any."""
+    """Time for which a stopping router still accepts calls, until callers have stopped sending it new ones."""
     stop_within: Seconds = Seconds(20.0)
-    """Longest time from SIGTERM to exit, for streams to finish."""
+    """Longest time from SIGTERM to exit, in which running streams may finish."""
     ledger_retention: Seconds = Seconds(1800.0)
+    """How long control daemons retain entries of the ledger."""
     outcome_retention: int = 100_000
-    """How many orders' outcomes control keeps."""
+    """Number of orders whose outcomes control daemons retain."""
     history_versions: int = 200
-    """How many past versions' slices control keeps, to show and to compare."""
+    """Number of past versions whose slices control daemons retain, for display and comparison."""
     body_bytes: int = 4 * 1024 * 1024
-    """Largest request body taken."""
+    """Largest request body that is accepted."""
     bundle_bytes: int = 16 * 1024 * 1024
+    """Largest total size of the slices of a bundle."""
     losses_borne: int = 1
-    """How many control daemons with a disk may be lost at once: the control core wants twice as many and one more."""
+    """Number of control daemons with a disk that may fail at the same time, n; the control core needs 2n + 1 of them."""
     begin_empty_when_damaged: bool = False
-    """Control, for one start only: a damaged journal is put aside and this machine is filled anew by its peers."""
+    """For one start of a control daemon: a damaged journal is moved aside and the state is fetched anew from peers."""
 
     @property
     def bundle_signers(self) -> tuple[str, ...]:
-        """Hex Ed25519 public keys whose bundles are taken: the operators', and that of ``signing_key``."""
+        """Ed25519 public keys, in hex digits, whose bundles are accepted: the operators' and that of ``signing_key``."""
         if self.signing_key is None:
             return self.operator_keys
         own = public_hex(Ed25519PrivateKey.from_private_bytes(self.signing_key))
--- a/wingwood/tests/outer_names.py
+++ b/wingwood/tests/outer_names.py
@@ -96,9 +96,9 @@
     "PoolAnswer": "wingwood.registry.messages:PoolAnswer",
     "FeedAnswer": "wingwood.registry.messages:FeedAnswer",
     "FeedPush": "wingwood.registry.messages:FeedPush",
-    "AskBundle": "wingwood.bundle.reading:AskBundle",
+    "AskBundle": "wingwood.bundle.reading:BundleRequest",
     "BundleAnswer": "wingwood.bundle.reading:BundleAnswer",
-    "AskHistory": "wingwood.bundle.reading:AskHistory",
+    "AskHistory": "wingwood.bundle.reading:HistoryRequest",
     "HistoryAnswer": "wingwood.bundle.reading:HistoryAnswer",
 }
 
