--- a/wingwood/bundle/rollouts.py
+++ b/wingwood/bundle/rollouts.py
@@ -31,39 +31,39 @@
 
 def required_slices(rollout: Rollout) -> dict[SliceName, bytes]:
     """Returns the slices and variants that the bundle must contain while the roll-out is running."""
-    wanted: dict[SliceName, bytes] = {}
+    required: dict[SliceName, bytes] = {}
     promoted = rollout.stages[rollout.stage] == ALL_ROUTERS_STAGE
     for change in rollout.changes:
-        wanted[change.slice] = canonical_json(change.after if promoted else change.before)
+        required[change.slice] = canonical_json(change.after if promoted else change.before)
         if not promoted:
             for selector in rollout.stages[: rollout.stage + 1]:
-                wanted[SliceName(f"{change.slice}@{selector}")] = canonical_json(change.after)
-    return wanted
+                required[SliceName(f"{change.slice}@{selector}")] = canonical_json(change.after)
+    return required
 
 
 def check_rollouts(bundle: Bundle) -> None:
     """Raises ``BundleProblemError`` when a running roll-out and the slices of the bundle disagree."""
-    holder: dict[SliceName, str] = {}
+    rollout_of_slice: dict[SliceName, str] = {}
     running = [bundle.rollouts[name] for name in sorted(bundle.rollouts) if bundle.rollouts[name].state == "running"]
     for rollout in running:
         for change in rollout.changes:
-            other = holder.setdefault(change.slice, rollout.name)
+            other = rollout_of_slice.setdefault(change.slice, rollout.name)
             if other != rollout.name:
                 raise _problem(
                     rollout, "changes", change.slice, f"rollout/{other} is changing it; finish that or roll it back"
                 )
-    if len(holder) > MAX_RUNNING_CHANGES:
-        size = f"{len(holder)} slices"
+    if len(rollout_of_slice) > MAX_RUNNING_CHANGES:
+        size = f"{len(rollout_of_slice)} slices"
         remedy = f"keep to {MAX_RUNNING_CHANGES} slices in running roll-outs; finish some or roll them back"
         raise BundleProblemError(BundleProblem(code="large", slice="rollout", value=size, remedy=remedy))
-    wanted = {name: data for rollout in running for name, data in required_slices(rollout).items()}
-    for name in sorted({*wanted, *(name for name in bundle.variants if name.partition("@")[0] in holder)}):
-        if bundle.slices.get(name) != wanted.get(name):
-            raise _disagreement(bundle.rollouts[holder[SliceName(name.partition("@")[0])]], name, wanted)
+    required = {name: data for rollout in running for name, data in required_slices(rollout).items()}
+    for name in sorted({*required, *(name for name in bundle.variants if name.partition("@")[0] in rollout_of_slice)}):
+        if bundle.slices.get(name) != required.get(name):
+            raise _disagreement(bundle.rollouts[rollout_of_slice[SliceName(name.partition("@")[0])]], name, required)
 
 
-def _disagreement(rollout: Rollout, name: SliceName, wanted: Mapping[SliceName, bytes]) -> BundleProblemError:
-    requirement = "must stand in the bundle as the roll-out says" if name in wanted else "must not stand in the bundle"
+def _disagreement(rollout: Rollout, name: SliceName, required: Mapping[SliceName, bytes]) -> BundleProblemError:
+    requirement = "must be in the bundle as the roll-out states" if name in required else "must not be in the bundle"
     return BundleProblemError(
         BundleProblem(
             code="field",
--- a/wingwood/bundle/stored_bundles.py
+++ b/wingwood/bundle/stored_bundles.py
@@ -90,11 +90,13 @@
         return bundle
 
     def _record_acceptance(self, held: Bundle, bundle: Bundle, order_fingerprint: bytes) -> bytes:
+        """Returns the journal record of an accepted order, and holds its bundle ready for ``apply``."""
         changed, removed = difference(held.slices, bundle.slices)
         self._candidate = bundle
         return msgspec.msgpack.encode(AcceptedRecord(bundle.manifest, changed, removed, order_fingerprint))
 
     def _bundle_size_refusal(self, bundle: Bundle) -> str | None:
+        """Returns the reason for refusing a bundle that is too large; None when it is not."""
         return self._size_refusal("bundle", sum(map(len, bundle.slices.values())))
 
     def _size_refusal(self, what: str, size: int) -> str | None:
@@ -105,6 +107,7 @@
     # applying records
 
     def apply(self, record: bytes) -> None:
+        """Applies a journal record: an accepted or a refused order."""
         decoded = record_decoder.decode(record)
         if isinstance(decoded, RefusedRecord):
             self._apply_refusal(decoded)
@@ -156,6 +159,7 @@
         return self._interned_names.setdefault(name, name)
 
     def _remember(self, entry: RememberedOrder) -> None:
+        """Stores the outcome of an order, and drops the oldest outcomes above ``outcome_retention``."""
         self._remembered[entry.order] = entry
         if entry.outcome == "accepted":
             self._history[entry.version] = entry
@@ -257,6 +261,7 @@
     # snapshots
 
     def snapshot(self) -> bytes:
+        """Returns the complete state as an encoded ``StateSnapshot``."""
         signers: dict[str, int] = {}
         names: dict[SliceName, int] = {}
         remembered = [
@@ -286,6 +291,7 @@
         )
 
     def restore(self, snapshot: bytes | None) -> None:
+        """Replaces the state by that of a snapshot; None stands for the empty state."""
         self._clear()
         if snapshot is not None:
             self._load(msgspec.msgpack.decode(snapshot, type=StateSnapshot))
--- a/wingwood/bundle/tests/test_editions.py
+++ b/wingwood/bundle/tests/test_editions.py
@@ -31,7 +31,7 @@
 )
 
 Slices = dict[SliceName, bytes]
-NEWER = dict([slice_of(PriorityClass(name=ClassName("gold"), weight=8.0))])
+CHANGED_CLASS = dict([slice_of(PriorityClass(name=ClassName("gold"), weight=8.0))])
 
 
 def new_state(**changes: Any) -> BundleState:
@@ -63,7 +63,7 @@
         self.first = edition_change(0, 7, self.slices)
         self.accepted = submit_edition(self.state, self.first)
 
-    def test_the_state_makes_and_signs_the_bundle_and_puts_the_edition_in(self) -> None:
+    def test_bundle_is_signed_and_contains_the_edition(self) -> None:
         self.assertEqual((self.accepted.outcome, self.accepted.version, self.accepted.edition), ("accepted", 1, 7))
         manifest = self.state.manifest_at(BundleVersion(1))
         assert manifest is not None
@@ -80,7 +80,7 @@
         assert held.edition is not None
         self.assertEqual(held.edition.number, 7)
 
-    def test_bases_and_numbers(self) -> None:
+    def test_base_and_number_decide_the_outcome(self) -> None:
         for base, number, outcome in (
             (0, 9, "conflict"),
             (5, 9, "conflict"),
@@ -92,12 +92,12 @@
             (7, 10, "conflict"),
             (9, 12, "accepted"),
         ):
-            change = edition_change(base, number, NEWER, whole=False)
+            change = edition_change(base, number, CHANGED_CLASS, whole=False)
             self.assertEqual(submit_edition(self.state, change).outcome, outcome, (base, number))
         self.assertEqual((standing(self.state).number, standing(self.state).version), (12, 3))
 
-    def test_an_accepted_order_is_accepted_again_whatever_came_after_it(self) -> None:
-        second = edition_change(7, 9, NEWER, whole=False)
+    def test_resent_accepted_order_gets_its_first_outcome(self) -> None:
+        second = edition_change(7, 9, CHANGED_CLASS, whole=False)
         submit_edition(self.state, second)
         backup = new_state()
         primary = new_state()
@@ -108,7 +108,7 @@
             backup.apply(record)
         for state in (self.state, restarted(self.state), backup, restarted(backup)):
             self.assertEqual(state.decide(SubmitEdition(self.first)), (None, self.accepted))
-            again = msgspec.structs.replace(self.first, changed={**self.slices, **NEWER})
+            again = msgspec.structs.replace(self.first, changed={**self.slices, **CHANGED_CLASS})
             self.assertEqual(state.decide(SubmitEdition(again)), (None, self.accepted))
             found = standing(state, self.first.order).outcome
             assert found is not None
@@ -116,25 +116,27 @@
             self.assertIsNone(standing(state, "other").outcome)
         self.assertEqual(primary.snapshot(), backup.snapshot())
 
-    def test_refusals_are_not_remembered(self) -> None:
-        early = edition_change(9, 12, NEWER, "early", whole=False)
+    def test_refused_edition_orders_are_not_remembered(self) -> None:
+        early = edition_change(9, 12, CHANGED_CLASS, "early", whole=False)
         self.assertEqual(submit_edition(self.state, early).outcome, "conflict")
-        submit_edition(self.state, edition_change(7, 9, NEWER, whole=False))
+        submit_edition(self.state, edition_change(7, 9, CHANGED_CLASS, whole=False))
         self.assertEqual(submit_edition(self.state, early).outcome, "accepted")
         before = self.state.snapshot()
         submit_edition(self.state, edition_change(12, 13, {SliceName("class/gold"): b"{}"}, "bad", whole=False))
         self.assertEqual(self.state.snapshot(), before)
 
-    def test_an_order_id_of_another_order_is_invalid(self) -> None:
+    def test_order_id_of_another_order_is_invalid(self) -> None:
         for base, number in ((7, 9), (0, 9)):
-            outcome = submit_edition(self.state, edition_change(base, number, NEWER, self.first.order, whole=False))
+            outcome = submit_edition(
+                self.state, edition_change(base, number, CHANGED_CLASS, self.first.order, whole=False)
+            )
             self.assertEqual(outcome.outcome, "invalid")
             self.assertIn("used before", outcome.reason)
-        signed = order_between(1, newest(self.state), {**newest(self.state), **NEWER}, "mine")
+        signed = order_between(1, newest(self.state), {**newest(self.state), **CHANGED_CLASS}, "mine")
         self.assertEqual(submit(self.state, signed).outcome, "accepted")
         self.assertEqual(submit_edition(self.state, edition_change(7, 9, {}, "mine", whole=False)).outcome, "invalid")
 
-    def test_what_does_not_check_is_refused_with_its_reason(self) -> None:
+    def test_invalid_edition_is_refused_with_the_reason(self) -> None:
         for changed, reason in (
             ({SliceName("class/gold"): b"{}"}, "class/gold"),
             ({SliceName("odd/x"): b"{}"}, "are called"),
@@ -150,41 +152,43 @@
         self.assertIn("bundle_bytes", submit_edition(small, self.first).reason)
         self.assertEqual((self.state.version, unsigned.version, small.version), (1, 0, 0))
 
-    def test_a_change_takes_out_what_it_names_and_a_whole_one_all_else(self) -> None:
+    def test_change_removes_named_slices_or_replaces_all(self) -> None:
         gone = SliceName("tenant/tenant-4")
         change = msgspec.structs.replace(
-            edition_change(7, 9, NEWER, whole=False), removed=(gone, SliceName("tenant/none"))
+            edition_change(7, 9, CHANGED_CLASS, whole=False), removed=(gone, SliceName("tenant/none"))
         )
         self.assertEqual(submit_edition(self.state, change).outcome, "accepted")
-        after = {name: data for name, data in {**self.slices, **NEWER}.items() if name != gone}
+        after = {name: data for name, data in {**self.slices, **CHANGED_CLASS}.items() if name != gone}
         self.assertEqual({n: d for n, d in newest(self.state).items() if n != EDITION_SLICE}, after)
-        submit_edition(self.state, edition_change(9, 10, NEWER))
+        submit_edition(self.state, edition_change(9, 10, CHANGED_CLASS))
         self.assertEqual(sorted(newest(self.state)), ["class/gold", EDITION_SLICE])
 
-    def test_annotations_of_an_edition_stay_until_they_are_changed(self) -> None:
+    def test_annotations_are_retained_until_changed(self) -> None:
         def notes() -> object:
             return msgspec.json.decode(newest(self.state)[EDITION_SLICE], type=Edition).annotations
 
         name, data = slice_of(Edition(number=8, annotations={"a": [1, None]}))
         submit_edition(self.state, edition_change(7, 8, {name: data}, whole=False))
         self.assertEqual(notes(), {"a": [1, None]})
-        submit_edition(self.state, edition_change(8, 9, NEWER, whole=False))
+        submit_edition(self.state, edition_change(8, 9, CHANGED_CLASS, whole=False))
         self.assertEqual(notes(), {"a": [1, None]})
-        submit_edition(self.state, edition_change(9, 10, NEWER))
+        submit_edition(self.state, edition_change(9, 10, CHANGED_CLASS))
         self.assertEqual(notes(), {})
 
-    def test_signed_orders_do_not_take_the_number_back(self) -> None:
+    def test_signed_orders_must_not_decrease_the_edition_number(self) -> None:
         held = newest(self.state)
         for number, after in enumerate((self.slices, {**held, **dict([slice_of(Edition(number=6))])})):
             outcome = submit(self.state, order_between(1, held, after, f"back-{number}"))
             self.assertEqual(outcome.outcome, "invalid")
-            self.assertIn("never goes back", outcome.reason)
-        self.assertEqual(submit(self.state, order_between(1, held, {**held, **NEWER}, "on")).outcome, "accepted")
+            self.assertIn("must not decrease", outcome.reason)
+        self.assertEqual(
+            submit(self.state, order_between(1, held, {**held, **CHANGED_CLASS}, "on")).outcome, "accepted"
+        )
         self.assertEqual(standing(self.state).number, 7)
 
-    def test_outcomes_are_kept_for_so_many_orders(self) -> None:
+    def test_outcomes_are_retained_for_the_configured_number_of_orders(self) -> None:
         state = new_state(outcome_retention=2)
-        changes = [edition_change(number, number + 1, NEWER) for number in range(3)]
+        changes = [edition_change(number, number + 1, CHANGED_CLASS) for number in range(3)]
         for change in changes:
             submit_edition(state, change)
         self.assertEqual([submit_edition(state, change).outcome for change in changes[1:]], ["accepted"] * 2)
@@ -214,8 +218,8 @@
         self.assertEqual(standing(state).number, max(numbers, default=0))
 
 
-class PreparingTest(unittest.TestCase):
-    def test_what_was_prepared_is_decided_as_if_it_were_not(self) -> None:
+class PreparationTest(unittest.TestCase):
+    def test_prepared_edition_gets_the_same_decision(self) -> None:
         prepared, plain = new_state(), new_state()
         change = edition_change(0, 1, sample_slices())
         asyncio.run(prepared.prepare(SubmitEdition(change)))
@@ -224,10 +228,10 @@
         asyncio.run(prepared.prepare(SubmitEdition(bad)))
         self.assertEqual(prepared.decide(SubmitEdition(bad)), plain.decide(SubmitEdition(bad)))
 
-    def test_what_was_prepared_for_an_older_version_does_not_count(self) -> None:
+    def test_preparation_for_an_older_version_is_not_used(self) -> None:
         state = new_state()
         submit_edition(state, edition_change(0, 1, sample_slices()))
-        rest = edition_change(1, 2, NEWER, "rest", whole=False)
+        rest = edition_change(1, 2, CHANGED_CLASS, "rest", whole=False)
 
         async def overtaken() -> None:
             preparing = asyncio.create_task(state.prepare(SubmitEdition(rest)))
@@ -241,7 +245,7 @@
         self.assertEqual(submit_edition(state, rest).version, 3)
         self.assertNotIn("tenant/tenant-4", newest(state))
 
-    def test_a_large_order_is_prepared_in_short_steps_and_decided_at_once(self) -> None:
+    def test_large_edition_is_prepared_in_steps_and_decided_quickly(self) -> None:
         state, change = new_state(), edition_change(0, 1, sample_slices(3_000))
         turns: list[float] = []
 
@@ -259,9 +263,9 @@
         self.assertGreater(len(turns), 20)
         prepared = state._prepared
         self.assertEqual(len(prepared), 1)
-        begun = time.perf_counter()
+        started = time.perf_counter()
         _, outcome = state.decide(SubmitEdition(change))
-        took = time.perf_counter() - begun
+        took = time.perf_counter() - started
         assert isinstance(outcome, OrderOutcome)
         self.assertEqual(outcome.outcome, "accepted")
         self.assertLess(took, (turns[-1] - turns[0]) / 2)
--- a/wingwood/bundle/tests/test_parse.py
+++ b/wingwood/bundle/tests/test_parse.py
@@ -59,15 +59,15 @@
         altered = {"version": 2, "base": 1, "root": "0" * 64, "order": "other", "signed_at": 5.0}
         for field, value in altered.items():
             forged = msgspec.structs.replace(manifest, **{field: value})
-            self.assertIn("does not fit", verify_manifest(forged, OPERATOR_KEYS) or "", field)
+            self.assertIn("does not match the manifest", verify_manifest(forged, OPERATOR_KEYS) or "", field)
 
-    def test_a_stranger_and_a_malformed_signer_are_refused(self) -> None:
+    def test_unknown_and_malformed_signers_are_refused(self) -> None:
         manifest = order_between(0, {}, sample_slices(), key=STRANGER).manifest
         self.assertIn("not one of", verify_manifest(manifest, OPERATOR_KEYS) or "")
         odd = msgspec.structs.replace(manifest, signer="zz")
         self.assertIn("not an Ed25519", verify_manifest(odd, ("zz",)) or "")
 
-    def test_a_whole_second_survives_json_and_msgpack(self) -> None:
+    def test_signing_time_in_full_seconds_survives_json_and_msgpack(self) -> None:
         manifest = sign_manifest(
             msgspec.structs.replace(order_between(0, {}, {}).manifest, signed_at=1764650000), OPERATOR
         )
@@ -77,7 +77,7 @@
 
 
 class CrossCheckTest(unittest.TestCase):
-    def test_each_problem_names_slice_field_value_and_mend(self) -> None:
+    def test_each_problem_names_slice_field_value_and_remedy(self) -> None:
         cases: list[tuple[Service | Route | PriorityClass | Tenant, str, str, str]] = [
             (Service(name=ServiceName("chat"), pool=PoolName("Bad Pool")), "pool", "Bad Pool", "a-z"),
             (Service(name=ServiceName("chat"), pool=PoolName("m"), retry_share=0.5), "retry_share", "0.5", "0.2"),
@@ -127,7 +127,7 @@
             self.assertEqual((problem.slice, problem.field, problem.value), (name, field, value))
             self.assertIn(remedy, problem.remedy)
 
-    def test_bounds_of_what_deployments_with_pools_set(self) -> None:
+    def test_limits_of_fields_in_bundles_with_pools(self) -> None:
         chat: dict[str, Any] = {"name": ServiceName("chat"), "pool": PoolName("model")}
         shares = (PoolShare(pool=PoolName("model"), weight=0), PoolShare(pool=PoolName("spare"), weight=0))
         negative = (PoolShare(pool=PoolName("model"), weight=-1), PoolShare(pool=PoolName("spare"), weight=2))
@@ -192,7 +192,7 @@
         self.assertEqual((problem.code, problem.value), ("reference", "model"))
         self.assertEqual(accepted(held, step(both, sample_slices(), 1, 2)).pools, {})
 
-    def test_limits_and_edition_are_read_and_taken_out(self) -> None:
+    def test_caller_limits_and_edition_are_parsed_and_removed(self) -> None:
         extra = dict([slice_of(CallerLimits(idle=Seconds(15.0))), slice_of(Edition(number=7, annotations={"a": [1]}))])
         slices = {**sample_slices(), **extra}
         held = accepted(None, whole(slices))
@@ -215,7 +215,7 @@
         problem = apply_delta(held, step(slices, {**slices, name: data}, 1, 2), OPERATOR_KEYS).failure()
         self.assertEqual((problem.code, problem.slice, problem.field), ("double", "route/third", "path_prefix"))
 
-    def test_slices_that_are_not_as_they_should_be_written(self) -> None:
+    def test_malformed_slices_are_refused(self) -> None:
         name = SliceName("class/gold")
         for data, remedy in (
             (b'{"name": "gold", "weight": 4.0}', "sorted keys"),
@@ -243,7 +243,7 @@
             forged = msgspec.structs.replace(delta, changed=changed)
             self.assertEqual(apply_delta(None, forged, OPERATOR_KEYS).failure().code, "root")
 
-    def test_never_back_and_never_over_a_gap(self) -> None:
+    def test_older_versions_and_gaps_are_refused(self) -> None:
         slices = sample_slices()
         held = accepted(None, whole(slices, 3))
         self.assertEqual(apply_delta(held, whole(slices, 3), OPERATOR_KEYS).failure().code, "stale")
@@ -251,7 +251,7 @@
         self.assertEqual(apply_delta(held, step(slices, slices, 5, 6), OPERATOR_KEYS).failure().code, "gap")
         self.assertEqual(accepted(held, step(slices, slices, 2, 6)).version, 6)
 
-    def test_a_key_may_move_between_tenants_in_one_change(self) -> None:
+    def test_keys_may_move_between_tenants_in_one_change(self) -> None:
         slices = sample_slices()
         held = accepted(None, whole(slices))
         moved = dict(slices)
@@ -262,7 +262,7 @@
         self.assertEqual(bundle.keys[key_digest("key-0")], "tenant-1")
         self.assertEqual(held.keys[key_digest("key-0")], "tenant-0")
 
-    def test_removing_what_others_name_is_refused(self) -> None:
+    def test_removing_a_referenced_slice_is_refused(self) -> None:
         slices = sample_slices()
         held = accepted(None, whole(slices))
         for name, field in (("service/chat", "service"), ("class/gold", "priority_class")):
@@ -332,7 +332,7 @@
 
 
 class GradualTest(unittest.TestCase):
-    def test_others_run_while_a_large_bundle_is_read_and_the_result_is_the_same(self) -> None:
+    def test_other_tasks_run_while_a_large_bundle_is_parsed(self) -> None:
         slices = sample_slices(3_000)
         delta = whole(slices)
         turns: list[int] = []
--- a/wingwood/bundle/tests/test_positions.py
+++ b/wingwood/bundle/tests/test_positions.py
@@ -34,38 +34,38 @@
     return [name.removeprefix("route/") for name in sorted(position, key=position.__getitem__)]
 
 
-def differing(held: Slices, slices: Slices) -> set[str]:
+def changed_names(held: Slices, slices: Slices) -> set[str]:
     return {name.removeprefix("route/") for name, data in slices.items() if held.get(name) != data}
 
 
 class PositionTest(unittest.TestCase):
-    def test_items_behind_one_that_is_left_out_stay_as_they_are(self) -> None:
+    def test_omitting_an_item_does_not_change_later_items(self) -> None:
         held = whole(list("abcdef"))
         slices = kept(held, list("acdefg"))
-        self.assertEqual(differing(held, slices), {"g"})
+        self.assertEqual(changed_names(held, slices), {"g"})
 
-    def test_a_new_item_takes_the_place_of_one_that_is_left_out(self) -> None:
+    def test_new_item_at_the_place_of_an_omitted_one_changes_no_other(self) -> None:
         held = whole(list("abcdef"))
-        self.assertEqual(differing(held, kept(held, list("axcdef"))), {"x"})
+        self.assertEqual(changed_names(held, kept(held, list("axcdef"))), {"x"})
 
-    def test_items_put_in_anywhere_change_nothing_else(self) -> None:
+    def test_inserting_items_changes_no_other_item(self) -> None:
         names = [f"{number:03}" for number in range(0, 400, 4)]
         held = kept({}, names)
         for number in (1, 2, 3, 5, 203, 202, 399):
             names = sorted([*names, f"{number:03}"])
             after = kept(held, names)
-            self.assertEqual(differing(held, after), {f"{number:03}"})
+            self.assertEqual(changed_names(held, after), {f"{number:03}"})
             held = after
 
-    def test_positions_without_room_are_spread_once(self) -> None:
+    def test_positions_without_gaps_are_spread_once(self) -> None:
         held = kept(whole(list("acdef")), list("abcdef"))
-        self.assertEqual(differing(held, kept(held, list("abcxdef"))), {"x"})
+        self.assertEqual(changed_names(held, kept(held, list("abcxdef"))), {"x"})
 
-    def test_an_item_that_moves_to_the_front_moves_alone_where_there_is_room(self) -> None:
+    def test_item_moved_to_a_front_with_a_gap_changes_no_other(self) -> None:
         held = kept(whole(list("abcdef")), list("bcdef"))
-        self.assertEqual(differing(held, kept(held, list("fbcde"))), {"f"})
+        self.assertEqual(changed_names(held, kept(held, list("fbcde"))), {"f"})
 
-    def test_what_cannot_be_read_is_left_for_the_checks_that_follow(self) -> None:
+    def test_undecodable_slices_are_left_for_later_checks(self) -> None:
         broken = {SliceName("route/a"): b"{", SliceName("route/b"): item(4)}
         self.assertEqual(at_once(with_retained_positions(broken, broken))[SliceName("route/a")], b"{")
 
--- a/wingwood/bundle/tests/test_reading.py
+++ b/wingwood/bundle/tests/test_reading.py
@@ -19,7 +19,7 @@
 
 
 class ReadingTest(unittest.TestCase):
-    def test_the_second_control_daemon_is_asked_when_the_first_is_away(self) -> None:
+    def test_second_control_daemon_is_asked_when_the_first_is_unreachable(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
         submit(state, order_between(0, {}, slices))
         submit(state, order_between(1, slices, slices))
@@ -56,7 +56,7 @@
         self.assertEqual(found[2], reader.read_history(10))
         self.assertIn("none is known", str(found[3]))
 
-    def test_a_new_primary_that_has_not_committed_yet_does_not_say_that_there_is_no_bundle(self) -> None:
+    def test_new_primary_without_commits_gives_no_authoritative_answer(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
         nothing = LocalBundleReader(state, lambda: BundleVersion(0))
         self.assertTrue(nothing.read_bundle(BundleVersion(0)).authoritative)
@@ -65,7 +65,7 @@
         self.assertFalse(nothing.read_history(10).authoritative)
         self.assertTrue(LocalBundleReader(state, lambda: BundleVersion(1)).read_bundle(BundleVersion(0)).authoritative)
 
-    def test_only_a_daemon_that_keeps_the_bundles_speaks_for_the_fleet(self) -> None:
+    def test_only_daemons_that_store_the_bundles_are_authoritative(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
         submit(state, order_between(0, {}, slices))
         older = BundleState(OPERATOR_KEYS)
@@ -108,4 +108,4 @@
             world.run(5.0)
             self.assertEqual(world.broken_invariants, [])
         self.assertEqual(found[:2], [2, 2])
-        self.assertIn("does not keep them", str(found[2]))
+        self.assertIn("does not store the bundles", str(found[2]))
--- a/wingwood/bundle/tests/test_route_index.py
+++ b/wingwood/bundle/tests/test_route_index.py
@@ -28,7 +28,7 @@
     return [each.name for each in found]
 
 
-class FindingTest(unittest.TestCase):
+class RouteSearchTest(unittest.TestCase):
     def setUp(self) -> None:
         self.routes = [
             route("root", "a.example", "/"),
@@ -56,13 +56,13 @@
         ):
             self.assertEqual(names(self.index.find(host, path)), expected, (host, path))
 
-    def test_a_bundle_finds_the_route_that_takes_the_method_or_one_that_does_not(self) -> None:
+    def test_find_route_prefers_a_route_that_accepts_the_method(self) -> None:
         bundle = msgspec.structs.replace(empty_bundle(), routes=tuple(self.routes))
         found = [bundle.find_route("b.example", "/v2/x", method) for method in ("GET", "POST", "PUT")]
         self.assertEqual([each.name for each in found if each is not None], ["get", "post", "get"])
         self.assertIsNone(bundle.find_route("b.example", "/none", "GET"))
 
-    def test_hosts_lose_case_and_port(self) -> None:
+    def test_case_and_port_of_hosts_are_removed(self) -> None:
         for sent, plain in (
             ("A.example", "a.example"),
             ("a.example:", "a.example"),
@@ -72,31 +72,31 @@
         ):
             self.assertEqual(plain_host(sent), plain)
 
-    def test_a_change_leaves_the_index_that_it_comes_from_as_it_was(self) -> None:
+    def test_changed_index_leaves_the_original_unchanged(self) -> None:
         after = at_once(self.index.changed([self.routes[1]], [route("new", "c.example", "/")]))
         self.assertEqual(names(after.find("a.example", "/v1/chat/more")), ["bare"])
         self.assertEqual(names(after.find("c.example", "/x")), ["new"])
         self.assertEqual(names(self.index.find("a.example", "/v1/chat/more")), ["deep"])
         self.assertEqual(self.index.find("c.example", "/x"), ())
 
-    def test_routes_that_take_the_same_calls_are_refused(self) -> None:
+    def test_routes_that_accept_the_same_calls_are_refused(self) -> None:
         with self.assertRaises(BundleProblemError) as refused:
             at_once(self.index.changed([], [route("other", "a.example", "/v1/chat", ("PUT", "GET"))]))
         problem = refused.exception.problem
         self.assertEqual((problem.code, problem.slice), ("double", "route/other"))
         self.assertIn("route/bare takes GET", problem.remedy)
 
-    def test_ten_thousand_routes_do_not_slow_a_call(self) -> None:
+    def test_search_time_does_not_grow_with_the_number_of_routes(self) -> None:
         few = RouteIndex.of([route(f"r{number}", "a.example", f"/p{number}/") for number in range(10)])
         many = RouteIndex.of([route(f"r{number}", "a.example", f"/p{number}/") for number in range(10_000)])
 
         def best(index: RouteIndex) -> float:
             times = []
             for _ in range(20):
-                begun = time.perf_counter()
+                started = time.perf_counter()
                 for _ in range(200):
                     index.find("a.example", "/p7/x/y")
-                times.append(time.perf_counter() - begun)
+                times.append(time.perf_counter() - started)
             return min(times)
 
         self.assertEqual(names(many.find("a.example", "/p9999/x")), ["r9999"])
--- a/wingwood/bundle/tests/test_state.py
+++ b/wingwood/bundle/tests/test_state.py
@@ -26,7 +26,7 @@
     return {**slices, **dict([slice_of(PriorityClass(name=ClassName("gold"), weight=weight))])}
 
 
-def resized(slices: Slices, number: int) -> Slices:
+def with_new_rates(slices: Slices, number: int) -> Slices:
     """Each tenant pays for another rate."""
     tenants = {name: msgspec.json.decode(data) for name, data in slices.items() if name.startswith("tenant/")}
     return {**slices, **{n: canonical_json({**each, "paid_rate": 100.0 + number}) for n, each in tenants.items()}}
@@ -45,14 +45,14 @@
         self.first = order_between(0, {}, self.slices)
         self.assertEqual(submit(self.state, self.first).outcome, "accepted")
 
-    def test_of_two_orders_on_one_version_one_wins_and_the_other_learns_which(self) -> None:
+    def test_losing_order_on_one_base_names_the_winner(self) -> None:
         after = reweighed(self.slices, 8.0)
         self.assertEqual(submit(self.state, order_between(1, self.slices, after, "mine")).version, 2)
         lost = submit(self.state, order_between(1, self.slices, self.slices, "yours"))
         self.assertEqual((lost.outcome, lost.version), ("conflict", 2))
         self.assertIn("order mine", lost.reason)
 
-    def test_every_outcome_is_given_again_also_after_a_restart_and_later_versions(self) -> None:
+    def test_resent_orders_get_their_first_outcome_after_restart(self) -> None:
         bad = reweighed(self.slices, -1.0)
         orders = [
             self.first,
@@ -68,14 +68,14 @@
                 record, again = state.decide(SubmitOrder(order))
                 self.assertEqual((record, again), (None, outcome))
 
-    def test_an_order_id_with_other_content_is_invalid_and_the_first_outcome_stands(self) -> None:
+    def test_reused_order_id_is_invalid_and_keeps_its_first_outcome(self) -> None:
         other = order_between(1, self.slices, reweighed(self.slices, 8.0), "order-1")
         outcome = submit(self.state, other)
         self.assertEqual(outcome.outcome, "invalid")
         self.assertIn("used before", outcome.reason)
         self.assertEqual(submit(self.state, self.first).outcome, "accepted")
 
-    def test_what_no_operator_signed_leaves_no_trace(self) -> None:
+    def test_orders_without_a_valid_signature_are_not_recorded(self) -> None:
         """Else a stranger could take an order id or wash true outcomes out of the memory."""
         after = reweighed(self.slices, 8.0)
         true_order = order_between(1, self.slices, after, "mine")
@@ -89,7 +89,7 @@
             self.assertEqual(getattr(outcome, "outcome", ""), "invalid")
         self.assertEqual(submit(self.state, true_order).outcome, "accepted")
 
-    def test_too_large_and_ill_numbered_orders_are_refused_and_nothing_changes(self) -> None:
+    def test_too_large_and_wrongly_numbered_orders_are_refused(self) -> None:
         small = BundleState(OPERATOR_KEYS, bundle_bytes=500)
         self.assertIn("bundle_bytes", submit(small, self.first).reason)
         for changes in ({"base": 5}, {"order": "with space"}):
@@ -103,7 +103,7 @@
         more = {**self.slices, **dict([slice_of(PriorityClass(name=ClassName("more"), weight=1.0))])}
         self.assertIn("the bundle has", submit(grown, order_between(1, self.slices, more)).reason)
 
-    def test_a_whole_order_drops_what_it_does_not_name(self) -> None:
+    def test_order_that_replaces_all_removes_other_slices(self) -> None:
         fewer = {name: data for name, data in self.slices.items() if name != "tenant/tenant-4"}
         order = msgspec.structs.replace(order_between(1, {}, fewer, "less"), replaces_all=True)
         self.assertEqual(submit(self.state, order).outcome, "accepted")
@@ -111,7 +111,7 @@
         entry = self.state.history(BundleVersion(2))[0]
         self.assertEqual((entry.changed, entry.removed), ((), ("tenant/tenant-4",)))
 
-    def test_the_oldest_outcomes_are_forgotten_first(self) -> None:
+    def test_oldest_outcomes_are_dropped_first(self) -> None:
         state = BundleState(OPERATOR_KEYS, outcome_retention=2)
         for number in range(4):
             submit(state, order_between(number, self.slices if number else {}, self.slices))
@@ -119,7 +119,7 @@
         self.assertEqual(kept, [False, False, True, True])
         self.assertEqual(submit(state, self.first).outcome, "conflict")
 
-    def test_a_backup_that_only_applied_decides_alike(self) -> None:
+    def test_backup_that_only_applied_records_decides_the_same(self) -> None:
         backup = BundleState(OPERATOR_KEYS)
         after = reweighed(self.slices, 8.0)
         primary = BundleState(OPERATOR_KEYS)
@@ -134,7 +134,7 @@
 
 
 class DistributionViewTest(unittest.TestCase):
-    def test_what_is_decided_but_not_durable_does_not_show(self) -> None:
+    def test_versions_that_are_not_durable_are_not_shown(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
         submit(state, order_between(0, {}, slices))
         submit(state, order_between(1, slices, reweighed(slices, 8.0)))
@@ -146,26 +146,26 @@
         self.assertIsNone(state.manifest_at(BundleVersion(3)))
         self.assertEqual([entry.version for entry in state.history(durable)], [1])
 
-    def test_a_history_of_large_changes_is_shorter(self) -> None:
+    def test_history_of_large_changes_is_shorter(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices(tenants=40)
         size = sum(map(len, slices.values()))
         self.assertEqual(submit(state, order_between(0, {}, slices)).outcome, "accepted")
         with patch("wingwood.bundle.stored_bundles.MAX_HISTORY_BYTES", 5 * size):
             for version in range(1, 60):
-                after = resized(slices, version)
+                after = with_new_rates(slices, version)
                 outcome = submit(state, order_between(version, slices, after, f"large-{version}"))
                 self.assertEqual(outcome.outcome, "accepted", outcome.reason)
                 slices = after
             for each in (state, restarted(state)):
                 self.assertLess(len(each.snapshot()), 20 * size)
                 self.assertIsNone(each.slices_at(BundleVersion(20)))
-                self.assertEqual(each.slices_at(BundleVersion(55)), resized(slices, 54))
+                self.assertEqual(each.slices_at(BundleVersion(55)), with_new_rates(slices, 54))
                 self.assertEqual(each.slices_at(each.version), slices)
                 delta = each.delta_since(BundleVersion(3), each.version)
                 assert delta is not None
                 self.assertEqual(delta.changed, {n: d for n, d in slices.items() if n.startswith("tenant/")})
 
-    def test_a_holder_from_before_a_forgotten_removal_gets_everything_also_after_a_restart(self) -> None:
+    def test_holder_older_than_a_dropped_removal_gets_all_slices(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS, history_versions=2), sample_slices()
         fewer = {name: data for name, data in slices.items() if name != "tenant/tenant-4"}
         for base, (before, after) in enumerate([({}, slices), (slices, fewer), *[(fewer, fewer)] * 4]):
--- a/wingwood/bundle/tests/test_variants.py
+++ b/wingwood/bundle/tests/test_variants.py
@@ -55,7 +55,7 @@
     return msgspec.structs.replace(rollout, **fields)
 
 
-def under_way(rollout: Rollout) -> Slices:
+def bundle_during(rollout: Rollout) -> Slices:
     return {
         **sample_slices(),
         **required_slices(rollout),
@@ -63,14 +63,14 @@
     }
 
 
-class ChoiceTest(unittest.TestCase):
-    def test_only_the_named_zones_routers_act_on_it(self) -> None:
+class VariantChoiceTest(unittest.TestCase):
+    def test_variant_applies_to_routers_of_its_zone_only(self) -> None:
         slices = {**sample_slices(), SliceName(f"{CHAT}@zone=a"): changed(CHAT, pool="large")}
         pools = [read(slices, place).services[ServiceName("chat")].pool for place in (A, B, None)]
         self.assertEqual(pools, ["large", "model", "model"])
         self.assertEqual(read(slices, A).slices, read(slices, B).slices)
 
-    def test_routes_and_classes_too(self) -> None:
+    def test_routes_and_classes_may_have_variants(self) -> None:
         slices = {
             **sample_slices(),
             SliceName("route/chat@zone=a"): changed(SliceName("route/chat"), service="summaries"),
@@ -82,7 +82,7 @@
         self.assertEqual(targets, ["summaries", "chat"])
         self.assertEqual([view.classes[ClassName("gold")].weight for view in (here, there)], [9.0, 4.0])
 
-    def test_shares_grow_and_a_zone_goes_before_a_share(self) -> None:
+    def test_shares_include_smaller_shares_and_zones_take_precedence(self) -> None:
         places = [VariantTarget(Zone("a"), DaemonName(f"router-{number}")) for number in range(1000)]
         insides = [{place.name for place in places if selects(f"share={share}", place)} for share in (10, 25, 99)]
         self.assertTrue(insides[0] < insides[1] < insides[2])
@@ -94,10 +94,10 @@
         self.assertEqual(choose_variants(names, early), {CHAT: f"{CHAT}@zone=a"})
         self.assertEqual(choose_variants(names[:2], early), {CHAT: f"{CHAT}@share=50"})
 
-    def test_what_may_not_be_a_variant_is_refused_with_its_reason(self) -> None:
+    def test_invalid_variants_are_refused_with_the_reason(self) -> None:
         tenant, cards = SliceName("tenant/tenant-1"), SliceName("service/cards")
-        for name, data, said in (
-            (f"{tenant}@zone=a", changed(tenant, paid_rate=1.0), "a tenant counts for the whole fleet"),
+        for name, data, expected_text in (
+            (f"{tenant}@zone=a", changed(tenant, paid_rate=1.0), "a tenant applies to the whole fleet"),
             ("rollout/x@zone=a", b"{}", "only services, routes and classes"),
             (f"{CHAT}@region=a", changed(CHAT), "zone=ZONE or share=PERCENT"),
             (f"{CHAT}@share=0", changed(CHAT), "from 1 to 99"),
@@ -116,18 +116,18 @@
             ("route/cards@zone=a", changed(SliceName("route/cards"), service="chat"), "would run again"),
         ):
             problem = problem_of({**sample_slices(), SliceName(name): data})
-            self.assertIn(said, str(problem), name)
+            self.assertIn(expected_text, str(problem), name)
             self.assertEqual(problem.slice.partition("@")[0], name.partition("@")[0])
 
-    def test_a_plain_slice_cannot_be_changed_away_from_under_its_variant(self) -> None:
+    def test_plain_slice_must_not_change_against_its_variant(self) -> None:
         variant = SliceName(f"{CHAT}@zone=a")
         before = {**sample_slices(), variant: changed(CHAT, pool="large")}
         held = apply_delta(None, whole(before, 1), OPERATOR_KEYS, A).unwrap()
         after = {**before, CHAT: changed(CHAT, repeatable=False)}
         self.assertIn("must be False", str(apply_delta(held, step(before, after, 2), OPERATOR_KEYS, A).failure()))
 
-    def test_a_removed_key_stops_everywhere_whatever_is_under_way(self) -> None:
-        before = under_way(rollout_of())
+    def test_removed_key_is_gone_for_all_routers_during_a_rollout(self) -> None:
+        before = bundle_during(rollout_of())
         tenant = SliceName("tenant/tenant-1")
         after = {**before, tenant: changed(tenant, keys=[])}
         for place in PLACES:
@@ -150,30 +150,30 @@
 
 
 class RolloutTest(unittest.TestCase):
-    def test_each_stage_keeps_those_before_it_and_the_last_leaves_no_variant(self) -> None:
-        variants = [sorted(read(under_way(rollout_of(stage))).variants) for stage in range(3)]
+    def test_stages_include_earlier_ones_and_the_last_has_no_variant(self) -> None:
+        variants = [sorted(read(bundle_during(rollout_of(stage))).variants) for stage in range(3)]
         self.assertEqual(variants, [[f"{CHAT}@zone=a"], [f"{CHAT}@share=25", f"{CHAT}@zone=a"], []])
-        self.assertEqual(read(under_way(rollout_of(2)), B).services[ServiceName("chat")].pool, "large")
+        self.assertEqual(read(bundle_during(rollout_of(2)), B).services[ServiceName("chat")].pool, "large")
 
-    def test_slices_and_roll_out_always_agree_while_it_runs(self) -> None:
-        slices = under_way(rollout_of())
+    def test_slices_must_agree_with_a_running_rollout(self) -> None:
+        slices = bundle_during(rollout_of())
         variant = SliceName(f"{CHAT}@zone=a")
-        for altered, said in (
+        for altered, expected_text in (
             ({**slices, CHAT: changed(CHAT, deadline=9.0)}, "wingwood rollout roll-back bigger"),
             ({**slices, variant: changed(CHAT, pool="other")}, "at stage zone=a"),
-            ({**slices, SliceName(f"{CHAT}@zone=b"): changed(CHAT)}, "must not stand"),
-            ({name: data for name, data in slices.items() if name != variant}, "must stand"),
+            ({**slices, SliceName(f"{CHAT}@zone=b"): changed(CHAT)}, "must not be in the bundle"),
+            ({name: data for name, data in slices.items() if name != variant}, "must be in the bundle"),
         ):
-            self.assertIn(said, str(problem_of(altered)))
+            self.assertIn(expected_text, str(problem_of(altered)))
         # Once it is rolled back, the slices are anyone's again.
         done = rollout_of(state="rolled-back")
         read({**sample_slices(), SliceName("rollout/bigger"): canonical_json(done), CHAT: changed(CHAT, deadline=9.0)})
 
-    def test_two_roll_outs_cannot_change_one_slice(self) -> None:
-        slices = {**under_way(rollout_of()), **under_way(rollout_of(name="other"))}
+    def test_two_rollouts_must_not_change_one_slice(self) -> None:
+        slices = {**bundle_during(rollout_of()), **bundle_during(rollout_of(name="other"))}
         self.assertIn("rollout/bigger is changing it", str(problem_of(slices)))
 
-    def test_running_roll_outs_are_bounded_together(self) -> None:
+    def test_changes_of_all_running_rollouts_are_limited(self) -> None:
         slices = sample_slices()
         for number in range(6):
             names = [f"c{number}-{index:02}" for index in range(100)]
@@ -192,10 +192,10 @@
             if number == 4:
                 read(slices)
 
-    def test_its_own_fields(self) -> None:
+    def test_invalid_fields_of_a_rollout_are_refused(self) -> None:
         tenant = RolloutChange(slice=SliceName("tenant/tenant-1"), before={}, after={"keys": []})
         same = RolloutChange(slice=CHAT, before={}, after={})
-        for fields, said in (
+        for fields, expected_text in (
             ({"stages": ("zone=a",)}, "the last one is all"),
             ({"stages": ("half", "all")}, "a stage is zone=ZONE"),
             ({"stages": ("zone=a", "zone=a", "all")}, "each stage once"),
@@ -207,7 +207,7 @@
             ({"changes": ()}, "1 to 100"),
         ):
             slices = {**sample_slices(), SliceName("rollout/bigger"): canonical_json(rollout_of(**fields))}
-            self.assertIn(said, str(problem_of(slices)))
+            self.assertIn(expected_text, str(problem_of(slices)))
 
 
 letters = st.sampled_from(["a", "b"])
--- a/wingwood/settings/load.py
+++ b/wingwood/settings/load.py
@@ -235,7 +235,7 @@
 def check_settings(
     document: Mapping[str, object], file: str, flags: Mapping[str, object] | None = None
 ) -> Result[DaemonSettings, SettingsProblem]:
-    """Returns the checked settings; otherwise a problem that names the first invalid key and the flag or file with it."""
+    """Returns the checked settings; else a problem that names the first invalid key and the flag or file with it."""
     try:
         checked = _SCHEMA(dict(document))
     except voluptuous.MultipleInvalid as several:
@@ -261,9 +261,9 @@
     if settings.role == "router" and settings.caller is None:
         return problem("caller", "", "missing; a router needs the address for its callers, such as 10.0.0.7:8000")
     if settings.role == "control" and settings.caller is not None:
-        return problem("caller", settings.caller, "a control daemon takes no callers; leave it out")
+        return problem("caller", settings.caller, "a control daemon accepts no calls; remove the key")
     if settings.record_file is not None and settings.data_folder is None:
-        return problem("record_file", settings.record_file, "needs data_folder, since it lies below it")
+        return problem("record_file", settings.record_file, "needs data_folder, since the file is stored below it")
     own = [each for each in (settings.internal, settings.operator, settings.caller) if each is not None]
     if len(set(own)) != len(own):
         return problem("operator", settings.operator, "internal, operator and caller need three different addresses")
@@ -276,4 +276,4 @@
         CHECKS[key](None)
     except _Expected as expected:
         return str(expected.msg)
-    raise AssertionError(f"{key} takes nothing as a value")
+    raise AssertionError(f"the check of {key} accepts None")
--- a/wingwood/settings/model.py
+++ b/wingwood/settings/model.py
@@ -27,7 +27,7 @@
     seeds: tuple[Address, ...]
     """Internal addresses of three other daemons. Control daemons form a new fleet only from these."""
     data_folder: str | None = None
-    """Folder for stored state. A control daemon without one is a relay (section 7.12); routers store no state on disk."""
+    """Folder for stored state. A control daemon without one is a relay (section 7.12); routers store no state."""
     fleet_key: bytes
     """Secret shared by all daemons of the fleet."""
     operator_keys: tuple[str, ...]
@@ -46,7 +46,7 @@
     worker_check: Literal["health", "trial"] = "health"
     """Method of testing suspected workers: their health check, or real calls, one at a time (section 10.6)."""
     worker_unrenewed_after: Seconds = Seconds(3.0)
-    """Time without an announcement after which a worker is avoided; it slightly exceeds three announcement intervals."""
+    """Time without an announcement after which a worker is avoided; slightly more than three announcement intervals."""
     record_file: str | None = None
     """File in which a router records its calls for the replay tool; a path below the data folder."""
     log_calls: bool = True
@@ -83,13 +83,13 @@
     bundle_bytes: int = 16 * 1024 * 1024
     """Largest total size of the slices of a bundle."""
     losses_borne: int = 1
-    """Number of control daemons with a disk that may fail at the same time, n; the control core needs 2n + 1 of them."""
+    """Number n of control daemons with a disk that may fail at the same time; the control core needs 2n + 1."""
     begin_empty_when_damaged: bool = False
     """For one start of a control daemon: a damaged journal is moved aside and the state is fetched anew from peers."""
 
     @property
     def bundle_signers(self) -> tuple[str, ...]:
-        """Ed25519 public keys, in hex digits, whose bundles are accepted: the operators' and that of ``signing_key``."""
+        """Ed25519 public keys, in hex digits, whose bundles are accepted: the operators' and ``signing_key``'s."""
         if self.signing_key is None:
             return self.operator_keys
         own = public_hex(Ed25519PrivateKey.from_private_bytes(self.signing_key))
--- a/wingwood/settings/tests/test_load.py
+++ b/wingwood/settings/tests/test_load.py
@@ -29,10 +29,10 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def said(self, document: dict[str, object]) -> str:
+    def problem_text(self, document: dict[str, object]) -> str:
         return str(check_settings(document, "file.toml").failure())
 
-    def test_a_whole_file_is_read_and_flags_win(self) -> None:
+    def test_flags_override_the_settings_file(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder, "router.toml")
             file.write_text("\n".join(f"{key} = {value!r}" for key, value in ROUTER.items()))
@@ -46,12 +46,12 @@
             self.assertIn("not TOML", str(read_settings(file, {}).failure()))
             self.assertIn("cannot be read", str(read_settings(Path(folder, "none"), {}).failure()))
 
-    def test_every_key_has_a_check_and_says_what_it_expects(self) -> None:
+    def test_every_key_has_a_check_that_describes_valid_values(self) -> None:
         self.assertEqual(sorted(CHECKS), sorted(each.name for each in msgspec.structs.fields(DaemonSettings)))
         for key in CHECKS:
             self.assertIn("expected", expectation(key))
 
-    def test_the_message_names_file_key_value_and_expectation(self) -> None:
+    def test_message_names_file_key_value_and_valid_values(self) -> None:
         for key, value, expected in (
             ("zone", 7, "1 to 64 letters"),
             ("role", "door", "one of router, control"),
@@ -63,16 +63,16 @@
             ("outcome_retention", 5.5, "whole number"),
             ("balancing", "random", "sticky"),
         ):
-            text = self.said({**ROUTER, key: value})
+            text = self.problem_text({**ROUTER, key: value})
             for part in ("file.toml", key, repr(value), expected):
                 self.assertIn(part, text)
 
     def test_unknown_and_missing_keys(self) -> None:
-        self.assertIn("colour: unknown key; the keys are name, role", self.said({**ROUTER, "colour": 1}))
+        self.assertIn("colour: unknown key; the keys are name, role", self.problem_text({**ROUTER, "colour": 1}))
         missing = {key: value for key, value in ROUTER.items() if key != "zone"}
-        self.assertIn("zone: missing; expected 1 to 64", self.said(missing))
+        self.assertIn("zone: missing; expected 1 to 64", self.problem_text(missing))
 
-    def test_the_fleet_key_may_stand_in_a_file_of_its_own(self) -> None:
+    def test_fleet_key_may_be_read_from_a_separate_file(self) -> None:
         flags = {key: value for key, value in ROUTER.items() if key != "fleet_key"}
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder, "fleet.key")
@@ -82,28 +82,28 @@
             self.assertEqual(read_settings(None, flags).unwrap().fleet_key, b"\x0f" * 32)
             self.assertIn("not both", str(read_settings(None, {**ROUTER, **flags}).failure()))
 
-    def test_placeholders_are_no_keys(self) -> None:
+    def test_keys_of_one_repeated_digit_are_refused(self) -> None:
         """The Ed25519 point of 32 zero bytes is of low order: others could sign for it."""
-        self.assertIn("over and over", self.said({**ROUTER, "fleet_key": "0" * 64}))
-        self.assertIn("64 hex", self.said({**ROUTER, "operator_keys": ["0" * 64]}))
+        self.assertIn("over and over", self.problem_text({**ROUTER, "fleet_key": "0" * 64}))
+        self.assertIn("64 hex", self.problem_text({**ROUTER, "operator_keys": ["0" * 64]}))
 
-    def test_a_secret_is_not_repeated(self) -> None:
-        self.assertNotIn("5ecret", self.said({**ROUTER, "fleet_key": "5ecret"}))
-        self.assertNotIn("5ecret", self.said({**ROUTER, "signing_key": "5ecret"}))
+    def test_secrets_are_not_shown_in_messages(self) -> None:
+        self.assertNotIn("5ecret", self.problem_text({**ROUTER, "fleet_key": "5ecret"}))
+        self.assertNotIn("5ecret", self.problem_text({**ROUTER, "signing_key": "5ecret"}))
 
-    def test_the_signing_key_is_a_seed_whose_public_key_counts_as_an_operators(self) -> None:
+    def test_public_key_of_the_signing_key_is_a_bundle_signer(self) -> None:
         settings = check_settings({**CONTROL, "signing_key": "0a" * 32}, "f").unwrap()
         self.assertEqual(settings.signing_key, b"\x0a" * 32)
         own = public_hex(Ed25519PrivateKey.from_private_bytes(b"\x0a" * 32))
         self.assertEqual(settings.bundle_signers, ("cd" * 32, own))
         self.assertEqual(check_settings(CONTROL, "f").unwrap().bundle_signers, ("cd" * 32,))
         for wrong in ("0a" * 31, "0a" * 33, "zz" * 32, 7, "0" * 64):
-            self.assertIn("(hidden): expected", self.said({**CONTROL, "signing_key": wrong}))
+            self.assertIn("(hidden): expected", self.problem_text({**CONTROL, "signing_key": wrong}))
 
-    def test_keys_that_do_not_go_together(self) -> None:
+    def test_combinations_of_keys_are_checked(self) -> None:
         self.assertEqual(check_settings(CONTROL, "f").unwrap().data_folder, "data")
-        self.assertIn("caller", self.said({**CONTROL, "caller": "127.0.0.1:1"}))
+        self.assertIn("caller", self.problem_text({**CONTROL, "caller": "127.0.0.1:1"}))
         relay = {key: CONTROL[key] for key in CONTROL if key != "data_folder"}
         self.assertIsNone(check_settings(relay, "f").unwrap().data_folder)
-        self.assertIn("record_file", self.said({**ROUTER, "record_file": "day"}))
-        self.assertIn("three different", self.said({**ROUTER, "operator": ROUTER["internal"]}))
+        self.assertIn("record_file", self.problem_text({**ROUTER, "record_file": "day"}))
+        self.assertIn("three different", self.problem_text({**ROUTER, "operator": ROUTER["internal"]}))
