--- a/wingwood/bundle/tests/samples.py
+++ b/wingwood/bundle/tests/samples.py
@@ -1,4 +1,4 @@
-"""Slices and signed orders for tests of this and other slices."""
+"""Sample slices and signed orders for the tests of this and other packages."""
 
 from __future__ import annotations
 
@@ -32,15 +32,16 @@
 OPERATOR_KEYS = (public_hex(OPERATOR),)
 SIGNING_KEY = b"\x03" * 32
 SIGNER = public_hex(Ed25519PrivateKey.from_private_bytes(SIGNING_KEY))
-"""Control's own, for editions."""
+"""Public key with which control daemons sign editions."""
 
 
 def key_digest(key: str) -> KeyDigest:
+    """Returns the digest under which a bundle lists a caller key."""
     return KeyDigest(hashlib.sha256(key.encode()).hexdigest())
 
 
 def sample_slices(tenants: int = 5) -> dict[SliceName, bytes]:
-    """Three services with a route each, three classes, some tenants with one key each."""
+    """Returns three services with a route each, two priority classes, and tenants with one key each."""
     parts: list[Service | Route | PriorityClass | Tenant] = [
         Service(name=ServiceName("summaries"), pool=PoolName("model")),
         Service(name=ServiceName("chat"), pool=PoolName("model"), first_byte_patience=Seconds(3.0)),
@@ -67,6 +68,7 @@
 
 
 def slice_of(part: SlicePart) -> tuple[SliceName, bytes]:
+    """Returns the slice name and the canonical JSON of a slice's content."""
     kinds = {
         Service: "service",
         Route: "route",
@@ -86,11 +88,12 @@
     order: str = "",
     key: Ed25519PrivateKey = OPERATOR,
 ) -> Order:
+    """Returns a signed order on version ``base`` that changes slices ``before`` into ``after``."""
     return make_order(BundleVersion(base), before, after, key, OrderId(order or f"order-{base + 1}"), WallTime(1000.0))
 
 
 def submit(state: BundleState, order: Order) -> OrderOutcome:
-    """Decides and applies at once, as the primary does."""
+    """Decides the order and applies its record immediately, as the primary does; returns the outcome."""
     record, outcome = state.decide(SubmitOrder(msgspec.msgpack.decode(msgspec.msgpack.encode(order), type=Order)))
     if record is not None:
         state.apply(record)
@@ -99,7 +102,7 @@
 
 
 def submit_edition(state: BundleState, change: EditionChange) -> OrderOutcome:
-    """Decides and applies at once, as the primary does."""
+    """Decides the order and applies its record immediately, as the primary does; returns the outcome."""
     record, outcome = state.decide(SubmitEdition(change))
     if record is not None:
         state.apply(record)
@@ -110,6 +113,7 @@
 def edition_change(
     base: int, number: int, changed: dict[SliceName, bytes], order: str = "", whole: bool = True
 ) -> EditionChange:
+    """Returns an order with the operator's own edition numbers; ``whole`` means that it replaces all slices."""
     return EditionChange(
         order=OrderId(order or f"edition-{base}-{number}"),
         base=base,
--- a/wingwood/bundle/tests/test_editions.py
+++ b/wingwood/bundle/tests/test_editions.py
@@ -1,4 +1,4 @@
-"""Orders on the operator's own numbers (docs/DESIGN.md section 5.8)."""
+"""Tests of orders with the operator's own edition numbers (docs/DESIGN.md section 5.8)."""
 
 from __future__ import annotations
 
@@ -32,31 +32,42 @@
 
 Slices = dict[SliceName, bytes]
 CHANGED_CLASS = dict([slice_of(PriorityClass(name=ClassName("gold"), weight=8.0))])
+"""A change of one slice of the sample slices."""
 
 
 def new_state(**changes: Any) -> BundleState:
+    """Returns an empty bundle state that signs editions."""
     return BundleState(OPERATOR_KEYS, signing_key=SIGNING_KEY, wall_clock=lambda: WallTime(5.0), **changes)
 
 
 def restarted(state: BundleState, **changes: Any) -> BundleState:
+    """Returns a new state restored from a snapshot, as after a restart."""
     fresh = new_state(**changes)
     fresh.restore(state.snapshot())
     return fresh
 
 
 def newest(state: BundleState) -> Slices:
+    """Returns the slices of the latest version."""
     slices = state.slices_at(state.version)
     assert slices is not None
     return slices
 
 
 def standing(state: BundleState, order: str = "") -> EditionStatus:
+    """Returns the reply to ``FindEdition``."""
     record, answer = state.decide(FindEdition(OrderId(order)))
     assert record is None and isinstance(answer, EditionStatus)
     return answer
 
 
 class EditionTest(unittest.TestCase):
+    """Guards against lost or doubly accepted edition orders.
+
+    Such faults arise when an operator resends an order after a lost reply, when two writers use the same base, or when
+    a primary that restarted or took over decides differently from the one before it.
+    """
+
     def setUp(self) -> None:
         self.state = new_state()
         self.slices = sample_slices()
@@ -219,6 +230,11 @@
 
 
 class PreparationTest(unittest.TestCase):
+    """Guards against decisions that block the primary, and against using a preparation for an outdated version.
+
+    Checking a large edition takes long, so it is done in advance in steps; another order may be applied meanwhile.
+    """
+
     def test_prepared_edition_gets_the_same_decision(self) -> None:
         prepared, plain = new_state(), new_state()
         change = edition_change(0, 1, sample_slices())
--- a/wingwood/bundle/tests/test_fuzzed_slices.py
+++ b/wingwood/bundle/tests/test_fuzzed_slices.py
@@ -1,4 +1,7 @@
-"""Any bytes in the place of slices are refused with a problem, or read; nothing else (docs/DESIGN.md section 5.1)."""
+"""Fuzz test: arbitrary bytes as slices are either parsed or refused with a problem, and never raise an exception.
+
+See docs/DESIGN.md section 5.1.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 
 
 def changed(data: bytes, field: int, value: Any, drop: bool) -> bytes:
-    """A slice with one field of it changed or left out."""
+    """Returns the slice with one of its fields changed or left out."""
     read = msgspec.json.decode(data)
     name = sorted(read)[field % len(read)]
     if drop:
--- a/wingwood/bundle/tests/test_parse.py
+++ b/wingwood/bundle/tests/test_parse.py
@@ -1,4 +1,4 @@
-"""Reading, checking and changing bundles (docs/DESIGN.md sections 5.1 and 5.2)."""
+"""Tests of parsing, checking and changing bundles (docs/DESIGN.md sections 5.1 and 5.2)."""
 
 from __future__ import annotations
 
@@ -34,25 +34,35 @@
 
 
 def whole(slices: Slices, version: int = 1) -> BundleDelta:
+    """Returns a delta that carries all slices."""
     manifest = order_between(version - 1, {}, slices).manifest
     return BundleDelta(since=BundleVersion(0), manifest=manifest, changed=slices, removed=())
 
 
 def step(before: Slices, after: Slices, since: int, version: int) -> BundleDelta:
+    """Returns a delta from version ``since`` to ``version`` with the differences only."""
     changed, removed = difference(before, after)
     manifest = order_between(version - 1, before, after).manifest
     return BundleDelta(since=BundleVersion(since), manifest=manifest, changed=changed, removed=removed)
 
 
 def accepted(held: Bundle | None, delta: BundleDelta) -> Bundle:
+    """Returns the bundle after applying the delta, which must be valid."""
     return apply_delta(held, delta, OPERATOR_KEYS).unwrap()
 
 
 def problem_of(slices: Slices) -> BundleProblem:
+    """Returns the problem for which a bundle of these slices is refused."""
     return parse_bundle(order_between(0, {}, slices).manifest, slices).failure()
 
 
 class SignatureTest(unittest.TestCase):
+    """Guards against accepting a manifest that no operator signed, and against refusing a valid one.
+
+    A valid signature must survive decoding: JSON and msgpack may turn a signing time in full seconds into an integer,
+    which would change the signed bytes.
+    """
+
     def test_any_altered_field_breaks_the_signature(self) -> None:
         manifest = order_between(0, {}, sample_slices()).manifest
         self.assertIsNone(verify_manifest(manifest, OPERATOR_KEYS))
@@ -77,6 +87,8 @@
 
 
 class CrossCheckTest(unittest.TestCase):
+    """Guards against invalid slices in force, and against problems that don't name the field and the remedy."""
+
     def test_each_problem_names_slice_field_value_and_remedy(self) -> None:
         cases: list[tuple[Service | Route | PriorityClass | Tenant, str, str, str]] = [
             (Service(name=ServiceName("chat"), pool=PoolName("Bad Pool")), "pool", "Bad Pool", "a-z"),
@@ -231,6 +243,8 @@
 
 
 class DeltaTest(unittest.TestCase):
+    """Guards against tampered or incomplete deltas, and against falling back to an older bundle."""
+
     def test_tampered_missing_and_extra_slices_break_the_root(self) -> None:
         slices = sample_slices()
         delta = whole(slices)
@@ -309,6 +323,8 @@
 
 
 class SameEitherWayTest(unittest.TestCase):
+    """Guards against checks that a change skips: applying a change must give what parsing all slices gives."""
+
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(contents, contents, st.sets(st.sampled_from(sorted(base)), max_size=2))
     def test_a_change_gives_what_reading_the_whole_gives(
@@ -332,6 +348,8 @@
 
 
 class GradualTest(unittest.TestCase):
+    """Guards against stalled streams while a router parses a large bundle."""
+
     def test_other_tasks_run_while_a_large_bundle_is_parsed(self) -> None:
         slices = sample_slices(3_000)
         delta = whole(slices)
--- a/wingwood/bundle/tests/test_positions.py
+++ b/wingwood/bundle/tests/test_positions.py
@@ -1,4 +1,4 @@
-"""Positions of a whole edition's items (docs/DESIGN.md section 5.8)."""
+"""Tests of the positions of items in an edition that replaces all slices (docs/DESIGN.md section 5.8)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def whole(names: list[str]) -> Slices:
-    """As a translator numbers them."""
+    """Returns route slices numbered from 0, as a translator numbers them."""
     return {SliceName(f"route/{name}"): item(position) for position, name in enumerate(names)}
 
 
@@ -26,19 +26,24 @@
 
 
 def kept(held: Slices, names: list[str]) -> Slices:
+    """Returns the items in this order, with positions retained from ``held`` where possible."""
     return at_once(with_retained_positions(held, whole(names)))
 
 
 def in_order(slices: Slices) -> list[str]:
+    """Returns the names of the items, sorted by position."""
     position = {name: msgspec.json.decode(data)["position"] for name, data in slices.items()}
     return [name.removeprefix("route/") for name in sorted(position, key=position.__getitem__)]
 
 
 def changed_names(held: Slices, slices: Slices) -> set[str]:
+    """Returns the names of the items that differ from those held."""
     return {name.removeprefix("route/") for name, data in slices.items() if held.get(name) != data}
 
 
 class PositionTest(unittest.TestCase):
+    """Guards against needless changes of positions, which would make thousands of slices differ after a small edit."""
+
     def test_omitting_an_item_does_not_change_later_items(self) -> None:
         held = whole(list("abcdef"))
         slices = kept(held, list("acdefg"))
--- a/wingwood/bundle/tests/test_reading.py
+++ b/wingwood/bundle/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""Routers read kept bundles from control daemons (docs/DESIGN.md section 5.5)."""
+"""Tests of reading stored bundles from control daemons (docs/DESIGN.md section 5.5)."""
 
 from __future__ import annotations
 
@@ -19,6 +19,12 @@
 
 
 class ReadingTest(unittest.TestCase):
+    """Guards against answers that are wrong for the fleet.
+
+    They arise when a daemon answers that stores no or only old bundles (a spare, a former backup), or a primary that
+    has just taken over and does not know yet which versions are durable.
+    """
+
     def test_second_control_daemon_is_asked_when_the_first_is_unreachable(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
         submit(state, order_between(0, {}, slices))
--- a/wingwood/bundle/tests/test_route_index.py
+++ b/wingwood/bundle/tests/test_route_index.py
@@ -1,4 +1,4 @@
-"""Finding a call's route by host and path (docs/DESIGN.md section 5.7)."""
+"""Tests of finding the route of a call by host and path (docs/DESIGN.md section 5.7)."""
 
 from __future__ import annotations
 
@@ -29,6 +29,8 @@
 
 
 class RouteSearchTest(unittest.TestCase):
+    """Guards against calls that reach the wrong service, and against searches that slow down with many routes."""
+
     def setUp(self) -> None:
         self.routes = [
             route("root", "a.example", "/"),
@@ -110,13 +112,13 @@
 
 
 def apart(table: dict[str, tuple[str, str]]) -> list[Route]:
-    """Without those that would take the calls of another."""
+    """Returns the routes of the table, without those that would accept the calls of another one."""
     taken = {place: name for name, place in sorted(table.items(), reverse=True)}
     return [route(name, *place) for place, name in taken.items()]
 
 
 def scanned(routes: Sequence[Route], host: str, path: str) -> list[str]:
-    """The definition, looked up in the slow way."""
+    """Returns the names of the routes found by a linear search, as the reference for the index."""
     for wanted in dict.fromkeys((host, "")):
         fitting = [
             each
@@ -133,6 +135,8 @@
 
 
 class AnyTableTest(unittest.TestCase):
+    """Guards against an index that differs from a linear search, or that depends on whether it was built or changed."""
+
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(tables, tables, hosts, paths)
     def test_found_as_by_a_scan_and_the_same_by_change_as_whole(
--- a/wingwood/bundle/tests/test_state.py
+++ b/wingwood/bundle/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Orders, outcomes and history (docs/DESIGN.md section 5.4)."""
+"""Tests of orders, their outcomes and the history of versions (docs/DESIGN.md section 5.4)."""
 
 from __future__ import annotations
 
@@ -23,22 +23,30 @@
 
 
 def reweighed(slices: Slices, weight: float) -> Slices:
+    """Returns the slices with another weight of the class ``gold``."""
     return {**slices, **dict([slice_of(PriorityClass(name=ClassName("gold"), weight=weight))])}
 
 
 def with_new_rates(slices: Slices, number: int) -> Slices:
-    """Each tenant pays for another rate."""
+    """Returns the slices with another paid rate of each tenant."""
     tenants = {name: msgspec.json.decode(data) for name, data in slices.items() if name.startswith("tenant/")}
     return {**slices, **{n: canonical_json({**each, "paid_rate": 100.0 + number}) for n, each in tenants.items()}}
 
 
 def restarted(state: BundleState, **changes: Any) -> BundleState:
+    """Returns a new state restored from a snapshot, as after a restart."""
     fresh = BundleState(OPERATOR_KEYS, **changes)
     fresh.restore(state.snapshot())
     return fresh
 
 
 class OrderTest(unittest.TestCase):
+    """Guards against orders that are lost, accepted twice or answered differently when they are resent.
+
+    Resending is common: a client that got no reply sends the same order again, also after a restart or to a primary
+    that took over.
+    """
+
     def setUp(self) -> None:
         self.state = BundleState(OPERATOR_KEYS)
         self.slices = sample_slices()
@@ -76,7 +84,7 @@
         self.assertEqual(submit(self.state, self.first).outcome, "accepted")
 
     def test_orders_without_a_valid_signature_are_not_recorded(self) -> None:
-        """Else a stranger could take an order id or wash true outcomes out of the memory."""
+        """Otherwise anyone could occupy an order id, or displace the outcomes of real orders from memory."""
         after = reweighed(self.slices, 8.0)
         true_order = order_between(1, self.slices, after, "mine")
         tampered = msgspec.structs.replace(true_order, changed=dict([slice_of(PriorityClass(name=ClassName("gold")))]))
@@ -134,6 +142,11 @@
 
 
 class DistributionViewTest(unittest.TestCase):
+    """Guards against distributing versions that may still be lost, and against deltas that leave out a removal.
+
+    A holder that is far behind may have missed a removal that is no longer recorded; it must get all slices.
+    """
+
     def test_versions_that_are_not_durable_are_not_shown(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
         submit(state, order_between(0, {}, slices))
--- a/wingwood/bundle/tests/test_variants.py
+++ b/wingwood/bundle/tests/test_variants.py
@@ -1,4 +1,4 @@
-"""Variants for places, and roll-outs in a bundle (docs/DESIGN.md section 19)."""
+"""Tests of variants for some routers, and of roll-outs in a bundle (docs/DESIGN.md section 19)."""
 
 from __future__ import annotations
 
@@ -28,6 +28,7 @@
 
 
 def changed(name: SliceName, /, **fields: object) -> bytes:
+    """Returns a sample slice with other values in these fields."""
     return canonical_json({**msgspec.json.decode(sample_slices()[name]), **fields})
 
 
@@ -56,6 +57,7 @@
 
 
 def bundle_during(rollout: Rollout) -> Slices:
+    """Returns the slices that a bundle must contain while the roll-out is running."""
     return {
         **sample_slices(),
         **required_slices(rollout),
@@ -64,6 +66,11 @@
 
 
 class VariantChoiceTest(unittest.TestCase):
+    """Guards against variants that reach the wrong routers, or change what must be the same on all routers.
+
+    A caller may retry at a router with another variant; a call that may run only once must not run again there.
+    """
+
     def test_variant_applies_to_routers_of_its_zone_only(self) -> None:
         slices = {**sample_slices(), SliceName(f"{CHAT}@zone=a"): changed(CHAT, pool="large")}
         pools = [read(slices, place).services[ServiceName("chat")].pool for place in (A, B, None)]
@@ -150,6 +157,8 @@
 
 
 class RolloutTest(unittest.TestCase):
+    """Guards against bundles whose slices disagree with a running roll-out, such as after a client failed midway."""
+
     def test_stages_include_earlier_ones_and_the_last_has_no_variant(self) -> None:
         variants = [sorted(read(bundle_during(rollout_of(stage))).variants) for stage in range(3)]
         self.assertEqual(variants, [[f"{CHAT}@zone=a"], [f"{CHAT}@share=25", f"{CHAT}@zone=a"], []])
@@ -165,7 +174,7 @@
             ({name: data for name, data in slices.items() if name != variant}, "must be in the bundle"),
         ):
             self.assertIn(expected_text, str(problem_of(altered)))
-        # Once it is rolled back, the slices are anyone's again.
+        # After the roll-back any order may change the slices.
         done = rollout_of(state="rolled-back")
         read({**sample_slices(), SliceName("rollout/bigger"): canonical_json(done), CHAT: changed(CHAT, deadline=9.0)})
 
@@ -237,6 +246,8 @@
 
 
 class SameEitherWayTest(unittest.TestCase):
+    """Guards against variants that a change leaves stale: it must give every router what parsing all slices gives."""
+
     both: int
 
     def test_a_change_gives_what_reading_the_whole_gives_at_every_place(self) -> None:
--- a/wingwood/settings/tests/test_load.py
+++ b/wingwood/settings/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Settings files and flags (docs/DESIGN.md section 6)."""
+"""Tests of settings files and flags (docs/DESIGN.md section 6)."""
 
 from __future__ import annotations
 
@@ -29,6 +29,11 @@
 
 
 class SettingsTest(unittest.TestCase):
+    """Guards against daemons that start with invalid settings, and against messages that don't name the fault.
+
+    Messages must never contain a secret.
+    """
+
     def problem_text(self, document: dict[str, object]) -> str:
         return str(check_settings(document, "file.toml").failure())
 
@@ -83,7 +88,7 @@
             self.assertIn("not both", str(read_settings(None, {**ROUTER, **flags}).failure()))
 
     def test_keys_of_one_repeated_digit_are_refused(self) -> None:
-        """The Ed25519 point of 32 zero bytes is of low order: others could sign for it."""
+        """The Ed25519 point of 32 zero bytes has low order, so anyone could make signatures that it verifies."""
         self.assertIn("over and over", self.problem_text({**ROUTER, "fleet_key": "0" * 64}))
         self.assertIn("64 hex", self.problem_text({**ROUTER, "operator_keys": ["0" * 64]}))
 
