--- a/wingwood/bundle/edition_decisions.py
+++ b/wingwood/bundle/edition_decisions.py
@@ -53,6 +53,7 @@
         super().restore(snapshot)
 
     def _edition_status(self, order: OrderId) -> EditionStatus:
+        """Returns the latest edition, and the outcome of the order if it was accepted."""
         known = self._remembered.get(order)
         accepted = known is not None and known.outcome == "accepted"
         return EditionStatus(
@@ -64,6 +65,7 @@
     # decisions
 
     def _decide_edition(self, change: EditionChange) -> tuple[bytes | None, OrderOutcome]:
+        """Decides an edition order; returns the record, or None when there is nothing to record, and the outcome."""
         order_fingerprint = edition_fingerprint(change)
         known = self._remembered.get(change.order)
         if known is not None and known.fingerprint == order_fingerprint:
@@ -72,7 +74,7 @@
         if known is None and change.base != current:
             reason = f"base is {change.base}, but the latest edition is {current}: read it and base the order on it"
             return None, self._edition_refusal(change, "conflict", reason)
-        refusal = self._malformed_refusal(change, known, current)
+        refusal = self._precheck_refusal(change, known, current)
         if refusal is not None:
             return None, self._edition_refusal(change, "invalid", refusal)
         held = self._parsed_bundle()
@@ -104,7 +106,8 @@
         assert self._signing_key is not None, "an order without a key to sign it is refused"
         return signed_steps(held, change, self._signing_key, self._wall_clock)
 
-    def _malformed_refusal(self, change: EditionChange, known: RememberedOrder | None, current: int) -> str | None:
+    def _precheck_refusal(self, change: EditionChange, known: RememberedOrder | None, current: int) -> str | None:
+        """Returns the reason for refusing an order without looking into its slices; None when there is none."""
         if self._signing_key is None:
             return "this fleet accepts signed orders only: the settings of control daemons have no signing_key"
         if known is not None:
@@ -143,7 +146,7 @@
         current = self._edition_number()
         if order_fingerprint in self._prepared or change.base != current or change.order in self._remembered:
             return False
-        return self._malformed_refusal(change, None, current) is None
+        return self._precheck_refusal(change, None, current) is None
 
     async def _prepare(self, change: EditionChange, order_fingerprint: bytes) -> None:
         held = await self._parsed_gradually()
--- a/wingwood/bundle/order_decisions.py
+++ b/wingwood/bundle/order_decisions.py
@@ -36,12 +36,13 @@
         self._operator_keys = options.operator_keys
 
     def _decide_order(self, order: Order) -> tuple[bytes | None, OrderOutcome]:
+        """Decides a signed order; returns the record, or None when there is nothing to record, and the outcome."""
         manifest = order.manifest
         order_fingerprint = manifest_fingerprint(manifest)
         known = self._remembered.get(manifest.order)
         if known is not None and known.fingerprint == order_fingerprint:
             return None, known.as_outcome()
-        refusal = self._unauthentic_refusal(order, known)
+        refusal = self._unrecorded_refusal(order, known)
         if refusal is not None:
             return None, self._refusal_outcome(manifest, "invalid", refusal)
         if manifest.base != self._version:
@@ -67,12 +68,13 @@
         return self._record_acceptance(held, bundle, order_fingerprint), outcome
 
     def _older_edition_refusal(self, bundle: Bundle) -> str | None:
+        """Returns the reason for refusing a bundle that decreases the edition number; None when it does not."""
         current = self._edition_number()
         if (bundle.edition.number if bundle.edition is not None else 0) >= current:
             return None
         return f"{EDITION_SLICE}: the operator's number is {current} and must not decrease"
 
-    def _unauthentic_refusal(self, order: Order, known: RememberedOrder | None) -> str | None:
+    def _unrecorded_refusal(self, order: Order, known: RememberedOrder | None) -> str | None:
         """Returns the reason for a refusal that is not recorded, since the order is not authentic or malformed."""
         manifest = order.manifest
         reason = verify_manifest(manifest, self._operator_keys)
@@ -88,6 +90,7 @@
         return self._size_refusal("order", sum(len(data) for data in order.changed.values()))
 
     def _conflict_reason(self, manifest: Manifest) -> str:
+        """Returns the text of a conflict: which order made the version that this one claims, if it is remembered."""
         if manifest.base > self._version:
             return (
                 f"base is {manifest.base}, but the latest version is {self._version}: read it and base the order on it"
@@ -110,6 +113,7 @@
 
 
 def _removed_by(order: Order, held: Bundle) -> Collection[SliceName]:
+    """Returns the names of the slices that the order removes."""
     if order.replaces_all:
         return [name for name in held.slices if name not in order.changed]
     return order.removed
--- a/wingwood/bundle/stored_bundles.py
+++ b/wingwood/bundle/stored_bundles.py
@@ -55,12 +55,16 @@
     _candidate: Bundle | None
     """The bundle of the record that ``decide`` returned last; None once a record of a version is applied."""
     _manifests: dict[BundleVersion, Manifest]
+    """Manifests of the latest version and of the retained past versions."""
     _slices: SliceHistory
     _remembered: dict[OrderId, RememberedOrder]
     _remembered_order: deque[RememberedOrder]
+    """The remembered orders, the oldest first."""
     _history: dict[BundleVersion, RememberedOrder]
+    """Accepted orders by the version that they made."""
     _interned_signers: dict[str, str]
     _interned_names: dict[SliceName, SliceName]
+    """One shared string object per signer and per slice name; remembered orders refer to them."""
 
     def __init__(self, options: StateOptions) -> None:
         self._outcome_retention = options.outcome_retention
@@ -183,6 +187,7 @@
             self._drop_before(oldest)
 
     def _drop_before(self, oldest: BundleVersion) -> None:
+        """Drops the manifest of the version before ``oldest``, and the contents that only versions before it have."""
         self._manifests.pop(BundleVersion(oldest - 1), None)
         self._slices.drop_before(oldest)
 
@@ -216,6 +221,7 @@
         return BundleDelta(since=since, manifest=manifest, changed=changed, removed=tuple(removed))
 
     def _names_changed(self, since: BundleVersion, up_to: BundleVersion) -> Sequence[SliceName]:
+        """Returns the sorted names of slices that changed after ``since`` and up to ``up_to``."""
         entries = range(since + 1, up_to + 1)
         if since and len(entries) <= MAX_WALKED_VERSIONS and BundleVersion(since + 1) in self._history:
             names = {name for version in entries for name in self._touched(BundleVersion(version))}
@@ -223,6 +229,7 @@
         return self._slices.changed_between(since, up_to)
 
     def _touched(self, version: BundleVersion) -> tuple[SliceName, ...]:
+        """Returns the names of the slices that this version changed or removed."""
         entry = self._history[version]
         return (*entry.changed, *entry.removed)
 
--- a/wingwood/bundle/tests/test_editions.py
+++ b/wingwood/bundle/tests/test_editions.py
@@ -47,7 +47,7 @@
     return fresh
 
 
-def newest(state: BundleState) -> Slices:
+def latest_slices(state: BundleState) -> Slices:
     """Returns the slices of the latest version."""
     slices = state.slices_at(state.version)
     assert slices is not None
@@ -80,10 +80,10 @@
         assert manifest is not None
         self.assertIsNone(verify_manifest(manifest, (SIGNER,)))
         self.assertEqual((manifest.order, manifest.signed_at, manifest.base), (self.first.order, 5.0, 0))
-        edition = msgspec.json.decode(newest(self.state)[EDITION_SLICE], type=Edition)
+        edition = msgspec.json.decode(latest_slices(self.state)[EDITION_SLICE], type=Edition)
         self.assertEqual(edition, Edition(number=7))
         self.assertEqual(
-            {name: data for name, data in newest(self.state).items() if name != EDITION_SLICE}, self.slices
+            {name: data for name, data in latest_slices(self.state).items() if name != EDITION_SLICE}, self.slices
         )
         delta = self.state.delta_since(BundleVersion(0), BundleVersion(1))
         assert delta is not None
@@ -143,7 +143,7 @@
             )
             self.assertEqual(outcome.outcome, "invalid")
             self.assertIn("used before", outcome.reason)
-        signed = order_between(1, newest(self.state), {**newest(self.state), **CHANGED_CLASS}, "mine")
+        signed = order_between(1, latest_slices(self.state), {**latest_slices(self.state), **CHANGED_CLASS}, "mine")
         self.assertEqual(submit(self.state, signed).outcome, "accepted")
         self.assertEqual(submit_edition(self.state, edition_change(7, 9, {}, "mine", whole=False)).outcome, "invalid")
 
@@ -170,13 +170,13 @@
         )
         self.assertEqual(submit_edition(self.state, change).outcome, "accepted")
         after = {name: data for name, data in {**self.slices, **CHANGED_CLASS}.items() if name != gone}
-        self.assertEqual({n: d for n, d in newest(self.state).items() if n != EDITION_SLICE}, after)
+        self.assertEqual({n: d for n, d in latest_slices(self.state).items() if n != EDITION_SLICE}, after)
         submit_edition(self.state, edition_change(9, 10, CHANGED_CLASS))
-        self.assertEqual(sorted(newest(self.state)), ["class/gold", EDITION_SLICE])
+        self.assertEqual(sorted(latest_slices(self.state)), ["class/gold", EDITION_SLICE])
 
     def test_annotations_are_retained_until_changed(self) -> None:
         def notes() -> object:
-            return msgspec.json.decode(newest(self.state)[EDITION_SLICE], type=Edition).annotations
+            return msgspec.json.decode(latest_slices(self.state)[EDITION_SLICE], type=Edition).annotations
 
         name, data = slice_of(Edition(number=8, annotations={"a": [1, None]}))
         submit_edition(self.state, edition_change(7, 8, {name: data}, whole=False))
@@ -187,7 +187,7 @@
         self.assertEqual(notes(), {})
 
     def test_signed_orders_must_not_decrease_the_edition_number(self) -> None:
-        held = newest(self.state)
+        held = latest_slices(self.state)
         for number, after in enumerate((self.slices, {**held, **dict([slice_of(Edition(number=6))])})):
             outcome = submit(self.state, order_between(1, held, after, f"back-{number}"))
             self.assertEqual(outcome.outcome, "invalid")
@@ -252,14 +252,14 @@
         async def overtaken() -> None:
             preparing = asyncio.create_task(state.prepare(SubmitEdition(rest)))
             await asyncio.sleep(0)
-            held = newest(state)
+            held = latest_slices(state)
             fewer = {name: data for name, data in held.items() if name != "tenant/tenant-4"}
             self.assertEqual(submit(state, order_between(1, held, fewer, "between")).outcome, "accepted")
             await preparing
 
         asyncio.run(overtaken())
         self.assertEqual(submit_edition(state, rest).version, 3)
-        self.assertNotIn("tenant/tenant-4", newest(state))
+        self.assertNotIn("tenant/tenant-4", latest_slices(state))
 
     def test_large_edition_is_prepared_in_steps_and_decided_quickly(self) -> None:
         state, change = new_state(), edition_change(0, 1, sample_slices(3_000))
--- a/wingwood/bundle/tests/test_positions.py
+++ b/wingwood/bundle/tests/test_positions.py
@@ -16,7 +16,7 @@
 Slices = dict[SliceName, bytes]
 
 
-def whole(names: list[str]) -> Slices:
+def numbered(names: list[str]) -> Slices:
     """Returns route slices numbered from 0, as a translator numbers them."""
     return {SliceName(f"route/{name}"): item(position) for position, name in enumerate(names)}
 
@@ -27,7 +27,7 @@
 
 def kept(held: Slices, names: list[str]) -> Slices:
     """Returns the items in this order, with positions retained from ``held`` where possible."""
-    return at_once(with_retained_positions(held, whole(names)))
+    return at_once(with_retained_positions(held, numbered(names)))
 
 
 def in_order(slices: Slices) -> list[str]:
@@ -45,12 +45,12 @@
     """Guards against needless changes of positions, which would make thousands of slices differ after a small edit."""
 
     def test_omitting_an_item_does_not_change_later_items(self) -> None:
-        held = whole(list("abcdef"))
+        held = numbered(list("abcdef"))
         slices = kept(held, list("acdefg"))
         self.assertEqual(changed_names(held, slices), {"g"})
 
     def test_new_item_at_the_place_of_an_omitted_one_changes_no_other(self) -> None:
-        held = whole(list("abcdef"))
+        held = numbered(list("abcdef"))
         self.assertEqual(changed_names(held, kept(held, list("axcdef"))), {"x"})
 
     def test_inserting_items_changes_no_other_item(self) -> None:
@@ -63,11 +63,11 @@
             held = after
 
     def test_positions_without_gaps_are_spread_once(self) -> None:
-        held = kept(whole(list("acdef")), list("abcdef"))
+        held = kept(numbered(list("acdef")), list("abcdef"))
         self.assertEqual(changed_names(held, kept(held, list("abcxdef"))), {"x"})
 
     def test_item_moved_to_a_front_with_a_gap_changes_no_other(self) -> None:
-        held = kept(whole(list("abcdef")), list("bcdef"))
+        held = kept(numbered(list("abcdef")), list("bcdef"))
         self.assertEqual(changed_names(held, kept(held, list("fbcde"))), {"f"})
 
     def test_undecodable_slices_are_left_for_later_checks(self) -> None:
