--- a/wingwood/bundle/editions.py
+++ b/wingwood/bundle/editions.py
@@ -1,4 +1,4 @@
-"""Orders on the operator's own numbers, as control turns them into signed bundles (docs/DESIGN.md section 5.8)."""
+"""Turns orders with the operator's own edition numbers into signed bundles (docs/DESIGN.md section 5.8)."""
 
 from __future__ import annotations
 
@@ -14,33 +14,34 @@
 from .canonical import canonical_json
 from .gradual import Steps
 from .model import Bundle, Edition, EditionChange, Manifest
-from .parse import Checked, change_steps, read_part
-from .positions import with_kept_positions
-from .problem import Broken, BundleProblem
+from .parse import Checked, change_steps, parse_slice
+from .positions import with_retained_positions
+from .problem import BundleProblem, BundleProblemError
 from .signing import sign_manifest
 
 EDITION_SLICE: Final = SliceName("edition/operator")
-_PURPOSE: Final = b"wingwood edition order 1\n"
+"""The slice that holds the operator's edition number."""
+_FINGERPRINT_PREFIX: Final = b"wingwood edition order 1\n"
 
 
 def edition_fingerprint(change: EditionChange) -> bytes:
-    """Sixteen bytes that tell one order on operators' numbers from any other, and from all signed ones.
+    """Returns sixteen bytes that distinguish an edition order from any other, and from all signed orders.
 
-    The slices do not count: whoever translates an order may read them from later content when it comes again.
+    The slices are left out: when an order is resent, the translator may derive them from later content.
     """
-    told = msgspec.msgpack.encode((change.order, change.base, change.number))
-    return hashlib.sha256(_PURPOSE + told).digest()[:16]
+    order_identity = msgspec.msgpack.encode((change.order, change.base, change.number))
+    return hashlib.sha256(_FINGERPRINT_PREFIX + order_identity).digest()[:16]
 
 
-def number_in(data: bytes | None) -> int:
-    """The operator's number in the slice of an edition; 0 without one."""
+def edition_number_in(data: bytes | None) -> int:
+    """Returns the operator's number in the content of an edition slice; 0 when there is no slice."""
     return 0 if data is None else msgspec.json.decode(data, type=Edition).number
 
 
 def signed_steps(
     held: Bundle, change: EditionChange, key: Ed25519PrivateKey, signed_at: Callable[[], WallTime]
 ) -> Steps[Checked]:
-    """The bundle that follows ``held``, in steps: changed, checked and signed."""
+    """Returns, in steps, the bundle that results from applying ``change`` to ``held``, checked and signed."""
     edition = _edition_slice(held, change)
     if isinstance(edition, BundleProblem):
         return Failure(edition)
@@ -52,7 +53,7 @@
         )
         return Success(sign_manifest(manifest, key))
 
-    given = (yield from with_kept_positions(held.slices, change.changed)) if change.whole else change.changed
+    given = (yield from with_retained_positions(held.slices, change.changed)) if change.replaces_all else change.changed
     changed = {**given, EDITION_SLICE: edition}
     return (yield from change_steps(held, sign, changed, removed_by(held.slices, changed, change)))
 
@@ -60,23 +61,28 @@
 def removed_by(
     held: Mapping[SliceName, bytes], changed: Mapping[SliceName, bytes], change: EditionChange
 ) -> Collection[SliceName]:
-    if change.whole:
+    """Returns the names of the slices that the change removes; those in ``changed`` are never among them."""
+    if change.replaces_all:
         return [name for name in held if name not in changed]
     return [name for name in change.removed if name not in changed]
 
 
 def _edition_slice(held: Bundle, change: EditionChange) -> bytes | BundleProblem:
-    """With the new number; the annotations are the change's, else they stay (and go with all else in a whole one)."""
+    """Returns the edition slice with the new number, or the problem with the one in the change.
+
+    The annotations are those of the change, if it has any. Otherwise those of the held edition stay, unless the change
+    replaces all slices.
+    """
     given = change.changed.get(EDITION_SLICE)
     if given is None:
-        annotations = {} if change.whole or held.edition is None else held.edition.annotations
+        annotations = {} if change.replaces_all or held.edition is None else held.edition.annotations
         return canonical_json(Edition(number=change.number, annotations=annotations))
     try:
-        edition = read_part(EDITION_SLICE, given)
-    except Broken as broken:
-        return broken.problem
+        edition = parse_slice(EDITION_SLICE, given)
+    except BundleProblemError as error:
+        return error.problem
     if not isinstance(edition, Edition) or edition.number != change.number:
         return BundleProblem(
-            code="field", slice=EDITION_SLICE, field="number", mend=f"must be {change.number} as in the order"
+            code="field", slice=EDITION_SLICE, field="number", remedy=f"must be {change.number} as in the order"
         )
     return given
--- a/wingwood/bundle/problem.py
+++ b/wingwood/bundle/problem.py
@@ -1,4 +1,4 @@
-"""Why a bundle is refused (docs/DESIGN.md section 5.2)."""
+"""The reason for which a bundle is refused (docs/DESIGN.md section 5.2)."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class BundleProblem(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a bundle is refused: where, what stands there, and what to do about it."""
+    """Reason for refusing a bundle: the slice and field at fault, the value found there, and how to correct it."""
 
     code: Literal["signature", "root", "gap", "stale", "slice", "field", "reference", "double", "large"]
     slice: str = ""
     field: str = ""
     value: str = ""
-    mend: str
+    remedy: str = msgspec.field(name="mend")
 
     def __str__(self) -> str:
         where = " ".join(part for part in (self.slice, self.field and f"field {self.field}") if part)
         shown = f" is {self.value}" if self.value else ""
-        return f"{where}{shown}: {self.mend}" if where else self.mend
+        return f"{where}{shown}: {self.remedy}" if where else self.remedy
 
 
-class Broken(Exception):
-    """Carries a problem out of the nested checks; never leaves this package."""
+class BundleProblemError(Exception):
+    """Raised by the nested checks to report a problem. It is caught within this package and never leaves it."""
 
     def __init__(self, problem: BundleProblem) -> None:
         super().__init__(str(problem))
--- a/wingwood/bundle/reading.py
+++ b/wingwood/bundle/reading.py
@@ -1,9 +1,9 @@
-"""Reading bundles and their history from a control daemon (docs/DESIGN.md section 5.5)."""
+"""Reads bundles and their history, on a control daemon or from another daemon (docs/DESIGN.md section 5.5)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import Protocol, TypeVar
+from typing import ClassVar, Protocol, TypeVar
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -15,140 +15,164 @@
 from .state import BundleState
 from .state_records import HistoryEntry
 
-ASK_WITHIN = Seconds(1.0)
+READ_TIMEOUT_SECONDS = Seconds(1.0)
+"""Time within which one control daemon has to answer; after it the next one is asked."""
 
-Answer = TypeVar("Answer", "BundleAnswer", "HistoryAnswer")
+ReplyType = TypeVar("ReplyType", "BundleAnswer", "HistoryAnswer")
 
 
-class AskBundle(msgspec.Struct, frozen=True):
-    """To a control daemon; ``version`` 0 asks for the newest durable one. Reply: BundleAnswer."""
+class BundleRequest(msgspec.Struct, frozen=True):
+    """Request to a control daemon; ``version`` 0 requests the latest durable version. The reply is a BundleAnswer."""
+
+    WIRE_NAME: ClassVar[str] = "AskBundle"
 
     version: BundleVersion
 
 
 class BundleView(msgspec.Struct, frozen=True):
-    """A bundle as it was signed."""
+    """A bundle as it was signed: its manifest and the bytes of its slices."""
 
     manifest: Manifest
     slices: dict[SliceName, bytes]
 
 
 class BundleAnswer(msgspec.Struct, frozen=True):
-    newest: BundleVersion
+    """Reply to a BundleRequest."""
+
+    latest: BundleVersion = msgspec.field(name="newest")
+    """The latest version that the daemon knows to be durable; 0 when it knows none."""
     view: BundleView | None
-    """None when there is no bundle yet, or the version asked for is not kept."""
-    sure: bool = True
-    """False: this daemon does not keep the bundles now; another does."""
+    """The requested bundle; None when there is no bundle yet or the requested version is not stored."""
+    authoritative: bool = msgspec.field(name="sure", default=True)
+    """False: the reply does not speak for the fleet, because another daemon stores the bundles now."""
 
 
-class AskHistory(msgspec.Struct, frozen=True):
-    """To a control daemon. Reply: HistoryAnswer."""
+class HistoryRequest(msgspec.Struct, frozen=True):
+    """Request to a control daemon for the latest versions. The reply is a HistoryAnswer."""
 
-    most: int
+    WIRE_NAME: ClassVar[str] = "AskHistory"
+
+    limit: int = msgspec.field(name="most")
+    """Largest number of versions to return."""
 
 
 class HistoryAnswer(msgspec.Struct, frozen=True):
-    newest: BundleVersion
+    """Reply to a HistoryRequest; ``latest`` and ``authoritative`` mean the same as in a BundleAnswer."""
+
+    latest: BundleVersion = msgspec.field(name="newest")
     entries: list[HistoryEntry]
-    """Newest first."""
-    sure: bool = True
+    """The versions, the latest first."""
+    authoritative: bool = msgspec.field(name="sure", default=True)
 
 
 class NotReadable(msgspec.Struct, frozen=True):
+    """No control daemon gave an authoritative answer; ``reason`` says why for each daemon asked."""
+
     reason: str
 
 
 class BundleReader(Protocol):
-    """What the operator API asks for the bundles that control keeps."""
+    """Source from which the operator API reads the bundles that control daemons store."""
 
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-        """``version`` 0: the newest."""
+        """Reads the bundle of that version; 0 stands for the latest."""
         ...
 
-    async def history(self, most: int) -> Result[HistoryAnswer, NotReadable]: ...
+    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+        """Reads up to ``limit`` versions of the history, the latest first."""
+        ...
 
 
 class LocalBundleReader:
-    """On a control daemon. ``durable`` tells the newest version that this daemon knows to be durable.
+    """Reads the bundles stored on this control daemon.
 
-    ``keeps``: whether the bundles are its own to keep now. A spare holds none, and a witness that was backup
-    once holds old ones; neither may speak for the fleet, nor say that there is no bundle.
+    ``durable_version`` returns the latest version that this daemon knows to be durable. ``stores_bundles`` returns
+    whether this daemon is one of those that store the bundles now. A spare stores none, and a witness that was once
+    a backup stores old ones; neither may answer for the fleet, nor report that there is no bundle.
     """
 
     def __init__(
-        self, state: BundleState, durable: Callable[[], BundleVersion], keeps: Callable[[], bool] = lambda: True
+        self,
+        state: BundleState,
+        durable_version: Callable[[], BundleVersion],
+        stores_bundles: Callable[[], bool] = lambda: True,
     ) -> None:
         self._state = state
-        self._durable = durable
-        self._keeps = keeps
+        self._durable_version = durable_version
+        self._stores_bundles = stores_bundles
 
-    def is_sure(self) -> bool:
-        """Whether what is read here stands for the fleet.
+    def is_authoritative(self) -> bool:
+        """Returns whether answers of this daemon are valid for the fleet.
 
-        A primary that just took over holds versions and doesn't know yet that they are durable: not sure.
+        They aren't on a primary that has just taken over: it has versions of which it does not know yet whether
+        they are durable.
         """
-        return self._keeps() and (self._durable() > 0 or self._state.version == 0)
+        return self._stores_bundles() and (self._durable_version() > 0 or self._state.version == 0)
 
     def read_bundle(self, version: BundleVersion) -> BundleAnswer:
-        newest = self._durable()
-        wanted = version or newest
-        manifest = self._state.manifest_at(wanted) if wanted <= newest else None
+        latest = self._durable_version()
+        wanted = version or latest
+        manifest = self._state.manifest_at(wanted) if wanted <= latest else None
         slices = self._state.slices_at(wanted) if manifest is not None else None
         if manifest is None or slices is None:
-            return BundleAnswer(newest, None, self.is_sure())
-        return BundleAnswer(newest, BundleView(manifest, slices), self.is_sure())
+            return BundleAnswer(latest, None, self.is_authoritative())
+        return BundleAnswer(latest, BundleView(manifest, slices), self.is_authoritative())
 
-    def read_history(self, most: int) -> HistoryAnswer:
-        newest = self._durable()
-        return HistoryAnswer(newest, self._state.history(newest, most), self.is_sure())
+    def read_history(self, limit: int) -> HistoryAnswer:
+        latest = self._durable_version()
+        return HistoryAnswer(latest, self._state.history(latest, limit), self.is_authoritative())
 
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
         return Success(self.read_bundle(version))
 
-    async def history(self, most: int) -> Result[HistoryAnswer, NotReadable]:
-        return Success(self.read_history(most))
+    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+        return Success(self.read_history(limit))
 
     def serve(self, messenger: Messenger) -> None:
-        """Answers the other daemons' ``RemoteBundleReader``."""
+        """Answers the requests that other daemons' ``RemoteBundleReader`` send."""
 
-        async def answer_bundle(_peer: Identity, question: AskBundle) -> BundleAnswer:
+        async def answer_bundle(_peer: Identity, question: BundleRequest) -> BundleAnswer:
             return self.read_bundle(question.version)
 
-        async def answer_history(_peer: Identity, question: AskHistory) -> HistoryAnswer:
-            return self.read_history(question.most)
+        async def answer_history(_peer: Identity, question: HistoryRequest) -> HistoryAnswer:
+            return self.read_history(question.limit)
 
-        messenger.on_call(AskBundle, answer_bundle)
-        messenger.on_call(AskHistory, answer_history)
+        messenger.on_call(BundleRequest, answer_bundle)
+        messenger.on_call(HistoryRequest, answer_history)
 
 
 class RemoteBundleReader:
-    """On a router: asks the control daemons one after another, the presumed primary first."""
+    """Reads bundles from other daemons: asks the control daemons one after another, the presumed primary first.
+
+    An answer that is not authoritative counts as none.
+    """
 
     def __init__(
-        self, messenger: Messenger, controls: Callable[[], Sequence[Address]], timeout: Seconds = ASK_WITHIN
+        self, messenger: Messenger, controls: Callable[[], Sequence[Address]], timeout: Seconds = READ_TIMEOUT_SECONDS
     ) -> None:
         self._messenger = messenger
         self._controls = controls
         self._timeout = timeout
 
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-        return await self._ask(AskBundle(version), BundleAnswer)
+        return await self._call_any(BundleRequest(version), BundleAnswer)
 
-    async def history(self, most: int) -> Result[HistoryAnswer, NotReadable]:
-        return await self._ask(AskHistory(most), HistoryAnswer)
+    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+        return await self._call_any(HistoryRequest(limit), HistoryAnswer)
 
-    async def _ask(self, question: msgspec.Struct, answer_type: type[Answer]) -> Result[Answer, NotReadable]:
+    async def _call_any(self, question: msgspec.Struct, answer_type: type[ReplyType]) -> Result[ReplyType, NotReadable]:
         reasons = []
         for address in self._controls():
             match await self._messenger.call(address, question, answer_type, self._timeout):
-                case Success(answer) if answer.sure:
+                case Success(answer) if answer.authoritative:
                     return Success(answer)
                 case Success():
-                    reasons.append(f"{address} does not keep them")
+                    reasons.append(f"{address} does not store the bundles")
                 case Failure(fault):
                     reasons.append(f"{address} {fault.kind}")
         return Failure(NotReadable("no control daemon answered: " + (", ".join(reasons) or "none is known")))
 
 
 def view_of(bundle: Bundle) -> BundleView:
+    """Returns the signed form of a parsed bundle."""
     return BundleView(bundle.manifest, dict(bundle.slices))
--- a/wingwood/bundle/tests/test_parse.py
+++ b/wingwood/bundle/tests/test_parse.py
@@ -1,4 +1,4 @@
-"""Reading, checking and changing bundles (docs/DESIGN.md sections 5.1 and 5.2)."""
+"""Tests of parsing, checking and changing bundles (docs/DESIGN.md sections 5.1 and 5.2)."""
 
 from __future__ import annotations
 
@@ -34,40 +34,50 @@
 
 
 def whole(slices: Slices, version: int = 1) -> BundleDelta:
+    """Returns a delta that carries all slices."""
     manifest = order_between(version - 1, {}, slices).manifest
     return BundleDelta(since=BundleVersion(0), manifest=manifest, changed=slices, removed=())
 
 
 def step(before: Slices, after: Slices, since: int, version: int) -> BundleDelta:
+    """Returns a delta from version ``since`` to ``version`` with the differences only."""
     changed, removed = difference(before, after)
     manifest = order_between(version - 1, before, after).manifest
     return BundleDelta(since=BundleVersion(since), manifest=manifest, changed=changed, removed=removed)
 
 
 def accepted(held: Bundle | None, delta: BundleDelta) -> Bundle:
+    """Returns the bundle after applying the delta, which must be valid."""
     return apply_delta(held, delta, OPERATOR_KEYS).unwrap()
 
 
 def problem_of(slices: Slices) -> BundleProblem:
+    """Returns the problem for which a bundle of these slices is refused."""
     return parse_bundle(order_between(0, {}, slices).manifest, slices).failure()
 
 
 class SignatureTest(unittest.TestCase):
+    """Guards against accepting a manifest that no operator signed, and against refusing a valid one.
+
+    A valid signature must survive decoding: JSON and msgpack may turn a signing time in full seconds into an integer,
+    which would change the signed bytes.
+    """
+
     def test_any_altered_field_breaks_the_signature(self) -> None:
         manifest = order_between(0, {}, sample_slices()).manifest
         self.assertIsNone(verify_manifest(manifest, OPERATOR_KEYS))
         altered = {"version": 2, "base": 1, "root": "0" * 64, "order": "other", "signed_at": 5.0}
         for field, value in altered.items():
             forged = msgspec.structs.replace(manifest, **{field: value})
-            self.assertIn("does not fit", verify_manifest(forged, OPERATOR_KEYS) or "", field)
+            self.assertIn("does not match the manifest", verify_manifest(forged, OPERATOR_KEYS) or "", field)
 
-    def test_a_stranger_and_a_malformed_signer_are_refused(self) -> None:
+    def test_unknown_and_malformed_signers_are_refused(self) -> None:
         manifest = order_between(0, {}, sample_slices(), key=STRANGER).manifest
         self.assertIn("not one of", verify_manifest(manifest, OPERATOR_KEYS) or "")
         odd = msgspec.structs.replace(manifest, signer="zz")
         self.assertIn("not an Ed25519", verify_manifest(odd, ("zz",)) or "")
 
-    def test_a_whole_second_survives_json_and_msgpack(self) -> None:
+    def test_signing_time_in_full_seconds_survives_json_and_msgpack(self) -> None:
         manifest = sign_manifest(
             msgspec.structs.replace(order_between(0, {}, {}).manifest, signed_at=1764650000), OPERATOR
         )
@@ -77,7 +87,9 @@
 
 
 class CrossCheckTest(unittest.TestCase):
-    def test_each_problem_names_slice_field_value_and_mend(self) -> None:
+    """Guards against invalid slices in force, and against problems that don't name the field and the remedy."""
+
+    def test_each_problem_names_slice_field_value_and_remedy(self) -> None:
         cases: list[tuple[Service | Route | PriorityClass | Tenant, str, str, str]] = [
             (Service(name=ServiceName("chat"), pool=PoolName("Bad Pool")), "pool", "Bad Pool", "a-z"),
             (Service(name=ServiceName("chat"), pool=PoolName("m"), retry_share=0.5), "retry_share", "0.5", "0.2"),
@@ -121,13 +133,13 @@
                 "tenant/tenant-0",
             ),
         ]
-        for part, field, value, mend in cases:
+        for part, field, value, remedy in cases:
             name, data = slice_of(part)
             problem = problem_of({**sample_slices(), name: data})
             self.assertEqual((problem.slice, problem.field, problem.value), (name, field, value))
-            self.assertIn(mend, problem.mend)
+            self.assertIn(remedy, problem.remedy)
 
-    def test_bounds_of_what_deployments_with_pools_set(self) -> None:
+    def test_limits_of_fields_in_bundles_with_pools(self) -> None:
         chat: dict[str, Any] = {"name": ServiceName("chat"), "pool": PoolName("model")}
         shares = (PoolShare(pool=PoolName("model"), weight=0), PoolShare(pool=PoolName("spare"), weight=0))
         negative = (PoolShare(pool=PoolName("model"), weight=-1), PoolShare(pool=PoolName("spare"), weight=2))
@@ -158,11 +170,11 @@
             (Edition(number=-1), "number", "from 0"),
             (Edition(name="mine", number=1), "name", "operator"),
         ]
-        for part, field, mend in cases:
+        for part, field, remedy in cases:
             name, data = slice_of(part)
             problem = problem_of({**sample_slices(), name: data})
             self.assertEqual((problem.code, problem.slice, problem.field), ("field", name, field))
-            self.assertIn(mend, problem.mend)
+            self.assertIn(remedy, problem.remedy)
         for fine in (
             Tenant(**tenant, paid_rate=1e10, burst=Seconds(0), unit="tokens"),
             Service(**chat, split=(shares[0], PoolShare(pool=PoolName("spare"), weight=1))),
@@ -192,7 +204,7 @@
         self.assertEqual((problem.code, problem.value), ("reference", "model"))
         self.assertEqual(accepted(held, step(both, sample_slices(), 1, 2)).pools, {})
 
-    def test_limits_and_edition_are_read_and_taken_out(self) -> None:
+    def test_caller_limits_and_edition_are_parsed_and_removed(self) -> None:
         extra = dict([slice_of(CallerLimits(idle=Seconds(15.0))), slice_of(Edition(number=7, annotations={"a": [1]}))])
         slices = {**sample_slices(), **extra}
         held = accepted(None, whole(slices))
@@ -215,9 +227,9 @@
         problem = apply_delta(held, step(slices, {**slices, name: data}, 1, 2), OPERATOR_KEYS).failure()
         self.assertEqual((problem.code, problem.slice, problem.field), ("double", "route/third", "path_prefix"))
 
-    def test_slices_that_are_not_as_they_should_be_written(self) -> None:
+    def test_malformed_slices_are_refused(self) -> None:
         name = SliceName("class/gold")
-        for data, mend in (
+        for data, remedy in (
             (b'{"name": "gold", "weight": 4.0}', "sorted keys"),
             (b'{"name":"gold","name":"gold","weight":4.0}', "sorted keys"),
             (b'{"name":"iron","weight":4.0}', "must be gold"),
@@ -226,11 +238,13 @@
             (b"[" * 100_000, ""),
             (b'{"name":"gold","weight":' + b" " * 300_000 + b"1}", "keep below"),
         ):
-            self.assertIn(mend, problem_of({**sample_slices(), name: data}).mend)
-        self.assertIn("are called", problem_of({**sample_slices(), SliceName("odd/x"): b"{}"}).mend)
+            self.assertIn(remedy, problem_of({**sample_slices(), name: data}).remedy)
+        self.assertIn("are called", problem_of({**sample_slices(), SliceName("odd/x"): b"{}"}).remedy)
 
 
 class DeltaTest(unittest.TestCase):
+    """Guards against tampered or incomplete deltas, and against falling back to an older bundle."""
+
     def test_tampered_missing_and_extra_slices_break_the_root(self) -> None:
         slices = sample_slices()
         delta = whole(slices)
@@ -243,7 +257,7 @@
             forged = msgspec.structs.replace(delta, changed=changed)
             self.assertEqual(apply_delta(None, forged, OPERATOR_KEYS).failure().code, "root")
 
-    def test_never_back_and_never_over_a_gap(self) -> None:
+    def test_older_versions_and_gaps_are_refused(self) -> None:
         slices = sample_slices()
         held = accepted(None, whole(slices, 3))
         self.assertEqual(apply_delta(held, whole(slices, 3), OPERATOR_KEYS).failure().code, "stale")
@@ -251,7 +265,7 @@
         self.assertEqual(apply_delta(held, step(slices, slices, 5, 6), OPERATOR_KEYS).failure().code, "gap")
         self.assertEqual(accepted(held, step(slices, slices, 2, 6)).version, 6)
 
-    def test_a_key_may_move_between_tenants_in_one_change(self) -> None:
+    def test_keys_may_move_between_tenants_in_one_change(self) -> None:
         slices = sample_slices()
         held = accepted(None, whole(slices))
         moved = dict(slices)
@@ -262,7 +276,7 @@
         self.assertEqual(bundle.keys[key_digest("key-0")], "tenant-1")
         self.assertEqual(held.keys[key_digest("key-0")], "tenant-0")
 
-    def test_removing_what_others_name_is_refused(self) -> None:
+    def test_removing_a_referenced_slice_is_refused(self) -> None:
         slices = sample_slices()
         held = accepted(None, whole(slices))
         for name, field in (("service/chat", "service"), ("class/gold", "priority_class")):
@@ -309,6 +323,8 @@
 
 
 class SameEitherWayTest(unittest.TestCase):
+    """Guards against checks that a change skips: applying a change must give what parsing all slices gives."""
+
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(contents, contents, st.sets(st.sampled_from(sorted(base)), max_size=2))
     def test_a_change_gives_what_reading_the_whole_gives(
@@ -332,7 +348,9 @@
 
 
 class GradualTest(unittest.TestCase):
-    def test_others_run_while_a_large_bundle_is_read_and_the_result_is_the_same(self) -> None:
+    """Guards against stalled streams while a router parses a large bundle."""
+
+    def test_other_tasks_run_while_a_large_bundle_is_parsed(self) -> None:
         slices = sample_slices(3_000)
         delta = whole(slices)
         turns: list[int] = []
--- a/wingwood/bundle/tests/test_reading.py
+++ b/wingwood/bundle/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""Routers read kept bundles from control daemons (docs/DESIGN.md section 5.5)."""
+"""Tests of reading stored bundles from control daemons (docs/DESIGN.md section 5.5)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,13 @@
 
 
 class ReadingTest(unittest.TestCase):
-    def test_the_second_control_daemon_is_asked_when_the_first_is_away(self) -> None:
+    """Guards against answers that are wrong for the fleet.
+
+    They arise when a daemon answers that stores no or only old bundles (a spare, a former backup), or a primary that
+    has just taken over and does not know yet which versions are durable.
+    """
+
+    def test_second_control_daemon_is_asked_when_the_first_is_unreachable(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
         submit(state, order_between(0, {}, slices))
         submit(state, order_between(1, slices, slices))
@@ -56,16 +62,16 @@
         self.assertEqual(found[2], reader.read_history(10))
         self.assertIn("none is known", str(found[3]))
 
-    def test_a_new_primary_that_has_not_committed_yet_does_not_say_that_there_is_no_bundle(self) -> None:
+    def test_new_primary_without_commits_gives_no_authoritative_answer(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
         nothing = LocalBundleReader(state, lambda: BundleVersion(0))
-        self.assertTrue(nothing.read_bundle(BundleVersion(0)).sure)
+        self.assertTrue(nothing.read_bundle(BundleVersion(0)).authoritative)
         submit(state, order_between(0, {}, slices))
-        self.assertFalse(nothing.read_bundle(BundleVersion(0)).sure)
-        self.assertFalse(nothing.read_history(10).sure)
-        self.assertTrue(LocalBundleReader(state, lambda: BundleVersion(1)).read_bundle(BundleVersion(0)).sure)
+        self.assertFalse(nothing.read_bundle(BundleVersion(0)).authoritative)
+        self.assertFalse(nothing.read_history(10).authoritative)
+        self.assertTrue(LocalBundleReader(state, lambda: BundleVersion(1)).read_bundle(BundleVersion(0)).authoritative)
 
-    def test_only_a_daemon_that_keeps_the_bundles_speaks_for_the_fleet(self) -> None:
+    def test_only_daemons_that_store_the_bundles_are_authoritative(self) -> None:
         state, slices = BundleState(OPERATOR_KEYS), sample_slices()
         submit(state, order_between(0, {}, slices))
         older = BundleState(OPERATOR_KEYS)
@@ -96,8 +102,8 @@
             async def router(context: Context) -> None:
                 link = messenger(context, "r1")
                 both = RemoteBundleReader(link, lambda: [addresses[name] for name in readers])
-                found.append((await both.bundle(BundleVersion(0))).unwrap().newest)
-                found.append((await both.history(10)).unwrap().newest)
+                found.append((await both.bundle(BundleVersion(0))).unwrap().latest)
+                found.append((await both.history(10)).unwrap().latest)
                 alone = RemoteBundleReader(link, lambda: [addresses["spare"]])
                 found.append(str((await alone.bundle(BundleVersion(0))).failure()))
 
@@ -108,4 +114,4 @@
             world.run(5.0)
             self.assertEqual(world.broken_invariants, [])
         self.assertEqual(found[:2], [2, 2])
-        self.assertIn("does not keep them", str(found[2]))
+        self.assertIn("does not store the bundles", str(found[2]))
--- a/wingwood/bundle/tests/test_variants.py
+++ b/wingwood/bundle/tests/test_variants.py
@@ -1,4 +1,4 @@
-"""Variants for places, and roll-outs in a bundle (docs/DESIGN.md section 19)."""
+"""Tests of variants for some routers, and of roll-outs in a bundle (docs/DESIGN.md section 19)."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 from ..orders import difference
 from ..parse import apply_delta, parse_bundle
 from ..problem import BundleProblem
-from ..rollouts import wanted_slices
+from ..rollouts import required_slices
 from ..route import Route
-from ..variants import Place, chosen, fits, share_mark
+from ..variants import VariantTarget, choose_variants, selects, share_bucket
 from .samples import OPERATOR_KEYS, key_digest, order_between, sample_slices, slice_of
 
 Slices = dict[SliceName, bytes]
 CHAT = SliceName("service/chat")
-A = Place(Zone("a"), DaemonName("router-1"))
-B = Place(Zone("b"), DaemonName("router-2"))
-PLACES = (None, *(Place(Zone(zone), DaemonName(f"router-{number}")) for number in range(1, 5) for zone in "ab"))
+A = VariantTarget(Zone("a"), DaemonName("router-1"))
+B = VariantTarget(Zone("b"), DaemonName("router-2"))
+PLACES = (None, *(VariantTarget(Zone(zone), DaemonName(f"router-{number}")) for number in range(1, 5) for zone in "ab"))
 
 
 def changed(name: SliceName, /, **fields: object) -> bytes:
+    """Returns a sample slice with other values in these fields."""
     return canonical_json({**msgspec.json.decode(sample_slices()[name]), **fields})
 
 
-def read(slices: Slices, place: Place | None = None) -> Bundle:
+def read(slices: Slices, place: VariantTarget | None = None) -> Bundle:
     return parse_bundle(order_between(0, {}, slices).manifest, slices, place).unwrap()
 
 
@@ -55,22 +56,28 @@
     return msgspec.structs.replace(rollout, **fields)
 
 
-def under_way(rollout: Rollout) -> Slices:
+def bundle_during(rollout: Rollout) -> Slices:
+    """Returns the slices that a bundle must contain while the roll-out is running."""
     return {
         **sample_slices(),
-        **wanted_slices(rollout),
+        **required_slices(rollout),
         SliceName(f"rollout/{rollout.name}"): canonical_json(rollout),
     }
 
 
-class ChoiceTest(unittest.TestCase):
-    def test_only_the_named_zones_routers_act_on_it(self) -> None:
+class VariantChoiceTest(unittest.TestCase):
+    """Guards against variants that reach the wrong routers, or change what must be the same on all routers.
+
+    A caller may retry at a router with another variant; a call that may run only once must not run again there.
+    """
+
+    def test_variant_applies_to_routers_of_its_zone_only(self) -> None:
         slices = {**sample_slices(), SliceName(f"{CHAT}@zone=a"): changed(CHAT, pool="large")}
         pools = [read(slices, place).services[ServiceName("chat")].pool for place in (A, B, None)]
         self.assertEqual(pools, ["large", "model", "model"])
         self.assertEqual(read(slices, A).slices, read(slices, B).slices)
 
-    def test_routes_and_classes_too(self) -> None:
+    def test_routes_and_classes_may_have_variants(self) -> None:
         slices = {
             **sample_slices(),
             SliceName("route/chat@zone=a"): changed(SliceName("route/chat"), service="summaries"),
@@ -82,22 +89,22 @@
         self.assertEqual(targets, ["summaries", "chat"])
         self.assertEqual([view.classes[ClassName("gold")].weight for view in (here, there)], [9.0, 4.0])
 
-    def test_shares_grow_and_a_zone_goes_before_a_share(self) -> None:
-        places = [Place(Zone("a"), DaemonName(f"router-{number}")) for number in range(1000)]
-        insides = [{place.name for place in places if fits(f"share={share}", place)} for share in (10, 25, 99)]
+    def test_shares_include_smaller_shares_and_zones_take_precedence(self) -> None:
+        places = [VariantTarget(Zone("a"), DaemonName(f"router-{number}")) for number in range(1000)]
+        insides = [{place.name for place in places if selects(f"share={share}", place)} for share in (10, 25, 99)]
         self.assertTrue(insides[0] < insides[1] < insides[2])
-        self.assertEqual(insides[0], {place.name for place in places if share_mark(place.name) in range(10)})
+        self.assertEqual(insides[0], {place.name for place in places if share_bucket(place.name) in range(10)})
         for share, inside in zip((10, 25, 99), insides, strict=True):
             self.assertAlmostEqual(len(inside) / 1000, share / 100, delta=0.03)
         names = [SliceName(f"{CHAT}@{whom}") for whom in ("share=50", "share=99", "zone=a", "zone=b")]
-        early = next(place for place in places if share_mark(place.name) < 50)
-        self.assertEqual(chosen(names, early), {CHAT: f"{CHAT}@zone=a"})
-        self.assertEqual(chosen(names[:2], early), {CHAT: f"{CHAT}@share=50"})
+        early = next(place for place in places if share_bucket(place.name) < 50)
+        self.assertEqual(choose_variants(names, early), {CHAT: f"{CHAT}@zone=a"})
+        self.assertEqual(choose_variants(names[:2], early), {CHAT: f"{CHAT}@share=50"})
 
-    def test_what_may_not_be_a_variant_is_refused_with_its_reason(self) -> None:
+    def test_invalid_variants_are_refused_with_the_reason(self) -> None:
         tenant, cards = SliceName("tenant/tenant-1"), SliceName("service/cards")
-        for name, data, said in (
-            (f"{tenant}@zone=a", changed(tenant, paid_rate=1.0), "a tenant counts for the whole fleet"),
+        for name, data, expected_text in (
+            (f"{tenant}@zone=a", changed(tenant, paid_rate=1.0), "a tenant applies to the whole fleet"),
             ("rollout/x@zone=a", b"{}", "only services, routes and classes"),
             (f"{CHAT}@region=a", changed(CHAT), "zone=ZONE or share=PERCENT"),
             (f"{CHAT}@share=0", changed(CHAT), "from 1 to 99"),
@@ -116,18 +123,18 @@
             ("route/cards@zone=a", changed(SliceName("route/cards"), service="chat"), "would run again"),
         ):
             problem = problem_of({**sample_slices(), SliceName(name): data})
-            self.assertIn(said, str(problem), name)
+            self.assertIn(expected_text, str(problem), name)
             self.assertEqual(problem.slice.partition("@")[0], name.partition("@")[0])
 
-    def test_a_plain_slice_cannot_be_changed_away_from_under_its_variant(self) -> None:
+    def test_plain_slice_must_not_change_against_its_variant(self) -> None:
         variant = SliceName(f"{CHAT}@zone=a")
         before = {**sample_slices(), variant: changed(CHAT, pool="large")}
         held = apply_delta(None, whole(before, 1), OPERATOR_KEYS, A).unwrap()
         after = {**before, CHAT: changed(CHAT, repeatable=False)}
         self.assertIn("must be False", str(apply_delta(held, step(before, after, 2), OPERATOR_KEYS, A).failure()))
 
-    def test_a_removed_key_stops_everywhere_whatever_is_under_way(self) -> None:
-        before = under_way(rollout_of())
+    def test_removed_key_is_gone_for_all_routers_during_a_rollout(self) -> None:
+        before = bundle_during(rollout_of())
         tenant = SliceName("tenant/tenant-1")
         after = {**before, tenant: changed(tenant, keys=[])}
         for place in PLACES:
@@ -150,30 +157,32 @@
 
 
 class RolloutTest(unittest.TestCase):
-    def test_each_stage_keeps_those_before_it_and_the_last_leaves_no_variant(self) -> None:
-        variants = [sorted(read(under_way(rollout_of(stage))).variants) for stage in range(3)]
+    """Guards against bundles whose slices disagree with a running roll-out, such as after a client failed midway."""
+
+    def test_stages_include_earlier_ones_and_the_last_has_no_variant(self) -> None:
+        variants = [sorted(read(bundle_during(rollout_of(stage))).variants) for stage in range(3)]
         self.assertEqual(variants, [[f"{CHAT}@zone=a"], [f"{CHAT}@share=25", f"{CHAT}@zone=a"], []])
-        self.assertEqual(read(under_way(rollout_of(2)), B).services[ServiceName("chat")].pool, "large")
+        self.assertEqual(read(bundle_during(rollout_of(2)), B).services[ServiceName("chat")].pool, "large")
 
-    def test_slices_and_roll_out_always_agree_while_it_runs(self) -> None:
-        slices = under_way(rollout_of())
+    def test_slices_must_agree_with_a_running_rollout(self) -> None:
+        slices = bundle_during(rollout_of())
         variant = SliceName(f"{CHAT}@zone=a")
-        for altered, said in (
+        for altered, expected_text in (
             ({**slices, CHAT: changed(CHAT, deadline=9.0)}, "wingwood rollout roll-back bigger"),
             ({**slices, variant: changed(CHAT, pool="other")}, "at stage zone=a"),
-            ({**slices, SliceName(f"{CHAT}@zone=b"): changed(CHAT)}, "must not stand"),
-            ({name: data for name, data in slices.items() if name != variant}, "must stand"),
+            ({**slices, SliceName(f"{CHAT}@zone=b"): changed(CHAT)}, "must not be in the bundle"),
+            ({name: data for name, data in slices.items() if name != variant}, "must be in the bundle"),
         ):
-            self.assertIn(said, str(problem_of(altered)))
-        # Once it is rolled back, the slices are anyone's again.
+            self.assertIn(expected_text, str(problem_of(altered)))
+        # After the roll-back any order may change the slices.
         done = rollout_of(state="rolled-back")
         read({**sample_slices(), SliceName("rollout/bigger"): canonical_json(done), CHAT: changed(CHAT, deadline=9.0)})
 
-    def test_two_roll_outs_cannot_change_one_slice(self) -> None:
-        slices = {**under_way(rollout_of()), **under_way(rollout_of(name="other"))}
+    def test_two_rollouts_must_not_change_one_slice(self) -> None:
+        slices = {**bundle_during(rollout_of()), **bundle_during(rollout_of(name="other"))}
         self.assertIn("rollout/bigger is changing it", str(problem_of(slices)))
 
-    def test_running_roll_outs_are_bounded_together(self) -> None:
+    def test_changes_of_all_running_rollouts_are_limited(self) -> None:
         slices = sample_slices()
         for number in range(6):
             names = [f"c{number}-{index:02}" for index in range(100)]
@@ -185,17 +194,17 @@
                 for name in names
             )
             rollout = rollout_of(name=f"r{number}", changes=changes)
-            more = {SliceName(f"rollout/r{number}"): canonical_json(rollout), **wanted_slices(rollout)}
+            more = {SliceName(f"rollout/r{number}"): canonical_json(rollout), **required_slices(rollout)}
             if number == 5:
                 self.assertIn("keep to 500 slices", str(problem_of({**slices, **more})))
             slices.update(more)
             if number == 4:
                 read(slices)
 
-    def test_its_own_fields(self) -> None:
+    def test_invalid_fields_of_a_rollout_are_refused(self) -> None:
         tenant = RolloutChange(slice=SliceName("tenant/tenant-1"), before={}, after={"keys": []})
         same = RolloutChange(slice=CHAT, before={}, after={})
-        for fields, said in (
+        for fields, expected_text in (
             ({"stages": ("zone=a",)}, "the last one is all"),
             ({"stages": ("half", "all")}, "a stage is zone=ZONE"),
             ({"stages": ("zone=a", "zone=a", "all")}, "each stage once"),
@@ -207,7 +216,7 @@
             ({"changes": ()}, "1 to 100"),
         ):
             slices = {**sample_slices(), SliceName("rollout/bigger"): canonical_json(rollout_of(**fields))}
-            self.assertIn(said, str(problem_of(slices)))
+            self.assertIn(expected_text, str(problem_of(slices)))
 
 
 letters = st.sampled_from(["a", "b"])
@@ -237,6 +246,8 @@
 
 
 class SameEitherWayTest(unittest.TestCase):
+    """Guards against variants that a change leaves stale: it must give every router what parsing all slices gives."""
+
     both: int
 
     def test_a_change_gives_what_reading_the_whole_gives_at_every_place(self) -> None:
--- a/wingwood/settings/load.py
+++ b/wingwood/settings/load.py
@@ -15,15 +15,16 @@
 from ..identifiers import Address, parse_address
 from .model import DaemonSettings
 
-FLEET_KEY_BYTES = 16
-"""Shortest shared secret that is taken."""
-KEY_FILE = "fleet_key_file"
-SECRETS = ("fleet_key", "signing_key")
-"""Never shown, and not taken from a command line."""
+MIN_FLEET_KEY_BYTES = 16
+"""Length of the shortest fleet key that is accepted."""
+FLEET_KEY_FILE = "fleet_key_file"
+"""Settings key that names a file with the fleet key; it replaces ``fleet_key``."""
+SECRET_KEYS = ("fleet_key", "signing_key")
+"""Settings keys whose values are never shown and have no flag on the command line."""
 
 
 class SettingsProblem(msgspec.Struct, frozen=True, kw_only=True):
-    """Why settings are refused: which file, which key, what stands there, and what is expected."""
+    """Reason for refusing settings: the file, the key, the value found there, and the value expected."""
 
     file: str
     key: str = ""
@@ -37,10 +38,10 @@
 
 
 class _Expected(voluptuous.Invalid):
-    """A value that is not as expected; the message says what is."""
+    """Raised for an invalid value; the message says which values are valid."""
 
 
-def _whole(low: int, high: int) -> Callable[[Any], int]:
+def _whole_number(low: int, high: int) -> Callable[[Any], int]:
     def check(value: Any) -> int:
         if type(value) is not int or not low <= value <= high:
             raise _Expected(f"expected a whole number from {low} to {high}")
@@ -105,7 +106,9 @@
 
 def _fleet_key(value: Any) -> bytes:
     if not isinstance(value, str) or not re.fullmatch(r"([0-9a-fA-F]{2}){16,64}", value):
-        raise _Expected(f"expected {FLEET_KEY_BYTES} to 64 bytes as hex digits; `wingwood key new --fleet` makes them")
+        raise _Expected(
+            f"expected {MIN_FLEET_KEY_BYTES} to 64 bytes as hex digits; `wingwood key new --fleet` makes them"
+        )
     if len(set(value)) == 1:
         raise _Expected("expected a secret, not one digit over and over; `wingwood key new --fleet` makes one")
     return bytes.fromhex(value)
@@ -119,7 +122,7 @@
     return bytes.fromhex(value)
 
 
-def _yes_or_no(value: Any) -> bool:
+def _boolean(value: Any) -> bool:
     if not isinstance(value, bool):
         raise _Expected("expected true or false")
     return value
@@ -155,7 +158,7 @@
     "worker_check": _one_of(*_literals["worker_check"]),
     "worker_unrenewed_after": _seconds(1.0, 600.0),
     "record_file": _PATH,
-    "log_calls": _yes_or_no,
+    "log_calls": _boolean,
     "quota_window": _seconds(1.0, 3600.0),
     "quota_over": _number(0.0, 1.0),
     "quota_slack": _number(0.0, 1e12),
@@ -163,24 +166,24 @@
     "retry_ratio": _number(0.0, 1.0),
     "retry_slack": _number(0.0, 1e6),
     "call_bounds": _one_of(*_literals["call_bounds"]),
-    "keep_connections": _yes_or_no,
+    "keep_connections": _boolean,
     "drain_notice": _seconds(0.0, 600.0),
     "stop_within": _seconds(0.0, 600.0),
     "ledger_retention": _seconds(60.0, 7 * 86400.0),
-    "outcome_retention": _whole(1_000, 10_000_000),
-    "history_versions": _whole(10, 100_000),
-    "body_bytes": _whole(1024, 64 * 1024 * 1024),
-    "losses_borne": _whole(1, 2),
-    "begin_empty_when_damaged": _yes_or_no,
-    "bundle_bytes": _whole(64 * 1024, 64 * 1024 * 1024),
+    "outcome_retention": _whole_number(1_000, 10_000_000),
+    "history_versions": _whole_number(10, 100_000),
+    "body_bytes": _whole_number(1024, 64 * 1024 * 1024),
+    "losses_borne": _whole_number(1, 2),
+    "begin_empty_when_damaged": _boolean,
+    "bundle_bytes": _whole_number(64 * 1024, 64 * 1024 * 1024),
 }
-"""One check per key of ``DaemonSettings``; a test holds the two together."""
+"""One check for each key of ``DaemonSettings``; a test compares the keys of both."""
 
-FLAG_OF: Mapping[str, str] = {name: name.replace("_", "-") for name in CHECKS} | {
+FLAG_FOR_KEY: Mapping[str, str] = {name: name.replace("_", "-") for name in CHECKS} | {
     "seeds": "seed",
     "operator_keys": "operator-key",
 }
-"""The command line's flag for each key; lists take theirs once for each entry."""
+"""Command-line flag for each key; the flag of a list is given once per entry."""
 
 _REQUIRED = tuple(each.name for each in msgspec.structs.fields(DaemonSettings) if each.required)
 _SCHEMA = voluptuous.Schema(
@@ -189,9 +192,10 @@
 
 
 def read_settings(file: Path | None, flags: Mapping[str, object]) -> Result[DaemonSettings, SettingsProblem]:
-    """Settings from a TOML file (None: flags only), then flags over them; flags are of TOML's types.
+    """Reads and checks settings from a TOML file (None: from flags only); flags override the file.
 
-    ``fleet_key_file`` may stand for ``fleet_key``: a file with the secret's hex digits.
+    Values of flags have the types that TOML would give them. Instead of ``fleet_key`` the settings may contain
+    ``fleet_key_file``, the path of a file with the hex digits of the key.
     """
     document: dict[str, object] = {}
     if file is not None:
@@ -200,25 +204,26 @@
                 document = read
             case Failure(problem):
                 return Failure(problem)
-    replaced = [each for each in ("fleet_key", KEY_FILE) if each in flags]
-    given = {key: value for key, value in document.items() if not (replaced and key in ("fleet_key", KEY_FILE))}
+    replaced = [each for each in ("fleet_key", FLEET_KEY_FILE) if each in flags]
+    given = {key: value for key, value in document.items() if not (replaced and key in ("fleet_key", FLEET_KEY_FILE))}
     given.update(flags)
     name = str(file) if file is not None else "flags"
-    if KEY_FILE in given:
+    if FLEET_KEY_FILE in given:
         if "fleet_key" in given:
             return Failure(
-                SettingsProblem(file=name, key=KEY_FILE, expected="give fleet_key or fleet_key_file, not both")
+                SettingsProblem(file=name, key=FLEET_KEY_FILE, expected="give fleet_key or fleet_key_file, not both")
             )
-        path = given.pop(KEY_FILE)
+        path = given.pop(FLEET_KEY_FILE)
         try:
             given["fleet_key"] = Path(str(path)).read_text().strip()
         except (OSError, ValueError) as problem:
-            mend = f"cannot be read ({problem}); `wingwood key new --fleet {path}` makes it"
-            return Failure(SettingsProblem(file=name, key=KEY_FILE, value=repr(path), expected=mend))
+            expected = f"cannot be read ({problem}); `wingwood key new --fleet {path}` makes it"
+            return Failure(SettingsProblem(file=name, key=FLEET_KEY_FILE, value=repr(path), expected=expected))
     return check_settings(given, name, flags)
 
 
 def read_toml(file: Path) -> Result[dict[str, object], SettingsProblem]:
+    """Returns the content of a TOML file, or the problem when it can't be read or is not TOML."""
     try:
         return Success(tomllib.loads(file.read_text()))
     except OSError as problem:
@@ -230,33 +235,35 @@
 def check_settings(
     document: Mapping[str, object], file: str, flags: Mapping[str, object] | None = None
 ) -> Result[DaemonSettings, SettingsProblem]:
-    """The checked settings; the problem names the first key that is wrong, and whether a flag gave it."""
+    """Returns the checked settings; else a problem that names the first invalid key and the flag or file with it."""
     try:
         checked = _SCHEMA(dict(document))
     except voluptuous.MultipleInvalid as several:
         first = min(several.errors, key=lambda error: (str(error.path[0]) not in document, str(error.path)))
         key = str(first.path[0]) if first.path else ""
-        where = f"flag --{FLAG_OF.get(key, key)}" if key in (flags or {}) else file
+        where = f"flag --{FLAG_FOR_KEY.get(key, key)}" if key in (flags or {}) else file
         if key not in CHECKS:
-            near = f"unknown key; the keys are {', '.join([*CHECKS, KEY_FILE])}"
+            near = f"unknown key; the keys are {', '.join([*CHECKS, FLEET_KEY_FILE])}"
             return Failure(SettingsProblem(file=where, key=key, expected=near))
         if key not in document:
             return Failure(SettingsProblem(file=file, key=key, expected=f"missing; {expectation(key)}"))
-        shown = "(hidden)" if key in SECRETS else repr(document[key])[:80]
+        shown = "(hidden)" if key in SECRET_KEYS else repr(document[key])[:80]
         return Failure(SettingsProblem(file=where, key=key, value=shown, expected=first.msg))
     return _check_together(DaemonSettings(**checked), file)
 
 
 def _check_together(settings: DaemonSettings, file: str) -> Result[DaemonSettings, SettingsProblem]:
+    """Checks the rules that involve more than one key."""
+
     def problem(key: str, value: object, expected: str) -> Result[DaemonSettings, SettingsProblem]:
         return Failure(SettingsProblem(file=file, key=key, value=str(value), expected=expected))
 
     if settings.role == "router" and settings.caller is None:
         return problem("caller", "", "missing; a router needs the address for its callers, such as 10.0.0.7:8000")
     if settings.role == "control" and settings.caller is not None:
-        return problem("caller", settings.caller, "a control daemon takes no callers; leave it out")
+        return problem("caller", settings.caller, "a control daemon accepts no calls; remove the key")
     if settings.record_file is not None and settings.data_folder is None:
-        return problem("record_file", settings.record_file, "needs data_folder, since it lies below it")
+        return problem("record_file", settings.record_file, "needs data_folder, since the file is stored below it")
     own = [each for each in (settings.internal, settings.operator, settings.caller) if each is not None]
     if len(set(own)) != len(own):
         return problem("operator", settings.operator, "internal, operator and caller need three different addresses")
@@ -264,9 +271,9 @@
 
 
 def expectation(key: str) -> str:
-    """What a key's value must be, in words."""
+    """Returns a description of the valid values of a key."""
     try:
         CHECKS[key](None)
     except _Expected as expected:
         return str(expected.msg)
-    raise AssertionError(f"{key} takes nothing as a value")
+    raise AssertionError(f"the check of {key} accepts None")
--- a/wingwood/tests/outer_names.py
+++ b/wingwood/tests/outer_names.py
@@ -96,9 +96,9 @@
     "PoolAnswer": "wingwood.registry.messages:PoolAnswer",
     "FeedAnswer": "wingwood.registry.messages:FeedAnswer",
     "FeedPush": "wingwood.registry.messages:FeedPush",
-    "AskBundle": "wingwood.bundle.reading:AskBundle",
+    "AskBundle": "wingwood.bundle.reading:BundleRequest",
     "BundleAnswer": "wingwood.bundle.reading:BundleAnswer",
-    "AskHistory": "wingwood.bundle.reading:AskHistory",
+    "AskHistory": "wingwood.bundle.reading:HistoryRequest",
     "HistoryAnswer": "wingwood.bundle.reading:HistoryAnswer",
 }
 
@@ -130,7 +130,7 @@
     "bundle Order": "wingwood.bundle.model:Order",
     "bundle EditionChange": "wingwood.bundle.model:EditionChange",
     "bundle OrderOutcome": "wingwood.bundle.model:OrderOutcome",
-    "bundle EditionStanding": "wingwood.bundle.model:EditionStanding",
+    "bundle EditionStanding": "wingwood.bundle.model:EditionStatus",
     "bundle BundleDelta": "wingwood.bundle.model:BundleDelta",
     "bundle Route": "wingwood.bundle.route:Route",
     "bundle positioned slice": "wingwood.bundle.positions:_Positioned",
