--- a/bench/capacity/keepers.py
+++ b/bench/capacity/keepers.py
@@ -15,7 +15,7 @@
 from returns.result import Success
 
 from wingwood.identifiers import Address, DaemonName, Incarnation, Zone
-from wingwood.membership.keeper import SessionKeeper
+from wingwood.membership.coordinator import MembershipCoordinator
 from wingwood.transport.frames import Identity
 from wingwood.transport.messenger import TcpMessenger
 
@@ -32,7 +32,7 @@
 async def serve(first: int, end: int) -> None:
     seeds = tuple(Address("127.0.0.1", PORT + number) for number in range(3))
     messengers: list[TcpMessenger] = []
-    keepers: list[SessionKeeper] = []
+    keepers: list[MembershipCoordinator] = []
     for number in range(first, end):
         own = Identity(
             DaemonName(f"c{number:02}"),
@@ -43,7 +43,7 @@
         )
         context = msgspec.structs.replace(real_quiet_context(), random=random.Random(number))
         messenger = TcpMessenger(context, own, KEY)
-        keeper = SessionKeeper(context, messenger, seeds)
+        keeper = MembershipCoordinator(context, messenger, seeds)
         assert isinstance(messenger.start(), Success)
         keeper.start()
         messengers.append(messenger)
--- a/bench/hollow_daemons.py
+++ b/bench/hollow_daemons.py
@@ -58,7 +58,7 @@
     Zone,
 )
 from wingwood.membership.client import MembershipClient
-from wingwood.membership.keeper import SessionKeeper
+from wingwood.membership.coordinator import MembershipCoordinator
 from wingwood.transport.frames import Identity
 from wingwood.transport.messenger import TcpMessenger
 
@@ -154,7 +154,7 @@
         messenger = TcpMessenger(
             context, Identity(name, store.incarnation, "control", Zone(f"zone-{number}"), SEEDS[number]), KEY
         )
-        keeper = SessionKeeper(context, messenger, SEEDS)
+        keeper = MembershipCoordinator(context, messenger, SEEDS)
         state = BundleState(OPERATOR_KEYS)
         core = ReplicatedCore(
             context,
@@ -167,7 +167,7 @@
             other_controls=keeper.known_controls,
         )
         publisher = BundlePublisher(context, messenger, core, CommittedBundles(core, state), keeper)
-        keeper.tell(publisher.news)
+        keeper.set_update_source(publisher.news)
         assert isinstance(messenger.start(), Success)
         core.start()
         keeper.start()
--- a/wingwood/control/journal_rewriting.py
+++ b/wingwood/control/journal_rewriting.py
@@ -61,6 +61,6 @@
             case Failure(fault):
                 log.event("journal-not-rewritten", kind=fault.kind, detail=fault.detail)
                 self._not_before = Instant(clock.monotonic() + PAUSE_AFTER_FAILURE)
-                if fault.kind == "slow" or (fault.kind != "sick" and journal.sick is not None):
+                if fault.kind == "slow" or (fault.kind != "sick" and journal.unusable_reason is not None):
                     self._on_fault(fault)
         self._rewriting = False
--- a/wingwood/control/tests/walk.py
+++ b/wingwood/control/tests/walk.py
@@ -15,7 +15,7 @@
 from simulation.network import Cut
 
 from ...journal import scan
-from ...journal.journal import FRAME_BYTES
+from ...journal.journal import FRAME_OVERHEAD_BYTES
 from ..messages import FoundedEntry, View
 from .control_world import ControlWorld, MakeCore, Put, make_core
 
@@ -387,7 +387,7 @@
         data = bytearray(disk.visible["control.journal"])
         match scan(bytes(data)):
             case Success(found):
-                last = found.sound_bytes - len(found.payloads[-1]) - FRAME_BYTES
+                last = found.valid_bytes - len(found.payloads[-1]) - FRAME_OVERHEAD_BYTES
             case _:
                 last = 1
         data[self.random.randrange(last)] ^= 0x10
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -22,7 +22,7 @@
 from ..identifiers import Address, BundleVersion, Incarnation, Seconds
 from ..ledger.state import LedgerState
 from ..membership.address_book import AddressBook
-from ..membership.keeper import SessionKeeper
+from ..membership.coordinator import MembershipCoordinator
 from ..operator_api.editions import EditionClient
 from ..operator_api.orders import OrderRoutes
 from ..operator_api.reading import HealthReport, ReadRoutes
@@ -96,7 +96,7 @@
             operator=settings.operator,
         )
         self.messenger = TcpMessenger(context, self._identity, settings.fleet_key)
-        self.keeper = SessionKeeper(context, self.messenger, settings.seeds)
+        self.keeper = MembershipCoordinator(context, self.messenger, settings.seeds)
         self.state = BundleState(
             settings.bundle_signers,
             settings.outcome_retention,
@@ -109,7 +109,7 @@
         self.core = self._make_core(opened)
         self.source = CommittedBundles(self.core, self.state)
         self.publisher = BundlePublisher(context, self.messenger, self.core, self.source, self.keeper)
-        self.keeper.tell(self.publisher.news)
+        self.keeper.set_update_source(self.publisher.news)
         self.address_book = AddressBook(context, self.messenger, self.keeper)
         self.registry = WorkerRegistry(context, self.messenger, self.keeper, settings, dialect.announcements)
         self.client = ControlClient(context, self.messenger, self.core.control_addresses)
--- a/wingwood/distribution/follower.py
+++ b/wingwood/distribution/follower.py
@@ -15,7 +15,7 @@
 from ..identifiers import Address, BundleVersion, Epoch, Instant, Seconds
 from ..membership.client import MembershipClient
 from ..membership.duties import EpochGate
-from ..membership.messages import News
+from ..membership.messages import ClusterUpdate
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
 from .deltas import DeltaChain, joined, weight
@@ -24,7 +24,7 @@
 from .limits import DistributionLimits
 from .messages import BundleAnnounced, BundleChunk, BundlePosted, FetchBundle, Subscribe, Subscribed
 
-FELLOWS_ASKED = 2
+PEERS_ASKED_PER_ROUND = 2
 NEWCOMER_WAITS = Seconds(1.0)
 """A daemon that has heard of no bundle for so long asks around for one."""
 PROOFS_KEPT = 64
@@ -81,8 +81,8 @@
         messenger.on_post(BundleAnnounced, self._on_announced)
         messenger.on_call(Subscribe, self._on_subscribe)
         messenger.on_call(FetchBundle, self._on_fetch)
-        membership.on_news(self._on_news)
-        membership.tell(self.version)
+        membership.on_update(self._on_news)
+        membership.report_version(self.version)
 
     def start(self) -> None:
         self._started = self._context.clock.monotonic()
@@ -121,11 +121,11 @@
 
     # -- what is heard
 
-    def _on_news(self, news: News, asked: Instant) -> None:
+    def _on_news(self, news: ClusterUpdate, asked: Instant) -> None:
         if news.proof_age is not None:
             self._note_proof(news.proof_version, Instant(asked - news.proof_age))
         self._gate.admit(news.epoch)
-        self._want(max(news.newest, news.proof_version))
+        self._want(max(news.latest_version, news.proof_version))
 
     def _note_proof(self, version: BundleVersion, proven: Instant) -> None:
         """``version`` was the newest at ``proven``; counts once that version (or a newer one) is in force."""
@@ -274,8 +274,8 @@
         homes = [home.internal for home in self._ranking()[:HOMES]]
         primary = self._membership.primary_address()
         controls = [control for control in (primary, *self._membership.known_controls()[:8]) if control is not None]
-        fellows = self._membership.fellows()
-        some = self._context.random.sample(fellows, min(FELLOWS_ASKED, len(fellows)))
+        fellows = self._membership.peer_addresses()
+        some = self._context.random.sample(fellows, min(PEERS_ASKED_PER_ROUND, len(fellows)))
         if self._bundle is not None or self._is_home():
             first = [] if told_by is None else [told_by]
         order = [*first, *controls, *homes, *some]
--- a/wingwood/distribution/freshness.py
+++ b/wingwood/distribution/freshness.py
@@ -9,7 +9,7 @@
 from ..context.protocols import Context, Task
 from ..control.protocols import BundleSource, ControlCore
 from ..identifiers import Address, BundleVersion, Instant, Seconds
-from ..membership.messages import News
+from ..membership.messages import ClusterUpdate
 from ..membership.protocols import Membership
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
@@ -54,15 +54,15 @@
         if self._task is not None:
             self._task.cancel()
 
-    def news(self) -> News:
+    def news(self) -> ClusterUpdate:
         """For heartbeat answers; the age is worked out at this instant."""
         age = None
         if self._proven_at is not None:
             age = Seconds(self._context.clock.monotonic() - self._proven_at)
-        return News(
+        return ClusterUpdate(
             epoch=self._core.epoch(),
             primary=self._core.primary_address(),
-            newest=max(self._announced, self._proven_version, self._own_newest()),
+            latest_version=max(self._announced, self._proven_version, self._own_newest()),
             proof_version=self._proven_version,
             proof_age=age,
         )
--- a/wingwood/distribution/publisher.py
+++ b/wingwood/distribution/publisher.py
@@ -9,7 +9,7 @@
 from ..context.protocols import Context, Task
 from ..control.protocols import BundleSource, ControlCore
 from ..identifiers import Address, BundleVersion, Epoch, Instant, Seconds
-from ..membership.messages import News
+from ..membership.messages import ClusterUpdate
 from ..membership.protocols import Membership
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
@@ -64,8 +64,8 @@
         if self._task is not None:
             self._task.cancel()
 
-    def news(self) -> News:
-        """What heartbeat answers tell; see ``SessionKeeper.tell``."""
+    def news(self) -> ClusterUpdate:
+        """What heartbeat answers tell; see ``MembershipCoordinator.set_update_source``."""
         return self._prover.news()
 
     def _on_committed(self, manifest: Manifest) -> None:
--- a/wingwood/distribution/tests/small_fleet.py
+++ b/wingwood/distribution/tests/small_fleet.py
@@ -15,7 +15,7 @@
 from ...control.protocols import SubmitOrder
 from ...identifiers import Address, BundleVersion, DaemonName, Incarnation, Seconds, SliceName, Zone
 from ...membership.client import MembershipClient
-from ...membership.keeper import SessionKeeper
+from ...membership.coordinator import MembershipCoordinator
 from ...membership.limits import SessionTimes
 from ...transport.frames import Identity
 from ...transport.messenger import TcpMessenger
@@ -32,7 +32,7 @@
 class ControlParts:
     """What one life of a control daemon consists of; a broken variant of the fleet replaces some class here."""
 
-    keeper_class = SessionKeeper
+    keeper_class = MembershipCoordinator
     publisher_class = BundlePublisher
     times = SessionTimes()
     limits = DistributionLimits()
@@ -43,7 +43,7 @@
         self.source = StandInSource(disk)
         self.keeper = self.keeper_class(context, self.messenger, seeds, self.times)
         self.publisher = self.publisher_class(context, self.messenger, self.core, self.source, self.keeper, self.limits)
-        self.keeper.tell(self.publisher.news)
+        self.keeper.set_update_source(self.publisher.news)
 
 
 class RouterParts:
--- a/wingwood/distribution/tests/test_broken_variants.py
+++ b/wingwood/distribution/tests/test_broken_variants.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from ...identifiers import Address, BundleVersion, Instant, Seconds
-from ...membership.keeper import SessionKeeper
-from ...membership.keeper_peer import KeeperPeer as _Peer
+from ...membership.coordinator import MembershipCoordinator
+from ...membership.coordinator_peer import CoordinatorPeer as _Peer
 from ...membership.limits import SessionTimes
-from ...membership.messages import Heartbeat, News, SessionsTold, Unheard
+from ...membership.messages import ClusterUpdate, Heartbeat, SessionsReport, UnreachableCoordinator
 from ...membership.tests import test_sessions as sessions
 from ...transport.frames import Identity
 from ..follower import BundleFollower
@@ -32,7 +32,7 @@
 class AgelessProver(FreshnessProver):
     """Forgets how old its proof is."""
 
-    def news(self) -> News:
+    def news(self) -> ClusterUpdate:
         return msgspec.structs.replace(super().news(), proof_age=Seconds(0.0))
 
 
@@ -44,7 +44,7 @@
 class LateCountingFollower(BundleFollower):
     """Counts a proof from when the answer came instead of from before the question."""
 
-    def _on_news(self, news: News, asked: Instant) -> None:
+    def _on_news(self, news: ClusterUpdate, asked: Instant) -> None:
         super()._on_news(news, self._context.clock.monotonic())
 
 
@@ -63,34 +63,34 @@
         return proven is not None and self._context.clock.monotonic() - proven <= 6.0
 
 
-class HearsayKeeper(SessionKeeper):
+class HearsayKeeper(MembershipCoordinator):
     """Renews a session whatever its daemon hears."""
 
     def _renew(self, peer: Identity, message: Heartbeat, now: Instant, was_member: bool) -> bool:
-        return super()._renew(peer, msgspec.structs.replace(message, unanswered=Seconds(0.0)), now, was_member)
+        return super()._renew(peer, msgspec.structs.replace(message, last_answer_age=Seconds(0.0)), now, was_member)
 
 
-class ForgetfulKeeper(SessionKeeper):
+class ForgetfulKeeper(MembershipCoordinator):
     """Believes a keeper's young life that nobody holds a session there."""
 
-    def _take(self, peer: _Peer, told: SessionsTold, heard: Instant) -> None:
-        super()._take(peer, msgspec.structs.replace(told, settling=False), heard)
+    def _apply_report(self, peer: _Peer, report: SessionsReport, reported_at: Instant) -> None:
+        super()._apply_report(peer, msgspec.structs.replace(report, settling=False), reported_at)
 
 
-class SelfAssuredKeeper(SessionKeeper):
+class SelfAssuredKeeper(MembershipCoordinator):
     """Takes all others for dead rather than itself for cut off."""
 
-    def _look_whether_alone(self, now: Instant) -> None:
+    def _check_isolation(self, now: Instant) -> None:
         pass
 
 
-class KeeperWithoutRelay(SessionKeeper):
-    def _relay(self, unheard: Sequence[Unheard]) -> list[SessionsTold]:
+class KeeperWithoutRelay(MembershipCoordinator):
+    def _relay(self, unreachable: Sequence[UnreachableCoordinator]) -> list[SessionsReport]:
         return []
 
 
 def fleet_of(
-    keeper: type[SessionKeeper] = SessionKeeper,
+    keeper: type[MembershipCoordinator] = MembershipCoordinator,
     prover: type[FreshnessProver] = FreshnessProver,
     follower: type[BundleFollower] = BundleFollower,
     times: SessionTimes | None = None,
@@ -136,7 +136,10 @@
 
     def test_counting(self) -> None:
         """The short wait for an answer hides what is counted wrongly, so it is made long here."""
-        buffered, patient = "frozen_router_does_not_serve_on_a_buffered_answer", SessionTimes(answer=Seconds(30.0))
+        buffered, patient = (
+            "frozen_router_does_not_serve_on_a_buffered_answer",
+            SessionTimes(answer_timeout=Seconds(30.0)),
+        )
         type("Patient", (distribution.FreshnessTest,), {"fleet": fleet_of(times=patient)})(f"test_{buffered}").debug()
         self.caught(fleet_of(follower=LateCountingFollower, times=patient), distribution.FreshnessTest, buffered)
         unable = "router_that_hears_of_a_version_but_cannot_get_it_stops"
@@ -160,9 +163,9 @@
         self.caught(fleet_of(ForgetfulKeeper), sessions.SessionsTest, restarted)
         isolated = "keeper_cut_off_from_the_others_loses_its_routers_to_them"
         self.caught(fleet_of(SelfAssuredKeeper), sessions.SessionsTest, isolated)
-        graceless = SessionTimes(grace=Seconds(0.3), lost=Seconds(0.3))
+        graceless = SessionTimes(grace_period=Seconds(0.3), session_timeout=Seconds(0.3))
         self.caught(fleet_of(times=graceless), sessions.SessionsTest, "no_member_flaps_when_a_control_daemon_dies")
-        hasty = SessionTimes(settle=Seconds(0.0))
+        hasty = SessionTimes(settling_period=Seconds(0.0))
         self.caught(
             fleet_of(times=hasty), sessions.SessionsTest, "all_control_daemons_killed_and_started_empty_of_sessions"
         )
--- a/wingwood/distribution/tests/test_distribution.py
+++ b/wingwood/distribution/tests/test_distribution.py
@@ -295,7 +295,7 @@
                 fleet.settle()
                 world.run(0.07 * seed)
                 links = fleet.routers["r02"].messenger._links
-                keeper = fleet.routers["r02"].client.keeper()
+                keeper = fleet.routers["r02"].client.coordinator()
                 assert keeper is not None
                 self.assertTrue(world.wait_for(lambda: bool(links[keeper].waiting), 2.0, every=0.01))
                 world.freeze("r02")
@@ -312,7 +312,7 @@
         with World(seed=5) as world:
             fleet = self.fleet(world, bound=Seconds(5.0))
             fleet.settle()
-            keepers = {name: parts.client.keeper() for name, parts in sorted(fleet.routers.items())}
+            keepers = {name: parts.client.coordinator() for name, parts in sorted(fleet.routers.items())}
             alone = next(name for name, keeper in keepers.items() if keeper == fleet.seeds[2])
             cuts = [world.cut(alone, other) for other in fleet.everybody() if other not in (alone, "c3")]
             fleet.commit()
--- a/wingwood/journal/journal.py
+++ b/wingwood/journal/journal.py
@@ -18,13 +18,13 @@
 MARKER_BYTES = 4
 CHECKSUM_BYTES = 8
 HEADER_BYTES = len(MAGIC) + SALT_BYTES + 8 + CHECKSUM_BYTES
-FRAME_BYTES = MARKER_BYTES + 4 + CHECKSUM_BYTES
+FRAME_OVERHEAD_BYTES = MARKER_BYTES + 4 + CHECKSUM_BYTES
 """What a frame adds to its payload."""
 
-PATIENCE = Seconds(1.0)
-PIECE_BYTES = 256 * 1024
+DEFAULT_TIMEOUT_S = Seconds(1.0)
+COMPACTION_CHUNK_BYTES = 256 * 1024
 """A compaction holds appends for one such piece at a time."""
-SLOWEST_RATE = 20e6
+MIN_DISK_RATE_BYTES_PER_S = 20e6
 """Bytes a second that a healthy disk writes and syncs at least; long appends get that much longer."""
 
 Value = TypeVar("Value")
@@ -43,17 +43,17 @@
 
 
 class Scan(msgspec.Struct, frozen=True):
-    """What a journal's bytes hold. ``sound_bytes`` < ``file_bytes`` when a torn tail follows."""
+    """What a journal's bytes hold. ``valid_bytes`` < ``file_bytes`` when a torn tail follows."""
 
     payloads: Sequence[bytes]
-    sound_bytes: int
+    valid_bytes: int
     file_bytes: int
 
 
 def header(salt: bytes, base: int) -> bytes:
     """``base``: bytes of the file that were synced before it got its name, so they can't be torn."""
-    begin = MAGIC + salt + base.to_bytes(8, "big")
-    return begin + hashlib.blake2b(begin, digest_size=CHECKSUM_BYTES).digest()
+    start = MAGIC + salt + base.to_bytes(8, "big")
+    return start + hashlib.blake2b(start, digest_size=CHECKSUM_BYTES).digest()
 
 
 def _marker(salt: bytes) -> bytes:
@@ -75,23 +75,23 @@
     )
 
 
-def _frames(salt: bytes, begin: int, payloads: Sequence[bytes]) -> bytes:
-    pieces: list[bytes] = []
+def _frames(salt: bytes, start: int, payloads: Sequence[bytes]) -> bytes:
+    frames: list[bytes] = []
     for payload in payloads:
-        pieces.append(frame(salt, begin, payload))
-        begin += len(pieces[-1])
-    return b"".join(pieces)
+        frames.append(frame(salt, start, payload))
+        start += len(frames[-1])
+    return b"".join(frames)
 
 
 def _frame_at(salt: bytes, marker: bytes, data: bytes, offset: int) -> bytes | None:
     if data[offset : offset + MARKER_BYTES] != marker:
         return None
-    begin = offset + FRAME_BYTES
+    start = offset + FRAME_OVERHEAD_BYTES
     length = int.from_bytes(data[offset + MARKER_BYTES : offset + MARKER_BYTES + 4], "big")
-    if begin + length > len(data):
+    if start + length > len(data):
         return None
-    payload = data[begin : begin + length]
-    if data[begin - CHECKSUM_BYTES : begin] != _checksum(salt, offset, payload):
+    payload = data[start : start + length]
+    if data[start - CHECKSUM_BYTES : start] != _checksum(salt, offset, payload):
         return None
     return payload
 
@@ -115,38 +115,38 @@
         if payload is None:
             break
         payloads.append(payload)
-        offset += FRAME_BYTES + len(payload)
+        offset += FRAME_OVERHEAD_BYTES + len(payload)
     if offset < base:
         return Failure(JournalFault("damaged", f"bad frame, below the {base} bytes that were written whole", offset))
-    behind = data.find(marker, offset + 1)
-    while behind != -1:
-        if _frame_at(salt, marker, data, behind) is not None:
-            return Failure(JournalFault("damaged", f"bad frame, with a good one behind it at {behind}", offset))
-        behind = data.find(marker, behind + 1)
+    next_marker = data.find(marker, offset + 1)
+    while next_marker != -1:
+        if _frame_at(salt, marker, data, next_marker) is not None:
+            return Failure(JournalFault("damaged", f"bad frame, with a good one behind it at {next_marker}", offset))
+        next_marker = data.find(marker, next_marker + 1)
     return Success(Scan(payloads, offset, len(data)))
 
 
 class Journal:
     """One journal file of a data folder. Operations run one at a time, in the order of their asking.
 
-    Each append is one frame. ``patience`` bounds how long one operation may take once it is its turn;
+    Each append is one frame. ``timeout`` bounds how long one operation may take once it is its turn;
     past it the outcome is open (``slow``), and the journal refuses work as ``sick`` until ``open`` succeeds.
     """
 
-    def __init__(self, context: Context, name: str, patience: Seconds = PATIENCE) -> None:
+    def __init__(self, context: Context, name: str, timeout: Seconds = DEFAULT_TIMEOUT_S) -> None:
         self._context = context
         self._name = name
         self._new_name = f"{name}.new"
-        self._patience = patience
-        self._turn = asyncio.Lock()
-        self._under_way: asyncio.Task[Any] | None = None
+        self._timeout = timeout
+        self._lock = asyncio.Lock()
+        self._pending_call: asyncio.Task[Any] | None = None
         """A disk call that outlived our patience; the next one waits for it."""
         self._salt = b""
         self._length = 0
-        self._sick: str | None = "not opened"
+        self._unusable_reason: str | None = "not opened"
         self._generation = 0
         """Counts files taken up under the name; a compaction of an earlier one is given up."""
-        self._since: list[bytes] | None = None
+        self._appended_since_snapshot: list[bytes] | None = None
         """Payloads appended since the compaction under way took its content."""
 
     @property
@@ -155,20 +155,20 @@
         return self._length
 
     @property
-    def sick(self) -> str | None:
+    def unusable_reason(self) -> str | None:
         """Why it takes no appends now; None when it does."""
-        return self._sick
+        return self._unusable_reason
 
-    async def create(self, payloads: Sequence[bytes], patience: Seconds | None = None) -> Result[None, JournalFault]:
+    async def create(self, payloads: Sequence[bytes], timeout: Seconds | None = None) -> Result[None, JournalFault]:
         """Makes the file, or takes the place of the one there, with these payloads."""
-        async with self._turn:
-            return await self._replace(payloads, patience)
+        async with self._lock:
+            return await self._write_and_rename(payloads, timeout)
 
-    async def open(self, patience: Seconds | None = None) -> Result[Sequence[bytes], JournalFault]:
+    async def open(self, timeout: Seconds | None = None) -> Result[Sequence[bytes], JournalFault]:
         """Reads all payloads back; cuts a torn tail off. Ends a sickness when it succeeds."""
-        async with self._turn:
-            self._sick = self._sick or "being opened"
-            match await self._disk(lambda: self._context.disk.read(self._name), patience):
+        async with self._lock:
+            self._unusable_reason = self._unusable_reason or "being opened"
+            match await self._disk(lambda: self._context.disk.read(self._name), timeout):
                 case Failure(fault):
                     return Failure(fault)
                 case Success(data):
@@ -178,90 +178,92 @@
                     return Failure(fault)
                 case Success(found):
                     pass
-            if found.sound_bytes < found.file_bytes:
+            if found.valid_bytes < found.file_bytes:
                 self._context.log.event(
                     "journal-torn-tail-cut",
                     journal=self._name,
-                    offset=found.sound_bytes,
-                    cut_bytes=found.file_bytes - found.sound_bytes,
+                    offset=found.valid_bytes,
+                    cut_bytes=found.file_bytes - found.valid_bytes,
                 )
-                match await self._disk(lambda: self._context.disk.truncate(self._name, found.sound_bytes), patience):
+                match await self._disk(lambda: self._context.disk.truncate(self._name, found.valid_bytes), timeout):
                     case Failure(fault):
                         return Failure(fault)
             self._salt = data[len(MAGIC) : len(MAGIC) + SALT_BYTES]
-            self._length = found.sound_bytes
+            self._length = found.valid_bytes
             self._generation += 1
-            self._sick = None
+            self._unusable_reason = None
             return Success(found.payloads)
 
     async def append(self, payload: bytes) -> Result[None, JournalFault]:
         """Success once synced. After a failure nothing of it is left, or the journal is sick."""
-        async with self._turn:
-            if self._sick is not None:
-                return Failure(JournalFault("sick", self._sick))
+        async with self._lock:
+            if self._unusable_reason is not None:
+                return Failure(JournalFault("sick", self._unusable_reason))
             data = frame(self._salt, self._length, payload)
-            self._sick = "an append was left before its end"
-            patience = Seconds(self._patience + len(data) / SLOWEST_RATE)
-            match await self._disk(lambda: self._context.disk.append(self._name, data, self._length), patience):
+            self._unusable_reason = "an append was left before its end"
+            timeout = Seconds(self._timeout + len(data) / MIN_DISK_RATE_BYTES_PER_S)
+            match await self._disk(lambda: self._context.disk.append(self._name, data, self._length), timeout):
                 case Success(_):
                     self._length += len(data)
-                    self._sick = None
-                    if self._since is not None:
-                        self._since.append(payload)
+                    self._unusable_reason = None
+                    if self._appended_since_snapshot is not None:
+                        self._appended_since_snapshot.append(payload)
                     return Success(None)
                 case Failure(fault):
                     pass
             if fault.kind in ("slow", "missing"):
-                self._sick = f"append: {fault.kind} {fault.detail}"
+                self._unusable_reason = f"append: {fault.kind} {fault.detail}"
                 return Failure(fault)
             match await self._disk(lambda: self._context.disk.truncate(self._name, self._length)):
                 case Success(_):
-                    self._sick = None
+                    self._unusable_reason = None
                 case Failure(second):
-                    self._sick = f"append: {fault.detail}; cutting it off again: {second.detail}"
+                    self._unusable_reason = f"append: {fault.detail}; cutting it off again: {second.detail}"
             return Failure(fault)
 
     async def check(self) -> Result[None, JournalFault]:
         """Whether the file is still there; a folder emptied under a running process is found this way."""
-        async with self._turn:
-            if self._sick is not None:
-                return Failure(JournalFault("sick", self._sick))
+        async with self._lock:
+            if self._unusable_reason is not None:
+                return Failure(JournalFault("sick", self._unusable_reason))
             match await self._disk(self._context.disk.names):
                 case Success(names):
                     if self._name in names:
                         return Success(None)
-                    self._sick = "the file is gone"
+                    self._unusable_reason = "the file is gone"
                     return Failure(JournalFault("missing", self._name))
                 case Failure(fault):
                     return Failure(fault)
             raise AssertionError("a result is a success or a failure")
 
     async def rewrite(
-        self, payloads: Callable[[], Sequence[bytes]], patience: Seconds | None = None
+        self, payloads: Callable[[], Sequence[bytes]], timeout: Seconds | None = None
     ) -> Result[None, JournalFault]:
         """Takes the place of the file; ``payloads`` is asked when all earlier appends are done."""
-        async with self._turn:
-            if self._sick is not None:
-                return Failure(JournalFault("sick", self._sick))
-            return await self._replace(payloads(), patience)
+        async with self._lock:
+            if self._unusable_reason is not None:
+                return Failure(JournalFault("sick", self._unusable_reason))
+            return await self._write_and_rename(payloads(), timeout)
 
-    async def _replace(self, payloads: Sequence[bytes], patience: Seconds | None = None) -> Result[None, JournalFault]:
+    async def _write_and_rename(
+        self, payloads: Sequence[bytes], timeout: Seconds | None = None
+    ) -> Result[None, JournalFault]:
         salt = self._context.random.randbytes(SALT_BYTES)
         frames = _frames(salt, HEADER_BYTES, payloads)
         data = header(salt, HEADER_BYTES + len(frames)) + frames
         self._generation += 1
-        match await self._disk(lambda: self._context.disk.write_new(self._new_name, data), patience):
+        match await self._disk(lambda: self._context.disk.write_new(self._new_name, data), timeout):
             case Failure(fault):
                 # The file under our name is as it was.
                 return Failure(fault)
-        self._sick = "a rename was left before its end"
-        match await self._disk(lambda: self._context.disk.rename(self._new_name, self._name), patience):
+        self._unusable_reason = "a rename was left before its end"
+        match await self._disk(lambda: self._context.disk.rename(self._new_name, self._name), timeout):
             case Failure(fault):
-                self._sick = f"rename: {fault.detail}"
+                self._unusable_reason = f"rename: {fault.detail}"
                 return Failure(fault)
         self._salt = salt
         self._length = len(data)
-        self._sick = None
+        self._unusable_reason = None
         return Success(None)
 
     def compact(self, payloads: Sequence[bytes]) -> Coroutine[Any, Any, Result[None, JournalFault]]:
@@ -270,7 +272,7 @@
         Appends go on meanwhile; each waits for one piece at most. Await the result at once or in a task
         of its own; one compaction at a time. ``sick`` when the file was replaced or read anew meanwhile.
         """
-        self._since = []
+        self._appended_since_snapshot = []
         return self._compact(payloads, self._generation)
 
     async def _compact(self, payloads: Sequence[bytes], generation: int) -> Result[None, JournalFault]:
@@ -279,55 +281,57 @@
         data = header(salt, HEADER_BYTES + len(frames)) + frames
         disk, name = self._context.disk, self._new_name
         try:
-            for begin in range(0, len(data), PIECE_BYTES):
-                async with self._turn:
-                    match await self._piece(generation, name, begin, data[begin : begin + PIECE_BYTES]):
+            for start in range(0, len(data), COMPACTION_CHUNK_BYTES):
+                async with self._lock:
+                    match await self._write_chunk(
+                        generation, name, start, data[start : start + COMPACTION_CHUNK_BYTES]
+                    ):
                         case Failure(fault):
                             return Failure(fault)
-            async with self._turn:
-                tail = _frames(salt, len(data), self._since or ())
-                match await self._piece(generation, name, len(data), tail):
+            async with self._lock:
+                tail = _frames(salt, len(data), self._appended_since_snapshot or ())
+                match await self._write_chunk(generation, name, len(data), tail):
                     case Failure(fault):
                         return Failure(fault)
-                self._sick = "a rename was left before its end"
+                self._unusable_reason = "a rename was left before its end"
                 match await self._disk(lambda: disk.rename(name, self._name)):
                     case Failure(fault):
-                        self._sick = f"rename: {fault.detail}"
+                        self._unusable_reason = f"rename: {fault.detail}"
                         return Failure(fault)
                 self._salt, self._length = salt, len(data) + len(tail)
                 self._generation += 1
-                self._sick = None
+                self._unusable_reason = None
                 return Success(None)
         finally:
-            self._since = None
+            self._appended_since_snapshot = None
 
-    async def _piece(self, generation: int, name: str, begin: int, data: bytes) -> Result[None, JournalFault]:
+    async def _write_chunk(self, generation: int, name: str, start: int, data: bytes) -> Result[None, JournalFault]:
         """Under the turn. Adds to the file that a compaction writes."""
-        if self._sick is not None or self._generation != generation:
-            return Failure(JournalFault("sick", self._sick or "the file was replaced meanwhile"))
+        if self._unusable_reason is not None or self._generation != generation:
+            return Failure(JournalFault("sick", self._unusable_reason or "the file was replaced meanwhile"))
         disk = self._context.disk
-        if begin == 0:
+        if start == 0:
             return await self._disk(lambda: disk.write_new(name, data))
-        return await self._disk(lambda: disk.append(name, data, begin)) if data else Success(None)
+        return await self._disk(lambda: disk.append(name, data, start)) if data else Success(None)
 
     async def _disk(
-        self, call: Callable[[], Coroutine[Any, Any, Result[Value, DiskFault]]], patience: Seconds | None = None
+        self, call: Callable[[], Coroutine[Any, Any, Result[Value, DiskFault]]], timeout: Seconds | None = None
     ) -> Result[Value, JournalFault]:
         """Never leaves two calls under way: one that outlives its bound is waited for by the next."""
-        bound = self._patience if patience is None else patience
-        begun = self._context.clock.monotonic()
-        if self._under_way is not None:
-            await asyncio.wait((self._under_way,), timeout=bound)
-            if not self._under_way.done():
-                return Failure(JournalFault("slow", f"an earlier call takes over {bound} s"))
-            self._under_way = None
+        limit = self._timeout if timeout is None else timeout
+        started_at = self._context.clock.monotonic()
+        if self._pending_call is not None:
+            await asyncio.wait((self._pending_call,), timeout=limit)
+            if not self._pending_call.done():
+                return Failure(JournalFault("slow", f"an earlier call takes over {limit} s"))
+            self._pending_call = None
         task = asyncio.get_running_loop().create_task(call())
-        self._under_way = task
-        left = bound - (self._context.clock.monotonic() - begun)
-        await asyncio.wait((task,), timeout=max(left, 0.0))
+        self._pending_call = task
+        remaining = limit - (self._context.clock.monotonic() - started_at)
+        await asyncio.wait((task,), timeout=max(remaining, 0.0))
         if not task.done():
-            return Failure(JournalFault("slow", f"takes over {bound} s"))
-        self._under_way = None
+            return Failure(JournalFault("slow", f"takes over {limit} s"))
+        self._pending_call = None
         match task.result():
             case Success(value):
                 return Success(value)
--- a/wingwood/journal/tests/memory_disk.py
+++ b/wingwood/journal/tests/memory_disk.py
@@ -16,35 +16,35 @@
 
 
 class MemoryDisk:
-    """``files`` is what is synced. Set ``fault`` to make calls fail, ``stall`` to make them wait."""
+    """``files`` is what is synced. Set ``fault`` to make calls fail, ``stall_event`` to make them wait."""
 
     def __init__(self, seed: int = 0) -> None:
         self.files: dict[str, bytes] = {}
         self.random = random.Random(seed)
         self.fault: DiskFault | None = None
-        self.faulty: tuple[str, ...] = ("append", "write_new", "rename", "truncate")
+        self.failing_operations: tuple[str, ...] = ("append", "write_new", "rename", "truncate")
         """Which calls fail while ``fault`` is set."""
-        self.stall: asyncio.Event | None = None
-        self.power_at: int | None = None
+        self.stall_event: asyncio.Event | None = None
+        self.power_loss_at_call: int | None = None
         """Power goes during the call with this number."""
         self.calls = 0
-        self.under_way = 0
-        self.most_under_way = 0
+        self.active_calls = 0
+        self.max_active_calls = 0
 
     async def _enter(self, operation: str) -> DiskFault | None:
         self.calls += 1
-        self.under_way += 1
-        self.most_under_way = max(self.most_under_way, self.under_way)
+        self.active_calls += 1
+        self.max_active_calls = max(self.max_active_calls, self.active_calls)
         try:
             await asyncio.sleep(0)
-            if self.stall is not None:
-                await self.stall.wait()
+            if self.stall_event is not None:
+                await self.stall_event.wait()
         finally:
-            self.under_way -= 1
-        return self.fault if operation in self.faulty else None
+            self.active_calls -= 1
+        return self.fault if operation in self.failing_operations else None
 
-    def _power(self) -> bool:
-        return self.power_at is not None and self.calls >= self.power_at
+    def _power_is_lost(self) -> bool:
+        return self.power_loss_at_call is not None and self.calls >= self.power_loss_at_call
 
     async def lock(self) -> Result[None, DiskFault]:
         return Success(None)
@@ -65,7 +65,7 @@
         before = self.files.get(name, b"")
         if at is not None and len(before) != at:
             return Failure(DiskFault("missing", name))
-        if self._power():
+        if self._power_is_lost():
             self.files[name] = before + self._torn(data)
             raise PowerLost
         if fault is not None:
@@ -77,15 +77,15 @@
     def _torn(self, data: bytes) -> bytes:
         """Some of its pages reached the disk; those that didn't are zeros; the length may be short."""
         page = 64
-        kept = bytearray()
-        for begin in range(0, len(data), page):
-            piece = data[begin : begin + page]
-            kept += piece if self.random.random() < 0.6 else bytes(len(piece))
-        return bytes(kept[: self.random.randrange(len(kept) + 1)])
+        written = bytearray()
+        for start in range(0, len(data), page):
+            chunk = data[start : start + page]
+            written += chunk if self.random.random() < 0.6 else bytes(len(chunk))
+        return bytes(written[: self.random.randrange(len(written) + 1)])
 
     async def write_new(self, name: str, data: bytes) -> Result[None, DiskFault]:
         fault = await self._enter("write_new")
-        if self._power():
+        if self._power_is_lost():
             self.files[name] = self._torn(data)
             raise PowerLost
         if fault is not None:
@@ -98,9 +98,9 @@
         fault = await self._enter("rename")
         if fault is not None:
             return Failure(fault)
-        if not self._power() or self.random.random() < 0.5:
+        if not self._power_is_lost() or self.random.random() < 0.5:
             self.files[new_name] = self.files.pop(name)
-        if self._power():
+        if self._power_is_lost():
             raise PowerLost
         return Success(None)
 
@@ -108,9 +108,9 @@
         fault = await self._enter("truncate")
         if fault is not None:
             return Failure(fault)
-        if not self._power() or self.random.random() < 0.5:
+        if not self._power_is_lost() or self.random.random() < 0.5:
             self.files[name] = self.files[name][:length]
-        if self._power():
+        if self._power_is_lost():
             raise PowerLost
         return Success(None)
 
--- a/wingwood/journal/tests/test_journal.py
+++ b/wingwood/journal/tests/test_journal.py
@@ -16,7 +16,7 @@
 from ...context.protocols import Context, DiskFault
 from ...identifiers import Seconds
 from .. import Journal, scan
-from ..journal import PIECE_BYTES
+from ..journal import COMPACTION_CHUNK_BYTES
 from .memory_disk import MemoryDisk, PowerLost
 
 
@@ -35,10 +35,10 @@
 def on_simulated_time(test: Callable[[JournalTests], Awaitable[None]]) -> Callable[[JournalTests], None]:
     @functools.wraps(test)
     def run(self: JournalTests) -> None:
-        async def whole() -> None:
+        async def complete_file() -> None:
             await test(self)
 
-        self.world.complete(whole(), within=600.0)
+        self.world.complete(complete_file(), within=600.0)
 
     return run
 
@@ -76,38 +76,38 @@
     @on_simulated_time
     async def test_every_cut_of_the_tail_loses_only_the_last_record(self) -> None:
         await self.created(b"one", b"two" * 5)
-        whole = self.disk.files["control.journal"]
-        begin = scan(whole).unwrap().sound_bytes - len(b"two" * 5) - 16
-        for length in range(begin, len(whole)):
-            self.disk.files["control.journal"] = whole[:length]
+        complete_file = self.disk.files["control.journal"]
+        start = scan(complete_file).unwrap().valid_bytes - len(b"two" * 5) - 16
+        for length in range(start, len(complete_file)):
+            self.disk.files["control.journal"] = complete_file[:length]
             self.assertEqual(await self.read_back(), [b"first", b"one"])
-            self.assertEqual(len(self.disk.files["control.journal"]), begin)
+            self.assertEqual(len(self.disk.files["control.journal"]), start)
 
     @on_simulated_time
     async def test_every_flipped_byte_before_the_last_record_is_damage_at_its_frame(self) -> None:
         await self.created(b"one" * 3, b"two")
-        whole = self.disk.files["control.journal"]
-        last = len(whole) - 16 - 3
-        for place in range(last):
-            damaged = bytearray(whole)
-            damaged[place] ^= 0x40
+        complete_file = self.disk.files["control.journal"]
+        last = len(complete_file) - 16 - 3
+        for position in range(last):
+            damaged = bytearray(complete_file)
+            damaged[position] ^= 0x40
             self.disk.files["control.journal"] = bytes(damaged)
             fault = (await self.journal().open()).failure()
             self.assertEqual(fault.kind, "damaged")
             self.assertIn(fault.offset, (0, 40, 40 + 16 + 5))
-            self.assertLessEqual(fault.offset, place)
-        self.disk.files["control.journal"] = b"X" + whole[1:]
+            self.assertLessEqual(fault.offset, position)
+        self.disk.files["control.journal"] = b"X" + complete_file[1:]
         self.assertEqual((await self.journal().open()).failure().kind, "damaged")
 
     @on_simulated_time
     async def test_a_rewritten_file_is_never_taken_for_torn(self) -> None:
         journal = await self.created(b"one")
         await journal.rewrite(lambda: [b"first", b"the whole state"])
-        whole = self.disk.files["control.journal"]
-        for place in range(len(whole)):
-            damaged = bytearray(whole)
-            damaged[place] ^= 0x40
-            for data in (bytes(damaged), whole[:place]):
+        complete_file = self.disk.files["control.journal"]
+        for position in range(len(complete_file)):
+            damaged = bytearray(complete_file)
+            damaged[position] ^= 0x40
+            for data in (bytes(damaged), complete_file[:position]):
                 self.disk.files["control.journal"] = data
                 self.assertEqual((await self.journal().open()).failure().kind, "damaged")
 
@@ -125,7 +125,7 @@
     async def test_a_failed_append_leaves_nothing_and_the_next_one_holds(self) -> None:
         journal = await self.created(b"one")
         for _ in range(20):
-            self.disk.fault, self.disk.faulty = DiskFault("full"), ("append",)
+            self.disk.fault, self.disk.failing_operations = DiskFault("full"), ("append",)
             self.assertEqual((await journal.append(b"lost" * 9)).failure().kind, "full")
             self.disk.fault = None
         self.assertEqual(await journal.append(b"two"), Success(None))
@@ -134,7 +134,7 @@
     @on_simulated_time
     async def test_when_the_tail_cannot_be_cut_off_it_is_sick_until_opened(self) -> None:
         journal = await self.created(b"one")
-        self.disk.fault, self.disk.faulty = DiskFault("failed"), ("append", "truncate")
+        self.disk.fault, self.disk.failing_operations = DiskFault("failed"), ("append", "truncate")
         self.assertEqual((await journal.append(b"lost" * 9)).failure().kind, "failed")
         self.disk.fault = None
         self.assertEqual((await journal.append(b"two")).failure().kind, "sick")
@@ -145,20 +145,20 @@
     @on_simulated_time
     async def test_a_stalled_append_is_slow_then_sick_and_never_overlaps_another_call(self) -> None:
         journal = await self.created(b"one")
-        self.disk.stall = asyncio.Event()
+        self.disk.stall_event = asyncio.Event()
         self.assertEqual((await journal.append(b"late")).failure().kind, "slow")
         self.assertEqual((await journal.append(b"two")).failure().kind, "sick")
         self.assertEqual((await journal.open()).failure().kind, "slow")
-        self.disk.stall.set()
+        self.disk.stall_event.set()
         self.assertEqual((await journal.open()).unwrap(), [b"first", b"one", b"late"])
         self.assertEqual(await journal.append(b"two"), Success(None))
-        self.assertEqual(self.disk.most_under_way, 1)
+        self.assertEqual(self.disk.max_active_calls, 1)
 
     @on_simulated_time
     async def test_appends_go_on_during_a_compaction_and_wait_for_one_piece_at_most(self) -> None:
         journal = await self.created(b"one")
-        whole = b"state" * (PIECE_BYTES // 5 * 3)
-        compacting = asyncio.ensure_future(journal.compact([b"first", whole]))
+        complete_file = b"state" * (COMPACTION_CHUNK_BYTES // 5 * 3)
+        compacting = asyncio.ensure_future(journal.compact([b"first", complete_file]))
         calls: list[int] = []
         while not compacting.done():
             before = self.disk.calls
@@ -166,13 +166,13 @@
             calls.append(self.disk.calls - before)
         self.assertEqual(compacting.result(), Success(None))
         self.assertEqual(max(calls[:-1]), 2, "its own call and one piece")
-        self.assertEqual(await self.read_back(), [b"first", whole, *[b"more"] * len(calls)])
+        self.assertEqual(await self.read_back(), [b"first", complete_file, *[b"more"] * len(calls)])
 
     @on_simulated_time
     async def test_a_compaction_is_given_up_when_the_file_is_replaced_meanwhile(self) -> None:
         for replace in (True, False):
             journal = await self.created(b"one")
-            compacting = asyncio.ensure_future(journal.compact([b"x" * PIECE_BYTES * 2]))
+            compacting = asyncio.ensure_future(journal.compact([b"x" * COMPACTION_CHUNK_BYTES * 2]))
             await asyncio.sleep(0)
             if replace:
                 await journal.rewrite(lambda: [b"state of another"])
@@ -186,12 +186,12 @@
     @on_simulated_time
     async def test_a_full_disk_during_a_compaction_leaves_the_old_file(self) -> None:
         journal = await self.created(b"one")
-        self.disk.fault, self.disk.faulty = DiskFault("full"), ("write_new",)
+        self.disk.fault, self.disk.failing_operations = DiskFault("full"), ("write_new",)
         self.assertEqual((await journal.compact([b"x"])).failure().kind, "full")
         self.disk.fault = None
-        compacting = asyncio.ensure_future(journal.compact([b"x" * PIECE_BYTES * 3]))
+        compacting = asyncio.ensure_future(journal.compact([b"x" * COMPACTION_CHUNK_BYTES * 3]))
         await journal.append(b"two")
-        self.disk.fault, self.disk.faulty = DiskFault("full"), ("append",)
+        self.disk.fault, self.disk.failing_operations = DiskFault("full"), ("append",)
         self.assertEqual((await compacting).failure().kind, "full")
         self.disk.fault = None
         self.assertEqual(await journal.append(b"three"), Success(None))
@@ -201,14 +201,14 @@
     async def test_a_folder_emptied_or_changed_under_it_takes_no_append(self) -> None:
         journal = await self.created(b"one")
         self.assertEqual(await journal.check(), Success(None))
-        whole = self.disk.files.pop("control.journal")
+        complete_file = self.disk.files.pop("control.journal")
         self.assertEqual((await journal.check()).failure().kind, "missing")
-        for left in ({}, {"control.journal": whole[:-1]}):
+        for remaining_files in ({}, {"control.journal": complete_file[:-1]}):
             journal = await self.created(b"one")
-            self.disk.files = dict(left)
+            self.disk.files = dict(remaining_files)
             self.assertEqual((await journal.append(b"two")).failure().kind, "missing")
             self.assertEqual((await journal.append(b"two")).failure().kind, "sick")
-            self.assertEqual(self.disk.files, left)
+            self.assertEqual(self.disk.files, remaining_files)
 
     @on_simulated_time
     async def test_a_rewrite_waits_for_appends_and_a_full_disk_leaves_the_old_file(self) -> None:
@@ -218,7 +218,7 @@
         after = asyncio.create_task(journal.append(b"after"))
         await asyncio.gather(*waiting, rewriting, after)
         self.assertEqual(await self.read_back(), [b"snapshot", b"after"])
-        self.disk.fault, self.disk.faulty = DiskFault("full"), ("write_new",)
+        self.disk.fault, self.disk.failing_operations = DiskFault("full"), ("write_new",)
         self.assertEqual((await journal.rewrite(lambda: [b"never"])).failure().kind, "full")
         self.assertEqual(await journal.append(b"two"), Success(None))
         self.assertEqual(await self.read_back(), [b"snapshot", b"after", b"two"])
@@ -232,37 +232,37 @@
         randomness = random.Random(seed)
         disk = MemoryDisk(seed)
         context = make_context(self.world, disk, seed)
-        said: list[bytes] = []
-        maybe: list[bytes] = []
+        acknowledged: list[bytes] = []
+        possible: list[bytes] = []
         journal = Journal(context, "j", Seconds(1.0))
         await journal.create([])
-        disk.power_at = disk.calls + randomness.randrange(1, 25)
+        disk.power_loss_at_call = disk.calls + randomness.randrange(1, 25)
         try:
             for number in range(30):
                 if randomness.random() < 0.2:
-                    compacting = asyncio.ensure_future(journal.compact(list(said)))
+                    compacting = asyncio.ensure_future(journal.compact(list(acknowledged)))
                     for extra in range(randomness.randrange(3)):
                         payload = f"{number}/{extra}".encode() * randomness.randrange(60)
-                        maybe = [*said, payload]
+                        possible = [*acknowledged, payload]
                         (await journal.append(payload)).unwrap()
-                        said = maybe
+                        acknowledged = possible
                     (await compacting).unwrap()
                 elif randomness.random() < 0.2:
-                    compact = b"|".join(said)
-                    maybe = [compact]
+                    compact = b"|".join(acknowledged)
+                    possible = [compact]
                     (await journal.rewrite(lambda payload=compact: [payload])).unwrap()  # type: ignore[misc]
-                    said = [compact]
+                    acknowledged = [compact]
                 else:
                     payload = f"{number}".encode() * randomness.randrange(60)
-                    maybe = [*said, payload]
+                    possible = [*acknowledged, payload]
                     (await journal.append(payload)).unwrap()
-                    said = maybe
+                    acknowledged = possible
         except PowerLost:
             pass
-        disk.power_at = None
+        disk.power_loss_at_call = None
         match await Journal(context, "j", Seconds(1.0)).open():
             case Success(found):
-                self.assertIn(list(found), (said, maybe), f"seed {seed}")
+                self.assertIn(list(found), (acknowledged, possible), f"seed {seed}")
             case Failure(fault):
                 self.fail(f"seed {seed}: {fault}")
 
--- a/wingwood/membership/client.py
+++ b/wingwood/membership/client.py
@@ -10,28 +10,28 @@
 from ..identifiers import Address, BundleVersion, Epoch, Incarnation, Instant, Seconds
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
-from .keeper import FELLOWS_TOLD
+from .coordinator import MAX_PEERS_PER_ANSWER
 from .limits import SessionTimes
 from .member_list import MemberList, NamedView, bucket_count
 from .messages import (
-    AskKnownControls,
+    ClusterUpdate,
     CompareMembers,
     EndSession,
     Heartbeat,
     HeartbeatAnswer,
     KnownControls,
+    KnownControlsRequest,
     Member,
     MembersCompared,
-    News,
     Position,
     identity_of,
 )
 from .rendezvous import ranked
 
-NewsCallback = Callable[[News, Instant], None]
-ADDRESSES_KEPT = 128
-FELLOWS_ASKED = 2
-KEEPERS_ASKED = 6
+UpdateCallback = Callable[[ClusterUpdate, Instant], None]
+MAX_CONTROL_ADDRESSES = 128
+PEERS_ASKED_PER_ROUND = 2
+COORDINATORS_TRIED_PER_HEARTBEAT = 6
 
 
 class MembershipClient:
@@ -49,44 +49,44 @@
         self._identity = messenger.identity
         self._seeds = tuple(seeds)
         self._times = times or SessionTimes()
-        self._list = MemberList(remembered=0)
-        self._keeper: Address | None = None
+        self._list = MemberList(max_retained_changes=0)
+        self._coordinator: Address | None = None
         self._position: Position | None = None
         self._settled = False
         """Whether the list was compared with a keeper that may be trusted to remove."""
-        self._proven: Instant | None = None
-        self._answered: Instant | None = None
+        self._proven_at: Instant | None = None
+        self._answered_at: Instant | None = None
         self._controls: dict[Address, None] = {}
         """Control addresses heard of; newest last."""
-        self._fellows: tuple[Address, ...] = ()
-        self._failed: dict[Address, Instant] = {}
+        self._peer_addresses: tuple[Address, ...] = ()
+        self._failed_at: dict[Address, Instant] = {}
         self._epoch = Epoch(0)
-        self._newest = BundleVersion(0)
+        self._latest_version = BundleVersion(0)
         self._primary: Address | None = None
-        self._in_force: Callable[[], BundleVersion] = lambda: BundleVersion(0)
+        self._version_source: Callable[[], BundleVersion] = lambda: BundleVersion(0)
         self._change_callbacks: list[Callable[[], None]] = []
-        self._news_callbacks: list[NewsCallback] = []
+        self._update_callbacks: list[UpdateCallback] = []
         self._lost_callbacks: list[Callable[[], None]] = []
         self._had_session = False
         self._proof_is_old = False
-        self._keeper_is_alone = False
+        self._coordinator_is_isolated = False
         self._more = False
         """The keeper has more members to tell than it told at once."""
         self._task: Task | None = None
         self._rebalance_at = Instant(0.0)
         self._view = NamedView(self._list)
-        messenger.on_call(AskKnownControls, self._on_ask_known_controls)
-        messenger.on_post(KnownControls, self._on_told_controls)
+        messenger.on_call(KnownControlsRequest, self._on_ask_known_controls)
+        messenger.on_post(KnownControls, self._on_controls_announced)
 
     # -- wiring
 
-    def tell(self, in_force: Callable[[], BundleVersion]) -> None:
+    def report_version(self, in_force: Callable[[], BundleVersion]) -> None:
         """Which version heartbeats report."""
-        self._in_force = in_force
+        self._version_source = in_force
 
-    def on_news(self, callback: NewsCallback) -> None:
-        """Called with each heartbeat answer's news and the own clock before the heartbeat."""
-        self._news_callbacks.append(callback)
+    def on_update(self, callback: UpdateCallback) -> None:
+        """Called with each heartbeat answer's update and the own clock before the heartbeat."""
+        self._update_callbacks.append(callback)
 
     def on_session_lost(self, callback: Callable[[], None]) -> None:
         """Called when an answer says that others have seen this daemon leave since the last one."""
@@ -97,15 +97,15 @@
         self._seeds = tuple(seeds)
 
     def start(self) -> None:
-        self._rebalance_at = Instant(self._context.clock.monotonic() + self._times.rebalance)
-        self._task = self._context.tasks.spawn("membership session", self._hold_session_forever())
+        self._rebalance_at = Instant(self._context.clock.monotonic() + self._times.rebalance_interval)
+        self._task = self._context.tasks.spawn("membership session", self._maintain_session())
 
     def stop(self) -> None:
         """Ends the session at once, so that others need not wait for its loss."""
         if self._task is not None:
             self._task.cancel()
-        if self._keeper is not None:
-            self._messenger.post(self._keeper, EndSession())
+        if self._coordinator is not None:
+            self._messenger.post(self._coordinator, EndSession())
 
     # -- Membership
 
@@ -122,7 +122,7 @@
         return incarnation in self._list
 
     def session_proven_at(self) -> Instant | None:
-        return self._proven
+        return self._proven_at
 
     def on_change(self, callback: Callable[[], None]) -> None:
         self._change_callbacks.append(callback)
@@ -142,26 +142,26 @@
         live = [member.internal for member in self.controls()]
         return list(dict.fromkeys([*live, *reversed(self._controls), *self._seeds]))
 
-    def fellows(self) -> list[Address]:
+    def peer_addresses(self) -> list[Address]:
         """Internal addresses of other routers, also before the first session."""
-        known = [member.internal for member in self.routers()] or list(self._fellows)
+        known = [member.internal for member in self.routers()] or list(self._peer_addresses)
         return [address for address in known if address != self._identity.internal]
 
-    def keeper(self) -> Address | None:
-        return self._keeper
+    def coordinator(self) -> Address | None:
+        return self._coordinator
 
     # -- the session
 
-    async def _hold_session_forever(self) -> None:
+    async def _maintain_session(self) -> None:
         clock = self._context.clock
         while True:
             asked = clock.monotonic()
             if await self._heartbeat():
-                pace = self._times.heartbeat / (4.0 if self._more else 2.0 if self._proof_is_old else 1.0)
+                pace = self._times.heartbeat_interval / (4.0 if self._more else 2.0 if self._proof_is_old else 1.0)
                 pause = pace * (0.8 + 0.2 * self._context.random.random())
             else:
-                await self._ask_around()
-                pause = self._times.retry * (0.8 + 0.4 * self._context.random.random())
+                await self._ask_peers()
+                pause = self._times.retry_pause * (0.8 + 0.4 * self._context.random.random())
             await clock.sleep(Seconds(max(0.02, asked + pause - clock.monotonic())))
 
     async def _heartbeat(self, again: bool = True) -> bool:
@@ -171,43 +171,49 @@
         """
         for address in self._candidates():
             asked = self._context.clock.monotonic()
-            position = self._position if address == self._keeper else None
-            unanswered = None if self._answered is None else Seconds(asked - self._answered)
+            position = self._position if address == self._coordinator else None
+            last_answer_age = None if self._answered_at is None else Seconds(asked - self._answered_at)
             outcome = await self._messenger.call(
                 address,
-                Heartbeat(position, self._in_force(), self._epoch, unanswered),
+                Heartbeat(position, self._version_source(), self._epoch, last_answer_age),
                 HeartbeatAnswer,
-                self._times.answer,
+                self._times.answer_timeout,
             )
             match outcome:
                 case Success(answer):
-                    await self._take(address, answer, asked)
-                    late = not answer.admitted or unanswered is None or unanswered > self._times.lost / 2
+                    await self._apply_answer(address, answer, asked)
+                    late = (
+                        not answer.admitted
+                        or last_answer_age is None
+                        or last_answer_age > self._times.session_timeout / 2
+                    )
                     return await self._heartbeat(again=False) if late and again else True
                 case _:
                     if outcome.failure().kind == "rejected":
                         await self._ask_known_controls(address)
-                    late = self._context.clock.monotonic() - asked > 2 * self._times.answer
+                    late = self._context.clock.monotonic() - asked > 2 * self._times.answer_timeout
                     if late and outcome.failure().kind == "timeout":
                         return False  # This process stood still; it says nothing of the keeper.
-                    self._failed[address] = self._context.clock.monotonic()
-                    if address == self._keeper:
+                    self._failed_at[address] = self._context.clock.monotonic()
+                    if address == self._coordinator:
                         self._context.log.event("session-keeper-silent", keeper=address, kind=outcome.failure().kind)
-                        self._keeper = None
+                        self._coordinator = None
         return False
 
     def _candidates(self) -> Iterator[Address]:
         """The present keeper, then a few others; when it is time to look for a better one, that one first."""
         now = self._context.clock.monotonic()
-        present = self._keeper
-        if present is not None and now < self._rebalance_at and not self._keeper_is_alone:
+        present = self._coordinator
+        if present is not None and now < self._rebalance_at and not self._coordinator_is_isolated:
             yield present
         else:
-            self._rebalance_at = Instant(now + self._times.rebalance * (0.8 + 0.4 * self._context.random.random()))
-            if present is not None and self._keeper_is_alone:
-                self._failed[present] = now
+            self._rebalance_at = Instant(
+                now + self._times.rebalance_interval * (0.8 + 0.4 * self._context.random.random())
+            )
+            if present is not None and self._coordinator_is_isolated:
+                self._failed_at[present] = now
             present = None
-        yield from (address for address in self._order()[:KEEPERS_ASKED] if address != present)
+        yield from (address for address in self._order()[:COORDINATORS_TRIED_PER_HEARTBEAT] if address != present)
 
     def _order(self) -> list[Address]:
         """Control members of the own zone, other ones, other addresses; those that failed last at the end."""
@@ -223,54 +229,56 @@
             if address != self._identity.internal
         ]
         now = self._context.clock.monotonic()
-        self._failed = {address: at for address, at in self._failed.items() if now - at < self._times.rebalance}
-        suited.sort(key=lambda address: self._failed.get(address, float("-inf")))
+        self._failed_at = {
+            address: at for address, at in self._failed_at.items() if now - at < self._times.rebalance_interval
+        }
+        suited.sort(key=lambda address: self._failed_at.get(address, float("-inf")))
         return suited
 
-    async def _take(self, address: Address, answer: HeartbeatAnswer, asked: Instant) -> None:
-        moved, self._keeper = self._keeper != address, address
-        self._failed.pop(address, None)
-        self._note_control(address)
+    async def _apply_answer(self, address: Address, answer: HeartbeatAnswer, asked: Instant) -> None:
+        changed_coordinator, self._coordinator = self._coordinator != address, address
+        self._failed_at.pop(address, None)
+        self._record_control(address)
         if not answer.was_member and answer.admitted and self._had_session and not answer.settling:
             self._context.log.event("session-lost", keeper=address)
             for lost in self._lost_callbacks:
                 lost()
         self._had_session |= answer.admitted
-        if moved:
+        if changed_coordinator:
             self._context.log.event("session-held", keeper=address, was_member=answer.was_member)
             self._settled = False
-        self._answered = asked
+        self._answered_at = asked
         if answer.admitted:
-            self._proven = asked
-        news = answer.news
-        self._epoch = max(self._epoch, news.epoch)
-        self._newest = max(self._newest, news.newest, news.proof_version)
-        self._proof_is_old = news.proof_age is None or news.proof_age > 2 * self._times.heartbeat
-        if news.primary is not None:
-            self._primary = news.primary
-        for callback in self._news_callbacks:
-            callback(news, asked)
+            self._proven_at = asked
+        update = answer.update
+        self._epoch = max(self._epoch, update.epoch)
+        self._latest_version = max(self._latest_version, update.latest_version, update.proof_version)
+        self._proof_is_old = update.proof_age is None or update.proof_age > 2 * self._times.heartbeat_interval
+        if update.primary is not None:
+            self._primary = update.primary
+        for callback in self._update_callbacks:
+            callback(update, asked)
         changed = False
-        if answer.known:
+        if answer.incremental:
             for member in answer.joined:
                 changed |= self._put(member)
             for incarnation in () if answer.settling else answer.left:
                 changed |= self._list.drop(incarnation)
         self._position = answer.position
-        self._keeper_is_alone = answer.alone
-        self._more = answer.more and answer.known
+        self._coordinator_is_isolated = answer.isolated
+        self._more = answer.more and answer.incremental
         if self._list.digest == answer.digest:
             self._settled = not answer.settling
-        elif not self._more and (not answer.settling or not answer.known):
+        elif not self._more and (not answer.settling or not answer.incremental):
             changed |= await self._compare(address, answer.size)
         if changed:
-            self._changed()
+            self._notify_change()
 
     async def _compare(self, address: Address, size: int) -> bool:
         """Brings the own list nearer to the keeper's, by buckets that differ; a settling keeper only adds."""
         count = bucket_count(max(size, len(self._list)))
         outcome = await self._messenger.call(
-            address, CompareMembers(self._list.buckets(count)), MembersCompared, Seconds(2 * self._times.answer)
+            address, CompareMembers(self._list.buckets(count)), MembersCompared, Seconds(2 * self._times.answer_timeout)
         )
         if not isinstance(outcome, Success):
             self._position = None
@@ -292,54 +300,54 @@
     def _put(self, member: Member) -> bool:
         identity = identity_of(member)
         if identity.role == "control":
-            self._note_control(identity.internal)
+            self._record_control(identity.internal)
         return self._list.put(identity)
 
-    def _changed(self) -> None:
+    def _notify_change(self) -> None:
         for callback in self._change_callbacks:
             callback()
 
     # -- finding control daemons
 
-    def _note_control(self, address: Address) -> None:
+    def _record_control(self, address: Address) -> None:
         self._controls.pop(address, None)
         self._controls[address] = None
-        while len(self._controls) > ADDRESSES_KEPT:
+        while len(self._controls) > MAX_CONTROL_ADDRESSES:
             del self._controls[next(iter(self._controls))]
 
     async def _ask_known_controls(self, address: Address) -> KnownControls | None:
-        outcome = await self._messenger.call(address, AskKnownControls(), KnownControls, self._times.answer)
+        outcome = await self._messenger.call(address, KnownControlsRequest(), KnownControls, self._times.answer_timeout)
         if not isinstance(outcome, Success):
             return None
         known: KnownControls = outcome.unwrap()
         self._epoch = max(self._epoch, known.epoch)
-        self._newest = max(self._newest, known.version)
+        self._latest_version = max(self._latest_version, known.version)
         for control in known.controls:
             if control not in self._controls:
-                self._note_control(control)
-        if known.fellows:
-            self._fellows = known.fellows
+                self._record_control(control)
+        if known.peers:
+            self._peer_addresses = known.peers
         return known
 
-    def _on_told_controls(self, peer: Identity, message: KnownControls) -> None:
+    def _on_controls_announced(self, peer: Identity, message: KnownControls) -> None:
         """From a control daemon that found this one in its address book; the teller counts as newest."""
         if peer.role == "control":
             for control in reversed(message.controls):
-                self._note_control(control)
+                self._record_control(control)
 
-    async def _ask_around(self) -> None:
+    async def _ask_peers(self) -> None:
         """No keeper answers: fellow daemons may have heard of control daemons at other addresses."""
-        fellows = self.fellows()
-        for address in self._context.random.sample(fellows, min(FELLOWS_ASKED, len(fellows))):
+        peers = self.peer_addresses()
+        for address in self._context.random.sample(peers, min(PEERS_ASKED_PER_ROUND, len(peers))):
             await self._ask_known_controls(address)
 
-    async def _on_ask_known_controls(self, peer: Identity, message: AskKnownControls) -> KnownControls:
+    async def _on_ask_known_controls(self, peer: Identity, message: KnownControlsRequest) -> KnownControls:
         live = [member.internal for member in self.controls()]
         controls = list(dict.fromkeys([*live, *reversed(self._controls)]))
-        fellows = [member.internal for member in self.routers() if member.incarnation != peer.incarnation]
+        peers = [member.internal for member in self.routers() if member.incarnation != peer.incarnation]
         return KnownControls(
             tuple(controls[:64]),
-            tuple(fellows[:FELLOWS_TOLD]),
+            tuple(peers[:MAX_PEERS_PER_ANSWER]),
             self._epoch,
-            max(self._newest, self._in_force()),
+            max(self._latest_version, self._version_source()),
         )
--- a/wingwood/membership/keeper_state.py
+++ b/wingwood/membership/coordinator_state.py
@@ -1,6 +1,6 @@
 """What all parts of a session keeper stand on: sessions, peers, and the union of all (docs/DESIGN.md section 8).
 
-``OwnSessions``, ``KeeperFollowing`` and ``KeeperAnswers`` are the parts of one ``SessionKeeper`` on top of this.
+``LocalSessions``, ``PeerPolling`` and ``CoordinatorReplies`` derive from it and form ``MembershipCoordinator``.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from ..identifiers import Address, BundleVersion, Incarnation, Instant
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
-from .keeper_peer import KeeperPeer
+from .coordinator_peer import CoordinatorPeer
 from .limits import SessionTimes
 from .member_list import MemberList, NamedView
-from .messages import News
+from .messages import ClusterUpdate
 
 
 class Session:
     """One daemon's session here."""
 
-    def __init__(self, identity: Identity, renewed: Instant) -> None:
+    def __init__(self, identity: Identity, renewed_at: Instant) -> None:
         self.identity = identity
-        self.renewed = renewed
+        self.renewed_at = renewed_at
 
 
-class KeeperState:
+class CoordinatorState:
     """A daemon is a member while any keeper holds a session of it, as far as this keeper knows."""
 
     def __init__(
@@ -42,22 +42,22 @@
         self._own_identity = messenger.identity
         self._seeds = tuple(seeds)
         self._times = times or SessionTimes()
-        self._life = f"{context.random.getrandbits(48):012x}"
+        self._run_id = f"{context.random.getrandbits(48):012x}"
         """Of this process: its numbers mean nothing after a restart, though the incarnation stays."""
-        self._sessions: dict[Incarnation, Session] = {}
-        self._own = MemberList()
+        self._local_sessions: dict[Incarnation, Session] = {}
+        self._local_members = MemberList()
         """Of the sessions here, and this keeper itself."""
-        self._union = MemberList()
-        self._view = NamedView(self._union)
-        self._peers: dict[Address, KeeperPeer] = {}
-        self._news: Callable[[], News] = News
-        self._version: Callable[[], BundleVersion] = lambda: BundleVersion(0)
-        self._callbacks: list[Callable[[], None]] = []
+        self._all_members = MemberList()
+        self._view = NamedView(self._all_members)
+        self._peers: dict[Address, CoordinatorPeer] = {}
+        self._update_source: Callable[[], ClusterUpdate] = ClusterUpdate
+        self._seen_version_source: Callable[[], BundleVersion] = lambda: BundleVersion(0)
+        self._change_callbacks: list[Callable[[], None]] = []
         self._next_change: asyncio.Future[None] | None = None
         """Of the own sessions; other keepers wait for it."""
-        self._heard_of_history = False
-        self._trusted_from = Instant(context.clock.monotonic() + self._times.settle)
-        self._alone = False
+        self._core_was_formed = False
+        self._trusted_from = Instant(context.clock.monotonic() + self._times.settling_period)
+        self._isolated = False
         self._tasks: list[Task] = []
 
     def settling(self) -> bool:
@@ -66,38 +66,38 @@
     def _now(self) -> Instant:
         return self._context.clock.monotonic()
 
-    def _distrust(self, now: Instant) -> None:
+    def _mark_incomplete(self, now: Instant) -> None:
         """What is known here counts as incomplete until daemons and peers had time to be heard again."""
-        self._trusted_from = max(self._trusted_from, Instant(now + self._times.settle))
+        self._trusted_from = max(self._trusted_from, Instant(now + self._times.settling_period))
 
-    def _live_keepers(self) -> tuple[Address, ...]:
+    def _live_coordinators(self) -> tuple[Address, ...]:
         now = self._now()
         heard = [
             address
             for address, peer in self._peers.items()
-            if peer.heard is not None and now - peer.heard <= self._times.lost
+            if peer.last_report_at is not None and now - peer.last_report_at <= self._times.session_timeout
         ]
         return tuple(sorted([self._own_identity.internal, *heard]))
 
-    def _recount(self, *incarnations: Incarnation) -> None:
+    def _update_membership(self, *incarnations: Incarnation) -> None:
         """Works out anew whether those daemons are members."""
         changed = False
         for incarnation in incarnations:
-            identity = self._holder_told(incarnation)
-            changed |= self._union.drop(incarnation) if identity is None else self._union.put(identity)
+            identity = self._reported_identity(incarnation)
+            changed |= self._all_members.drop(incarnation) if identity is None else self._all_members.put(identity)
         if changed:
-            for callback in self._callbacks:
+            for callback in self._change_callbacks:
                 callback()
 
-    def _holder_told(self, incarnation: Incarnation) -> Identity | None:
+    def _reported_identity(self, incarnation: Incarnation) -> Identity | None:
         """The daemon as this keeper, or else any other, holds it."""
-        identity = self._own.get(incarnation)
+        identity = self._local_members.get(incarnation)
         if identity is None:
-            found = (peer.held(incarnation) for peer in self._peers.values())
+            found = (peer.identity_of_session(incarnation) for peer in self._peers.values())
             identity = next((entry for entry in found if entry is not None), None)
         return identity
 
-    def _own_changed(self) -> None:
+    def _notify_local_change(self) -> None:
         waiting, self._next_change = self._next_change, None
         if waiting is not None and not waiting.done():
             waiting.set_result(None)
--- a/wingwood/membership/member_list.py
+++ b/wingwood/membership/member_list.py
@@ -12,7 +12,7 @@
 from ..identifiers import Incarnation
 from ..transport.frames import Identity
 
-MODULUS = 1 << 64
+DIGEST_MODULUS = 1 << 64
 
 
 def fingerprint(identity: Identity) -> int:
@@ -20,22 +20,22 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """Up to change number ``upto``: who is on the list now, and who is no more."""
+    """Up to change number ``last_sequence``: who is on the list now, and who is no more."""
 
-    upto: int
+    last_sequence: int
     joined: tuple[Identity, ...]
     left: tuple[Incarnation, ...]
 
 
 class MemberList:
-    """Identities by incarnation. Changes are numbered; the last ``remembered`` of them can be told again."""
+    """Identities by incarnation. Changes are numbered; the last ``max_retained_changes`` of them can be told again."""
 
-    def __init__(self, remembered: int = 4096) -> None:
+    def __init__(self, max_retained_changes: int = 4096) -> None:
         self.sequence = 0
         self.digest = 0
         self._members: dict[Incarnation, Identity] = {}
         self._fingerprints: dict[Incarnation, int] = {}
-        self._changes: deque[tuple[int, Incarnation]] = deque(maxlen=remembered)
+        self._changes: deque[tuple[int, Incarnation]] = deque(maxlen=max_retained_changes)
         self._buckets: tuple[int, int, tuple[int, ...]] | None = None
 
     def __len__(self) -> int:
@@ -63,36 +63,36 @@
         self.digest -= self._fingerprints.get(incarnation, 0)
         self._members[incarnation] = identity
         self._fingerprints[incarnation] = fingerprint(identity)
-        self.digest = (self.digest + self._fingerprints[incarnation]) % MODULUS
-        self._note(incarnation)
+        self.digest = (self.digest + self._fingerprints[incarnation]) % DIGEST_MODULUS
+        self._record_change(incarnation)
         return True
 
     def drop(self, incarnation: Incarnation) -> bool:
         if self._members.pop(incarnation, None) is None:
             return False
-        self.digest = (self.digest - self._fingerprints.pop(incarnation)) % MODULUS
-        self._note(incarnation)
+        self.digest = (self.digest - self._fingerprints.pop(incarnation)) % DIGEST_MODULUS
+        self._record_change(incarnation)
         return True
 
-    def _note(self, incarnation: Incarnation) -> None:
+    def _record_change(self, incarnation: Incarnation) -> None:
         self.sequence += 1
         self._changes.append((self.sequence, incarnation))
 
-    def changes_since(self, sequence: int, most: int = 1 << 30) -> Changes | None:
+    def changes_since(self, sequence: int, limit: int = 1 << 30) -> Changes | None:
         """What joined and what left after that change; None when it is too long ago or not of this list.
 
-        Of more than ``most`` changes the oldest are told.
+        Of more than ``limit`` changes the oldest are told.
         """
         if sequence == self.sequence:
             return Changes(sequence, (), ())
         if sequence > self.sequence or not self._changes or self._changes[0][0] > sequence + 1:
             return None
         start = sequence + 1 - self._changes[0][0]
-        told = list(islice(self._changes, start, start + most))
-        touched = dict.fromkeys(incarnation for _, incarnation in told)
-        joined = tuple(self._members[incarnation] for incarnation in touched if incarnation in self._members)
-        left = tuple(incarnation for incarnation in touched if incarnation not in self._members)
-        return Changes(told[-1][0], joined, left)
+        included = list(islice(self._changes, start, start + limit))
+        changed = dict.fromkeys(incarnation for _, incarnation in included)
+        joined = tuple(self._members[incarnation] for incarnation in changed if incarnation in self._members)
+        left = tuple(incarnation for incarnation in changed if incarnation not in self._members)
+        return Changes(included[-1][0], joined, left)
 
     def buckets(self, count: int) -> tuple[int, ...]:
         """Digest of each of ``count`` parts; a member's part follows from its fingerprint."""
@@ -100,7 +100,7 @@
             return self._buckets[2]
         sums = [0] * count
         for value in self._fingerprints.values():
-            sums[value % count] = (sums[value % count] + value) % MODULUS
+            sums[value % count] = (sums[value % count] + value) % DIGEST_MODULUS
         self._buckets = (self.sequence, count, tuple(sums))
         return self._buckets[2]
 
--- a/wingwood/membership/messages.py
+++ b/wingwood/membership/messages.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from typing import Literal
+from typing import ClassVar, Literal
 
 import msgspec
 
@@ -50,19 +50,21 @@
 
 
 class Position(msgspec.Struct, frozen=True, array_like=True):
-    """How far a list is known: changes up to ``sequence`` of the keeper whose process is ``life``."""
+    """How far a list is known: changes up to ``sequence`` of the keeper whose process is ``run_id``."""
 
-    life: str
+    run_id: str = msgspec.field(name="life")
     sequence: int
 
 
-class News(msgspec.Struct, frozen=True, array_like=True):
+class ClusterUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What a control daemon tells with each heartbeat answer besides members."""
 
+    WIRE_NAME: ClassVar[str] = "News"
+
     epoch: Epoch = Epoch(0)
     primary: Address | None = None
     """Internal address of the presumed primary."""
-    newest: BundleVersion = BundleVersion(0)
+    latest_version: BundleVersion = msgspec.field(name="newest", default=BundleVersion(0))
     """Newest version heard of; may be ahead of the proof."""
     proof_version: BundleVersion = BundleVersion(0)
     proof_age: Seconds | None = None
@@ -78,7 +80,7 @@
     """In force at the asker."""
     epoch: Epoch
     """Newest of which the asker knows."""
-    unanswered: Seconds | None
+    last_answer_age: Seconds | None = msgspec.field(name="unanswered")
     """Since the asker sent its last heartbeat that was answered (by whomever); None: none ever was."""
 
 
@@ -88,16 +90,16 @@
     size: int
     digest: int
     """Of the keeper's whole list."""
-    news: News
+    update: ClusterUpdate = msgspec.field(name="news")
     was_member: bool
     """False: others may have seen the asker leave."""
     admitted: bool
     """False: the asker has not shown yet that answers reach it; its session begins with its next heartbeat."""
     settling: bool
     """The keeper is young, has just woken, or hears few others: its list may lack live members."""
-    alone: bool
+    isolated: bool = msgspec.field(name="alone")
     """The keeper hears few other keepers: another one may know better."""
-    known: bool
+    incremental: bool = msgspec.field(name="known")
     """False: the asker's position means nothing here, no changes are told; compare digests."""
     more: bool
     """There are further changes than those told here."""
@@ -122,13 +124,15 @@
     members: tuple[Member, ...]
 
 
-class AskKnownControls(msgspec.Struct, frozen=True, array_like=True):
+class KnownControlsRequest(msgspec.Struct, frozen=True, array_like=True):
     """Call to any daemon, by one that looks for control daemons. Reply: KnownControls."""
 
+    WIRE_NAME: ClassVar[str] = "AskKnownControls"
+
 
 class KnownControls(msgspec.Struct, frozen=True, array_like=True):
     controls: tuple[Address, ...]
-    fellows: tuple[Address, ...]
+    peers: tuple[Address, ...] = msgspec.field(name="fellows")
     """Some other daemons that may know more."""
     epoch: Epoch
     version: BundleVersion
@@ -139,30 +143,36 @@
     """Post, daemon to session keeper: it stops on purpose."""
 
 
-class Unheard(msgspec.Struct, frozen=True, array_like=True):
+class UnreachableCoordinator(msgspec.Struct, frozen=True, array_like=True):
     """A keeper that the asker can't reach itself, and how far it knows its sessions."""
 
+    WIRE_NAME: ClassVar[str] = "Unheard"
+
     address: Address
     position: Position | None
 
 
-class AskSessions(msgspec.Struct, frozen=True, array_like=True):
-    """Call between session keepers; answered at the next change or after ``wait``. Reply: SessionsTold."""
+class SessionsRequest(msgspec.Struct, frozen=True, array_like=True):
+    """Call between session keepers; answered at the next change or after ``wait``. Reply: SessionsReport."""
+
+    WIRE_NAME: ClassVar[str] = "AskSessions"
 
     position: Position | None
     wait: Seconds
-    keepers: int
+    coordinators_checksum: int = msgspec.field(name="keepers")
     """Checksum of the live keepers' addresses known to the asker."""
-    unheard: tuple[Unheard, ...] = ()
+    unreachable: tuple[UnreachableCoordinator, ...] = msgspec.field(name="unheard", default=())
 
 
-class SessionsTold(msgspec.Struct, frozen=True, array_like=True):
+class SessionsReport(msgspec.Struct, frozen=True, array_like=True):
     """Sessions held by one keeper (not the ones it has heard of)."""
 
-    keeper: Identity
+    WIRE_NAME: ClassVar[str] = "SessionsTold"
+
+    coordinator: Identity = msgspec.field(name="keeper")
     position: Position
     digest: int
-    whole: bool
+    complete: bool = msgspec.field(name="whole")
     """``joined`` is everything; else it is what changed since the position asked from."""
     joined: tuple[Member, ...]
     left: tuple[Incarnation, ...]
@@ -170,6 +180,6 @@
     """The keeper has just started: daemons whose session its former life held may not have found it again."""
     age: Seconds = Seconds(0.0)
     """How long before this answer the keeper told this (0 when it speaks itself)."""
-    relayed: tuple[SessionsTold, ...] = ()
-    keepers: tuple[Address, ...] = ()
+    relayed: tuple[SessionsReport, ...] = ()
+    coordinators: tuple[Address, ...] = msgspec.field(name="keepers", default=())
     """Live keepers' addresses, when the asker knows others."""
--- a/wingwood/membership/tests/test_member_list.py
+++ b/wingwood/membership/tests/test_member_list.py
@@ -32,7 +32,7 @@
 
     def test_changes_bring_a_copy_up_to_date_or_are_refused(self) -> None:
         random = Random(5)
-        master, copy, known = MemberList(remembered=50), MemberList(), 0
+        master, copy, known = MemberList(max_retained_changes=50), MemberList(), 0
         refused = 0
         for _ in range(400):
             for _ in range(random.randrange(30)):
@@ -46,14 +46,14 @@
             elif random.random() < 0.5:
                 continue
             while known < master.sequence:
-                changes = master.changes_since(known, most=7)
+                changes = master.changes_since(known, limit=7)
                 assert changes is not None
                 self.assertLessEqual(len(changes.joined) + len(changes.left), 7)
                 for identity in changes.joined:
                     copy.put(identity)
                 for incarnation in changes.left:
                     copy.drop(incarnation)
-                known = changes.upto
+                known = changes.last_sequence
             self.assertEqual(sorted(copy.incarnations()), sorted(master.incarnations()))
             self.assertEqual(copy.digest, master.digest)
         self.assertGreater(refused, 0)
--- a/wingwood/membership/tests/test_sessions.py
+++ b/wingwood/membership/tests/test_sessions.py
@@ -175,7 +175,7 @@
 
     def in_pieces(self, world: World) -> SmallFleet:
         class Control(ControlParts):
-            times = SessionTimes(told_at_once=3)
+            times = SessionTimes(max_members_per_answer=3)
 
         class Fleet(self.fleet):  # type: ignore[name-defined,misc]
             control_parts = Control
@@ -200,7 +200,7 @@
                 self.everybody_seen(fleet, 1.0)
 
     def keepers(self, fleet: SmallFleet) -> list[tuple[str, Address | None]]:
-        return [(name, parts.client.keeper()) for name, parts in sorted(fleet.routers.items())]
+        return [(name, parts.client.coordinator()) for name, parts in sorted(fleet.routers.items())]
 
     def test_keeper_cut_off_from_the_others_loses_its_routers_to_them(self) -> None:
         """Its routers still reach it, and see nobody leave."""
@@ -268,7 +268,7 @@
             del fleet.controls["c2"]
             world.power_off("c1")
             self.everybody_seen(fleet, 5.0, ("c1",))
-            held = {parts.client.keeper() for parts in fleet.routers.values()}
+            held = {parts.client.coordinator() for parts in fleet.routers.values()}
             self.assertLessEqual(held, {parts.messenger.identity.internal for parts in fleet.controls.values()})
 
     def test_router_that_stops_on_purpose_leaves_at_once(self) -> None:
--- a/wingwood/registry/tests/control_fleet.py
+++ b/wingwood/registry/tests/control_fleet.py
@@ -17,7 +17,7 @@
 from wingwood.context.protocols import Context, HttpRequest
 from wingwood.identifiers import Address, DaemonName, Incarnation, PoolName, Seconds, WorkerInstance, Zone
 from wingwood.membership.client import MembershipClient
-from wingwood.membership.keeper import SessionKeeper
+from wingwood.membership.coordinator import MembershipCoordinator
 from wingwood.operator_api.protocols import OperatorReply
 from wingwood.operator_api.server import OperatorServer
 from wingwood.registry.worker_announcements import ANNOUNCE_PATH
@@ -66,8 +66,8 @@
             worker_check=fleet.worker_check,
             worker_unrenewed_after=UNRENEWED_AFTER,
         )
-        self.membership: SessionKeeper | MembershipClient = (
-            SessionKeeper(context, self.messenger, fleet.seeds)
+        self.membership: MembershipCoordinator | MembershipClient = (
+            MembershipCoordinator(context, self.messenger, fleet.seeds)
             if role == "control"
             else MembershipClient(context, self.messenger, fleet.seeds)
         )
--- a/wingwood/transport/frames.py
+++ b/wingwood/transport/frames.py
@@ -49,7 +49,7 @@
     """The other side announced a frame above the bound; the connection is closed."""
 
 
-def prove(key: bytes, identity: Identity, own_nonce: bytes, other_nonce: bytes) -> bytes:
+def compute_proof(key: bytes, identity: Identity, own_nonce: bytes, other_nonce: bytes) -> bytes:
     return hmac.digest(key, msgspec.msgpack.encode(identity) + own_nonce + other_nonce, hashlib.sha256)
 
 
@@ -57,11 +57,11 @@
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
 
-async def read_frame(stream: BaseIOStream, most: int) -> bytes:
-    """Raises StreamClosedError at the end and FrameTooLarge above ``most`` bytes."""
+async def read_frame(stream: BaseIOStream, max_bytes: int) -> bytes:
+    """Raises StreamClosedError at the end and FrameTooLarge above ``max_bytes`` bytes."""
     length = int.from_bytes(await stream.read_bytes(LENGTH_BYTES), "big")
-    if length > most:
-        raise FrameTooLarge(f"{length} bytes announced, {most} allowed")
+    if length > max_bytes:
+        raise FrameTooLarge(f"{length} bytes announced, {max_bytes} allowed")
     return bytes(await stream.read_bytes(length))
 
 
@@ -73,7 +73,7 @@
     "Hello",
     "Identity",
     "StreamClosedError",
+    "compute_proof",
     "frame",
-    "prove",
     "read_frame",
 ]
--- a/wingwood/transport/messenger.py
+++ b/wingwood/transport/messenger.py
@@ -19,8 +19,8 @@
     Hello,
     Identity,
     StreamClosedError,
+    compute_proof,
     frame,
-    prove,
     read_frame,
 )
 
@@ -70,13 +70,13 @@
 
 
 class TransportLimits(msgspec.Struct, frozen=True):
-    frame_bytes: int = 64 * 1024 * 1024
-    unsent_bytes: int = 96 * 1024 * 1024
-    calls_waiting: int = 20_000
-    posts_waiting: int = 10_000
+    max_frame_bytes: int = 64 * 1024 * 1024
+    max_unsent_bytes: int = 96 * 1024 * 1024
+    max_calls_waiting: int = 20_000
+    max_posts_waiting: int = 10_000
     """Made while a link is connecting; further ones are lost, as to a peer that is away."""
     connect_timeout: Seconds = Seconds(0.5)
-    silence: Seconds = Seconds(1.5)
+    silence_timeout: Seconds = Seconds(1.5)
     """A link on which a call has waited this long without any byte coming is closed and made anew."""
     retry_pause: Seconds = Seconds(0.1)
 
@@ -93,11 +93,11 @@
         self.posts: list[Envelope] = []
         """Made while connecting."""
         self.last_fault = ""
-        self.last_byte = Instant(0.0)
-        self.last_failure: Instant | None = None
+        self.last_byte_at = Instant(0.0)
+        self.last_failure_at: Instant | None = None
         self.silent_since: Instant | None = None
         """When the oldest call was made that ran out of time with no byte coming since."""
-        self.passing: tuple[int, int] = (0, 0)
+        self.transfer_progress: tuple[int, int] = (0, 0)
         """Bytes of an unfinished frame that had come, and bytes sent of what had to wait, when last looked at."""
 
     async def connected(self) -> bool:
@@ -111,7 +111,7 @@
         if self.connecting is None:
             pause = self.messenger.limits.retry_pause
             now = self.messenger.context.clock.monotonic()
-            if self.last_failure is not None and now - self.last_failure < pause:
+            if self.last_failure_at is not None and now - self.last_failure_at < pause:
                 return None
             self.connecting = asyncio.get_running_loop().create_future()
             self.messenger.context.tasks.spawn(f"link {self.address}", self._run(self.connecting))
@@ -121,7 +121,7 @@
         """Writes now, or first thing when the link is there; posts keep their order."""
         if self.stream is not None and not self.stream.closed():
             self.write(envelope)
-        elif self.connect() is not None and len(self.posts) < self.messenger.limits.posts_waiting:
+        elif self.connect() is not None and len(self.posts) < self.messenger.limits.max_posts_waiting:
             self.posts.append(envelope)
 
     async def _run(self, connecting: asyncio.Future[bool]) -> None:
@@ -130,20 +130,20 @@
         self.connecting = None
         posts, self.posts = self.posts, []
         if stream is None:
-            self.last_failure = context.clock.monotonic()
+            self.last_failure_at = context.clock.monotonic()
             connecting.set_result(False)
             return
         self.stream = stream
-        self.last_byte = context.clock.monotonic()
+        self.last_byte_at = context.clock.monotonic()
         for envelope in posts:
             self.write(envelope)
         connecting.set_result(True)
         try:
             while True:
-                payload = await read_frame(stream, self.messenger.limits.frame_bytes)
+                payload = await read_frame(stream, self.messenger.limits.max_frame_bytes)
                 self.messenger.bytes_in += len(payload)
                 envelope = msgspec.msgpack.decode(payload, type=Envelope)
-                self.last_byte = context.clock.monotonic()
+                self.last_byte_at = context.clock.monotonic()
                 self.silent_since = None
                 waiter = self.waiting.pop(envelope.number, None)
                 if waiter is None or waiter.done():
@@ -173,7 +173,7 @@
                     frame(msgspec.msgpack.encode(Hello(PROTOCOL_VERSION, messenger.identity, nonce, b"")))
                 )
                 answer = msgspec.msgpack.decode(await read_frame(stream, 4096), type=Hello)
-                expected = prove(messenger.key, answer.identity, answer.nonce, nonce)
+                expected = compute_proof(messenger.key, answer.identity, answer.nonce, nonce)
                 if answer.protocol != PROTOCOL_VERSION or answer.proof != expected:
                     messenger.context.log.event(
                         "peer-refused", address=self.address, reason="wrong fleet key or protocol"
@@ -181,7 +181,7 @@
                     self.last_fault = "wrong fleet key or protocol"
                     stream.close()
                     return None
-                proof = prove(messenger.key, messenger.identity, nonce, answer.nonce)
+                proof = compute_proof(messenger.key, messenger.identity, nonce, answer.nonce)
                 await stream.write(
                     frame(msgspec.msgpack.encode(Hello(PROTOCOL_VERSION, messenger.identity, nonce, proof)))
                 )
@@ -191,35 +191,35 @@
             return None
         return stream
 
-    def note_silence(self, asked: Instant) -> None:
-        """A call made at ``asked`` ran out of time; closes the link when nothing has come for too long.
+    def handle_call_timeout(self, called_at: Instant) -> None:
+        """A call made at ``called_at`` ran out of time; closes the link when nothing has come for too long.
 
         A large frame that is still under way, in either direction, is no silence.
         """
-        if self.last_byte >= asked:
+        if self.last_byte_at >= called_at:
             return
-        if self.is_passing():
+        if self.is_transferring():
             self.silent_since = None
             return
         if self.silent_since is None:
-            self.silent_since = asked
-        if self.messenger.context.clock.monotonic() - self.silent_since >= self.messenger.limits.silence:
+            self.silent_since = called_at
+        if self.messenger.context.clock.monotonic() - self.silent_since >= self.messenger.limits.silence_timeout:
             self.drop("silent")
 
-    def is_passing(self) -> bool:
+    def is_transferring(self) -> bool:
         """Whether bytes of a large frame came, or could be sent, since this was last asked."""
         stream = self.stream
         if stream is None:
             return False
-        waits = len(stream._write_buffer) > 0
-        seen = (stream._read_buffer_size, stream._total_write_done_index if waits else 0)
-        before, self.passing = self.passing, seen
-        return seen[0] > before[0] or 0 < before[1] < seen[1]
+        has_unsent = len(stream._write_buffer) > 0
+        current = (stream._read_buffer_size, stream._total_write_done_index if has_unsent else 0)
+        before, self.transfer_progress = self.transfer_progress, current
+        return current[0] > before[0] or 0 < before[1] < current[1]
 
     def drop(self, reason: str) -> None:
         stream, self.stream = self.stream, None
         self.silent_since = None
-        self.passing = (0, 0)
+        self.transfer_progress = (0, 0)
         if stream is not None:
             stream.close()
         waiting, self.waiting = self.waiting, {}
@@ -231,7 +231,7 @@
         stream = self.stream
         if stream is None or stream.closed():
             return False
-        if len(stream._write_buffer) > self.messenger.limits.unsent_bytes:
+        if len(stream._write_buffer) > self.messenger.limits.max_unsent_bytes:
             return False
         payload = frame(msgspec.msgpack.encode(envelope))
         self.messenger.bytes_out += len(payload)
@@ -297,12 +297,12 @@
         self._number += 1
         number = self._number
         sent = False
-        asked = self.context.clock.monotonic()
+        called_at = self.context.clock.monotonic()
         try:
             async with asyncio.timeout(timeout):
                 if not await link.connected():
                     return Failure(TransportFault("unreachable", False, link.last_fault))
-                if len(link.waiting) >= self.limits.calls_waiting:
+                if len(link.waiting) >= self.limits.max_calls_waiting:
                     return Failure(TransportFault("overloaded", False))
                 waiter: asyncio.Future[Result[msgspec.Raw, TransportFault]] = asyncio.get_running_loop().create_future()
                 body = msgspec.Raw(msgspec.msgpack.encode(message))
@@ -314,7 +314,7 @@
         except TimeoutError:
             link.waiting.pop(number, None)
             if sent:
-                link.note_silence(asked)
+                link.handle_call_timeout(called_at)
             return Failure(TransportFault("timeout", sent))
         finally:
             link.waiting.pop(number, None)
@@ -352,26 +352,26 @@
             stream.close()
 
     async def _serve(self, stream: BaseIOStream, address: Address) -> None:
-        async with asyncio.timeout(self.limits.silence):
+        async with asyncio.timeout(self.limits.silence_timeout):
             first = msgspec.msgpack.decode(await read_frame(stream, 4096), type=Hello)
             nonce = self.context.random.randbytes(16)
-            proof = prove(self.key, self.identity, nonce, first.nonce)
+            proof = compute_proof(self.key, self.identity, nonce, first.nonce)
             await stream.write(frame(msgspec.msgpack.encode(Hello(PROTOCOL_VERSION, self.identity, nonce, proof))))
             second = msgspec.msgpack.decode(await read_frame(stream, 4096), type=Hello)
         peer = second.identity
-        if second.protocol != PROTOCOL_VERSION or second.proof != prove(self.key, peer, first.nonce, nonce):
+        if second.protocol != PROTOCOL_VERSION or second.proof != compute_proof(self.key, peer, first.nonce, nonce):
             self.context.log.event("stranger-dropped", address=address, detail="wrong fleet key or protocol")
             return
         while True:
-            payload = await read_frame(stream, self.limits.frame_bytes)
+            payload = await read_frame(stream, self.limits.max_frame_bytes)
             self.bytes_in += len(payload)
             envelope = msgspec.msgpack.decode(payload, type=Envelope)
             if envelope.kind == "post":
-                self._take_post(peer, envelope)
+                self._handle_post(peer, envelope)
             elif envelope.kind == "call":
                 self.context.tasks.spawn(f"answer {envelope.name}", self._answer(stream, peer, envelope))
 
-    def _take_post(self, peer: Identity, envelope: Envelope) -> None:
+    def _handle_post(self, peer: Identity, envelope: Envelope) -> None:
         found = self._post_handlers.get(envelope.name)
         if found is not None:
             message_type, handler = found
--- a/wingwood/transport/tests/test_fuzzed_frames.py
+++ b/wingwood/transport/tests/test_fuzzed_frames.py
@@ -20,8 +20,8 @@
     Hello,
     Identity,
     StreamClosedError,
+    compute_proof,
     frame,
-    prove,
     read_frame,
 )
 from wingwood.transport.messenger import TcpMessenger
@@ -53,28 +53,28 @@
     st.one_of(questions, packed),
 )
 payloads = st.one_of(envelopes, envelopes, packed, st.binary(max_size=12))
-whole_frames = st.lists(payloads.map(frame), max_size=5).map(b"".join)
-bytes_sent = st.one_of(
-    whole_frames,
-    st.tuples(whole_frames, st.binary(max_size=12)).map(b"".join),
+complete_frames = st.lists(payloads.map(frame), max_size=5).map(b"".join)
+sent_data = st.one_of(
+    complete_frames,
+    st.tuples(complete_frames, st.binary(max_size=12)).map(b"".join),
     st.just((2**32 - 1).to_bytes(4, "big")),
 )
-places = st.lists(st.integers(0, 500), max_size=6)
+split_positions = st.lists(st.integers(0, 500), max_size=6)
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
-    bounds = [0, *sorted(place % (len(data) + 1) for place in at), len(data)]
+def split(data: bytes, positions: list[int]) -> list[bytes]:
+    bounds = [0, *sorted(place % (len(data) + 1) for place in positions), len(data)]
     return [data[start:end] for start, end in itertools.pairwise(bounds)]
 
 
-class Line:
+class RawConnection:
     """A connection to the messenger ``far``, by somebody who says what he likes."""
 
     def __init__(self) -> None:
         self.peers = Peers()
         self.world: World = self.peers.world
 
-    def play(self, data: bytes, at: list[int], knows_key: bool) -> tuple[list[int], list[int], bool]:
+    def run_exchange(self, data: bytes, positions: list[int], knows_key: bool) -> tuple[list[int], list[int], bool]:
         """What reached the handlers, in order of posts and sorted answers, and whether the connection was closed."""
         closed: list[bool] = []
 
@@ -83,9 +83,9 @@
             stream = opened.unwrap()
             try:
                 if knows_key:
-                    await self._greet(stream)
-                for piece in cut(data, at):
-                    await stream.write(piece)
+                    await self._authenticate(stream)
+                for chunk in split(data, positions):
+                    await stream.write(chunk)
                     await context.clock.sleep(Seconds(0.001))
                 await stream.read_until_close()
             except StreamClosedError:
@@ -96,10 +96,10 @@
         self.world.run(4.0)
         return list(self.peers.posts), sorted(self.peers.answered), bool(closed)
 
-    async def _greet(self, stream: BaseIOStream) -> None:
+    async def _authenticate(self, stream: BaseIOStream) -> None:
         await stream.write(frame(HELLO))
         answer = msgspec.msgpack.decode(await read_frame(stream, 4096), type=Hello)
-        proof = prove(KEY, STRANGER, NONCE, answer.nonce)
+        proof = compute_proof(KEY, STRANGER, NONCE, answer.nonce)
         await stream.write(frame(msgspec.msgpack.encode(Hello(PROTOCOL_VERSION, STRANGER, NONCE, proof))))
 
     def still_answers(self) -> bool:
@@ -107,30 +107,32 @@
 
 
 class FuzzedFrames(unittest.TestCase):
-    def played(self, data: bytes, at: list[int], knows_key: bool) -> tuple[list[int], list[int], bool]:
-        line = Line()
+    def exchange_result(self, data: bytes, positions: list[int], knows_key: bool) -> tuple[list[int], list[int], bool]:
+        connection = RawConnection()
         try:
-            seen = line.play(data, at, knows_key)
-            self.assertTrue(line.still_answers())
-            self.assertEqual(line.world.broken_invariants, [])
+            seen = connection.run_exchange(data, positions, knows_key)
+            self.assertTrue(connection.still_answers())
+            self.assertEqual(connection.world.broken_invariants, [])
             return seen
         finally:
-            line.world.close()
+            connection.world.close()
 
     @settings(max_examples=60, deadline=None, derandomize=True)
-    @given(bytes_sent, places)
+    @given(sent_data, split_positions)
     def test_frames_of_a_peer_are_taken_or_end_its_connection_wherever_they_are_split(
-        self, data: bytes, at: list[int]
+        self, data: bytes, positions: list[int]
     ) -> None:
-        self.assertEqual(self.played(data, at, knows_key=True), self.played(data, [], knows_key=True))
+        self.assertEqual(
+            self.exchange_result(data, positions, knows_key=True), self.exchange_result(data, [], knows_key=True)
+        )
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(
-        st.one_of(bytes_sent, st.binary(max_size=40), st.tuples(st.just(frame(HELLO)), bytes_sent).map(b"".join)),
-        places,
+        st.one_of(sent_data, st.binary(max_size=40), st.tuples(st.just(frame(HELLO)), sent_data).map(b"".join)),
+        split_positions,
     )
-    def test_strangers_reach_no_handler_and_are_dropped(self, data: bytes, at: list[int]) -> None:
-        posts, answered, closed = self.played(data, at, knows_key=False)
+    def test_strangers_reach_no_handler_and_are_dropped(self, data: bytes, positions: list[int]) -> None:
+        posts, answered, closed = self.exchange_result(data, positions, knows_key=False)
         self.assertEqual((posts, answered, closed), ([], [], True))
 
     def test_a_messenger_that_trusts_its_peers_names_is_caught(self) -> None:
@@ -138,9 +140,9 @@
             self._post_handlers[envelope.name]
 
         unknown = frame(msgspec.msgpack.encode(Envelope("post", 1, "Nothing", msgspec.Raw(b"\xc0"))))
-        self.played(unknown, [], knows_key=True)
-        with mock.patch.object(TcpMessenger, "_take_post", trusting), self.assertRaises(AssertionError):
-            self.played(unknown, [], knows_key=True)
+        self.exchange_result(unknown, [], knows_key=True)
+        with mock.patch.object(TcpMessenger, "_handle_post", trusting), self.assertRaises(AssertionError):
+            self.exchange_result(unknown, [], knows_key=True)
 
 
 if __name__ == "__main__":
--- a/wingwood/transport/tests/test_messenger.py
+++ b/wingwood/transport/tests/test_messenger.py
@@ -241,7 +241,7 @@
 
 
 class Strangers(unittest.TestCase):
-    def say(self, peers: Peers, data: bytes) -> list[str]:
+    def send_raw(self, peers: Peers, data: bytes) -> list[str]:
         closed: list[str] = []
 
         async def main(context: Context) -> None:
@@ -260,7 +260,7 @@
     def test_strange_bytes_end_the_connection_with_one_log_line_and_harm_nobody(self) -> None:
         for data in (b"GET / HTTP/1.1\r\n\r\n", b"\x00\x00\x00\x04spam", b"\xff\xff\xff\xff", b"", b"\x00\x00"):
             peers = Peers()
-            self.assertEqual(self.say(peers, data), ["closed"], data)
+            self.assertEqual(self.send_raw(peers, data), ["closed"], data)
             self.assertEqual(peers.events("stranger-dropped"), 1, data)
             self.assertEqual(peers.ask(Question(1)), Success(Answer(1)))
             self.assertEqual(peers.world.broken_invariants, [])
@@ -275,7 +275,7 @@
         self.assertEqual(peers.events("peer-refused"), 1)
 
     def test_frame_above_the_bound_ends_the_link_and_smaller_ones_pass_again(self) -> None:
-        peers = Peers(limits=TransportLimits(frame_bytes=10_000))
+        peers = Peers(limits=TransportLimits(max_frame_bytes=10_000))
         self.addCleanup(peers.world.close)
         self.assertEqual(peers.ask(Question(1, filler=bytes(9_000))), Success(Answer(1)))
         self.assertEqual(peers.ask(Question(2, filler=bytes(20_000))).failure().kind, "closed")
