--- a/wingwood/control/journal_rewriting.py
+++ b/wingwood/control/journal_rewriting.py
@@ -64,6 +64,6 @@
             case Failure(fault):
                 log.event("journal-not-rewritten", kind=fault.kind, detail=fault.detail)
                 self._no_rewrite_before = Instant(clock.monotonic() + PAUSE_AFTER_FAILURE_S)
-                if fault.kind == "slow" or (fault.kind != "sick" and journal.sick is not None):
+                if fault.kind == "slow" or (fault.kind != "sick" and journal.unusable_reason is not None):
                     self._on_fault(fault)
         self._rewriting = False
