--- a/wingwood/journal/__init__.py
+++ b/wingwood/journal/__init__.py
@@ -1,4 +1,4 @@
-"""Append-only file of checksummed records that is rewritten when it gets long (docs/DESIGN.md section 7.5)."""
+"""Append-only file of checksummed records that is compacted when it becomes long (docs/DESIGN.md section 7.5)."""
 
 from .journal import Journal, JournalFault, Scan, scan
 
--- a/wingwood/journal/journal.py
+++ b/wingwood/journal/journal.py
@@ -19,22 +19,23 @@
 CHECKSUM_BYTES = 8
 HEADER_BYTES = len(MAGIC) + SALT_BYTES + 8 + CHECKSUM_BYTES
 FRAME_OVERHEAD_BYTES = MARKER_BYTES + 4 + CHECKSUM_BYTES
-"""What a frame adds to its payload."""
+"""Bytes that a frame adds to its payload."""
 
 DEFAULT_TIMEOUT_S = Seconds(1.0)
 COMPACTION_CHUNK_BYTES = 256 * 1024
-"""A compaction holds appends for one such piece at a time."""
+"""Size of the chunks of a compaction; an append waits for at most one chunk."""
 MIN_DISK_RATE_BYTES_PER_S = 20e6
-"""Bytes a second that a healthy disk writes and syncs at least; long appends get that much longer."""
+"""Lowest rate at which a healthy disk writes and syncs; the timeout of an append grows accordingly."""
 
 Value = TypeVar("Value")
 
 
 class JournalFault(msgspec.Struct, frozen=True):
-    """``missing``: there is no journal. ``damaged``: the bytes at ``offset`` are wrong. ``sick``: must be opened anew.
+    """Reason why a journal operation failed.
 
-    ``full`` and ``failed`` come from the disk; ``slow``: the disk did not answer in time, so the
-    outcome is open and the journal is sick until it was opened anew.
+    ``missing``: there is no journal. ``damaged``: the bytes at ``offset`` are wrong. ``sick``: the journal must be
+    opened again before further use. ``full`` and ``failed``: the disk reported the fault. ``slow``: the disk did not
+    answer in time, so the outcome is unknown and the journal is unusable (``sick``) until it is opened again.
     """
 
     kind: Literal["missing", "damaged", "sick", "full", "failed", "locked", "slow"]
@@ -43,7 +44,7 @@
 
 
 class Scan(msgspec.Struct, frozen=True):
-    """What a journal's bytes hold. ``valid_bytes`` < ``file_bytes`` when a torn tail follows."""
+    """Content of a journal file. ``valid_bytes`` is less than ``file_bytes`` when a torn tail follows."""
 
     payloads: Sequence[bytes]
     valid_bytes: int
@@ -51,7 +52,10 @@
 
 
 def header(salt: bytes, base: int) -> bytes:
-    """``base``: bytes of the file that were synced before it got its name, so they can't be torn."""
+    """Returns the file header.
+
+    ``base`` is the number of bytes that were synced before the file got its name, so that they cannot be torn.
+    """
     start = MAGIC + salt + base.to_bytes(8, "big")
     return start + hashlib.blake2b(start, digest_size=CHECKSUM_BYTES).digest()
 
@@ -69,7 +73,7 @@
 
 
 def frame(salt: bytes, offset: int, payload: bytes) -> bytes:
-    """The frame of a payload that will stand at ``offset`` of its file."""
+    """Returns the frame of a payload that is written at ``offset`` of its file."""
     return b"".join(
         (_marker(salt), len(payload).to_bytes(4, "big"), _checksum(salt, offset, payload), payload),
     )
@@ -97,9 +101,9 @@
 
 
 def scan(data: bytes) -> Result[Scan, JournalFault]:
-    """Reads a whole journal.
+    """Parses a complete journal file.
 
-    A bad frame is a torn tail only behind what was written whole, and when no good frame stands behind it.
+    A bad frame counts as a torn tail only if it is after the first ``base`` bytes and no valid frame follows it.
     """
     if len(data) < HEADER_BYTES or not data.startswith(MAGIC):
         return Failure(JournalFault("damaged", "no journal header", 0))
@@ -117,20 +121,22 @@
         payloads.append(payload)
         offset += FRAME_OVERHEAD_BYTES + len(payload)
     if offset < base:
-        return Failure(JournalFault("damaged", f"bad frame, below the {base} bytes that were written whole", offset))
+        return Failure(JournalFault("damaged", f"bad frame within the {base} bytes synced at creation", offset))
     next_marker = data.find(marker, offset + 1)
     while next_marker != -1:
         if _frame_at(salt, marker, data, next_marker) is not None:
-            return Failure(JournalFault("damaged", f"bad frame, with a good one behind it at {next_marker}", offset))
+            return Failure(
+                JournalFault("damaged", f"bad frame followed by a valid one at offset {next_marker}", offset)
+            )
         next_marker = data.find(marker, next_marker + 1)
     return Success(Scan(payloads, offset, len(data)))
 
 
 class Journal:
-    """One journal file of a data folder. Operations run one at a time, in the order of their asking.
+    """One journal file of a data folder. Operations run one at a time, in the order of the calls.
 
-    Each append is one frame. ``timeout`` bounds how long one operation may take once it is its turn;
-    past it the outcome is open (``slow``), and the journal refuses work as ``sick`` until ``open`` succeeds.
+    Each append is one frame. ``timeout`` limits the time of one operation, without its wait for earlier ones. After a
+    timeout the outcome is unknown (``slow``), and operations fail as ``sick`` until ``open`` succeeds.
     """
 
     def __init__(self, context: Context, name: str, timeout: Seconds = DEFAULT_TIMEOUT_S) -> None:
@@ -140,32 +146,32 @@
         self._timeout = timeout
         self._lock = asyncio.Lock()
         self._pending_call: asyncio.Task[Any] | None = None
-        """A disk call that outlived our patience; the next one waits for it."""
+        """A disk call that exceeded its time limit; the next disk call waits for it."""
         self._salt = b""
         self._length = 0
         self._unusable_reason: str | None = "not opened"
         self._generation = 0
-        """Counts files taken up under the name; a compaction of an earlier one is given up."""
+        """Number of times that the file was opened or replaced; a compaction of an earlier generation is aborted."""
         self._appended_since_snapshot: list[bytes] | None = None
-        """Payloads appended since the compaction under way took its content."""
+        """Payloads appended since the running compaction took its content; None if there is no compaction."""
 
     @property
     def length(self) -> int:
-        """Bytes of the sound file."""
+        """Size of the valid file in bytes."""
         return self._length
 
     @property
     def unusable_reason(self) -> str | None:
-        """Why it takes no appends now; None when it does."""
+        """Reason why the journal accepts no appends at present; None if it accepts them."""
         return self._unusable_reason
 
     async def create(self, payloads: Sequence[bytes], timeout: Seconds | None = None) -> Result[None, JournalFault]:
-        """Makes the file, or takes the place of the one there, with these payloads."""
+        """Writes a file with these payloads; replaces an existing one."""
         async with self._lock:
             return await self._write_and_rename(payloads, timeout)
 
     async def open(self, timeout: Seconds | None = None) -> Result[Sequence[bytes], JournalFault]:
-        """Reads all payloads back; cuts a torn tail off. Ends a sickness when it succeeds."""
+        """Reads all payloads and truncates a torn tail; when it succeeds, the journal is usable again."""
         async with self._lock:
             self._unusable_reason = self._unusable_reason or "being opened"
             match await self._disk(lambda: self._context.disk.read(self._name), timeout):
@@ -195,12 +201,15 @@
             return Success(found.payloads)
 
     async def append(self, payload: bytes) -> Result[None, JournalFault]:
-        """Success once synced. After a failure nothing of it is left, or the journal is sick."""
+        """Returns success once the payload is synced.
+
+        After a failure, either no part of the payload is left in the file or the journal is unusable (``sick``).
+        """
         async with self._lock:
             if self._unusable_reason is not None:
                 return Failure(JournalFault("sick", self._unusable_reason))
             data = frame(self._salt, self._length, payload)
-            self._unusable_reason = "an append was left before its end"
+            self._unusable_reason = "an append was cancelled before it completed"
             timeout = Seconds(self._timeout + len(data) / MIN_DISK_RATE_BYTES_PER_S)
             match await self._disk(lambda: self._context.disk.append(self._name, data, self._length), timeout):
                 case Success(_):
@@ -217,12 +226,14 @@
             match await self._disk(lambda: self._context.disk.truncate(self._name, self._length)):
                 case Success(_):
                     self._unusable_reason = None
-                case Failure(second):
-                    self._unusable_reason = f"append: {fault.detail}; cutting it off again: {second.detail}"
+                case Failure(truncate_fault):
+                    self._unusable_reason = (
+                        f"append: {fault.detail}; truncating the partial append failed: {truncate_fault.detail}"
+                    )
             return Failure(fault)
 
     async def check(self) -> Result[None, JournalFault]:
-        """Whether the file is still there; a folder emptied under a running process is found this way."""
+        """Checks that the file still exists; this detects a folder emptied while the process is running."""
         async with self._lock:
             if self._unusable_reason is not None:
                 return Failure(JournalFault("sick", self._unusable_reason))
@@ -230,7 +241,7 @@
                 case Success(names):
                     if self._name in names:
                         return Success(None)
-                    self._unusable_reason = "the file is gone"
+                    self._unusable_reason = "the file is missing"
                     return Failure(JournalFault("missing", self._name))
                 case Failure(fault):
                     return Failure(fault)
@@ -239,7 +250,7 @@
     async def rewrite(
         self, payloads: Callable[[], Sequence[bytes]], timeout: Seconds | None = None
     ) -> Result[None, JournalFault]:
-        """Takes the place of the file; ``payloads`` is asked when all earlier appends are done."""
+        """Replaces the file; ``payloads`` is called when all earlier appends have completed."""
         async with self._lock:
             if self._unusable_reason is not None:
                 return Failure(JournalFault("sick", self._unusable_reason))
@@ -254,9 +265,9 @@
         self._generation += 1
         match await self._disk(lambda: self._context.disk.write_new(self._new_name, data), timeout):
             case Failure(fault):
-                # The file under our name is as it was.
+                # The file with the journal's name is unchanged.
                 return Failure(fault)
-        self._unusable_reason = "a rename was left before its end"
+        self._unusable_reason = "a rename was cancelled before it completed"
         match await self._disk(lambda: self._context.disk.rename(self._new_name, self._name), timeout):
             case Failure(fault):
                 self._unusable_reason = f"rename: {fault.detail}"
@@ -267,10 +278,11 @@
         return Success(None)
 
     def compact(self, payloads: Sequence[bytes]) -> Coroutine[Any, Any, Result[None, JournalFault]]:
-        """Writes ``payloads``, which say the same as all appends until this call, in place of those.
+        """Replaces the content with ``payloads``, which must be equivalent to all appends before this call.
 
-        Appends go on meanwhile; each waits for one piece at most. Await the result at once or in a task
-        of its own; one compaction at a time. ``sick`` when the file was replaced or read anew meanwhile.
+        Appends continue meanwhile; each waits for at most one chunk. Await the result at once or in a task
+        of its own; only one compaction may run at a time. It fails as ``sick`` if the file is replaced or opened again
+        meanwhile.
         """
         self._appended_since_snapshot = []
         return self._compact(payloads, self._generation)
@@ -293,7 +305,7 @@
                 match await self._write_chunk(generation, name, len(data), tail):
                     case Failure(fault):
                         return Failure(fault)
-                self._unusable_reason = "a rename was left before its end"
+                self._unusable_reason = "a rename was cancelled before it completed"
                 match await self._disk(lambda: disk.rename(name, self._name)):
                     case Failure(fault):
                         self._unusable_reason = f"rename: {fault.detail}"
@@ -306,9 +318,11 @@
             self._appended_since_snapshot = None
 
     async def _write_chunk(self, generation: int, name: str, start: int, data: bytes) -> Result[None, JournalFault]:
-        """Under the turn. Adds to the file that a compaction writes."""
+        """Appends a chunk to the file that a compaction writes; the caller holds the lock."""
         if self._unusable_reason is not None or self._generation != generation:
-            return Failure(JournalFault("sick", self._unusable_reason or "the file was replaced meanwhile"))
+            return Failure(
+                JournalFault("sick", self._unusable_reason or "the file was replaced or opened again meanwhile")
+            )
         disk = self._context.disk
         if start == 0:
             return await self._disk(lambda: disk.write_new(name, data))
@@ -317,20 +331,20 @@
     async def _disk(
         self, call: Callable[[], Coroutine[Any, Any, Result[Value, DiskFault]]], timeout: Seconds | None = None
     ) -> Result[Value, JournalFault]:
-        """Never leaves two calls under way: one that outlives its bound is waited for by the next."""
+        """Runs one disk call. There is never more than one: a call that exceeds its limit is awaited by the next."""
         limit = self._timeout if timeout is None else timeout
         started_at = self._context.clock.monotonic()
         if self._pending_call is not None:
             await asyncio.wait((self._pending_call,), timeout=limit)
             if not self._pending_call.done():
-                return Failure(JournalFault("slow", f"an earlier call takes over {limit} s"))
+                return Failure(JournalFault("slow", f"an earlier disk call did not return within {limit} s"))
             self._pending_call = None
         task = asyncio.get_running_loop().create_task(call())
         self._pending_call = task
         remaining = limit - (self._context.clock.monotonic() - started_at)
         await asyncio.wait((task,), timeout=max(remaining, 0.0))
         if not task.done():
-            return Failure(JournalFault("slow", f"takes over {limit} s"))
+            return Failure(JournalFault("slow", f"the disk call did not return within {limit} s"))
         self._pending_call = None
         match task.result():
             case Success(value):
--- a/wingwood/journal/tests/memory_disk.py
+++ b/wingwood/journal/tests/memory_disk.py
@@ -1,4 +1,4 @@
-"""A data folder in memory whose calls can fail, stall, or be cut short by a loss of power."""
+"""An in-memory data folder whose calls can fail, stall, or be interrupted by a power loss."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class PowerLost(Exception):
-    """Raised inside a call under way when the machine loses power."""
+    """Raised inside a running call when the simulated machine loses power."""
 
 
 class MemoryDisk:
-    """``files`` is what is synced. Set ``fault`` to make calls fail, ``stall_event`` to make them wait."""
+    """``files`` holds the synced content. ``fault`` makes calls fail, and ``stall_event`` makes them wait."""
 
     def __init__(self, seed: int = 0) -> None:
         self.files: dict[str, bytes] = {}
         self.random = random.Random(seed)
         self.fault: DiskFault | None = None
         self.failing_operations: tuple[str, ...] = ("append", "write_new", "rename", "truncate")
-        """Which calls fail while ``fault`` is set."""
+        """Operations that fail while ``fault`` is set."""
         self.stall_event: asyncio.Event | None = None
         self.power_loss_at_call: int | None = None
-        """Power goes during the call with this number."""
+        """Number of the call during which power is lost."""
         self.calls = 0
         self.active_calls = 0
         self.max_active_calls = 0
@@ -75,7 +75,7 @@
         return Success(None)
 
     def _torn(self, data: bytes) -> bytes:
-        """Some of its pages reached the disk; those that didn't are zeros; the length may be short."""
+        """Returns data as after a power loss: some pages are replaced by zeros, and the length may be shorter."""
         page = 64
         written = bytearray()
         for start in range(0, len(data), page):
--- a/wingwood/membership/address_book.py
+++ b/wingwood/membership/address_book.py
@@ -1,7 +1,7 @@
-"""The other daemons' addresses, saved on a control daemon's disk (docs/DESIGN.md section 8.4).
+"""Addresses of the other daemons, saved on a control daemon's disk (docs/DESIGN.md section 8.4).
 
-When all three seeds that settings list have been replaced, a daemon that starts finds nobody by its
-settings. Then those who have a disk look for the others: they tell the addresses that they saved who they are.
+When all three seeds in the settings have been replaced, a daemon that starts cannot find any other daemon by its
+settings. Then the control daemons, which have a disk, announce themselves to the addresses that they saved.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 
 class SavedAddresses(msgspec.Struct, frozen=True):
-    """Internal addresses of the daemons that were members when it was written; 25 bytes each on disk."""
+    """Internal addresses of the daemons that were members at the time of writing; 25 bytes each on disk."""
 
     controls: tuple[Address, ...]
     routers: tuple[Address, ...]
 
 
 class CoordinatorMembership(Membership, Protocol):
-    """What the book asks of this control daemon's session keeper."""
+    """The functions of this control daemon's coordinator that the address book uses."""
 
     def add_controls(self, controls: tuple[Address, ...]) -> None: ...
 
@@ -41,7 +41,10 @@
 
 
 class AddressBook:
-    """Wanted: the file names the present members. It only helps others to be found; nothing rests on its truth."""
+    """Keeps the file up to date with the current members.
+
+    The file only helps daemons to find each other; correctness does not depend on its content.
+    """
 
     def __init__(self, context: Context, messenger: Messenger, coordinator: CoordinatorMembership) -> None:
         self._context = context
@@ -78,7 +81,11 @@
             return None
 
     async def _write(self) -> None:
-        """A list that has only lost members is saved as it is while it may still be needed to find them."""
+        """Writes the current members if they have changed.
+
+        While most of the saved routers are not members and nobody has joined, the file stays as it is, since it may
+        still be needed to find them.
+        """
         if self._coordinator.settling():
             return
         current = SavedAddresses(
@@ -96,7 +103,7 @@
             self._written = current
 
     async def _announce(self, saved: SavedAddresses) -> None:
-        """Tells routers that have no session yet where a control daemon is."""
+        """Announces the control daemons to routers that have no session yet."""
         own = self._messenger.identity.internal
         announcement = KnownControls((own, *saved.controls[:MAX_ADDRESSES_PER_ROUND]), (), Epoch(0), BundleVersion(0))
         end = self._context.clock.monotonic() + ANNOUNCE_DURATION_S
--- a/wingwood/membership/client.py
+++ b/wingwood/membership/client.py
@@ -1,4 +1,4 @@
-"""A daemon's session with the control daemons, and its view of the members (docs/DESIGN.md section 8)."""
+"""A daemon's session with a coordinator, and its view of the members (docs/DESIGN.md section 8)."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class MembershipClient:
-    """Implements ``Membership`` on a router: one session at a time, with the keeper that suits it best."""
+    """Implements ``Membership`` on a router, with one session at a time at the coordinator ranked first."""
 
     def __init__(
         self,
@@ -53,11 +53,11 @@
         self._coordinator: Address | None = None
         self._position: Position | None = None
         self._settled = False
-        """Whether the list was compared with a keeper that may be trusted to remove."""
+        """Whether the list was compared with the list of a coordinator that was not settling."""
         self._proven_at: Instant | None = None
         self._answered_at: Instant | None = None
         self._controls: dict[Address, None] = {}
-        """Control addresses heard of; newest last."""
+        """Addresses of control daemons that were reported; the latest is last."""
         self._peer_addresses: tuple[Address, ...] = ()
         self._failed_at: dict[Address, Instant] = {}
         self._epoch = Epoch(0)
@@ -71,7 +71,7 @@
         self._proof_is_old = False
         self._coordinator_is_isolated = False
         self._more = False
-        """The keeper has more members to tell than it told at once."""
+        """Whether the coordinator has more changes than it included in its answer."""
         self._task: Task | None = None
         self._rebalance_at = Instant(0.0)
         self._view = NamedView(self._list)
@@ -81,19 +81,22 @@
     # -- wiring
 
     def report_version(self, in_force: Callable[[], BundleVersion]) -> None:
-        """Which version heartbeats report."""
+        """Sets the function that returns the bundle version to report in heartbeats."""
         self._version_source = in_force
 
     def on_update(self, callback: UpdateCallback) -> None:
-        """Called with each heartbeat answer's update and the own clock before the heartbeat."""
+        """Registers a callback for the update in each heartbeat answer.
+
+        It receives the update and the local clock's time before the heartbeat was sent.
+        """
         self._update_callbacks.append(callback)
 
     def on_session_lost(self, callback: Callable[[], None]) -> None:
-        """Called when an answer says that others have seen this daemon leave since the last one."""
+        """Registers a callback for an answer that says that others have seen this daemon leave since the last one."""
         self._lost_callbacks.append(callback)
 
     def use_seeds(self, seeds: Sequence[Address]) -> None:
-        """Other addresses to begin with; what was learnt since the start stays known."""
+        """Replaces the seeds; addresses that were learned since the start are retained."""
         self._seeds = tuple(seeds)
 
     def start(self) -> None:
@@ -101,7 +104,7 @@
         self._task = self._context.tasks.spawn("membership session", self._maintain_session())
 
     def stop(self) -> None:
-        """Ends the session at once, so that others need not wait for its loss."""
+        """Ends the session at once, so that others need not wait for the session timeout."""
         if self._task is not None:
             self._task.cancel()
         if self._coordinator is not None:
@@ -130,20 +133,20 @@
     # -- for health, operators' calls and distribution
 
     def primary_address(self) -> Address | None:
-        """Internal address of the presumed primary, as last told."""
+        """Returns the internal address of the presumed primary according to the latest update."""
         return self._primary
 
     def epoch(self) -> Epoch:
-        """Newest epoch heard of."""
+        """Returns the latest known epoch."""
         return self._epoch
 
     def known_controls(self) -> list[Address]:
-        """Control members first, then others heard of (latest first), then seeds."""
+        """Returns the control members first, then other known control daemons (latest first), then the seeds."""
         live = [member.internal for member in self.controls()]
         return list(dict.fromkeys([*live, *reversed(self._controls), *self._seeds]))
 
     def peer_addresses(self) -> list[Address]:
-        """Internal addresses of other routers, also before the first session."""
+        """Returns the internal addresses of other routers; also works before the first session."""
         known = [member.internal for member in self.routers()] or list(self._peer_addresses)
         return [address for address in known if address != self._identity.internal]
 
@@ -165,9 +168,10 @@
             await clock.sleep(Seconds(max(0.02, asked + pause - clock.monotonic())))
 
     async def _heartbeat(self, again: bool = True) -> bool:
-        """One heartbeat, to the next keeper when one fails; False when none of the first few answered.
+        """Sends one heartbeat, to the next coordinator when one fails; returns False when none of those tried answers.
 
-        After a silence the first only shows the keeper that answers arrive; the second renews the session.
+        After a period without answers, the first heartbeat only shows the coordinator that answers arrive; the second
+        one renews the session.
         """
         for address in self._candidates():
             asked = self._context.clock.monotonic()
@@ -193,7 +197,7 @@
                         await self._ask_known_controls(address)
                     late = self._context.clock.monotonic() - asked > 2 * self._times.answer_timeout
                     if late and outcome.failure().kind == "timeout":
-                        return False  # This process stood still; it says nothing of the keeper.
+                        return False  # This process was suspended; the coordinator may be well.
                     self._failed_at[address] = self._context.clock.monotonic()
                     if address == self._coordinator:
                         self._context.log.event("session-keeper-silent", keeper=address, kind=outcome.failure().kind)
@@ -201,7 +205,10 @@
         return False
 
     def _candidates(self) -> Iterator[Address]:
-        """The present keeper, then a few others; when it is time to look for a better one, that one first."""
+        """Yields the current coordinator, then a few others.
+
+        When a rebalance is due or the current coordinator is isolated, the order of ``_order`` applies from the start.
+        """
         now = self._context.clock.monotonic()
         present = self._coordinator
         if present is not None and now < self._rebalance_at and not self._coordinator_is_isolated:
@@ -216,7 +223,10 @@
         yield from (address for address in self._order()[:COORDINATORS_TRIED_PER_HEARTBEAT] if address != present)
 
     def _order(self) -> list[Address]:
-        """Control members of the own zone, other ones, other addresses; those that failed last at the end."""
+        """Returns the coordinators to try: control members of this zone, other control members, then other addresses.
+
+        Those that failed are last, the latest failure at the end.
+        """
         own_name = self._identity.name
         controls = self.controls()
         near = [member.internal for member in controls if member.zone == self._identity.zone]
@@ -275,7 +285,10 @@
             self._notify_change()
 
     async def _compare(self, address: Address, size: int) -> bool:
-        """Brings the own list nearer to the keeper's, by buckets that differ; a settling keeper only adds."""
+        """Makes the local list more like the coordinator's, by transferring the buckets that differ.
+
+        While the coordinator is settling, members are only added.
+        """
         count = bucket_count(max(size, len(self._list)))
         outcome = await self._messenger.call(
             address, CompareMembers(self._list.buckets(count)), MembersCompared, Seconds(2 * self._times.answer_timeout)
@@ -330,13 +343,16 @@
         return known
 
     def _on_controls_announced(self, peer: Identity, message: KnownControls) -> None:
-        """From a control daemon that found this one in its address book; the teller counts as newest."""
+        """Handles the announcement of a control daemon that has this daemon in its address book.
+
+        The announcing daemon counts as the latest known one.
+        """
         if peer.role == "control":
             for control in reversed(message.controls):
                 self._record_control(control)
 
     async def _ask_peers(self) -> None:
-        """No keeper answers: fellow daemons may have heard of control daemons at other addresses."""
+        """Asks other routers for control daemons at other addresses, after no coordinator has answered."""
         peers = self.peer_addresses()
         for address in self._context.random.sample(peers, min(PEERS_ASKED_PER_ROUND, len(peers))):
             await self._ask_known_controls(address)
--- a/wingwood/membership/coordinator.py
+++ b/wingwood/membership/coordinator.py
@@ -1,4 +1,4 @@
-"""Sessions on a control daemon, and what control daemons tell each other of them (docs/DESIGN.md section 8)."""
+"""Membership on a control daemon: sessions and their exchange with other coordinators (docs/DESIGN.md section 8)."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 MAX_PEERS_PER_ANSWER = 8
 STALL_THRESHOLD_S = Seconds(0.6)
-"""A sweep that comes later than this means that the process stood still."""
+"""When a sweep is later than this, the process was suspended."""
 
 
 class MembershipCoordinator(LocalSessions, CoordinatorReplies):
-    """A control daemon's part in membership; implements ``Membership`` for that daemon itself."""
+    """A control daemon's part in membership; also implements ``Membership`` for that daemon itself."""
 
     def __init__(
         self,
@@ -49,7 +49,10 @@
     def set_update_source(
         self, update: Callable[[], ClusterUpdate], version: Callable[[], BundleVersion] | None = None
     ) -> None:
-        """What to put into heartbeat answers; ``version``: the newest bundle this daemon has seen."""
+        """Sets the functions that return the content of heartbeat answers.
+
+        ``version`` returns the latest bundle version that this daemon has seen.
+        """
         self._update_source = update
         self._seen_version_source = version or (lambda: update().latest_version)
 
@@ -82,7 +85,7 @@
         return incarnation in self._all_members
 
     def session_proven_at(self) -> Instant | None:
-        """When another keeper last answered; a lone keeper proves nothing."""
+        """Returns when another coordinator last answered; a coordinator without others proves nothing."""
         heard = [peer.last_direct_at for peer in self._peers.values() if peer.last_direct_at is not None]
         return max(heard, default=None)
 
@@ -92,23 +95,23 @@
     # -- for health, roll-outs and the control core
 
     def knows_of_history(self) -> bool:
-        """Whether a control core has been formed before, as far as daemons heard here know.
+        """Returns whether a control core has been formed before, as far as the daemons in contact with this one know.
 
-        True also while settling: daemons that know may not have found this keeper yet.
+        Also returns True while settling, since daemons that know of one may not have reached this coordinator yet.
         """
         return self._core_was_formed or self.settling()
 
     def add_controls(self, controls: Sequence[Address]) -> None:
-        """Of control daemons that may be there."""
+        """Starts polling control daemons that may exist at these addresses."""
         self._add_peers(list(controls))
 
     def known_controls(self) -> list[Address]:
-        """Control daemons heard of, live ones first."""
+        """Returns the addresses of the known control daemons, those with the latest reports first."""
         heard = sorted((peer for peer in self._peers.values() if peer.identity is not None), key=_silence_order)
         return list(dict.fromkeys([self._own_identity.internal, *(peer.address for peer in heard)]))
 
     def use_seeds(self, seeds: Sequence[Address]) -> None:
-        """Other addresses to look for fellows at; those already known stay known."""
+        """Replaces the seeds at which other coordinators are looked for; known coordinators are retained."""
         self._seeds = tuple(seeds)
 
     async def _on_ask_known_controls(self, peer: Identity, message: KnownControlsRequest) -> KnownControls:
@@ -121,7 +124,7 @@
             max(update.latest_version, self._seen_version_source()),
         )
 
-    # -- silence: of daemons, of other keepers, and its own
+    # -- silence of daemons, of other coordinators, and stalls of this process
 
     async def _sweep_periodically(self) -> None:
         last = self._now()
@@ -137,14 +140,21 @@
                 self._sweep_peer(peer, now)
 
     def _handle_stall(self, seconds: Seconds, now: Instant) -> None:
-        """Nobody could reach this process: what it holds is old, but the silence is its own."""
+        """Handles a stall of this process.
+
+        Nobody could reach the process, so its data is old; the silence of daemons and peers is not counted.
+        """
         self._context.log.event("keeper-stood-still", seconds=seconds)
         self._mark_incomplete(now)
         self._extend_sessions(seconds)
         self._extend_peers(seconds)
 
     def _check_isolation(self, now: Instant) -> None:
-        """Hearing less than half of the keepers heard lately, this one takes the silence for its own."""
+        """Detects whether this coordinator is isolated.
+
+        If it has reports from at most half of the recently reporting coordinators (itself included), it attributes the
+        silence to its own connection.
+        """
         ages = [now - peer.last_report_at for peer in self._peers.values() if peer.last_report_at is not None]
         lately = 1 + sum(age <= self._times.isolation_window for age in ages)
         heard = 1 + sum(age <= self._times.session_timeout for age in ages)
--- a/wingwood/membership/coordinator_peer.py
+++ b/wingwood/membership/coordinator_peer.py
@@ -1,4 +1,4 @@
-"""What one session keeper knows of another (docs/DESIGN.md section 8)."""
+"""State that one coordinator has of another one (docs/DESIGN.md section 8)."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Orphan(msgspec.Struct, frozen=True):
-    """A session of a former life of a keeper, and until when it is reported."""
+    """A session of a coordinator's previous run, which is retained until ``until``."""
 
     identity: Identity
     until: Instant
 
 
 class CoordinatorPeer:
-    """Another session keeper's sessions, as it or others told them."""
+    """Another coordinator's sessions, as reported by itself or by other coordinators."""
 
     def __init__(self, address: Address, known_since: Instant) -> None:
         self.address = address
@@ -28,11 +28,11 @@
         self.settling = False
         self.identity: Identity | None = None
         self.run_id = ""
-        """Empty: what is known of its sessions is not exact, and is asked for whole."""
+        """Process run of the sessions; empty if they are not exact, so that the complete list is requested."""
         self.sessions = MemberList(max_retained_changes=0)
         self.sequence = 0
         self.last_report_at: Instant | None = None
-        """Own clock before the question whose answer came last, by whatever way."""
+        """Local time before the request whose answer, direct or relayed, is the latest one."""
         self.last_direct_at: Instant | None = None
         self.inquired_at: Instant | None = None
         self.orphans: dict[Incarnation, Orphan] = {}
@@ -47,20 +47,23 @@
         return identity
 
     def silence_s(self, now: Instant) -> float:
-        """Since it was last heard, by whatever way, or known."""
+        """Returns the time since its latest report, direct or relayed, or since it became known."""
         return now - (self.known_since if self.last_report_at is None else self.last_report_at)
 
     def direct_silence_s(self, now: Instant) -> float:
-        """Since it last answered this keeper itself."""
+        """Returns the time since its latest direct answer, or since it became known."""
         return now - (self.known_since if self.last_direct_at is None else self.last_direct_at)
 
     def is_outdated(self, report: SessionsReport) -> bool:
-        """Another way was faster, or what was told says only what changed since something not known here."""
+        """Returns whether the report cannot be applied.
+
+        Either a later report arrived by another path, or the report contains only changes to an unknown state.
+        """
         same_run = self.run_id == report.position.run_id
         return (same_run and report.position.sequence < self.sequence) or not (same_run or report.complete)
 
     def apply(self, report: SessionsReport, orphans_until: Instant) -> list[Incarnation]:
-        """Gives the daemons whose sessions there changed."""
+        """Applies the report; returns the daemons whose sessions at the coordinator changed."""
         changed = self._apply_complete(report, orphans_until) if report.complete else self.drop(report.left)
         changed += [member.incarnation for member in report.joined if self.sessions.put(identity_of(member))]
         self.run_id, self.sequence, self.settling = report.position.run_id, report.position.sequence, report.settling
@@ -69,7 +72,10 @@
         return changed
 
     def _apply_complete(self, report: SessionsReport, orphans_until: Instant) -> list[Incarnation]:
-        """Drops what is not told; while the keeper's life is young its sessions may still be on their way to it."""
+        """Drops the sessions that are not reported.
+
+        While the coordinator is settling after a start, they become orphans, since they may still move to it.
+        """
         reported = {member.incarnation for member in report.joined}
         missing = [identity for identity in self.sessions.identities() if identity.incarnation not in reported]
         changed = self.drop([identity.incarnation for identity in missing])
@@ -78,11 +84,11 @@
         return changed
 
     def drop(self, incarnations: Sequence[Incarnation]) -> list[Incarnation]:
-        """Gives those that had a session there."""
+        """Drops the sessions; returns the daemons that had one."""
         return [incarnation for incarnation in incarnations if self.sessions.drop(incarnation)]
 
     def drop_orphans(self, now: Instant) -> list[Incarnation]:
-        """Gives those whose time is expired."""
+        """Drops the orphans that have expired and returns them."""
         expired = [incarnation for incarnation, orphan in self.orphans.items() if now > orphan.until]
         for incarnation in expired:
             del self.orphans[incarnation]
--- a/wingwood/membership/coordinator_replies.py
+++ b/wingwood/membership/coordinator_replies.py
@@ -1,4 +1,4 @@
-"""What a session keeper tells other keepers, and daemons that look for keepers (docs/DESIGN.md section 8)."""
+"""A coordinator's answers to other coordinators (docs/DESIGN.md section 8)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CoordinatorReplies(PeerPolling):
-    """Tells its own sessions, and what it heard of keepers that the asker can't reach."""
+    """Reports the local sessions, and the sessions of coordinators that the requesting one cannot reach."""
 
     async def _on_ask_sessions(self, peer: Identity, message: SessionsRequest) -> SessionsReport:
         self._add_peers([peer.internal])
@@ -26,7 +26,7 @@
         return self._make_report(message.position, message.unreachable, () if known else coordinators)
 
     async def _wait_for_change(self, timeout_s: Seconds) -> None:
-        """Of the own sessions; then a little longer, so that several are told at once."""
+        """Waits for a change of the local sessions, then a little longer so that several changes share one report."""
         if self._next_change is None:
             self._next_change = asyncio.get_running_loop().create_future()
         try:
@@ -60,7 +60,7 @@
         )
 
     def _relay(self, unreachable: Sequence[UnreachableCoordinator]) -> list[SessionsReport]:
-        """What this keeper has heard itself of keepers that the asker can't reach."""
+        """Returns the sessions that unreachable coordinators reported directly to this one."""
         now = self._now()
         relayed = (self._relay_one(requested, now) for requested in unreachable)
         return [report for report in relayed if report is not None]
--- a/wingwood/membership/coordinator_state.py
+++ b/wingwood/membership/coordinator_state.py
@@ -1,4 +1,4 @@
-"""What all parts of a session keeper stand on: sessions, peers, and the union of all (docs/DESIGN.md section 8).
+"""State common to all parts of a coordinator: sessions, peers and all members (docs/DESIGN.md section 8).
 
 ``LocalSessions``, ``PeerPolling`` and ``CoordinatorReplies`` derive from it and form ``MembershipCoordinator``.
 """
@@ -20,7 +20,7 @@
 
 
 class Session:
-    """One daemon's session here."""
+    """One daemon's session at this coordinator."""
 
     def __init__(self, identity: Identity, renewed_at: Instant) -> None:
         self.identity = identity
@@ -28,7 +28,7 @@
 
 
 class CoordinatorState:
-    """A daemon is a member while any keeper holds a session of it, as far as this keeper knows."""
+    """A daemon is a member while any coordinator holds a session of it, according to the reports received here."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         self._seeds = tuple(seeds)
         self._times = times or SessionTimes()
         self._run_id = f"{context.random.getrandbits(48):012x}"
-        """Of this process: its numbers mean nothing after a restart, though the incarnation stays."""
+        """Identifies this process run: sequence numbers start again after a restart, while the incarnation stays."""
         self._local_sessions: dict[Incarnation, Session] = {}
         self._local_members = MemberList()
-        """Of the sessions here, and this keeper itself."""
+        """The daemons with a session here, and this coordinator itself."""
         self._all_members = MemberList()
         self._view = NamedView(self._all_members)
         self._peers: dict[Address, CoordinatorPeer] = {}
@@ -54,7 +54,7 @@
         self._seen_version_source: Callable[[], BundleVersion] = lambda: BundleVersion(0)
         self._change_callbacks: list[Callable[[], None]] = []
         self._next_change: asyncio.Future[None] | None = None
-        """Of the own sessions; other keepers wait for it."""
+        """Completed at the next change of the local sessions; other coordinators' requests wait for it."""
         self._core_was_formed = False
         self._trusted_from = Instant(context.clock.monotonic() + self._times.settling_period)
         self._isolated = False
@@ -67,7 +67,7 @@
         return self._context.clock.monotonic()
 
     def _mark_incomplete(self, now: Instant) -> None:
-        """What is known here counts as incomplete until daemons and peers had time to be heard again."""
+        """Treats the local data as incomplete until daemons and peers have had time to report again."""
         self._trusted_from = max(self._trusted_from, Instant(now + self._times.settling_period))
 
     def _live_coordinators(self) -> tuple[Address, ...]:
@@ -80,7 +80,7 @@
         return tuple(sorted([self._own_identity.internal, *heard]))
 
     def _update_membership(self, *incarnations: Incarnation) -> None:
-        """Works out anew whether those daemons are members."""
+        """Recomputes whether the daemons are members."""
         changed = False
         for incarnation in incarnations:
             identity = self._reported_identity(incarnation)
@@ -90,7 +90,7 @@
                 callback()
 
     def _reported_identity(self, incarnation: Incarnation) -> Identity | None:
-        """The daemon as this keeper, or else any other, holds it."""
+        """Returns the daemon's identity from the local sessions, or else from another coordinator's report."""
         identity = self._local_members.get(incarnation)
         if identity is None:
             found = (peer.identity_of_session(incarnation) for peer in self._peers.values())
--- a/wingwood/membership/limits.py
+++ b/wingwood/membership/limits.py
@@ -1,4 +1,4 @@
-"""Times of sessions, in seconds (docs/DESIGN.md section 8.1)."""
+"""Intervals and timeouts of sessions, in seconds (docs/DESIGN.md section 8.1)."""
 
 from __future__ import annotations
 
@@ -10,29 +10,33 @@
 class SessionTimes(msgspec.Struct, frozen=True, kw_only=True):
     heartbeat_interval: Seconds = Seconds(0.5)
     answer_timeout: Seconds = Seconds(0.4)
-    """How long a heartbeat's answer is waited for before another keeper is asked."""
+    """Time limit for the answer to a heartbeat; after it, another coordinator is tried."""
     session_timeout: Seconds = Seconds(2.0)
-    """A session without a heartbeat for this long is lost; a keeper that answers nobody is no member."""
+    """A session without a heartbeat for this long is lost; a coordinator silent for this long is no longer a member."""
     grace_period: Seconds = Seconds(2.5)
-    """Sessions of a silent keeper are kept this long, so that they resume elsewhere without leaving."""
+    """The sessions of a silent coordinator are retained for this long, so that they can resume at another one."""
     settling_period: Seconds = Seconds(2.5)
-    """How long a young or woken keeper's list is merged and not trusted to remove."""
+    """For this long after a start or a stall, a coordinator's list may add members but not remove any."""
     poll_wait: Seconds = Seconds(0.5)
-    """Longest that a keeper holds back its answer to another while nothing changes."""
+    """Longest time that a coordinator delays its answer to another coordinator while nothing changes."""
     unreachable_after: Seconds = Seconds(1.1)
-    """A keeper that hasn't answered for this long is asked after at the others."""
+    """After this long without an answer from a coordinator, the other coordinators are asked for its sessions."""
     sweep_interval: Seconds = Seconds(0.1)
     coalescing_delay: Seconds = Seconds(0.03)
     retry_pause: Seconds = Seconds(0.25)
     isolation_window: Seconds = Seconds(10.0)
-    """So long a keeper that hears less than half of those it heard before takes this for its own fault."""
+    """Period over which a coordinator counts its peers for detecting its own isolation.
+
+    A coordinator is isolated when it has reports from at most half of the coordinators (itself included) that
+    reported within this period.
+    """
     inquiry_interval: Seconds = Seconds(2.0)
-    """How often others are asked after a keeper of which nobody has heard for a while."""
+    """Interval of asking the others for a coordinator that has been silent for more than two session timeouts."""
     slow_retry_after: Seconds = Seconds(30.0)
-    """A keeper silent for longer is asked less often."""
+    """A coordinator that has been silent for longer is polled less often."""
     forget_after: Seconds = Seconds(600.0)
-    """A keeper silent for longer, at an address that is no seed, is asked no more."""
+    """A coordinator that has been silent for longer is no longer polled, unless its address is a seed."""
     max_members_per_answer: int = 128
-    """Most members in one answer; the rest follows with the next heartbeats, which come sooner."""
+    """Maximum number of members in one answer; the others follow with the next heartbeats, which come sooner."""
     rebalance_interval: Seconds = Seconds(30.0)
-    """How often a daemon looks whether a keeper that suits it better has come back."""
+    """Interval at which a daemon checks whether a better-ranked coordinator has come back."""
--- a/wingwood/membership/local_sessions.py
+++ b/wingwood/membership/local_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of daemons with one keeper: begun and renewed by heartbeats (docs/DESIGN.md section 8)."""
+"""The sessions of daemons with one coordinator, started and renewed by heartbeats (docs/DESIGN.md section 8)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class LocalSessions(CoordinatorState):
-    """Answers to daemons that hold their session here, or compare their view of the members."""
+    """Answers daemons that hold a session here or compare their view of the members."""
 
     async def _on_heartbeat(self, peer: Identity, message: Heartbeat) -> HeartbeatAnswer:
         now = self._now()
@@ -45,13 +45,17 @@
         )
 
     def _changes_since(self, position: Position | None) -> Changes | None:
-        """None: they are not known; the daemon has to compare its whole view."""
+        """Returns the changes, or None if they are not retained, so that the daemon must compare its complete view."""
         if position is None or position.run_id != self._run_id:
             return None
         return self._all_members.changes_since(position.sequence, self._times.max_members_per_answer)
 
     def _renew(self, peer: Identity, message: Heartbeat, now: Instant, was_member: bool) -> bool:
-        """Counts a heartbeat from the time of the last answer that the sender received."""
+        """Starts or renews the session; returns whether the heartbeat was admitted.
+
+        A heartbeat counts from the time of the last answer that its sender received: a daemon that receives no
+        answers is not a member.
+        """
         if message.last_answer_age is None:
             return False
         unanswered_for = max(0.0, message.last_answer_age - self._times.heartbeat_interval)
@@ -71,7 +75,7 @@
         return True
 
     def _end_superseded(self, peer: Identity) -> None:
-        """A new process at an address: the one that listened there before is gone."""
+        """Ends the sessions of earlier processes at the address of a new process."""
         for incarnation, session in list(self._local_sessions.items()):
             if incarnation != peer.incarnation and session.identity.internal == peer.internal:
                 self._end_session(incarnation, "superseded")
@@ -114,10 +118,10 @@
                 self._end_session(session.identity.incarnation, "lost")
             elif (
                 processes_per_address[session.identity.internal] > 1
-            ):  # Another keeper holds a new process at that address.
+            ):  # Another coordinator holds a session of a new process at that address.
                 self._end_session(session.identity.incarnation, "superseded")
 
     def _extend_sessions(self, seconds: Seconds) -> None:
-        """This process stood still for so long: the silence was its own."""
+        """Extends the sessions by the time during which this process was suspended; the silence was its own."""
         for session in self._local_sessions.values():
             session.renewed_at = Instant(session.renewed_at + seconds)
--- a/wingwood/membership/member_list.py
+++ b/wingwood/membership/member_list.py
@@ -1,4 +1,4 @@
-"""A list of daemons with an order-free digest and numbered changes (docs/DESIGN.md section 8.2)."""
+"""A list of daemons with an order-independent digest and numbered changes (docs/DESIGN.md section 8.2)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """Up to change number ``last_sequence``: who is on the list now, and who is no more."""
+    """Changes up to number ``last_sequence``: the daemons that are on the list now, and those that are not."""
 
     last_sequence: int
     joined: tuple[Identity, ...]
@@ -28,7 +28,7 @@
 
 
 class MemberList:
-    """Identities by incarnation. Changes are numbered; the last ``max_retained_changes`` of them can be told again."""
+    """Identities by incarnation. Changes are numbered, and the last ``max_retained_changes`` of them are retained."""
 
     def __init__(self, max_retained_changes: int = 4096) -> None:
         self.sequence = 0
@@ -48,15 +48,15 @@
         return self._members.get(incarnation)
 
     def incarnations(self) -> list[Incarnation]:
-        """Oldest entry first."""
+        """Returns the incarnations in the order of their entry, the oldest first."""
         return list(self._members)
 
     def identities(self) -> list[Identity]:
-        """Oldest entry first."""
+        """Returns the identities in the order of their entry, the oldest first."""
         return list(self._members.values())
 
     def put(self, identity: Identity) -> bool:
-        """True when this changed the list."""
+        """Returns whether this changed the list."""
         incarnation = identity.incarnation
         if self._members.get(incarnation) == identity:
             return False
@@ -79,9 +79,9 @@
         self._changes.append((self.sequence, incarnation))
 
     def changes_since(self, sequence: int, limit: int = 1 << 30) -> Changes | None:
-        """What joined and what left after that change; None when it is too long ago or not of this list.
+        """Returns the changes after ``sequence``, or None if they are not retained or ``sequence`` is of another list.
 
-        Of more than ``limit`` changes the oldest are told.
+        If there are more than ``limit`` changes, the oldest ones are returned.
         """
         if sequence == self.sequence:
             return Changes(sequence, (), ())
@@ -95,7 +95,7 @@
         return Changes(included[-1][0], joined, left)
 
     def buckets(self, count: int) -> tuple[int, ...]:
-        """Digest of each of ``count`` parts; a member's part follows from its fingerprint."""
+        """Returns the digests of ``count`` buckets; a member's bucket follows from its fingerprint."""
         if self._buckets is not None and self._buckets[:2] == (self.sequence, count):
             return self._buckets[2]
         sums = [0] * count
@@ -112,7 +112,7 @@
 
 
 class NamedView:
-    """The list sorted by name, whole and by role, made anew only after a change."""
+    """The list sorted by name, complete and by role, recomputed only after a change."""
 
     def __init__(self, members: MemberList) -> None:
         self._list = members
@@ -135,11 +135,11 @@
 
 
 def by_name(identities: Sequence[Identity]) -> tuple[Identity, ...]:
-    """Sorted by name; of several lives under one name the one heard of last."""
+    """Sorts the identities by name; of several incarnations with one name, the last one in the list is used."""
     latest = {identity.name: identity for identity in identities}
     return tuple(latest[name] for name in sorted(latest))
 
 
 def bucket_count(members: int) -> int:
-    """About four members to a bucket, so that a few changes cost a few buckets."""
+    """Returns a number of buckets with about four members each, so that few changes affect few buckets."""
     return min(1024, max(16, 1 << (max(1, members // 4) - 1).bit_length()))
--- a/wingwood/membership/messages.py
+++ b/wingwood/membership/messages.py
@@ -1,6 +1,6 @@
-"""What daemons and session keepers say to each other (docs/DESIGN.md section 8).
+"""Messages between daemons and membership coordinators (docs/DESIGN.md section 8).
 
-Everything a heartbeat carries is written as an array, since a thousand daemons send two a second.
+Everything that a heartbeat carries is encoded as an array, since a thousand daemons send two heartbeats a second.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """An Identity without field names, since whole lists of them travel."""
+    """An Identity encoded without field names, since complete member lists are transferred."""
 
     name: DaemonName
     incarnation: Incarnation
@@ -50,14 +50,17 @@
 
 
 class Position(msgspec.Struct, frozen=True, array_like=True):
-    """How far a list is known: changes up to ``sequence`` of the keeper whose process is ``run_id``."""
+    """State of a copied member list: it contains the changes up to ``sequence`` made by one run of a coordinator.
+
+    ``run_id`` identifies the coordinator's process run, because sequence numbers start again after a restart.
+    """
 
     run_id: str = msgspec.field(name="life")
     sequence: int
 
 
 class ClusterUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What a control daemon tells with each heartbeat answer besides members."""
+    """State of the fleet that a control daemon adds to each heartbeat answer."""
 
     WIRE_NAME: ClassVar[str] = "News"
 
@@ -65,67 +68,70 @@
     primary: Address | None = None
     """Internal address of the presumed primary."""
     latest_version: BundleVersion = msgspec.field(name="newest", default=BundleVersion(0))
-    """Newest version heard of; may be ahead of the proof."""
+    """Latest bundle version that was reported to the sender; may be later than ``proof_version``."""
     proof_version: BundleVersion = BundleVersion(0)
     proof_age: Seconds | None = None
-    """``proof_version`` was the newest acknowledged one this long before the answer; None: never proven."""
+    """Time since ``proof_version`` was proven to be the latest acknowledged version; None if it never was."""
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """Call, daemon to session keeper: renews (or begins) its session. Reply: HeartbeatAnswer."""
+    """Call from a daemon to a coordinator that starts or renews the daemon's session. Reply: HeartbeatAnswer."""
 
     position: Position | None
-    """How far the asker knows this keeper's list of members."""
+    """State of the sender's copy of this coordinator's member list; None if it has no such copy."""
     version: BundleVersion
-    """In force at the asker."""
+    """Bundle version in force at the sender."""
     epoch: Epoch
-    """Newest of which the asker knows."""
+    """Latest epoch that is known to the sender."""
     last_answer_age: Seconds | None = msgspec.field(name="unanswered")
-    """Since the asker sent its last heartbeat that was answered (by whomever); None: none ever was."""
+    """Time since the sender sent its last heartbeat that any coordinator answered; None if none was answered."""
 
 
 class HeartbeatAnswer(msgspec.Struct, frozen=True, array_like=True):
     position: Position
-    """Of the keeper's list, after the changes told here."""
+    """State of the coordinator's member list after the changes in this answer."""
     size: int
     digest: int
-    """Of the keeper's whole list."""
+    """Digest of the coordinator's complete member list."""
     update: ClusterUpdate = msgspec.field(name="news")
     was_member: bool
-    """False: others may have seen the asker leave."""
+    """False if other daemons may have seen the sender leave."""
     admitted: bool
-    """False: the asker has not shown yet that answers reach it; its session begins with its next heartbeat."""
+    """False if the sender has not yet shown that answers reach it; its session starts with its next heartbeat."""
     settling: bool
-    """The keeper is young, has just woken, or hears few others: its list may lack live members."""
+    """Whether the list may lack live members: the coordinator has just started or resumed, or is isolated."""
     isolated: bool = msgspec.field(name="alone")
-    """The keeper hears few other keepers: another one may know better."""
+    """Whether the coordinator reaches few other coordinators, so that another one may have a better list."""
     incremental: bool = msgspec.field(name="known")
-    """False: the asker's position means nothing here, no changes are told; compare digests."""
+    """Whether ``joined`` and ``left`` continue from the sender's position.
+
+    If False, the position is unknown to the coordinator and no changes are included; the digests must be compared.
+    """
     more: bool
-    """There are further changes than those told here."""
+    """Whether there are further changes than those in this answer."""
     joined: tuple[Member, ...] = ()
     left: tuple[Incarnation, ...] = ()
 
 
 class CompareMembers(msgspec.Struct, frozen=True, array_like=True):
-    """Call, daemon to session keeper: digests of the asker's list by bucket. Reply: MembersCompared."""
+    """Call from a daemon to a coordinator with the digests of its list by bucket. Reply: MembersCompared."""
 
     buckets: tuple[int, ...]
 
 
 class MembersCompared(msgspec.Struct, frozen=True, array_like=True):
-    """The whole content of buckets that differ."""
+    """The complete content of buckets that differ."""
 
     position: Position
     settling: bool
     more: bool
-    """Further buckets differ; ask again."""
+    """Whether further buckets differ, so that the daemon must compare again."""
     buckets: tuple[int, ...]
     members: tuple[Member, ...]
 
 
 class KnownControlsRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Call to any daemon, by one that looks for control daemons. Reply: KnownControls."""
+    """Call to any daemon by a daemon that looks for control daemons. Reply: KnownControls."""
 
     WIRE_NAME: ClassVar[str] = "AskKnownControls"
 
@@ -133,18 +139,18 @@
 class KnownControls(msgspec.Struct, frozen=True, array_like=True):
     controls: tuple[Address, ...]
     peers: tuple[Address, ...] = msgspec.field(name="fellows")
-    """Some other daemons that may know more."""
+    """Some other daemons that may know further control daemons."""
     epoch: Epoch
     version: BundleVersion
-    """Newest epoch and bundle version of which the answering daemon knows."""
+    """The latest epoch and bundle version known to the answering daemon are ``epoch`` and ``version``."""
 
 
 class EndSession(msgspec.Struct, frozen=True, array_like=True):
-    """Post, daemon to session keeper: it stops on purpose."""
+    """Post from a daemon to its coordinator when the daemon stops on purpose."""
 
 
 class UnreachableCoordinator(msgspec.Struct, frozen=True, array_like=True):
-    """A keeper that the asker can't reach itself, and how far it knows its sessions."""
+    """A coordinator that the sender cannot reach itself, and the state of the sender's copy of its sessions."""
 
     WIRE_NAME: ClassVar[str] = "Unheard"
 
@@ -153,19 +159,19 @@
 
 
 class SessionsRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Call between session keepers; answered at the next change or after ``wait``. Reply: SessionsReport."""
+    """Call between coordinators that is answered at the next change or after ``wait``. Reply: SessionsReport."""
 
     WIRE_NAME: ClassVar[str] = "AskSessions"
 
     position: Position | None
     wait: Seconds
     coordinators_checksum: int = msgspec.field(name="keepers")
-    """Checksum of the live keepers' addresses known to the asker."""
+    """Checksum of the addresses of the live coordinators known to the sender."""
     unreachable: tuple[UnreachableCoordinator, ...] = msgspec.field(name="unheard", default=())
 
 
 class SessionsReport(msgspec.Struct, frozen=True, array_like=True):
-    """Sessions held by one keeper (not the ones it has heard of)."""
+    """Sessions held by one coordinator, without the sessions that other coordinators reported to it."""
 
     WIRE_NAME: ClassVar[str] = "SessionsTold"
 
@@ -173,13 +179,13 @@
     position: Position
     digest: int
     complete: bool = msgspec.field(name="whole")
-    """``joined`` is everything; else it is what changed since the position asked from."""
+    """Whether ``joined`` is the complete list; otherwise it contains the changes since the requested position."""
     joined: tuple[Member, ...]
     left: tuple[Incarnation, ...]
     settling: bool = False
-    """The keeper has just started: daemons whose session its former life held may not have found it again."""
+    """Whether the coordinator has just started, so that the sessions of its previous run may still move to it."""
     age: Seconds = Seconds(0.0)
-    """How long before this answer the keeper told this (0 when it speaks itself)."""
+    """Time since the coordinator reported this; 0 when the coordinator itself sends the report."""
     relayed: tuple[SessionsReport, ...] = ()
     coordinators: tuple[Address, ...] = msgspec.field(name="keepers", default=())
-    """Live keepers' addresses, when the asker knows others."""
+    """Addresses of the live coordinators, when the requesting coordinator knows a different set."""
--- a/wingwood/membership/peer_polling.py
+++ b/wingwood/membership/peer_polling.py
@@ -1,4 +1,4 @@
-"""How a session keeper finds the others and keeps up with their sessions (docs/DESIGN.md section 8)."""
+"""Discovery of other coordinators and polling of their sessions (docs/DESIGN.md section 8)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PeerPolling(CoordinatorState):
-    """Asks each other keeper for its sessions, again and again, and after those that are not heard."""
+    """Polls each other coordinator for its sessions, and asks it for the sessions of unreachable ones."""
 
     def __init__(
         self,
@@ -29,12 +29,12 @@
     ) -> None:
         super().__init__(context, messenger, seeds, times)
         self._not_coordinators: dict[Address, Instant] = {}
-        """Seeds that are routers, and when that was found."""
+        """Seeds that are routers, with the time at which that was found."""
 
-    # -- finding
+    # -- discovery
 
     async def _discover_peers(self) -> None:
-        """Seeds may be routers: these know control daemons. Members that are control daemons are followed."""
+        """Polls the seeds and all members that are control daemons; asks router seeds for control daemons."""
         while True:
             for address in self._seeds:
                 if address in self._not_coordinators:
@@ -52,22 +52,22 @@
             self._core_was_formed |= known.version > 0 or known.epoch > 0
 
     def _add_peers(self, addresses: Sequence[Address]) -> None:
-        """Of keepers that may be there; each is followed from now on."""
+        """Starts polling the coordinators that may exist at these addresses."""
         for address in addresses:
             if address == self._own_identity.internal or address in self._peers:
                 continue
             peer = self._peers[address] = CoordinatorPeer(address, self._now())
             self._tasks.append(self._context.tasks.spawn(f"keeper {address}", self._poll_forever(peer)))
 
-    # -- asking
+    # -- requests
 
     async def _poll_forever(self, peer: CoordinatorPeer) -> None:
-        """One task for each other keeper: asks it for its sessions, again and again, until it is forgotten."""
+        """Requests the sessions of one other coordinator repeatedly, until the peer is forgotten."""
         while (pause := await self._poll_once(peer)) is not None:
             await self._context.clock.sleep(pause)
 
     async def _poll_once(self, peer: CoordinatorPeer) -> Seconds | None:
-        """Gives how long to wait until the next question; None: the peer was forgotten."""
+        """Returns the pause until the next request, or None if the peer was forgotten."""
         asked_at = self._now()
         unreachable = self._unreachable(peer, asked_at)
         wait = Seconds(0.0) if unreachable else self._times.poll_wait
@@ -91,7 +91,10 @@
             self._apply_relayed(relayed, asked_at)
 
     def _handle_no_answer(self, peer: CoordinatorPeer, fault: TransportFault, asked_at: Instant) -> Seconds | None:
-        """Forgets what is no keeper, and keepers silence_s for very long; seeds are never forgotten."""
+        """Returns the pause until the next request, or None if the peer was forgotten.
+
+        Seeds that are not coordinators are forgotten, as are other peers that have been silent for very long.
+        """
         if fault.kind == "rejected" and peer.address in self._seeds:
             self._not_coordinators[peer.address] = asked_at
             del self._peers[peer.address]
@@ -104,7 +107,7 @@
         return Seconds(pause * (0.8 + 0.4 * self._context.random.random()))
 
     def _unreachable(self, asked_peer: CoordinatorPeer, now: Instant) -> tuple[UnreachableCoordinator, ...]:
-        """Whom to ask after: soon after the silence began at once, later now and then."""
+        """Returns the peers to ask others for: recently silent ones with each request, other ones at intervals."""
         found = []
         for peer in self._peers.values():
             if peer is asked_peer or peer.direct_silence_s(now) <= self._times.unreachable_after:
@@ -116,7 +119,7 @@
                     peer.inquired_at = now
         return tuple(found)
 
-    # -- taking what was told
+    # -- reports
 
     def _apply_relayed(self, report: SessionsReport, asked_at: Instant) -> None:
         peer = self._peers.get(report.coordinator.internal)
@@ -130,7 +133,7 @@
         if not peer.is_outdated(report):
             self._update_membership(*peer.apply(report, Instant(reported_at + self._times.grace_period)))
 
-    # -- silence_s peers
+    # -- silent peers
 
     def _sweep_peer(self, peer: CoordinatorPeer, now: Instant) -> None:
         self._update_membership(*peer.drop_orphans(now))
@@ -151,7 +154,7 @@
             self._update_membership(*dropped)
 
     def _extend_peers(self, seconds: Seconds) -> None:
-        """This process stood still for so long: the silence was its own."""
+        """Extends the peers' latest reports by the time during which this process was suspended."""
         for peer in self._peers.values():
             if peer.last_report_at is not None:
                 peer.last_report_at = Instant(peer.last_report_at + seconds)
--- a/wingwood/membership/protocols.py
+++ b/wingwood/membership/protocols.py
@@ -1,4 +1,4 @@
-"""Who is a member, as the other slices see it (docs/DESIGN.md section 8)."""
+"""The view of the members that other packages use (docs/DESIGN.md section 8)."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Membership(Protocol):
-    """This daemon's view of the members; may differ from another's for a moment."""
+    """This daemon's view of the members; it may differ from another daemon's view for a moment."""
 
     def members(self) -> Sequence[Identity]:
-        """All live daemons, this one included once its session stands, sorted by name."""
+        """Returns all live daemons sorted by name, including this one once its session is established."""
         ...
 
     def routers(self) -> Sequence[Identity]: ...
@@ -23,7 +23,7 @@
     def is_member(self, incarnation: Incarnation) -> bool: ...
 
     def session_proven_at(self) -> Instant | None:
-        """Own clock before the question whose answer last confirmed the session; None before the first."""
+        """Returns the local time before the request whose answer last confirmed the session; None before the first."""
         ...
 
     def on_change(self, callback: Callable[[], None]) -> None: ...
--- a/wingwood/membership/rendezvous.py
+++ b/wingwood/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Highest-random-weight choice: every daemon with the same list makes the same choice (docs/DESIGN.md section 8)."""
+"""Rendezvous hashing: daemons with the same list make the same choice (docs/DESIGN.md section 8)."""
 
 from __future__ import annotations
 
@@ -17,5 +17,5 @@
 
 
 def ranked(key: str, candidates: Iterable[Candidate], name: Callable[[Candidate], str]) -> list[Candidate]:
-    """All candidates, the one that should keep ``key`` first."""
+    """Returns all candidates in order of decreasing weight; the first one is the choice for ``key``."""
     return sorted(candidates, key=lambda candidate: (-weight(key, name(candidate)), name(candidate)))
--- a/wingwood/transport/frames.py
+++ b/wingwood/transport/frames.py
@@ -1,4 +1,4 @@
-"""Length-framed msgpack between daemons (docs/DESIGN.md section 4)."""
+"""Length-prefixed msgpack frames between daemons (docs/DESIGN.md section 4)."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Who a daemon is, as told in its hello."""
+    """Identity and addresses of a daemon, as it states them in its hello."""
 
     name: DaemonName
     incarnation: Incarnation
     role: Literal["router", "control", "tool"]
     zone: Zone
     internal: Address
-    """Where its messenger listens."""
+    """Address at which its messenger listens."""
     operator: Address | None = None
-    """Where it serves workers and operators over HTTP."""
+    """Address at which it serves workers and operators over HTTP."""
     caller: Address | None = None
-    """Where it serves callers over HTTP (routers)."""
+    """Address at which it serves callers over HTTP (routers only)."""
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True):
@@ -35,7 +35,7 @@
     identity: Identity
     nonce: bytes
     proof: bytes
-    """Empty in the connecting side's first frame; else HMAC-SHA-256 over both nonces and the identity."""
+    """Empty in the connecting side's first frame, otherwise HMAC-SHA-256 over the identity and both nonces."""
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
@@ -46,7 +46,7 @@
 
 
 class FrameTooLarge(Exception):
-    """The other side announced a frame above the bound; the connection is closed."""
+    """The other side announced a frame above the size limit; the connection is closed."""
 
 
 def compute_proof(key: bytes, identity: Identity, own_nonce: bytes, other_nonce: bytes) -> bytes:
@@ -58,10 +58,13 @@
 
 
 async def read_frame(stream: BaseIOStream, max_bytes: int) -> bytes:
-    """Raises StreamClosedError at the end and FrameTooLarge above ``max_bytes`` bytes."""
+    """Reads one frame's payload.
+
+    Raises StreamClosedError at the end of the stream, and FrameTooLarge if the payload exceeds ``max_bytes``.
+    """
     length = int.from_bytes(await stream.read_bytes(LENGTH_BYTES), "big")
     if length > max_bytes:
-        raise FrameTooLarge(f"{length} bytes announced, {max_bytes} allowed")
+        raise FrameTooLarge(f"frame of {length} bytes announced, the limit is {max_bytes} bytes")
     return bytes(await stream.read_bytes(length))
 
 
--- a/wingwood/transport/messenger.py
+++ b/wingwood/transport/messenger.py
@@ -32,13 +32,13 @@
 
 
 def wire_name(message_type: type[msgspec.Struct]) -> str:
-    """Name that travels with messages of this type: the class's own ``WIRE_NAME``, else the name of the class."""
+    """Returns the name that travels with messages of this type: the class's ``WIRE_NAME``, else the class's name."""
     name: str = vars(message_type).get("WIRE_NAME", message_type.__name__)
     return name
 
 
 class TransportFault(msgspec.Struct, frozen=True):
-    """Why a call has no reply. ``sent`` False: it did not reach the peer and never will."""
+    """Reason why a call has no reply. If ``sent`` is False, it did not reach the peer and never will."""
 
     kind: Literal["unreachable", "timeout", "closed", "overloaded", "rejected"]
     sent: bool
@@ -46,18 +46,21 @@
 
 
 class Messenger(Protocol):
-    """What the slices see of the transport."""
+    """The interface of the transport that other packages use."""
 
     identity: Identity
 
     def on_call(
         self, message_type: type[Message], handler: Callable[[Identity, Message], Awaitable[msgspec.Struct]]
     ) -> None:
-        """Answers each call of that type; runs as a task of its own, so calls of one peer may overlap."""
+        """Registers the handler that answers calls of this type.
+
+        Each call is handled in its own task, so calls of one peer may overlap.
+        """
         ...
 
     def on_post(self, message_type: type[Message], handler: Callable[[Identity, Message], None]) -> None:
-        """Takes each post of that type, in the order of one peer's sending."""
+        """Registers the handler of posts of this type; it receives one peer's posts in the order of sending."""
         ...
 
     async def call(
@@ -65,7 +68,7 @@
     ) -> Result[Reply, TransportFault]: ...
 
     def post(self, address: Address, message: msgspec.Struct) -> None:
-        """Sends without an answer; lost silently when the peer is away."""
+        """Sends a message without an answer; it is lost without notice if the peer is unreachable."""
         ...
 
 
@@ -74,15 +77,15 @@
     max_unsent_bytes: int = 96 * 1024 * 1024
     max_calls_waiting: int = 20_000
     max_posts_waiting: int = 10_000
-    """Made while a link is connecting; further ones are lost, as to a peer that is away."""
+    """Limit for posts made while a link is connecting; further posts are lost, as with an unreachable peer."""
     connect_timeout: Seconds = Seconds(0.5)
     silence_timeout: Seconds = Seconds(1.5)
-    """A link on which a call has waited this long without any byte coming is closed and made anew."""
+    """A link is closed when a call on it has waited for this long and no byte was received; the next use reconnects."""
     retry_pause: Seconds = Seconds(0.1)
 
 
 class _Link:
-    """The outgoing connection to one peer; made when first needed, closed when silent."""
+    """The outgoing connection to one peer: opened at first use, closed when the peer is silent."""
 
     def __init__(self, messenger: TcpMessenger, address: Address) -> None:
         self.messenger = messenger
@@ -91,14 +94,14 @@
         self.waiting: dict[int, asyncio.Future[Result[msgspec.Raw, TransportFault]]] = {}
         self.connecting: asyncio.Future[bool] | None = None
         self.posts: list[Envelope] = []
-        """Made while connecting."""
+        """Posts made while connecting."""
         self.last_fault = ""
         self.last_byte_at = Instant(0.0)
         self.last_failure_at: Instant | None = None
         self.silent_since: Instant | None = None
-        """When the oldest call was made that ran out of time with no byte coming since."""
+        """Time of the oldest call that timed out without any byte received since."""
         self.transfer_progress: tuple[int, int] = (0, 0)
-        """Bytes of an unfinished frame that had come, and bytes sent of what had to wait, when last looked at."""
+        """Received bytes of an unfinished frame, and sent bytes while data was unsent, at the last check."""
 
     async def connected(self) -> bool:
         if self.stream is not None and not self.stream.closed():
@@ -107,7 +110,7 @@
         return connecting is not None and await asyncio.shield(connecting)
 
     def connect(self) -> asyncio.Future[bool] | None:
-        """Begins to connect, unless that is under way; None right after a failure."""
+        """Starts connecting unless that is in progress; returns None for a short time after a failure."""
         if self.connecting is None:
             pause = self.messenger.limits.retry_pause
             now = self.messenger.context.clock.monotonic()
@@ -118,7 +121,7 @@
         return self.connecting
 
     def post(self, envelope: Envelope) -> None:
-        """Writes now, or first thing when the link is there; posts keep their order."""
+        """Writes the post now, or as soon as the link is connected; the order of posts is kept."""
         if self.stream is not None and not self.stream.closed():
             self.write(envelope)
         elif self.connect() is not None and len(self.posts) < self.messenger.limits.max_posts_waiting:
@@ -192,9 +195,9 @@
         return stream
 
     def handle_call_timeout(self, called_at: Instant) -> None:
-        """A call made at ``called_at`` ran out of time; closes the link when nothing has come for too long.
+        """Closes the link if nothing has been received for too long; the call made at ``called_at`` timed out.
 
-        A large frame that is still under way, in either direction, is no silence.
+        A large frame that is still being transferred, in either direction, does not count as silence.
         """
         if self.last_byte_at >= called_at:
             return
@@ -207,7 +210,7 @@
             self.drop("silent")
 
     def is_transferring(self) -> bool:
-        """Whether bytes of a large frame came, or could be sent, since this was last asked."""
+        """Returns whether bytes of a large frame were received or sent since the previous check."""
         stream = self.stream
         if stream is None:
             return False
@@ -247,7 +250,10 @@
 
 
 class TcpMessenger:
-    """Links out to peers, and the listener for theirs. Mutual proof of the fleet key in the hello."""
+    """Outgoing links to peers and the listener for incoming ones.
+
+    In the hello, both sides prove that they have the fleet key.
+    """
 
     def __init__(self, context: Context, identity: Identity, key: bytes, limits: TransportLimits | None = None) -> None:
         self.context = context
@@ -263,7 +269,7 @@
         self.bytes_out = 0
         self.bytes_in = 0
         self.messages_out = 0
-        """Calls, posts and replies."""
+        """Number of calls, posts and replies sent."""
 
     def on_call(
         self, message_type: type[Message], handler: Callable[[Identity, Message], Awaitable[msgspec.Struct]]
