--- a/wingwood/distribution/tests/test_broken_variants.py
+++ b/wingwood/distribution/tests/test_broken_variants.py
@@ -155,17 +155,15 @@
         self.caught(fleet_of(limits=hasty), distribution.RollOutTest, "storm_of_fifty_changes_a_second")
 
     def test_sessions(self) -> None:
-        deaf = "router_cut_off_in_one_direction_leaves_and_comes_back"
+        deaf = "router_partitioned_in_one_direction_leaves_and_rejoins"
         self.caught(fleet_of(HearsayKeeper), sessions.SessionsTest, deaf)
-        apart = "control_daemons_cut_from_each_other_still_see_each_others_sessions"
+        apart = "partitioned_control_daemons_receive_sessions_by_relay"
         self.caught(fleet_of(KeeperWithoutRelay), sessions.SessionsTest, apart)
-        restarted = "control_daemon_restarted_at_once_loses_nobody"
+        restarted = "control_daemon_restarted_at_once_loses_no_member"
         self.caught(fleet_of(ForgetfulKeeper), sessions.SessionsTest, restarted)
-        isolated = "keeper_cut_off_from_the_others_loses_its_routers_to_them"
+        isolated = "routers_move_away_from_an_isolated_coordinator"
         self.caught(fleet_of(SelfAssuredKeeper), sessions.SessionsTest, isolated)
         graceless = SessionTimes(grace_period=Seconds(0.3), session_timeout=Seconds(0.3))
-        self.caught(fleet_of(times=graceless), sessions.SessionsTest, "no_member_flaps_when_a_control_daemon_dies")
+        self.caught(fleet_of(times=graceless), sessions.SessionsTest, "no_member_flaps_when_a_control_daemon_fails")
         hasty = SessionTimes(settling_period=Seconds(0.0))
-        self.caught(
-            fleet_of(times=hasty), sessions.SessionsTest, "all_control_daemons_killed_and_started_empty_of_sessions"
-        )
+        self.caught(fleet_of(times=hasty), sessions.SessionsTest, "no_member_is_lost_when_all_control_daemons_restart")
--- a/wingwood/journal/tests/test_journal.py
+++ b/wingwood/journal/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal under lost power, partial writes, stalls and damage (docs/DESIGN.md section 7.5)."""
+"""The journal under power loss, partial writes, stalled calls and damaged files (docs/DESIGN.md section 7.5)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from .memory_disk import MemoryDisk, PowerLost
 
 
-class SilentLog:
+class RecordingLog:
     def __init__(self) -> None:
         self.events: list[str] = []
 
@@ -29,7 +29,7 @@
 
 
 def make_context(world: World, disk: MemoryDisk, seed: int = 0) -> Context:
-    return Context(SimulatedClock(world), None, disk, None, random.Random(seed), SilentLog(), None)  # type: ignore[arg-type]
+    return Context(SimulatedClock(world), None, disk, None, random.Random(seed), RecordingLog(), None)  # type: ignore[arg-type]
 
 
 def on_simulated_time(test: Callable[[JournalTests], Awaitable[None]]) -> Callable[[JournalTests], None]:
@@ -54,7 +54,8 @@
     def journal(self) -> Journal:
         return Journal(self.context, "control.journal", Seconds(0.01))
 
-    async def created(self, *payloads: bytes) -> Journal:
+    async def create_journal(self, *payloads: bytes) -> Journal:
+        """Creates a journal with the payload ``first`` and appends the payloads."""
         journal = self.journal()
         self.assertEqual(await journal.create([b"first"]), Success(None))
         for payload in payloads:
@@ -65,17 +66,20 @@
         return (await self.journal().open()).unwrap()
 
     @on_simulated_time
-    async def test_reads_back_what_was_appended(self) -> None:
-        await self.created(b"one", b"", b"three" * 1000)
+    async def test_reads_back_appended_payloads(self) -> None:
+        """All payloads must be read back in order, also empty and long ones."""
+        await self.create_journal(b"one", b"", b"three" * 1000)
         self.assertEqual(await self.read_back(), [b"first", b"one", b"", b"three" * 1000])
 
     @on_simulated_time
-    async def test_missing_journal_is_said(self) -> None:
+    async def test_missing_journal_is_reported(self) -> None:
+        """Opening a journal that does not exist must fail as ``missing``."""
         self.assertEqual((await self.journal().open()).failure().kind, "missing")
 
     @on_simulated_time
-    async def test_every_cut_of_the_tail_loses_only_the_last_record(self) -> None:
-        await self.created(b"one", b"two" * 5)
+    async def test_truncation_within_the_last_frame_loses_only_that_frame(self) -> None:
+        """A file that ends anywhere within its last frame must lose that frame only, and be truncated."""
+        await self.create_journal(b"one", b"two" * 5)
         complete_file = self.disk.files["control.journal"]
         start = scan(complete_file).unwrap().valid_bytes - len(b"two" * 5) - 16
         for length in range(start, len(complete_file)):
@@ -84,8 +88,9 @@
             self.assertEqual(len(self.disk.files["control.journal"]), start)
 
     @on_simulated_time
-    async def test_every_flipped_byte_before_the_last_record_is_damage_at_its_frame(self) -> None:
-        await self.created(b"one" * 3, b"two")
+    async def test_flipped_byte_before_the_last_frame_is_reported_at_its_frame(self) -> None:
+        """A flipped byte that a valid frame follows must be reported as damage, not truncated as a torn tail."""
+        await self.create_journal(b"one" * 3, b"two")
         complete_file = self.disk.files["control.journal"]
         last = len(complete_file) - 16 - 3
         for position in range(last):
@@ -100,8 +105,9 @@
         self.assertEqual((await self.journal().open()).failure().kind, "damaged")
 
     @on_simulated_time
-    async def test_a_rewritten_file_is_never_taken_for_torn(self) -> None:
-        journal = await self.created(b"one")
+    async def test_rewritten_file_is_never_treated_as_torn(self) -> None:
+        """A rewritten file was synced before its rename, so any damage to it must be reported as damage."""
+        journal = await self.create_journal(b"one")
         await journal.rewrite(lambda: [b"first", b"the whole state"])
         complete_file = self.disk.files["control.journal"]
         for position in range(len(complete_file)):
@@ -112,8 +118,9 @@
                 self.assertEqual((await self.journal().open()).failure().kind, "damaged")
 
     @on_simulated_time
-    async def test_a_payload_that_holds_a_journal_is_no_damage_when_torn(self) -> None:
-        await self.created(b"one")
+    async def test_torn_payload_that_contains_a_journal_is_no_damage(self) -> None:
+        """Frames inside a torn payload must not be taken for valid frames of the file itself."""
+        await self.create_journal(b"one")
         inner = self.disk.files["control.journal"]
         journal = self.journal()
         await journal.open()
@@ -122,8 +129,9 @@
         self.assertEqual(await self.read_back(), [b"first", b"one"])
 
     @on_simulated_time
-    async def test_a_failed_append_leaves_nothing_and_the_next_one_holds(self) -> None:
-        journal = await self.created(b"one")
+    async def test_failed_append_leaves_nothing_and_the_next_one_succeeds(self) -> None:
+        """Appends that fail on a full disk must leave no bytes that damage later records."""
+        journal = await self.create_journal(b"one")
         for _ in range(20):
             self.disk.fault, self.disk.failing_operations = DiskFault("full"), ("append",)
             self.assertEqual((await journal.append(b"lost" * 9)).failure().kind, "full")
@@ -132,8 +140,9 @@
         self.assertEqual(await self.read_back(), [b"first", b"one", b"two"])
 
     @on_simulated_time
-    async def test_when_the_tail_cannot_be_cut_off_it_is_sick_until_opened(self) -> None:
-        journal = await self.created(b"one")
+    async def test_journal_is_unusable_until_opened_if_truncation_fails(self) -> None:
+        """If a partial append cannot be truncated, later appends must fail until the journal is opened again."""
+        journal = await self.create_journal(b"one")
         self.disk.fault, self.disk.failing_operations = DiskFault("failed"), ("append", "truncate")
         self.assertEqual((await journal.append(b"lost" * 9)).failure().kind, "failed")
         self.disk.fault = None
@@ -143,8 +152,9 @@
         self.assertEqual((await self.read_back())[-1], b"two")
 
     @on_simulated_time
-    async def test_a_stalled_append_is_slow_then_sick_and_never_overlaps_another_call(self) -> None:
-        journal = await self.created(b"one")
+    async def test_stalled_append_is_slow_and_never_overlaps_another_call(self) -> None:
+        """A disk call that exceeds its time limit must never run together with another call on the file."""
+        journal = await self.create_journal(b"one")
         self.disk.stall_event = asyncio.Event()
         self.assertEqual((await journal.append(b"late")).failure().kind, "slow")
         self.assertEqual((await journal.append(b"two")).failure().kind, "sick")
@@ -155,8 +165,9 @@
         self.assertEqual(self.disk.max_active_calls, 1)
 
     @on_simulated_time
-    async def test_appends_go_on_during_a_compaction_and_wait_for_one_piece_at_most(self) -> None:
-        journal = await self.created(b"one")
+    async def test_append_during_compaction_waits_for_one_chunk_at_most(self) -> None:
+        """A long compaction must not delay an append by more than one chunk, nor lose it."""
+        journal = await self.create_journal(b"one")
         complete_file = b"state" * (COMPACTION_CHUNK_BYTES // 5 * 3)
         compacting = asyncio.ensure_future(journal.compact([b"first", complete_file]))
         calls: list[int] = []
@@ -169,9 +180,10 @@
         self.assertEqual(await self.read_back(), [b"first", complete_file, *[b"more"] * len(calls)])
 
     @on_simulated_time
-    async def test_a_compaction_is_given_up_when_the_file_is_replaced_meanwhile(self) -> None:
+    async def test_compaction_is_aborted_when_the_file_is_replaced(self) -> None:
+        """A compaction must not overwrite a file that was replaced or opened again since it started."""
         for replace in (True, False):
-            journal = await self.created(b"one")
+            journal = await self.create_journal(b"one")
             compacting = asyncio.ensure_future(journal.compact([b"x" * COMPACTION_CHUNK_BYTES * 2]))
             await asyncio.sleep(0)
             if replace:
@@ -184,8 +196,9 @@
             self.assertEqual(await self.read_back(), expected)
 
     @on_simulated_time
-    async def test_a_full_disk_during_a_compaction_leaves_the_old_file(self) -> None:
-        journal = await self.created(b"one")
+    async def test_full_disk_during_compaction_leaves_the_old_file(self) -> None:
+        """A compaction that fails must lose neither earlier records nor those appended meanwhile."""
+        journal = await self.create_journal(b"one")
         self.disk.fault, self.disk.failing_operations = DiskFault("full"), ("write_new",)
         self.assertEqual((await journal.compact([b"x"])).failure().kind, "full")
         self.disk.fault = None
@@ -198,21 +211,23 @@
         self.assertEqual(await self.read_back(), [b"first", b"one", b"two", b"three"])
 
     @on_simulated_time
-    async def test_a_folder_emptied_or_changed_under_it_takes_no_append(self) -> None:
-        journal = await self.created(b"one")
+    async def test_removed_or_changed_file_accepts_no_append(self) -> None:
+        """If the file is removed or changed while the process runs, an append must fail and write nothing."""
+        journal = await self.create_journal(b"one")
         self.assertEqual(await journal.check(), Success(None))
         complete_file = self.disk.files.pop("control.journal")
         self.assertEqual((await journal.check()).failure().kind, "missing")
         for remaining_files in ({}, {"control.journal": complete_file[:-1]}):
-            journal = await self.created(b"one")
+            journal = await self.create_journal(b"one")
             self.disk.files = dict(remaining_files)
             self.assertEqual((await journal.append(b"two")).failure().kind, "missing")
             self.assertEqual((await journal.append(b"two")).failure().kind, "sick")
             self.assertEqual(self.disk.files, remaining_files)
 
     @on_simulated_time
-    async def test_a_rewrite_waits_for_appends_and_a_full_disk_leaves_the_old_file(self) -> None:
-        journal = await self.created(b"one")
+    async def test_rewrite_waits_for_appends_and_full_disk_leaves_the_old_file(self) -> None:
+        """A rewrite must include all earlier appends, and must leave the file as it is when the disk is full."""
+        journal = await self.create_journal(b"one")
         waiting = [asyncio.create_task(journal.append(bytes([number]))) for number in range(5)]
         rewriting = asyncio.create_task(journal.rewrite(lambda: [b"snapshot"]))
         after = asyncio.create_task(journal.append(b"after"))
@@ -224,11 +239,16 @@
         self.assertEqual(await self.read_back(), [b"snapshot", b"after", b"two"])
 
     @on_simulated_time
-    async def test_lost_power_at_any_call_keeps_all_that_was_said_to_be_synced(self) -> None:
+    async def test_power_loss_at_any_call_keeps_acknowledged_payloads(self) -> None:
+        """Payloads whose append returned success must survive a power loss during any later disk call."""
         for seed in range(300):
-            await self.lose_power(seed)
+            await self.run_until_power_loss(seed)
 
-    async def lose_power(self, seed: int) -> None:
+    async def run_until_power_loss(self, seed: int) -> None:
+        """Loses power at a random disk call and reads the file back.
+
+        It must hold the acknowledged payloads, or the result of the operation that was running.
+        """
         randomness = random.Random(seed)
         disk = MemoryDisk(seed)
         context = make_context(self.world, disk, seed)
--- a/wingwood/membership/tests/test_sessions.py
+++ b/wingwood/membership/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions under kills, freezes and cuts, on the simulator (docs/DESIGN.md section 8)."""
+"""Membership sessions under kills, suspensions and network partitions, on the simulator (docs/DESIGN.md section 8)."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class SessionsTest(unittest.TestCase):
     fleet = SmallFleet
 
-    def watch(self, fleet: SmallFleet, names: tuple[str, ...] = ()) -> list[tuple[float, str, tuple[str, ...]]]:
-        """Notes each change of each router's view."""
+    def record_views(self, fleet: SmallFleet, names: tuple[str, ...] = ()) -> list[tuple[float, str, tuple[str, ...]]]:
+        """Records each change of each router's view: the time, the router's name and its members."""
         seen: list[tuple[float, str, tuple[str, ...]]] = []
         for name, parts in fleet.routers.items():
             if not names or name in names:
@@ -25,23 +25,26 @@
                 )
         return seen
 
-    def everybody_seen(self, fleet: SmallFleet, within: float, apart_from: tuple[str, ...] = ()) -> None:
+    def assert_all_seen(self, fleet: SmallFleet, within: float, apart_from: tuple[str, ...] = ()) -> None:
+        """Asserts that within the time all running routers see all members except ``apart_from``."""
         expected = [name for name in fleet.everybody() if name not in apart_from]
         done = fleet.world.wait_for(lambda: fleet.all_see(expected, apart_from), within)
         views = {name: fleet.view_of(name) for name in fleet.versions()}
         self.assertTrue(done, f"expected {expected}, saw {views}")
         self.assertEqual(fleet.world.broken_invariants, [])
 
-    def test_killed_router_leaves_and_its_next_life_joins(self) -> None:
+    def test_killed_router_leaves_and_joins_again_after_restart(self) -> None:
+        """A killed router must leave within the session timeout, and its restarted process must join again."""
         with World(seed=1) as world:
             fleet = self.fleet(world)
             fleet.settle()
             world.kill("r05")
-            self.everybody_seen(fleet, 3.2, ("r05",))
+            self.assert_all_seen(fleet, 3.2, ("r05",))
             world.restart("r05")
-            self.everybody_seen(fleet, 1.5)
+            self.assert_all_seen(fleet, 1.5)
 
-    def test_restarted_router_takes_its_place_at_once(self) -> None:
+    def test_restarted_router_replaces_its_previous_process_at_once(self) -> None:
+        """A restart must not leave the session of the previous process in the lists until its timeout."""
         with World(seed=2) as world:
             fleet = self.fleet(world)
             fleet.settle()
@@ -49,10 +52,11 @@
             world.run(2.0)
             ids = {parts.client.members() for name, parts in fleet.routers.items()}
             self.assertEqual(len(ids), 1)
-            self.everybody_seen(fleet, 0.1)
+            self.assert_all_seen(fleet, 0.1)
             self.assertTrue(all(len(parts.client._list) == 14 for parts in fleet.routers.values()))
 
-    def test_frozen_router_leaves_and_learns_that_its_session_was_lost(self) -> None:
+    def test_suspended_router_leaves_and_learns_that_its_session_was_lost(self) -> None:
+        """A router that resumes after a suspension must learn exactly once, and soon, that others saw it leave."""
         for seed in range(4):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world)
@@ -60,76 +64,89 @@
                 lost: list[float] = []
                 fleet.routers["r02"].client.on_session_lost(lambda: lost.append(world.now))  # noqa: B023
                 world.freeze("r02")
-                self.everybody_seen(fleet, 3.2, ("r02",))
-                woken = world.now
+                self.assert_all_seen(fleet, 3.2, ("r02",))
+                resumed_at = world.now
                 world.wake("r02")
-                self.everybody_seen(fleet, 1.5)
+                self.assert_all_seen(fleet, 1.5)
                 self.assertEqual(len(lost), 1)
-                self.assertLess(lost[0] - woken, 1.0)
+                self.assertLess(lost[0] - resumed_at, 1.0)
 
-    def test_router_cut_off_in_one_direction_leaves_and_comes_back(self) -> None:
+    def test_router_partitioned_in_one_direction_leaves_and_rejoins(self) -> None:
+        """A router whose heartbeats arrive but that receives no answers, or the reverse, must not remain a member.
+
+        Until the network heals it retains its last view.
+        """
         for seed, inward in ((1, True), (2, False), (3, True), (4, False)):
             with self.subTest(seed=seed, inward=inward), World(seed) as world:
                 fleet = self.fleet(world)
                 fleet.settle()
                 cut = world.cut_off("r07", inward=inward, outward=not inward)
-                self.everybody_seen(fleet, 3.7, ("r07",))
+                self.assert_all_seen(fleet, 3.7, ("r07",))
                 world.run(5.0)
-                self.assertEqual(fleet.view_of("r07"), fleet.everybody(), "a cut-off router keeps its last view")
+                self.assertEqual(fleet.view_of("r07"), fleet.everybody(), "a partitioned router retains its last view")
                 world.heal(cut)
-                self.everybody_seen(fleet, 3.5)
+                self.assert_all_seen(fleet, 3.5)
 
-    def test_no_member_flaps_when_a_control_daemon_dies(self) -> None:
-        for seed, way in ((1, "kill"), (2, "freeze"), (3, "power"), (4, "kill")):
-            with self.subTest(seed=seed, way=way), World(seed) as world:
+    def test_no_member_flaps_when_a_control_daemon_fails(self) -> None:
+        """The sessions of a failed coordinator must move to others without any router being seen to leave."""
+        for seed, fault in ((1, "kill"), (2, "freeze"), (3, "power"), (4, "kill")):
+            with self.subTest(seed=seed, fault=fault), World(seed) as world:
                 fleet = self.fleet(world)
                 fleet.settle()
-                seen = self.watch(fleet)
-                {"kill": world.kill, "freeze": world.freeze, "power": world.power_off}[way]("c2")
-                self.everybody_seen(fleet, 3.5, ("c2",))
+                seen = self.record_views(fleet)
+                {"kill": world.kill, "freeze": world.freeze, "power": world.power_off}[fault]("c2")
+                self.assert_all_seen(fleet, 3.5, ("c2",))
                 world.run(4.0)
                 missing = [view for view in seen if set(fleet.routers) - set(view[2])]
                 self.assertEqual(missing, [])
-                if way == "power":
+                if fault == "power":
                     world.power_on("c2")
                 else:
-                    world.wake("c2") if way == "freeze" else world.restart("c2")
-                self.everybody_seen(fleet, 3.0)
+                    world.wake("c2") if fault == "freeze" else world.restart("c2")
+                self.assert_all_seen(fleet, 3.0)
                 world.run(4.0)
                 self.assertEqual([view for view in seen if set(fleet.routers) - set(view[2])], [])
-                self.everybody_seen(fleet, 0.1)
+                self.assert_all_seen(fleet, 0.1)
+
+    def test_control_daemon_restarted_at_once_loses_no_member(self) -> None:
+        """Other coordinators receive reports of the new process before its daemons have renewed their sessions there.
 
-    def test_control_daemon_restarted_at_once_loses_nobody(self) -> None:
-        """Others hear its new life before its daemons have found it again."""
+        The missing sessions must not be taken for departures.
+        """
         for seed in range(6):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world)
                 fleet.settle()
-                seen = self.watch(fleet)
+                seen = self.record_views(fleet)
                 for name in ("c2", "c3", "c1"):
                     world.restart(name)
                     world.run(4.0)
                 self.assertEqual([view for view in seen if set(fleet.routers) - set(view[2])], [])
-                self.everybody_seen(fleet, 0.1)
+                self.assert_all_seen(fleet, 0.1)
 
-    def test_all_control_daemons_killed_and_started_empty_of_sessions(self) -> None:
+    def test_no_member_is_lost_when_all_control_daemons_restart(self) -> None:
+        """Without coordinators the routers must retain their last list.
+
+        Restarted coordinators hold no sessions at first; their empty lists must not remove members.
+        """
         for seed in range(3):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world)
                 fleet.settle()
-                seen = self.watch(fleet)
+                seen = self.record_views(fleet)
                 for name in ("c1", "c2", "c3"):
                     world.kill(name)
                 world.run(20.0)
-                self.assertEqual(seen, [], "without control the last list is kept")
+                self.assertEqual(seen, [], "without control daemons the last list is retained")
                 for name, pause in (("c3", 0.0), ("c1", 1.0), ("c2", 4.0)):
                     world.run(pause)
                     world.restart(name)
-                self.everybody_seen(fleet, 4.0)
+                self.assert_all_seen(fleet, 4.0)
                 world.run(5.0)
                 self.assertEqual([view for view in seen if set(fleet.routers) - set(view[2])], [])
 
-    def test_members_that_died_with_all_control_daemons_leave_after_their_return(self) -> None:
+    def test_members_that_failed_with_all_control_daemons_leave_after_restart(self) -> None:
+        """A router that fails together with all coordinators must not remain in the retained lists for ever."""
         with World(seed=9) as world:
             fleet = self.fleet(world)
             fleet.settle()
@@ -138,42 +155,48 @@
             world.run(5.0)
             for name in ("c1", "c2", "c3"):
                 world.restart(name)
-            self.everybody_seen(fleet, 5.0, ("r04",))
+            self.assert_all_seen(fleet, 5.0, ("r04",))
 
-    def test_control_daemons_cut_from_each_other_still_see_each_others_sessions(self) -> None:
+    def test_partitioned_control_daemons_receive_sessions_by_relay(self) -> None:
+        """Two coordinators that cannot reach each other must receive each other's sessions through the third one."""
         for seed, one_way in ((1, False), (2, True), (3, True)):
             with self.subTest(seed=seed, one_way=one_way), World(seed) as world:
                 fleet = self.fleet(world)
                 fleet.settle()
-                seen = self.watch(fleet)
+                seen = self.record_views(fleet)
                 cut = world.cut("c1", "c2", both_ways=not one_way)
                 world.run(10.0)
                 self.assertEqual(seen, [])
                 world.kill("r03")
-                self.everybody_seen(fleet, 4.5, ("r03",))
+                self.assert_all_seen(fleet, 4.5, ("r03",))
                 world.restart("r03")
-                self.everybody_seen(fleet, 2.5)
+                self.assert_all_seen(fleet, 2.5)
                 world.heal(cut)
                 world.run(5.0)
-                self.everybody_seen(fleet, 0.1)
+                self.assert_all_seen(fleet, 0.1)
+
+    def test_lists_transferred_in_small_chunks_converge(self) -> None:
+        """Lists must converge when an answer has only three members.
 
-    def test_lists_told_in_small_pieces_grow_together(self) -> None:
-        """Three members at a time: a new router, a move to another keeper, and after all keepers' restart."""
+        This covers a new router, a move to another coordinator, and a restart of all coordinators.
+        """
         with World(seed=12) as world:
-            fleet = self.in_pieces(world)
+            fleet = self.fleet_with_small_answers(world)
             fleet.settle(8.0)
             fleet.start_router("r12", "a")
             world.run(0.1)
-            self.everybody_seen(fleet, 3.0)
+            self.assert_all_seen(fleet, 3.0)
             world.kill("c1")
             world.run(3.0)
             world.kill("r02")
-            self.everybody_seen(fleet, 4.0, ("c1", "r02"))
+            self.assert_all_seen(fleet, 4.0, ("c1", "r02"))
             for name in ("c1", "c2", "c3"):
                 world.restart(name)
-            self.everybody_seen(fleet, 6.0, ("r02",))
+            self.assert_all_seen(fleet, 6.0, ("r02",))
+
+    def fleet_with_small_answers(self, world: World) -> SmallFleet:
+        """Returns a fleet whose coordinators send at most three members in one answer."""
 
-    def in_pieces(self, world: World) -> SmallFleet:
         class Control(ControlParts):
             times = SessionTimes(max_members_per_answer=3)
 
@@ -183,46 +206,50 @@
         fleet: SmallFleet = Fleet(world)
         return fleet
 
-    def test_router_that_moves_to_a_keeper_just_back_from_isolation_misses_nobody(self) -> None:
+    def test_move_to_a_formerly_isolated_coordinator_loses_no_member(self) -> None:
+        """A coordinator that was just isolated has an old list; a router that moves to it must not drop members."""
         for seed in range(6):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world)
                 fleet.settle()
-                mover = next(name for name, keeper in self.keepers(fleet) if keeper != fleet.seeds[2])
-                seen = self.watch(fleet, (mover,))
+                router = next(name for name, coordinator in self.coordinators(fleet) if coordinator != fleet.seeds[2])
+                seen = self.record_views(fleet, (router,))
                 cut = world.cut_off("c3")
                 world.run(3.2)
                 world.heal(cut)
-                world.cut(mover, "c1"), world.cut(mover, "c2")
-                self.assertTrue(world.wait_for(lambda: dict(self.keepers(fleet))[mover] == fleet.seeds[2], 3.0))  # noqa: B023
+                world.cut(router, "c1"), world.cut(router, "c2")
+                self.assertTrue(world.wait_for(lambda: dict(self.coordinators(fleet))[router] == fleet.seeds[2], 3.0))  # noqa: B023
                 world.run(4.0)
                 self.assertEqual([view for view in seen if set(fleet.routers) - set(view[2])], [])
-                self.everybody_seen(fleet, 1.0)
+                self.assert_all_seen(fleet, 1.0)
 
-    def keepers(self, fleet: SmallFleet) -> list[tuple[str, Address | None]]:
+    def coordinators(self, fleet: SmallFleet) -> list[tuple[str, Address | None]]:
+        """Returns each router's name with the address of its coordinator."""
         return [(name, parts.client.coordinator()) for name, parts in sorted(fleet.routers.items())]
 
-    def test_keeper_cut_off_from_the_others_loses_its_routers_to_them(self) -> None:
-        """Its routers still reach it, and see nobody leave."""
+    def test_routers_move_away_from_an_isolated_coordinator(self) -> None:
+        """Routers that still reach an isolated coordinator must move to another one, and must not see anybody leave."""
         for seed in range(4):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world)
                 fleet.settle()
-                seen = self.watch(fleet)
+                seen = self.record_views(fleet)
                 world.cut("c3", "c1"), world.cut("c3", "c2")
                 world.run(6.0)
                 self.assertEqual([view for view in seen if set(fleet.routers) - set(view[2])], [])
-                self.assertNotIn(fleet.seeds[2], dict(self.keepers(fleet)).values())
+                self.assertNotIn(fleet.seeds[2], dict(self.coordinators(fleet)).values())
 
-    def test_last_keeper_alone_still_lets_the_dead_go(self) -> None:
+    def test_last_coordinator_still_removes_failed_members(self) -> None:
+        """A coordinator that remains alone must not treat its list as incomplete for ever."""
         with World(seed=2) as world:
             fleet = self.fleet(world)
             fleet.settle()
             for name in ("c1", "c2", "r05"):
                 world.power_off(name)
-            self.everybody_seen(fleet, 16.0, ("c1", "c2", "r05"))
+            self.assert_all_seen(fleet, 16.0, ("c1", "c2", "r05"))
 
-    def test_new_keeper_hears_of_one_that_it_never_reached(self) -> None:
+    def test_new_coordinator_learns_sessions_of_one_it_never_reached(self) -> None:
+        """A new coordinator that cannot reach another one must receive its sessions by relay from the start."""
         with World(seed=3) as world:
             fleet = self.fleet(world)
             fleet.settle()
@@ -232,25 +259,27 @@
             world.run(3.0)
             for name in fleet.routers:
                 world.cut(name, "c2"), world.cut(name, "c3")
-            self.everybody_seen(fleet, 4.0)
+            self.assert_all_seen(fleet, 4.0)
             world.run(4.0)
-            self.everybody_seen(fleet, 0.1)
+            self.assert_all_seen(fleet, 0.1)
 
-    def test_flapping_link_of_a_router_does_not_make_others_flap(self) -> None:
+    def test_flapping_link_of_one_router_does_not_affect_others(self) -> None:
+        """Repeated short partitions of one router must not make any other router leave a view."""
         with World(seed=3) as world:
             fleet = self.fleet(world)
             fleet.settle()
-            seen = self.watch(fleet)
+            seen = self.record_views(fleet)
             for _ in range(10):
                 cut = world.cut_off("r06")
                 world.run(0.4)
                 world.heal(cut)
                 world.run(0.4)
-            self.everybody_seen(fleet, 3.0)
+            self.assert_all_seen(fleet, 3.0)
             others = set(fleet.everybody()) - {"r06"}
             self.assertEqual([view for view in seen if others - set(view[2])], [])
 
-    def test_empty_control_machine_at_a_new_address_is_learnt_by_all(self) -> None:
+    def test_replaced_control_machines_are_found_by_all(self) -> None:
+        """All daemons must find new control machines, also when all control daemons of the seeds have been replaced."""
         with World(seed=4) as world:
             fleet = self.fleet(world)
             fleet.settle()
@@ -258,20 +287,21 @@
             world.run(1.0)
             fleet.start_control("c4", "c")
             world.run(0.1)
-            self.everybody_seen(fleet, 4.0, ("c3",))
+            self.assert_all_seen(fleet, 4.0, ("c3",))
             del fleet.controls["c3"]
             world.power_off("c2")
             world.run(1.0)
             fleet.start_control("c5", "b")
             world.run(0.1)
-            self.everybody_seen(fleet, 5.0, ("c2",))
+            self.assert_all_seen(fleet, 5.0, ("c2",))
             del fleet.controls["c2"]
             world.power_off("c1")
-            self.everybody_seen(fleet, 5.0, ("c1",))
-            held = {parts.client.coordinator() for parts in fleet.routers.values()}
-            self.assertLessEqual(held, {parts.messenger.identity.internal for parts in fleet.controls.values()})
+            self.assert_all_seen(fleet, 5.0, ("c1",))
+            used = {parts.client.coordinator() for parts in fleet.routers.values()}
+            self.assertLessEqual(used, {parts.messenger.identity.internal for parts in fleet.controls.values()})
 
     def test_router_that_stops_on_purpose_leaves_at_once(self) -> None:
+        """A router that ends its session must leave without the session timeout."""
         with World(seed=5) as world:
             fleet = self.fleet(world)
             fleet.settle()
@@ -283,13 +313,19 @@
             world.run(0.8)
             self.assertNotIn("r01", fleet.view_of("r02"))
 
-    def test_history_is_known_to_wiped_keepers_and_unknown_to_a_new_fleet(self) -> None:
+    def test_wiped_coordinators_learn_that_a_core_was_formed(self) -> None:
+        """Coordinators that lost their disks must learn from routers that a core was formed; in a new fleet none was.
+
+        While settling they must not decide that none was.
+        """
         with World(seed=7) as world:
             fleet = self.fleet(world)
             fleet.epoch = 0
             world.run(1.0)
             knows = {name: parts.keeper.knows_of_history for name, parts in fleet.controls.items()}
-            self.assertTrue(all(fleet.inside(name, knows[name]) for name in knows), "settling: not sure yet")
+            self.assertTrue(
+                all(fleet.inside(name, knows[name]) for name in knows), "while settling, a former core is assumed"
+            )
             world.run(3.0)
             self.assertFalse(any(fleet.inside(name, knows[name]) for name in knows))
             fleet.commit()
@@ -301,7 +337,8 @@
             knows = {name: parts.keeper.knows_of_history for name, parts in fleet.controls.items()}
             self.assertTrue(any(fleet.inside(name, knows[name]) for name in knows))
 
-    def test_duty_is_done_by_the_first_live_one_under_an_epoch(self) -> None:
+    def test_duty_is_performed_by_first_live_daemon_under_an_epoch(self) -> None:
+        """The next daemon in order must take over a duty, and commands of a lower epoch must be refused."""
         with World(seed=8) as world:
             fleet = self.fleet(world)
             fleet.settle()
@@ -317,6 +354,8 @@
             self.assertEqual(admitted, [True, True, False, True, False])
 
     def test_same_seed_gives_the_same_run(self) -> None:
+        """Runs of the simulator with one seed must be identical, also when sessions move."""
+
         def run() -> str:
             with World(seed=6) as world:
                 fleet = self.fleet(world)
--- a/wingwood/transport/tests/test_fuzzed_frames.py
+++ b/wingwood/transport/tests/test_fuzzed_frames.py
@@ -1,4 +1,4 @@
-"""Bytes of strangers, and frames of a peer that knows the key, never hurt a messenger (docs/DESIGN.md section 4)."""
+"""Random bytes and frames from unknown and authenticated peers must not harm a messenger (docs/DESIGN.md section 4)."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 STRANGER = Identity(DaemonName("stranger"), Incarnation("1"), "router", Zone("a"), Address("10.0.0.9", 1))
 NONCE = b"n" * 16
 HELLO = msgspec.msgpack.encode(Hello(PROTOCOL_VERSION, STRANGER, NONCE, b""))
-"""In the bounds of a stranger; what follows it fails the proof."""
+"""A well-formed first hello; whatever follows it fails the proof."""
 
 odd_values = st.recursive(
     st.none()
@@ -68,14 +68,14 @@
 
 
 class RawConnection:
-    """A connection to the messenger ``far``, by somebody who says what he likes."""
+    """A connection to the messenger ``far`` over which a test sends arbitrary bytes."""
 
     def __init__(self) -> None:
         self.peers = Peers()
         self.world: World = self.peers.world
 
     def run_exchange(self, data: bytes, positions: list[int], knows_key: bool) -> tuple[list[int], list[int], bool]:
-        """What reached the handlers, in order of posts and sorted answers, and whether the connection was closed."""
+        """Returns the posts in their order, the sorted answered calls, and whether the connection was closed."""
         closed: list[bool] = []
 
         async def run(context: Context) -> None:
@@ -119,9 +119,8 @@
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(sent_data, split_positions)
-    def test_frames_of_a_peer_are_taken_or_end_its_connection_wherever_they_are_split(
-        self, data: bytes, positions: list[int]
-    ) -> None:
+    def test_result_does_not_depend_on_where_frames_are_split(self, data: bytes, positions: list[int]) -> None:
+        """A messenger must handle an authenticated peer's bytes alike in whatever parts they arrive."""
         self.assertEqual(
             self.exchange_result(data, positions, knows_key=True), self.exchange_result(data, [], knows_key=True)
         )
@@ -131,11 +130,14 @@
         st.one_of(sent_data, st.binary(max_size=40), st.tuples(st.just(frame(HELLO)), sent_data).map(b"".join)),
         split_positions,
     )
-    def test_strangers_reach_no_handler_and_are_dropped(self, data: bytes, positions: list[int]) -> None:
+    def test_unauthenticated_peers_reach_no_handler(self, data: bytes, positions: list[int]) -> None:
+        """A connection without proof of the fleet key must reach no handler and must be closed."""
         posts, answered, closed = self.exchange_result(data, positions, knows_key=False)
         self.assertEqual((posts, answered, closed), ([], [], True))
 
-    def test_a_messenger_that_trusts_its_peers_names_is_caught(self) -> None:
+    def test_unchecked_message_name_is_detected(self) -> None:
+        """The checks of this module must fail for a messenger that looks up message names without a check."""
+
         def trusting(self: TcpMessenger, peer: Identity, envelope: Envelope) -> None:
             self._post_handlers[envelope.name]
 
--- a/wingwood/transport/tests/test_messenger.py
+++ b/wingwood/transport/tests/test_messenger.py
@@ -1,4 +1,4 @@
-"""Links between daemons on the simulated network: order, bounds, strangers, half-open connections."""
+"""Links between daemons on the simulated network: order, limits, unauthenticated peers, half-open connections."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 class Peers:
-    """Two daemons, ``near`` and ``far``; ``far`` answers questions and notes posts."""
+    """Two daemons, ``near`` and ``far``; ``far`` answers questions and records posts."""
 
     def __init__(
         self, seed: int = 1, far_key: bytes = KEY, limits: TransportLimits | None = None, answer_bytes: int = 0
     ) -> None:
-        """``answer_bytes``: of the answer to question 2."""
+        """``answer_bytes`` is the size of the filler in the answer to question 2."""
         self.answer_bytes = answer_bytes
         self.world = World(seed).__enter__()
         self.posts: list[int] = []
@@ -71,7 +71,7 @@
     def ask(
         self, question: msgspec.Struct, timeout: float = 1.0, within: float = 30.0
     ) -> Result[Answer, TransportFault]:
-        """Asks from within the process ``near`` and waits for the outcome."""
+        """Calls ``far`` from within the process ``near`` and returns the outcome."""
         outcomes: list[Result[Answer, TransportFault]] = []
 
         async def call() -> None:
@@ -97,7 +97,8 @@
         self.addCleanup(peers.world.close)
         return peers
 
-    def test_answers_find_their_questions_though_they_overtake_each_other(self) -> None:
+    def test_answers_out_of_order_are_matched_to_their_calls(self) -> None:
+        """Answers that arrive in another order than the calls must each complete the right call."""
         peers = self.peers()
         outcomes: dict[int, object] = {}
 
@@ -111,17 +112,20 @@
         self.assertEqual(outcomes, {number: Success(Answer(number)) for number in range(10)})
         self.assertEqual(peers.answered, list(reversed(range(10))))
 
-    def test_unknown_message_is_rejected_not_left_in_silence(self) -> None:
+    def test_unknown_message_is_rejected(self) -> None:
+        """A call without a handler must fail at once instead of running into its timeout."""
         outcome = self.peers().ask(Unknown())
         self.assertEqual(outcome, Failure(TransportFault("rejected", True, "no handler for Unknown")))
 
-    def test_nobody_listening_is_told_as_not_sent(self) -> None:
+    def test_unreachable_peer_is_reported_as_not_sent(self) -> None:
+        """If no process listens at the address, the fault must say that the call was not sent."""
         peers = self.peers()
         peers.world.kill("far")
         fault = peers.ask(Question(1)).failure()
         self.assertEqual((fault.kind, fault.sent), ("unreachable", False))
 
-    def test_peer_killed_in_the_middle_is_told_as_perhaps_done(self) -> None:
+    def test_peer_killed_during_a_call_is_reported_as_sent(self) -> None:
+        """If the peer fails during a call, the fault must say that the call may have been executed."""
         peers = self.peers()
         peers.world.at(peers.world.now + 0.5, lambda: peers.world.kill("far"))
         fault = peers.ask(Question(1, pause=5.0), timeout=10.0).failure()
@@ -130,7 +134,8 @@
         peers.world.run(0.5)
         self.assertEqual(peers.ask(Question(2)), Success(Answer(2)))
 
-    def test_call_to_a_frozen_peer_times_out_and_works_again_after_it_wakes(self) -> None:
+    def test_call_to_a_suspended_peer_times_out_and_works_after_it_resumes(self) -> None:
+        """A call to a suspended process must time out, and the link must be usable when the process resumes."""
         peers = self.peers()
         self.assertEqual(peers.ask(Question(1)), Success(Answer(1)))
         peers.world.freeze("far")
@@ -141,7 +146,8 @@
 
 
 class HalfOpenLinks(unittest.TestCase):
-    def test_link_to_a_machine_that_came_back_is_made_anew(self) -> None:
+    def test_link_reconnects_after_the_peer_machine_restarts(self) -> None:
+        """After a power failure the peer does not know the connection; the link must not remain half-open."""
         for seed in range(5):
             peers = Peers(seed)
             self.assertEqual(peers.ask(Question(1)), Success(Answer(1)))
@@ -152,7 +158,8 @@
             self.assertEqual(peers.ask(Question(3), timeout=2.0), Success(Answer(3)))
             peers.world.close()
 
-    def test_answers_cut_one_way_do_not_hold_the_link_after_healing(self) -> None:
+    def test_link_recovers_after_a_one_way_partition(self) -> None:
+        """A link that lost the answers of a one-way partition must work soon after the network heals."""
         for seed in range(5):
             peers = Peers(seed)
             self.assertEqual(peers.ask(Question(1)), Success(Answer(1)))
@@ -166,7 +173,7 @@
 
 
 class SlowLinks(unittest.TestCase):
-    """A frame that takes longer than the silence bound, while other calls run out of time behind it."""
+    """Transfers of a frame that takes longer than the silence timeout, while other calls behind it time out."""
 
     def outcomes(self, large: Question, answer_bytes: int) -> list[Result[Answer, TransportFault]]:
         peers = Peers(answer_bytes=answer_bytes)
@@ -189,16 +196,19 @@
         peers.world.run(20.0)
         return outcomes
 
-    def test_large_question_is_not_taken_for_a_silent_link(self) -> None:
+    def test_large_call_does_not_count_as_silence(self) -> None:
+        """A link that is sending a large call must not be closed as silent."""
         self.assertEqual(self.outcomes(Question(2, filler=b"x" * 1_500_000), 0), [Success(Answer(2))])
 
-    def test_large_answer_is_not_taken_for_a_silent_link(self) -> None:
+    def test_large_answer_does_not_count_as_silence(self) -> None:
+        """A link that is receiving a large answer must not be closed as silent."""
         outcomes = self.outcomes(Question(2), 1_500_000)
         self.assertEqual(outcomes, [Success(Answer(2, b"x" * 1_500_000))])
 
 
 class Posts(unittest.TestCase):
-    def test_posts_keep_their_order_across_the_making_of_the_link(self) -> None:
+    def test_posts_keep_their_order_while_the_link_connects(self) -> None:
+        """Posts made before and after the link is connected must arrive in the order of sending."""
         for seed in range(20):
             peers = Peers(seed)
 
@@ -213,7 +223,8 @@
             self.assertEqual(peers.posts, list(range(200)), f"seed {seed}")
             peers.world.close()
 
-    def test_post_in_the_moment_of_connecting_does_not_overtake_those_that_waited(self) -> None:
+    def test_post_right_after_connecting_does_not_overtake_waiting_posts(self) -> None:
+        """A post made right when the link is connected must arrive after the posts that waited for it."""
         peers = Peers()
         self.addCleanup(peers.world.close)
 
@@ -231,7 +242,8 @@
         peers.world.run(1)
         self.assertEqual(peers.posts, [0, 1, 2, 3])
 
-    def test_posts_to_an_absent_peer_are_lost_without_harm(self) -> None:
+    def test_posts_to_an_unreachable_peer_are_lost_without_error(self) -> None:
+        """Posts to an unreachable peer must be dropped without an error in the sender."""
         peers = Peers()
         self.addCleanup(peers.world.close)
         peers.world.kill("far")
@@ -240,7 +252,7 @@
         self.assertEqual((peers.posts, peers.world.broken_invariants), ([], []))
 
 
-class Strangers(unittest.TestCase):
+class UnauthenticatedPeers(unittest.TestCase):
     def send_raw(self, peers: Peers, data: bytes) -> list[str]:
         closed: list[str] = []
 
@@ -257,7 +269,8 @@
         peers.world.run(5)
         return closed
 
-    def test_strange_bytes_end_the_connection_with_one_log_line_and_harm_nobody(self) -> None:
+    def test_invalid_bytes_close_the_connection_with_one_log_event(self) -> None:
+        """Invalid bytes must close their connection, be logged once, and not affect other calls."""
         for data in (b"GET / HTTP/1.1\r\n\r\n", b"\x00\x00\x00\x04spam", b"\xff\xff\xff\xff", b"", b"\x00\x00"):
             peers = Peers()
             self.assertEqual(self.send_raw(peers, data), ["closed"], data)
@@ -267,6 +280,7 @@
             peers.world.close()
 
     def test_wrong_fleet_key_reaches_no_handler(self) -> None:
+        """A peer with another fleet key must be refused in the hello, before any message is handled."""
         peers = Peers(far_key=b"another fleet's")
         self.addCleanup(peers.world.close)
         fault = peers.ask(Question(1)).failure()
@@ -274,7 +288,8 @@
         self.assertEqual(peers.answered, [])
         self.assertEqual(peers.events("peer-refused"), 1)
 
-    def test_frame_above_the_bound_ends_the_link_and_smaller_ones_pass_again(self) -> None:
+    def test_frame_above_the_limit_closes_the_link_and_smaller_ones_pass_again(self) -> None:
+        """A frame above the size limit must close the connection, and the link must work again for smaller frames."""
         peers = Peers(limits=TransportLimits(max_frame_bytes=10_000))
         self.addCleanup(peers.world.close)
         self.assertEqual(peers.ask(Question(1, filler=bytes(9_000))), Success(Answer(1)))
