--- a/wingwood/membership/coordinator.py
+++ b/wingwood/membership/coordinator.py
@@ -86,8 +86,8 @@
 
     def session_proven_at(self) -> Instant | None:
         """Returns when another coordinator last answered; a coordinator without others proves nothing."""
-        heard = [peer.last_direct_at for peer in self._peers.values() if peer.last_direct_at is not None]
-        return max(heard, default=None)
+        answered_at = [peer.last_direct_at for peer in self._peers.values() if peer.last_direct_at is not None]
+        return max(answered_at, default=None)
 
     def on_change(self, callback: Callable[[], None]) -> None:
         self._change_callbacks.append(callback)
@@ -107,8 +107,8 @@
 
     def known_controls(self) -> list[Address]:
         """Returns the addresses of the known control daemons, those with the latest reports first."""
-        heard = sorted((peer for peer in self._peers.values() if peer.identity is not None), key=_silence_order)
-        return list(dict.fromkeys([self._own_identity.internal, *(peer.address for peer in heard)]))
+        known = sorted((peer for peer in self._peers.values() if peer.identity is not None), key=_silence_order)
+        return list(dict.fromkeys([self._own_identity.internal, *(peer.address for peer in known)]))
 
     def use_seeds(self, seeds: Sequence[Address]) -> None:
         """Replaces the seeds at which other coordinators are looked for; known coordinators are retained."""
@@ -156,14 +156,16 @@
         silence to its own connection.
         """
         ages = [now - peer.last_report_at for peer in self._peers.values() if peer.last_report_at is not None]
-        lately = 1 + sum(age <= self._times.isolation_window for age in ages)
-        heard = 1 + sum(age <= self._times.session_timeout for age in ages)
-        isolated = 2 * heard <= lately
+        recently_reporting = 1 + sum(age <= self._times.isolation_window for age in ages)
+        reporting = 1 + sum(age <= self._times.session_timeout for age in ages)
+        isolated = 2 * reporting <= recently_reporting
         if isolated or self._isolated:
             self._mark_incomplete(now)
         if isolated != self._isolated:
             self._isolated = isolated
-            self._context.log.event("keeper-alone" if isolated else "keeper-together", heard=heard, lately=lately)
+            self._context.log.event(
+                "keeper-alone" if isolated else "keeper-together", heard=reporting, lately=recently_reporting
+            )
 
 
 def _silence_order(peer: CoordinatorPeer) -> float:
--- a/wingwood/membership/coordinator_state.py
+++ b/wingwood/membership/coordinator_state.py
@@ -72,12 +72,12 @@
 
     def _live_coordinators(self) -> tuple[Address, ...]:
         now = self._now()
-        heard = [
+        reporting = [
             address
             for address, peer in self._peers.items()
             if peer.last_report_at is not None and now - peer.last_report_at <= self._times.session_timeout
         ]
-        return tuple(sorted([self._own_identity.internal, *heard]))
+        return tuple(sorted([self._own_identity.internal, *reporting]))
 
     def _update_membership(self, *incarnations: Incarnation) -> None:
         """Recomputes whether the daemons are members."""
--- a/wingwood/transport/tests/test_fuzzed_frames.py
+++ b/wingwood/transport/tests/test_fuzzed_frames.py
@@ -63,7 +63,7 @@
 
 
 def split(data: bytes, positions: list[int]) -> list[bytes]:
-    bounds = [0, *sorted(place % (len(data) + 1) for place in positions), len(data)]
+    bounds = [0, *sorted(position % (len(data) + 1) for position in positions), len(data)]
     return [data[start:end] for start, end in itertools.pairwise(bounds)]
 
 
