--- a/bench/hollow_daemons.py
+++ b/bench/hollow_daemons.py
@@ -167,7 +167,7 @@
             other_controls=keeper.known_controls,
         )
         publisher = BundlePublisher(context, messenger, core, CommittedBundles(core, state), keeper)
-        keeper.tell(publisher.news)
+        keeper.tell(publisher.membership_update)
         assert isinstance(messenger.start(), Success)
         core.start()
         keeper.start()
--- a/emulator/router_slices.py
+++ b/emulator/router_slices.py
@@ -70,7 +70,7 @@
     def current(self) -> Bundle | None:
         return self.bundle
 
-    def proven_newest_at(self) -> Instant | None:
+    def proven_latest_at(self) -> Instant | None:
         return None
 
     def may_serve(self) -> bool:
--- a/wingwood/command_line/bundle.py
+++ b/wingwood/command_line/bundle.py
@@ -17,7 +17,7 @@
 from ..bundle.orders import make_order
 from ..bundle.reading import HistoryAnswer
 from ..identifiers import Address, BundleVersion, OrderId, Seconds, WallTime
-from ..operator_api.reading import ShownBundle
+from ..operator_api.reading import BundleDocument
 from ..rollout.plan import keep_rollouts, read_rollouts
 from .change import changed_slices, differences, rebase
 from .client import NoBundle, OperatorClient
@@ -50,13 +50,13 @@
 def newest_slices(client: OperatorClient) -> tuple[BundleVersion, Slices]:
     """The newest version and its slices; version 0 without any when there is no bundle yet."""
     try:
-        shown = client.best(NEWEST, ShownBundle, lambda shown: math.inf if shown.newest else shown.version)
+        shown = client.best(NEWEST, BundleDocument, lambda shown: math.inf if shown.newest else shown.version)
     except NoBundle:
         return BundleVersion(0), {}
     return shown.version, _slices(shown)
 
 
-def _slices(shown: ShownBundle) -> Slices:
+def _slices(shown: BundleDocument) -> Slices:
     return {name: bytes(raw) for name, raw in shown.slices.items()}
 
 
@@ -301,12 +301,12 @@
         _print_bundle(shown)
 
 
-def _read_version(client: OperatorClient, version: int | None, newest: bool = False) -> ShownBundle:
+def _read_version(client: OperatorClient, version: int | None, newest: bool = False) -> BundleDocument:
     query = f"?version={version}" if version is not None else "?newest=1" if newest else ""
-    return client.read(f"/control/v1/bundle{query}", ShownBundle)
+    return client.read(f"/control/v1/bundle{query}", BundleDocument)
 
 
-def _print_bundle(shown: ShownBundle) -> None:
+def _print_bundle(shown: BundleDocument) -> None:
     manifest = shown.manifest
     click.echo(f"version {shown.version}{', the newest' if shown.newest else ''}, order {manifest.order}")
     click.echo(f"signed {_when(manifest.signed_at)} by {manifest.signer}")
--- a/wingwood/control/tests/test_editions.py
+++ b/wingwood/control/tests/test_editions.py
@@ -14,7 +14,7 @@
 from ...bundle.tests.samples import OPERATOR_KEYS, SIGNING_KEY, edition_change, sample_slices
 from ...context.protocols import Context
 from ...identifiers import BundleVersion, OrderId, Seconds
-from ...operator_api.editions import EditionClient, NewestEdition
+from ...operator_api.editions import EditionClient, LatestEdition
 from ..client import ControlClient
 from ..protocols import NotDecided
 from .edition_world import Answer, EditionWalk, EditionWorld
@@ -239,11 +239,11 @@
         super().__init__(control, (local,), context.clock, Seconds(3.0))
         self._local = local
 
-    async def newest(self) -> Result[NewestEdition | None, NotReadable]:
+    async def newest(self) -> Result[LatestEdition | None, NotReadable]:
         answer = self._local.read_bundle(BundleVersion(0))
         if answer.view is None:
             return Failure(NotReadable("none"))
-        return Success(NewestEdition(number_in(answer.view.slices[EDITION_SLICE]), answer.view))
+        return Success(LatestEdition(number_in(answer.view.slices[EDITION_SLICE]), answer.view))
 
 
 class BrokenVariantTests(unittest.TestCase):
--- a/wingwood/daemons/day_file.py
+++ b/wingwood/daemons/call_record_file.py
@@ -8,11 +8,11 @@
 from ..context.protocols import Context, DiskFault
 from ..identifiers import Seconds
 
-BATCH_EVERY = Seconds(1.0)
-MOST_WAITING = 8 * 1024 * 1024
+BATCH_INTERVAL_S = Seconds(1.0)
+MAX_WAITING_BYTES = 8 * 1024 * 1024
 
 
-class DayFile:
+class CallRecordFile:
     """Lines wait in memory for at most a second; above the bound they are dropped and counted, never waited for."""
 
     def __init__(self, context: Context, name: str) -> None:
@@ -29,7 +29,7 @@
         self._context.tasks.spawn("day file", self._write_forever())
 
     def write(self, line: bytes) -> None:
-        if self._bytes + len(line) > MOST_WAITING:
+        if self._bytes + len(line) > MAX_WAITING_BYTES:
             self.dropped += 1
             return
         self._waiting.append(line)
@@ -57,5 +57,5 @@
 
     async def _write_forever(self) -> None:
         while True:
-            await self._context.clock.sleep(BATCH_EVERY)
+            await self._context.clock.sleep(BATCH_INTERVAL_S)
             await self.flush()
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -32,11 +32,11 @@
 from ..transport.frames import Identity
 from ..transport.messenger import TcpMessenger
 from .dialect import ControlDialect
-from .process import NotStarted, Reread, run_daemon
+from .process import ReadSettings, StartFailure, run_daemon
 
-DISK_RETRY = Seconds(1.0)
+DISK_RETRY_PAUSE_S = Seconds(1.0)
 """Between tries to open the data folder of a full or failing disk at the start."""
-LED_WITHIN = Seconds(3.0)
+MAX_PRIMARY_PROOF_AGE_S = Seconds(3.0)
 """A proof of lead that is older says that nobody leads; above what a take-over costs."""
 
 
@@ -49,16 +49,16 @@
         self._dialect = dialect or ControlDialect()
         self._parts: ControlParts | None = None
 
-    async def start(self) -> Result[None, NotStarted]:
+    async def start(self) -> Result[None, StartFailure]:
         if self._settings.data_folder is None:
             self._parts = ControlParts(self._context, self._settings, None, self._dialect)
             return self._parts.start()
-        match await open_store(self._context, self._settings.begin_empty_when_damaged, retry_pause=DISK_RETRY):
+        match await open_store(self._context, self._settings.begin_empty_when_damaged, retry_pause=DISK_RETRY_PAUSE_S):
             case Success(opened):
                 self._parts = ControlParts(self._context, self._settings, opened, self._dialect)
                 return self._parts.start()
             case Failure(fault):
-                return Failure(NotStarted(fault.detail))
+                return Failure(StartFailure(fault.detail))
         raise AssertionError("a result is a success or a failure")
 
     async def drain(self) -> None:
@@ -72,7 +72,7 @@
 
     def settings_changed(self, settings: DaemonSettings) -> None:
         if self._parts is not None:
-            self._parts.keeper.use_seeds(settings.seeds)
+            self._parts.coordinator.use_seeds(settings.seeds)
 
 
 class ControlParts:
@@ -96,7 +96,7 @@
             operator=settings.operator,
         )
         self.messenger = TcpMessenger(context, self._identity, settings.fleet_key)
-        self.keeper = SessionKeeper(context, self.messenger, settings.seeds)
+        self.coordinator = SessionKeeper(context, self.messenger, settings.seeds)
         self.state = BundleState(
             settings.bundle_signers,
             settings.outcome_retention,
@@ -105,20 +105,20 @@
             settings.signing_key,
             context.clock.wall,
         )
-        self.ledger = LedgerState(context.clock, settings.ledger_retention, self.keeper.is_member)
+        self.ledger = LedgerState(context.clock, settings.ledger_retention, self.coordinator.is_member)
         self.core = self._make_core(opened)
         self.source = CommittedBundles(self.core, self.state)
-        self.publisher = BundlePublisher(context, self.messenger, self.core, self.source, self.keeper)
-        self.keeper.tell(self.publisher.news)
-        self.address_book = AddressBook(context, self.messenger, self.keeper)
-        self.registry = WorkerRegistry(context, self.messenger, self.keeper, settings, dialect.announcements)
+        self.publisher = BundlePublisher(context, self.messenger, self.core, self.source, self.coordinator)
+        self.coordinator.tell(self.publisher.membership_update)
+        self.address_book = AddressBook(context, self.messenger, self.coordinator)
+        self.registry = WorkerRegistry(context, self.messenger, self.coordinator, settings, dialect.announcements)
         self.client = ControlClient(context, self.messenger, self.core.control_addresses)
-        self.local_reader = LocalBundleReader(self.state, lambda: self.source.version, self._keeps_bundles)
+        self.local_reader = LocalBundleReader(self.state, lambda: self.source.version, self._stores_bundles)
         self.local_reader.serve(self.messenger)
         self.remote_reader = RemoteBundleReader(self.messenger, self._primary)
         self.editions = EditionClient(self.client, (self.local_reader, self.remote_reader), context.clock)
         self.metrics = CollectorRegistry()
-        self._gauges(self.metrics)
+        self._add_gauges(self.metrics)
         self._parsed: Bundle | None = None
         self.operator_server = OperatorServer(context)
         self.registry.add_routes(self.operator_server)
@@ -126,7 +126,7 @@
         ReadRoutes(
             current=self.current,
             reader=self,
-            members=self.keeper.members,
+            members=self.coordinator.members,
             workers=self.registry.all_workers,
             health=self.health,
             metrics=self.metrics,
@@ -136,7 +136,7 @@
     def _make_core(self, opened: tuple[ControlStore, Contents] | None) -> ReplicatedCore | RelayCore:
         context, seeds = self._context, self._settings.seeds
         if opened is None:
-            return RelayCore(context, self.messenger, seeds, self.keeper.known_controls)
+            return RelayCore(context, self.messenger, seeds, self.coordinator.known_controls)
         store, contents = opened
         return ReplicatedCore(
             context,
@@ -145,17 +145,17 @@
             contents,
             (self.state, self.ledger),
             seeds,
-            self.keeper.knows_of_history,
-            self.keeper.known_controls,
+            self.coordinator.knows_of_history,
+            self.coordinator.known_controls,
             losses_borne=self._settings.losses_borne,
         )
 
-    def start(self) -> Result[None, NotStarted]:
+    def start(self) -> Result[None, StartFailure]:
         if isinstance(listening := self.messenger.start(), Failure):
-            return Failure(NotStarted(f"internal address: {listening.failure().detail}"))
+            return Failure(StartFailure(f"internal address: {listening.failure().detail}"))
         if isinstance(listening := self.operator_server.start(self._settings.operator), Failure):
-            return Failure(NotStarted(f"operator address: {listening.failure().detail}"))
-        self.keeper.start()
+            return Failure(StartFailure(f"operator address: {listening.failure().detail}"))
+        self.coordinator.start()
         self.address_book.start()
         self.core.start()
         self.publisher.start()
@@ -165,7 +165,7 @@
     def stop(self) -> None:
         self.publisher.stop()
         self.address_book.stop()
-        self.keeper.stop()
+        self.coordinator.stop()
         self.operator_server.stop()
         self.messenger.stop()
 
@@ -186,28 +186,28 @@
     def health(self) -> HealthReport:
         now = self._context.clock.monotonic()
         report = self.core.report()
-        session = self.keeper.session_proven_at()
-        news = self.publisher.news()
-        seated = report.own_role in ("primary", "backup", "witness", "relay") and report.primary is not None
-        led = news.proof_age is not None and news.proof_age <= LED_WITHIN
+        session = self.coordinator.session_proven_at()
+        update = self.publisher.membership_update()
+        in_view = report.own_role in ("primary", "backup", "witness", "relay") and report.primary is not None
+        primary_proven = update.proof_age is not None and update.proof_age <= MAX_PRIMARY_PROOF_AGE_S
         reasons = [report.detail] if report.detail else []
-        if not seated:
+        if not in_view:
             relay = report.own_role == "relay"
             waits = "knows no view yet" if relay else "no seat in the view yet"
             reasons.append(f"{waits}: waits for the fleet to form" + ("" if relay else ", or as a spare"))
-        elif not led:
+        elif not primary_proven:
             reasons.append("no primary has proven its lead to this daemon of late")
         return HealthReport(
             name=self._settings.name,
             role="control",
             zone=self._settings.zone,
             incarnation=self._identity.incarnation,
-            ready=seated and led,
+            ready=in_view and primary_proven,
             reasons=tuple(reasons),
-            version=BundleVersion(max(self.source.version, news.proof_version)),
-            bundle_proven_age=news.proof_age,
+            version=BundleVersion(max(self.source.version, update.proof_version)),
+            bundle_proven_age=update.proof_age,
             session_age=None if session is None else Seconds(now - session),
-            members=len(self.keeper.members()),
+            members=len(self.coordinator.members()),
             workers_ready=sum(worker.state == "ready" for worker in self.registry.all_workers()),
             control=report,
         )
@@ -220,7 +220,7 @@
     async def history(self, most: int) -> Result[HistoryAnswer, NotReadable]:
         return await (self.local_reader if self.local_reader.is_sure() else self.remote_reader).history(most)
 
-    def _keeps_bundles(self) -> bool:
+    def _stores_bundles(self) -> bool:
         """The primary, or a backup that has heard what is durable."""
         return self.core.leads() or (self.core.report().own_role == "backup" and self.source.version > 0)
 
@@ -228,7 +228,7 @@
         primary = self.core.primary_address()
         return () if primary is None else (primary,)
 
-    def _gauges(self, registry: CollectorRegistry) -> None:
+    def _add_gauges(self, registry: CollectorRegistry) -> None:
         leads = Gauge("wingwood_control_leads", "1 while this daemon is primary", registry=registry)
         leads.set_function(lambda: float(self.core.leads()))
         complete = Gauge("wingwood_control_complete", "1 while another loss could be borne", registry=registry)
@@ -247,6 +247,8 @@
     return ControlDaemon(context, settings)
 
 
-def run(settings: DaemonSettings, dialect: ControlDialect | None = None, reread: Reread | None = None) -> int:
+def run(
+    settings: DaemonSettings, dialect: ControlDialect | None = None, read_settings: ReadSettings | None = None
+) -> int:
     """The process ``wingwood control``; returns its exit code."""
-    return run_daemon(settings, lambda context, given: ControlDaemon(context, given, dialect), reread)
+    return run_daemon(settings, lambda context, given: ControlDaemon(context, given, dialect), read_settings)
--- a/wingwood/daemons/process.py
+++ b/wingwood/daemons/process.py
@@ -26,11 +26,11 @@
 
 EXIT_STOPPED = 0
 EXIT_NOT_STARTED = 3
-EXIT_BROKEN = 4
-REREAD_EVERY = Seconds(2.0)
+EXIT_INVARIANT_BROKEN = 4
+SETTINGS_POLL_INTERVAL_S = Seconds(2.0)
 
 
-class NotStarted(msgspec.Struct, frozen=True):
+class StartFailure(msgspec.Struct, frozen=True):
     """Why a daemon could not begin: an address in use, a data folder locked or damaged."""
 
     reason: str
@@ -40,7 +40,7 @@
 
 
 class Daemon(Protocol):
-    async def start(self) -> Result[None, NotStarted]: ...
+    async def start(self) -> Result[None, StartFailure]: ...
 
     async def drain(self) -> None:
         """Ends work in an orderly way; bounded by ``settings.stop_within``."""
@@ -55,7 +55,7 @@
         ...
 
 
-Reread = Callable[[], Result[DaemonSettings, SettingsProblem]]
+ReadSettings = Callable[[], Result[DaemonSettings, SettingsProblem]]
 """Reads the settings once more from where they came from."""
 
 
@@ -81,24 +81,26 @@
 
 
 def run_daemon(
-    settings: DaemonSettings, build: Callable[[Context, DaemonSettings], Daemon], reread: Reread | None = None
+    settings: DaemonSettings,
+    build: Callable[[Context, DaemonSettings], Daemon],
+    read_settings: ReadSettings | None = None,
 ) -> int:
     """Runs until SIGTERM or SIGINT (drains, exit 0), or a broken invariant (exit 4); 3 when it cannot start.
 
-    With ``reread`` the settings are looked at again on SIGHUP and every ``REREAD_EVERY`` seconds.
+    With ``read_settings`` the settings are looked at again on SIGHUP and every ``SETTINGS_POLL_INTERVAL_S`` seconds.
     """
-    return asyncio.run(_run(settings, build, reread))
+    return asyncio.run(_run(settings, build, read_settings))
 
 
 async def _run(
-    settings: DaemonSettings, build: Callable[[Context, DaemonSettings], Daemon], reread: Reread | None
+    settings: DaemonSettings, build: Callable[[Context, DaemonSettings], Daemon], read_settings: ReadSettings | None
 ) -> int:
-    wanted_stop = asyncio.Event()
-    broken: list[str] = []
+    stop_requested = asyncio.Event()
+    invariant_failures: list[str] = []
 
     def stop(reason: str) -> None:
-        broken.append(reason)
-        wanted_stop.set()
+        invariant_failures.append(reason)
+        stop_requested.set()
 
     context = real_context(settings, stop)
     daemon = build(context, settings)
@@ -110,17 +112,17 @@
         return EXIT_NOT_STARTED
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, wanted_stop.set)
-    hung_up = asyncio.Event()
-    loop.add_signal_handler(signal.SIGHUP, hung_up.set)
-    if reread is not None:
-        context.tasks.spawn("settings", follow_settings(context, settings, reread, hung_up, daemon))
+        loop.add_signal_handler(number, stop_requested.set)
+    hangup = asyncio.Event()
+    loop.add_signal_handler(signal.SIGHUP, hangup.set)
+    if read_settings is not None:
+        context.tasks.spawn("settings", follow_settings(context, settings, read_settings, hangup, daemon))
     context.log.event("started", role=settings.role, zone=settings.zone, internal=settings.internal)
-    await wanted_stop.wait()
-    if broken:
-        context.log.event("stopped", reason=broken[0])
+    await stop_requested.wait()
+    if invariant_failures:
+        context.log.event("stopped", reason=invariant_failures[0])
         daemon.stop()
-        return EXIT_BROKEN
+        return EXIT_INVARIANT_BROKEN
     context.log.event("stopping", role=settings.role)
     try:
         async with asyncio.timeout(Seconds(settings.stop_within + 2.0)):
@@ -133,15 +135,15 @@
 
 
 async def follow_settings(
-    context: Context, settings: DaemonSettings, reread: Reread, hung_up: asyncio.Event, daemon: Daemon
+    context: Context, settings: DaemonSettings, read_settings: ReadSettings, hangup: asyncio.Event, daemon: Daemon
 ) -> None:
     """Hands changed settings to the daemon; unreadable ones are logged, and those before stay in force."""
     while True:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(REREAD_EVERY):
-                await hung_up.wait()
-        hung_up.clear()
-        match reread():
+            async with asyncio.timeout(SETTINGS_POLL_INTERVAL_S):
+                await hangup.wait()
+        hangup.clear()
+        match read_settings():
             case Success(read) if read != settings:
                 settings = read
                 context.log.event("settings-changed", seeds=" ".join(map(str, read.seeds)))
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -34,17 +34,17 @@
 from ..settings.model import DaemonSettings
 from ..transport.frames import Identity
 from ..transport.messenger import TcpMessenger
-from .day_file import DayFile
+from .call_record_file import CallRecordFile
 from .dialect import RouterDialect
-from .process import NotStarted, Reread, run_daemon
-from .router_metrics import RouterState
+from .process import ReadSettings, StartFailure, run_daemon
+from .router_metrics import RouterStateCollector
 
-STRANDED_AFTER = Seconds(3.0)
+CONTROL_SILENCE_LIMIT_S = Seconds(3.0)
 """Without a word from control a router looks whether it still reaches any worker."""
-ALONE_ASKS_EVERY = Seconds(1.0)
-ALONE_ASKS = 16
+WORKER_PROBE_INTERVAL_S = Seconds(1.0)
+WORKERS_PER_PROBE = 16
 """Workers asked at a time while no control daemon answers."""
-WORKERS_WITHIN = Seconds(3.0)
+WORKER_LISTS_TIMEOUT_S = Seconds(3.0)
 """A router that has a bundle is ready after this also without having heard of workers: it may have none."""
 
 
@@ -82,7 +82,7 @@
         retries = RetryLimits(ratio=settings.retry_ratio, slack=settings.retry_slack, window=settings.retry_window)
         self.ledger = RouterLedger(context, self._identity.incarnation, self.control)
         self.metrics = CollectorRegistry()
-        self._day_file = None if settings.record_file is None else DayFile(context, settings.record_file)
+        self._record_file = None if settings.record_file is None else CallRecordFile(context, settings.record_file)
         self.path = RequestPath(
             context,
             settings,
@@ -95,7 +95,7 @@
             DeadlineAdmission(),
             RequestMetrics(self.metrics),
             limits=path_limits(settings),
-            recorder=None if self._day_file is None else CallRecorder(context.clock, self._day_file.write),
+            recorder=None if self._record_file is None else CallRecorder(context.clock, self._record_file.write),
             formats=dialect.formats,
             outcomes=self.registry,
             router_count=self._router_count,
@@ -113,28 +113,28 @@
             metrics=self.metrics,
         ).add_to(self.operator_server)
         dialect.add_routes(self, self.operator_server)
-        RouterState(self.health, self._placed, self.ledger.unsettled).add_to(self.metrics)
+        RouterStateCollector(self.health, self._placement_counts, self.ledger.unsettled).add_to(self.metrics)
         self._stopping = False
-        self._workers_heard = False
+        self._worker_lists_received = False
         """Once True it stays so: a pool that a later bundle brings does not take the router out."""
-        self._bundle_since: Instant | None = None
+        self._first_bundle_at: Instant | None = None
         self.follower.on_change(self._watch_pools)
 
-    async def start(self) -> Result[None, NotStarted]:
+    async def start(self) -> Result[None, StartFailure]:
         if isinstance(listening := self.messenger.start(), Failure):
-            return Failure(NotStarted(f"internal address: {listening.failure().detail}"))
+            return Failure(StartFailure(f"internal address: {listening.failure().detail}"))
         if isinstance(listening := self.operator_server.start(self._settings.operator), Failure):
-            return Failure(NotStarted(f"operator address: {listening.failure().detail}"))
+            return Failure(StartFailure(f"operator address: {listening.failure().detail}"))
         if isinstance(listening := self.path.start(), Failure):
-            return Failure(NotStarted(f"caller address: {listening.failure().detail}"))
+            return Failure(StartFailure(f"caller address: {listening.failure().detail}"))
         self.membership.start()
         self.follower.start()
         self.registry.start()
         self.shares.start()
         self.ledger.start()
-        if self._day_file is not None:
-            self._day_file.start()
-        self._context.tasks.spawn("workers when alone", self._ask_workers_when_alone())
+        if self._record_file is not None:
+            self._record_file.start()
+        self._context.tasks.spawn("workers when alone", self._probe_workers_without_control())
         return Success(None)
 
     async def drain(self) -> None:
@@ -142,8 +142,8 @@
         await self.path.drain()
         self.shares.return_allowances()
         await self.ledger.drain(Seconds(2.0))
-        if self._day_file is not None:
-            await self._day_file.flush()
+        if self._record_file is not None:
+            await self._record_file.flush()
         self.membership.stop()
 
     def stop(self) -> None:
@@ -167,18 +167,18 @@
             reasons.append("the bundle in force cannot be proven to be the newest")
         if self.membership.session_proven_at() is None:
             reasons.append("no session with a control daemon yet")
-        if not (heard := self._has_heard_of_workers()):
+        if not (worker_lists_received := self._has_received_worker_lists()):
             reasons.append("not heard of the workers yet")
-        if stranded := self._is_stranded():
+        if isolated := self._is_isolated():
             reasons.append("neither a control daemon nor a worker can be reached")
         now = self._context.clock.monotonic()
-        proven, session = self.follower.proven_newest_at(), self.membership.session_proven_at()
+        proven, session = self.follower.proven_latest_at(), self.membership.session_proven_at()
         return HealthReport(
             name=self._settings.name,
             role="router",
             zone=self._settings.zone,
             incarnation=self._identity.incarnation,
-            ready=self.path.ready() and heard and not stranded,
+            ready=self.path.ready() and worker_lists_received and not isolated,
             reasons=tuple(reasons),
             version=self.follower.version(),
             bundle_proven_age=None if proven is None else Seconds(now - proven),
@@ -189,39 +189,39 @@
 
     def _watch_pools(self, bundle: Bundle) -> None:
         """Follows the workers of all pools from the start, not from a pool's first call on."""
-        if self._bundle_since is None:
-            self._bundle_since = self._context.clock.monotonic()
+        if self._first_bundle_at is None:
+            self._first_bundle_at = self._context.clock.monotonic()
         for pool in pools_of(bundle.services.values()):
             self.registry.watch(pool)
             declared = bundle.pools.get(pool)
             if declared is not None and declared.engine is not None:
                 self.registry.describe(pool, declared.engine.cache_tokens)
 
-    def _has_heard_of_workers(self) -> bool:
+    def _has_received_worker_lists(self) -> bool:
         """Whether a home has told the workers of every pool since the start, or that was waited for long enough."""
         bundle = self.follower.current()
-        if not self._workers_heard and bundle is not None and self._bundle_since is not None:
-            waited = self._context.clock.monotonic() - self._bundle_since
-            self._workers_heard = waited > WORKERS_WITHIN or all(
+        if not self._worker_lists_received and bundle is not None and self._first_bundle_at is not None:
+            waited = self._context.clock.monotonic() - self._first_bundle_at
+            self._worker_lists_received = waited > WORKER_LISTS_TIMEOUT_S or all(
                 self.registry.feed_age(pool) < float("inf") for pool in pools_of(bundle.services.values())
             )
-        return self._workers_heard
+        return self._worker_lists_received
 
     def _has_workers(self) -> bool:
         """Whether each pool of the bundle in force has a ready worker."""
         bundle = self.follower.current()
         return bundle is not None and all(self.registry.ready(pool) for pool in pools_of(bundle.services.values()))
 
-    def _is_stranded(self) -> bool:
+    def _is_isolated(self) -> bool:
         """Cut off from both sides: callers are served elsewhere, as no worker of any pool answers here.
 
         Without workers alone a router stays ready: then all routers are alike, and callers need the answer.
         """
-        return self._is_alone() and not self._ready_workers()
+        return self._has_lost_control() and not self._ready_workers()
 
-    def _is_alone(self) -> bool:
+    def _has_lost_control(self) -> bool:
         session = self.membership.session_proven_at()
-        return session is not None and self._context.clock.monotonic() - session > STRANDED_AFTER
+        return session is not None and self._context.clock.monotonic() - session > CONTROL_SILENCE_LIMIT_S
 
     def _ready_workers(self) -> list[Worker]:
         bundle = self.follower.current()
@@ -229,13 +229,13 @@
         ready = [worker for pool in pools for worker in self.registry.ready(pool)]
         return [worker for worker in ready if not self.registry.is_suspected(worker.instance)]
 
-    async def _ask_workers_when_alone(self) -> None:
-        """Those that do not answer are suspected and leave the ready ones; see ``_is_stranded``."""
+    async def _probe_workers_without_control(self) -> None:
+        """Those that do not answer are suspected and leave the ready ones; see ``_is_isolated``."""
         while True:
-            await self._context.clock.sleep(ALONE_ASKS_EVERY)
-            if self._is_alone():
+            await self._context.clock.sleep(WORKER_PROBE_INTERVAL_S)
+            if self._has_lost_control():
                 asked = self._ready_workers()
-                chosen = self._context.random.sample(asked, min(ALONE_ASKS, len(asked)))
+                chosen = self._context.random.sample(asked, min(WORKERS_PER_PROBE, len(asked)))
                 await asyncio.gather(*(self.registry.confirm(worker) for worker in chosen))
 
     def _tenant(self, name: TenantName) -> Tenant | None:
@@ -251,7 +251,7 @@
     def _router_count(self) -> int:
         return max(1, len(self.membership.routers()))
 
-    def _placed(self) -> Mapping[str, int]:
+    def _placement_counts(self) -> Mapping[str, int]:
         return self.placement.counts if isinstance(self.placement, AwardPlacement) else {}
 
     def _workers(self) -> Sequence[Worker]:
@@ -268,6 +268,8 @@
     return RouterDaemon(context, settings)
 
 
-def run(settings: DaemonSettings, dialect: RouterDialect | None = None, reread: Reread | None = None) -> int:
+def run(
+    settings: DaemonSettings, dialect: RouterDialect | None = None, read_settings: ReadSettings | None = None
+) -> int:
     """The process ``wingwood router``; returns its exit code."""
-    return run_daemon(settings, lambda context, given: RouterDaemon(context, given, dialect), reread)
+    return run_daemon(settings, lambda context, given: RouterDaemon(context, given, dialect), read_settings)
--- a/wingwood/daemons/router_metrics.py
+++ b/wingwood/daemons/router_metrics.py
@@ -10,17 +10,20 @@
 from ..operator_api.reading import HealthReport
 
 
-class RouterState:
-    """A collector: read at each scrape, nothing is kept. ``placed``: the award policy's counts, if it is in use."""
+class RouterStateCollector:
+    """A Prometheus collector that reads the router's state at each scrape and stores nothing itself.
+
+    ``placement_counts`` returns the decision counts of the award policy, and an empty mapping for other policies.
+    """
 
     def __init__(
         self,
         health: Callable[[], HealthReport],
-        placed: Callable[[], Mapping[str, int]],
+        placement_counts: Callable[[], Mapping[str, int]],
         unsettled: Callable[[], int],
     ) -> None:
         self._health = health
-        self._placed = placed
+        self._placement_counts = placement_counts
         self._unsettled = unsettled
 
     def add_to(self, registry: CollectorRegistry) -> None:
@@ -44,6 +47,6 @@
             if value is not None:
                 yield GaugeMetricFamily(f"wingwood_{name}", meaning, value=value)
         decisions = CounterMetricFamily("wingwood_placement", "What the award policy did", labels=("what",))
-        for what, count in sorted(self._placed().items()):
+        for what, count in sorted(self._placement_counts().items()):
             decisions.add_metric((what,), count)
         yield decisions
--- a/wingwood/daemons/tests/test_day_file.py
+++ b/wingwood/daemons/tests/test_call_record_file.py
@@ -14,7 +14,7 @@
 from ...context.real import RealClock, RealDisk, RealNetwork, RealTasks
 from ...context.stream_client import StreamHttpClient
 from ...identifiers import WallTime
-from ..day_file import DayFile
+from ..call_record_file import CallRecordFile
 
 
 class Quiet:
@@ -22,7 +22,7 @@
         pass
 
 
-class DayFileTest(unittest.TestCase):
+class CallRecordFileTest(unittest.TestCase):
     def test_the_folder_is_made_and_the_first_line_says_when_it_began(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             asyncio.run(self.record(Path(folder) / "not" / "yet"))
@@ -35,7 +35,7 @@
         tasks = RealTasks(log, self.fail)
         http = StreamHttpClient(network, tasks)
         context = Context(RealClock(), network, RealDisk(folder), http, random.Random(1), log, tasks)
-        day = DayFile(context, "day.jsonl")
+        day = CallRecordFile(context, "day.jsonl")
         day.start()
         day.write(b'{"at":1}\n')
         await day.flush()
--- a/wingwood/daemons/tests/test_settings_change.py
+++ b/wingwood/daemons/tests/test_settings_change.py
@@ -16,7 +16,7 @@
 from ...identifiers import Address, DaemonName, Seconds, Zone
 from ...settings.load import SettingsProblem
 from ...settings.model import DaemonSettings
-from ..process import NotStarted, follow_settings
+from ..process import StartFailure, follow_settings
 
 SETTINGS = DaemonSettings(
     name=DaemonName("router-1"),
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self.told: asyncio.Queue[DaemonSettings] = asyncio.Queue()
 
-    async def start(self) -> Result[None, NotStarted]:
+    async def start(self) -> Result[None, StartFailure]:
         return Success(None)
 
     async def drain(self) -> None:
@@ -64,15 +64,15 @@
 
 
 async def told_by(answers: list[Result[DaemonSettings, SettingsProblem]]) -> DaemonSettings:
-    daemon, hung_up = Listening(), asyncio.Event()
+    daemon, hangup = Listening(), asyncio.Event()
 
-    def reread() -> Result[DaemonSettings, SettingsProblem]:
+    def read_settings() -> Result[DaemonSettings, SettingsProblem]:
         if len(answers) > 1:
-            hung_up.set()
+            hangup.set()
         return answers.pop(0) if answers else Success(OTHER_SEEDS)
 
-    hung_up.set()
-    following = asyncio.create_task(follow_settings(context(), SETTINGS, reread, hung_up, daemon))
+    hangup.set()
+    following = asyncio.create_task(follow_settings(context(), SETTINGS, read_settings, hangup, daemon))
     try:
         async with asyncio.timeout(Seconds(5.0)):
             return await daemon.told.get()
--- a/wingwood/distribution/passing_on.py
+++ b/wingwood/distribution/chunk_relay.py
@@ -15,13 +15,13 @@
     def __init__(self, since: BundleVersion, to: BundleVersion) -> None:
         self.since = since
         self.to = to
-        self.pieces: dict[int, BundleChunk] = {}
+        self.chunks: dict[int, BundleChunk] = {}
 
     def answers(self, asked: FetchBundle) -> bool:
         return asked.since == self.since and asked.to in (0, self.to)
 
 
-class PassingOn:
+class ChunkRelay:
     """Lets other daemons fetch what this daemon is fetching itself.
 
     A piece is given away as it came, before the delta is whole and checked: whoever fetches it checks it anyway. So a
@@ -31,51 +31,51 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._incoming: IncomingDelta | None = None
-        self._moved = asyncio.Event()
+        self._step = asyncio.Event()
         """Replaced at each step, so that all who wait look again."""
 
-    def begin(self, since: BundleVersion, to: BundleVersion) -> IncomingDelta:
+    def start(self, since: BundleVersion, to: BundleVersion) -> IncomingDelta:
         self._incoming = IncomingDelta(since, to)
-        self._note_step()
+        self._notify_step()
         return self._incoming
 
     def add(self, incoming: IncomingDelta, chunk: BundleChunk) -> None:
-        incoming.pieces[chunk.offset] = chunk
-        self._note_step()
+        incoming.chunks[chunk.offset] = chunk
+        self._notify_step()
 
     def end(self, incoming: IncomingDelta) -> None:
         """It is in force here, or the fetch has failed."""
         if self._incoming is incoming:
             self._incoming = None
-            self._note_step()
+            self._notify_step()
 
     async def piece(self, asked: FetchBundle, within: Seconds) -> BundleChunk | None:
         """The piece asked for, waited for as long as a fetch may still bring it; None when it doesn't come."""
         until = Instant(self._clock.monotonic() + within)
-        while (chunk := self._held(asked)) is None:
-            if not await self._step_before(until) or self._is_over(asked):
+        while (chunk := self._stored(asked)) is None:
+            if not await self._wait_for_step(until) or self._is_over(asked):
                 return None
         return chunk
 
-    def _held(self, asked: FetchBundle) -> BundleChunk | None:
+    def _stored(self, asked: FetchBundle) -> BundleChunk | None:
         incoming = self._incoming
         if incoming is None or not incoming.answers(asked):
             return None
-        return incoming.pieces.get(asked.offset)
+        return incoming.chunks.get(asked.offset)
 
     def _is_over(self, asked: FetchBundle) -> bool:
         """The fetch of which the asker has some pieces has ended."""
         return asked.to != 0 and (self._incoming is None or not self._incoming.answers(asked))
 
-    async def _step_before(self, until: Instant) -> bool:
-        moved = self._moved
+    async def _wait_for_step(self, until: Instant) -> bool:
+        step_event = self._step
         try:
             async with asyncio.timeout(max(0.0, until - self._clock.monotonic())):
-                await moved.wait()
+                await step_event.wait()
         except TimeoutError:
             return False
         return True
 
-    def _note_step(self) -> None:
-        self._moved.set()
-        self._moved = asyncio.Event()
+    def _notify_step(self) -> None:
+        self._step.set()
+        self._step = asyncio.Event()
--- a/wingwood/distribution/deltas.py
+++ b/wingwood/distribution/deltas.py
@@ -13,32 +13,32 @@
 from ..identifiers import Address, BundleVersion
 from .messages import BundleChunk, FetchBundle
 
-ENCODED_KEPT = 8
-PACKED_KEPT = 64
+MAX_ENCODED_DELTAS = 8
+MAX_COMPRESSED_CHUNKS = 64
 """Packed pieces kept, since many ask for the same ones."""
-PACKING_LEVEL = 1
+COMPRESSION_LEVEL = 1
 """Slices are repetitive text: the fastest level makes 290 KB into 23 KB in 0.6 ms, the best into 21 KB in 1.5 ms."""
-KEPT_BYTES = 4 * 1024 * 1024
+MAX_CACHE_BYTES = 4 * 1024 * 1024
 """Most that a chain of deltas, and the encoded deltas for fetches, take in memory (each)."""
 _ENCODER = msgspec.msgpack.Encoder(order="deterministic")
 """Slices in the order of their names: pieces of one delta fit together, whichever daemons they come from."""
 
 
-def joined(first: BundleDelta, second: BundleDelta) -> BundleDelta:
+def join_deltas(first: BundleDelta, second: BundleDelta) -> BundleDelta:
     """What both do one after the other; ``second`` must begin where ``first`` ends."""
     if second.since != first.manifest.version:
         raise ValueError(f"a delta since {second.since} doesn't follow one to {first.manifest.version}")
-    gone = dict.fromkeys((*(name for name in first.removed if name not in second.changed), *second.removed))
-    changed = {name: content for name, content in first.changed.items() if name not in gone} | second.changed
-    return BundleDelta(since=first.since, manifest=second.manifest, changed=changed, removed=tuple(gone))
+    removed = dict.fromkeys((*(name for name in first.removed if name not in second.changed), *second.removed))
+    changed = {name: content for name, content in first.changed.items() if name not in removed} | second.changed
+    return BundleDelta(since=first.since, manifest=second.manifest, changed=changed, removed=tuple(removed))
 
 
-def whole(bundle: Bundle) -> BundleDelta:
+def full_delta(bundle: Bundle) -> BundleDelta:
     """What takes a holder of nothing to ``bundle``."""
     return BundleDelta(since=BundleVersion(0), manifest=bundle.manifest, changed=dict(bundle.slices), removed=())
 
 
-def weight(delta: BundleDelta) -> int:
+def slice_bytes(delta: BundleDelta) -> int:
     """Bytes of its slices."""
     return sum(map(len, delta.changed.values()))
 
@@ -46,9 +46,9 @@
 class DeltaChain:
     """The last deltas that came into force here, so that others slightly behind needn't fetch everything."""
 
-    def __init__(self, kept: int) -> None:
+    def __init__(self, max_deltas: int) -> None:
         self._deltas: deque[BundleDelta] = deque()
-        self._kept = kept
+        self._max_deltas = max_deltas
         self._bytes = 0
 
     def add(self, delta: BundleDelta, held: BundleVersion) -> None:
@@ -61,9 +61,9 @@
         if self._deltas and self._deltas[-1].manifest.version != delta.since:
             self._clear()
         self._deltas.append(delta)
-        self._bytes += weight(delta)
-        while self._deltas and (len(self._deltas) > self._kept or self._bytes > KEPT_BYTES):
-            self._bytes -= weight(self._deltas.popleft())
+        self._bytes += slice_bytes(delta)
+        while self._deltas and (len(self._deltas) > self._max_deltas or self._bytes > MAX_CACHE_BYTES):
+            self._bytes -= slice_bytes(self._deltas.popleft())
 
     def _clear(self) -> None:
         self._deltas.clear()
@@ -75,12 +75,12 @@
         for delta in reversed(self._deltas):
             found.append(delta)
             if delta.since <= version:
-                return _joined_all(reversed(found))
+                return _join_all(reversed(found))
         return None
 
 
-def _joined_all(deltas: Iterable[BundleDelta]) -> BundleDelta:
-    return reduce(joined, deltas)
+def _join_all(deltas: Iterable[BundleDelta]) -> BundleDelta:
+    return reduce(join_deltas, deltas)
 
 
 class ChunkServer:
@@ -91,65 +91,69 @@
         self._chunk_bytes = chunk_bytes
         self._first_chunk_bytes = first_chunk_bytes or chunk_bytes
         self._encoded: OrderedDict[tuple[BundleVersion, BundleVersion], bytes] = OrderedDict()
-        self._packed: OrderedDict[tuple[BundleVersion, BundleVersion, int], bytes] = OrderedDict()
+        self._compressed: OrderedDict[tuple[BundleVersion, BundleVersion, int], bytes] = OrderedDict()
 
     def holds(self, since: BundleVersion, to: BundleVersion) -> bool:
         """Whether that delta is encoded already."""
         return (since, to) in self._encoded
 
     def chunk(
-        self, asked: FetchBundle, newest: BundleVersion, delta: BundleDelta | None, ask: Address | None = None
+        self,
+        asked: FetchBundle,
+        newest: BundleVersion,
+        delta: BundleDelta | None,
+        alternative_source: Address | None = None,
     ) -> BundleChunk:
         """``delta`` is what takes ``asked.since`` to ``newest``; not needed once that is encoded."""
         key = (asked.since, asked.to or newest)
         data = self._encoded.get(key)
         if data is None:
             if delta is None or delta.manifest.version != key[1]:
-                return BundleChunk(False, newest, ask=ask)
+                return BundleChunk(False, newest, alternative_source=alternative_source)
             data = self._encoded[key] = _ENCODER.encode(delta)
-            self._forget_packed(key)
-            while len(self._encoded) > ENCODED_KEPT or (
-                len(self._encoded) > 1 and sum(map(len, self._encoded.values())) > KEPT_BYTES
+            self._drop_compressed(key)
+            while len(self._encoded) > MAX_ENCODED_DELTAS or (
+                len(self._encoded) > 1 and sum(map(len, self._encoded.values())) > MAX_CACHE_BYTES
             ):
                 dropped, _ = self._encoded.popitem(last=False)
-                self._forget_packed(dropped)
+                self._drop_compressed(dropped)
         length = self._chunk_bytes if asked.offset else self._first_chunk_bytes
-        piece = data[asked.offset : asked.offset + length]
-        if asked.unpacks:
-            piece = self._pack(key, asked.offset, piece)
-        return BundleChunk(True, key[1], len(data), asked.offset, piece, packed=asked.unpacks)
+        chunk_data = data[asked.offset : asked.offset + length]
+        if asked.accepts_compressed:
+            chunk_data = self._compress(key, asked.offset, chunk_data)
+        return BundleChunk(True, key[1], len(data), asked.offset, chunk_data, compressed=asked.accepts_compressed)
 
-    def _pack(self, key: tuple[BundleVersion, BundleVersion], offset: int, piece: bytes) -> bytes:
+    def _compress(self, key: tuple[BundleVersion, BundleVersion], offset: int, chunk_data: bytes) -> bytes:
         """Piece by piece, so that a large bundle does not hold the loop up."""
-        packed = self._packed.get((*key, offset))
-        if packed is None:
-            packed = self._packed[(*key, offset)] = zlib.compress(piece, PACKING_LEVEL)
-            if len(self._packed) > PACKED_KEPT:
-                self._packed.popitem(last=False)
-        return packed
-
-    def _forget_packed(self, key: tuple[BundleVersion, BundleVersion]) -> None:
+        compressed = self._compressed.get((*key, offset))
+        if compressed is None:
+            compressed = self._compressed[(*key, offset)] = zlib.compress(chunk_data, COMPRESSION_LEVEL)
+            if len(self._compressed) > MAX_COMPRESSED_CHUNKS:
+                self._compressed.popitem(last=False)
+        return compressed
+
+    def _drop_compressed(self, key: tuple[BundleVersion, BundleVersion]) -> None:
         """Another encoding of the same delta may order its slices in another way."""
-        for known in [known for known in self._packed if known[:2] == key]:
-            del self._packed[known]
+        for known in [known for known in self._compressed if known[:2] == key]:
+            del self._compressed[known]
 
 
-def unpacked(chunk: BundleChunk) -> bytes | None:
+def decompress_chunk(chunk: BundleChunk) -> bytes | None:
     """The chunk's piece of the encoded delta; None when it is no piece of ``total`` bytes."""
     most = chunk.total - chunk.offset
-    if not chunk.packed:
+    if not chunk.compressed:
         return chunk.data if len(chunk.data) <= most else None
     unpacker = zlib.decompressobj()
     try:
-        piece = unpacker.decompress(chunk.data, max(1, most))
+        chunk_data = unpacker.decompress(chunk.data, max(1, most))
     except zlib.error:
         return None
-    return piece if unpacker.eof and len(piece) <= most else None
+    return chunk_data if unpacker.eof and len(chunk_data) <= most else None
 
 
-def decode_delta(pieces: Sequence[bytes]) -> BundleDelta | None:
+def decode_delta(chunks_data: Sequence[bytes]) -> BundleDelta | None:
     """None when the bytes are not a delta."""
     try:
-        return msgspec.msgpack.decode(b"".join(pieces), type=BundleDelta)
+        return msgspec.msgpack.decode(b"".join(chunks_data), type=BundleDelta)
     except msgspec.MsgspecError:
         return None
--- a/wingwood/distribution/homes.py
+++ b/wingwood/distribution/distribution_tree.py
@@ -9,21 +9,21 @@
 from ..transport.frames import Identity
 
 BUNDLE_SERVICE = "bundle"
-HOMES = 2
+TREE_ROOTS = 2
 """Daemons of a zone that are told first: the home, and a second one."""
 FAN_OUT = 2
 """Daemons that one daemon passes a change on to: on a slow link each more of them takes its time."""
 
 
-def ranked_of(service: str, zone: Zone, routers: Sequence[Identity]) -> list[Identity]:
+def ranked_routers(service: str, zone: Zone, routers: Sequence[Identity]) -> list[Identity]:
     """The zone's routers, the home daemon of that service first."""
     local = [router for router in routers if router.zone == zone]
     return ranked(f"home/{service}", local, lambda router: router.name)
 
 
-def homes_of(service: str, zone: Zone, routers: Sequence[Identity], count: int = HOMES) -> list[Identity]:
+def tree_roots_of(service: str, zone: Zone, routers: Sequence[Identity], count: int = TREE_ROOTS) -> list[Identity]:
     """The home daemon of that service in the zone, then those that follow in rank."""
-    return ranked_of(service, zone, routers)[:count]
+    return ranked_routers(service, zone, routers)[:count]
 
 
 def upstream_in(ranking: Sequence[Identity], own: Incarnation) -> Identity | None:
@@ -37,7 +37,7 @@
         return ranking[0] if ranking else None
     if rank == 0:
         return None
-    return ranking[max(0, rank - HOMES) // FAN_OUT]
+    return ranking[max(0, rank - TREE_ROOTS) // FAN_OUT]
 
 
 def zones_of(routers: Sequence[Identity]) -> list[Zone]:
--- a/wingwood/distribution/fetching.py
+++ b/wingwood/distribution/fetching.py
@@ -11,17 +11,17 @@
 from ..context.protocols import Clock
 from ..identifiers import Address, BundleVersion
 from ..transport.messenger import Messenger
-from .deltas import ChunkServer, DeltaChain, decode_delta, unpacked, whole
+from .chunk_relay import ChunkRelay, IncomingDelta
+from .deltas import ChunkServer, DeltaChain, decode_delta, decompress_chunk, full_delta
 from .limits import DistributionLimits
 from .messages import BundleChunk, FetchBundle
-from .passing_on import IncomingDelta, PassingOn
 
 
-class NotHere(msgspec.Struct, frozen=True):
-    """The source has nothing newer; ``ask`` may have it."""
+class NotAvailable(msgspec.Struct, frozen=True):
+    """The source has nothing newer; ``alternative_source`` may have it."""
 
-    ask: Address | None
-    coming: bool
+    alternative_source: Address | None
+    pending: bool
     """The source is about to fetch it."""
 
 
@@ -33,75 +33,77 @@
         clock: Clock,
         messenger: Messenger,
         limits: DistributionLimits,
-        on_begin: Callable[[BundleVersion], None],
+        on_fetch_started: Callable[[BundleVersion], None],
     ) -> None:
-        """``on_begin`` is told the version of which the first piece has come."""
+        """``on_fetch_started`` is told the version of which the first piece has come."""
         self._clock = clock
-        self._on_begin = on_begin
+        self._on_fetch_started = on_fetch_started
         self._messenger = messenger
         self._limits = limits
-        self._passing_on = PassingOn(clock)
+        self._chunk_relay = ChunkRelay(clock)
         self._incoming: IncomingDelta | None = None
         self._chunks = ChunkServer(limits.chunk_bytes, limits.first_chunk_bytes)
 
     # -- asking
 
-    async def fetch_coming(
-        self, source: Address, since: BundleVersion, wanted: BundleVersion
-    ) -> BundleDelta | NotHere | None:
+    async def fetch_pending(
+        self, source: Address, since: BundleVersion, latest_known: BundleVersion
+    ) -> BundleDelta | NotAvailable | None:
         """As ``fetch``, but asks again while ``source`` says that it is about to fetch it too."""
-        until = self._clock.monotonic() + self._limits.upstream_wait
+        until = self._clock.monotonic() + self._limits.upstream_retry_limit
         while True:
-            fetched = await self.fetch(source, since, wanted)
-            if not (isinstance(fetched, NotHere) and fetched.coming) or self._clock.monotonic() >= until:
+            fetched = await self.fetch(source, since, latest_known)
+            if not (isinstance(fetched, NotAvailable) and fetched.pending) or self._clock.monotonic() >= until:
                 return fetched
 
-    async def fetch(self, source: Address, since: BundleVersion, wanted: BundleVersion) -> BundleDelta | NotHere | None:
+    async def fetch(
+        self, source: Address, since: BundleVersion, latest_known: BundleVersion
+    ) -> BundleDelta | NotAvailable | None:
         """What ``source`` has newer than ``since``; None when it did not answer, or not to the end.
 
-        Its pieces can be had here until ``settled``.
+        Its pieces can be had here until ``discard_incoming``.
         """
-        self.settled()
-        asked = FetchBundle(since, unpacks=True, wanted=wanted)
-        pieces: list[bytes] = []
+        self.discard_incoming()
+        asked = FetchBundle(since, accepts_compressed=True, latest_known=latest_known)
+        chunks: list[bytes] = []
         while True:
-            patience = self._limits.fetch_more if pieces else self._limits.fetch
-            outcome = await self._messenger.call(source, asked, BundleChunk, patience)
+            timeout = self._limits.next_chunk_timeout if chunks else self._limits.first_chunk_timeout
+            outcome = await self._messenger.call(source, asked, BundleChunk, timeout)
             if not isinstance(outcome, Success):
                 return None
             chunk: BundleChunk = outcome.unwrap()
             if not chunk.found:
-                return NotHere(chunk.ask, chunk.coming)
-            piece = self._checked(asked, chunk)
+                return NotAvailable(chunk.alternative_source, chunk.pending)
+            piece = self._verified_data(asked, chunk)
             if piece is None:
                 return None
-            pieces.append(piece)
-            self._pass_on(since, chunk)
+            chunks.append(piece)
+            self._store_chunk(since, chunk)
             reached = chunk.offset + len(piece)
             if reached >= chunk.total:
-                return decode_delta(pieces)
-            asked = FetchBundle(since, chunk.to, reached, unpacks=True, wanted=wanted)
+                return decode_delta(chunks)
+            asked = FetchBundle(since, chunk.to, reached, accepts_compressed=True, latest_known=latest_known)
 
-    def settled(self) -> None:
+    def discard_incoming(self) -> None:
         """What was fetched last is in force here, or was refused."""
         if self._incoming is not None:
-            self._passing_on.end(self._incoming)
+            self._chunk_relay.end(self._incoming)
             self._incoming = None
 
-    def _checked(self, asked: FetchBundle, chunk: BundleChunk) -> bytes | None:
+    def _verified_data(self, asked: FetchBundle, chunk: BundleChunk) -> bytes | None:
         """The chunk's piece, if it is the one asked for."""
-        if chunk.offset != asked.offset or chunk.total > self._limits.bundle_bytes:
+        if chunk.offset != asked.offset or chunk.total > self._limits.max_fetch_bytes:
             return None
-        piece = unpacked(chunk)
+        piece = decompress_chunk(chunk)
         return None if piece is None or (not piece and chunk.offset < chunk.total) else piece
 
-    def _pass_on(self, since: BundleVersion, chunk: BundleChunk) -> None:
+    def _store_chunk(self, since: BundleVersion, chunk: BundleChunk) -> None:
         if self._incoming is None:
-            self._incoming = self._passing_on.begin(since, chunk.to)
-            self._passing_on.add(self._incoming, chunk)
-            self._on_begin(chunk.to)
+            self._incoming = self._chunk_relay.start(since, chunk.to)
+            self._chunk_relay.add(self._incoming, chunk)
+            self._on_fetch_started(chunk.to)
         else:
-            self._passing_on.add(self._incoming, chunk)
+            self._chunk_relay.add(self._incoming, chunk)
 
     # -- answering
 
@@ -110,16 +112,16 @@
     ) -> BundleChunk:
         """From the bundle in force, or from what is coming in while that is not what the asker needs."""
         held = BundleVersion(0) if bundle is None else bundle.version
-        if asked.unpacks and max(asked.wanted, asked.to) > held:
-            within = self._limits.pass_more if asked.offset else self._limits.pass_first
-            passed_on = await self._passing_on.piece(asked, within)
+        if asked.accepts_compressed and max(asked.latest_known, asked.to) > held:
+            within = self._limits.relay_next_chunk_wait if asked.offset else self._limits.relay_first_chunk_wait
+            passed_on = await self._chunk_relay.piece(asked, within)
             if passed_on is not None:
                 return passed_on
             if not asked.offset:
-                return BundleChunk(False, held, ask=primary, coming=True)
+                return BundleChunk(False, held, alternative_source=primary, pending=True)
         if bundle is None:
-            return BundleChunk(False, held, ask=primary)
+            return BundleChunk(False, held, alternative_source=primary)
         delta = None
         if asked.since < bundle.version and not (asked.offset and self._chunks.holds(asked.since, asked.to)):
-            delta = chain.since(asked.since) or whole(bundle)
+            delta = chain.since(asked.since) or full_delta(bundle)
         return self._chunks.chunk(asked, bundle.version, delta)
--- a/wingwood/distribution/freshness.py
+++ b/wingwood/distribution/freshness.py
@@ -14,9 +14,9 @@
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
 from .limits import DistributionLimits
-from .messages import AskNewest, BundleAnnounced, NewestProven
+from .messages import BundleAnnounced, LatestVersionProof, LatestVersionRequest
 
-OTHERS_ASKED = 3
+MAX_CONTROLS_ASKED = 3
 
 
 class FreshnessProver:
@@ -41,10 +41,10 @@
         """Own clock before the question whose answer was ``_proven_version``."""
         self._proven_version = BundleVersion(0)
         self._announced = BundleVersion(0)
-        self._running: asyncio.Future[bool] | None = None
-        self._next: asyncio.Future[bool] | None = None
+        self._current_round: asyncio.Future[bool] | None = None
+        self._next_round: asyncio.Future[bool] | None = None
         self._task: Task | None = None
-        messenger.on_call(AskNewest, self._on_ask_newest)
+        messenger.on_call(LatestVersionRequest, self._on_latest_version_request)
         messenger.on_post(BundleAnnounced, self._on_announced)
 
     def start(self) -> None:
@@ -54,7 +54,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def news(self) -> News:
+    def membership_update(self) -> News:
         """For heartbeat answers; the age is worked out at this instant."""
         age = None
         if self._proven_at is not None:
@@ -83,12 +83,12 @@
             asked = clock.monotonic()
             proof = await self._ask()
             if proof is not None:
-                self._note(*proof)
-            wait = self._limits.proof if proof is not None else self._limits.proof_retry
+                self._record_proof(*proof)
+            wait = self._limits.proof_interval if proof is not None else self._limits.proof_retry_interval
             pause = asked + wait * (0.9 + 0.2 * self._context.random.random()) - clock.monotonic()
             await clock.sleep(Seconds(max(0.05, pause)))
 
-    def _note(self, proven: Instant, version: BundleVersion) -> None:
+    def _record_proof(self, proven: Instant, version: BundleVersion) -> None:
         if self._proven_at is not None and proven <= self._proven_at:
             return
         if version < self._proven_version:
@@ -105,10 +105,12 @@
         best: tuple[Instant, BundleVersion] | None = None
         for address in self._sources():
             asked = clock.monotonic()
-            outcome = await self._messenger.call(address, AskNewest(), NewestProven, self._limits.proof_answer)
+            outcome = await self._messenger.call(
+                address, LatestVersionRequest(), LatestVersionProof, self._limits.proof_timeout
+            )
             if not isinstance(outcome, Success):
                 continue
-            answer: NewestProven = outcome.unwrap()
+            answer: LatestVersionProof = outcome.unwrap()
             if answer.proven and (best is None or asked - answer.age > best[0]):
                 best = Instant(asked - answer.age), answer.version
             if answer.proven and not answer.age:
@@ -119,21 +121,21 @@
         own = self._messenger.identity.internal
         primary = self._core.primary_address()
         others = [control.internal for control in self._membership.controls()]
-        if len(others) > OTHERS_ASKED:
-            others = self._context.random.sample(others, OTHERS_ASKED)
+        if len(others) > MAX_CONTROLS_ASKED:
+            others = self._context.random.sample(others, MAX_CONTROLS_ASKED)
         known = dict.fromkeys(address for address in (primary, *others) if address is not None)
         return [address for address in known if address != own]
 
     # -- answering
 
-    async def _on_ask_newest(self, peer: Identity, message: AskNewest) -> NewestProven:
+    async def _on_latest_version_request(self, peer: Identity, message: LatestVersionRequest) -> LatestVersionProof:
         primary = self._core.primary_address()
         if await self.prove():
-            return NewestProven(True, self._own_newest(), Seconds(0.0), primary)
+            return LatestVersionProof(True, self._own_newest(), Seconds(0.0), primary)
         if self._proven_at is None:
-            return NewestProven(False, BundleVersion(0), Seconds(0.0), primary)
+            return LatestVersionProof(False, BundleVersion(0), Seconds(0.0), primary)
         age = Seconds(max(1e-6, self._context.clock.monotonic() - self._proven_at))
-        return NewestProven(True, self._proven_version, age, primary)
+        return LatestVersionProof(True, self._proven_version, age, primary)
 
     async def prove(self) -> bool:
         """Whether this daemon led at some instant after this call; many callers share one round.
@@ -142,21 +144,21 @@
         """
         if not self._core.leads():
             return False
-        if self._next is not None:
-            return await asyncio.shield(self._next)
-        self._next = waiting = asyncio.get_running_loop().create_future()
-        if self._running is None:
+        if self._next_round is not None:
+            return await asyncio.shield(self._next_round)
+        self._next_round = waiting = asyncio.get_running_loop().create_future()
+        if self._current_round is None:
             self._context.tasks.spawn("proof of lead", self._run_rounds())
         return await asyncio.shield(waiting)
 
     async def _run_rounds(self) -> None:
-        while self._next is not None:
-            self._running, self._next = self._next, None
+        while self._next_round is not None:
+            self._current_round, self._next_round = self._next_round, None
             proven = False
             try:
-                async with asyncio.timeout(self._limits.proof_answer):
+                async with asyncio.timeout(self._limits.proof_timeout):
                     proven = await self._core.prove_lead() and self._core.leads()
             except TimeoutError:
                 pass
-            self._running.set_result(proven)
-        self._running = None
+            self._current_round.set_result(proven)
+        self._current_round = None
--- a/wingwood/distribution/messages.py
+++ b/wingwood/distribution/messages.py
@@ -1,7 +1,9 @@
-"""How bundles travel, and how their newness is proven (docs/DESIGN.md section 9)."""
+"""Messages that carry bundles and the proof of which version is the latest (docs/DESIGN.md section 9)."""
 
 from __future__ import annotations
 
+from typing import ClassVar
+
 import msgspec
 
 from ..bundle.model import BundleDelta
@@ -9,74 +11,100 @@
 
 
 class BundlePosted(msgspec.Struct, frozen=True, array_like=True):
-    """Post, primary to homes and homes to subscribers: a change to put in force."""
+    """A post that carries a change to be put in force.
+
+    The primary sends it to the tree roots of each zone, and a router sends it to its subscribers.
+    """
 
     delta: BundleDelta
     epoch: Epoch
-    """Of the primary that posts; routers pass on the newest that they know."""
+    """The epoch of the primary that posts. A router that forwards the change states the latest epoch it knows."""
 
 
 class BundleAnnounced(msgspec.Struct, frozen=True, array_like=True):
-    """Post, primary to homes and to control daemons: that version is durable; fetch it when needed."""
+    """A post that says that a version is durable; the receiver fetches it when it needs it.
+
+    The primary sends it to the tree roots and to the control daemons, and a router sends it to its subscribers.
+    """
 
     version: BundleVersion
     epoch: Epoch
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True):
-    """Call, router to its zone's home, every second or so. Reply: Subscribed."""
+    """A call by which a router subscribes at its upstream router, or renews its subscription.
+
+    The reply is ``Subscribed``. ``DistributionLimits.renewal_interval`` sets how often it is sent.
+    """
 
     held: BundleVersion
+    """The version in force on the subscriber."""
 
 
 class Subscribed(msgspec.Struct, frozen=True, array_like=True):
+    """The reply to ``Subscribe``."""
+
     held: BundleVersion
-    """In force at the home."""
+    """The version in force on the upstream router."""
 
 
 class FetchBundle(msgspec.Struct, frozen=True, array_like=True):
-    """Call: what takes a holder of ``since`` to the newest version here. Reply: BundleChunk.
+    """A call that asks for the delta from ``since`` to the latest version that the receiver has.
 
-    ``to`` and ``offset`` are 0 at first; a large delta is fetched chunk by chunk.
+    The reply is ``BundleChunk``. The first request of a fetch has ``to`` and ``offset`` 0; the following ones
+    ask for the further chunks of the same delta.
     """
 
     since: BundleVersion
     to: BundleVersion = BundleVersion(0)
     offset: int = 0
-    """In the unpacked bytes."""
-    unpacks: bool = False
-    """Whether the asker takes packed pieces; daemons from before packing don't say so."""
-    wanted: BundleVersion = BundleVersion(0)
-    """The newest version that the asker has heard of."""
+    """The position of the requested chunk in the uncompressed bytes of the encoded delta."""
+    accepts_compressed: bool = msgspec.field(default=False, name="unpacks")
+    """Whether the requester can decompress chunks; daemons older than compression do not send this field."""
+    latest_known: BundleVersion = msgspec.field(default=BundleVersion(0), name="wanted")
+    """The latest version that has been announced to the requester."""
 
 
 class BundleChunk(msgspec.Struct, frozen=True, array_like=True):
-    """A piece of an encoded BundleDelta."""
+    """The reply to ``FetchBundle``: one chunk of an encoded ``BundleDelta``."""
 
     found: bool
-    """False: nothing newer here (``to`` tells what is), or this daemon doesn't keep bundles."""
+    """False when this daemon has nothing newer (``to`` is then its version) or does not store bundles."""
     to: BundleVersion
     total: int = 0
-    """Bytes of the whole encoded delta, unpacked."""
+    """The number of bytes of the complete encoded delta, uncompressed."""
     offset: int = 0
     data: bytes = b""
-    ask: Address | None = None
-    """Who should have it."""
-    packed: bool = False
-    """Whether ``data`` is a zlib stream of the piece."""
-    coming: bool = False
-    """Not found yet, but this daemon is about to fetch it: ask again."""
+    alternative_source: Address | None = msgspec.field(default=None, name="ask")
+    """A daemon that should have the bundle, when this one does not."""
+    compressed: bool = msgspec.field(default=False, name="packed")
+    """Whether ``data`` is a zlib stream of the chunk."""
+    pending: bool = msgspec.field(default=False, name="coming")
+    """True when the delta is not found yet but this daemon is about to fetch it; the requester should retry."""
 
 
-class AskNewest(msgspec.Struct, frozen=True, array_like=True):
-    """Call, control daemon to the primary, or to another that can reach it: which version is the newest
-    acknowledged one? Reply: NewestProven."""
+class LatestVersionRequest(msgspec.Struct, frozen=True, array_like=True):
+    """A call that asks which version is the latest acknowledged one.
 
+    A control daemon sends it to the primary, or to another control daemon that can reach the primary.
+    The reply is ``LatestVersionProof``.
+    """
+
+    WIRE_NAME: ClassVar[str] = "AskNewest"
+
+
+class LatestVersionProof(msgspec.Struct, frozen=True, array_like=True):
+    """The reply to ``LatestVersionRequest``."""
+
+    WIRE_NAME: ClassVar[str] = "NewestProven"
 
-class NewestProven(msgspec.Struct, frozen=True, array_like=True):
     proven: bool
+    """False when the answering daemon has no proof; ``version`` and ``age`` then mean nothing."""
     version: BundleVersion
     age: Seconds
-    """``version`` was the newest this long before the answer. 0 from the primary: it was still so at some
-    instant between question and answer, and nobody else led then."""
+    """How many seconds before the answer ``version`` was the latest.
+
+    The primary states 0: ``version`` was the latest at some instant between question and answer, and no other
+    daemon was primary at that instant.
+    """
     primary: Address | None = None
--- a/wingwood/distribution/protocols.py
+++ b/wingwood/distribution/protocols.py
@@ -14,7 +14,7 @@
         """The newest whole, verified bundle; never goes back."""
         ...
 
-    def proven_newest_at(self) -> Instant | None:
+    def proven_latest_at(self) -> Instant | None:
         """Latest instant of the own clock at which ``current`` was proven to be the newest acknowledged one."""
         ...
 
--- a/wingwood/distribution/publisher.py
+++ b/wingwood/distribution/publisher.py
@@ -13,9 +13,9 @@
 from ..membership.protocols import Membership
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
-from .deltas import ChunkServer, weight
+from .deltas import ChunkServer, slice_bytes
+from .distribution_tree import BUNDLE_SERVICE, tree_roots_of, zones_of
 from .freshness import FreshnessProver
-from .homes import BUNDLE_SERVICE, homes_of, zones_of
 from .limits import DistributionLimits
 from .messages import BundleAnnounced, BundleChunk, BundlePosted, FetchBundle
 
@@ -64,13 +64,13 @@
         if self._task is not None:
             self._task.cancel()
 
-    def news(self) -> News:
+    def membership_update(self) -> News:
         """What heartbeat answers tell; see ``SessionKeeper.tell``."""
-        return self._prover.news()
+        return self._prover.membership_update()
 
     def _on_committed(self, manifest: Manifest) -> None:
         """Posts in this very turn, before the acknowledgement leaves, unless a post went out just now."""
-        if self._context.clock.monotonic() - self._published >= self._limits.pause:
+        if self._context.clock.monotonic() - self._published >= self._limits.min_publish_interval:
             self._publish()
         else:
             self._wake.set()
@@ -79,7 +79,7 @@
         newest = self._source.newest()
         if newest is None:
             primary = self._core.primary_address()
-            return BundleChunk(False, BundleVersion(0), ask=None if self._core.leads() else primary)
+            return BundleChunk(False, BundleVersion(0), alternative_source=None if self._core.leads() else primary)
         delta = self._source.delta_since(message.since) if message.offset == 0 else None
         return self._chunks.chunk(message, newest.version, delta)
 
@@ -88,14 +88,16 @@
         while True:
             await self._wake.wait()
             self._wake.clear()
-            await clock.sleep(Seconds(max(0.0, self._published + self._limits.pause - clock.monotonic())))
+            await clock.sleep(
+                Seconds(max(0.0, self._published + self._limits.min_publish_interval - clock.monotonic()))
+            )
             self._publish()
 
-    def _homes(self) -> Sequence[Identity]:
+    def _tree_roots(self) -> Sequence[Identity]:
         """Of all zones; worked out anew only when the members have changed."""
         routers = self._membership.routers()
         if self._ranked is None or self._ranked[0] is not routers:
-            homes = [home for zone in zones_of(routers) for home in homes_of(BUNDLE_SERVICE, zone, routers)]
+            homes = [home for zone in zones_of(routers) for home in tree_roots_of(BUNDLE_SERVICE, zone, routers)]
             self._ranked = routers, homes
         return self._ranked[1]
 
@@ -105,7 +107,7 @@
             return
         self._published = self._context.clock.monotonic()
         version, epoch = newest.version, self._core.epoch()
-        homes = self._homes()
+        homes = self._tree_roots()
         controls = [control.internal for control in self._membership.controls()]
         posted: dict[Address, tuple[Epoch, BundleVersion]] = {}
         fresh = 0
@@ -119,7 +121,7 @@
             elif had < version:
                 if had not in posts:
                     delta = self._source.delta_since(had)
-                    small = delta is not None and weight(delta) <= self._limits.posted_bytes
+                    small = delta is not None and slice_bytes(delta) <= self._limits.max_posted_bytes
                     posts[had] = BundlePosted(delta, epoch) if delta is not None and small else announced
                 self._messenger.post(home.internal, posts[had])
             posted[home.internal] = (epoch, version)
--- a/wingwood/distribution/tests/stand_ins.py
+++ b/wingwood/distribution/tests/fakes.py
@@ -24,7 +24,7 @@
     confirmed: bool
 
 
-class StandInCore:
+class FakeControlCore:
     """Believes what the test told it; a proof of lead asks the other control daemons for real."""
 
     def __init__(self, messenger: Messenger, others: tuple[Address, ...]) -> None:
@@ -72,7 +72,7 @@
         self._callbacks.append(callback)
 
 
-class StandInSource:
+class FakeBundleSource:
     """One control daemon's view of the bundle state on its disk; the disk outlives the daemon."""
 
     def __init__(self, state: BundleState) -> None:
--- a/wingwood/distribution/tests/small_fleet.py
+++ b/wingwood/distribution/tests/small_fleet.py
@@ -22,7 +22,7 @@
 from ..follower import BundleFollower
 from ..limits import DistributionLimits
 from ..publisher import BundlePublisher
-from .stand_ins import Orders, StandInCore, StandInSource, empty_disk
+from .fakes import FakeBundleSource, FakeControlCore, Orders, empty_disk
 
 KEY = b"k" * 32
 PORT = 26000
@@ -32,18 +32,20 @@
 class ControlParts:
     """What one life of a control daemon consists of; a broken variant of the fleet replaces some class here."""
 
-    keeper_class = SessionKeeper
+    coordinator_class = SessionKeeper
     publisher_class = BundlePublisher
     times = SessionTimes()
     limits = DistributionLimits()
 
     def __init__(self, context: Context, identity: Identity, seeds: Sequence[Address], disk: BundleState) -> None:
         self.messenger = TcpMessenger(context, identity, KEY)
-        self.core = StandInCore(self.messenger, tuple(seeds))
-        self.source = StandInSource(disk)
-        self.keeper = self.keeper_class(context, self.messenger, seeds, self.times)
-        self.publisher = self.publisher_class(context, self.messenger, self.core, self.source, self.keeper, self.limits)
-        self.keeper.tell(self.publisher.news)
+        self.core = FakeControlCore(self.messenger, tuple(seeds))
+        self.source = FakeBundleSource(disk)
+        self.coordinator = self.coordinator_class(context, self.messenger, seeds, self.times)
+        self.publisher = self.publisher_class(
+            context, self.messenger, self.core, self.source, self.coordinator, self.limits
+        )
+        self.coordinator.tell(self.publisher.membership_update)
 
 
 class RouterParts:
@@ -105,7 +107,7 @@
             self.controls[name] = parts
             assert isinstance(parts.messenger.start(), Success)
             parts.core.told(self.epoch, address_of(self.world.machine(self.primary), PORT))
-            parts.keeper.start()
+            parts.coordinator.start()
             parts.publisher.start()
 
         return self.world.start(name, main)
@@ -173,7 +175,7 @@
 
     def proof_age(self, name: str) -> float | None:
         context, follower = self.world.processes[name].context, self.routers[name].follower
-        proven = follower.proven_newest_at()
+        proven = follower.proven_latest_at()
         assert context is not None
         return None if proven is None else self.inside(name, context.clock.monotonic) - proven
 
--- a/wingwood/distribution/tests/test_broken_variants.py
+++ b/wingwood/distribution/tests/test_broken_variants.py
@@ -32,8 +32,8 @@
 class AgelessProver(FreshnessProver):
     """Forgets how old its proof is."""
 
-    def news(self) -> News:
-        return msgspec.structs.replace(super().news(), proof_age=Seconds(0.0))
+    def membership_update(self) -> News:
+        return msgspec.structs.replace(super().membership_update(), proof_age=Seconds(0.0))
 
 
 class LonelyProver(FreshnessProver):
@@ -41,25 +41,25 @@
         return super()._sources()[:1]
 
 
-class LateCountingFollower(BundleFollower):
+class LateProofFollower(BundleFollower):
     """Counts a proof from when the answer came instead of from before the question."""
 
-    def _on_news(self, news: News, asked: Instant) -> None:
-        super()._on_news(news, self._context.clock.monotonic())
+    def _on_membership_update(self, membership_update: News, asked: Instant) -> None:
+        super()._on_membership_update(membership_update, self._context.clock.monotonic())
 
 
 class CarelessFollower(BundleFollower):
     """Takes a proof of a version that it doesn't have."""
 
-    def _note_proof(self, version: BundleVersion, proven: Instant) -> None:
-        super()._note_proof(BundleVersion(0), proven)
+    def _record_proof(self, version: BundleVersion, proven: Instant) -> None:
+        super()._record_proof(BundleVersion(0), proven)
 
 
 class LingeringFollower(BundleFollower):
     """Serves a second longer than the bound."""
 
     def may_serve(self) -> bool:
-        proven = self.proven_newest_at()
+        proven = self.proven_latest_at()
         return proven is not None and self._context.clock.monotonic() - proven <= 6.0
 
 
@@ -100,7 +100,7 @@
         prover_class = prover
 
     class Control(ControlParts):
-        keeper_class = keeper
+        coordinator_class = keeper
         publisher_class = Publisher
 
     class Router(RouterParts):
@@ -138,17 +138,17 @@
         """The short wait for an answer hides what is counted wrongly, so it is made long here."""
         buffered, patient = "frozen_router_does_not_serve_on_a_buffered_answer", SessionTimes(answer=Seconds(30.0))
         type("Patient", (distribution.FreshnessTest,), {"fleet": fleet_of(times=patient)})(f"test_{buffered}").debug()
-        self.caught(fleet_of(follower=LateCountingFollower, times=patient), distribution.FreshnessTest, buffered)
+        self.caught(fleet_of(follower=LateProofFollower, times=patient), distribution.FreshnessTest, buffered)
         unable = "router_that_hears_of_a_version_but_cannot_get_it_stops"
         self.caught(fleet_of(follower=CarelessFollower), distribution.FreshnessTest, unable)
         clocks = "slow_and_fast_clocks_stay_within_the_margin"
         self.caught(fleet_of(follower=LingeringFollower), distribution.FreshnessTest, clocks)
 
     def test_roll_out(self) -> None:
-        patient = DistributionLimits(home_wait=Seconds(30.0))
+        patient = DistributionLimits(push_wait=Seconds(30.0))
         at_home = "home_that_is_killed_frozen_or_cut_off_in_that_moment_breaks_nothing"
         self.caught(fleet_of(limits=patient), distribution.RollOutTest, at_home)
-        hasty = DistributionLimits(pause=Seconds(0.0))
+        hasty = DistributionLimits(min_publish_interval=Seconds(0.0))
         self.caught(fleet_of(limits=hasty), distribution.RollOutTest, "storm_of_fifty_changes_a_second")
 
     def test_sessions(self) -> None:
--- a/wingwood/distribution/tests/test_deltas.py
+++ b/wingwood/distribution/tests/test_deltas.py
@@ -13,9 +13,9 @@
 from ...bundle.parse import apply_delta
 from ...bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices, submit
 from ...identifiers import BundleVersion, SliceName
-from ..deltas import ENCODED_KEPT, ChunkServer, DeltaChain, decode_delta, unpacked, whole
+from ..deltas import MAX_ENCODED_DELTAS, ChunkServer, DeltaChain, decode_delta, decompress_chunk, full_delta
 from ..messages import BundleChunk, FetchBundle
-from .stand_ins import empty_disk
+from .fakes import empty_disk
 
 
 class DeltaChainTest(unittest.TestCase):
@@ -25,7 +25,7 @@
         state = empty_disk()
         slices: dict[SliceName, bytes] = {}
         past: dict[int, Bundle] = {}
-        chain, held, bundle = DeltaChain(kept=30), BundleVersion(0), None
+        chain, held, bundle = DeltaChain(max_deltas=30), BundleVersion(0), None
         joined, missing = 0, 0
         full = sample_slices(20)
         extra = [SliceName(f"tenant/tenant-{number}") for number in range(20)]
@@ -61,7 +61,7 @@
         submit(state, order_between(0, {}, slices))
         bundle = apply_delta(None, state.delta_since(BundleVersion(0), state.version), OPERATOR_KEYS).unwrap()  # type: ignore[arg-type]
         server = ChunkServer(chunk_bytes=1000)
-        first = server.chunk(FetchBundle(BundleVersion(0)), bundle.version, whole(bundle))
+        first = server.chunk(FetchBundle(BundleVersion(0)), bundle.version, full_delta(bundle))
         pieces = [first.data]
         while sum(map(len, pieces)) < first.total:
             asked = FetchBundle(BundleVersion(0), first.to, sum(map(len, pieces)))
@@ -69,7 +69,7 @@
             self.assertTrue(chunk.found)
             pieces.append(chunk.data)
         self.assertGreater(len(pieces), 10)
-        self.assertEqual(decode_delta(pieces), whole(bundle))
+        self.assertEqual(decode_delta(pieces), full_delta(bundle))
         self.assertIsNone(decode_delta(pieces[:-1]))
         self.assertFalse(server.chunk(FetchBundle(BundleVersion(1)), BundleVersion(1), None).found)
 
@@ -83,26 +83,31 @@
         total = 1
         while offset < total:
             chunk = server.chunk(
-                FetchBundle(BundleVersion(0), bundle.version, offset, unpacks=True), bundle.version, whole(bundle)
+                FetchBundle(BundleVersion(0), bundle.version, offset, accepts_compressed=True),
+                bundle.version,
+                full_delta(bundle),
             )
-            piece, total = unpacked(chunk), chunk.total
+            piece, total = decompress_chunk(chunk), chunk.total
             assert piece is not None
             self.assertEqual(len(piece), min(total - offset, 20_000 if offset else 3000))
             pieces.append(piece)
             offset += len(piece)
             travelled += len(chunk.data)
-        self.assertEqual(decode_delta(pieces), whole(bundle))
+        self.assertEqual(decode_delta(pieces), full_delta(bundle))
         self.assertLess(travelled, total / 2)
 
     def test_pieces_larger_than_told_or_damaged_are_no_pieces(self) -> None:
         version = BundleVersion(1)
         bomb = zlib.compress(b"x" * 1_000_000)
-        self.assertIsNone(unpacked(BundleChunk(True, version, 1000, 0, bomb, packed=True)))
-        self.assertIsNone(unpacked(BundleChunk(True, version, 1000, 0, b"no stream", packed=True)))
-        self.assertIsNone(unpacked(BundleChunk(True, version, 1000, 0, zlib.compress(b"x" * 100)[:-3], packed=True)))
-        self.assertIsNone(unpacked(BundleChunk(True, version, 1000, 900, b"x" * 101)))
+        self.assertIsNone(decompress_chunk(BundleChunk(True, version, 1000, 0, bomb, compressed=True)))
+        self.assertIsNone(decompress_chunk(BundleChunk(True, version, 1000, 0, b"no stream", compressed=True)))
+        self.assertIsNone(
+            decompress_chunk(BundleChunk(True, version, 1000, 0, zlib.compress(b"x" * 100)[:-3], compressed=True))
+        )
+        self.assertIsNone(decompress_chunk(BundleChunk(True, version, 1000, 900, b"x" * 101)))
         self.assertEqual(
-            unpacked(BundleChunk(True, version, 1000, 900, zlib.compress(b"x" * 100), packed=True)), b"x" * 100
+            decompress_chunk(BundleChunk(True, version, 1000, 900, zlib.compress(b"x" * 100), compressed=True)),
+            b"x" * 100,
         )
 
     def test_pieces_of_one_delta_fit_together_whatever_order_its_slices_are_held_in(self) -> None:
@@ -110,22 +115,22 @@
         state, slices = empty_disk(), sample_slices(100)
         submit(state, order_between(0, {}, slices))
         bundle = apply_delta(None, state.delta_since(BundleVersion(0), state.version), OPERATOR_KEYS).unwrap()  # type: ignore[arg-type]
-        reordered = msgspec.structs.replace(whole(bundle), changed=dict(reversed(list(bundle.slices.items()))))
+        reordered = msgspec.structs.replace(full_delta(bundle), changed=dict(reversed(list(bundle.slices.items()))))
         server, other_server = ChunkServer(chunk_bytes=5000), ChunkServer(chunk_bytes=5000)
-        first = server.chunk(FetchBundle(BundleVersion(0), unpacks=True), bundle.version, whole(bundle))
-        for number in range(ENCODED_KEPT):
-            other = FetchBundle(BundleVersion(100 + number), unpacks=True)
-            server.chunk(other, bundle.version, whole(bundle))
+        first = server.chunk(FetchBundle(BundleVersion(0), accepts_compressed=True), bundle.version, full_delta(bundle))
+        for number in range(MAX_ENCODED_DELTAS):
+            other = FetchBundle(BundleVersion(100 + number), accepts_compressed=True)
+            server.chunk(other, bundle.version, full_delta(bundle))
         self.assertFalse(server.holds(BundleVersion(0), bundle.version))
         pieces: list[bytes] = []
         offset = 0
         while offset < first.total:
-            asked = FetchBundle(BundleVersion(0), bundle.version, offset, unpacks=True)
-            answerer, delta = (server, reordered) if len(pieces) % 2 else (other_server, whole(bundle))
-            piece = unpacked(answerer.chunk(asked, bundle.version, delta))
+            asked = FetchBundle(BundleVersion(0), bundle.version, offset, accepts_compressed=True)
+            answerer, delta = (server, reordered) if len(pieces) % 2 else (other_server, full_delta(bundle))
+            piece = decompress_chunk(answerer.chunk(asked, bundle.version, delta))
             assert piece is not None
             pieces.append(piece)
             offset += len(piece)
         self.assertGreater(len(pieces), 4)
-        self.assertEqual(pieces[0], unpacked(first))
-        self.assertEqual(decode_delta(pieces), whole(bundle))
+        self.assertEqual(pieces[0], decompress_chunk(first))
+        self.assertEqual(decode_delta(pieces), full_delta(bundle))
--- a/wingwood/distribution/tests/test_distribution.py
+++ b/wingwood/distribution/tests/test_distribution.py
@@ -13,8 +13,8 @@
 from ...bundle.tests.samples import slice_of
 from ...identifiers import BundleVersion, Seconds, ServiceName, SliceName
 from ...membership.rendezvous import ranked
-from ..deltas import unpacked
-from ..homes import HOMES
+from ..deltas import decompress_chunk
+from ..distribution_tree import TREE_ROOTS
 from ..messages import BundleChunk
 from ..publisher import BundlePublisher
 from .small_fleet import SmallFleet
@@ -24,7 +24,7 @@
 IN_FORCE_WITHIN = 2.0
 
 
-def home_of(zone: str, names: list[str], fleet: SmallFleet, rank: int = 0) -> str:
+def tree_root_of(zone: str, names: list[str], fleet: SmallFleet, rank: int = 0) -> str:
     local = [name for name in names if fleet.world.machine(name).zone == zone]
     return ranked("home/bundle", local, str)[rank]
 
@@ -70,7 +70,7 @@
                 fleet = self.fleet(world)
                 fleet.settle()
                 zone = "abc"[seed % 3]
-                home = home_of(zone, sorted(fleet.routers), fleet)
+                home = tree_root_of(zone, sorted(fleet.routers), fleet)
                 if seed % 2:
                     version = fleet.commit()
                 match way:
@@ -92,7 +92,7 @@
         with World(seed=5) as world:
             fleet = self.fleet(world)
             fleet.settle()
-            both = [home_of("b", sorted(fleet.routers), fleet, rank) for rank in (0, 1)]
+            both = [tree_root_of("b", sorted(fleet.routers), fleet, rank) for rank in (0, 1)]
             for name in (*both, "c2"):
                 world.freeze(name)
             self.in_force(fleet, fleet.commit(), tuple(both))
@@ -105,13 +105,13 @@
         with World(seed=2) as world:
             fleet = self.fleet(world)
             fleet.settle()
-            begun = world.now
+            started_at = world.now
             latest = 0.0
             for number in range(250):
                 version = fleet.commit()
                 if number == 100:
-                    world.freeze(home_of("a", sorted(fleet.routers), fleet))
-                world.run_until(begun + (number + 1) / 50)
+                    world.freeze(tree_root_of("a", sorted(fleet.routers), fleet))
+                world.run_until(started_at + (number + 1) / 50)
                 due = [past for past, at in fleet.committed_at.items() if world.now - at > IN_FORCE_WITHIN]
                 if due:
                     self.assertTrue(fleet.all_in_force(max(due)), fleet.versions())
@@ -197,14 +197,14 @@
         with World(seed=5) as world:
             fleet = self.slow_fleet(world, routers=200)
             world.run(1.0)
-            given = self.count_whole_bundles_given(fleet)
+            given = self.count_full_bundles_served(fleet)
             fleet.commit()
             version = fleet.commit(many_routes(1600))
             self.wait_in_force(fleet, version, within=IN_FORCE_WITHIN)
-            homes = HOMES * 3
+            homes = TREE_ROOTS * 3
             self.assertLessEqual(given(), 2 * homes)
 
-    def count_whole_bundles_given(self, fleet: SmallFleet) -> Callable[[], int]:
+    def count_full_bundles_served(self, fleet: SmallFleet) -> Callable[[], int]:
         """How many last pieces of a fetch the control daemons have given, from now on."""
         given: list[BundleChunk] = []
 
@@ -213,7 +213,7 @@
 
             def chunk(*asked: Any) -> BundleChunk:
                 found = answer(*asked)
-                piece = unpacked(found) if found.found else None
+                piece = decompress_chunk(found) if found.found else None
                 if piece is not None and found.offset + len(piece) >= found.total:
                     given.append(found)
                 return found
@@ -229,7 +229,7 @@
             with self.subTest(seed=seed), World(seed=30 + seed) as world:
                 fleet = self.slow_fleet(world, routers=60)
                 fleet.settle()
-                home = home_of("a", sorted(fleet.routers), fleet)
+                home = tree_root_of("a", sorted(fleet.routers), fleet)
                 version = fleet.commit(many_routes(1600))
                 world.run(0.1 + 0.05 * seed)
                 world.power_off(home)
--- a/wingwood/distribution/tests/test_homes.py
+++ b/wingwood/distribution/tests/test_distribution_tree.py
@@ -7,7 +7,7 @@
 
 from ...identifiers import Address, DaemonName, Incarnation, Zone
 from ...transport.frames import Identity
-from ..homes import BUNDLE_SERVICE, FAN_OUT, HOMES, homes_of, ranked_of, upstream_in
+from ..distribution_tree import BUNDLE_SERVICE, FAN_OUT, TREE_ROOTS, ranked_routers, tree_roots_of, upstream_in
 
 ZONE = Zone("a")
 
@@ -21,7 +21,7 @@
     def test_every_router_hangs_below_the_homes_and_none_has_many_below_it(self) -> None:
         for count in (1, 2, 3, 11, 31, 71, 200):
             routers = [router(number) for number in range(count)] + [router(1, Zone("b"))]
-            ranking = ranked_of(BUNDLE_SERVICE, ZONE, routers)
+            ranking = ranked_routers(BUNDLE_SERVICE, ZONE, routers)
             above = {each.incarnation: upstream_in(ranking, each.incarnation) for each in ranking}
             self.assertEqual([each for each in ranking if above[each.incarnation] is None], ranking[:1])
             below = Counter(each.incarnation for each in above.values() if each is not None)
@@ -30,17 +30,17 @@
                 depth, at = 0, above[each.incarnation]
                 while at is not None:
                     depth, at = depth + 1, above[at.incarnation]
-                self.assertLessEqual(depth, 1 + (count // HOMES).bit_length())
+                self.assertLessEqual(depth, 1 + (count // TREE_ROOTS).bit_length())
 
     def test_homes_are_the_roots(self) -> None:
         routers = [router(number) for number in range(31)]
-        ranking = ranked_of(BUNDLE_SERVICE, ZONE, routers)
-        self.assertEqual(homes_of(BUNDLE_SERVICE, ZONE, routers), ranking[:HOMES])
-        self.assertEqual(upstream_in(ranking, ranking[HOMES].incarnation), ranking[0])
-        self.assertEqual(upstream_in(ranking, ranking[HOMES + FAN_OUT].incarnation), ranking[1])
+        ranking = ranked_routers(BUNDLE_SERVICE, ZONE, routers)
+        self.assertEqual(tree_roots_of(BUNDLE_SERVICE, ZONE, routers), ranking[:TREE_ROOTS])
+        self.assertEqual(upstream_in(ranking, ranking[TREE_ROOTS].incarnation), ranking[0])
+        self.assertEqual(upstream_in(ranking, ranking[TREE_ROOTS + FAN_OUT].incarnation), ranking[1])
 
     def test_router_that_the_members_lack_is_told_by_the_home(self) -> None:
         routers = [router(number) for number in range(5)]
-        ranking = ranked_of(BUNDLE_SERVICE, ZONE, routers)
+        ranking = ranked_routers(BUNDLE_SERVICE, ZONE, routers)
         self.assertEqual(upstream_in(ranking, Incarnation("newcomer")), ranking[0])
         self.assertIsNone(upstream_in([], Incarnation("newcomer")))
--- a/wingwood/distribution/tests/test_random_faults.py
+++ b/wingwood/distribution/tests/test_random_faults.py
@@ -15,7 +15,7 @@
 """Seconds after its last fault from which a router counts as connected."""
 
 
-class Walk:
+class FaultWalk:
     """Two minutes of faults on routers, and on one control daemon but the primary at a time."""
 
     fleet_class = SmallFleet
@@ -124,7 +124,7 @@
 class RandomFaultsTest(unittest.TestCase):
     def walk(self, seed: int) -> None:
         with World(seed) as world:
-            walk = Walk(world, seed)
+            walk = FaultWalk(world, seed)
             walk.run(60.0)
             self.assertEqual(walk.complaints[:5], [], f"seed {seed}\n{world.timeline(5)}")
             self.assertEqual(world.broken_invariants, [])
--- a/wingwood/membership/tests/test_sessions.py
+++ b/wingwood/membership/tests/test_sessions.py
@@ -288,7 +288,7 @@
             fleet = self.fleet(world)
             fleet.epoch = 0
             world.run(1.0)
-            knows = {name: parts.keeper.knows_of_history for name, parts in fleet.controls.items()}
+            knows = {name: parts.coordinator.knows_of_history for name, parts in fleet.controls.items()}
             self.assertTrue(all(fleet.inside(name, knows[name]) for name in knows), "settling: not sure yet")
             world.run(3.0)
             self.assertFalse(any(fleet.inside(name, knows[name]) for name in knows))
@@ -298,7 +298,7 @@
                 world.wipe(name)
                 world.restart(name)
             world.run(4.0)
-            knows = {name: parts.keeper.knows_of_history for name, parts in fleet.controls.items()}
+            knows = {name: parts.coordinator.knows_of_history for name, parts in fleet.controls.items()}
             self.assertTrue(any(fleet.inside(name, knows[name]) for name in knows))
 
     def test_duty_is_done_by_the_first_live_one_under_an_epoch(self) -> None:
--- a/wingwood/operator_api/editions.py
+++ b/wingwood/operator_api/editions.py
@@ -18,8 +18,8 @@
 from ..identifiers import BundleVersion, Instant, OrderId, Seconds
 
 NO_ORDER = OrderId("")
-WITHIN = Seconds(4.0)
-PAUSE = Seconds(0.05)
+CALL_TIMEOUT_S = Seconds(4.0)
+POLL_INTERVAL_S = Seconds(0.05)
 """Between two looks for a version that its readers have not heard of yet."""
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
@@ -33,7 +33,7 @@
     ) -> Result[Reply, NotDecided]: ...
 
 
-class NewestEdition(msgspec.Struct, frozen=True):
+class LatestEdition(msgspec.Struct, frozen=True):
     """What was newest at some moment after it was asked for."""
 
     number: int
@@ -45,7 +45,7 @@
     """``readers`` are asked in their order for a version's content, the nearest first. Each call is bounded."""
 
     def __init__(
-        self, control: CommandSender, readers: Sequence[BundleReader], clock: Clock, within: Seconds = WITHIN
+        self, control: CommandSender, readers: Sequence[BundleReader], clock: Clock, within: Seconds = CALL_TIMEOUT_S
     ) -> None:
         self._control = control
         self._readers = readers
@@ -56,20 +56,20 @@
         """The outcome is certain. A failure of kind ``unknown``: the order may have been taken, send it again."""
         return await self._control.decide("bundle", SubmitEdition(change), OrderOutcome, self._within)
 
-    async def standing(self, order: OrderId = NO_ORDER) -> Result[EditionStanding, NotDecided]:
+    async def status(self, order: OrderId = NO_ORDER) -> Result[EditionStanding, NotDecided]:
         """As the primary knows it, proven after this call began; with the outcome of ``order`` if it was accepted."""
         return await self._control.decide("bundle", FindEdition(order), EditionStanding, self._within)
 
-    async def newest(self) -> Result[NewestEdition | None, NotReadable]:
+    async def newest(self) -> Result[LatestEdition | None, NotReadable]:
         """Never older than what was acknowledged before the call; None: there is proof that nothing was yet."""
-        match await self.standing():
+        match await self.status():
             case Failure(fault):
                 return Failure(NotReadable(f"no primary proves what is newest: {fault.kind} {fault.detail}".rstrip()))
-            case Success(standing) if standing.version == 0:
+            case Success(status) if status.version == 0:
                 return Success(None)
-            case Success(standing):
-                content = await self.content(standing.version)
-                return content.map(lambda view: NewestEdition(standing.number, view))
+            case Success(status):
+                content = await self.content(status.version)
+                return content.map(lambda view: LatestEdition(status.number, view))
         raise AssertionError("a result is a success or a failure")
 
     async def content(self, version: BundleVersion) -> Result[BundleView, NotReadable]:
@@ -85,6 +85,6 @@
                         reason = f"version {version} is not kept there, {answer.newest} is"
                     case Failure(fault):
                         reason = fault.reason
-            if self._clock.monotonic() + PAUSE >= deadline:
+            if self._clock.monotonic() + POLL_INTERVAL_S >= deadline:
                 return Failure(NotReadable(reason))
-            await self._clock.sleep(PAUSE)
+            await self._clock.sleep(POLL_INTERVAL_S)
--- a/wingwood/operator_api/orders.py
+++ b/wingwood/operator_api/orders.py
@@ -16,17 +16,17 @@
 from .protocols import OperatorReply, OperatorRequest, OperatorRoutes, error_reply
 
 ORDERS_PATH = "/control/v1/orders"
-STATUS_OF = {"accepted": 200, "conflict": 409, "invalid": 422, "unknown": 503}
-DECIDE_WITHIN = Seconds(5.0)
+HTTP_STATUS_BY_OUTCOME = {"accepted": 200, "conflict": 409, "invalid": 422, "unknown": 503}
+DECISION_TIMEOUT_S = Seconds(5.0)
 
-Decide = Callable[[SubmitOrder, Seconds], Awaitable[Result[OrderOutcome, NotDecided]]]
+DecideOrder = Callable[[SubmitOrder, Seconds], Awaitable[Result[OrderOutcome, NotDecided]]]
 """Runs the command on the primary; bounded by the seconds given."""
 
 
 class OrderRoutes:
     """``POST /control/v1/orders``: an ``Order`` as JSON, bytes in base64. The answer is an ``OrderOutcome``."""
 
-    def __init__(self, decide: Decide, bundle_bytes: int, within: Seconds = DECIDE_WITHIN) -> None:
+    def __init__(self, decide: DecideOrder, bundle_bytes: int, within: Seconds = DECISION_TIMEOUT_S) -> None:
         self._decide = decide
         self._body_bytes = bundle_bytes * 3 // 2 + 64 * 1024
         """Base64 and JSON make the slices longer."""
@@ -60,4 +60,4 @@
 
     def _reply(self, outcome: OrderOutcome) -> OperatorReply:
         headers = (("Retry-After", "1"),) if outcome.outcome == "unknown" else ()
-        return OperatorReply(status=STATUS_OF[outcome.outcome], body=outcome, headers=headers)
+        return OperatorReply(status=HTTP_STATUS_BY_OUTCOME[outcome.outcome], body=outcome, headers=headers)
--- a/wingwood/operator_api/reading.py
+++ b/wingwood/operator_api/reading.py
@@ -21,10 +21,10 @@
 from .protocols import OperatorReply, OperatorRequest, OperatorRoutes, error_reply
 
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-MOST_HISTORY = 1_000
+MAX_HISTORY_ENTRIES = 1_000
 
 
-class ShownBundle(msgspec.Struct, frozen=True, kw_only=True):
+class BundleDocument(msgspec.Struct, frozen=True, kw_only=True):
     """A bundle as JSON: the slices stand in it byte for byte as they were signed."""
 
     version: BundleVersion
@@ -102,24 +102,24 @@
             return error_reply(400, "malformed", "version must be a whole number such as ?version=12")
         here = self._current()
         if here is not None and version == here.version:
-            return _shown(view_of(here), newest=False)
+            return _bundle_reply(view_of(here), newest=False)
         if version or here is None or request.query.get("newest") == "1":
-            answer = await self._newest_or(version, here is None)
+            answer = await self._bundle_from_control(version, here is None)
             if answer is not None:
                 return answer
         assert here is not None, "without one here, control's answer or its silence has been given"
-        return _shown(view_of(here), newest=False)
+        return _bundle_reply(view_of(here), newest=False)
 
-    async def _newest_or(self, version: BundleVersion, must: bool) -> OperatorReply | None:
-        """None: control can't be asked, and what is in force here will do (not when it ``must``)."""
+    async def _bundle_from_control(self, version: BundleVersion, required: bool) -> OperatorReply | None:
+        """None: control can't be asked, and what is in force here will do (not when it ``required``)."""
         if self._reader is None:
             if version:
                 return error_reply(404, "not-kept", "older versions are asked of control daemons")
-            return _unreachable("no bundle is in force here, and control is not asked from here") if must else None
+            return _unreachable("no bundle is in force here, and control is not asked from here") if required else None
         match await self._reader.bundle(version):
             case Success(answer):
                 if answer.view is not None:
-                    return _shown(answer.view, newest=answer.view.manifest.version == answer.newest)
+                    return _bundle_reply(answer.view, newest=answer.view.manifest.version == answer.newest)
                 if answer.newest == 0:
                     return error_reply(404, "no-bundle", "there is no bundle yet; push one")
                 return error_reply(
@@ -128,14 +128,14 @@
                     f"version {version} is not kept; the newest is {answer.newest}, see history_versions",
                 )
             case Failure(NotReadable(reason)):
-                return _unreachable(reason) if version or must else None
+                return _unreachable(reason) if version or required else None
         raise AssertionError("a result is a success or a failure")
 
     async def history(self, request: OperatorRequest) -> OperatorReply:
         """``?most=N`` entries, newest first."""
         most = _number(request, "most", 50)
-        if most is None or not 0 < most <= MOST_HISTORY:
-            return error_reply(400, "malformed", f"most must be a whole number from 1 to {MOST_HISTORY}")
+        if most is None or not 0 < most <= MAX_HISTORY_ENTRIES:
+            return error_reply(400, "malformed", f"most must be a whole number from 1 to {MAX_HISTORY_ENTRIES}")
         if self._reader is None:
             return error_reply(404, "not-kept", "the history is asked of control daemons")
         match await self._reader.history(most):
@@ -178,9 +178,9 @@
     return BundleVersion(int(text)) if text.isascii() and text.isdigit() and len(text) < 16 else None
 
 
-def _shown(view: BundleView, newest: bool) -> OperatorReply:
+def _bundle_reply(view: BundleView, newest: bool) -> OperatorReply:
     return OperatorReply(
-        body=ShownBundle(
+        body=BundleDocument(
             version=view.manifest.version,
             newest=newest,
             manifest=view.manifest,
--- a/wingwood/operator_api/server.py
+++ b/wingwood/operator_api/server.py
@@ -26,11 +26,11 @@
     """Above this the answer is 431; above four times this the connection is closed without one."""
     body_bytes: int = 256 * 1024
     """Of a route that names no bound of its own."""
-    bodies_bytes: int = 96 * 1024 * 1024
+    total_body_bytes: int = 96 * 1024 * 1024
     """Of all requests that are being read or answered. So much of a refused body is read and dropped,
     since an answer before its end is lost with the connection; a longer one is answered at once."""
-    idle: Seconds = Seconds(75.0)
-    body_within: Seconds = Seconds(20.0)
+    idle_timeout: Seconds = Seconds(75.0)
+    body_timeout: Seconds = Seconds(20.0)
 
 
 _BUSY = error_reply(503, "busy", "too many large requests at once; try again", (("Retry-After", "1"),))
@@ -47,22 +47,22 @@
     def __init__(self, context: Context, limits: ServerLimits | None = None) -> None:
         self.context = context
         self.limits = limits or ServerLimits()
-        self.bodies = 0
+        self.pending_body_bytes = 0
         """Bytes of bodies announced or read and not yet answered."""
-        self._exact: dict[str, dict[str, _Route]] = {}
-        self._below: dict[str, dict[str, _Route]] = {}
+        self._exact_routes: dict[str, dict[str, _Route]] = {}
+        self._prefix_routes: dict[str, dict[str, _Route]] = {}
         self._listener: Listener | None = None
         self._connections: dict[HTTP1ServerConnection, BaseIOStream] = {}
         self._parameters = HTTP1ConnectionParameters(
             max_header_size=4 * self.limits.header_bytes,
-            header_timeout=self.limits.idle,
-            body_timeout=self.limits.body_within,
-            max_body_size=self.limits.bodies_bytes,
+            header_timeout=self.limits.idle_timeout,
+            body_timeout=self.limits.body_timeout,
+            max_body_size=self.limits.total_body_bytes,
         )
         self._delegate = _ConnectionDelegate(self)
 
     def add(self, method: str, path: str, handler: OperatorHandler, body_bytes: int | None = None) -> None:
-        table, key = (self._below, path[:-1]) if path.endswith("/*") else (self._exact, path)
+        table, key = (self._prefix_routes, path[:-1]) if path.endswith("/*") else (self._exact_routes, path)
         route = _Route(handler, self.limits.body_bytes if body_bytes is None else body_bytes)
         table.setdefault(key, {})[method] = route
 
@@ -95,10 +95,10 @@
 
     def find(self, method: str, path: str) -> _Route | OperatorReply:
         """The route, or the answer that says why there is none."""
-        methods = self._exact.get(path)
+        methods = self._exact_routes.get(path)
         if methods is None:
-            above = [prefix for prefix in self._below if path.startswith(prefix)]
-            methods = self._below[max(above, key=len)] if above else None
+            above = [prefix for prefix in self._prefix_routes if path.startswith(prefix)]
+            methods = self._prefix_routes[max(above, key=len)] if above else None
         if methods is None:
             return error_reply(404, "no-such-path", f"there is no {path[:200]} here; see docs/COMMANDS.md")
         if method not in methods:
@@ -129,23 +129,23 @@
         self._refusal: OperatorReply | None = None
         """Given once the body has been read and dropped: an answer before that is lost with the connection."""
         self._body = bytearray()
-        self._counted = 0
-        self._dropped = 0
+        self._reserved_bytes = 0
+        self._discarded_bytes = 0
 
     def headers_received(
         self, start_line: httputil.RequestStartLine | httputil.ResponseStartLine, headers: httputil.HTTPHeaders
     ) -> Awaitable[None] | None:
         assert isinstance(start_line, httputil.RequestStartLine)
         self._start_line, self._headers = start_line, headers
-        self._refusal = self._look_at_head()
+        self._refusal = self._check_head()
         announced = headers.get("Content-Length", "0")
         if self._refusal is not None and (
-            not announced.isdigit() or int(announced[:18]) > self._server.limits.bodies_bytes
+            not announced.isdigit() or int(announced[:18]) > self._server.limits.total_body_bytes
         ):
             self._answer(self._refusal)
         return None
 
-    def _look_at_head(self) -> OperatorReply | None:
+    def _check_head(self) -> OperatorReply | None:
         limits = self._server.limits
         size = sum(len(name) + len(value) + 4 for name, value in self._headers.get_all()) + len(self._start_line.path)
         if size > limits.header_bytes:
@@ -164,36 +164,36 @@
             return error_reply(400, "malformed", f"Content-Length is {announced[:40]!r}: one number is expected")
         if int(announced) > found.body_bytes:
             return self._too_large(found)
-        if self._server.bodies + int(announced) > limits.bodies_bytes:
+        if self._server.pending_body_bytes + int(announced) > limits.total_body_bytes:
             return _BUSY
-        self._count(int(announced))
+        self._reserve_body_bytes(int(announced))
         self._route = found
         return None
 
     def _too_large(self, route: _Route) -> OperatorReply:
         return error_reply(413, "body-too-large", f"{self._path} takes bodies up to {route.body_bytes} bytes")
 
-    def _count(self, length: int) -> None:
-        self._server.bodies += length - self._counted
-        self._counted = length
+    def _reserve_body_bytes(self, length: int) -> None:
+        self._server.pending_body_bytes += length - self._reserved_bytes
+        self._reserved_bytes = length
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         if self._route is None:
-            self._dropped += len(chunk)
-            if self._refusal is not None and self._dropped > self._server.limits.bodies_bytes:
+            self._discarded_bytes += len(chunk)
+            if self._refusal is not None and self._discarded_bytes > self._server.limits.total_body_bytes:
                 self._answer(self._refusal)
             return None
         self._body += chunk
-        if len(self._body) > self._counted:
-            self._count(len(self._body))
+        if len(self._body) > self._reserved_bytes:
+            self._reserve_body_bytes(len(self._body))
         if len(self._body) > self._route.body_bytes:
             self._refuse(self._too_large(self._route))
-        elif self._server.bodies > self._server.limits.bodies_bytes:
+        elif self._server.pending_body_bytes > self._server.limits.total_body_bytes:
             self._refuse(_BUSY)
         return None
 
     def _refuse(self, reply: OperatorReply) -> None:
-        self._count(0)
+        self._reserve_body_bytes(0)
         self._body = bytearray()
         self._route, self._refusal = None, reply
 
@@ -225,11 +225,11 @@
         self._answer(reply)
 
     def on_connection_close(self) -> None:
-        self._count(0)
+        self._reserve_body_bytes(0)
         self._route = self._refusal = None
 
     def _answer(self, reply: OperatorReply) -> None:
-        self._count(0)
+        self._reserve_body_bytes(0)
         self._route = self._refusal = None
         self._body = bytearray()
         content_type = "application/json"
--- a/wingwood/operator_api/tests/test_editions.py
+++ b/wingwood/operator_api/tests/test_editions.py
@@ -15,7 +15,7 @@
 from ...bundle.tests.samples import OPERATOR_KEYS, SIGNING_KEY, edition_change, sample_slices
 from ...control.protocols import NotDecided
 from ...identifiers import BundleVersion, Instant, OrderId, Seconds, WallTime
-from ..editions import WITHIN, EditionClient
+from ..editions import CALL_TIMEOUT_S, EditionClient
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 Value = TypeVar("Value")
@@ -33,7 +33,7 @@
     ) -> Result[Reply, NotDecided]:
         if self.fault is not None:
             return Failure(self.fault)
-        assert (kind, timeout) == ("bundle", WITHIN)
+        assert (kind, timeout) == ("bundle", CALL_TIMEOUT_S)
         record, reply = self.state.decide(command)
         if record is not None:
             self.state.apply(record)
@@ -87,18 +87,18 @@
         assert newest is not None
         self.assertEqual((newest.number, newest.view.manifest.version), (6, 2))
         self.assertNotIn("tenant/tenant-3", newest.view.slices)
-        standing = run(self.client.standing(self.first.order)).unwrap()
-        assert standing.outcome is not None
-        self.assertEqual((standing.number, standing.outcome.version), (6, 1))
-        self.assertIsNone(run(self.client.standing(OrderId("none"))).unwrap().outcome)
+        status = run(self.client.status(self.first.order)).unwrap()
+        assert status.outcome is not None
+        self.assertEqual((status.number, status.outcome.version), (6, 1))
+        self.assertIsNone(run(self.client.status(OrderId("none"))).unwrap().outcome)
 
     def test_readers_that_are_behind_are_waited_for_and_never_believed(self) -> None:
         for change in (self.first, edition_change(4, 6, sample_slices(3))):
             run(self.client.submit(change))
         reason = run(self.late.newest()).failure().reason
         self.assertIn("version 2 is not kept there, 1 is", reason)
-        self.assertLessEqual(self.clock.now, WITHIN)
-        self.assertGreater(self.clock.now, WITHIN / 2)
+        self.assertLessEqual(self.clock.now, CALL_TIMEOUT_S)
+        self.assertGreater(self.clock.now, CALL_TIMEOUT_S / 2)
         self.assertIn("cut off", run(self.cut_off.newest()).failure().reason)
         self.behind = BundleVersion(2)
         self.assertIsInstance(run(self.late.newest()), Success)
@@ -109,7 +109,7 @@
             self.primary.fault = NotDecided(kind)
             self.assertIn(kind, run(self.client.newest()).failure().reason)
             self.assertEqual(run(self.client.submit(self.first)).failure().kind, kind)
-            self.assertEqual(run(self.client.standing()).failure().kind, kind)
+            self.assertEqual(run(self.client.status()).failure().kind, kind)
 
 
 if __name__ == "__main__":
--- a/wingwood/operator_api/tests/test_routes.py
+++ b/wingwood/operator_api/tests/test_routes.py
@@ -19,7 +19,7 @@
 from ...identifiers import Address, BundleVersion, DaemonName, Incarnation, Seconds, Zone
 from ..orders import OrderRoutes
 from ..protocols import OperatorHandler, OperatorReply, OperatorRequest
-from ..reading import HealthReport, ReadRoutes, ShownBundle
+from ..reading import BundleDocument, HealthReport, ReadRoutes
 
 HEALTH = HealthReport(
     name=DaemonName("c1"), role="control", zone=Zone("a"), incarnation=Incarnation("1"), ready=True, reasons=()
@@ -118,10 +118,10 @@
         ).add_to(routes)
         return routes
 
-    def shown(self, routes: Routes, **query: str) -> ShownBundle:
+    def shown(self, routes: Routes, **query: str) -> BundleDocument:
         reply = routes.call("GET", "/control/v1/bundle", query=query)
-        assert isinstance(reply.body, ShownBundle), reply
-        return msgspec.json.decode(msgspec.json.encode(reply.body), type=ShownBundle)
+        assert isinstance(reply.body, BundleDocument), reply
+        return msgspec.json.decode(msgspec.json.encode(reply.body), type=BundleDocument)
 
     def test_bundles_are_shown_as_signed_and_only_when_durable(self) -> None:
         routes = self.routes(LocalBundleReader(self.state, lambda: self.durable))
--- a/wingwood/operator_api/tests/test_server.py
+++ b/wingwood/operator_api/tests/test_server.py
@@ -16,7 +16,7 @@
 from ..protocols import OperatorReply, OperatorRequest
 from ..server import OperatorServer, ServerLimits
 
-LIMITS = ServerLimits(connections=3, header_bytes=1000, body_bytes=100, bodies_bytes=3_000_000)
+LIMITS = ServerLimits(connections=3, header_bytes=1000, body_bytes=100, total_body_bytes=3_000_000)
 
 
 class Sealed(msgspec.Struct):
@@ -62,7 +62,7 @@
         received = bytearray()
 
         async def run(context: Context) -> None:
-            stream = (await context.network.connect(self.address, LIMITS.idle)).unwrap()
+            stream = (await context.network.connect(self.address, LIMITS.idle_timeout)).unwrap()
             try:
                 for piece in sent:
                     await stream.write(piece)
@@ -137,22 +137,22 @@
             answered, _, closed = self.answer(sent, patience=5.0)
             self.assertEqual((answered, closed), (status, True), sent)
         self.assertEqual(self.rig.talk(b"GET /" + b"x" * 5000), b"|closed")
-        self.assertEqual(self.rig.servers[0].bodies, 0)
+        self.assertEqual(self.rig.servers[0].pending_body_bytes, 0)
 
     def test_slow_heads_and_bodies_are_given_up(self) -> None:
-        self.assertEqual(self.rig.talk(b"GET /ec", patience=LIMITS.idle + 1), b"|closed")
+        self.assertEqual(self.rig.talk(b"GET /ec", patience=LIMITS.idle_timeout + 1), b"|closed")
         slow = request("POST /echo", b"", "Content-Length: 50") + b"part"
-        self.assertEqual(self.rig.talk(slow, patience=LIMITS.body_within + 1), b"|closed")
-        self.assertEqual((self.rig.servers[0].bodies, self.rig.seen), (0, []))
+        self.assertEqual(self.rig.talk(slow, patience=LIMITS.body_timeout + 1), b"|closed")
+        self.assertEqual((self.rig.servers[0].pending_body_bytes, self.rig.seen), (0, []))
 
     def test_bodies_and_connections_are_bounded_over_all_callers(self) -> None:
         world = self.rig.world
         held = request("POST /large", b"", "Content-Length: 2000000")
 
         async def hold(context: Context) -> None:
-            stream = (await context.network.connect(self.rig.address, LIMITS.idle)).unwrap()
+            stream = (await context.network.connect(self.rig.address, LIMITS.idle_timeout)).unwrap()
             await stream.write(held)
-            await context.clock.sleep(LIMITS.idle)
+            await context.clock.sleep(LIMITS.idle_timeout)
 
         first = world.start("holder", hold, machine="client")
         world.run(0.1)
@@ -161,12 +161,12 @@
         world.start("third", hold, machine="client")
         world.run(0.1)
         self.assertEqual(self.rig.talk(request("GET /below/x")), b"|closed")
-        self.assertLessEqual(self.rig.servers[0].bodies, LIMITS.bodies_bytes)
+        self.assertLessEqual(self.rig.servers[0].pending_body_bytes, LIMITS.total_body_bytes)
         for name in ("holder", "second", "third"):
             world.kill(name)
         world.run(0.1)
         self.assertFalse(first.alive)
-        self.assertEqual(self.rig.servers[0].bodies, 0)
+        self.assertEqual(self.rig.servers[0].pending_body_bytes, 0)
         self.assertEqual(self.answer(request("GET /below/x"))[0], 200)
 
     def test_a_broken_invariant_is_answered_and_stops_the_process(self) -> None:
