--- a/wingwood/distribution/chunk_relay.py
+++ b/wingwood/distribution/chunk_relay.py
@@ -1,4 +1,4 @@
-"""Passing a large delta on while it is still coming in (docs/DESIGN.md section 9.2)."""
+"""Relays a large delta to other daemons while it is still being received (docs/DESIGN.md section 9.2)."""
 
 from __future__ import annotations
 
@@ -10,29 +10,30 @@
 
 
 class IncomingDelta:
-    """The pieces of one fetch, as they were received, by their offset in the unpacked bytes."""
+    """The chunks of one fetch as they were received, keyed by their offset in the uncompressed bytes."""
 
     def __init__(self, since: BundleVersion, to: BundleVersion) -> None:
         self.since = since
         self.to = to
         self.chunks: dict[int, BundleChunk] = {}
 
-    def answers(self, asked: FetchBundle) -> bool:
-        return asked.since == self.since and asked.to in (0, self.to)
+    def answers(self, request: FetchBundle) -> bool:
+        return request.since == self.since and request.to in (0, self.to)
 
 
 class ChunkRelay:
-    """Lets other daemons fetch what this daemon is fetching itself.
+    """Lets other daemons fetch the delta that this daemon is fetching itself.
 
-    A piece is given away as it came, before the delta is whole and checked: whoever fetches it checks it anyway. So a
-    delta crosses a tree of daemons in the time of one transfer and a piece for each level, not of a transfer for each.
+    A chunk is relayed as it was received, before the delta is complete and verified, because every receiver verifies
+    the delta anyway. So a delta crosses a tree of daemons in the time of one transfer plus one chunk per level,
+    instead of one transfer per level.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._incoming: IncomingDelta | None = None
         self._step = asyncio.Event()
-        """Replaced at each step, so that all who wait look again."""
+        """Set and replaced at each step of the fetch, so that every waiting request checks again."""
 
     def start(self, since: BundleVersion, to: BundleVersion) -> IncomingDelta:
         self._incoming = IncomingDelta(since, to)
@@ -44,33 +45,39 @@
         self._notify_step()
 
     def end(self, incoming: IncomingDelta) -> None:
-        """It is in force here, or the fetch has failed."""
+        """Ends relaying ``incoming``, because its delta is in force on this daemon or the fetch has failed.
+
+        An earlier fetch that was replaced by another one changes nothing.
+        """
         if self._incoming is incoming:
             self._incoming = None
             self._notify_step()
 
-    async def piece(self, asked: FetchBundle, within: Seconds) -> BundleChunk | None:
-        """The piece asked for, waited for as long as a fetch may still bring it; None when it doesn't come."""
-        until = Instant(self._clock.monotonic() + within)
-        while (chunk := self._stored(asked)) is None:
-            if not await self._wait_for_step(until) or self._is_over(asked):
+    async def wait_for_chunk(self, request: FetchBundle, timeout: Seconds) -> BundleChunk | None:
+        """Waits up to ``timeout`` seconds for the requested chunk.
+
+        Returns None when the time is over, or at once when the fetch that could bring the chunk has ended.
+        """
+        deadline = Instant(self._clock.monotonic() + timeout)
+        while (chunk := self._stored_chunk(request)) is None:
+            if not await self._wait_for_step(deadline) or self._has_ended(request):
                 return None
         return chunk
 
-    def _stored(self, asked: FetchBundle) -> BundleChunk | None:
+    def _stored_chunk(self, request: FetchBundle) -> BundleChunk | None:
         incoming = self._incoming
-        if incoming is None or not incoming.answers(asked):
+        if incoming is None or not incoming.answers(request):
             return None
-        return incoming.chunks.get(asked.offset)
+        return incoming.chunks.get(request.offset)
 
-    def _is_over(self, asked: FetchBundle) -> bool:
-        """The fetch of which the asker has some pieces has ended."""
-        return asked.to != 0 and (self._incoming is None or not self._incoming.answers(asked))
+    def _has_ended(self, request: FetchBundle) -> bool:
+        """Whether the fetch from which the requester already has chunks has ended."""
+        return request.to != 0 and (self._incoming is None or not self._incoming.answers(request))
 
-    async def _wait_for_step(self, until: Instant) -> bool:
+    async def _wait_for_step(self, deadline: Instant) -> bool:
         step_event = self._step
         try:
-            async with asyncio.timeout(max(0.0, until - self._clock.monotonic())):
+            async with asyncio.timeout(max(0.0, deadline - self._clock.monotonic())):
                 await step_event.wait()
         except TimeoutError:
             return False
--- a/wingwood/distribution/distribution_tree.py
+++ b/wingwood/distribution/distribution_tree.py
@@ -1,4 +1,6 @@
-"""Which routers of a zone take the bundle from control and pass it on (docs/DESIGN.md section 9.1)."""
+"""The distribution tree: which routers of a zone get bundles from control and forward them to which others
+(docs/DESIGN.md section 9.1).
+"""
 
 from __future__ import annotations
 
@@ -9,28 +11,30 @@
 from ..transport.frames import Identity
 
 BUNDLE_SERVICE = "bundle"
+"""The name under which the routers of a zone are ranked for bundle distribution."""
 TREE_ROOTS = 2
-"""Daemons of a zone that are told first: the home, and a second one."""
+"""The number of routers of a zone that the primary posts changes to; a second root covers a failure of the first."""
 FAN_OUT = 2
-"""Daemons that one daemon passes a change on to: on a slow link each more of them takes its time."""
+"""The number of routers to which one router forwards a change; on a slow link each further one adds delay."""
 
 
 def ranked_routers(service: str, zone: Zone, routers: Sequence[Identity]) -> list[Identity]:
-    """The zone's routers, the home daemon of that service first."""
+    """Returns the routers of ``zone`` in their rank for ``service``, the first tree root first."""
     local = [router for router in routers if router.zone == zone]
     return ranked(f"home/{service}", local, lambda router: router.name)
 
 
 def tree_roots_of(service: str, zone: Zone, routers: Sequence[Identity], count: int = TREE_ROOTS) -> list[Identity]:
-    """The home daemon of that service in the zone, then those that follow in rank."""
+    """Returns the first ``count`` routers of ``zone`` in their rank for ``service``: the roots of its tree."""
     return ranked_routers(service, zone, routers)[:count]
 
 
 def upstream_in(ranking: Sequence[Identity], own: Incarnation) -> Identity | None:
-    """Who passes changes on to that daemon, in a tree over the zone's ranking; None for the home.
+    """Returns the router that forwards changes to the router with incarnation ``own``; None for the first root.
 
-    The homes are its roots, and each daemon has ``FAN_OUT`` children: the next ranks in turn. A daemon that does not
-    stand in the ranking yet is told by the home.
+    The tree spans the zone's ranking: the first ``TREE_ROOTS`` routers are its roots, and each router has ``FAN_OUT``
+    children, which are the next ranks in turn. The second root also subscribes at the first one. A router that is not
+    in the ranking yet has the first root as its upstream router.
     """
     rank = next((rank for rank, router in enumerate(ranking) if router.incarnation == own), None)
     if rank is None:
@@ -41,4 +45,5 @@
 
 
 def zones_of(routers: Sequence[Identity]) -> list[Zone]:
+    """Returns the zones that have routers, sorted."""
     return sorted({router.zone for router in routers})
--- a/wingwood/distribution/fetching.py
+++ b/wingwood/distribution/fetching.py
@@ -1,4 +1,4 @@
-"""Fetching deltas piece by piece from other daemons, and handing them on (docs/DESIGN.md section 9.2)."""
+"""Fetches deltas chunk by chunk from other daemons and serves them to others (docs/DESIGN.md section 9.2)."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class NotAvailable(msgspec.Struct, frozen=True):
-    """The source has nothing newer; ``alternative_source`` may have it."""
+    """The result of a fetch whose source has nothing newer; ``alternative_source`` may have it."""
 
     alternative_source: Address | None
     pending: bool
-    """The source is about to fetch it."""
+    """True when the source is about to fetch the delta itself."""
 
 
 class DeltaFetcher:
-    """One fetch at a time; what comes in is given to other askers at once."""
+    """Runs one fetch at a time and relays received chunks to other requesters at once."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         limits: DistributionLimits,
         on_fetch_started: Callable[[BundleVersion], None],
     ) -> None:
-        """``on_fetch_started`` is told the version of which the first piece has come."""
+        """``on_fetch_started`` is called with the version of a delta when its first chunk has been received."""
         self._clock = clock
         self._on_fetch_started = on_fetch_started
         self._messenger = messenger
@@ -44,58 +44,62 @@
         self._incoming: IncomingDelta | None = None
         self._chunks = ChunkServer(limits.chunk_bytes, limits.first_chunk_bytes)
 
-    # -- asking
+    # -- fetching
 
     async def fetch_pending(
         self, source: Address, since: BundleVersion, latest_known: BundleVersion
     ) -> BundleDelta | NotAvailable | None:
-        """As ``fetch``, but asks again while ``source`` says that it is about to fetch it too."""
-        until = self._clock.monotonic() + self._limits.upstream_retry_limit
+        """Does the same as ``fetch``, but retries while ``source`` replies that it is about to fetch the delta too.
+
+        Retries end after ``upstream_retry_limit`` seconds; the last result is returned.
+        """
+        deadline = self._clock.monotonic() + self._limits.upstream_retry_limit
         while True:
-            fetched = await self.fetch(source, since, latest_known)
-            if not (isinstance(fetched, NotAvailable) and fetched.pending) or self._clock.monotonic() >= until:
-                return fetched
+            result = await self.fetch(source, since, latest_known)
+            if not (isinstance(result, NotAvailable) and result.pending) or self._clock.monotonic() >= deadline:
+                return result
 
     async def fetch(
         self, source: Address, since: BundleVersion, latest_known: BundleVersion
     ) -> BundleDelta | NotAvailable | None:
-        """What ``source`` has newer than ``since``; None when it did not answer, or not to the end.
+        """Returns the delta from ``since`` to the version that ``source`` has.
 
-        Its pieces can be had here until ``discard_incoming``.
+        Returns None when the source did not answer, or stopped answering before the last chunk. Other daemons can
+        fetch the received chunks from here until ``discard_incoming`` is called.
         """
         self.discard_incoming()
-        asked = FetchBundle(since, accepts_compressed=True, latest_known=latest_known)
+        request = FetchBundle(since, accepts_compressed=True, latest_known=latest_known)
         chunks: list[bytes] = []
         while True:
             timeout = self._limits.next_chunk_timeout if chunks else self._limits.first_chunk_timeout
-            outcome = await self._messenger.call(source, asked, BundleChunk, timeout)
+            outcome = await self._messenger.call(source, request, BundleChunk, timeout)
             if not isinstance(outcome, Success):
                 return None
             chunk: BundleChunk = outcome.unwrap()
             if not chunk.found:
                 return NotAvailable(chunk.alternative_source, chunk.pending)
-            piece = self._verified_data(asked, chunk)
-            if piece is None:
+            data = self._verified_data(request, chunk)
+            if data is None:
                 return None
-            chunks.append(piece)
+            chunks.append(data)
             self._store_chunk(since, chunk)
-            reached = chunk.offset + len(piece)
-            if reached >= chunk.total:
+            received_bytes = chunk.offset + len(data)
+            if received_bytes >= chunk.total:
                 return decode_delta(chunks)
-            asked = FetchBundle(since, chunk.to, reached, accepts_compressed=True, latest_known=latest_known)
+            request = FetchBundle(since, chunk.to, received_bytes, accepts_compressed=True, latest_known=latest_known)
 
     def discard_incoming(self) -> None:
-        """What was fetched last is in force here, or was refused."""
+        """Stops relaying the chunks of the last fetch, once its delta is in force on this daemon or was refused."""
         if self._incoming is not None:
             self._chunk_relay.end(self._incoming)
             self._incoming = None
 
-    def _verified_data(self, asked: FetchBundle, chunk: BundleChunk) -> bytes | None:
-        """The chunk's piece, if it is the one asked for."""
-        if chunk.offset != asked.offset or chunk.total > self._limits.max_fetch_bytes:
+    def _verified_data(self, request: FetchBundle, chunk: BundleChunk) -> bytes | None:
+        """Returns the uncompressed bytes of ``chunk``; None when it is not the requested chunk or is invalid."""
+        if chunk.offset != request.offset or chunk.total > self._limits.max_fetch_bytes:
             return None
-        piece = decompress_chunk(chunk)
-        return None if piece is None or (not piece and chunk.offset < chunk.total) else piece
+        data = decompress_chunk(chunk)
+        return None if data is None or (not data and chunk.offset < chunk.total) else data
 
     def _store_chunk(self, since: BundleVersion, chunk: BundleChunk) -> None:
         if self._incoming is None:
@@ -108,20 +112,24 @@
     # -- answering
 
     async def answer(
-        self, asked: FetchBundle, bundle: Bundle | None, chain: DeltaChain, primary: Address | None
+        self, request: FetchBundle, bundle: Bundle | None, chain: DeltaChain, primary: Address | None
     ) -> BundleChunk:
-        """From the bundle in force, or from what is coming in while that is not what the asker needs."""
+        """Answers a ``FetchBundle`` request from the bundle in force.
+
+        When the requester needs a later version, it answers from the delta that is being received, and waits a
+        limited time for the chunk.
+        """
         held = BundleVersion(0) if bundle is None else bundle.version
-        if asked.accepts_compressed and max(asked.latest_known, asked.to) > held:
-            within = self._limits.relay_next_chunk_wait if asked.offset else self._limits.relay_first_chunk_wait
-            passed_on = await self._chunk_relay.piece(asked, within)
-            if passed_on is not None:
-                return passed_on
-            if not asked.offset:
+        if request.accepts_compressed and max(request.latest_known, request.to) > held:
+            timeout = self._limits.relay_next_chunk_wait if request.offset else self._limits.relay_first_chunk_wait
+            relayed = await self._chunk_relay.wait_for_chunk(request, timeout)
+            if relayed is not None:
+                return relayed
+            if not request.offset:
                 return BundleChunk(False, held, alternative_source=primary, pending=True)
         if bundle is None:
             return BundleChunk(False, held, alternative_source=primary)
         delta = None
-        if asked.since < bundle.version and not (asked.offset and self._chunks.holds(asked.since, asked.to)):
-            delta = chain.since(asked.since) or full_delta(bundle)
-        return self._chunks.chunk(asked, bundle.version, delta)
+        if request.since < bundle.version and not (request.offset and self._chunks.holds(request.since, request.to)):
+            delta = chain.since(request.since) or full_delta(bundle)
+        return self._chunks.chunk(request, bundle.version, delta)
--- a/wingwood/distribution/follower.py
+++ b/wingwood/distribution/follower.py
@@ -1,4 +1,4 @@
-"""The bundle in force on a router, and its zone's home when its turn comes (docs/DESIGN.md section 9)."""
+"""Keeps the latest bundle in force on a router and forwards it to the routers below (docs/DESIGN.md section 9)."""
 
 from __future__ import annotations
 
@@ -25,13 +25,18 @@
 from .messages import BundleAnnounced, BundleChunk, BundlePosted, FetchBundle, Subscribe, Subscribed
 
 PEERS_ASKED = 2
+"""The number of randomly chosen peers that are among the sources of a fetch."""
 DISCOVERY_DELAY_S = Seconds(1.0)
-"""A daemon that has heard of no bundle for so long asks around for one."""
+"""The time after its start at which a router to which no version has been announced asks other daemons for one."""
 MAX_PENDING_PROOFS = 64
+"""The number of proofs stored for versions that are not in force on this router yet."""
 MAX_PENDING_POSTS = 64
+"""The number of posted deltas stored until they are put in force."""
 
 
 class _Subscriber:
+    """A router that gets changes from this one: the version it has and the end of its subscription."""
+
     def __init__(self, identity: Identity, held: BundleVersion, until: Instant) -> None:
         self.identity = identity
         self.held = held
@@ -39,7 +44,11 @@
 
 
 class BundleFollower:
-    """Implements ``BundleInForce``. Wanted: the newest version heard of; the loop brings it in force."""
+    """Implements ``BundleInForce`` on a router.
+
+    The target is the latest version announced to this router; a loop puts it in force. Changes are forwarded to the
+    subscribers of this router.
+    """
 
     def __init__(
         self,
@@ -64,14 +73,14 @@
         self._target_version = BundleVersion(0)
         self._behind_since: Instant | None = None
         self._announced_by: Address | None = None
-        """Who has a newer version for sure; asked first, without waiting for the home."""
+        """A daemon that certainly has a newer version; it is asked first, without waiting for a post from upstream."""
         self._posted: list[BundleDelta] = []
         self._proven: Instant | None = None
         self._proofs: list[tuple[BundleVersion, Instant]] = []
-        """Proofs of versions not yet in force here."""
+        """Proofs for versions that are not in force on this router yet."""
         self._gate = EpochGate()
         self._ranked: tuple[Sequence[Identity], Sequence[Identity], Identity | None] | None = None
-        """The routers, those of the own zone in rank, and who stands above this daemon among them."""
+        """All routers, those of the own zone in rank, and the upstream router of this one."""
         self._subscribers: dict[Address, _Subscriber] = {}
         self._wake = asyncio.Event()
         self._tasks: list[Task] = []
@@ -119,7 +128,7 @@
     def on_change(self, callback: Callable[[Bundle], None]) -> None:
         self._callbacks.append(callback)
 
-    # -- what is heard
+    # -- announcements and proofs
 
     def _on_membership_update(self, update: News, asked: Instant) -> None:
         if update.proof_age is not None:
@@ -128,7 +137,10 @@
         self._raise_target(max(update.newest, update.proof_version))
 
     def _record_proof(self, version: BundleVersion, proven: Instant) -> None:
-        """``version`` was the newest at ``proven``; counts once that version (or a newer one) is in force."""
+        """Records that ``version`` was the latest at ``proven``.
+
+        The proof counts once this version or a later one is in force.
+        """
         if self.version() >= version:
             if self._proven is None or proven > self._proven:
                 self._proven = proven
@@ -144,7 +156,10 @@
             self._wake.set()
 
     def _is_from_deposed_primary(self, peer: Identity, epoch: Epoch) -> bool:
-        """Whether a control daemon posts under an epoch that is over; it hears of the new one by itself."""
+        """Returns whether the sender is a control daemon that posts under an epoch that has ended.
+
+        Such a daemon learns of the new epoch without a message from this router.
+        """
         deposed = peer.role == "control" and not self._gate.admit(epoch)
         if deposed:
             self._context.log.event("deposed-primary-refused", peer=peer.name, epoch=epoch, newest=self._gate.highest)
@@ -166,16 +181,16 @@
             self._announced_by = peer.internal
             self._wake.set()
 
-    # -- bringing the newest version in force
+    # -- putting the latest version in force
 
     async def _follow_forever(self) -> None:
-        """At most one version in force every ``pause``; what came meanwhile is skipped over."""
+        """Puts at most one version in force every ``min_publish_interval``; versions in between are skipped."""
         clock = self._context.clock
         while True:
             self._wake.clear()
             started_at = clock.monotonic()
             advanced = await self._put_posted_in_force()
-            if not advanced and self._may_fetch(started_at):
+            if not advanced and self._should_fetch(started_at):
                 advanced = await self._fetch()
             if advanced:
                 await clock.sleep(Seconds(max(0.0, started_at + self._limits.min_publish_interval - clock.monotonic())))
@@ -190,18 +205,23 @@
             pass
 
     async def _put_posted_in_force(self) -> bool:
-        """All posts that follow on what is held, in one step; what leaves a gap waits for a fetch."""
+        """Applies all posted deltas that continue the version in force, in one step.
+
+        Deltas that leave a gap stay stored until a fetch closes it. Returns whether a version was put in force.
+        """
         posted, self._posted = self._posted, []
-        step: BundleDelta | None = None
+        combined: BundleDelta | None = None
         reached = self.version()
         for delta in sorted(posted, key=lambda delta: (delta.since, delta.manifest.version)):
             if delta.since <= reached < delta.manifest.version:
-                step = delta if step is None else join_deltas(step, msgspec.structs.replace(delta, since=reached))
+                combined = (
+                    delta if combined is None else join_deltas(combined, msgspec.structs.replace(delta, since=reached))
+                )
                 reached = delta.manifest.version
-        if step is None:
+        if combined is None:
             self._posted = [delta for delta in posted if delta.manifest.version > reached]
             return False
-        if not await self._put_in_force(step):
+        if not await self._put_in_force(combined):
             return False
         self._posted = [delta for delta in posted if delta.manifest.version > reached] + self._posted
         return True
@@ -218,7 +238,7 @@
             return False
         bundle: Bundle = outcome.unwrap()
         if self.version() != held:
-            return False  # Another one came in force while this one was read.
+            return False  # Another version was put in force while this delta was being applied.
         self._bundle = bundle
         self._chain.add(delta, held)
         now = self._context.clock.monotonic()
@@ -233,7 +253,7 @@
         self._notify_subscribers()
         return True
 
-    def _may_fetch(self, now: Instant) -> bool:
+    def _should_fetch(self, now: Instant) -> bool:
         if self._bundle is None and self._target_version == 0:
             if now - self._started <= DISCOVERY_DELAY_S or now - self._last_discovery < self._limits.discovery_interval:
                 return False
@@ -244,14 +264,14 @@
         return self._behind_since is not None and now - self._behind_since >= self._limits.push_wait
 
     async def _fetch(self) -> bool:
-        """From the first source that brings this daemon forward; True when it did."""
+        """Fetches from the first source that has a later version; returns whether one was put in force."""
         announced_by, self._announced_by = self._announced_by, None
         upstream = self._upstream()
         sources = list(self._sources(announced_by))
-        for source in sources:  # Grows by those who are named by others.
+        for source in sources:  # Grows while sources name alternative sources.
             for since in dict.fromkeys((self.version(), BundleVersion(0))):
-                waits = self._bundle is None and upstream is not None and source == upstream.internal
-                fetch = self._fetcher.fetch_pending if waits else self._fetcher.fetch
+                retries = self._bundle is None and upstream is not None and source == upstream.internal
+                fetch = self._fetcher.fetch_pending if retries else self._fetcher.fetch
                 fetched = await fetch(source, since, self._target_version)
                 if (
                     isinstance(fetched, NotAvailable)
@@ -269,35 +289,43 @@
         return False
 
     def _sources(self, announced_by: Address | None) -> Sequence[Address]:
-        """A newcomer spares the control daemons, unless it is a home, and asks the daemon above it first; else the
-        primary is asked first."""
+        """Returns the daemons to fetch from, in order.
+
+        A router without a bundle asks its upstream router first, which spares the control daemons, unless it is a
+        tree root. Otherwise the daemon that announced the version is first, then the primary.
+        """
         own = self._messenger.identity
         upstream = self._upstream()
-        above = [] if upstream is None else [upstream]
-        first = [daemon.internal for daemon in above]
-        homes = [home.internal for home in self._ranking()[:TREE_ROOTS]]
+        upstream_routers = [] if upstream is None else [upstream]
+        first = [daemon.internal for daemon in upstream_routers]
+        tree_roots = [tree_root.internal for tree_root in self._ranking()[:TREE_ROOTS]]
         primary = self._membership.primary_address()
         controls = [control for control in (primary, *self._membership.known_controls()[:8]) if control is not None]
         peers = self._membership.fellows()
-        some = self._context.random.sample(peers, min(PEERS_ASKED, len(peers)))
+        random_peers = self._context.random.sample(peers, min(PEERS_ASKED, len(peers)))
         if self._bundle is not None or self._is_tree_root():
             first = [] if announced_by is None else [announced_by]
-        order = [*first, *controls, *homes, *some]
+        order = [*first, *controls, *tree_roots, *random_peers]
         return [address for address in dict.fromkeys(order) if address != own.internal]
 
     def _ranking(self) -> Sequence[Identity]:
-        """The own zone's routers, the home first."""
+        """Returns the routers of the own zone in rank, the first tree root first."""
         return self._tree_position()[1]
 
     def _upstream(self) -> Identity | None:
-        """Who passes changes on to this daemon; None while this is its zone's home, or knows no router."""
+        """Returns the router that forwards changes to this one.
+
+        None while this is the first tree root of its zone, or knows no router.
+        """
         return self._tree_position()[2]
 
     def _is_tree_root(self) -> bool:
-        return any(home.incarnation == self._messenger.identity.incarnation for home in self._ranking()[:TREE_ROOTS])
+        return any(
+            tree_root.incarnation == self._messenger.identity.incarnation for tree_root in self._ranking()[:TREE_ROOTS]
+        )
 
     def _tree_position(self) -> tuple[Sequence[Identity], Sequence[Identity], Identity | None]:
-        """Worked out anew only when the members have changed."""
+        """Returns ``_ranked``, which is recomputed only when the members have changed."""
         routers = self._membership.routers()
         if self._ranked is None or self._ranked[0] is not routers:
             own = self._messenger.identity
@@ -305,10 +333,10 @@
             self._ranked = routers, ranking, upstream_in(ranking, own.incarnation)
         return self._ranked
 
-    # -- as home: passing on
+    # -- subscriptions and forwarding
 
     async def _subscribe_forever(self) -> None:
-        """Renews the subscription at the daemon above; at once when that is another daemon (or life)."""
+        """Renews the subscription at the upstream router; at once when that is another router or a new incarnation."""
         clock = self._context.clock
         while True:
             upstream = self._upstream()
@@ -359,7 +387,7 @@
                 subscriber.held = version
 
     def _announce_incoming(self, version: BundleVersion) -> None:
-        """A large change is on its way here: those below may fetch it while it comes in."""
+        """Announces a large change that is being received, so that subscribers can fetch it at the same time."""
         announced = BundleAnnounced(version, self._membership.epoch())
         for address, subscriber in self._subscribers.items():
             if subscriber.held < version:
--- a/wingwood/distribution/freshness.py
+++ b/wingwood/distribution/freshness.py
@@ -1,4 +1,4 @@
-"""Which version is the newest, proven by question and answer (docs/DESIGN.md section 9.3)."""
+"""Proves which bundle version is the latest, by question and answer (docs/DESIGN.md section 9.3)."""
 
 from __future__ import annotations
 
@@ -17,10 +17,15 @@
 from .messages import BundleAnnounced, LatestVersionProof, LatestVersionRequest
 
 MAX_CONTROLS_ASKED = 3
+"""The number of other control daemons that are asked for a proof, besides the primary."""
 
 
 class FreshnessProver:
-    """On each control daemon: asks the primary again and again, answers when it is the primary itself."""
+    """Obtains proofs of the latest version from the primary at a fixed interval, and answers requests for them.
+
+    It runs on each control daemon. On the primary the proof is a round in which the core confirms that this daemon is
+    still primary.
+    """
 
     def __init__(
         self,
@@ -38,9 +43,9 @@
         self._membership = membership
         self._limits = limits
         self._proven_at: Instant | None = None
-        """Own clock before the question whose answer was ``_proven_version``."""
+        """The instant of the own clock just before the request whose answer was ``_proven_version``."""
         self._proven_version = BundleVersion(0)
-        self._announced = BundleVersion(0)
+        self._announced_version = BundleVersion(0)
         self._current_round: asyncio.Future[bool] | None = None
         self._next_round: asyncio.Future[bool] | None = None
         self._task: Task | None = None
@@ -48,44 +53,44 @@
         messenger.on_post(BundleAnnounced, self._on_announced)
 
     def start(self) -> None:
-        self._task = self._context.tasks.spawn("freshness proof", self._prove_forever())
+        self._task = self._context.tasks.spawn("freshness proof", self._run_proof_loop())
 
     def stop(self) -> None:
         if self._task is not None:
             self._task.cancel()
 
     def membership_update(self) -> News:
-        """For heartbeat answers; the age is worked out at this instant."""
+        """Returns the content for heartbeat answers; the age of the proof is computed at this instant."""
         age = None
         if self._proven_at is not None:
             age = Seconds(self._context.clock.monotonic() - self._proven_at)
         return News(
             epoch=self._core.epoch(),
             primary=self._core.primary_address(),
-            newest=max(self._announced, self._proven_version, self._own_newest()),
+            newest=max(self._announced_version, self._proven_version, self._own_latest_version()),
             proof_version=self._proven_version,
             proof_age=age,
         )
 
-    def _own_newest(self) -> BundleVersion:
+    def _own_latest_version(self) -> BundleVersion:
         manifest = self._source.newest()
         return BundleVersion(0) if manifest is None else manifest.version
 
     def _on_announced(self, peer: Identity, message: BundleAnnounced) -> None:
         if peer.role == "control":
-            self._announced = max(self._announced, message.version)
+            self._announced_version = max(self._announced_version, message.version)
 
-    # -- asking
+    # -- obtaining proofs
 
-    async def _prove_forever(self) -> None:
+    async def _run_proof_loop(self) -> None:
         clock = self._context.clock
         while True:
-            asked = clock.monotonic()
-            proof = await self._ask()
+            asked_at = clock.monotonic()
+            proof = await self._request_proof()
             if proof is not None:
                 self._record_proof(*proof)
             wait = self._limits.proof_interval if proof is not None else self._limits.proof_retry_interval
-            pause = asked + wait * (0.9 + 0.2 * self._context.random.random()) - clock.monotonic()
+            pause = asked_at + wait * (0.9 + 0.2 * self._context.random.random()) - clock.monotonic()
             await clock.sleep(Seconds(max(0.05, pause)))
 
     def _record_proof(self, proven: Instant, version: BundleVersion) -> None:
@@ -96,26 +101,30 @@
             return
         self._proven_at, self._proven_version = proven, version
 
-    async def _ask(self) -> tuple[Instant, BundleVersion] | None:
-        """The primary; when it doesn't answer, others who may have asked it: their proof's age is added."""
+    async def _request_proof(self) -> tuple[Instant, BundleVersion] | None:
+        """Returns a proof as the instant at which it held and the version; None when nobody gave one.
+
+        The primary is asked first; its proof has age 0. When it gives none, other control daemons that may have asked
+        it are asked: the age of their proof is subtracted from the instant before the request, and the latest counts.
+        """
         clock = self._context.clock
         if self._core.leads():
-            asked = clock.monotonic()
-            return (asked, self._own_newest()) if await self.prove() else None
-        best: tuple[Instant, BundleVersion] | None = None
+            asked_at = clock.monotonic()
+            return (asked_at, self._own_latest_version()) if await self.prove() else None
+        latest_proof: tuple[Instant, BundleVersion] | None = None
         for address in self._sources():
-            asked = clock.monotonic()
+            asked_at = clock.monotonic()
             outcome = await self._messenger.call(
                 address, LatestVersionRequest(), LatestVersionProof, self._limits.proof_timeout
             )
             if not isinstance(outcome, Success):
                 continue
             answer: LatestVersionProof = outcome.unwrap()
-            if answer.proven and (best is None or asked - answer.age > best[0]):
-                best = Instant(asked - answer.age), answer.version
+            if answer.proven and (latest_proof is None or asked_at - answer.age > latest_proof[0]):
+                latest_proof = Instant(asked_at - answer.age), answer.version
             if answer.proven and not answer.age:
                 break
-        return best
+        return latest_proof
 
     def _sources(self) -> list[Address]:
         own = self._messenger.identity.internal
@@ -123,24 +132,24 @@
         others = [control.internal for control in self._membership.controls()]
         if len(others) > MAX_CONTROLS_ASKED:
             others = self._context.random.sample(others, MAX_CONTROLS_ASKED)
-        known = dict.fromkeys(address for address in (primary, *others) if address is not None)
-        return [address for address in known if address != own]
+        candidates = dict.fromkeys(address for address in (primary, *others) if address is not None)
+        return [address for address in candidates if address != own]
 
-    # -- answering
+    # -- answering requests
 
     async def _on_latest_version_request(self, peer: Identity, message: LatestVersionRequest) -> LatestVersionProof:
         primary = self._core.primary_address()
         if await self.prove():
-            return LatestVersionProof(True, self._own_newest(), Seconds(0.0), primary)
+            return LatestVersionProof(True, self._own_latest_version(), Seconds(0.0), primary)
         if self._proven_at is None:
             return LatestVersionProof(False, BundleVersion(0), Seconds(0.0), primary)
         age = Seconds(max(1e-6, self._context.clock.monotonic() - self._proven_at))
         return LatestVersionProof(True, self._proven_version, age, primary)
 
     async def prove(self) -> bool:
-        """Whether this daemon led at some instant after this call; many callers share one round.
+        """Returns whether this daemon was primary at some instant after this call; many callers share one round.
 
-        A round under way may have begun before the question came, so a caller waits for the next one.
+        A round that is in progress may have started before this call, so a caller waits for the next one.
         """
         if not self._core.leads():
             return False
--- a/wingwood/distribution/limits.py
+++ b/wingwood/distribution/limits.py
@@ -1,4 +1,4 @@
-"""Times and sizes of distribution, in seconds and bytes (docs/DESIGN.md sections 9.2 to 9.4)."""
+"""Time-outs, intervals and sizes of bundle distribution (docs/DESIGN.md sections 9.2 to 9.4)."""
 
 from __future__ import annotations
 
@@ -8,40 +8,53 @@
 
 
 class DistributionLimits(msgspec.Struct, frozen=True, kw_only=True):
+    """The limits that daemons use when they distribute bundles, in seconds and bytes."""
+
     push_wait: Seconds = Seconds(0.3)
-    """How long a newer version is left to the home to bring."""
+    """The time that a router waits for its upstream router to post a newer version before it fetches it."""
     first_chunk_timeout: Seconds = Seconds(0.4)
-    """How long one daemon's first answer to a fetch is waited for."""
+    """The timeout for the first chunk of a fetch from one source, and for a subscription call."""
     next_chunk_timeout: Seconds = Seconds(1.5)
-    """How long each further chunk is waited for: its source has answered, and may have a slow link."""
+    """The timeout for each further chunk; it is longer because the source has answered and may have a slow link."""
     relay_first_chunk_wait: Seconds = Seconds(0.3)
-    """How long an asker waits here for the first piece of what this daemon fetches itself; below ``fetch``."""
+    """The time that a request waits here for the first chunk of a delta that this daemon is fetching itself.
+
+    It must be below the requester's ``first_chunk_timeout``.
+    """
     relay_next_chunk_wait: Seconds = Seconds(1.2)
-    """The same for each further piece; below ``fetch_more``."""
+    """The same for each further chunk; it must be below ``next_chunk_timeout``."""
     upstream_retry_limit: Seconds = Seconds(1.0)
-    """How long a newcomer asks the daemon above again, which has no piece yet but expects some."""
+    """The time for which a router without a bundle retries at its upstream router that has no chunk yet but is
+    about to fetch the delta."""
     discovery_interval: Seconds = Seconds(0.5)
-    """How often a daemon without a bundle asks around while it has heard of none."""
+    """The interval at which a router without a bundle asks other daemons while no version has been announced to it."""
     renewal_interval: Seconds = Seconds(3.0)
-    """How often a subscription is renewed at a home that stays the same."""
+    """The mean interval at which a router renews its subscription at an upstream router that stays the same."""
     subscription_lifetime: Seconds = Seconds(8.0)
-    """A subscription that is not renewed ends."""
+    """The time after which a subscription that is not renewed ends."""
     upstream_check_interval: Seconds = Seconds(0.25)
-    """How often a router looks whether its home is another one."""
+    """The interval at which a router checks whether its upstream router has changed."""
     min_publish_interval: Seconds = Seconds(0.1)
-    """Least time between two versions put in force, and between two posts to one home."""
+    """The least time between two versions put in force, and between two posts to one tree root."""
     proof_interval: Seconds = Seconds(0.4)
-    """How often a control daemon asks the primary for the newest version."""
+    """The interval at which a control daemon asks the primary for the latest version."""
     proof_timeout: Seconds = Seconds(0.4)
+    """The timeout of one such question, and of one round in which the primary proves that it is primary."""
     proof_retry_interval: Seconds = Seconds(0.15)
+    """The interval at which a control daemon asks again after it got no proof."""
     proof_age_margin: Seconds = Seconds(0.5)
-    """Kept free between the oldest proof that is served on and the bound on removed keys: clocks that run
-    apart by 1 in 100 take 0.05 s of it, a call between its last check and its worker the rest."""
+    """The margin between the oldest proof on which a router serves calls and the bound on removed keys.
+
+    Clocks whose rates differ by 1 in 100 use 0.05 s of it; the time of a call between its last check and its
+    worker uses the rest.
+    """
     chunk_bytes: int = 128 * 1024
+    """The size of a chunk before compression."""
     first_chunk_bytes: int = 32 * 1024
-    """Of a fetch; both before packing."""
+    """The size of the first chunk of a fetch before compression."""
     max_posted_bytes: int = 16 * 1024
-    """Larger deltas are announced and fetched, since those travel packed."""
+    """The size above which a delta is announced and fetched instead of posted, since fetched deltas are compressed."""
     max_fetch_bytes: int = 64 * 1024 * 1024
-    """Most that a fetch gathers."""
+    """The largest encoded delta that a fetch accepts."""
     max_deltas: int = 256
+    """The number of recent deltas that a router stores for daemons a few versions behind."""
--- a/wingwood/distribution/publisher.py
+++ b/wingwood/distribution/publisher.py
@@ -1,4 +1,4 @@
-"""From the primary's journal to each zone's home (docs/DESIGN.md section 9.1)."""
+"""Publishes acknowledged bundles from the primary to the tree roots of each zone (docs/DESIGN.md section 9.1)."""
 
 from __future__ import annotations
 
@@ -21,12 +21,14 @@
 
 
 class BundlePublisher:
-    """On each control daemon: hands out acknowledged bundles; on the primary: posts them to the homes.
+    """Serves acknowledged bundles on each control daemon, and posts them to the tree roots on the primary.
 
-    Wanted: each home was posted the newest version under this epoch. The loop works out to whom it wasn't.
+    The target state is that the latest version has been posted to each tree root under the current epoch. The loop
+    determines the tree roots for which this is not so yet.
     """
 
     prover_class = FreshnessProver
+    """Tests replace it by a faulty variant."""
 
     def __init__(
         self,
@@ -65,23 +67,26 @@
             self._task.cancel()
 
     def membership_update(self) -> News:
-        """What heartbeat answers tell; see ``SessionKeeper.tell``."""
+        """Returns what heartbeat answers state about the latest version; the owner passes it to membership."""
         return self._prover.membership_update()
 
     def _on_committed(self, manifest: Manifest) -> None:
-        """Posts in this very turn, before the acknowledgement leaves, unless a post went out just now."""
+        """Posts a committed version at once, before its acknowledgement is sent.
+
+        The loop posts it instead when less than ``min_publish_interval`` has passed since the last post.
+        """
         if self._context.clock.monotonic() - self._published >= self._limits.min_publish_interval:
             self._publish()
         else:
             self._wake.set()
 
     async def _on_fetch(self, peer: Identity, message: FetchBundle) -> BundleChunk:
-        newest = self._source.newest()
-        if newest is None:
+        latest = self._source.newest()
+        if latest is None:
             primary = self._core.primary_address()
             return BundleChunk(False, BundleVersion(0), alternative_source=None if self._core.leads() else primary)
         delta = self._source.delta_since(message.since) if message.offset == 0 else None
-        return self._chunks.chunk(message, newest.version, delta)
+        return self._chunks.chunk(message, latest.version, delta)
 
     async def _publish_forever(self) -> None:
         clock = self._context.clock
@@ -94,42 +99,44 @@
             self._publish()
 
     def _tree_roots(self) -> Sequence[Identity]:
-        """Of all zones; worked out anew only when the members have changed."""
+        """Returns the tree roots of all zones; recomputed only when the members have changed."""
         routers = self._membership.routers()
         if self._ranked is None or self._ranked[0] is not routers:
-            homes = [home for zone in zones_of(routers) for home in tree_roots_of(BUNDLE_SERVICE, zone, routers)]
-            self._ranked = routers, homes
+            tree_roots = [
+                tree_root for zone in zones_of(routers) for tree_root in tree_roots_of(BUNDLE_SERVICE, zone, routers)
+            ]
+            self._ranked = routers, tree_roots
         return self._ranked[1]
 
     def _publish(self) -> None:
-        newest = self._source.newest()
-        if newest is None or not self._core.leads():
+        latest = self._source.newest()
+        if latest is None or not self._core.leads():
             return
         self._published = self._context.clock.monotonic()
-        version, epoch = newest.version, self._core.epoch()
-        homes = self._tree_roots()
+        version, epoch = latest.version, self._core.epoch()
+        tree_roots = self._tree_roots()
         controls = [control.internal for control in self._membership.controls()]
         posted: dict[Address, tuple[Epoch, BundleVersion]] = {}
-        fresh = 0
+        new_posts = 0
         posts: dict[BundleVersion, BundlePosted | BundleAnnounced] = {}
         announced = BundleAnnounced(version, epoch)
-        for home in homes:
-            had_epoch, had = self._posted.get(home.internal, (None, BundleVersion(0)))
-            fresh += (had_epoch, had) != (epoch, version)
-            if had_epoch != epoch:
-                self._messenger.post(home.internal, announced)
-            elif had < version:
-                if had not in posts:
-                    delta = self._source.delta_since(had)
+        for tree_root in tree_roots:
+            posted_epoch, posted_version = self._posted.get(tree_root.internal, (None, BundleVersion(0)))
+            new_posts += (posted_epoch, posted_version) != (epoch, version)
+            if posted_epoch != epoch:
+                self._messenger.post(tree_root.internal, announced)
+            elif posted_version < version:
+                if posted_version not in posts:
+                    delta = self._source.delta_since(posted_version)
                     small = delta is not None and slice_bytes(delta) <= self._limits.max_posted_bytes
-                    posts[had] = BundlePosted(delta, epoch) if delta is not None and small else announced
-                self._messenger.post(home.internal, posts[had])
-            posted[home.internal] = (epoch, version)
+                    posts[posted_version] = BundlePosted(delta, epoch) if delta is not None and small else announced
+                self._messenger.post(tree_root.internal, posts[posted_version])
+            posted[tree_root.internal] = (epoch, version)
         for control in controls:
             if control != self._messenger.identity.internal:
                 if self._posted.get(control) != (epoch, version):
                     self._messenger.post(control, announced)
                 posted[control] = (epoch, version)
         self._posted = posted
-        if fresh:
-            self._context.log.event("bundle-published", version=version, epoch=epoch, homes=fresh)
+        if new_posts:
+            self._context.log.event("bundle-published", version=version, epoch=epoch, homes=new_posts)
--- a/wingwood/distribution/tests/test_chunk_relay.py
+++ b/wingwood/distribution/tests/test_chunk_relay.py
@@ -47,8 +47,8 @@
     def test_a_piece_that_is_here_is_given_at_once(self) -> None:
         async def main(context: Context, chunk_relay: ChunkRelay) -> None:
             chunk_relay.add(chunk_relay.start(NOTHING, NEWEST), piece_at(0))
-            self.assertEqual(await chunk_relay.piece(asked_at(0), Seconds(0.0)), piece_at(0))
-            self.assertEqual(await chunk_relay.piece(asked_at(0, to=NEWEST), Seconds(0.0)), piece_at(0))
+            self.assertEqual(await chunk_relay.wait_for_chunk(asked_at(0), Seconds(0.0)), piece_at(0))
+            self.assertEqual(await chunk_relay.wait_for_chunk(asked_at(0, to=NEWEST), Seconds(0.0)), piece_at(0))
 
         self.run_in_world(main)
 
@@ -62,9 +62,9 @@
 
             started_at = context.clock.monotonic()
             context.tasks.spawn("begin", self.later(context, 0.1, begin()))
-            self.assertEqual(await chunk_relay.piece(asked_at(0), Seconds(1.0)), piece_at(0))
+            self.assertEqual(await chunk_relay.wait_for_chunk(asked_at(0), Seconds(1.0)), piece_at(0))
             self.assertAlmostEqual(context.clock.monotonic() - started_at, 0.1, places=3)
-            self.assertEqual(await chunk_relay.piece(asked_at(10, to=NEWEST), Seconds(1.0)), piece_at(10))
+            self.assertEqual(await chunk_relay.wait_for_chunk(asked_at(10, to=NEWEST), Seconds(1.0)), piece_at(10))
             self.assertAlmostEqual(context.clock.monotonic() - started_at, 0.3, places=3)
 
         self.run_in_world(main)
@@ -73,7 +73,7 @@
         async def main(context: Context, chunk_relay: ChunkRelay) -> None:
             chunk_relay.add(chunk_relay.start(NOTHING, NEWEST), piece_at(0))
             started_at = context.clock.monotonic()
-            self.assertIsNone(await chunk_relay.piece(asked_at(10, to=NEWEST), Seconds(0.5)))
+            self.assertIsNone(await chunk_relay.wait_for_chunk(asked_at(10, to=NEWEST), Seconds(0.5)))
             self.assertAlmostEqual(context.clock.monotonic() - started_at, 0.5, places=3)
 
         self.run_in_world(main)
@@ -87,7 +87,7 @@
 
             started_at = context.clock.monotonic()
             context.tasks.spawn("end", self.later(context, 0.1, end()))
-            self.assertIsNone(await chunk_relay.piece(asked_at(10, to=NEWEST), Seconds(1.0)))
+            self.assertIsNone(await chunk_relay.wait_for_chunk(asked_at(10, to=NEWEST), Seconds(1.0)))
             self.assertAlmostEqual(context.clock.monotonic() - started_at, 0.1, places=3)
 
         self.run_in_world(main)
@@ -96,7 +96,7 @@
         async def main(context: Context, chunk_relay: ChunkRelay) -> None:
             chunk_relay.add(chunk_relay.start(NOTHING, NEWEST), piece_at(0))
             others = (asked_at(0, since=BundleVersion(3)), asked_at(0, to=BundleVersion(8)))
-            given = await asyncio.gather(*(chunk_relay.piece(asked, Seconds(0.1)) for asked in others))
+            given = await asyncio.gather(*(chunk_relay.wait_for_chunk(asked, Seconds(0.1)) for asked in others))
             self.assertEqual(given, [None, None])
 
         self.run_in_world(main)
@@ -106,6 +106,6 @@
             former = chunk_relay.start(NOTHING, NEWEST)
             chunk_relay.add(chunk_relay.start(NOTHING, NEWEST), piece_at(0))
             chunk_relay.end(former)
-            self.assertEqual(await chunk_relay.piece(asked_at(0), Seconds(0.0)), piece_at(0))
+            self.assertEqual(await chunk_relay.wait_for_chunk(asked_at(0), Seconds(0.0)), piece_at(0))
 
         self.run_in_world(main)
