--- a/wingwood/daemons/call_record_file.py
+++ b/wingwood/daemons/call_record_file.py
@@ -1,4 +1,4 @@
-"""Writes a router's recorded day to its data folder, a batch a second (docs/DESIGN.md section 17)."""
+"""Writes a router's recorded calls to a file in its data folder, one batch per second (docs/DESIGN.md section 17)."""
 
 from __future__ import annotations
 
@@ -10,18 +10,23 @@
 
 BATCH_INTERVAL_S = Seconds(1.0)
 MAX_WAITING_BYTES = 8 * 1024 * 1024
+"""The size of the lines waiting in memory above which further lines are dropped."""
 
 
 class CallRecordFile:
-    """Lines wait in memory for at most a second; above the bound they are dropped and counted, never waited for."""
+    """Appends lines to the record file in batches.
+
+    Lines wait in memory for up to ``BATCH_INTERVAL_S``. Above ``MAX_WAITING_BYTES`` they are dropped and counted, so
+    that a caller never waits for the disk.
+    """
 
     def __init__(self, context: Context, name: str) -> None:
         self._context = context
         self._name = name
-        began = msgspec.json.encode({"began": round(context.clock.wall(), 3)}) + b"\n"
-        self._waiting: list[bytes] = [began]
-        """The first line is for the replay tool, which merges the days of several routers."""
-        self._bytes = len(began)
+        start_line = msgspec.json.encode({"began": round(context.clock.wall(), 3)}) + b"\n"
+        self._waiting: list[bytes] = [start_line]
+        """The first line states the start time for the replay tool, which merges the files of several routers."""
+        self._bytes = len(start_line)
         self._open = False
         self.dropped = 0
 
@@ -29,6 +34,7 @@
         self._context.tasks.spawn("day file", self._write_forever())
 
     def write(self, line: bytes) -> None:
+        """Adds ``line`` to the next batch, or drops it when too many bytes are waiting."""
         if self._bytes + len(line) > MAX_WAITING_BYTES:
             self.dropped += 1
             return
@@ -36,7 +42,8 @@
         self._bytes += len(line)
 
     async def flush(self) -> None:
-        if not self._waiting or not await self._opened():
+        """Appends the waiting lines to the file; a batch that cannot be written is logged and lost."""
+        if not self._waiting or not await self._ensure_open():
             return
         batch, self._waiting, self._bytes = b"".join(self._waiting), [], 0
         written = await self._context.disk.append(self._name, batch)
@@ -44,8 +51,11 @@
         if isinstance(fault, DiskFault):
             self._context.log.event("day-file-not-written", fault=fault.kind, detail=fault.detail, bytes=len(batch))
 
-    async def _opened(self) -> bool:
-        """Makes the folder and holds it; tried again with the next batch when it fails."""
+    async def _ensure_open(self) -> bool:
+        """Creates and locks the data folder; returns whether it is open.
+
+        A failure is logged, and the next batch tries again.
+        """
         if not self._open:
             locked = await self._context.disk.lock()
             if isinstance(locked, Failure):
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -1,4 +1,4 @@
-"""One control daemon, put together from its slices (docs/DESIGN.md section 15)."""
+"""Builds one control daemon from its parts (docs/DESIGN.md section 15)."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 from .process import ReadSettings, StartFailure, run_daemon
 
 DISK_RETRY_PAUSE_S = Seconds(1.0)
-"""Between tries to open the data folder of a full or failing disk at the start."""
+"""The pause between attempts to open the data folder at the start, when the disk is full or failing."""
 MAX_PRIMARY_PROOF_AGE_S = Seconds(3.0)
-"""A proof of lead that is older says that nobody leads; above what a take-over costs."""
+"""The age above which the last proof from a primary counts as no primary; a take-over takes less time than this."""
 
 
 class ControlDaemon:
-    """Its parts are made in ``start``, once the data folder has told which incarnation this is."""
+    """A control daemon, whose parts are created in ``start`` because the data folder states its incarnation."""
 
     def __init__(self, context: Context, settings: DaemonSettings, dialect: ControlDialect | None = None) -> None:
         self._context = context
@@ -76,7 +76,10 @@
 
 
 class ControlParts:
-    """The slices of one control daemon, over its opened data folder; without one it is a relay (section 7.12)."""
+    """The parts of one control daemon over its opened data folder.
+
+    Without a data folder the daemon is a relay (section 7.12).
+    """
 
     def __init__(
         self,
@@ -173,7 +176,7 @@
         return await self.client.submit(command, within)
 
     def current(self) -> Bundle | None:
-        """The newest durable bundle, on primary and backup."""
+        """Returns the latest durable bundle, which the primary and the backup store; None on other daemons."""
         manifest = self.source.newest()
         if manifest is None:
             return None
@@ -193,10 +196,10 @@
         reasons = [report.detail] if report.detail else []
         if not in_view:
             relay = report.own_role == "relay"
-            waits = "knows no view yet" if relay else "no seat in the view yet"
-            reasons.append(f"{waits}: waits for the fleet to form" + ("" if relay else ", or as a spare"))
+            problem = "knows no view yet" if relay else "not a member of the view yet"
+            reasons.append(f"{problem}: waits for the fleet to form" + ("" if relay else ", or as a spare"))
         elif not primary_proven:
-            reasons.append("no primary has proven its lead to this daemon of late")
+            reasons.append("no primary has proven to this daemon within the last 3 s that it is primary")
         return HealthReport(
             name=self._settings.name,
             role="control",
@@ -212,7 +215,7 @@
             control=report,
         )
 
-    # -- BundleReader: own state where it is kept, else the primary's
+    # -- BundleReader: reads the own state where bundles are stored, and asks the primary elsewhere
 
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
         return await (self.local_reader if self.local_reader.is_sure() else self.remote_reader).bundle(version)
@@ -221,7 +224,7 @@
         return await (self.local_reader if self.local_reader.is_sure() else self.remote_reader).history(most)
 
     def _stores_bundles(self) -> bool:
-        """The primary, or a backup that has heard what is durable."""
+        """Whether this daemon is the primary, or a backup that knows which versions are durable."""
         return self.core.leads() or (self.core.report().own_role == "backup" and self.source.version > 0)
 
     def _primary(self) -> Sequence[Address]:
@@ -250,5 +253,7 @@
 def run(
     settings: DaemonSettings, dialect: ControlDialect | None = None, read_settings: ReadSettings | None = None
 ) -> int:
-    """The process ``wingwood control``; returns its exit code."""
-    return run_daemon(settings, lambda context, given: ControlDaemon(context, given, dialect), read_settings)
+    """Runs the process ``wingwood control`` and returns its exit code."""
+    return run_daemon(
+        settings, lambda context, daemon_settings: ControlDaemon(context, daemon_settings, dialect), read_settings
+    )
--- a/wingwood/daemons/dialect.py
+++ b/wingwood/daemons/dialect.py
@@ -1,4 +1,6 @@
-"""What a deployment's surroundings speak where it is not the product's own interface (docs/DESIGN.md section 15.5)."""
+"""Dialects: interfaces of a deployment's surroundings that replace or extend the product's own HTTP interface
+(docs/DESIGN.md section 15.5).
+"""
 
 from __future__ import annotations
 
@@ -17,29 +19,33 @@
 
 
 class RouterState(Protocol):
-    """What a dialect's routes may ask of a router."""
+    """The state of a router that the HTTP routes of a dialect may read."""
 
-    def health(self) -> HealthReport: ...
+    def health(self) -> HealthReport:
+        """Returns the current health of the router."""
+        ...
 
 
 class ControlState(Protocol):
-    """What a dialect's routes may ask of a control daemon."""
+    """The state of a control daemon that the HTTP routes of a dialect may read."""
 
     @property
-    def editions(self) -> EditionClient: ...
+    def editions(self) -> EditionClient:
+        """The client that submits and reads editions."""
+        ...
 
 
 class RouterDialect(msgspec.Struct, frozen=True, kw_only=True):
-    """Formats and further routes of a router."""
+    """The formats and additional HTTP routes of a router."""
 
     add_routes: Callable[[RouterState, OperatorRoutes], None] = lambda router, routes: None
     formats: Formats = DEFAULT_FORMATS
-    """How callers call, and how workers are called."""
+    """The formats of calls from callers and of calls to workers."""
 
 
 class ControlDialect(msgspec.Struct, frozen=True, kw_only=True):
-    """Formats and further routes of a control daemon."""
+    """The formats and additional HTTP routes of a control daemon."""
 
     add_routes: Callable[[ControlState, OperatorRoutes], None] = lambda control, routes: None
     announcements: AnnouncementFormat = msgspec.field(default_factory=OwnAnnouncements)
-    """How workers announce themselves."""
+    """The format in which workers announce themselves."""
--- a/wingwood/daemons/process.py
+++ b/wingwood/daemons/process.py
@@ -1,4 +1,4 @@
-"""A daemon as a plain process: the real context, signals, exit codes (docs/DESIGN.md section 15)."""
+"""Runs a daemon as an operating-system process: real context, signals, exit codes (docs/DESIGN.md section 15)."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class StartFailure(msgspec.Struct, frozen=True):
-    """Why a daemon could not begin: an address in use, a data folder locked or damaged."""
+    """The reason why a daemon could not start, such as an address in use or a locked or damaged data folder."""
 
     reason: str
 
@@ -40,26 +40,29 @@
 
 
 class Daemon(Protocol):
+    """What ``run_daemon`` needs of a daemon."""
+
     async def start(self) -> Result[None, StartFailure]: ...
 
     async def drain(self) -> None:
-        """Ends work in an orderly way; bounded by ``settings.stop_within``."""
+        """Finishes work in progress and takes no new work; bounded by ``settings.stop_within`` seconds."""
         ...
 
     def stop(self) -> None:
-        """Closes everything now."""
+        """Closes all connections and listeners at once."""
         ...
 
     def settings_changed(self, settings: DaemonSettings) -> None:
-        """The settings file was written anew: takes over what may change in a running daemon, its seeds."""
+        """Applies changed settings; the only setting that can change in a running daemon is its seeds."""
         ...
 
 
 ReadSettings = Callable[[], Result[DaemonSettings, SettingsProblem]]
-"""Reads the settings once more from where they came from."""
+"""Reads the settings again from their source."""
 
 
 def real_context(settings: DaemonSettings, stop: Callable[[str], None]) -> Context:
+    """Returns the context of a real process; ``stop`` is called with the reason when an invariant is broken."""
     log = EliotLog(settings.name)
     disk: Disk = NoDisk() if settings.data_folder is None else RealDisk(Path(settings.data_folder))
     clock, network, tasks = RealClock(), RealNetwork(), RealTasks(log, stop)
@@ -75,9 +78,10 @@
 
 
 def curl_client() -> HttpClient:
-    """libcurl and its own libraries are loaded only where connections are not kept."""
-    made: HttpClient = importlib.import_module("..context.curl_client", __package__).CurlHttpClient()
-    return made
+    """Returns the libcurl client, which is imported only where connections are not kept open, since it loads libcurl
+    and the libraries that libcurl needs."""
+    client: HttpClient = importlib.import_module("..context.curl_client", __package__).CurlHttpClient()
+    return client
 
 
 def run_daemon(
@@ -85,9 +89,11 @@
     build: Callable[[Context, DaemonSettings], Daemon],
     read_settings: ReadSettings | None = None,
 ) -> int:
-    """Runs until SIGTERM or SIGINT (drains, exit 0), or a broken invariant (exit 4); 3 when it cannot start.
+    """Runs a daemon until it is stopped and returns the exit code of the process.
 
-    With ``read_settings`` the settings are looked at again on SIGHUP and every ``SETTINGS_POLL_INTERVAL_S`` seconds.
+    SIGTERM or SIGINT drains the daemon (exit code 0). A broken invariant stops it at once (exit code 4). Exit code 3
+    says that the daemon could not start. With ``read_settings`` the settings are read again on SIGHUP and every
+    ``SETTINGS_POLL_INTERVAL_S`` seconds.
     """
     return asyncio.run(_run(settings, build, read_settings))
 
@@ -137,7 +143,7 @@
 async def follow_settings(
     context: Context, settings: DaemonSettings, read_settings: ReadSettings, hangup: asyncio.Event, daemon: Daemon
 ) -> None:
-    """Hands changed settings to the daemon; unreadable ones are logged, and those before stay in force."""
+    """Passes changed settings to the daemon; unreadable settings are logged and the previous ones stay in force."""
     while True:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(SETTINGS_POLL_INTERVAL_S):
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -1,4 +1,4 @@
-"""One router daemon, put together from its slices (docs/DESIGN.md section 15)."""
+"""Builds one router daemon from its parts (docs/DESIGN.md section 15)."""
 
 from __future__ import annotations
 
@@ -40,15 +40,18 @@
 from .router_metrics import RouterStateCollector
 
 CONTROL_SILENCE_LIMIT_S = Seconds(3.0)
-"""Without a word from control a router looks whether it still reaches any worker."""
+"""The time without an answer from control after which a router probes whether it still reaches any worker."""
 WORKER_PROBE_INTERVAL_S = Seconds(1.0)
 WORKERS_PER_PROBE = 16
-"""Workers asked at a time while no control daemon answers."""
+"""The number of workers probed per interval while no control daemon answers."""
 WORKER_LISTS_TIMEOUT_S = Seconds(3.0)
-"""A router that has a bundle is ready after this also without having heard of workers: it may have none."""
+"""The time after which a router with a bundle is ready even if it has received no worker lists, since its pools
+may have no workers."""
 
 
 class RouterDaemon:
+    """A router with all its parts: it serves callers, places their calls on workers and follows the bundle."""
+
     def __init__(self, context: Context, settings: DaemonSettings, dialect: RouterDialect | None = None) -> None:
         dialect = dialect or RouterDialect()
         self._context = context
@@ -116,7 +119,7 @@
         RouterStateCollector(self.health, self._placement_counts, self.ledger.unsettled).add_to(self.metrics)
         self._stopping = False
         self._worker_lists_received = False
-        """Once True it stays so: a pool that a later bundle brings does not take the router out."""
+        """Once True it stays True, so that a pool added by a later bundle does not make the router not ready."""
         self._first_bundle_at: Instant | None = None
         self.follower.on_change(self._watch_pools)
 
@@ -164,11 +167,11 @@
         if bundle is None:
             reasons.append("no bundle yet")
         elif not self.follower.may_serve():
-            reasons.append("the bundle in force cannot be proven to be the newest")
+            reasons.append("the bundle in force is not proven to be the latest")
         if self.membership.session_proven_at() is None:
             reasons.append("no session with a control daemon yet")
         if not (worker_lists_received := self._has_received_worker_lists()):
-            reasons.append("not heard of the workers yet")
+            reasons.append("worker lists of the pools not received yet")
         if isolated := self._is_isolated():
             reasons.append("neither a control daemon nor a worker can be reached")
         now = self._context.clock.monotonic()
@@ -188,7 +191,7 @@
         )
 
     def _watch_pools(self, bundle: Bundle) -> None:
-        """Follows the workers of all pools from the start, not from a pool's first call on."""
+        """Follows the workers of all pools as soon as the bundle is in force, not only from a pool's first call on."""
         if self._first_bundle_at is None:
             self._first_bundle_at = self._context.clock.monotonic()
         for pool in pools_of(bundle.services.values()):
@@ -198,7 +201,10 @@
                 self.registry.describe(pool, declared.engine.cache_tokens)
 
     def _has_received_worker_lists(self) -> bool:
-        """Whether a home has told the workers of every pool since the start, or that was waited for long enough."""
+        """Whether a pool owner has sent the workers of every pool since the start.
+
+        Also True once ``WORKER_LISTS_TIMEOUT_S`` has passed since the first bundle came in force.
+        """
         bundle = self.follower.current()
         if not self._worker_lists_received and bundle is not None and self._first_bundle_at is not None:
             waited = self._context.clock.monotonic() - self._first_bundle_at
@@ -213,9 +219,10 @@
         return bundle is not None and all(self.registry.ready(pool) for pool in pools_of(bundle.services.values()))
 
     def _is_isolated(self) -> bool:
-        """Cut off from both sides: callers are served elsewhere, as no worker of any pool answers here.
+        """Whether this router reaches neither a control daemon nor a worker of any pool.
 
-        Without workers alone a router stays ready: then all routers are alike, and callers need the answer.
+        It is then not ready, so that callers are sent to other routers. A router that only has no workers stays ready:
+        then all routers are in the same state, and callers need an answer that says so.
         """
         return self._has_lost_control() and not self._ready_workers()
 
@@ -230,7 +237,10 @@
         return [worker for worker in ready if not self.registry.is_suspected(worker.instance)]
 
     async def _probe_workers_without_control(self) -> None:
-        """Those that do not answer are suspected and leave the ready ones; see ``_is_isolated``."""
+        """Probes ready workers while control does not answer.
+
+        Workers that do not answer are marked as suspected and no longer count as ready; see ``_is_isolated``.
+        """
         while True:
             await self._context.clock.sleep(WORKER_PROBE_INTERVAL_S)
             if self._has_lost_control():
@@ -243,7 +253,7 @@
         return None if bundle is None else bundle.tenants.get(name)
 
     def _control_addresses(self) -> Sequence[Address]:
-        """The presumed primary first, so that its answers come without a detour."""
+        """Returns the addresses of control daemons, the presumed primary first, so that calls reach it directly."""
         primary = self.membership.primary_address()
         known = self.membership.known_controls()
         return known if primary is None else list(dict.fromkeys([primary, *known]))
@@ -259,7 +269,7 @@
 
 
 def pools_of(services: Collection[Service]) -> list[PoolName]:
-    """Of all services, those that share a service's calls included, sorted."""
+    """Returns the sorted names of the pools of all services, including pools that take a share of a service's calls."""
     shared = {share.pool for service in services for share in service.split}
     return sorted({service.pool for service in services} | shared)
 
@@ -271,5 +281,7 @@
 def run(
     settings: DaemonSettings, dialect: RouterDialect | None = None, read_settings: ReadSettings | None = None
 ) -> int:
-    """The process ``wingwood router``; returns its exit code."""
-    return run_daemon(settings, lambda context, given: RouterDaemon(context, given, dialect), read_settings)
+    """Runs the process ``wingwood router`` and returns its exit code."""
+    return run_daemon(
+        settings, lambda context, daemon_settings: RouterDaemon(context, daemon_settings, dialect), read_settings
+    )
--- a/wingwood/daemons/router_metrics.py
+++ b/wingwood/daemons/router_metrics.py
@@ -1,4 +1,4 @@
-"""How a router stands, for the platform's monitoring (docs/DESIGN.md section 15.4)."""
+"""Exports the state of a router as Prometheus metrics (docs/DESIGN.md section 15.4)."""
 
 from __future__ import annotations
 
@@ -30,6 +30,7 @@
         registry.register(self)
 
     def describe(self) -> Iterable[Metric]:
+        """Returns nothing, so that registering the collector does not read the router's state."""
         return ()
 
     def collect(self) -> Iterable[Metric]:
@@ -43,10 +44,10 @@
             "workers_ready": ("Workers announced as ready", float(report.workers_ready)),
             "ledger_unsettled": ("Outcomes not yet durable in the ledger", float(self._unsettled())),
         }
-        for name, (meaning, value) in gauges.items():
+        for name, (description, value) in gauges.items():
             if value is not None:
-                yield GaugeMetricFamily(f"wingwood_{name}", meaning, value=value)
+                yield GaugeMetricFamily(f"wingwood_{name}", description, value=value)
         decisions = CounterMetricFamily("wingwood_placement", "What the award policy did", labels=("what",))
-        for what, count in sorted(self._placement_counts().items()):
-            decisions.add_metric((what,), count)
+        for decision, count in sorted(self._placement_counts().items()):
+            decisions.add_metric((decision,), count)
         yield decisions
--- a/wingwood/operator_api/editions.py
+++ b/wingwood/operator_api/editions.py
@@ -1,6 +1,7 @@
-"""Orders on the operator's own numbers, and the newest content read back with proof (docs/DESIGN.md section 15.6).
+"""Submits editions, which carry the operator's own numbers, and reads the latest content back with proof
+(docs/DESIGN.md section 15.6).
 
-The product has no HTTP format of its own for these; a deployment's dialect brings one.
+The product has no HTTP format of its own for editions; a deployment's dialect provides one.
 """
 
 from __future__ import annotations
@@ -18,31 +19,39 @@
 from ..identifiers import BundleVersion, Instant, OrderId, Seconds
 
 NO_ORDER = OrderId("")
+"""Asks for the status without the outcome of an order."""
 CALL_TIMEOUT_S = Seconds(4.0)
+"""The default time limit for each call to control, and for reading a version's content."""
 POLL_INTERVAL_S = Seconds(0.05)
-"""Between two looks for a version that its readers have not heard of yet."""
+"""The pause between attempts to read a version that the readers do not have yet."""
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 
 
 class CommandSender(Protocol):
-    """The way to control's primary; ``ControlClient`` is one."""
+    """Sends commands to the primary; ``ControlClient`` is one."""
 
     async def decide(
         self, kind: str, command: msgspec.Struct, reply_type: type[Reply], timeout: Seconds
-    ) -> Result[Reply, NotDecided]: ...
+    ) -> Result[Reply, NotDecided]:
+        """Returns the primary's reply to ``command``, or why there is none within ``timeout``."""
+        ...
 
 
 class LatestEdition(msgspec.Struct, frozen=True):
-    """What was newest at some moment after it was asked for."""
+    """The edition that was the latest at some instant after it was requested."""
 
     number: int
-    """0: there is none yet."""
+    """The operator's number of the edition; 0 when there is none yet."""
     view: BundleView
 
 
 class EditionClient:
-    """``readers`` are asked in their order for a version's content, the nearest first. Each call is bounded."""
+    """Submits editions and reads them back.
+
+    ``readers`` are asked in their order for the content of a version, so the nearest one comes first. Each call takes
+    ``within`` seconds at most.
+    """
 
     def __init__(
         self, control: CommandSender, readers: Sequence[BundleReader], clock: Clock, within: Seconds = CALL_TIMEOUT_S
@@ -53,18 +62,29 @@
         self._within = within
 
     async def submit(self, change: EditionChange) -> Result[OrderOutcome, NotDecided]:
-        """The outcome is certain. A failure of kind ``unknown``: the order may have been taken, send it again."""
+        """Submits ``change``; an outcome that is returned is certain.
+
+        After a failure of kind ``unknown`` the order may have been accepted and should be sent again.
+        """
         return await self._control.decide("bundle", SubmitEdition(change), OrderOutcome, self._within)
 
     async def status(self, order: OrderId = NO_ORDER) -> Result[EditionStanding, NotDecided]:
-        """As the primary knows it, proven after this call began; with the outcome of ``order`` if it was accepted."""
+        """Returns the state that the primary knows, proven after this call started.
+
+        It includes the outcome of ``order`` if that order was accepted.
+        """
         return await self._control.decide("bundle", FindEdition(order), EditionStanding, self._within)
 
     async def newest(self) -> Result[LatestEdition | None, NotReadable]:
-        """Never older than what was acknowledged before the call; None: there is proof that nothing was yet."""
+        """Returns the latest edition, which is never older than one acknowledged before the call.
+
+        None means that there is proof that nothing had been acknowledged.
+        """
         match await self.status():
             case Failure(fault):
-                return Failure(NotReadable(f"no primary proves what is newest: {fault.kind} {fault.detail}".rstrip()))
+                return Failure(
+                    NotReadable(f"no primary proves which version is the latest: {fault.kind} {fault.detail}".rstrip())
+                )
             case Success(status) if status.version == 0:
                 return Success(None)
             case Success(status):
@@ -73,10 +93,13 @@
         raise AssertionError("a result is a success or a failure")
 
     async def content(self, version: BundleVersion) -> Result[BundleView, NotReadable]:
-        """Exactly that version, which has one content everywhere; it must be known to be durable."""
+        """Returns the content of exactly ``version``, which must be known to be durable.
+
+        A durable version has the same content everywhere, so any reader may answer.
+        """
         deadline = Instant(self._clock.monotonic() + self._within)
         while True:
-            reason = "there is no reader"
+            reason = "no reader is configured"
             for reader in self._readers:
                 match await reader.bundle(version):
                     case Success(answer) if answer.view is not None:
--- a/wingwood/operator_api/reading.py
+++ b/wingwood/operator_api/reading.py
@@ -1,6 +1,6 @@
-"""What operators and the platform read (docs/DESIGN.md section 15.3).
+"""The HTTP routes that operators and the platform read from (docs/DESIGN.md section 15.3).
 
-The handlers take small callables, so that routers and control daemons wire in what they have.
+The handlers take callables, so that routers and control daemons can each supply the data they have.
 """
 
 from __future__ import annotations
@@ -22,20 +22,21 @@
 
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 MAX_HISTORY_ENTRIES = 1_000
+"""The largest number of history entries that one request may ask for."""
 
 
 class BundleDocument(msgspec.Struct, frozen=True, kw_only=True):
-    """A bundle as JSON: the slices stand in it byte for byte as they were signed."""
+    """A bundle as a JSON document; it contains the slices byte for byte as they were signed."""
 
     version: BundleVersion
     newest: bool
-    """Whether control said that this is the newest; False: in force here, or an older one."""
+    """Whether control stated that this is the latest version; False for the bundle in force and for older versions."""
     manifest: Manifest
     slices: dict[SliceName, msgspec.Raw]
 
 
 class HealthReport(msgspec.Struct, frozen=True, kw_only=True):
-    """How one daemon stands."""
+    """The status of one daemon."""
 
     name: DaemonName
     role: Literal["router", "control"]
@@ -45,22 +46,22 @@
     reasons: tuple[str, ...] = ()
     """Why it is not ready, or what else an operator should know."""
     version: BundleVersion = BundleVersion(0)
-    """In force here."""
+    """The version in force on this daemon."""
     bundle_proven_age: Seconds | None = None
-    """Since ``version`` was last proven to be the newest."""
+    """The number of seconds since ``version`` was last proven to be the latest; None without a proof."""
     session_age: Seconds | None = None
-    """Since the session with control was last confirmed."""
+    """The number of seconds since the session with control was last confirmed; None without a session."""
     members: int = 0
     workers_ready: int = 0
     control: ViewReport | None = None
-    """On control daemons: who leads, and whether another loss could be borne now."""
+    """On control daemons: which daemon is primary, and whether the fleet could survive another loss now."""
 
 
 class ReadRoutes:
-    """``GET`` bundle, history, members, workers, health, live, ready, metrics.
+    """The ``GET`` routes for bundle, history, members, workers, health, live, ready and metrics.
 
-    ``current``: the bundle in force here. ``reader``: what control keeps; None where it can't be asked.
-    ``health`` is made anew for each call; ``/ready`` and ``/live`` answer 200 or 503.
+    ``current`` returns the bundle in force on this daemon. ``reader`` reads what control stores; it is None where
+    control cannot be asked. ``health`` is called for each request; ``/ready`` and ``/live`` answer 200 or 503.
     """
 
     def __init__(
@@ -96,26 +97,35 @@
             routes.add("GET", path, handler)
 
     async def bundle(self, request: OperatorRequest) -> OperatorReply:
-        """In force here; ``?newest=1`` asks control, ``?version=N`` for an older one that control keeps."""
+        """Returns the bundle in force on this daemon.
+
+        ``?newest=1`` asks control for the latest version, and ``?version=N`` for an older one that control stores.
+        """
         version = _number(request, "version", 0)
         if version is None:
             return error_reply(400, "malformed", "version must be a whole number such as ?version=12")
-        here = self._current()
-        if here is not None and version == here.version:
-            return _bundle_reply(view_of(here), newest=False)
-        if version or here is None or request.query.get("newest") == "1":
-            answer = await self._bundle_from_control(version, here is None)
+        in_force = self._current()
+        if in_force is not None and version == in_force.version:
+            return _bundle_reply(view_of(in_force), newest=False)
+        if version or in_force is None or request.query.get("newest") == "1":
+            answer = await self._bundle_from_control(version, in_force is None)
             if answer is not None:
                 return answer
-        assert here is not None, "without one here, control's answer or its silence has been given"
-        return _bundle_reply(view_of(here), newest=False)
+        assert in_force is not None, (
+            "without a bundle in force, the reply from control or its error has been returned above"
+        )
+        return _bundle_reply(view_of(in_force), newest=False)
 
     async def _bundle_from_control(self, version: BundleVersion, required: bool) -> OperatorReply | None:
-        """None: control can't be asked, and what is in force here will do (not when it ``required``)."""
+        """Returns the reply built from control's answer.
+
+        Returns None when control cannot be asked and the bundle in force is to be returned instead. With ``required``
+        an error is returned in that case.
+        """
         if self._reader is None:
             if version:
-                return error_reply(404, "not-kept", "older versions are asked of control daemons")
-            return _unreachable("no bundle is in force here, and control is not asked from here") if required else None
+                return error_reply(404, "not-kept", "this daemon stores no older versions; ask a control daemon")
+            return _unreachable("no bundle is in force on this daemon, and it cannot ask control") if required else None
         match await self._reader.bundle(version):
             case Success(answer):
                 if answer.view is not None:
@@ -125,19 +135,19 @@
                 return error_reply(
                     404,
                     "not-kept",
-                    f"version {version} is not kept; the newest is {answer.newest}, see history_versions",
+                    f"version {version} is not stored; the latest is {answer.newest}, see history_versions",
                 )
             case Failure(NotReadable(reason)):
                 return _unreachable(reason) if version or required else None
         raise AssertionError("a result is a success or a failure")
 
     async def history(self, request: OperatorRequest) -> OperatorReply:
-        """``?most=N`` entries, newest first."""
+        """Returns the ``?most=N`` latest history entries, the latest first."""
         most = _number(request, "most", 50)
         if most is None or not 0 < most <= MAX_HISTORY_ENTRIES:
             return error_reply(400, "malformed", f"most must be a whole number from 1 to {MAX_HISTORY_ENTRIES}")
         if self._reader is None:
-            return error_reply(404, "not-kept", "the history is asked of control daemons")
+            return error_reply(404, "not-kept", "this daemon stores no history; ask a control daemon")
         match await self._reader.history(most):
             case Success(HistoryAnswer() as answer):
                 return OperatorReply(body=answer)
@@ -165,7 +175,7 @@
 
     async def metrics(self, _request: OperatorRequest) -> OperatorReply:
         if self._metrics is None:
-            return error_reply(404, "no-metrics", "this daemon counts nothing")
+            return error_reply(404, "no-metrics", "this daemon has no metrics")
         return OperatorReply(body=generate_latest(self._metrics), headers=(("Content-Type", METRICS_TYPE),))
 
 
@@ -174,6 +184,7 @@
 
 
 def _number(request: OperatorRequest, name: str, default: int) -> BundleVersion | None:
+    """Returns the query parameter ``name`` as a number, or ``default`` without it; None when it is no number."""
     text = request.query.get(name, str(default))
     return BundleVersion(int(text)) if text.isascii() and text.isdigit() and len(text) < 16 else None
 
--- a/wingwood/operator_api/server.py
+++ b/wingwood/operator_api/server.py
@@ -1,6 +1,6 @@
 """The HTTP server of the operator address (docs/DESIGN.md section 15.1).
 
-tornado's HTTP/1.1 connection on streams from ``Context.network``, so it runs in the simulator too.
+It runs tornado's HTTP/1.1 connection on streams from ``Context.network``, so it works in the simulator too.
 """
 
 from __future__ import annotations
@@ -21,34 +21,47 @@
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
+    """The limits of an ``OperatorServer``, in bytes and seconds."""
+
     connections: int = 1_000
+    """The number of open connections above which a new one is closed at once."""
     header_bytes: int = 16 * 1024
-    """Above this the answer is 431; above four times this the connection is closed without one."""
+    """The size of a request head above which the response is 431.
+
+    Above four times this size the connection is closed without a response.
+    """
     body_bytes: int = 256 * 1024
-    """Of a route that names no bound of its own."""
+    """The body limit of a route that sets none of its own."""
     total_body_bytes: int = 96 * 1024 * 1024
-    """Of all requests that are being read or answered. So much of a refused body is read and dropped,
-    since an answer before its end is lost with the connection; a longer one is answered at once."""
+    """The limit for the bodies of all requests that are being read or answered.
+
+    It is also the part of a refused body that is read and discarded, since a response sent before the end of the body
+    is lost when the connection closes. A longer refused body is answered at once.
+    """
     idle_timeout: Seconds = Seconds(75.0)
+    """The time within which the head of the next request must arrive."""
     body_timeout: Seconds = Seconds(20.0)
+    """The time within which a request body must arrive."""
 
 
 _BUSY = error_reply(503, "busy", "too many large requests at once; try again", (("Retry-After", "1"),))
 
 
 class _Route(msgspec.Struct, frozen=True):
+    """The handler of one method and path, and the size limit of its request bodies."""
+
     handler: OperatorHandler
     body_bytes: int
 
 
 class OperatorServer:
-    """``OperatorRoutes`` behind one listening address. Every answer that is not the asked one is JSON."""
+    """Serves ``OperatorRoutes`` on one listening address; every error response is JSON."""
 
     def __init__(self, context: Context, limits: ServerLimits | None = None) -> None:
         self.context = context
         self.limits = limits or ServerLimits()
         self.pending_body_bytes = 0
-        """Bytes of bodies announced or read and not yet answered."""
+        """The number of body bytes announced or read by requests that have not been answered yet."""
         self._exact_routes: dict[str, dict[str, _Route]] = {}
         self._prefix_routes: dict[str, dict[str, _Route]] = {}
         self._listener: Listener | None = None
@@ -67,20 +80,21 @@
         table.setdefault(key, {})[method] = route
 
     def start(self, address: Address) -> Result[None, NetworkFault]:
-        """Listens at ``address``."""
+        """Starts to listen on ``address``; the result is a failure when the address cannot be used."""
         listening = self.context.network.listen(address, self.handle_stream)
         if isinstance(listening, Success):
             self._listener = listening.unwrap()
         return listening.map(lambda _: None)
 
     def stop(self) -> None:
-        """Listens no more and closes what is open."""
+        """Stops listening and closes all open connections."""
         if self._listener is not None:
             self._listener.close()
         for stream in list(self._connections.values()):
             stream.close()
 
     def handle_stream(self, stream: BaseIOStream, peer: Address) -> None:
+        """Serves a new connection, or closes it when too many are open."""
         if len(self._connections) >= self.limits.connections:
             self.context.log.event("operator-connection-refused", peer=peer, connections=len(self._connections))
             stream.close()
@@ -90,17 +104,18 @@
         connection.start_serving(self._delegate)
 
     def closed(self, connection: object) -> None:
+        """Removes a connection that has been closed."""
         if isinstance(connection, HTTP1ServerConnection):
             self._connections.pop(connection, None)
 
     def find(self, method: str, path: str) -> _Route | OperatorReply:
-        """The route, or the answer that says why there is none."""
+        """Returns the route, or the response that says why there is none."""
         methods = self._exact_routes.get(path)
         if methods is None:
-            above = [prefix for prefix in self._prefix_routes if path.startswith(prefix)]
-            methods = self._prefix_routes[max(above, key=len)] if above else None
+            prefixes = [prefix for prefix in self._prefix_routes if path.startswith(prefix)]
+            methods = self._prefix_routes[max(prefixes, key=len)] if prefixes else None
         if methods is None:
-            return error_reply(404, "no-such-path", f"there is no {path[:200]} here; see docs/COMMANDS.md")
+            return error_reply(404, "no-such-path", f"this daemon has no path {path[:200]}; see docs/COMMANDS.md")
         if method not in methods:
             allowed = ", ".join(sorted(methods))
             return error_reply(405, "wrong-method", f"{path} takes {allowed}", (("Allow", allowed),))
@@ -108,6 +123,8 @@
 
 
 class _ConnectionDelegate(httputil.HTTPServerConnectionDelegate):
+    """Creates an ``_Exchange`` for each request of a connection."""
+
     def __init__(self, server: OperatorServer) -> None:
         self._server = server
 
@@ -120,14 +137,15 @@
 
 
 class _Exchange(httputil.HTTPMessageDelegate):
-    """One request and its answer. The body is read only when the head is in order."""
+    """One request and its response. The body is stored only when the head is valid, otherwise it is discarded."""
 
     def __init__(self, server: OperatorServer, connection: HTTP1Connection) -> None:
         self._server = server
         self._connection = connection
         self._route: _Route | None = None
         self._refusal: OperatorReply | None = None
-        """Given once the body has been read and dropped: an answer before that is lost with the connection."""
+        """The error response, sent once the body has been read and discarded: a response sent before that is lost when
+        the connection closes."""
         self._body = bytearray()
         self._reserved_bytes = 0
         self._discarded_bytes = 0
@@ -146,22 +164,25 @@
         return None
 
     def _check_head(self) -> OperatorReply | None:
+        """Finds the route and reserves the announced body bytes; returns an error response when it cannot."""
         limits = self._server.limits
         size = sum(len(name) + len(value) + 4 for name, value in self._headers.get_all()) + len(self._start_line.path)
         if size > limits.header_bytes:
-            return error_reply(431, "headers-too-large", f"the head has {size} bytes, {limits.header_bytes} are taken")
+            return error_reply(
+                431, "headers-too-large", f"the request head has {size} bytes; the limit is {limits.header_bytes}"
+            )
         try:
             parts = urlsplit(self._start_line.path)
             self._path = unquote(parts.path, errors="strict")
             self._query = dict(parse_qsl(parts.query, keep_blank_values=True, errors="strict", max_num_fields=50))
         except (ValueError, UnicodeDecodeError):
-            return error_reply(400, "malformed", "the request's path can't be read")
+            return error_reply(400, "malformed", "the path or the query of the request cannot be decoded")
         found = self._server.find(self._start_line.method, self._path)
         if isinstance(found, OperatorReply):
             return found
         announced = self._headers.get("Content-Length", "0")
         if not (announced.isascii() and announced.isdigit() and len(announced) < 19):
-            return error_reply(400, "malformed", f"Content-Length is {announced[:40]!r}: one number is expected")
+            return error_reply(400, "malformed", f"Content-Length is {announced[:40]!r}; expected one number")
         if int(announced) > found.body_bytes:
             return self._too_large(found)
         if self._server.pending_body_bytes + int(announced) > limits.total_body_bytes:
@@ -171,9 +192,10 @@
         return None
 
     def _too_large(self, route: _Route) -> OperatorReply:
-        return error_reply(413, "body-too-large", f"{self._path} takes bodies up to {route.body_bytes} bytes")
+        return error_reply(413, "body-too-large", f"{self._path} accepts bodies of up to {route.body_bytes} bytes")
 
     def _reserve_body_bytes(self, length: int) -> None:
+        """Sets the number of bytes that this request counts towards ``pending_body_bytes``."""
         self._server.pending_body_bytes += length - self._reserved_bytes
         self._reserved_bytes = length
 
@@ -193,6 +215,7 @@
         return None
 
     def _refuse(self, reply: OperatorReply) -> None:
+        """Drops the body received so far; ``reply`` is sent at the end of the body."""
         self._reserve_body_bytes(0)
         self._body = bytearray()
         self._route, self._refusal = None, reply
@@ -220,7 +243,7 @@
         except (msgspec.MsgspecError, UnicodeError) as malformed:
             reply = error_reply(400, "malformed", str(malformed))
         except Exception:
-            self._answer(error_reply(500, "broken", "an error in this daemon; its log says more"))
+            self._answer(error_reply(500, "broken", "this daemon failed while it handled the request; see its log"))
             raise
         self._answer(reply)
 
