--- a/wingwood/daemons/tests/test_call_record_file.py
+++ b/wingwood/daemons/tests/test_call_record_file.py
@@ -1,4 +1,4 @@
-"""A recorded day reaches a data folder that nobody made before (docs/DESIGN.md section 17)."""
+"""Tests that recorded calls are written to a data folder that did not exist before (docs/DESIGN.md section 17)."""
 
 from __future__ import annotations
 
@@ -17,13 +17,15 @@
 from ..call_record_file import CallRecordFile
 
 
-class Quiet:
+class SilentLog:
+    """A log that discards all events."""
+
     def event(self, name: str, **fields: object) -> None:
         pass
 
 
 class CallRecordFileTest(unittest.TestCase):
-    def test_the_folder_is_made_and_the_first_line_says_when_it_began(self) -> None:
+    def test_data_folder_is_created_and_first_line_states_the_start_time(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             asyncio.run(self.record(Path(folder) / "not" / "yet"))
             lines = (Path(folder) / "not" / "yet" / "day.jsonl").read_bytes().splitlines()
@@ -31,14 +33,14 @@
         self.assertGreater(WallTime(msgspec.json.decode(lines[0])["began"]), 1.6e9)
 
     async def record(self, folder: Path) -> None:
-        log, network = Quiet(), RealNetwork()
+        log, network = SilentLog(), RealNetwork()
         tasks = RealTasks(log, self.fail)
         http = StreamHttpClient(network, tasks)
         context = Context(RealClock(), network, RealDisk(folder), http, random.Random(1), log, tasks)
-        day = CallRecordFile(context, "day.jsonl")
-        day.start()
-        day.write(b'{"at":1}\n')
-        await day.flush()
-        day.write(b'{"at":2}\n')
-        await day.flush()
+        record_file = CallRecordFile(context, "day.jsonl")
+        record_file.start()
+        record_file.write(b'{"at":1}\n')
+        await record_file.flush()
+        record_file.write(b'{"at":2}\n')
+        await record_file.flush()
         await tasks.cancel_all()
--- a/wingwood/daemons/tests/test_control_ready.py
+++ b/wingwood/daemons/tests/test_control_ready.py
@@ -1,4 +1,7 @@
-"""A control daemon that says it is ready is led, and says why when it is not (docs/DESIGN.md section 15)."""
+"""Tests the readiness of control daemons (docs/DESIGN.md section 15).
+
+They guard against a control daemon that reports ready without a primary, or does not report why it is not ready.
+"""
 
 from __future__ import annotations
 
@@ -14,20 +17,20 @@
 
 class ControlReadyTest(unittest.TestCase):
     def health(self, name: str) -> HealthReport:
-        """Asked inside the process, on its own clock."""
-        found: list[HealthReport] = []
+        """Returns the health report, computed inside the process on its own clock."""
+        reports: list[HealthReport] = []
 
-        async def look() -> None:
+        async def read_health() -> None:
             parts = cast(ControlDaemon, self.fleet.daemons[name])._parts
             assert parts is not None
-            found.append(parts.health())
+            reports.append(parts.health())
 
         world = self.fleet.world
-        world.spawn(world.processes[name], look(), "test")
-        self.assertTrue(world.wait_for(lambda: bool(found), 1.0, every=0.01))
-        return found[0]
+        world.spawn(world.processes[name], read_health(), "test")
+        self.assertTrue(world.wait_for(lambda: bool(reports), 1.0, every=0.01))
+        return reports[0]
 
-    def test_the_last_of_three_is_not_ready_and_says_why(self) -> None:
+    def test_last_of_three_control_daemons_is_not_ready_and_says_why(self) -> None:
         shape = shape_named("demo")
         with World(1, network_shape(shape)) as world:
             self.fleet = Fleet(world, shape, supervised=False)
@@ -49,7 +52,7 @@
             self.assertTrue(world.wait_for(lambda: self.health(last).ready, 12.0))
             self.assertEqual(self.health(last).reasons, ())
 
-    def test_an_empty_one_that_is_started_on_a_failing_disk_waits_until_it_heals(self) -> None:
+    def test_empty_control_daemon_on_a_failing_disk_waits_for_the_disk(self) -> None:
         shape = shape_named("demo")
         with World(1, network_shape(shape)) as world:
             self.fleet = Fleet(world, shape, supervised=False)
@@ -66,8 +69,8 @@
             self.assertIsNone(process.stopped_because)
             process.machine.disk.set_mode("well")
 
-            def up() -> bool:
+            def has_started() -> bool:
                 return cast(ControlDaemon, self.fleet.daemons[name])._parts is not None
 
-            self.assertTrue(world.wait_for(up, 5.0))
+            self.assertTrue(world.wait_for(has_started, 5.0))
             self.assertTrue(world.wait_for(lambda: self.health(name).ready, 8.0))
--- a/wingwood/daemons/tests/test_relay.py
+++ b/wingwood/daemons/tests/test_relay.py
@@ -1,4 +1,7 @@
-"""Control daemons without a disk (docs/DESIGN.md section 7.12)."""
+"""Tests of relays: control daemons without a disk (docs/DESIGN.md section 7.12).
+
+They guard against a relay that acts as a member of the core, or returns old data when it is cut off.
+"""
 
 from __future__ import annotations
 
@@ -51,14 +54,14 @@
         return parts
 
     def inside(self, name: str, question: Callable[[], Awaitable[Value]], within: float = 6.0) -> Value:
-        found: list[Value] = []
+        results: list[Value] = []
 
         async def run() -> None:
-            found.append(await question())
+            results.append(await question())
 
         self.world.spawn(self.world.processes[name], run(), "test")
-        self.assertTrue(self.world.wait_for(lambda: bool(found), within, every=0.01))
-        return found[0]
+        self.assertTrue(self.world.wait_for(lambda: bool(results), within, every=0.01))
+        return results[0]
 
     def health(self, name: str) -> HealthReport:
         async def look() -> HealthReport:
@@ -67,7 +70,7 @@
         return self.inside(name, look)
 
     def history_through(self, name: str) -> int:
-        """Newest version by a read through that daemon."""
+        """Returns the latest version according to a read through that daemon; -1 when the read fails."""
 
         async def read() -> int:
             outcome = await self.parts(name).history(1)
@@ -75,7 +78,7 @@
 
         return self.inside(name, read)
 
-    def test_relays_are_ready_have_no_seat_and_no_file(self) -> None:
+    def test_relays_are_ready_without_view_membership_and_without_files(self) -> None:
         self.world.run(2.0)
         for name in RELAYS:
             report = self.health(name)
@@ -85,7 +88,7 @@
             self.assertNotIn(report.incarnation, report.control.members)
             self.assertEqual(self.world.processes[name].machine.disk.visible, {})
 
-    def test_a_relay_takes_no_seat_of_a_lost_member_and_leads_nowhere(self) -> None:
+    def test_relay_does_not_replace_a_lost_view_member(self) -> None:
         self.world.power_off(self.world.processes["control-3"].machine.name)
         self.world.run(10.0)
         report = self.health("control-1").control
@@ -96,7 +99,7 @@
         self.assertFalse(names & set(report.members))
         self.assertFalse(any(self.parts(name).core.leads() for name in RELAYS))
 
-    def test_a_command_and_a_read_go_through_a_relay_before_and_after_a_take_over(self) -> None:
+    def test_commands_and_reads_pass_through_a_relay_across_a_take_over(self) -> None:
         first = self.history_through("relay-1")
         self.assertEqual(first, self.history_through("control-1"))
         self.assertGreaterEqual(first, 1)
@@ -109,7 +112,7 @@
         self.assertEqual(self.history_through("relay-1"), first + 2)
 
     def push_through(self, relay: str, name: str) -> str:
-        """The outcome of an order sent to that daemon's operator address only."""
+        """Returns the outcome of an order that is sent only to the operator address of that daemon."""
         operator, seen = self.fleet.operators["operator-1"], list[SeenOrder]()
 
         async def push() -> None:
@@ -120,7 +123,7 @@
         self.assertTrue(self.world.wait_for(lambda: bool(seen), 6.0, every=0.05))
         return str(seen[0].answers[-1].outcome)
 
-    def test_cut_off_from_the_core_it_says_nothing_old(self) -> None:
+    def test_cut_off_relay_returns_no_old_data(self) -> None:
         relay = self.world.processes["relay-1"].machine.name
         self.world.cut_off(relay)
         self.world.run(6.0)
@@ -133,16 +136,16 @@
 
         self.assertFalse(self.inside("relay-1", fetch).found)
 
-    def test_it_answers_no_question_of_the_core(self) -> None:
+    def test_relay_does_not_answer_core_messages(self) -> None:
         parts = self.parts("relay-1")
         view = View(Epoch(90), parts._identity.incarnation, (), (), ())
-        me = parts._identity.incarnation
-        questions = (
-            (ControlPromise(me, me, Epoch(90)), ControlGrant),
-            (ControlAccept(me, view), ControlAccepted),
-            (ControlReplicate(me, Epoch(90), 0, 0, b""), ControlReplicated),
+        incarnation = parts._identity.incarnation
+        requests = (
+            (ControlPromise(incarnation, incarnation, Epoch(90)), ControlGrant),
+            (ControlAccept(incarnation, view), ControlAccepted),
+            (ControlReplicate(incarnation, Epoch(90), 0, 0, b""), ControlReplicated),
         )
-        for message, reply_type in questions:
+        for message, reply_type in requests:
 
             async def ask(message: object = message, reply_type: object = reply_type) -> object:
                 messenger = self.parts("control-1").messenger
--- a/wingwood/daemons/tests/test_router_cut_off.py
+++ b/wingwood/daemons/tests/test_router_cut_off.py
@@ -1,4 +1,7 @@
-"""A router that reaches neither control nor any worker takes itself out (docs/DESIGN.md section 15.4)."""
+"""Tests that a router which reaches neither control nor any worker is not ready (docs/DESIGN.md section 15.4).
+
+Otherwise the platform would keep sending it callers that other routers could serve.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +12,12 @@
 
 
 class RouterCutOffTest(unittest.TestCase):
-    def doors_while_cut_off(self, workers: bool) -> tuple[bool, bool]:
-        """Whether the platform sends callers to the router in the cut's last second, and again after it."""
+    def ready_during_and_after_cut(self, workers: bool) -> tuple[bool, bool]:
+        """Returns whether the router is ready for callers in the last second of the cut, and 10 s later."""
         shape = shape_named("sabarmati")
-        assert shape.removed_key_bound is None, "else the proof's age takes it out anyway"
+        assert shape.removed_key_bound is None, (
+            "with a bound the age of the proof would make the router not ready anyway"
+        )
         with World(3, network_shape(shape)) as world:
             fleet = Fleet(world, shape)
             fleet.start()
@@ -25,8 +30,8 @@
             world.run(10.0)
             return during, fleet.ready_doors["router-4"]
 
-    def test_without_workers_it_is_not_ready_until_it_is_back(self) -> None:
-        self.assertEqual(self.doors_while_cut_off(workers=True), (False, True))
+    def test_router_without_control_and_workers_is_not_ready_until_reconnected(self) -> None:
+        self.assertEqual(self.ready_during_and_after_cut(workers=True), (False, True))
 
-    def test_with_workers_it_serves_on(self) -> None:
-        self.assertEqual(self.doors_while_cut_off(workers=False), (True, True))
+    def test_router_without_control_but_with_workers_stays_ready(self) -> None:
+        self.assertEqual(self.ready_during_and_after_cut(workers=False), (True, True))
--- a/wingwood/daemons/tests/test_router_metrics.py
+++ b/wingwood/daemons/tests/test_router_metrics.py
@@ -1,4 +1,4 @@
-"""A router's metrics tell its state and what the award policy did (docs/DESIGN.md section 15.4)."""
+"""Tests that a router's metrics contain its state and the award policy's decisions (docs/DESIGN.md section 15.4)."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RouterMetricsTest(unittest.TestCase):
-    def test_a_scrape_shows_the_state_and_the_awards(self) -> None:
+    def test_scrape_contains_the_state_and_the_awards(self) -> None:
         shape = shape_named("demo")
         with World(2, network_shape(shape)) as world:
             fleet = Fleet(world, shape)
@@ -33,9 +33,11 @@
         values = [
             dict(line.rsplit(" ", 1) for line in text.splitlines() if line[0] != "#") for text in scraped.values()
         ]
-        for each in values:
-            self.assertEqual(float(each["wingwood_ready"]), 1.0)
-            self.assertEqual(float(each["wingwood_bundle_version"]), 1.0)
-            self.assertLess(float(each["wingwood_bundle_proof_age_seconds"]), 2.0)
-            self.assertEqual(float(each["wingwood_members"]), shape.routers + shape.controls)
-        self.assertGreater(sum(float(each.get('wingwood_placement_total{what="award"}', 0)) for each in values), 0)
+        for metrics in values:
+            self.assertEqual(float(metrics["wingwood_ready"]), 1.0)
+            self.assertEqual(float(metrics["wingwood_bundle_version"]), 1.0)
+            self.assertLess(float(metrics["wingwood_bundle_proof_age_seconds"]), 2.0)
+            self.assertEqual(float(metrics["wingwood_members"]), shape.routers + shape.controls)
+        self.assertGreater(
+            sum(float(metrics.get('wingwood_placement_total{what="award"}', 0)) for metrics in values), 0
+        )
--- a/wingwood/daemons/tests/test_settings_change.py
+++ b/wingwood/daemons/tests/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Settings that are written anew while a daemon runs."""
+"""Tests that changed settings are passed to a running daemon, and unchanged or unreadable ones are not."""
 
 from __future__ import annotations
 
@@ -32,16 +32,18 @@
 OTHER_SEEDS = msgspec.structs.replace(SETTINGS, seeds=(Address("127.0.0.1", 7200),))
 
 
-class NoLog:
+class SilentLog:
+    """A log that discards all events."""
+
     def event(self, name: str, **fields: object) -> None:
         pass
 
 
-class Listening:
-    """A daemon that notes what it is told."""
+class RecordingDaemon:
+    """A daemon that records the settings passed to it."""
 
     def __init__(self) -> None:
-        self.told: asyncio.Queue[DaemonSettings] = asyncio.Queue()
+        self.received: asyncio.Queue[DaemonSettings] = asyncio.Queue()
 
     async def start(self) -> Result[None, StartFailure]:
         return Success(None)
@@ -53,38 +55,39 @@
         pass
 
     def settings_changed(self, settings: DaemonSettings) -> None:
-        self.told.put_nowait(settings)
+        self.received.put_nowait(settings)
 
 
 def context() -> Context:
-    log = NoLog()
+    log = SilentLog()
     http: Any = None
     tasks = RealTasks(log, lambda reason: None)
     return Context(RealClock(), RealNetwork(), NoDisk(), http, random.Random(1), log, tasks)
 
 
-async def told_by(answers: list[Result[DaemonSettings, SettingsProblem]]) -> DaemonSettings:
-    daemon, hangup = Listening(), asyncio.Event()
+async def settings_passed_on(reads: list[Result[DaemonSettings, SettingsProblem]]) -> DaemonSettings:
+    """Returns the first settings passed to the daemon when ``reads`` are the results of reading them."""
+    daemon, hangup = RecordingDaemon(), asyncio.Event()
 
     def read_settings() -> Result[DaemonSettings, SettingsProblem]:
-        if len(answers) > 1:
+        if len(reads) > 1:
             hangup.set()
-        return answers.pop(0) if answers else Success(OTHER_SEEDS)
+        return reads.pop(0) if reads else Success(OTHER_SEEDS)
 
     hangup.set()
     following = asyncio.create_task(follow_settings(context(), SETTINGS, read_settings, hangup, daemon))
     try:
         async with asyncio.timeout(Seconds(5.0)):
-            return await daemon.told.get()
+            return await daemon.received.get()
     finally:
         following.cancel()
 
 
-class SettingsChange(unittest.TestCase):
-    def test_hang_up_hands_new_seeds_to_the_daemon(self) -> None:
-        self.assertEqual(asyncio.run(told_by([Success(OTHER_SEEDS)])).seeds, OTHER_SEEDS.seeds)
+class SettingsChangeTest(unittest.TestCase):
+    def test_hangup_signal_passes_new_seeds_to_the_daemon(self) -> None:
+        self.assertEqual(asyncio.run(settings_passed_on([Success(OTHER_SEEDS)])).seeds, OTHER_SEEDS.seeds)
 
-    def test_the_same_settings_and_unreadable_ones_change_nothing(self) -> None:
+    def test_unchanged_and_unreadable_settings_are_not_passed_on(self) -> None:
         unreadable = Failure(SettingsProblem(file="x.toml", expected="not TOML"))
-        answers: list[Result[DaemonSettings, SettingsProblem]] = [Success(SETTINGS), unreadable, Success(OTHER_SEEDS)]
-        self.assertEqual(asyncio.run(told_by(answers)), OTHER_SEEDS)
+        reads: list[Result[DaemonSettings, SettingsProblem]] = [Success(SETTINGS), unreadable, Success(OTHER_SEEDS)]
+        self.assertEqual(asyncio.run(settings_passed_on(reads)), OTHER_SEEDS)
--- a/wingwood/distribution/tests/fakes.py
+++ b/wingwood/distribution/tests/fakes.py
@@ -1,4 +1,6 @@
-"""A control core that a test moves by hand, over the real bundle state (stand-ins for section 7)."""
+"""Fakes of the control core and its bundle source, which a test steers, over the real bundle state
+(docs/DESIGN.md section 7).
+"""
 
 from __future__ import annotations
 
@@ -17,15 +19,19 @@
 
 
 class ConfirmLead(msgspec.Struct, frozen=True):
+    """A call that asks whether the sender is still primary in ``epoch``."""
+
     epoch: Epoch
 
 
 class LeadConfirmed(msgspec.Struct, frozen=True):
+    """The reply to ``ConfirmLead``."""
+
     confirmed: bool
 
 
 class FakeControlCore:
-    """Believes what the test told it; a proof of lead asks the other control daemons for real."""
+    """Has the epoch and the primary that the test sets; ``prove_lead`` really asks the other control daemons."""
 
     def __init__(self, messenger: Messenger, others: tuple[Address, ...]) -> None:
         self._messenger = messenger
@@ -35,7 +41,7 @@
         self._callbacks: list[Callable[[], None]] = []
         messenger.on_call(ConfirmLead, self._on_confirm)
 
-    def told(self, epoch: int, primary: Address | None) -> None:
+    def set_primary(self, epoch: int, primary: Address | None) -> None:
         self._epoch, self._primary = Epoch(epoch), primary
         for callback in self._callbacks:
             callback()
@@ -73,7 +79,7 @@
 
 
 class FakeBundleSource:
-    """One control daemon's view of the bundle state on its disk; the disk outlives the daemon."""
+    """The bundle source of one control daemon over the state on its disk; the disk survives a restart of the daemon."""
 
     def __init__(self, state: BundleState) -> None:
         self._state = state
@@ -100,7 +106,7 @@
 
 
 class Orders:
-    """Signed orders one after the other, each changing one tenant's paid rate."""
+    """Creates consecutive signed orders, each of which changes the paid rate of one tenant."""
 
     def __init__(self, tenants: int = 5) -> None:
         self.version = BundleVersion(0)
@@ -108,7 +114,7 @@
         self._tenants = tenants
 
     def next(self, added: Mapping[SliceName, bytes] | None = None) -> Order:
-        """With ``added`` these slices join in place of the change."""
+        """Returns the next order; with ``added`` it adds these slices instead of changing a tenant."""
         if added:
             after = self.slices | dict(added)
         elif self.version == 0:
--- a/wingwood/distribution/tests/small_fleet.py
+++ b/wingwood/distribution/tests/small_fleet.py
@@ -1,4 +1,4 @@
-"""Control daemons and routers without callers, on the simulator, for membership and distribution."""
+"""A simulated fleet of control daemons and routers without callers, for tests of membership and distribution."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ControlParts:
-    """What one life of a control daemon consists of; a broken variant of the fleet replaces some class here."""
+    """The parts of one incarnation of a control daemon; faulty variants of the fleet replace some class here."""
 
     coordinator_class = SessionKeeper
     publisher_class = BundlePublisher
@@ -49,6 +49,8 @@
 
 
 class RouterParts:
+    """The parts of one incarnation of a router; faulty variants of the fleet replace some class here."""
+
     client_class = MembershipClient
     follower_class = BundleFollower
     times = SessionTimes()
@@ -61,7 +63,7 @@
 
 
 class SmallFleet:
-    """Three control daemons c1..c3 (c1 leads, c2 backs up) and routers r1..rN over three zones."""
+    """Three control daemons c1 to c3 (c1 is primary, c2 backup) and routers r01, r02 and so on over three zones."""
 
     router_parts = RouterParts
     control_parts = ControlParts
@@ -97,7 +99,7 @@
         )
 
     def start_control(self, name: str, zone: str = "a") -> Process:
-        """A control daemon with an empty disk on a machine of that name."""
+        """Starts a control daemon with an empty disk on a machine of that name."""
         self.world.machine(name, zone)
         self.disks[name] = empty_disk()
 
@@ -106,7 +108,7 @@
             parts = self.control_parts(context, identity, self.seeds, self.disks[name])
             self.controls[name] = parts
             assert isinstance(parts.messenger.start(), Success)
-            parts.core.told(self.epoch, address_of(self.world.machine(self.primary), PORT))
+            parts.core.set_primary(self.epoch, address_of(self.world.machine(self.primary), PORT))
             parts.coordinator.start()
             parts.publisher.start()
 
@@ -130,10 +132,13 @@
         earlier = self.in_force_at.setdefault((name, version), self.world.now)
         assert earlier == self.world.now or self.world.processes[name].lives > 1
 
-    # -- control core, moved by hand
+    # -- control core, steered by the test
 
     def commit(self, added: Mapping[SliceName, bytes] | None = None) -> BundleVersion:
-        """The next order (or one that adds slices), durable on primary and backup and acknowledged now."""
+        """Makes the next order (or one that adds slices) durable on primary and backup and acknowledges it.
+
+        Returns its version.
+        """
         order = self.orders.next(added)
         record, reply = self.disks[self.primary].decide(SubmitOrder(order))
         assert record is not None, reply
@@ -147,22 +152,22 @@
     async def _committed(self, name: str) -> None:
         self.controls[name].source.committed()
 
-    def take_over(self, primary: str, backup: str, told: Sequence[str]) -> None:
-        """A new view; only the control daemons in ``told`` hear of it."""
+    def take_over(self, primary: str, backup: str, informed: Sequence[str]) -> None:
+        """Installs a new view, which only the control daemons in ``informed`` learn of."""
         self.epoch += 1
         self.primary, self.backup = primary, backup
         if self.disks[primary].version > self.disks[backup].version:
             self.disks[backup].restore(self.disks[primary].snapshot())
-        for name in told:
-            self.world.spawn(self.world.processes[name], self._told(name, self.epoch), "told")
+        for name in informed:
+            self.world.spawn(self.world.processes[name], self._inform_control(name, self.epoch), "told")
 
-    async def _told(self, name: str, epoch: int) -> None:
-        self.controls[name].core.told(epoch, address_of(self.world.machine(self.primary), PORT))
+    async def _inform_control(self, name: str, epoch: int) -> None:
+        self.controls[name].core.set_primary(epoch, address_of(self.world.machine(self.primary), PORT))
 
-    # -- looking
+    # -- observing
 
     def inside(self, name: str, look: Callable[[], Part]) -> Part:
-        """The value as the process itself sees it, on its own clock."""
+        """Returns the value that ``look`` has inside the process, on the clock of that process."""
         loop = self.world.loop
         before, loop.running_life = loop.running_life, self.world.processes[name].life
         try:
@@ -179,7 +184,7 @@
         assert context is not None
         return None if proven is None else self.inside(name, context.clock.monotonic) - proven
 
-    def routers_address(self, name: str) -> Address:
+    def router_address(self, name: str) -> Address:
         return address_of(self.world.machine(name), PORT)
 
     def versions(self) -> dict[str, BundleVersion]:
@@ -196,14 +201,14 @@
         return [member.name for member in self.routers[router].client.members()]
 
     def all_see(self, names: Sequence[str], apart_from: Sequence[str] = ()) -> bool:
-        """Whether every running router's members are exactly those."""
+        """Whether the members known to each running router are exactly ``names``."""
         return all(self.view_of(name) == sorted(names) for name in self.versions() if name not in apart_from)
 
     def everybody(self) -> list[str]:
         return sorted([*self.controls, *self.routers])
 
     def settle(self, seconds: float = 5.0) -> None:
-        """Lets the fleet form, with version 1 in force."""
+        """Runs until the fleet has formed and version 1 is in force on all routers."""
         self.world.run(0.2)
         version = self.commit()
         assert self.world.wait_for(lambda: self.all_in_force(version), seconds), self.world.timeline(80)
--- a/wingwood/distribution/tests/test_broken_variants.py
+++ b/wingwood/distribution/tests/test_broken_variants.py
@@ -1,4 +1,8 @@
-"""Each check must be able to fail: broken variants of the fleet are caught (docs/DESIGN.md sections 8 and 9)."""
+"""Runs tests of membership and distribution on faulty variants of the fleet, which they must reject
+(docs/DESIGN.md sections 8 and 9).
+
+This guards against tests that cannot fail.
+"""
 
 from __future__ import annotations
 
@@ -23,40 +27,42 @@
 
 
 class TrustingProver(FreshnessProver):
-    """Says that it leads without asking anybody."""
+    """Claims to be primary without asking the other control daemons."""
 
     async def prove(self) -> bool:
         return self._core.leads()
 
 
 class AgelessProver(FreshnessProver):
-    """Forgets how old its proof is."""
+    """Reports each proof with age 0."""
 
     def membership_update(self) -> News:
         return msgspec.structs.replace(super().membership_update(), proof_age=Seconds(0.0))
 
 
-class LonelyProver(FreshnessProver):
+class PrimaryOnlyProver(FreshnessProver):
+    """Asks only the primary for a proof, never other control daemons."""
+
     def _sources(self) -> list[Address]:
         return super()._sources()[:1]
 
 
 class LateProofFollower(BundleFollower):
-    """Counts a proof from when the answer came instead of from before the question."""
+    """Counts the age of a proof from the answer instead of from before the request."""
 
     def _on_membership_update(self, membership_update: News, asked: Instant) -> None:
         super()._on_membership_update(membership_update, self._context.clock.monotonic())
 
 
-class CarelessFollower(BundleFollower):
-    """Takes a proof of a version that it doesn't have."""
+class UncheckedProofFollower(BundleFollower):
+    """Accepts a proof of a version that is not in force on it."""
 
     def _record_proof(self, version: BundleVersion, proven: Instant) -> None:
         super()._record_proof(BundleVersion(0), proven)
 
 
-class LingeringFollower(BundleFollower):
-    """Serves a second longer than the bound."""
+class LateStoppingFollower(BundleFollower):
+    """Serves for a second longer than the bound allows."""
 
     def may_serve(self) -> bool:
         proven = self.proven_latest_at()
@@ -64,27 +70,29 @@
 
 
 class HearsayKeeper(SessionKeeper):
-    """Renews a session whatever its daemon hears."""
+    """Renews a session even when its daemon receives no answers."""
 
     def _renew(self, peer: Identity, message: Heartbeat, now: Instant, was_member: bool) -> bool:
         return super()._renew(peer, msgspec.structs.replace(message, unanswered=Seconds(0.0)), now, was_member)
 
 
 class ForgetfulKeeper(SessionKeeper):
-    """Believes a keeper's young life that nobody holds a session there."""
+    """Trusts a coordinator that has just restarted when it reports no sessions."""
 
     def _take(self, peer: _Peer, told: SessionsTold, heard: Instant) -> None:
         super()._take(peer, msgspec.structs.replace(told, settling=False), heard)
 
 
 class SelfAssuredKeeper(SessionKeeper):
-    """Takes all others for dead rather than itself for cut off."""
+    """Considers all other coordinators failed rather than itself cut off."""
 
     def _look_whether_alone(self, now: Instant) -> None:
         pass
 
 
 class KeeperWithoutRelay(SessionKeeper):
+    """Does not forward the sessions that other coordinators report."""
+
     def _relay(self, unheard: Sequence[Unheard]) -> list[SessionsTold]:
         return []
 
@@ -116,53 +124,55 @@
     return Fleet
 
 
-Scenario = type[sessions.SessionsTest] | type[distribution.RollOutTest] | type[distribution.FreshnessTest]
+Scenario = type[sessions.SessionsTest] | type[distribution.PropagationTest] | type[distribution.FreshnessTest]
 
 
 class BrokenVariantsTest(unittest.TestCase):
-    def caught(self, fleet: type[SmallFleet], scenario: Scenario, test: str) -> None:
+    def assert_rejected(self, fleet: type[SmallFleet], scenario: Scenario, test: str) -> None:
         broken = type("Broken", (scenario,), {"fleet": fleet})
         with self.assertRaises(AssertionError):
             broken(f"test_{test}").debug()
 
     def test_proofs(self) -> None:
-        self.caught(
+        self.assert_rejected(
             fleet_of(prover=TrustingProver), distribution.FreshnessTest, "cut_off_former_primary_proves_nothing"
         )
-        frozen_control = "frozen_control_daemon_that_wakes_does_not_pass_on_an_old_proof"
-        self.caught(fleet_of(prover=AgelessProver), distribution.FreshnessTest, frozen_control)
-        relay = "keeper_that_cannot_reach_the_primary_passes_on_the_proof_of_another"
-        self.caught(fleet_of(prover=LonelyProver), distribution.FreshnessTest, relay)
+        frozen_control = "woken_control_daemon_does_not_forward_an_old_proof"
+        self.assert_rejected(fleet_of(prover=AgelessProver), distribution.FreshnessTest, frozen_control)
+        relay = "coordinator_without_the_primary_forwards_the_proof_of_another"
+        self.assert_rejected(fleet_of(prover=PrimaryOnlyProver), distribution.FreshnessTest, relay)
 
     def test_counting(self) -> None:
-        """The short wait for an answer hides what is counted wrongly, so it is made long here."""
+        """The short timeout for an answer hides a wrong age, so it is made long here."""
         buffered, patient = "frozen_router_does_not_serve_on_a_buffered_answer", SessionTimes(answer=Seconds(30.0))
         type("Patient", (distribution.FreshnessTest,), {"fleet": fleet_of(times=patient)})(f"test_{buffered}").debug()
-        self.caught(fleet_of(follower=LateProofFollower, times=patient), distribution.FreshnessTest, buffered)
-        unable = "router_that_hears_of_a_version_but_cannot_get_it_stops"
-        self.caught(fleet_of(follower=CarelessFollower), distribution.FreshnessTest, unable)
+        self.assert_rejected(fleet_of(follower=LateProofFollower, times=patient), distribution.FreshnessTest, buffered)
+        unable = "router_that_cannot_fetch_an_announced_version_stops_serving"
+        self.assert_rejected(fleet_of(follower=UncheckedProofFollower), distribution.FreshnessTest, unable)
         clocks = "slow_and_fast_clocks_stay_within_the_margin"
-        self.caught(fleet_of(follower=LingeringFollower), distribution.FreshnessTest, clocks)
+        self.assert_rejected(fleet_of(follower=LateStoppingFollower), distribution.FreshnessTest, clocks)
 
-    def test_roll_out(self) -> None:
+    def test_propagation(self) -> None:
         patient = DistributionLimits(push_wait=Seconds(30.0))
-        at_home = "home_that_is_killed_frozen_or_cut_off_in_that_moment_breaks_nothing"
-        self.caught(fleet_of(limits=patient), distribution.RollOutTest, at_home)
+        at_home = "faulty_tree_root_does_not_delay_a_change"
+        self.assert_rejected(fleet_of(limits=patient), distribution.PropagationTest, at_home)
         hasty = DistributionLimits(min_publish_interval=Seconds(0.0))
-        self.caught(fleet_of(limits=hasty), distribution.RollOutTest, "storm_of_fifty_changes_a_second")
+        self.assert_rejected(fleet_of(limits=hasty), distribution.PropagationTest, "fifty_changes_per_second")
 
     def test_sessions(self) -> None:
         deaf = "router_cut_off_in_one_direction_leaves_and_comes_back"
-        self.caught(fleet_of(HearsayKeeper), sessions.SessionsTest, deaf)
+        self.assert_rejected(fleet_of(HearsayKeeper), sessions.SessionsTest, deaf)
         apart = "control_daemons_cut_from_each_other_still_see_each_others_sessions"
-        self.caught(fleet_of(KeeperWithoutRelay), sessions.SessionsTest, apart)
+        self.assert_rejected(fleet_of(KeeperWithoutRelay), sessions.SessionsTest, apart)
         restarted = "control_daemon_restarted_at_once_loses_nobody"
-        self.caught(fleet_of(ForgetfulKeeper), sessions.SessionsTest, restarted)
+        self.assert_rejected(fleet_of(ForgetfulKeeper), sessions.SessionsTest, restarted)
         isolated = "keeper_cut_off_from_the_others_loses_its_routers_to_them"
-        self.caught(fleet_of(SelfAssuredKeeper), sessions.SessionsTest, isolated)
+        self.assert_rejected(fleet_of(SelfAssuredKeeper), sessions.SessionsTest, isolated)
         graceless = SessionTimes(grace=Seconds(0.3), lost=Seconds(0.3))
-        self.caught(fleet_of(times=graceless), sessions.SessionsTest, "no_member_flaps_when_a_control_daemon_dies")
+        self.assert_rejected(
+            fleet_of(times=graceless), sessions.SessionsTest, "no_member_flaps_when_a_control_daemon_dies"
+        )
         hasty = SessionTimes(settle=Seconds(0.0))
-        self.caught(
+        self.assert_rejected(
             fleet_of(times=hasty), sessions.SessionsTest, "all_control_daemons_killed_and_started_empty_of_sessions"
         )
--- a/wingwood/distribution/tests/test_deltas.py
+++ b/wingwood/distribution/tests/test_deltas.py
@@ -1,4 +1,8 @@
-"""Joined deltas, chains and chunks, over the real bundle state (docs/DESIGN.md section 9.2)."""
+"""Tests of joined deltas, delta chains and chunks over the real bundle state (docs/DESIGN.md section 9.2).
+
+They guard against a delta that leads to a bundle with wrong content, and against a fetch that mixes chunks of
+different encodings or accepts damaged ones.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +23,8 @@
 
 
 class DeltaChainTest(unittest.TestCase):
-    def test_any_holder_within_the_chain_is_brought_to_the_newest(self) -> None:
-        """Slices come, change and go; followers skip versions; every joined delta passes the root check."""
+    def test_any_version_within_the_chain_is_brought_to_the_latest(self) -> None:
+        """Slices are added, changed and removed, and followers skip versions; joined deltas pass the root check."""
         random = Random(3)
         state = empty_disk()
         slices: dict[SliceName, bytes] = {}
@@ -45,40 +49,40 @@
             for since, old in past.items():
                 if since == held:
                     continue
-                told = chain.since(BundleVersion(since))
-                if told is None:
+                joined_delta = chain.since(BundleVersion(since))
+                if joined_delta is None:
                     missing += 1
                     continue
                 joined += 1
-                result = apply_delta(old, told, OPERATOR_KEYS)
+                result = apply_delta(old, joined_delta, OPERATOR_KEYS)
                 assert isinstance(result, Success), result
                 self.assertEqual(result.unwrap().slices, bundle.slices)
         self.assertGreater(joined, 500)
         self.assertGreater(missing, 100)
 
-    def test_large_delta_travels_in_chunks_of_one_version(self) -> None:
+    def test_large_delta_is_served_in_chunks_of_one_version(self) -> None:
         state, slices = empty_disk(), sample_slices(200)
         submit(state, order_between(0, {}, slices))
         bundle = apply_delta(None, state.delta_since(BundleVersion(0), state.version), OPERATOR_KEYS).unwrap()  # type: ignore[arg-type]
         server = ChunkServer(chunk_bytes=1000)
         first = server.chunk(FetchBundle(BundleVersion(0)), bundle.version, full_delta(bundle))
-        pieces = [first.data]
-        while sum(map(len, pieces)) < first.total:
-            asked = FetchBundle(BundleVersion(0), first.to, sum(map(len, pieces)))
-            chunk = server.chunk(asked, BundleVersion(2), None)
+        chunks_data = [first.data]
+        while sum(map(len, chunks_data)) < first.total:
+            request = FetchBundle(BundleVersion(0), first.to, sum(map(len, chunks_data)))
+            chunk = server.chunk(request, BundleVersion(2), None)
             self.assertTrue(chunk.found)
-            pieces.append(chunk.data)
-        self.assertGreater(len(pieces), 10)
-        self.assertEqual(decode_delta(pieces), full_delta(bundle))
-        self.assertIsNone(decode_delta(pieces[:-1]))
+            chunks_data.append(chunk.data)
+        self.assertGreater(len(chunks_data), 10)
+        self.assertEqual(decode_delta(chunks_data), full_delta(bundle))
+        self.assertIsNone(decode_delta(chunks_data[:-1]))
         self.assertFalse(server.chunk(FetchBundle(BundleVersion(1)), BundleVersion(1), None).found)
 
-    def test_packed_chunks_are_small_and_give_the_same_delta(self) -> None:
+    def test_compressed_chunks_are_small_and_give_the_same_delta(self) -> None:
         state, slices = empty_disk(), sample_slices(400)
         submit(state, order_between(0, {}, slices))
         bundle = apply_delta(None, state.delta_since(BundleVersion(0), state.version), OPERATOR_KEYS).unwrap()  # type: ignore[arg-type]
         server = ChunkServer(chunk_bytes=20_000, first_chunk_bytes=3000)
-        pieces: list[bytes] = []
+        chunks_data: list[bytes] = []
         travelled = offset = 0
         total = 1
         while offset < total:
@@ -87,16 +91,16 @@
                 bundle.version,
                 full_delta(bundle),
             )
-            piece, total = decompress_chunk(chunk), chunk.total
-            assert piece is not None
-            self.assertEqual(len(piece), min(total - offset, 20_000 if offset else 3000))
-            pieces.append(piece)
-            offset += len(piece)
+            chunk_data, total = decompress_chunk(chunk), chunk.total
+            assert chunk_data is not None
+            self.assertEqual(len(chunk_data), min(total - offset, 20_000 if offset else 3000))
+            chunks_data.append(chunk_data)
+            offset += len(chunk_data)
             travelled += len(chunk.data)
-        self.assertEqual(decode_delta(pieces), full_delta(bundle))
+        self.assertEqual(decode_delta(chunks_data), full_delta(bundle))
         self.assertLess(travelled, total / 2)
 
-    def test_pieces_larger_than_told_or_damaged_are_no_pieces(self) -> None:
+    def test_oversized_or_damaged_chunks_are_rejected(self) -> None:
         version = BundleVersion(1)
         bomb = zlib.compress(b"x" * 1_000_000)
         self.assertIsNone(decompress_chunk(BundleChunk(True, version, 1000, 0, bomb, compressed=True)))
@@ -110,8 +114,8 @@
             b"x" * 100,
         )
 
-    def test_pieces_of_one_delta_fit_together_whatever_order_its_slices_are_held_in(self) -> None:
-        """Also once a server has forgotten the delta's encoding and makes it again."""
+    def test_chunks_of_one_delta_fit_together_in_any_slice_order(self) -> None:
+        """This holds also after a server has evicted the encoded delta and encoded it again."""
         state, slices = empty_disk(), sample_slices(100)
         submit(state, order_between(0, {}, slices))
         bundle = apply_delta(None, state.delta_since(BundleVersion(0), state.version), OPERATOR_KEYS).unwrap()  # type: ignore[arg-type]
@@ -122,15 +126,15 @@
             other = FetchBundle(BundleVersion(100 + number), accepts_compressed=True)
             server.chunk(other, bundle.version, full_delta(bundle))
         self.assertFalse(server.holds(BundleVersion(0), bundle.version))
-        pieces: list[bytes] = []
+        chunks_data: list[bytes] = []
         offset = 0
         while offset < first.total:
-            asked = FetchBundle(BundleVersion(0), bundle.version, offset, accepts_compressed=True)
-            answerer, delta = (server, reordered) if len(pieces) % 2 else (other_server, full_delta(bundle))
-            piece = decompress_chunk(answerer.chunk(asked, bundle.version, delta))
-            assert piece is not None
-            pieces.append(piece)
-            offset += len(piece)
-        self.assertGreater(len(pieces), 4)
-        self.assertEqual(pieces[0], decompress_chunk(first))
-        self.assertEqual(decode_delta(pieces), full_delta(bundle))
+            request = FetchBundle(BundleVersion(0), bundle.version, offset, accepts_compressed=True)
+            answerer, delta = (server, reordered) if len(chunks_data) % 2 else (other_server, full_delta(bundle))
+            chunk_data = decompress_chunk(answerer.chunk(request, bundle.version, delta))
+            assert chunk_data is not None
+            chunks_data.append(chunk_data)
+            offset += len(chunk_data)
+        self.assertGreater(len(chunks_data), 4)
+        self.assertEqual(chunks_data[0], decompress_chunk(first))
+        self.assertEqual(decode_delta(chunks_data), full_delta(bundle))
--- a/wingwood/distribution/tests/test_distribution.py
+++ b/wingwood/distribution/tests/test_distribution.py
@@ -1,4 +1,8 @@
-"""In force within 2 s, never back, and proofs of newness, on the simulator (docs/DESIGN.md section 9)."""
+"""Tests of bundle distribution on the simulator (docs/DESIGN.md section 9).
+
+They guard against a version that is not in force on all reachable routers within 2 s, against work that grows with
+the rate of changes, and against routers that serve on a version that is too old.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 # ruff: noqa: B023
 
-IN_FORCE_WITHIN = 2.0
+IN_FORCE_TIMEOUT_S = 2.0
 
 
 def tree_root_of(zone: str, names: list[str], fleet: SmallFleet, rank: int = 0) -> str:
@@ -30,7 +34,7 @@
 
 
 def many_routes(count: int) -> dict[SliceName, bytes]:
-    """Routes with annotations of the size that an operator's own formats bring along, about 1 KB each."""
+    """Returns routes of about 1 KB each, because of annotations as an operator's own formats add them."""
     random = Random(count)
     return dict(
         slice_of(
@@ -45,18 +49,20 @@
     )
 
 
-class RollOutTest(unittest.TestCase):
+class PropagationTest(unittest.TestCase):
+    """Each acknowledged version is in force on all reachable routers within 2 s, also while daemons fail."""
+
     fleet = SmallFleet
 
     def in_force(self, fleet: SmallFleet, version: int, apart_from: tuple[str, ...] = ()) -> float:
         committed = fleet.committed_at[version]  # type: ignore[index]
-        left = committed + IN_FORCE_WITHIN - fleet.world.now
+        left = committed + IN_FORCE_TIMEOUT_S - fleet.world.now
         done = fleet.world.wait_for(lambda: fleet.all_in_force(version, apart_from), left, every=0.01)  # type: ignore[arg-type]
-        self.assertTrue(done, f"version {version} wanted, in force {fleet.versions()}\n{fleet.world.timeline(60)}")
+        self.assertTrue(done, f"version {version} expected, in force {fleet.versions()}\n{fleet.world.timeline(60)}")
         self.assertEqual(fleet.world.broken_invariants, [])
         return fleet.world.now - committed
 
-    def test_change_reaches_everyone_through_the_homes_at_once(self) -> None:
+    def test_change_reaches_all_routers_through_the_tree_roots(self) -> None:
         with World(seed=1) as world:
             fleet = self.fleet(world)
             fleet.settle()
@@ -64,31 +70,31 @@
                 self.assertLess(self.in_force(fleet, fleet.commit()), 0.2)
                 world.run(0.35)
 
-    def test_home_that_is_killed_frozen_or_cut_off_in_that_moment_breaks_nothing(self) -> None:
-        for seed, way in enumerate(("kill", "freeze", "power", "inward", "outward") * 2):
-            with self.subTest(seed=seed, way=way), World(seed) as world:
+    def test_faulty_tree_root_does_not_delay_a_change(self) -> None:
+        for seed, fault in enumerate(("kill", "freeze", "power", "inward", "outward") * 2):
+            with self.subTest(seed=seed, fault=fault), World(seed) as world:
                 fleet = self.fleet(world)
                 fleet.settle()
                 zone = "abc"[seed % 3]
-                home = tree_root_of(zone, sorted(fleet.routers), fleet)
+                tree_root = tree_root_of(zone, sorted(fleet.routers), fleet)
                 if seed % 2:
                     version = fleet.commit()
-                match way:
+                match fault:
                     case "kill":
-                        world.kill(home)
+                        world.kill(tree_root)
                     case "freeze":
-                        world.freeze(home)
+                        world.freeze(tree_root)
                     case "power":
-                        world.power_off(home)
+                        world.power_off(tree_root)
                     case _:
-                        world.cut_off(home, inward=way == "inward", outward=way == "outward")
+                        world.cut_off(tree_root, inward=fault == "inward", outward=fault == "outward")
                 if not seed % 2:
                     version = fleet.commit()
-                self.in_force(fleet, version, (home,))
+                self.in_force(fleet, version, (tree_root,))
                 world.run(0.2)
-                self.in_force(fleet, fleet.commit(), (home,))
+                self.in_force(fleet, fleet.commit(), (tree_root,))
 
-    def test_frozen_home_and_second_and_a_frozen_control_daemon_together(self) -> None:
+    def test_both_tree_roots_and_a_control_daemon_frozen_together(self) -> None:
         with World(seed=5) as world:
             fleet = self.fleet(world)
             fleet.settle()
@@ -101,7 +107,7 @@
                 world.wake(name)
             self.assertTrue(world.wait_for(lambda: fleet.all_in_force(fleet.orders.version), 1.0))
 
-    def test_storm_of_fifty_changes_a_second(self) -> None:
+    def test_fifty_changes_per_second(self) -> None:
         with World(seed=2) as world:
             fleet = self.fleet(world)
             fleet.settle()
@@ -112,13 +118,13 @@
                 if number == 100:
                     world.freeze(tree_root_of("a", sorted(fleet.routers), fleet))
                 world.run_until(started_at + (number + 1) / 50)
-                due = [past for past, at in fleet.committed_at.items() if world.now - at > IN_FORCE_WITHIN]
+                due = [past for past, at in fleet.committed_at.items() if world.now - at > IN_FORCE_TIMEOUT_S]
                 if due:
                     self.assertTrue(fleet.all_in_force(max(due)), fleet.versions())
             latest = self.in_force(fleet, version)
             self.assertLess(latest, 1.5)
             activations = sum(1 for name, _ in fleet.in_force_at if name == "r01")
-            self.assertLess(activations, 5 * 12 + 10, "work per second is bounded")
+            self.assertLess(activations, 5 * 12 + 10, "the number of versions put in force per second is bounded")
 
     def test_router_that_missed_many_versions_catches_up_when_it_wakes(self) -> None:
         with World(seed=3) as world:
@@ -131,7 +137,7 @@
             world.wake("r04")
             self.assertTrue(world.wait_for(lambda: fleet.all_in_force(fleet.orders.version), 1.0))
 
-    def test_empty_control_daemon_at_a_new_address_brings_bundles_after_two_losses(self) -> None:
+    def test_new_empty_control_daemon_serves_bundles_after_two_losses(self) -> None:
         with World(seed=4) as world:
             fleet = self.fleet(world)
             fleet.settle()
@@ -149,12 +155,12 @@
             fleet.take_over("c4", "c5", ["c4", "c5"])
             self.in_force(fleet, fleet.commit())
 
-    def test_restarted_router_takes_the_newest_bundle_of_its_fellows_while_control_is_away(self) -> None:
-        """Also where removed keys are bounded; but there it does not serve, having no proof."""
+    def test_restarted_router_fetches_the_latest_bundle_from_peers_without_control(self) -> None:
+        """It does so also with a bound on removed keys, but then it does not serve, because it has no proof."""
         for bound in (None, Seconds(5.0)):
             with self.subTest(bound=bound), World(seed=6) as world:
                 fleet = self.fleet(world, bound=bound)
-                fleet.seeds.append(fleet.routers_address("r01"))
+                fleet.seeds.append(fleet.router_address("r01"))
                 fleet.settle()
                 for name in ("c1", "c2", "c3"):
                     world.kill(name)
@@ -165,7 +171,10 @@
 
 
 class SlowLinksTest(unittest.TestCase):
-    """Routers whose links carry 5 Mbit/s, control daemons with ten times as much (docs/DESIGN.md section 9.2)."""
+    """Large bundles arrive in time over slow links (docs/DESIGN.md section 9.2).
+
+    The links of routers carry 5 Mbit/s and those of control daemons ten times as much.
+    """
 
     ROUTER_LINK = 625_000.0
     CONTROL_LINK = 6_250_000.0
@@ -179,9 +188,9 @@
     def wait_in_force(self, fleet: SmallFleet, version: BundleVersion, within: float) -> None:
         done = fleet.world.wait_for(lambda: fleet.all_in_force(version), within, every=0.01)
         held = sorted(fleet.versions().values())
-        self.assertTrue(done, f"version {version} wanted, in force {held}\n{fleet.world.timeline(20)}")
+        self.assertTrue(done, f"version {version} expected, in force {held}\n{fleet.world.timeline(20)}")
 
-    def test_newcomers_get_a_bundle_of_400_routes(self) -> None:
+    def test_new_routers_get_a_bundle_of_400_routes(self) -> None:
         with World(seed=11) as world:
             fleet = self.slow_fleet(world, routers=30)
             world.run(0.2)
@@ -190,67 +199,70 @@
             self.wait_in_force(fleet, version, within=5.0)
 
     def test_200_empty_routers_get_a_bundle_of_1600_routes_in_time(self) -> None:
-        """As after a loss of all power, when control takes a second to lead again.
+        """This is the state after a power failure of the whole fleet: control needs a second until it has a primary.
 
-        Only the homes' copies come from control, whose link would be full else.
+        Only the tree roots fetch from control, whose links would be saturated otherwise.
         """
         with World(seed=5) as world:
             fleet = self.slow_fleet(world, routers=200)
             world.run(1.0)
-            given = self.count_full_bundles_served(fleet)
+            served = self.count_full_bundles_served(fleet)
             fleet.commit()
             version = fleet.commit(many_routes(1600))
-            self.wait_in_force(fleet, version, within=IN_FORCE_WITHIN)
-            homes = TREE_ROOTS * 3
-            self.assertLessEqual(given(), 2 * homes)
+            self.wait_in_force(fleet, version, within=IN_FORCE_TIMEOUT_S)
+            tree_roots = TREE_ROOTS * 3
+            self.assertLessEqual(served(), 2 * tree_roots)
 
     def count_full_bundles_served(self, fleet: SmallFleet) -> Callable[[], int]:
-        """How many last pieces of a fetch the control daemons have given, from now on."""
-        given: list[BundleChunk] = []
+        """Returns a function that returns how many last chunks of a fetch the control daemons have served since."""
+        served: list[BundleChunk] = []
 
-        def counted(publisher: BundlePublisher) -> None:
+        def count_served_chunks(publisher: BundlePublisher) -> None:
             answer = publisher._chunks.chunk
 
             def chunk(*asked: Any) -> BundleChunk:
                 found = answer(*asked)
-                piece = decompress_chunk(found) if found.found else None
-                if piece is not None and found.offset + len(piece) >= found.total:
-                    given.append(found)
+                chunk_data = decompress_chunk(found) if found.found else None
+                if chunk_data is not None and found.offset + len(chunk_data) >= found.total:
+                    served.append(found)
                 return found
 
             publisher._chunks.chunk = chunk  # type: ignore[method-assign, assignment]
 
         for parts in fleet.controls.values():
-            counted(parts.publisher)
-        return lambda: len(given)
+            count_served_chunks(parts.publisher)
+        return lambda: len(served)
 
-    def test_a_home_lost_in_the_middle_of_passing_on_holds_nobody_up(self) -> None:
+    def test_tree_root_lost_while_relaying_delays_no_router(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed), World(seed=30 + seed) as world:
                 fleet = self.slow_fleet(world, routers=60)
                 fleet.settle()
-                home = tree_root_of("a", sorted(fleet.routers), fleet)
+                tree_root = tree_root_of("a", sorted(fleet.routers), fleet)
                 version = fleet.commit(many_routes(1600))
                 world.run(0.1 + 0.05 * seed)
-                world.power_off(home)
-                self.wait_in_force(fleet, version, within=IN_FORCE_WITHIN)
+                world.power_off(tree_root)
+                self.wait_in_force(fleet, version, within=IN_FORCE_TIMEOUT_S)
 
     def test_change_of_1400_routes_is_in_force_in_time(self) -> None:
         with World(seed=12) as world:
             fleet = self.slow_fleet(world, routers=60)
             fleet.settle()
             version = fleet.commit(many_routes(1400))
-            self.wait_in_force(fleet, version, within=IN_FORCE_WITHIN)
+            self.wait_in_force(fleet, version, within=IN_FORCE_TIMEOUT_S)
             self.assertEqual(len([name for name in fleet.everybody() if name.startswith("r")]), 60)
 
 
 class FreshnessTest(unittest.TestCase):
-    """Despensa: no router serves later than 5 s after a version that it lacks was acknowledged."""
+    """With a bound on removed keys no router serves later than 5 s after a version that it lacks was acknowledged.
+
+    The deployment Despensa sets this bound.
+    """
 
     fleet = SmallFleet
 
     def no_stale_service(self, fleet: SmallFleet, seconds: float) -> None:
-        """Lets time pass; an observer that knows all acknowledgements watches."""
+        """Runs the fleet while an observer that knows all acknowledgements checks every serving router."""
         until = fleet.world.now + seconds
         while fleet.world.now < until:
             fleet.world.run(0.02)
@@ -260,7 +272,7 @@
                 if missed is not None:
                     self.assertLess(fleet.world.now - missed, 5.0, f"{name} serves on version {held}")
 
-    def test_all_serve_while_nothing_fails_and_a_second_is_the_usual_age(self) -> None:
+    def test_all_routers_serve_and_proofs_stay_young_without_faults(self) -> None:
         with World(seed=1) as world:
             fleet = self.fleet(world, bound=Seconds(5.0))
             fleet.settle()
@@ -274,7 +286,7 @@
                     ages.append(age)
             self.assertLess(max(ages), 1.4)
 
-    def test_cut_off_routers_stop_in_time_and_come_back(self) -> None:
+    def test_cut_off_routers_stop_serving_in_time_and_resume(self) -> None:
         for seed, inward in ((1, True), (2, False)):
             with self.subTest(inward=inward), World(seed) as world:
                 fleet = self.fleet(world, bound=Seconds(5.0))
@@ -288,7 +300,7 @@
                 self.assertTrue(world.wait_for(lambda: len(fleet.serving()) == 11, 4.0))
 
     def test_frozen_router_does_not_serve_on_a_buffered_answer(self) -> None:
-        """Frozen with a heartbeat under way: the answer waits in its buffer and is read 6 s later."""
+        """The router freezes while a heartbeat is in flight, so the answer waits in a buffer and is read 6 s later."""
         for seed in range(4):
             with self.subTest(seed=seed), World(seed, NetworkShape(between_zones=0.05, same_zone=0.05)) as world:
                 fleet = self.fleet(world, bound=Seconds(5.0))
@@ -307,8 +319,8 @@
                 self.no_stale_service(fleet, 2.0)
                 self.assertNotIn("r02", fleet.serving())
 
-    def test_router_that_hears_of_a_version_but_cannot_get_it_stops(self) -> None:
-        """It reaches only its keeper, which has no bundles; the keeper's proofs are fresh."""
+    def test_router_that_cannot_fetch_an_announced_version_stops_serving(self) -> None:
+        """The router reaches only its coordinator, which has no bundles but sends fresh proofs."""
         with World(seed=5) as world:
             fleet = self.fleet(world, bound=Seconds(5.0))
             fleet.settle()
@@ -322,7 +334,7 @@
                 world.heal(cut)
             self.assertTrue(world.wait_for(lambda: len(fleet.serving()) == 11, 4.0))
 
-    def test_keeper_that_cannot_reach_the_primary_passes_on_the_proof_of_another(self) -> None:
+    def test_coordinator_without_the_primary_forwards_the_proof_of_another(self) -> None:
         for seed in range(3):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world, bound=Seconds(5.0))
@@ -346,7 +358,7 @@
             self.assertEqual(len(fleet.serving()), 7)
 
     def test_cut_off_former_primary_proves_nothing(self) -> None:
-        """c1 and some routers are cut off together; c2 takes over; c1 still believes that it leads."""
+        """c1 and some routers are cut off together and c2 takes over, while c1 still considers itself primary."""
         for seed in range(3):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world, bound=Seconds(5.0))
@@ -361,10 +373,10 @@
                 self.assertEqual(fleet.serving(), [name for name in outside if name.startswith("r")])
                 for cut in cuts:
                     world.heal(cut)
-                world.spawn(world.processes["c1"], fleet._told("c1", fleet.epoch), "told")
+                world.spawn(world.processes["c1"], fleet._inform_control("c1", fleet.epoch), "told")
                 self.assertTrue(world.wait_for(lambda: len(fleet.serving()) == 11, 5.0))
 
-    def test_frozen_control_daemon_that_wakes_does_not_pass_on_an_old_proof(self) -> None:
+    def test_woken_control_daemon_does_not_forward_an_old_proof(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world, bound=Seconds(5.0))
@@ -379,7 +391,7 @@
                 self.no_stale_service(fleet, 4.0)
                 self.assertEqual(fleet.serving(), [])
 
-    def test_take_over_within_two_and_a_half_seconds_interrupts_nobody(self) -> None:
+    def test_take_over_within_two_and_a_half_seconds_interrupts_no_router(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world, bound=Seconds(5.0))
@@ -391,7 +403,7 @@
                     world.run(0.05)
                     self.assertEqual(len(fleet.serving()), 11)
 
-    def test_cut_off_routers_serve_on_where_removed_keys_are_not_bounded(self) -> None:
+    def test_cut_off_routers_keep_serving_without_a_bound_on_removed_keys(self) -> None:
         with World(seed=8) as world:
             fleet = self.fleet(world)
             fleet.settle()
--- a/wingwood/operator_api/tests/test_editions.py
+++ b/wingwood/operator_api/tests/test_editions.py
@@ -1,4 +1,7 @@
-"""Submitting editions and reading the newest content back (docs/DESIGN.md section 15.6)."""
+"""Tests that editions are submitted and the latest content is read back (docs/DESIGN.md section 15.6).
+
+They guard against content that is older than an acknowledged edition, which lagging readers would return.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +24,8 @@
 Value = TypeVar("Value")
 
 
-class Primary:
-    """Decides at once, unless it has a fault to tell."""
+class FakePrimary:
+    """Decides each command at once, or returns ``fault`` when that is set."""
 
     def __init__(self) -> None:
         self.state = BundleState(OPERATOR_KEYS, signing_key=SIGNING_KEY)
@@ -40,8 +43,8 @@
         return Success(msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=reply_type))
 
 
-class StepClock:
-    """Time passes by sleeping only."""
+class SleepDrivenClock:
+    """A clock on which time passes only during ``sleep``."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -56,7 +59,9 @@
         self.now += seconds
 
 
-class Away:
+class UnreachableReader:
+    """A bundle reader whose calls all fail."""
+
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
         return Failure(NotReadable("cut off"))
 
@@ -70,16 +75,16 @@
 
 class EditionClientTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.primary, self.clock = Primary(), StepClock()
-        self.behind = BundleVersion(1)
-        late = LocalBundleReader(self.primary.state, lambda: self.behind)
-        self.late = EditionClient(self.primary, (Away(), late), self.clock)
+        self.primary, self.clock = FakePrimary(), SleepDrivenClock()
+        self.reader_version = BundleVersion(1)
+        lagging_reader = LocalBundleReader(self.primary.state, lambda: self.reader_version)
+        self.lagging_client = EditionClient(self.primary, (UnreachableReader(), lagging_reader), self.clock)
         current = LocalBundleReader(self.primary.state, lambda: self.primary.state.version)
-        self.client = EditionClient(self.primary, (late, current), self.clock)
-        self.cut_off = EditionClient(self.primary, (Away(),), self.clock)
+        self.client = EditionClient(self.primary, (lagging_reader, current), self.clock)
+        self.unreachable_client = EditionClient(self.primary, (UnreachableReader(),), self.clock)
         self.first = edition_change(0, 4, sample_slices())
 
-    def test_what_was_submitted_is_read_back_with_its_number(self) -> None:
+    def test_submitted_edition_is_read_back_with_its_number(self) -> None:
         self.assertIsNone(run(self.client.newest()).unwrap())
         self.assertEqual(run(self.client.submit(self.first)).unwrap().edition, 4)
         run(self.client.submit(edition_change(4, 6, sample_slices(3))))
@@ -92,18 +97,18 @@
         self.assertEqual((status.number, status.outcome.version), (6, 1))
         self.assertIsNone(run(self.client.status(OrderId("none"))).unwrap().outcome)
 
-    def test_readers_that_are_behind_are_waited_for_and_never_believed(self) -> None:
+    def test_lagging_readers_are_retried_and_not_trusted(self) -> None:
         for change in (self.first, edition_change(4, 6, sample_slices(3))):
             run(self.client.submit(change))
-        reason = run(self.late.newest()).failure().reason
+        reason = run(self.lagging_client.newest()).failure().reason
         self.assertIn("version 2 is not kept there, 1 is", reason)
         self.assertLessEqual(self.clock.now, CALL_TIMEOUT_S)
         self.assertGreater(self.clock.now, CALL_TIMEOUT_S / 2)
-        self.assertIn("cut off", run(self.cut_off.newest()).failure().reason)
-        self.behind = BundleVersion(2)
-        self.assertIsInstance(run(self.late.newest()), Success)
+        self.assertIn("cut off", run(self.unreachable_client.newest()).failure().reason)
+        self.reader_version = BundleVersion(2)
+        self.assertIsInstance(run(self.lagging_client.newest()), Success)
 
-    def test_without_a_primary_nothing_is_read_though_the_readers_could(self) -> None:
+    def test_nothing_is_read_without_a_primary(self) -> None:
         run(self.client.submit(self.first))
         for kind in ("unknown", "not-leading", "busy"):
             self.primary.fault = NotDecided(kind)
--- a/wingwood/operator_api/tests/test_routes.py
+++ b/wingwood/operator_api/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Orders in, bundles and health out (docs/DESIGN.md sections 15.2 and 15.3)."""
+"""Tests of the routes for orders, bundles and health (docs/DESIGN.md sections 15.2 and 15.3)."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 )
 
 
-class Routes:
-    """Stands for the server: keeps the handlers and calls them."""
+class FakeRoutes:
+    """A fake of the server that stores the handlers and calls them."""
 
     def __init__(self) -> None:
         self.handlers: dict[tuple[str, str], OperatorHandler] = {}
@@ -49,7 +49,7 @@
 class OrdersTest(unittest.TestCase):
     def setUp(self) -> None:
         self.state = BundleState(OPERATOR_KEYS)
-        self.routes = Routes()
+        self.routes = FakeRoutes()
         self.fault: NotDecided | None = None
         OrderRoutes(self.decide, 1000).add_to(self.routes)
 
@@ -63,7 +63,7 @@
         assert isinstance(reply.body, OrderOutcome)
         return reply.status, reply.body
 
-    def test_statuses_follow_the_outcome(self) -> None:
+    def test_http_status_follows_the_outcome(self) -> None:
         slices = sample_slices()
         first = order_between(0, {}, slices)
         self.assertEqual(self.post(first)[0], 200)
@@ -72,7 +72,7 @@
         bad = {**slices, next(iter(slices)): b"{}"}
         self.assertEqual(self.post(order_between(1, slices, bad, "bad"))[0], 422)
 
-    def test_an_unknown_outcome_says_that_resending_is_safe(self) -> None:
+    def test_unknown_outcome_says_that_resending_is_safe(self) -> None:
         order = order_between(0, {}, sample_slices())
         for fault in (NotDecided("unknown"), NotDecided("not-leading"), NotDecided("busy", detail="9 waiting")):
             self.fault = fault
@@ -80,12 +80,14 @@
             self.assertEqual((status, outcome.outcome, outcome.order), (503, "unknown", "order-1"))
             self.assertIn("resending is safe", outcome.reason)
 
-    def test_what_is_no_order_is_malformed(self) -> None:
+    def test_body_that_is_no_order_is_malformed(self) -> None:
         for body in (b"", b"[]", b"{}", b'{"manifest":{},"changed":{}}', b"\xff", b"[" * 100_000):
             self.assertEqual(self.routes.call("POST", "/control/v1/orders", body).status, 400)
 
 
-class Unreadable:
+class UnreachableReader:
+    """A bundle reader whose calls all fail."""
+
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
         return Failure(NotReadable("cut off"))
 
@@ -104,33 +106,33 @@
         self.durable = BundleVersion(2)
         self.current: Bundle | None = parse_bundle(order_between(0, {}, self.slices).manifest, self.slices).unwrap()
         self.ready = True
-        self.counted = CollectorRegistry()
+        self.metrics = CollectorRegistry()
 
-    def routes(self, reader: LocalBundleReader | Unreadable | None) -> Routes:
-        routes = Routes()
+    def routes(self, reader: LocalBundleReader | UnreachableReader | None) -> FakeRoutes:
+        routes = FakeRoutes()
         ReadRoutes(
             current=lambda: self.current,
             reader=reader,
             members=lambda: (),
             workers=lambda: (),
             health=lambda: msgspec.structs.replace(HEALTH, ready=self.ready),
-            metrics=self.counted,
+            metrics=self.metrics,
         ).add_to(routes)
         return routes
 
-    def shown(self, routes: Routes, **query: str) -> BundleDocument:
+    def document(self, routes: FakeRoutes, **query: str) -> BundleDocument:
         reply = routes.call("GET", "/control/v1/bundle", query=query)
         assert isinstance(reply.body, BundleDocument), reply
         return msgspec.json.decode(msgspec.json.encode(reply.body), type=BundleDocument)
 
-    def test_bundles_are_shown_as_signed_and_only_when_durable(self) -> None:
+    def test_bundles_are_returned_as_signed_and_only_when_durable(self) -> None:
         routes = self.routes(LocalBundleReader(self.state, lambda: self.durable))
-        here = self.shown(routes)
+        here = self.document(routes)
         self.assertEqual((here.version, here.newest), (1, False))
-        newest = self.shown(routes, newest="1")
+        newest = self.document(routes, newest="1")
         self.assertEqual((newest.version, newest.newest), (2, True))
         self.assertEqual({name: bytes(raw) for name, raw in newest.slices.items()}, self.fewer)
-        self.assertEqual(self.shown(routes, version="1").version, 1)
+        self.assertEqual(self.document(routes, version="1").version, 1)
         self.assertEqual(routes.call("GET", "/control/v1/bundle", query={"version": "3"}).status, 404)
         self.assertEqual(routes.call("GET", "/control/v1/bundle", query={"version": "-1"}).status, 400)
         history = routes.call("GET", "/control/v1/history").body
@@ -138,13 +140,13 @@
         self.assertEqual([entry.version for entry in history.entries], [2, 1])
         self.assertEqual(routes.call("GET", "/control/v1/history", query={"most": "0"}).status, 400)
 
-    def test_without_control_the_bundle_in_force_is_shown(self) -> None:
-        routes = self.routes(Unreadable())
-        self.assertEqual(self.shown(routes, newest="1").version, 1)
+    def test_bundle_in_force_is_returned_without_control(self) -> None:
+        routes = self.routes(UnreachableReader())
+        self.assertEqual(self.document(routes, newest="1").version, 1)
         self.assertEqual(routes.call("GET", "/control/v1/bundle", query={"version": "2"}).status, 503)
         self.assertEqual(routes.call("GET", "/control/v1/history").status, 503)
         self.current = None
-        # Nobody could tell whether there is one, so it must not say that there is none.
+        # It is unknown whether there is a bundle, so the reply must not say that there is none.
         reply = routes.call("GET", "/control/v1/bundle")
         self.assertEqual((reply.status, msgspec.to_builtins(reply.body)["code"]), (503, "unreachable"))
         self.assertEqual(routes.call("GET", "/control/v1/bundle", query={"newest": "1"}).status, 503)
@@ -152,11 +154,11 @@
         reply = empty.call("GET", "/control/v1/bundle")
         self.assertEqual((reply.status, msgspec.to_builtins(reply.body)["code"]), (404, "no-bundle"))
         behind = self.routes(LocalBundleReader(self.state, lambda: self.durable))
-        self.assertEqual(self.shown(behind).version, 2)
+        self.assertEqual(self.document(behind).version, 2)
         self.assertEqual(self.routes(None).call("GET", "/control/v1/history").status, 404)
 
     def test_the_platform_reads_ready_and_metrics(self) -> None:
-        Counter("calls", "Calls", registry=self.counted).inc()
+        Counter("calls", "Calls", registry=self.metrics).inc()
         routes = self.routes(None)
         self.assertEqual(routes.call("GET", "/ready").status, 200)
         self.ready = False
