--- a/wingwood/distribution/tests/test_broken_variants.py
+++ b/wingwood/distribution/tests/test_broken_variants.py
@@ -69,28 +69,28 @@
         return proven is not None and self._context.clock.monotonic() - proven <= 6.0
 
 
-class HearsayKeeper(SessionKeeper):
+class UnconditionalRenewalCoordinator(SessionKeeper):
     """Renews a session even when its daemon receives no answers."""
 
     def _renew(self, peer: Identity, message: Heartbeat, now: Instant, was_member: bool) -> bool:
         return super()._renew(peer, msgspec.structs.replace(message, unanswered=Seconds(0.0)), now, was_member)
 
 
-class ForgetfulKeeper(SessionKeeper):
+class SessionForgettingCoordinator(SessionKeeper):
     """Trusts a coordinator that has just restarted when it reports no sessions."""
 
     def _take(self, peer: _Peer, told: SessionsTold, heard: Instant) -> None:
         super()._take(peer, msgspec.structs.replace(told, settling=False), heard)
 
 
-class SelfAssuredKeeper(SessionKeeper):
+class NeverAloneCoordinator(SessionKeeper):
     """Considers all other coordinators failed rather than itself cut off."""
 
     def _look_whether_alone(self, now: Instant) -> None:
         pass
 
 
-class KeeperWithoutRelay(SessionKeeper):
+class CoordinatorWithoutRelay(SessionKeeper):
     """Does not forward the sessions that other coordinators report."""
 
     def _relay(self, unheard: Sequence[Unheard]) -> list[SessionsTold]:
@@ -98,7 +98,7 @@
 
 
 def fleet_of(
-    keeper: type[SessionKeeper] = SessionKeeper,
+    coordinator: type[SessionKeeper] = SessionKeeper,
     prover: type[FreshnessProver] = FreshnessProver,
     follower: type[BundleFollower] = BundleFollower,
     times: SessionTimes | None = None,
@@ -108,7 +108,7 @@
         prover_class = prover
 
     class Control(ControlParts):
-        coordinator_class = keeper
+        coordinator_class = coordinator
         publisher_class = Publisher
 
     class Router(RouterParts):
@@ -161,13 +161,13 @@
 
     def test_sessions(self) -> None:
         deaf = "router_cut_off_in_one_direction_leaves_and_comes_back"
-        self.assert_rejected(fleet_of(HearsayKeeper), sessions.SessionsTest, deaf)
+        self.assert_rejected(fleet_of(UnconditionalRenewalCoordinator), sessions.SessionsTest, deaf)
         apart = "control_daemons_cut_from_each_other_still_see_each_others_sessions"
-        self.assert_rejected(fleet_of(KeeperWithoutRelay), sessions.SessionsTest, apart)
+        self.assert_rejected(fleet_of(CoordinatorWithoutRelay), sessions.SessionsTest, apart)
         restarted = "control_daemon_restarted_at_once_loses_nobody"
-        self.assert_rejected(fleet_of(ForgetfulKeeper), sessions.SessionsTest, restarted)
+        self.assert_rejected(fleet_of(SessionForgettingCoordinator), sessions.SessionsTest, restarted)
         isolated = "keeper_cut_off_from_the_others_loses_its_routers_to_them"
-        self.assert_rejected(fleet_of(SelfAssuredKeeper), sessions.SessionsTest, isolated)
+        self.assert_rejected(fleet_of(NeverAloneCoordinator), sessions.SessionsTest, isolated)
         graceless = SessionTimes(grace=Seconds(0.3), lost=Seconds(0.3))
         self.assert_rejected(
             fleet_of(times=graceless), sessions.SessionsTest, "no_member_flaps_when_a_control_daemon_dies"
--- a/wingwood/distribution/tests/test_distribution.py
+++ b/wingwood/distribution/tests/test_distribution.py
@@ -307,9 +307,9 @@
                 fleet.settle()
                 world.run(0.07 * seed)
                 links = fleet.routers["r02"].messenger._links
-                keeper = fleet.routers["r02"].client.keeper()
-                assert keeper is not None
-                self.assertTrue(world.wait_for(lambda: bool(links[keeper].waiting), 2.0, every=0.01))
+                coordinator = fleet.routers["r02"].client.keeper()
+                assert coordinator is not None
+                self.assertTrue(world.wait_for(lambda: bool(links[coordinator].waiting), 2.0, every=0.01))
                 world.freeze("r02")
                 world.run(0.3)
                 world.cut_off("r02")
@@ -324,8 +324,8 @@
         with World(seed=5) as world:
             fleet = self.fleet(world, bound=Seconds(5.0))
             fleet.settle()
-            keepers = {name: parts.client.keeper() for name, parts in sorted(fleet.routers.items())}
-            alone = next(name for name, keeper in keepers.items() if keeper == fleet.seeds[2])
+            coordinators = {name: parts.client.keeper() for name, parts in sorted(fleet.routers.items())}
+            alone = next(name for name, coordinator in coordinators.items() if coordinator == fleet.seeds[2])
             cuts = [world.cut(alone, other) for other in fleet.everybody() if other not in (alone, "c3")]
             fleet.commit()
             self.no_stale_service(fleet, 7.0)
