--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -234,11 +234,13 @@
     def _add_gauges(self, registry: CollectorRegistry) -> None:
         leads = Gauge("wingwood_control_leads", "1 while this daemon is primary", registry=registry)
         leads.set_function(lambda: float(self.core.leads()))
-        complete = Gauge("wingwood_control_complete", "1 while another loss could be borne", registry=registry)
+        complete = Gauge("wingwood_control_complete", "1 while the fleet could survive another loss", registry=registry)
         complete.set_function(lambda: float(self.core.report().complete))
-        epoch = Gauge("wingwood_control_epoch", "Newest epoch known", registry=registry)
+        epoch = Gauge("wingwood_control_epoch", "Latest epoch known", registry=registry)
         epoch.set_function(lambda: float(self.core.epoch()))
-        version = Gauge("wingwood_control_version", "Newest durable bundle version known here", registry=registry)
+        version = Gauge(
+            "wingwood_control_version", "Latest durable bundle version known to this daemon", registry=registry
+        )
         version.set_function(lambda: float(self.source.version))
 
 
--- a/wingwood/distribution/follower.py
+++ b/wingwood/distribution/follower.py
@@ -72,10 +72,13 @@
         self._callbacks: list[Callable[[Bundle], None]] = []
         self._target_version = BundleVersion(0)
         self._behind_since: Instant | None = None
+        """The instant since which the target has been later than the version in force; None while it is not."""
         self._announced_by: Address | None = None
         """A daemon that certainly has a newer version; it is asked first, without waiting for a post from upstream."""
         self._posted: list[BundleDelta] = []
+        """Posted deltas that are not in force yet."""
         self._proven: Instant | None = None
+        """The latest instant at which the version in force was proven to be the latest one."""
         self._proofs: list[tuple[BundleVersion, Instant]] = []
         """Proofs for versions that are not in force on this router yet."""
         self._gate = EpochGate()
--- a/wingwood/distribution/freshness.py
+++ b/wingwood/distribution/freshness.py
@@ -46,8 +46,10 @@
         """The instant of the own clock just before the request whose answer was ``_proven_version``."""
         self._proven_version = BundleVersion(0)
         self._announced_version = BundleVersion(0)
+        """The latest version that a control daemon has announced as durable."""
         self._current_round: asyncio.Future[bool] | None = None
         self._next_round: asyncio.Future[bool] | None = None
+        """The round that starts after the current one; calls of ``prove`` wait for its result."""
         self._task: Task | None = None
         messenger.on_call(LatestVersionRequest, self._on_latest_version_request)
         messenger.on_post(BundleAnnounced, self._on_announced)
--- a/wingwood/distribution/publisher.py
+++ b/wingwood/distribution/publisher.py
@@ -48,6 +48,7 @@
         self._prover = self.prover_class(context, messenger, core, source, membership, self._limits)
         self._chunks = ChunkServer(self._limits.chunk_bytes, self._limits.first_chunk_bytes)
         self._posted: dict[Address, tuple[Epoch, BundleVersion]] = {}
+        """The epoch and version last posted to each tree root and control daemon."""
         self._published = Instant(float("-inf"))
         self._ranked: tuple[Sequence[Identity], Sequence[Identity]] | None = None
         self._wake = asyncio.Event()
