--- a/wingwood/daemons/router_metrics.py
+++ b/wingwood/daemons/router_metrics.py
@@ -1,4 +1,4 @@
-"""How a router stands, for the platform's monitoring (docs/DESIGN.md section 15.4)."""
+"""Exports the state of a router as Prometheus metrics (docs/DESIGN.md section 15.4)."""
 
 from __future__ import annotations
 
@@ -10,40 +10,47 @@
 from ..operator_api.reading import HealthReport
 
 
-class RouterState:
-    """A collector: read at each scrape, nothing is kept. ``placed``: the award policy's counts, if it is in use."""
+class RouterStateCollector:
+    """A Prometheus collector that reads the router's state at each scrape and stores nothing itself.
+
+    ``placement_counts`` returns the decision counts of the award policy, and an empty mapping for other policies.
+    """
 
     def __init__(
         self,
         health: Callable[[], HealthReport],
-        placed: Callable[[], Mapping[str, int]],
+        placement_counts: Callable[[], Mapping[str, int]],
         unsettled: Callable[[], int],
     ) -> None:
         self._health = health
-        self._placed = placed
+        self._placement_counts = placement_counts
         self._unsettled = unsettled
 
     def add_to(self, registry: CollectorRegistry) -> None:
         registry.register(self)
 
     def describe(self) -> Iterable[Metric]:
+        """Returns nothing, so that registering the collector does not read the router's state."""
         return ()
 
     def collect(self) -> Iterable[Metric]:
         report = self._health()
         gauges = {
             "ready": ("1 while callers should be sent here", float(report.ready)),
-            "bundle_version": ("Version in force", float(report.version)),
-            "bundle_proof_age_seconds": ("Since it was proven the newest", report.bundle_proven_age),
-            "session_age_seconds": ("Since control confirmed the session", report.session_age),
-            "members": ("Daemons that are members", float(report.members)),
+            "bundle_version": ("Bundle version in force", float(report.version)),
+            "bundle_proof_age_seconds": (
+                "Seconds since the bundle version was last proven to be the latest",
+                report.bundle_proven_age,
+            ),
+            "session_age_seconds": ("Seconds since control last confirmed the session", report.session_age),
+            "members": ("Daemons that are members of the fleet", float(report.members)),
             "workers_ready": ("Workers announced as ready", float(report.workers_ready)),
             "ledger_unsettled": ("Outcomes not yet durable in the ledger", float(self._unsettled())),
         }
-        for name, (meaning, value) in gauges.items():
+        for name, (description, value) in gauges.items():
             if value is not None:
-                yield GaugeMetricFamily(f"wingwood_{name}", meaning, value=value)
-        decisions = CounterMetricFamily("wingwood_placement", "What the award policy did", labels=("what",))
-        for what, count in sorted(self._placed().items()):
-            decisions.add_metric((what,), count)
+                yield GaugeMetricFamily(f"wingwood_{name}", description, value=value)
+        decisions = CounterMetricFamily("wingwood_placement", "Decisions of the award policy", labels=("what",))
+        for decision, count in sorted(self._placement_counts().items()):
+            decisions.add_metric((decision,), count)
         yield decisions
--- a/wingwood/distribution/fetching.py
+++ b/wingwood/distribution/fetching.py
@@ -1,4 +1,4 @@
-"""Fetching deltas piece by piece from other daemons, and handing them on (docs/DESIGN.md section 9.2)."""
+"""Fetches deltas chunk by chunk from other daemons and serves them to others (docs/DESIGN.md section 9.2)."""
 
 from __future__ import annotations
 
@@ -11,115 +11,125 @@
 from ..context.protocols import Clock
 from ..identifiers import Address, BundleVersion
 from ..transport.messenger import Messenger
-from .deltas import ChunkServer, DeltaChain, decode_delta, unpacked, whole
+from .chunk_relay import ChunkRelay, IncomingDelta
+from .deltas import ChunkServer, DeltaChain, decode_delta, decompress_chunk, full_delta
 from .limits import DistributionLimits
 from .messages import BundleChunk, FetchBundle
-from .passing_on import IncomingDelta, PassingOn
 
 
-class NotHere(msgspec.Struct, frozen=True):
-    """The source has nothing newer; ``ask`` may have it."""
+class NotAvailable(msgspec.Struct, frozen=True):
+    """The result of a fetch whose source has nothing newer; ``alternative_source`` may have it."""
 
-    ask: Address | None
-    coming: bool
-    """The source is about to fetch it."""
+    alternative_source: Address | None
+    pending: bool
+    """True when the source is about to fetch the delta itself."""
 
 
 class DeltaFetcher:
-    """One fetch at a time; what comes in is given to other askers at once."""
+    """Runs one fetch at a time and relays received chunks to other requesters at once."""
 
     def __init__(
         self,
         clock: Clock,
         messenger: Messenger,
         limits: DistributionLimits,
-        on_begin: Callable[[BundleVersion], None],
+        on_fetch_started: Callable[[BundleVersion], None],
     ) -> None:
-        """``on_begin`` is told the version of which the first piece has come."""
+        """``on_fetch_started`` is called with the version of a delta when its first chunk has been received."""
         self._clock = clock
-        self._on_begin = on_begin
+        self._on_fetch_started = on_fetch_started
         self._messenger = messenger
         self._limits = limits
-        self._passing_on = PassingOn(clock)
+        self._chunk_relay = ChunkRelay(clock)
         self._incoming: IncomingDelta | None = None
         self._chunks = ChunkServer(limits.chunk_bytes, limits.first_chunk_bytes)
 
-    # -- asking
+    # -- fetching
 
-    async def fetch_coming(
-        self, source: Address, since: BundleVersion, wanted: BundleVersion
-    ) -> BundleDelta | NotHere | None:
-        """As ``fetch``, but asks again while ``source`` says that it is about to fetch it too."""
-        until = self._clock.monotonic() + self._limits.upstream_wait
+    async def fetch_pending(
+        self, source: Address, since: BundleVersion, latest_known: BundleVersion
+    ) -> BundleDelta | NotAvailable | None:
+        """Does the same as ``fetch``, but retries while ``source`` replies that it is about to fetch the delta too.
+
+        Retries end after ``upstream_retry_limit`` seconds; the last result is returned.
+        """
+        deadline = self._clock.monotonic() + self._limits.upstream_retry_limit
         while True:
-            fetched = await self.fetch(source, since, wanted)
-            if not (isinstance(fetched, NotHere) and fetched.coming) or self._clock.monotonic() >= until:
-                return fetched
+            result = await self.fetch(source, since, latest_known)
+            if not (isinstance(result, NotAvailable) and result.pending) or self._clock.monotonic() >= deadline:
+                return result
 
-    async def fetch(self, source: Address, since: BundleVersion, wanted: BundleVersion) -> BundleDelta | NotHere | None:
-        """What ``source`` has newer than ``since``; None when it did not answer, or not to the end.
+    async def fetch(
+        self, source: Address, since: BundleVersion, latest_known: BundleVersion
+    ) -> BundleDelta | NotAvailable | None:
+        """Returns the delta from ``since`` to the version that ``source`` has.
 
-        Its pieces can be had here until ``settled``.
+        Returns None when the source did not answer, or stopped answering before the last chunk. Other daemons can
+        fetch the received chunks from here until ``discard_incoming`` is called.
         """
-        self.settled()
-        asked = FetchBundle(since, unpacks=True, wanted=wanted)
-        pieces: list[bytes] = []
+        self.discard_incoming()
+        request = FetchBundle(since, accepts_compressed=True, latest_known=latest_known)
+        chunks: list[bytes] = []
         while True:
-            patience = self._limits.fetch_more if pieces else self._limits.fetch
-            outcome = await self._messenger.call(source, asked, BundleChunk, patience)
+            timeout = self._limits.next_chunk_timeout if chunks else self._limits.first_chunk_timeout
+            outcome = await self._messenger.call(source, request, BundleChunk, timeout)
             if not isinstance(outcome, Success):
                 return None
             chunk: BundleChunk = outcome.unwrap()
             if not chunk.found:
-                return NotHere(chunk.ask, chunk.coming)
-            piece = self._checked(asked, chunk)
-            if piece is None:
+                return NotAvailable(chunk.alternative_source, chunk.pending)
+            data = self._verified_data(request, chunk)
+            if data is None:
                 return None
-            pieces.append(piece)
-            self._pass_on(since, chunk)
-            reached = chunk.offset + len(piece)
-            if reached >= chunk.total:
-                return decode_delta(pieces)
-            asked = FetchBundle(since, chunk.to, reached, unpacks=True, wanted=wanted)
-
-    def settled(self) -> None:
-        """What was fetched last is in force here, or was refused."""
+            chunks.append(data)
+            self._store_chunk(since, chunk)
+            received_bytes = chunk.offset + len(data)
+            if received_bytes >= chunk.total:
+                return decode_delta(chunks)
+            request = FetchBundle(since, chunk.to, received_bytes, accepts_compressed=True, latest_known=latest_known)
+
+    def discard_incoming(self) -> None:
+        """Stops relaying the chunks of the last fetch, once its delta is in force on this daemon or was refused."""
         if self._incoming is not None:
-            self._passing_on.end(self._incoming)
+            self._chunk_relay.end(self._incoming)
             self._incoming = None
 
-    def _checked(self, asked: FetchBundle, chunk: BundleChunk) -> bytes | None:
-        """The chunk's piece, if it is the one asked for."""
-        if chunk.offset != asked.offset or chunk.total > self._limits.bundle_bytes:
+    def _verified_data(self, request: FetchBundle, chunk: BundleChunk) -> bytes | None:
+        """Returns the uncompressed bytes of ``chunk``; None when it is not the requested chunk or is invalid."""
+        if chunk.offset != request.offset or chunk.total > self._limits.max_fetch_bytes:
             return None
-        piece = unpacked(chunk)
-        return None if piece is None or (not piece and chunk.offset < chunk.total) else piece
+        data = decompress_chunk(chunk)
+        return None if data is None or (not data and chunk.offset < chunk.total) else data
 
-    def _pass_on(self, since: BundleVersion, chunk: BundleChunk) -> None:
+    def _store_chunk(self, since: BundleVersion, chunk: BundleChunk) -> None:
         if self._incoming is None:
-            self._incoming = self._passing_on.begin(since, chunk.to)
-            self._passing_on.add(self._incoming, chunk)
-            self._on_begin(chunk.to)
+            self._incoming = self._chunk_relay.start(since, chunk.to)
+            self._chunk_relay.add(self._incoming, chunk)
+            self._on_fetch_started(chunk.to)
         else:
-            self._passing_on.add(self._incoming, chunk)
+            self._chunk_relay.add(self._incoming, chunk)
 
     # -- answering
 
     async def answer(
-        self, asked: FetchBundle, bundle: Bundle | None, chain: DeltaChain, primary: Address | None
+        self, request: FetchBundle, bundle: Bundle | None, chain: DeltaChain, primary: Address | None
     ) -> BundleChunk:
-        """From the bundle in force, or from what is coming in while that is not what the asker needs."""
+        """Answers a ``FetchBundle`` request from the bundle in force.
+
+        When the requester needs a later version, it answers from the delta that is being received, and waits a
+        limited time for the chunk.
+        """
         held = BundleVersion(0) if bundle is None else bundle.version
-        if asked.unpacks and max(asked.wanted, asked.to) > held:
-            within = self._limits.pass_more if asked.offset else self._limits.pass_first
-            passed_on = await self._passing_on.piece(asked, within)
-            if passed_on is not None:
-                return passed_on
-            if not asked.offset:
-                return BundleChunk(False, held, ask=primary, coming=True)
+        if request.accepts_compressed and max(request.latest_known, request.to) > held:
+            timeout = self._limits.relay_next_chunk_wait if request.offset else self._limits.relay_first_chunk_wait
+            relayed = await self._chunk_relay.wait_for_chunk(request, timeout)
+            if relayed is not None:
+                return relayed
+            if not request.offset:
+                return BundleChunk(False, held, alternative_source=primary, pending=True)
         if bundle is None:
-            return BundleChunk(False, held, ask=primary)
+            return BundleChunk(False, held, alternative_source=primary)
         delta = None
-        if asked.since < bundle.version and not (asked.offset and self._chunks.holds(asked.since, asked.to)):
-            delta = chain.since(asked.since) or whole(bundle)
-        return self._chunks.chunk(asked, bundle.version, delta)
+        if request.since < bundle.version and not (request.offset and self._chunks.holds(request.since, request.to)):
+            delta = chain.since(request.since) or full_delta(bundle)
+        return self._chunks.chunk(request, bundle.version, delta)
--- a/wingwood/distribution/freshness.py
+++ b/wingwood/distribution/freshness.py
@@ -1,4 +1,4 @@
-"""Which version is the newest, proven by question and answer (docs/DESIGN.md section 9.3)."""
+"""Proves which bundle version is the latest, by question and answer (docs/DESIGN.md section 9.3)."""
 
 from __future__ import annotations
 
@@ -14,13 +14,18 @@
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
 from .limits import DistributionLimits
-from .messages import AskNewest, BundleAnnounced, NewestProven
+from .messages import BundleAnnounced, LatestVersionProof, LatestVersionRequest
 
-OTHERS_ASKED = 3
+MAX_CONTROLS_ASKED = 3
+"""The number of other control daemons that are asked for a proof, besides the primary."""
 
 
 class FreshnessProver:
-    """On each control daemon: asks the primary again and again, answers when it is the primary itself."""
+    """Obtains proofs of the latest version from the primary at a fixed interval, and answers requests for them.
+
+    It runs on each control daemon. On the primary the proof is a round in which the core confirms that this daemon is
+    still primary.
+    """
 
     def __init__(
         self,
@@ -38,57 +43,59 @@
         self._membership = membership
         self._limits = limits
         self._proven_at: Instant | None = None
-        """Own clock before the question whose answer was ``_proven_version``."""
+        """The instant of the own clock just before the request whose answer was ``_proven_version``."""
         self._proven_version = BundleVersion(0)
-        self._announced = BundleVersion(0)
-        self._running: asyncio.Future[bool] | None = None
-        self._next: asyncio.Future[bool] | None = None
+        self._announced_version = BundleVersion(0)
+        """The latest version that a control daemon has announced as durable."""
+        self._current_round: asyncio.Future[bool] | None = None
+        self._next_round: asyncio.Future[bool] | None = None
+        """The round that starts after the current one; calls of ``prove`` wait for its result."""
         self._task: Task | None = None
-        messenger.on_call(AskNewest, self._on_ask_newest)
+        messenger.on_call(LatestVersionRequest, self._on_latest_version_request)
         messenger.on_post(BundleAnnounced, self._on_announced)
 
     def start(self) -> None:
-        self._task = self._context.tasks.spawn("freshness proof", self._prove_forever())
+        self._task = self._context.tasks.spawn("freshness proof", self._run_proof_loop())
 
     def stop(self) -> None:
         if self._task is not None:
             self._task.cancel()
 
-    def news(self) -> ClusterUpdate:
-        """For heartbeat answers; the age is worked out at this instant."""
+    def membership_update(self) -> ClusterUpdate:
+        """Returns the content for heartbeat answers; the age of the proof is computed at this instant."""
         age = None
         if self._proven_at is not None:
             age = Seconds(self._context.clock.monotonic() - self._proven_at)
         return ClusterUpdate(
             epoch=self._core.epoch(),
             primary=self._core.primary_address(),
-            latest_version=max(self._announced, self._proven_version, self._own_newest()),
+            latest_version=max(self._announced_version, self._proven_version, self._own_latest_version()),
             proof_version=self._proven_version,
             proof_age=age,
         )
 
-    def _own_newest(self) -> BundleVersion:
+    def _own_latest_version(self) -> BundleVersion:
         manifest = self._source.latest()
         return BundleVersion(0) if manifest is None else manifest.version
 
     def _on_announced(self, peer: Identity, message: BundleAnnounced) -> None:
         if peer.role == "control":
-            self._announced = max(self._announced, message.version)
+            self._announced_version = max(self._announced_version, message.version)
 
-    # -- asking
+    # -- obtaining proofs
 
-    async def _prove_forever(self) -> None:
+    async def _run_proof_loop(self) -> None:
         clock = self._context.clock
         while True:
-            asked = clock.monotonic()
-            proof = await self._ask()
+            asked_at = clock.monotonic()
+            proof = await self._request_proof()
             if proof is not None:
-                self._note(*proof)
-            wait = self._limits.proof if proof is not None else self._limits.proof_retry
-            pause = asked + wait * (0.9 + 0.2 * self._context.random.random()) - clock.monotonic()
+                self._record_proof(*proof)
+            wait = self._limits.proof_interval if proof is not None else self._limits.proof_retry_interval
+            pause = asked_at + wait * (0.9 + 0.2 * self._context.random.random()) - clock.monotonic()
             await clock.sleep(Seconds(max(0.05, pause)))
 
-    def _note(self, proven: Instant, version: BundleVersion) -> None:
+    def _record_proof(self, proven: Instant, version: BundleVersion) -> None:
         if self._proven_at is not None and proven <= self._proven_at:
             return
         if version < self._proven_version:
@@ -96,67 +103,73 @@
             return
         self._proven_at, self._proven_version = proven, version
 
-    async def _ask(self) -> tuple[Instant, BundleVersion] | None:
-        """The primary; when it doesn't answer, others who may have asked it: their proof's age is added."""
+    async def _request_proof(self) -> tuple[Instant, BundleVersion] | None:
+        """Returns a proof as the instant at which it held and the version; None when nobody gave one.
+
+        The primary is asked first; its proof has age 0. When it gives none, other control daemons that may have asked
+        it are asked: the age of their proof is subtracted from the instant before the request, and the latest counts.
+        """
         clock = self._context.clock
         if self._core.leads():
-            asked = clock.monotonic()
-            return (asked, self._own_newest()) if await self.prove() else None
-        best: tuple[Instant, BundleVersion] | None = None
+            asked_at = clock.monotonic()
+            return (asked_at, self._own_latest_version()) if await self.prove() else None
+        latest_proof: tuple[Instant, BundleVersion] | None = None
         for address in self._sources():
-            asked = clock.monotonic()
-            outcome = await self._messenger.call(address, AskNewest(), NewestProven, self._limits.proof_answer)
+            asked_at = clock.monotonic()
+            outcome = await self._messenger.call(
+                address, LatestVersionRequest(), LatestVersionProof, self._limits.proof_timeout
+            )
             if not isinstance(outcome, Success):
                 continue
-            answer: NewestProven = outcome.unwrap()
-            if answer.proven and (best is None or asked - answer.age > best[0]):
-                best = Instant(asked - answer.age), answer.version
+            answer: LatestVersionProof = outcome.unwrap()
+            if answer.proven and (latest_proof is None or asked_at - answer.age > latest_proof[0]):
+                latest_proof = Instant(asked_at - answer.age), answer.version
             if answer.proven and not answer.age:
                 break
-        return best
+        return latest_proof
 
     def _sources(self) -> list[Address]:
         own = self._messenger.identity.internal
         primary = self._core.primary_address()
         others = [control.internal for control in self._membership.controls()]
-        if len(others) > OTHERS_ASKED:
-            others = self._context.random.sample(others, OTHERS_ASKED)
-        known = dict.fromkeys(address for address in (primary, *others) if address is not None)
-        return [address for address in known if address != own]
+        if len(others) > MAX_CONTROLS_ASKED:
+            others = self._context.random.sample(others, MAX_CONTROLS_ASKED)
+        candidates = dict.fromkeys(address for address in (primary, *others) if address is not None)
+        return [address for address in candidates if address != own]
 
-    # -- answering
+    # -- answering requests
 
-    async def _on_ask_newest(self, peer: Identity, message: AskNewest) -> NewestProven:
+    async def _on_latest_version_request(self, peer: Identity, message: LatestVersionRequest) -> LatestVersionProof:
         primary = self._core.primary_address()
         if await self.prove():
-            return NewestProven(True, self._own_newest(), Seconds(0.0), primary)
+            return LatestVersionProof(True, self._own_latest_version(), Seconds(0.0), primary)
         if self._proven_at is None:
-            return NewestProven(False, BundleVersion(0), Seconds(0.0), primary)
+            return LatestVersionProof(False, BundleVersion(0), Seconds(0.0), primary)
         age = Seconds(max(1e-6, self._context.clock.monotonic() - self._proven_at))
-        return NewestProven(True, self._proven_version, age, primary)
+        return LatestVersionProof(True, self._proven_version, age, primary)
 
     async def prove(self) -> bool:
-        """Whether this daemon led at some instant after this call; many callers share one round.
+        """Returns whether this daemon was primary at some instant after this call; many callers share one round.
 
-        A round under way may have begun before the question came, so a caller waits for the next one.
+        A round that is in progress may have started before this call, so a caller waits for the next one.
         """
         if not self._core.leads():
             return False
-        if self._next is not None:
-            return await asyncio.shield(self._next)
-        self._next = waiting = asyncio.get_running_loop().create_future()
-        if self._running is None:
+        if self._next_round is not None:
+            return await asyncio.shield(self._next_round)
+        self._next_round = waiting = asyncio.get_running_loop().create_future()
+        if self._current_round is None:
             self._context.tasks.spawn("proof of lead", self._run_rounds())
         return await asyncio.shield(waiting)
 
     async def _run_rounds(self) -> None:
-        while self._next is not None:
-            self._running, self._next = self._next, None
+        while self._next_round is not None:
+            self._current_round, self._next_round = self._next_round, None
             proven = False
             try:
-                async with asyncio.timeout(self._limits.proof_answer):
+                async with asyncio.timeout(self._limits.proof_timeout):
                     proven = await self._core.prove_leadership() and self._core.leads()
             except TimeoutError:
                 pass
-            self._running.set_result(proven)
-        self._running = None
+            self._current_round.set_result(proven)
+        self._current_round = None
--- a/wingwood/distribution/tests/test_deltas.py
+++ b/wingwood/distribution/tests/test_deltas.py
@@ -1,4 +1,8 @@
-"""Joined deltas, chains and chunks, over the real bundle state (docs/DESIGN.md section 9.2)."""
+"""Tests of joined deltas, delta chains and chunks over the real bundle state (docs/DESIGN.md section 9.2).
+
+They guard against a delta that leads to a bundle with wrong content, and against a fetch that mixes chunks of
+different encodings or accepts damaged ones.
+"""
 
 from __future__ import annotations
 
@@ -13,19 +17,19 @@
 from ...bundle.parse import apply_delta
 from ...bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices, submit
 from ...identifiers import BundleVersion, SliceName
-from ..deltas import ENCODED_KEPT, ChunkServer, DeltaChain, decode_delta, unpacked, whole
+from ..deltas import MAX_ENCODED_DELTAS, ChunkServer, DeltaChain, decode_delta, decompress_chunk, full_delta
 from ..messages import BundleChunk, FetchBundle
-from .stand_ins import empty_disk
+from .fakes import empty_disk
 
 
 class DeltaChainTest(unittest.TestCase):
-    def test_any_holder_within_the_chain_is_brought_to_the_newest(self) -> None:
-        """Slices come, change and go; followers skip versions; every joined delta passes the root check."""
+    def test_any_version_within_the_chain_is_brought_to_the_latest(self) -> None:
+        """Slices are added, changed and removed, and followers skip versions; joined deltas pass the root check."""
         random = Random(3)
         state = empty_disk()
         slices: dict[SliceName, bytes] = {}
         past: dict[int, Bundle] = {}
-        chain, held, bundle = DeltaChain(kept=30), BundleVersion(0), None
+        chain, held, bundle = DeltaChain(max_deltas=30), BundleVersion(0), None
         joined, missing = 0, 0
         full = sample_slices(20)
         extra = [SliceName(f"tenant/tenant-{number}") for number in range(20)]
@@ -45,87 +49,92 @@
             for since, old in past.items():
                 if since == held:
                     continue
-                told = chain.since(BundleVersion(since))
-                if told is None:
+                joined_delta = chain.since(BundleVersion(since))
+                if joined_delta is None:
                     missing += 1
                     continue
                 joined += 1
-                result = apply_delta(old, told, OPERATOR_KEYS)
+                result = apply_delta(old, joined_delta, OPERATOR_KEYS)
                 assert isinstance(result, Success), result
                 self.assertEqual(result.unwrap().slices, bundle.slices)
         self.assertGreater(joined, 500)
         self.assertGreater(missing, 100)
 
-    def test_large_delta_travels_in_chunks_of_one_version(self) -> None:
+    def test_large_delta_is_served_in_chunks_of_one_version(self) -> None:
         state, slices = empty_disk(), sample_slices(200)
         submit(state, order_between(0, {}, slices))
         bundle = apply_delta(None, state.delta_since(BundleVersion(0), state.version), OPERATOR_KEYS).unwrap()  # type: ignore[arg-type]
         server = ChunkServer(chunk_bytes=1000)
-        first = server.chunk(FetchBundle(BundleVersion(0)), bundle.version, whole(bundle))
-        pieces = [first.data]
-        while sum(map(len, pieces)) < first.total:
-            asked = FetchBundle(BundleVersion(0), first.to, sum(map(len, pieces)))
-            chunk = server.chunk(asked, BundleVersion(2), None)
+        first = server.chunk(FetchBundle(BundleVersion(0)), bundle.version, full_delta(bundle))
+        chunks_data = [first.data]
+        while sum(map(len, chunks_data)) < first.total:
+            request = FetchBundle(BundleVersion(0), first.to, sum(map(len, chunks_data)))
+            chunk = server.chunk(request, BundleVersion(2), None)
             self.assertTrue(chunk.found)
-            pieces.append(chunk.data)
-        self.assertGreater(len(pieces), 10)
-        self.assertEqual(decode_delta(pieces), whole(bundle))
-        self.assertIsNone(decode_delta(pieces[:-1]))
+            chunks_data.append(chunk.data)
+        self.assertGreater(len(chunks_data), 10)
+        self.assertEqual(decode_delta(chunks_data), full_delta(bundle))
+        self.assertIsNone(decode_delta(chunks_data[:-1]))
         self.assertFalse(server.chunk(FetchBundle(BundleVersion(1)), BundleVersion(1), None).found)
 
-    def test_packed_chunks_are_small_and_give_the_same_delta(self) -> None:
+    def test_compressed_chunks_are_small_and_give_the_same_delta(self) -> None:
         state, slices = empty_disk(), sample_slices(400)
         submit(state, order_between(0, {}, slices))
         bundle = apply_delta(None, state.delta_since(BundleVersion(0), state.version), OPERATOR_KEYS).unwrap()  # type: ignore[arg-type]
         server = ChunkServer(chunk_bytes=20_000, first_chunk_bytes=3000)
-        pieces: list[bytes] = []
+        chunks_data: list[bytes] = []
         travelled = offset = 0
         total = 1
         while offset < total:
             chunk = server.chunk(
-                FetchBundle(BundleVersion(0), bundle.version, offset, unpacks=True), bundle.version, whole(bundle)
+                FetchBundle(BundleVersion(0), bundle.version, offset, accepts_compressed=True),
+                bundle.version,
+                full_delta(bundle),
             )
-            piece, total = unpacked(chunk), chunk.total
-            assert piece is not None
-            self.assertEqual(len(piece), min(total - offset, 20_000 if offset else 3000))
-            pieces.append(piece)
-            offset += len(piece)
+            chunk_data, total = decompress_chunk(chunk), chunk.total
+            assert chunk_data is not None
+            self.assertEqual(len(chunk_data), min(total - offset, 20_000 if offset else 3000))
+            chunks_data.append(chunk_data)
+            offset += len(chunk_data)
             travelled += len(chunk.data)
-        self.assertEqual(decode_delta(pieces), whole(bundle))
+        self.assertEqual(decode_delta(chunks_data), full_delta(bundle))
         self.assertLess(travelled, total / 2)
 
-    def test_pieces_larger_than_told_or_damaged_are_no_pieces(self) -> None:
+    def test_oversized_or_damaged_chunks_are_rejected(self) -> None:
         version = BundleVersion(1)
         bomb = zlib.compress(b"x" * 1_000_000)
-        self.assertIsNone(unpacked(BundleChunk(True, version, 1000, 0, bomb, packed=True)))
-        self.assertIsNone(unpacked(BundleChunk(True, version, 1000, 0, b"no stream", packed=True)))
-        self.assertIsNone(unpacked(BundleChunk(True, version, 1000, 0, zlib.compress(b"x" * 100)[:-3], packed=True)))
-        self.assertIsNone(unpacked(BundleChunk(True, version, 1000, 900, b"x" * 101)))
+        self.assertIsNone(decompress_chunk(BundleChunk(True, version, 1000, 0, bomb, compressed=True)))
+        self.assertIsNone(decompress_chunk(BundleChunk(True, version, 1000, 0, b"no stream", compressed=True)))
+        self.assertIsNone(
+            decompress_chunk(BundleChunk(True, version, 1000, 0, zlib.compress(b"x" * 100)[:-3], compressed=True))
+        )
+        self.assertIsNone(decompress_chunk(BundleChunk(True, version, 1000, 900, b"x" * 101)))
         self.assertEqual(
-            unpacked(BundleChunk(True, version, 1000, 900, zlib.compress(b"x" * 100), packed=True)), b"x" * 100
+            decompress_chunk(BundleChunk(True, version, 1000, 900, zlib.compress(b"x" * 100), compressed=True)),
+            b"x" * 100,
         )
 
-    def test_pieces_of_one_delta_fit_together_whatever_order_its_slices_are_held_in(self) -> None:
-        """Also once a server has forgotten the delta's encoding and makes it again."""
+    def test_chunks_of_one_delta_fit_together_in_any_slice_order(self) -> None:
+        """This holds also after a server has evicted the encoded delta and encoded it again."""
         state, slices = empty_disk(), sample_slices(100)
         submit(state, order_between(0, {}, slices))
         bundle = apply_delta(None, state.delta_since(BundleVersion(0), state.version), OPERATOR_KEYS).unwrap()  # type: ignore[arg-type]
-        reordered = msgspec.structs.replace(whole(bundle), changed=dict(reversed(list(bundle.slices.items()))))
+        reordered = msgspec.structs.replace(full_delta(bundle), changed=dict(reversed(list(bundle.slices.items()))))
         server, other_server = ChunkServer(chunk_bytes=5000), ChunkServer(chunk_bytes=5000)
-        first = server.chunk(FetchBundle(BundleVersion(0), unpacks=True), bundle.version, whole(bundle))
-        for number in range(ENCODED_KEPT):
-            other = FetchBundle(BundleVersion(100 + number), unpacks=True)
-            server.chunk(other, bundle.version, whole(bundle))
+        first = server.chunk(FetchBundle(BundleVersion(0), accepts_compressed=True), bundle.version, full_delta(bundle))
+        for number in range(MAX_ENCODED_DELTAS):
+            other = FetchBundle(BundleVersion(100 + number), accepts_compressed=True)
+            server.chunk(other, bundle.version, full_delta(bundle))
         self.assertFalse(server.holds(BundleVersion(0), bundle.version))
-        pieces: list[bytes] = []
+        chunks_data: list[bytes] = []
         offset = 0
         while offset < first.total:
-            asked = FetchBundle(BundleVersion(0), bundle.version, offset, unpacks=True)
-            answerer, delta = (server, reordered) if len(pieces) % 2 else (other_server, whole(bundle))
-            piece = unpacked(answerer.chunk(asked, bundle.version, delta))
-            assert piece is not None
-            pieces.append(piece)
-            offset += len(piece)
-        self.assertGreater(len(pieces), 4)
-        self.assertEqual(pieces[0], unpacked(first))
-        self.assertEqual(decode_delta(pieces), whole(bundle))
+            request = FetchBundle(BundleVersion(0), bundle.version, offset, accepts_compressed=True)
+            answerer, delta = (server, reordered) if len(chunks_data) % 2 else (other_server, full_delta(bundle))
+            chunk_data = decompress_chunk(answerer.chunk(request, bundle.version, delta))
+            assert chunk_data is not None
+            chunks_data.append(chunk_data)
+            offset += len(chunk_data)
+        self.assertGreater(len(chunks_data), 4)
+        self.assertEqual(chunks_data[0], decompress_chunk(first))
+        self.assertEqual(decode_delta(chunks_data), full_delta(bundle))
--- a/wingwood/membership/tests/test_sessions.py
+++ b/wingwood/membership/tests/test_sessions.py
@@ -322,7 +322,7 @@
             fleet = self.fleet(world)
             fleet.epoch = 0
             world.run(1.0)
-            knows = {name: parts.keeper.knows_of_history for name, parts in fleet.controls.items()}
+            knows = {name: parts.coordinator.knows_of_history for name, parts in fleet.controls.items()}
             self.assertTrue(
                 all(fleet.inside(name, knows[name]) for name in knows), "while settling, a former core is assumed"
             )
@@ -334,7 +334,7 @@
                 world.wipe(name)
                 world.restart(name)
             world.run(4.0)
-            knows = {name: parts.keeper.knows_of_history for name, parts in fleet.controls.items()}
+            knows = {name: parts.coordinator.knows_of_history for name, parts in fleet.controls.items()}
             self.assertTrue(any(fleet.inside(name, knows[name]) for name in knows))
 
     def test_duty_is_performed_by_first_live_daemon_under_an_epoch(self) -> None:
--- a/wingwood/operator_api/server.py
+++ b/wingwood/operator_api/server.py
@@ -1,6 +1,6 @@
 """The HTTP server of the operator address (docs/DESIGN.md section 15.1).
 
-tornado's HTTP/1.1 connection on streams from ``Context.network``, so it runs in the simulator too.
+It runs tornado's HTTP/1.1 connection on streams from ``Context.network``, so it works in the simulator too.
 """
 
 from __future__ import annotations
@@ -21,66 +21,80 @@
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
+    """The limits of an ``OperatorServer``, in bytes and seconds."""
+
     connections: int = 1_000
+    """The number of open connections above which a new one is closed at once."""
     header_bytes: int = 16 * 1024
-    """Above this the answer is 431; above four times this the connection is closed without one."""
+    """The size of a request head above which the response is 431.
+
+    Above four times this size the connection is closed without a response.
+    """
     body_bytes: int = 256 * 1024
-    """Of a route that names no bound of its own."""
-    bodies_bytes: int = 96 * 1024 * 1024
-    """Of all requests that are being read or answered. So much of a refused body is read and dropped,
-    since an answer before its end is lost with the connection; a longer one is answered at once."""
-    idle: Seconds = Seconds(75.0)
-    body_within: Seconds = Seconds(20.0)
+    """The body limit of a route that sets none of its own."""
+    total_body_bytes: int = 96 * 1024 * 1024
+    """The limit for the bodies of all requests that are being read or answered.
+
+    It is also the part of a refused body that is read and discarded, since a response sent before the end of the body
+    is lost when the connection closes. A longer refused body is answered at once.
+    """
+    idle_timeout: Seconds = Seconds(75.0)
+    """The time within which the head of the next request must arrive."""
+    body_timeout: Seconds = Seconds(20.0)
+    """The time within which a request body must arrive."""
 
 
 _BUSY = error_reply(503, "busy", "too many large requests at once; try again", (("Retry-After", "1"),))
 
 
 class _Route(msgspec.Struct, frozen=True):
+    """The handler of one method and path, and the size limit of its request bodies."""
+
     handler: OperatorHandler
     body_bytes: int
 
 
 class OperatorServer:
-    """``OperatorRoutes`` behind one listening address. Every answer that is not the asked one is JSON."""
+    """Serves ``OperatorRoutes`` on one listening address; every error response is JSON."""
 
     def __init__(self, context: Context, limits: ServerLimits | None = None) -> None:
         self.context = context
         self.limits = limits or ServerLimits()
-        self.bodies = 0
-        """Bytes of bodies announced or read and not yet answered."""
-        self._exact: dict[str, dict[str, _Route]] = {}
-        self._below: dict[str, dict[str, _Route]] = {}
+        self.pending_body_bytes = 0
+        """The number of body bytes announced or read by requests that have not been answered yet."""
+        self._exact_routes: dict[str, dict[str, _Route]] = {}
+        self._prefix_routes: dict[str, dict[str, _Route]] = {}
         self._listener: Listener | None = None
         self._connections: dict[HTTP1ServerConnection, BaseIOStream] = {}
         self._parameters = HTTP1ConnectionParameters(
             max_header_size=4 * self.limits.header_bytes,
-            header_timeout=self.limits.idle,
-            body_timeout=self.limits.body_within,
-            max_body_size=self.limits.bodies_bytes,
+            header_timeout=self.limits.idle_timeout,
+            body_timeout=self.limits.body_timeout,
+            max_body_size=self.limits.total_body_bytes,
         )
         self._delegate = _ConnectionDelegate(self)
 
     def add(self, method: str, path: str, handler: OperatorHandler, body_bytes: int | None = None) -> None:
-        table, key = (self._below, path[:-1]) if path.endswith("/*") else (self._exact, path)
+        table, key = (self._prefix_routes, path[:-1]) if path.endswith("/*") else (self._exact_routes, path)
         route = _Route(handler, self.limits.body_bytes if body_bytes is None else body_bytes)
         table.setdefault(key, {})[method] = route
 
     def start(self, address: Address) -> Result[None, NetworkFault]:
-        """Listens at ``address``."""
+        """Starts to listen on ``address``; the result is a failure when the address cannot be used."""
         listening = self.context.network.listen(address, self.handle_stream)
         if isinstance(listening, Success):
             self._listener = listening.unwrap()
         return listening.map(lambda _: None)
 
     def stop(self) -> None:
-        """Listens no more and closes what is open."""
+        """Stops listening and closes all open connections."""
         if self._listener is not None:
             self._listener.close()
         for stream in list(self._connections.values()):
             stream.close()
 
     def handle_stream(self, stream: BaseIOStream, peer: Address) -> None:
+        """Serves a new connection, or closes it when too many are open."""
         if len(self._connections) >= self.limits.connections:
             self.context.log.event("operator-connection-refused", peer=peer, connections=len(self._connections))
             stream.close()
@@ -90,17 +104,18 @@
         connection.start_serving(self._delegate)
 
     def closed(self, connection: object) -> None:
+        """Removes a connection that has been closed."""
         if isinstance(connection, HTTP1ServerConnection):
             self._connections.pop(connection, None)
 
     def find(self, method: str, path: str) -> _Route | OperatorReply:
-        """The route, or the answer that says why there is none."""
-        methods = self._exact.get(path)
+        """Returns the route, or the response that says why there is none."""
+        methods = self._exact_routes.get(path)
         if methods is None:
-            above = [prefix for prefix in self._below if path.startswith(prefix)]
-            methods = self._below[max(above, key=len)] if above else None
+            prefixes = [prefix for prefix in self._prefix_routes if path.startswith(prefix)]
+            methods = self._prefix_routes[max(prefixes, key=len)] if prefixes else None
         if methods is None:
-            return error_reply(404, "no-such-path", f"there is no {path[:200]} here; see docs/COMMANDS.md")
+            return error_reply(404, "no-such-path", f"this daemon has no path {path[:200]}; see docs/COMMANDS.md")
         if method not in methods:
             allowed = ", ".join(sorted(methods))
             return error_reply(405, "wrong-method", f"{path} takes {allowed}", (("Allow", allowed),))
@@ -108,6 +123,8 @@
 
 
 class _ConnectionDelegate(httputil.HTTPServerConnectionDelegate):
+    """Creates an ``_Exchange`` for each request of a connection."""
+
     def __init__(self, server: OperatorServer) -> None:
         self._server = server
 
@@ -120,80 +137,86 @@
 
 
 class _Exchange(httputil.HTTPMessageDelegate):
-    """One request and its answer. The body is read only when the head is in order."""
+    """One request and its response. The body is stored only when the head is valid, otherwise it is discarded."""
 
     def __init__(self, server: OperatorServer, connection: HTTP1Connection) -> None:
         self._server = server
         self._connection = connection
         self._route: _Route | None = None
         self._refusal: OperatorReply | None = None
-        """Given once the body has been read and dropped: an answer before that is lost with the connection."""
+        """The error response, sent once the body has been read and discarded: a response sent before that is lost when
+        the connection closes."""
         self._body = bytearray()
-        self._counted = 0
-        self._dropped = 0
+        self._reserved_bytes = 0
+        self._discarded_bytes = 0
 
     def headers_received(
         self, start_line: httputil.RequestStartLine | httputil.ResponseStartLine, headers: httputil.HTTPHeaders
     ) -> Awaitable[None] | None:
         assert isinstance(start_line, httputil.RequestStartLine)
         self._start_line, self._headers = start_line, headers
-        self._refusal = self._look_at_head()
+        self._refusal = self._check_head()
         announced = headers.get("Content-Length", "0")
         if self._refusal is not None and (
-            not announced.isdigit() or int(announced[:18]) > self._server.limits.bodies_bytes
+            not announced.isdigit() or int(announced[:18]) > self._server.limits.total_body_bytes
         ):
             self._answer(self._refusal)
         return None
 
-    def _look_at_head(self) -> OperatorReply | None:
+    def _check_head(self) -> OperatorReply | None:
+        """Finds the route and reserves the announced body bytes; returns an error response when it cannot."""
         limits = self._server.limits
         size = sum(len(name) + len(value) + 4 for name, value in self._headers.get_all()) + len(self._start_line.path)
         if size > limits.header_bytes:
-            return error_reply(431, "headers-too-large", f"the head has {size} bytes, {limits.header_bytes} are taken")
+            return error_reply(
+                431, "headers-too-large", f"the request head has {size} bytes; the limit is {limits.header_bytes}"
+            )
         try:
             parts = urlsplit(self._start_line.path)
             self._path = unquote(parts.path, errors="strict")
             self._query = dict(parse_qsl(parts.query, keep_blank_values=True, errors="strict", max_num_fields=50))
         except (ValueError, UnicodeDecodeError):
-            return error_reply(400, "malformed", "the request's path can't be read")
+            return error_reply(400, "malformed", "the path or the query of the request cannot be decoded")
         found = self._server.find(self._start_line.method, self._path)
         if isinstance(found, OperatorReply):
             return found
         announced = self._headers.get("Content-Length", "0")
         if not (announced.isascii() and announced.isdigit() and len(announced) < 19):
-            return error_reply(400, "malformed", f"Content-Length is {announced[:40]!r}: one number is expected")
+            return error_reply(400, "malformed", f"Content-Length is {announced[:40]!r}; expected one number")
         if int(announced) > found.body_bytes:
             return self._too_large(found)
-        if self._server.bodies + int(announced) > limits.bodies_bytes:
+        if self._server.pending_body_bytes + int(announced) > limits.total_body_bytes:
             return _BUSY
-        self._count(int(announced))
+        self._reserve_body_bytes(int(announced))
         self._route = found
         return None
 
     def _too_large(self, route: _Route) -> OperatorReply:
-        return error_reply(413, "body-too-large", f"{self._path} takes bodies up to {route.body_bytes} bytes")
+        return error_reply(413, "body-too-large", f"{self._path} accepts bodies of up to {route.body_bytes} bytes")
 
-    def _count(self, length: int) -> None:
-        self._server.bodies += length - self._counted
-        self._counted = length
+    def _reserve_body_bytes(self, length: int) -> None:
+        """Sets the number of bytes that this request counts towards ``pending_body_bytes``."""
+        self._server.pending_body_bytes += length - self._reserved_bytes
+        self._reserved_bytes = length
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         if self._route is None:
-            self._dropped += len(chunk)
-            if self._refusal is not None and self._dropped > self._server.limits.bodies_bytes:
+            self._discarded_bytes += len(chunk)
+            if self._refusal is not None and self._discarded_bytes > self._server.limits.total_body_bytes:
                 self._answer(self._refusal)
             return None
         self._body += chunk
-        if len(self._body) > self._counted:
-            self._count(len(self._body))
+        if len(self._body) > self._reserved_bytes:
+            self._reserve_body_bytes(len(self._body))
         if len(self._body) > self._route.body_bytes:
             self._refuse(self._too_large(self._route))
-        elif self._server.bodies > self._server.limits.bodies_bytes:
+        elif self._server.pending_body_bytes > self._server.limits.total_body_bytes:
             self._refuse(_BUSY)
         return None
 
     def _refuse(self, reply: OperatorReply) -> None:
-        self._count(0)
+        """Drops the body received so far; ``reply`` is sent at the end of the body."""
+        self._reserve_body_bytes(0)
         self._body = bytearray()
         self._route, self._refusal = None, reply
 
@@ -220,16 +243,16 @@
         except (msgspec.MsgspecError, UnicodeError) as malformed:
             reply = error_reply(400, "malformed", str(malformed))
         except Exception:
-            self._answer(error_reply(500, "broken", "an error in this daemon; its log says more"))
+            self._answer(error_reply(500, "broken", "this daemon failed while it handled the request; see its log"))
             raise
         self._answer(reply)
 
     def on_connection_close(self) -> None:
-        self._count(0)
+        self._reserve_body_bytes(0)
         self._route = self._refusal = None
 
     def _answer(self, reply: OperatorReply) -> None:
-        self._count(0)
+        self._reserve_body_bytes(0)
         self._route = self._refusal = None
         self._body = bytearray()
         content_type = "application/json"
--- a/wingwood/operator_api/tests/test_editions.py
+++ b/wingwood/operator_api/tests/test_editions.py
@@ -1,4 +1,7 @@
-"""Submitting editions and reading the newest content back (docs/DESIGN.md section 15.6)."""
+"""Tests that editions are submitted and the latest content is read back (docs/DESIGN.md section 15.6).
+
+They guard against content that is older than an acknowledged edition, which lagging readers would return.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +18,14 @@
 from ...bundle.tests.samples import OPERATOR_KEYS, SIGNING_KEY, edition_change, sample_slices
 from ...control.protocols import NotDecided
 from ...identifiers import BundleVersion, Instant, OrderId, Seconds, WallTime
-from ..editions import WITHIN, EditionClient
+from ..editions import CALL_TIMEOUT_S, EditionClient
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 Value = TypeVar("Value")
 
 
-class Primary:
-    """Decides at once, unless it has a fault to tell."""
+class FakePrimary:
+    """Decides each command at once, or returns ``fault`` when that is set."""
 
     def __init__(self) -> None:
         self.state = BundleState(OPERATOR_KEYS, signing_key=SIGNING_KEY)
@@ -33,15 +36,15 @@
     ) -> Result[Reply, NotDecided]:
         if self.fault is not None:
             return Failure(self.fault)
-        assert (kind, timeout) == ("bundle", WITHIN)
+        assert (kind, timeout) == ("bundle", CALL_TIMEOUT_S)
         record, reply = self.state.decide(command)
         if record is not None:
             self.state.apply(record)
         return Success(msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=reply_type))
 
 
-class StepClock:
-    """Time passes by sleeping only."""
+class SleepDrivenClock:
+    """A clock on which time passes only during ``sleep``."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -56,7 +59,9 @@
         self.now += seconds
 
 
-class Away:
+class UnreachableReader:
+    """A bundle reader whose calls all fail."""
+
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
         return Failure(NotReadable("cut off"))
 
@@ -70,16 +75,16 @@
 
 class EditionClientTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.primary, self.clock = Primary(), StepClock()
-        self.behind = BundleVersion(1)
-        late = LocalBundleReader(self.primary.state, lambda: self.behind)
-        self.late = EditionClient(self.primary, (Away(), late), self.clock)
+        self.primary, self.clock = FakePrimary(), SleepDrivenClock()
+        self.reader_version = BundleVersion(1)
+        lagging_reader = LocalBundleReader(self.primary.state, lambda: self.reader_version)
+        self.lagging_client = EditionClient(self.primary, (UnreachableReader(), lagging_reader), self.clock)
         current = LocalBundleReader(self.primary.state, lambda: self.primary.state.version)
-        self.client = EditionClient(self.primary, (late, current), self.clock)
-        self.cut_off = EditionClient(self.primary, (Away(),), self.clock)
+        self.client = EditionClient(self.primary, (lagging_reader, current), self.clock)
+        self.unreachable_client = EditionClient(self.primary, (UnreachableReader(),), self.clock)
         self.first = edition_change(0, 4, sample_slices())
 
-    def test_what_was_submitted_is_read_back_with_its_number(self) -> None:
+    def test_submitted_edition_is_read_back_with_its_number(self) -> None:
         self.assertIsNone(run(self.client.newest()).unwrap())
         self.assertEqual(run(self.client.submit(self.first)).unwrap().edition, 4)
         run(self.client.submit(edition_change(4, 6, sample_slices(3))))
@@ -87,29 +92,29 @@
         assert newest is not None
         self.assertEqual((newest.number, newest.view.manifest.version), (6, 2))
         self.assertNotIn("tenant/tenant-3", newest.view.slices)
-        standing = run(self.client.standing(self.first.order)).unwrap()
-        assert standing.outcome is not None
-        self.assertEqual((standing.number, standing.outcome.version), (6, 1))
-        self.assertIsNone(run(self.client.standing(OrderId("none"))).unwrap().outcome)
+        status = run(self.client.status(self.first.order)).unwrap()
+        assert status.outcome is not None
+        self.assertEqual((status.number, status.outcome.version), (6, 1))
+        self.assertIsNone(run(self.client.status(OrderId("none"))).unwrap().outcome)
 
-    def test_readers_that_are_behind_are_waited_for_and_never_believed(self) -> None:
+    def test_lagging_readers_are_retried_and_not_trusted(self) -> None:
         for change in (self.first, edition_change(4, 6, sample_slices(3))):
             run(self.client.submit(change))
-        reason = run(self.late.newest()).failure().reason
+        reason = run(self.lagging_client.newest()).failure().reason
         self.assertIn("version 2 is not kept there, 1 is", reason)
-        self.assertLessEqual(self.clock.now, WITHIN)
-        self.assertGreater(self.clock.now, WITHIN / 2)
-        self.assertIn("cut off", run(self.cut_off.newest()).failure().reason)
-        self.behind = BundleVersion(2)
-        self.assertIsInstance(run(self.late.newest()), Success)
+        self.assertLessEqual(self.clock.now, CALL_TIMEOUT_S)
+        self.assertGreater(self.clock.now, CALL_TIMEOUT_S / 2)
+        self.assertIn("cut off", run(self.unreachable_client.newest()).failure().reason)
+        self.reader_version = BundleVersion(2)
+        self.assertIsInstance(run(self.lagging_client.newest()), Success)
 
-    def test_without_a_primary_nothing_is_read_though_the_readers_could(self) -> None:
+    def test_nothing_is_read_without_a_primary(self) -> None:
         run(self.client.submit(self.first))
         for kind in ("unknown", "not-leading", "busy"):
             self.primary.fault = NotDecided(kind)
             self.assertIn(kind, run(self.client.newest()).failure().reason)
             self.assertEqual(run(self.client.submit(self.first)).failure().kind, kind)
-            self.assertEqual(run(self.client.standing()).failure().kind, kind)
+            self.assertEqual(run(self.client.status()).failure().kind, kind)
 
 
 if __name__ == "__main__":
