--- a/wingwood/distribution/follower.py
+++ b/wingwood/distribution/follower.py
@@ -137,7 +137,7 @@
         if update.proof_age is not None:
             self._record_proof(update.proof_version, Instant(asked - update.proof_age))
         self._gate.admit(update.epoch)
-        self._raise_target(max(update.newest, update.proof_version))
+        self._raise_target(max(update.latest_version, update.proof_version))
 
     def _record_proof(self, version: BundleVersion, proven: Instant) -> None:
         """Records that ``version`` was the latest at ``proven``.
