--- a/wingwood/command_line/bundle.py
+++ b/wingwood/command_line/bundle.py
@@ -18,18 +18,18 @@
 from ..bundle.reading import HistoryAnswer
 from ..identifiers import Address, BundleVersion, OrderId, Seconds, WallTime
 from ..operator_api.reading import ShownBundle
-from ..rollout.plan import keep_rollouts, read_rollouts
+from ..rollout.plan import preserve_rollouts, read_rollouts
 from .change import changed_slices, differences, rebase
 from .client import NoBundle, OperatorClient
 from .keys import read_key
 from .options import json_option, key_option, to_option
-from .output import ExitCode, OutcomeUnknown, Problem, print_json, print_table
+from .output import CommandError, ExitCode, OutcomeUnknown, print_json, print_table
 from .rollout_table import print_rollouts
 from .source import Slices, check_bundle, read_source, write_source
 
-EXIT_OF = {"accepted": ExitCode.DONE, "conflict": ExitCode.CONFLICT, "invalid": ExitCode.REFUSED}
-REBASES = 10
-NEWEST = "/control/v1/bundle?newest=1"
+EXIT_CODE_BY_OUTCOME = {"accepted": ExitCode.DONE, "conflict": ExitCode.CONFLICT, "invalid": ExitCode.REFUSED}
+MAX_REBASES = 10
+LATEST_BUNDLE_PATH = "/control/v1/bundle?newest=1"
 
 
 @click.group()
@@ -37,20 +37,22 @@
     """The signed configuration: check, sign, push, change, show, history, diff."""
 
 
-def _say(message: str) -> None:
+def _print_message(message: str) -> None:
     click.echo(message, err=True)
 
 
 def operator_client(addresses: Sequence[Address], patience: float = 30.0) -> OperatorClient:
-    client = OperatorClient(addresses, _say, Seconds(patience))
+    client = OperatorClient(addresses, _print_message, Seconds(patience))
     click.get_current_context().call_on_close(client.close)
     return client
 
 
-def newest_slices(client: OperatorClient) -> tuple[BundleVersion, Slices]:
+def latest_slices(client: OperatorClient) -> tuple[BundleVersion, Slices]:
     """The newest version and its slices; version 0 without any when there is no bundle yet."""
     try:
-        shown = client.best(NEWEST, ShownBundle, lambda shown: math.inf if shown.newest else shown.version)
+        shown = client.read_highest(
+            LATEST_BUNDLE_PATH, ShownBundle, lambda shown: math.inf if shown.newest else shown.version
+        )
     except NoBundle:
         return BundleVersion(0), {}
     return shown.version, _slices(shown)
@@ -69,7 +71,7 @@
 
 def private_key(key_file: Path | None) -> Ed25519PrivateKey:
     if key_file is None:
-        raise Problem("an order must be signed: name the operator's key with --key FILE or in WINGWOOD_KEY")
+        raise CommandError("an order must be signed: name the operator's key with --key FILE or in WINGWOOD_KEY")
     return read_key(key_file)
 
 
@@ -121,8 +123,8 @@
     before: Slices = {}
     version = BundleVersion(base or 0)
     if base is None and addresses:
-        version, before = newest_slices(operator_client(addresses))
-        slices = keep_rollouts(before, slices)
+        version, before = latest_slices(operator_client(addresses))
+        slices = preserve_rollouts(before, slices)
         check_bundle(slices)
     signed = sign_order(version, before, slices, private, order)
     if not before:
@@ -130,12 +132,12 @@
     try:
         output.write_bytes(msgspec.json.encode(signed) + b"\n")
     except OSError as problem:
-        raise Problem(f"{output}: cannot be written: {problem.strerror}") from None
-    told = {"order": signed.manifest.order, "version": signed.manifest.version, "file": str(output)}
+        raise CommandError(f"{output}: cannot be written: {problem.strerror}") from None
+    summary = {"order": signed.manifest.order, "version": signed.manifest.version, "file": str(output)}
     if as_json:
-        print_json(told)
+        print_json(summary)
     else:
-        click.echo(f"order {told['order']} for version {told['version']} signed, in {output}")
+        click.echo(f"order {summary['order']} for version {summary['version']} signed, in {output}")
 
 
 @bundle.command()
@@ -165,8 +167,8 @@
     if file.is_dir() or file.suffix == ".toml":
         wanted = read_source(file)
         check_bundle(wanted)
-        version, before = newest_slices(client)
-        wanted = keep_rollouts(before, wanted)
+        version, before = latest_slices(client)
+        wanted = preserve_rollouts(before, wanted)
         check_bundle(wanted)
         _push(client, version, before, wanted, private_key(key_file), order, may_rebase, as_json)
         return
@@ -204,9 +206,9 @@
 ) -> None:
     """Makes a small change to the newest version: files are put in first, then fields and keys, then removals."""
     if not any((sets, removes, add_keys, remove_keys, files)):
-        raise Problem("nothing to change: use --set, --remove, --add-key, --remove-key or --file")
+        raise CommandError("nothing to change: use --set, --remove, --add-key, --remove-key or --file")
     client = operator_client(addresses, patience)
-    version, before = newest_slices(client)
+    version, before = latest_slices(client)
     wanted = changed_slices(before, files=files, sets=sets, add_keys=add_keys, remove_keys=remove_keys, removes=removes)
     check_bundle(wanted)
     if dry_run:
@@ -225,7 +227,7 @@
     may_rebase: bool,
     as_json: bool,
 ) -> None:
-    for _ in range(REBASES):
+    for _ in range(MAX_REBASES):
         if wanted == before:
             if as_json:
                 print_json({"outcome": "unchanged", "version": version})
@@ -235,9 +237,9 @@
         outcome = submit(client, sign_order(version, before, wanted, private, order), None)
         if outcome.outcome != "conflict" or not may_rebase:
             break
-        _say(f"{outcome.reason}; making the same change to the newest version")
+        _print_message(f"{outcome.reason}; making the same change to the newest version")
         base = before
-        version, before = newest_slices(client)
+        version, before = latest_slices(client)
         wanted = rebase(base, wanted, before)
         check_bundle(wanted)
         order = None
@@ -262,9 +264,9 @@
     try:
         return msgspec.json.decode(file.read_bytes(), type=Order)
     except OSError as problem:
-        raise Problem(f"{file}: cannot be read: {problem.strerror}") from None
+        raise CommandError(f"{file}: cannot be read: {problem.strerror}") from None
     except (msgspec.MsgspecError, UnicodeError) as malformed:
-        raise Problem(
+        raise CommandError(
             f"{file}: not a signed order ({malformed}); `wingwood bundle sign` makes one, and sources end in .toml"
         ) from None
 
@@ -275,11 +277,11 @@
     elif outcome.outcome == "accepted":
         click.echo(f"accepted: version {outcome.version} (order {outcome.order})")
     elif outcome.outcome == "conflict":
-        _say(f"conflict: {outcome.reason}{hint}")
+        _print_message(f"conflict: {outcome.reason}{hint}")
     else:
-        _say(f"{outcome.outcome}: {outcome.reason}")
+        _print_message(f"{outcome.outcome}: {outcome.reason}")
     if outcome.outcome != "accepted":
-        raise click.exceptions.Exit(int(EXIT_OF[outcome.outcome]))
+        raise click.exceptions.Exit(int(EXIT_CODE_BY_OUTCOME[outcome.outcome]))
 
 
 @bundle.command()
@@ -295,7 +297,7 @@
         print_json(shown)
     elif as_toml:
         slices = _slices(shown)
-        owned = keep_rollouts(slices, {})
+        owned = preserve_rollouts(slices, {})
         click.echo(write_source({name: data for name, data in slices.items() if name not in owned}), nl=False)
     else:
         _print_bundle(shown)
@@ -309,7 +311,7 @@
 def _print_bundle(shown: ShownBundle) -> None:
     manifest = shown.manifest
     click.echo(f"version {shown.version}{', the newest' if shown.newest else ''}, order {manifest.order}")
-    click.echo(f"signed {_when(manifest.signed_at)} by {manifest.signer}")
+    click.echo(f"signed {_format_time(manifest.signed_at)} by {manifest.signer}")
     for kind, titles in (
         ("service", ("pool", "kind", "repeatable", "streaming", "deadline", "first_byte_patience", "retry_share")),
         ("route", ("path_prefix", "service", "methods")),
@@ -319,7 +321,7 @@
         rows = []
         for name in sorted(name for name in shown.slices if name.startswith(f"{kind}/")):
             fields = msgspec.json.decode(shown.slices[name], type=dict[str, object])
-            rows.append([name.partition("/")[2], *(_shortened(title, fields.get(title)) for title in titles)])
+            rows.append([name.partition("/")[2], *(_shorten(title, fields.get(title)) for title in titles)])
         if rows:
             click.echo()
             print_table((kind, *titles), rows)
@@ -329,7 +331,7 @@
         print_rollouts(rollouts.values())
 
 
-def _shortened(field: str, value: object) -> object:
+def _shorten(field: str, value: object) -> object:
     if field == "keys" and isinstance(value, list):
         return [f"{digest[:12]}.." for digest in value]
     if field == "services" and not value:
@@ -337,7 +339,7 @@
     return value
 
 
-def _when(seconds: float) -> str:
+def _format_time(seconds: float) -> str:
     return datetime.fromtimestamp(seconds, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
@@ -352,7 +354,13 @@
         print_json(answer)
         return
     rows = [
-        (entry.version, _when(entry.signed_at), entry.signer[:12], entry.order, _names(entry.changed, entry.removed))
+        (
+            entry.version,
+            _format_time(entry.signed_at),
+            entry.signer[:12],
+            entry.order,
+            _names(entry.changed, entry.removed),
+        )
         for entry in answer.entries
     ]
     print_table(("version", "signed", "signer", "order", "changed"), rows)
@@ -384,7 +392,7 @@
     if not found:
         click.echo("nothing differs")
     rows = [
-        (entry["slice"], entry["done"], field, _plain(values["old"]), _plain(values["new"]))
+        (entry["slice"], entry["done"], field, _format_value(values["old"]), _format_value(values["new"]))
         for entry in found
         if isinstance(entry["fields"], dict)
         for field, values in entry["fields"].items()
@@ -393,6 +401,6 @@
         print_table(("slice", "done", "field", "old", "new"), rows)
 
 
-def _plain(value: object) -> str:
+def _format_value(value: object) -> str:
     text = "-" if value is None else msgspec.json.encode(value).decode()
     return text if len(text) <= 60 else text[:57] + "..."
--- a/wingwood/command_line/change.py
+++ b/wingwood/command_line/change.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..identifiers import SliceName
-from .output import Conflict, Problem
+from .output import CommandError, Conflict
 from .source import FIELDS, KINDS, Slices, read_source, slice_from
 
 _FIELD_SET = re.compile(r"([^=@]+(?:@[a-z]+=[^=]+)?)\.([^.=]+)=(.*)", re.DOTALL)
@@ -38,7 +38,7 @@
     for text in add_keys:
         name, separator, digest = text.partition("=")
         if not separator:
-            raise Problem(f"--add-key {text}: write it as tenant/NAME=DIGEST")
+            raise CommandError(f"--add-key {text}: write it as tenant/NAME=DIGEST")
         _change_keys(after, _existing(after, name, "--add-key"), (), (digest,))
     for digest in remove_keys:
         _remove_key(after, digest)
@@ -50,13 +50,13 @@
 def _set_field(slices: Slices, text: str) -> None:
     matched = _FIELD_SET.fullmatch(text)
     if matched is None:
-        raise Problem(f"--set {text}: write it as KIND/NAME.FIELD=VALUE, such as tenant/web-shop.paid_rate=20")
+        raise CommandError(f"--set {text}: write it as KIND/NAME.FIELD=VALUE, such as tenant/web-shop.paid_rate=20")
     name, field, value = matched.groups()
     slice_name = _existing(slices, name, "--set")
     kind = slice_name.partition("/")[0]
     if field not in FIELDS[kind] or field == "name":
         allowed = ", ".join(each for each in FIELDS[kind] if each != "name")
-        raise Problem(f"--set {text}: {field} is unknown; the fields of a {kind} are {allowed}")
+        raise CommandError(f"--set {text}: {field} is unknown; the fields of a {kind} are {allowed}")
     _replace(slices, slice_name, {field: _value(value)})
 
 
@@ -69,9 +69,9 @@
 
 
 def _replace(slices: Slices, name: SliceName, fields: Mapping[str, object]) -> None:
-    held = msgspec.json.decode(slices[name], type=dict[str, object])
+    current = msgspec.json.decode(slices[name], type=dict[str, object])
     kind, _, full = name.partition("/")
-    new_name, data = slice_from(kind, {**held, **fields, "name": full}, name)
+    new_name, data = slice_from(kind, {**current, **fields, "name": full}, name)
     slices[new_name] = data
 
 
@@ -81,14 +81,14 @@
         return slice_name
     kind = name.partition("/")[0]
     if kind not in KINDS:
-        raise Problem(f"{flag} {name}: write it as KIND/NAME with KIND one of {', '.join(KINDS)}")
+        raise CommandError(f"{flag} {name}: write it as KIND/NAME with KIND one of {', '.join(KINDS)}")
     known = ", ".join(sorted(each for each in slices if each.startswith(f"{kind}/"))[:8]) or "none"
-    raise Problem(f"{flag} {name}: is not in the bundle; there are: {known}")
+    raise CommandError(f"{flag} {name}: is not in the bundle; there are: {known}")
 
 
 def _change_keys(slices: Slices, name: SliceName, removed: Sequence[str], added: Sequence[str]) -> None:
     if not name.startswith("tenant/"):
-        raise Problem(f"{name} has no keys; only tenants have")
+        raise CommandError(f"{name} has no keys; only tenants have")
     keys = msgspec.json.decode(slices[name], type=_Keys).keys
     _replace(slices, name, {"keys": [key for key in keys if key not in removed] + list(added)})
 
@@ -104,7 +104,7 @@
         if key.startswith(start)
     ]
     if len(start) < 8 or len(found) != 1:
-        raise Problem(
+        raise CommandError(
             f"--remove-key {digest}: {len(found) if len(start) >= 8 else 'too short, perhaps several'} keys start so; "
             "give the digest as `wingwood bundle show --json` does, or 8 of its hex digits and more"
         )
--- a/wingwood/command_line/client.py
+++ b/wingwood/command_line/client.py
@@ -15,20 +15,20 @@
 from ..bundle.model import Order, OrderOutcome
 from ..identifiers import Address, Seconds
 from ..operator_api.protocols import OperatorError
-from .output import Problem, Unreachable
+from .output import CommandError, Unreachable
 
 Value = TypeVar("Value")
 
-CONNECT_WITHIN = Seconds(2.0)
-ANSWER_WITHIN = Seconds(10.0)
-READ_WITHIN = Seconds(5.0)
+CONNECT_TIMEOUT_S = Seconds(2.0)
+REQUEST_TIMEOUT_S = Seconds(10.0)
+FAILOVER_READ_TIMEOUT_S = Seconds(5.0)
 """For what any other daemon can answer as well."""
-LARGEST_ANSWER = 64 * 1024 * 1024
-PAUSE = Seconds(0.5)
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+RETRY_PAUSE_S = Seconds(0.5)
 """Between two rounds over all daemons."""
 
 
-class NoBundle(Problem):
+class NoBundle(CommandError):
     """The daemon has no bundle yet."""
 
 
@@ -41,26 +41,28 @@
 
 
 class OperatorClient:
-    """Asks the daemons at ``addresses`` in turn. ``say`` gets one line for each thing worth telling."""
+    """Asks the daemons at ``addresses`` in turn. ``report_progress`` gets one line for each thing worth telling."""
 
     def __init__(
         self,
         addresses: Sequence[Address],
-        say: Callable[[str], None],
-        patience: Seconds = Seconds(30.0),  # noqa: B008 - a number
+        report_progress: Callable[[str], None],
+        retry_timeout: Seconds = Seconds(30.0),  # noqa: B008 - a number
         pause: Callable[[float], None] = time.sleep,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         if not addresses:
-            raise Problem("name a daemon with --to 127.0.0.1:7001 (its operator address) or in WINGWOOD_TO")
+            raise CommandError("name a daemon with --to 127.0.0.1:7001 (its operator address) or in WINGWOOD_TO")
         self.addresses = tuple(addresses)
-        self._in_turn = list(addresses)
+        self._request_order = list(addresses)
         """Those that were silent come last: a frozen machine in the list must not hold up an order."""
-        self._say = say
-        self._patience = patience
+        self._report_progress = report_progress
+        self._retry_timeout = retry_timeout
         self._pause = pause
         self._clock = clock
-        self._http = HTTPClient(SimpleAsyncHTTPClient, max_body_size=LARGEST_ANSWER, max_buffer_size=LARGEST_ANSWER)
+        self._http = HTTPClient(
+            SimpleAsyncHTTPClient, max_body_size=MAX_RESPONSE_BYTES, max_buffer_size=MAX_RESPONSE_BYTES
+        )
 
     def close(self) -> None:
         self._http.close()
@@ -72,8 +74,8 @@
             method="GET" if body is None else "POST",
             body=body,
             headers={"Content-Type": "application/json"} if body is not None else {},
-            connect_timeout=CONNECT_WITHIN,
-            request_timeout=READ_WITHIN if body is None and len(self.addresses) > 1 else ANSWER_WITHIN,
+            connect_timeout=CONNECT_TIMEOUT_S,
+            request_timeout=FAILOVER_READ_TIMEOUT_S if body is None and len(self.addresses) > 1 else REQUEST_TIMEOUT_S,
             follow_redirects=False,
             decompress_response=False,
         )
@@ -87,14 +89,14 @@
     def _ask(self, address: Address, path: str, body: bytes | None = None) -> Result[HTTPResponse, NoAnswer]:
         answer = self.ask(address, path, body)
         if isinstance(answer, Failure):
-            self._in_turn.remove(address)
-            self._in_turn.append(address)
+            self._request_order.remove(address)
+            self._request_order.append(address)
         return answer
 
     def read(self, path: str, type_: type[Value]) -> Value:
         """The first answer of any daemon, decoded; a daemon that can't answer now is passed over."""
         reasons: list[str] = []
-        for address in list(self._in_turn):
+        for address in list(self._request_order):
             match self._ask(address, path):
                 case Success(HTTPResponse(code=200) as response):
                     return decode(response.body, type_, address)
@@ -103,28 +105,30 @@
                     if error.code == "no-bundle":
                         raise NoBundle(f"{address}: {error.reason}")
                     if response.code != 503:
-                        raise Problem(f"{address}: {error.reason}")
+                        raise CommandError(f"{address}: {error.reason}")
                     reasons.append(f"{address}: {error.reason}")
                 case Failure(NoAnswer() as lost):
                     reasons.append(f"{lost.address}: {lost.reason}")
         raise Unreachable("no daemon answered: " + "; ".join(reasons))
 
-    def best(self, path: str, type_: type[Value], rank: Callable[[Value], float], enough: float = math.inf) -> Value:
-        """The answer that ranks highest, of all daemons named or up to one that ranks ``enough``.
+    def read_highest(
+        self, path: str, type_: type[Value], rank: Callable[[Value], float], sufficient_rank: float = math.inf
+    ) -> Value:
+        """The answer that ranks highest, of all daemons named or up to one that ranks ``sufficient_rank``.
 
         A daemon that is cut off answers from what it held then; others know better.
         """
         best: Value | None = None
-        problems: list[Problem] = []
-        for address in list(self._in_turn):
+        problems: list[CommandError] = []
+        for address in list(self._request_order):
             try:
                 found = self._read_from(address, path, type_)
-            except Problem as problem:
+            except CommandError as problem:
                 problems.append(problem)
                 continue
             if best is None or rank(found) > rank(best):
                 best = found
-            if rank(found) >= enough:
+            if rank(found) >= sufficient_rank:
                 break
         if best is not None:
             return best
@@ -138,7 +142,7 @@
                 return decode(response.body, type_, address)
             case Success(HTTPResponse() as response):
                 error = error_of(response)
-                kind = NoBundle if error.code == "no-bundle" else Problem
+                kind = NoBundle if error.code == "no-bundle" else CommandError
                 raise kind(f"{address}: {error.reason}")
             case Failure(NoAnswer() as lost):
                 raise Unreachable(f"{address}: {lost.reason}")
@@ -150,11 +154,11 @@
         The same bytes go to each daemon in turn until one answers for sure: resending is safe.
         """
         body = msgspec.json.encode(order)
-        until = self._clock() + self._patience
+        until = self._clock() + self._retry_timeout
         sent = False
         reasons: dict[Address, str] = {}
         while True:
-            for address in list(self._in_turn):
+            for address in list(self._request_order):
                 match self._ask(address, "/control/v1/orders", body):
                     case Success(HTTPResponse() as response):
                         outcome = outcome_of(response, address)
@@ -165,21 +169,23 @@
                     case Failure(NoAnswer() as lost):
                         sent = sent or lost.sent
                         reasons[address] = lost.reason
-                self._say(f"{address}: {reasons[address]}; the same order goes to the next daemon, resending is safe")
+                self._report_progress(
+                    f"{address}: {reasons[address]}; the same order goes to the next daemon, resending is safe"
+                )
             if self._clock() >= until:
                 break
-            self._pause(PAUSE)
+            self._pause(RETRY_PAUSE_S)
         if sent:
             return None
-        told = "; ".join(f"{address}: {reason}" for address, reason in reasons.items())
-        raise Unreachable(f"no daemon could be reached, nothing was sent: {told}")
+        failures = "; ".join(f"{address}: {reason}" for address, reason in reasons.items())
+        raise Unreachable(f"no daemon could be reached, nothing was sent: {failures}")
 
 
 def decode(body: bytes, type_: type[Value], address: Address) -> Value:
     try:
         return msgspec.json.decode(body, type=type_)
     except (msgspec.MsgspecError, UnicodeError) as malformed:
-        raise Problem(f"{address}: the answer can't be read ({malformed}); is this an operator address?") from None
+        raise CommandError(f"{address}: the answer can't be read ({malformed}); is this an operator address?") from None
 
 
 def error_of(response: HTTPResponse) -> OperatorError:
@@ -199,4 +205,4 @@
         return decode(response.body, OrderOutcome, address)
     if response.code == 503:
         return None
-    raise Problem(f"{address}: {error_of(response).reason}")
+    raise CommandError(f"{address}: {error_of(response).reason}")
--- a/wingwood/command_line/looking.py
+++ b/wingwood/command_line/daemon_status.py
@@ -53,26 +53,26 @@
     print_table(("name", "role", "zone", "internal", "operator", "incarnation"), rows)
 
 
-UNPROVEN = Seconds(3.0)
+UNPROVEN_AFTER_S = Seconds(3.0)
 """Above what a take-over costs."""
 
 
-class Seen(msgspec.Struct, frozen=True, kw_only=True):
+class DaemonHealth(msgspec.Struct, frozen=True, kw_only=True):
     """One daemon asked for its health."""
 
     address: Address
     health: HealthReport | None = None
     problem: str | None = None
 
-    def unproven(self) -> str | None:
+    def unproven_note(self) -> str | None:
         """What is said of a daemon that has heard no proof of lead for too long (docs/DESIGN.md section 9.3)."""
         age = None if self.health is None else self.health.bundle_proven_age
-        return None if age is None or age < UNPROVEN else f"no proof of lead heard for {age:.1f} s"
+        return None if age is None or age < UNPROVEN_AFTER_S else f"no proof of lead heard for {age:.1f} s"
 
-    def well(self) -> bool:
+    def is_healthy(self) -> bool:
         """Answers, is ready and, on the primary (only it can tell), control could bear another loss."""
         report = self.health
-        if report is None or not report.ready or self.unproven() is not None:
+        if report is None or not report.ready or self.unproven_note() is not None:
             return False
         control = report.control
         return control is None or control.own_role != "primary" or (control.accepts_orders and control.complete)
@@ -84,47 +84,52 @@
 def health(addresses: tuple[Address, ...], as_json: bool) -> None:
     """Asks every daemon named for its health; exit code 6 when one is away, not ready, or control incomplete."""
     client = _client(addresses)
-    seen = [_look(client, address) for address in client.addresses]
+    checked = [_ask_health(client, address) for address in client.addresses]
     if as_json:
         print_json(
             [
-                {"address": str(each.address), "well": each.well(), "health": each.health, "problem": each.problem}
-                for each in seen
+                {
+                    "address": str(each.address),
+                    "well": each.is_healthy(),
+                    "health": each.health,
+                    "problem": each.problem,
+                }
+                for each in checked
             ]
         )
     else:
         titles = ("daemon", "role", "zone", "ready", "version", "proven", "members", "workers", "control", "notes")
-        print_table(titles, [_row(each) for each in seen])
-    if not all(each.well() for each in seen):
+        print_table(titles, [_row(each) for each in checked])
+    if not all(each.is_healthy() for each in checked):
         raise click.exceptions.Exit(int(ExitCode.UNHEALTHY))
 
 
-def _look(client: OperatorClient, address: Address) -> Seen:
+def _ask_health(client: OperatorClient, address: Address) -> DaemonHealth:
     match client.ask(address, "/control/v1/health"):
         case Success(HTTPResponse(code=200) as response):
-            return Seen(address=address, health=decode(response.body, HealthReport, address))
+            return DaemonHealth(address=address, health=decode(response.body, HealthReport, address))
         case Success(HTTPResponse() as response):
-            return Seen(address=address, problem=error_of(response).reason)
+            return DaemonHealth(address=address, problem=error_of(response).reason)
         case Failure(NoAnswer(reason=reason)):
-            return Seen(address=address, problem=f"no answer: {reason}")
+            return DaemonHealth(address=address, problem=f"no answer: {reason}")
     raise AssertionError("a result is a success or a failure")
 
 
-def _row(seen: Seen) -> list[object]:
-    report = seen.health
+def _row(checked: DaemonHealth) -> list[object]:
+    report = checked.health
     if report is None:
-        return [seen.address, None, None, False, None, None, None, None, None, seen.problem]
+        return [checked.address, None, None, False, None, None, None, None, None, checked.problem]
     control = report.control
     state = None
     if control is not None:
         state = f"{control.own_role} of epoch {control.epoch}"
         if control.own_role == "primary":
-            whole = "complete" if control.complete else "INCOMPLETE"
+            completeness = "complete" if control.complete else "INCOMPLETE"
             orders = "takes orders" if control.accepts_orders else "takes no orders"
-            state = f"{state}, {whole}, {orders}"
+            state = f"{state}, {completeness}, {orders}"
     age = report.bundle_proven_age
     notes = "; ".join(
-        dict.fromkeys(filter(None, [*report.reasons, control.detail if control else None, seen.unproven()]))
+        dict.fromkeys(filter(None, [*report.reasons, control.detail if control else None, checked.unproven_note()]))
     )
     return [
         report.name,
--- a/wingwood/command_line/daemons.py
+++ b/wingwood/command_line/daemons.py
@@ -13,13 +13,13 @@
 from ..settings.load import FLAG_OF, SECRETS, expectation, read_settings
 from ..settings.model import DaemonSettings
 from .options import json_option
-from .output import Problem, print_json
+from .output import CommandError, print_json
 
-LISTS = ("seeds", "operator_keys")
+LIST_SETTINGS = ("seeds", "operator_keys")
 """Settings that are lists: their flag is given once for each entry."""
-HIDDEN = ("role", *SECRETS)
+SETTINGS_WITHOUT_FLAG = ("role", *SECRETS)
 """Not flags: the subcommand says the role, and a secret does not belong on a command line."""
-MEANINGS = {
+FLAG_DESCRIPTIONS = {
     "name": "The daemon's name, alone in the fleet",
     "zone": "The zone it stands in",
     "internal": "Where other daemons reach it",
@@ -56,9 +56,9 @@
 
 def _flags(command: Any) -> Any:
     for field in reversed(msgspec.structs.fields(DaemonSettings)):
-        if field.name in HIDDEN:
+        if field.name in SETTINGS_WITHOUT_FLAG:
             continue
-        several = field.name in LISTS
+        several = field.name in LIST_SETTINGS
         expected = "one flag each" if several else expectation(field.name).removeprefix("expected ")
         default = (
             "" if field.required or field.default in (None, msgspec.NODEFAULT) else f", {field.default} if left out"
@@ -68,12 +68,12 @@
             field.name,
             multiple=several,
             metavar="TEXT",
-            help=f"{MEANINGS[field.name]}: {expected}{default}.",
+            help=f"{FLAG_DESCRIPTIONS[field.name]}: {expected}{default}.",
         )(command)
     return command
 
 
-def _typed(name: str, text: str) -> object:
+def _parse_flag(name: str, text: str) -> object:
     """Numbers in flags become numbers; what they must be is checked with the file's keys."""
     types = str(DaemonSettings.__annotations__[name])
     if types == "bool" and text in ("true", "false"):
@@ -89,29 +89,29 @@
             return text
 
 
-def _given(flags: dict[str, Any]) -> dict[str, object]:
+def _settings_from_flags(flags: dict[str, Any]) -> dict[str, object]:
     found: dict[str, object] = {}
     for name, value in flags.items():
-        if name in LISTS:
+        if name in LIST_SETTINGS:
             if value:
                 found[name] = list(value)
         elif value is not None:
-            found[name] = _typed(name, value)
+            found[name] = _parse_flag(name, value)
     return found
 
 
-def load(file: Path | None, flags: dict[str, object]) -> DaemonSettings:
+def load_settings(file: Path | None, flags: dict[str, object]) -> DaemonSettings:
     read = read_settings(file, flags)
     if isinstance(read, Failure):
-        raise Problem(str(read.failure()))
+        raise CommandError(str(read.failure()))
     return read.unwrap()
 
 
-def _daemon(role: str, file: Path | None, fleet_key_file: Path | None, flags: dict[str, Any]) -> None:
-    given = {"role": role, **_given(flags)}
+def _run_daemon(role: str, file: Path | None, fleet_key_file: Path | None, flags: dict[str, Any]) -> None:
+    given = {"role": role, **_settings_from_flags(flags)}
     if fleet_key_file is not None:
         given["fleet_key_file"] = str(fleet_key_file)
-    settings = load(file, given)
+    settings = load_settings(file, given)
     module = importlib.import_module(f"..daemons.{role}", __package__)
     code = module.run(settings)
     raise click.exceptions.Exit(code if isinstance(code, int) else 0)
@@ -131,7 +131,7 @@
 @_flags
 def router(file: Path | None, fleet_key_file: Path | None, **flags: Any) -> None:
     """Runs a router daemon: takes callers' calls and chooses a worker for each turn."""
-    _daemon("router", file, fleet_key_file, flags)
+    _run_daemon("router", file, fleet_key_file, flags)
 
 
 @click.command()
@@ -140,7 +140,7 @@
 @_flags
 def control(file: Path | None, fleet_key_file: Path | None, **flags: Any) -> None:
     """Runs a control daemon: keeps, checks and delivers the bundles."""
-    _daemon("control", file, fleet_key_file, flags)
+    _run_daemon("control", file, fleet_key_file, flags)
 
 
 @click.group("settings")
@@ -153,7 +153,7 @@
 @json_option
 def check(file: Path, as_json: bool) -> None:
     """Reads a daemon's settings file as the daemon would and prints what it would run with."""
-    settings = load(file, {})
+    settings = load_settings(file, {})
     shown = {
         field.name: "(hidden)" if field.name == "fleet_key" else getattr(settings, field.name)
         for field in msgspec.structs.fields(DaemonSettings)
--- a/wingwood/command_line/keys.py
+++ b/wingwood/command_line/keys.py
@@ -18,7 +18,7 @@
 )
 
 from ..bundle.signing import public_hex
-from .output import Problem, print_json
+from .output import CommandError, print_json
 
 
 @click.group()
@@ -81,9 +81,9 @@
     try:
         descriptor = os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     except FileExistsError:
-        raise Problem(f"{file} exists; a key is never written over, choose another name") from None
+        raise CommandError(f"{file} exists; a key is never written over, choose another name") from None
     except OSError as problem:
-        raise Problem(f"{file}: cannot be written: {problem.strerror}") from None
+        raise CommandError(f"{file}: cannot be written: {problem.strerror}") from None
     with os.fdopen(descriptor, "wb") as opened:
         opened.write(data)
 
@@ -92,9 +92,9 @@
     try:
         private = load_pem_private_key(file.read_bytes(), password=None)
     except OSError as problem:
-        raise Problem(f"{file}: cannot be read: {problem.strerror}") from None
+        raise CommandError(f"{file}: cannot be read: {problem.strerror}") from None
     except (ValueError, TypeError, UnsupportedAlgorithm):
         private = None
     if not isinstance(private, Ed25519PrivateKey):
-        raise Problem(f"{file}: not an operator's key; `wingwood key new` makes one")
+        raise CommandError(f"{file}: not an operator's key; `wingwood key new` makes one")
     return private
--- a/wingwood/command_line/main.py
+++ b/wingwood/command_line/main.py
@@ -6,9 +6,9 @@
 
 from ..replay.command import replay_command
 from .bundle import bundle
+from .daemon_status import health, members, workers
 from .daemons import control, router, settings_group
 from .keys import caller_key, key
-from .looking import health, members, workers
 from .rollout import rollout
 
 
--- a/wingwood/command_line/output.py
+++ b/wingwood/command_line/output.py
@@ -25,21 +25,21 @@
     """Something of the fleet is not as it should be."""
 
 
-class Problem(click.ClickException):
+class CommandError(click.ClickException):
     """Ends the command with one message on standard error and an exit code."""
 
     exit_code = int(ExitCode.REFUSED)
 
 
-class Conflict(Problem):
+class Conflict(CommandError):
     exit_code = int(ExitCode.CONFLICT)
 
 
-class OutcomeUnknown(Problem):
+class OutcomeUnknown(CommandError):
     exit_code = int(ExitCode.UNKNOWN)
 
 
-class Unreachable(Problem):
+class Unreachable(CommandError):
     exit_code = int(ExitCode.UNREACHABLE)
 
 
--- a/wingwood/command_line/rollout.py
+++ b/wingwood/command_line/rollout.py
@@ -17,29 +17,29 @@
 from ..identifiers import Address, BundleVersion, DaemonName, Seconds
 from ..operator_api.reading import HealthReport
 from ..rollout.plan import (
-    NotPlanned,
     Slices,
     Step,
-    begin,
+    StepRefused,
+    advance,
+    begin_rollout,
     forget,
-    go_on,
     read_rollouts,
     read_stages,
     roll_back,
 )
-from ..rollout.runner import Lost, RolloutRunner, take_step
-from ..rollout.watch import Look, Sight, in_stage, reach_of, read_counts
+from ..rollout.runner import RolloutRunner, Unavailable, take_step
+from ..rollout.watch import FleetStatus, RouterStatus, count_stage_routers, in_stage, read_counts
 from ..transport.frames import Identity
-from .bundle import newest_slices, operator_client, private_key, sign_order, submit
+from .bundle import latest_slices, operator_client, private_key, sign_order, submit
 from .change import changed_slices
 from .client import OperatorClient
 from .options import json_option, key_option, to_option
-from .output import Conflict, ExitCode, OutcomeUnknown, Problem, print_json, print_table
+from .output import CommandError, Conflict, ExitCode, OutcomeUnknown, print_json, print_table
 from .rollout_table import print_rollouts
 from .source import check_bundle
 
-LOOK_WITHIN = Seconds(2.0)
-LOOKS_AT_ONCE = 50
+STATUS_TIMEOUT_S = Seconds(2.0)
+MAX_CONCURRENT_STATUS_CALLS = 50
 
 
 @click.group()
@@ -47,7 +47,7 @@
     """A change in stages: to one zone or share of the routers first, watched, then to the next, or back."""
 
 
-def _say(message: str) -> None:
+def _print_message(message: str) -> None:
     click.echo(message, err=True)
 
 
@@ -58,42 +58,44 @@
         self._client = client
         self._private = private
 
-    async def newest(self) -> Result[tuple[BundleVersion, Slices], Lost]:
+    async def latest(self) -> Result[tuple[BundleVersion, Slices], Unavailable]:
         try:
-            return Success(await asyncio.to_thread(newest_slices, self._client))
-        except Problem as problem:
-            return Failure(Lost(problem.message))
+            return Success(await asyncio.to_thread(latest_slices, self._client))
+        except CommandError as problem:
+            return Failure(Unavailable(problem.message))
 
-    async def submit(self, base: BundleVersion, before: Slices, after: Slices) -> Result[OrderOutcome, Lost]:
+    async def submit(self, base: BundleVersion, before: Slices, after: Slices) -> Result[OrderOutcome, Unavailable]:
         assert self._private is not None
         check_bundle(after)
         order = sign_order(base, before, after, self._private, None)
         try:
             return Success(await asyncio.to_thread(submit, self._client, order, None))
-        except Problem as problem:
-            return Failure(Lost(problem.message))
+        except CommandError as problem:
+            return Failure(Unavailable(problem.message))
 
-    async def look(self) -> Result[Sight, Lost]:
+    async def observe(self) -> Result[FleetStatus, Unavailable]:
         try:
             members = await asyncio.to_thread(_members, self._client)
-        except Problem as problem:
-            return Failure(Lost(problem.message))
-        client = SimpleAsyncHTTPClient(force_instance=True, max_clients=LOOKS_AT_ONCE)
+        except CommandError as problem:
+            return Failure(Unavailable(problem.message))
+        client = SimpleAsyncHTTPClient(force_instance=True, max_clients=MAX_CONCURRENT_STATUS_CALLS)
         try:
             routers = [member for member in members if member.role == "router"]
-            looks = await asyncio.gather(*(_look(client, member.operator) for member in routers))
+            router_statuses = await asyncio.gather(*(_router_status(client, member.operator) for member in routers))
         finally:
             client.close()
-        found: dict[DaemonName, Look | None] = dict(zip([each.name for each in routers], looks, strict=True))
-        return Success(Sight(members=tuple(members), looks=found))
+        found: dict[DaemonName, RouterStatus | None] = dict(
+            zip([each.name for each in routers], router_statuses, strict=True)
+        )
+        return Success(FleetStatus(members=tuple(members), router_statuses=found))
 
 
 def _members(client: OperatorClient) -> list[Identity]:
     """The longest list: whoever is cut off has lost the others."""
-    return client.best("/control/v1/members", list[Identity], len)
+    return client.read_highest("/control/v1/members", list[Identity], len)
 
 
-async def _look(client: AsyncHTTPClient, address: Address | None) -> Look | None:
+async def _router_status(client: AsyncHTTPClient, address: Address | None) -> RouterStatus | None:
     if address is None:
         return None
     try:
@@ -101,8 +103,8 @@
             await client.fetch(
                 HTTPRequest(
                     f"http://{address}{path}",
-                    connect_timeout=LOOK_WITHIN,
-                    request_timeout=LOOK_WITHIN,
+                    connect_timeout=STATUS_TIMEOUT_S,
+                    request_timeout=STATUS_TIMEOUT_S,
                     follow_redirects=False,
                     decompress_response=False,
                 )
@@ -113,27 +115,27 @@
         counts = read_counts(answers[1].body.decode())
     except (HTTPError, OSError, msgspec.MsgspecError, ValueError):
         return None
-    return Look(incarnation=health.incarnation, ready=health.ready, version=health.version, counts=counts)
+    return RouterStatus(incarnation=health.incarnation, ready=health.ready, version=health.version, counts=counts)
 
 
-def _take(client: OperatorClient, private: Ed25519PrivateKey, step: Step) -> OrderOutcome:
+def _take_step(client: OperatorClient, private: Ed25519PrivateKey, step: Step) -> OrderOutcome:
     match asyncio.run(take_step(ClientAccess(client, private), step)):
         case Success(OrderOutcome() as outcome):
             return outcome
-        case Failure(NotPlanned(kind="conflict", reason=reason)):
+        case Failure(StepRefused(kind="conflict", reason=reason)):
             raise Conflict(reason)
-        case Failure(NotPlanned(reason=reason)):
-            raise Problem(reason)
-        case Failure(Lost(reason=reason)):
+        case Failure(StepRefused(reason=reason)):
+            raise CommandError(reason)
+        case Failure(Unavailable(reason=reason)):
             raise OutcomeUnknown(f"{reason}. `wingwood rollout status` says where it stands")
     raise AssertionError("a result is a success or a failure")
 
 
-def _report(outcome: OrderOutcome, as_json: bool, told: str) -> None:
+def _report(outcome: OrderOutcome, as_json: bool, message: str) -> None:
     if as_json:
         print_json(outcome)
     else:
-        click.echo(f"accepted: version {outcome.version} (order {outcome.order}); {told}")
+        click.echo(f"accepted: version {outcome.version} (order {outcome.order}); {message}")
 
 
 patience_option = click.option(
@@ -177,21 +179,21 @@
 ) -> None:
     """Puts the first stage of a change in place, as roll-out NAME. `rollout run NAME` takes it on from there."""
     if not sets and not files:
-        raise Problem("nothing to change: use --set or --file")
+        raise CommandError("nothing to change: use --set or --file")
     match read_stages(stages):
         case Success(read):
             pass
-        case Failure(NotPlanned(reason=reason)):
-            raise Problem(f"--stages: {reason}")
+        case Failure(StepRefused(reason=reason)):
+            raise CommandError(f"--stages: {reason}")
     client = operator_client(addresses, patience)
     private = private_key(key_file)
     reached = _check_stages(client, read)
 
-    def change(slices: Slices) -> Result[Slices, NotPlanned]:
+    def change(slices: Slices) -> Result[Slices, StepRefused]:
         return Success(changed_slices(slices, files=files, sets=sets))
 
-    step = begin(name, change, read, Seconds(watch), highest_failures, highest_refusals, reached)
-    outcome = _take(client, private, step)
+    step = begin_rollout(name, change, read, Seconds(watch), highest_failures, highest_refusals, reached)
+    outcome = _take_step(client, private, step)
     _report(outcome, as_json, f"stage {read[0]} of {', '.join(read)}; next: wingwood rollout run {name}")
 
 
@@ -204,12 +206,12 @@
         names = {each.name for each in routers if in_stage(plan, number, each)}
         if names == reached:
             zones = ", ".join(sorted({each.zone for each in routers}))
-            raise Problem(
+            raise CommandError(
                 f"--stages: {stage} reaches no further router of the {len(routers)} there are now; "
                 f"the zones are {zones or 'none'}, and with few routers a share must be larger"
             )
         reached = names
-    return reach_of(msgspec.structs.replace(_EMPTY, stages=tuple(stages)), 0, routers)
+    return count_stage_routers(msgspec.structs.replace(_EMPTY, stages=tuple(stages)), 0, routers)
 
 
 def _routers(client: OperatorClient) -> list[Identity]:
@@ -229,10 +231,10 @@
 
 
 def _existing(client: OperatorClient, name: str) -> Rollout:
-    _, slices = newest_slices(client)
+    _, slices = latest_slices(client)
     found = read_rollouts(slices)
     if name not in found:
-        raise Problem(f"there is no rollout/{name}; there are: {', '.join(found) or 'none'}")
+        raise CommandError(f"there is no rollout/{name}; there are: {', '.join(found) or 'none'}")
     return found[name]
 
 
@@ -244,7 +246,7 @@
     """Lists roll-outs, or says of one which routers act on it and how they stand."""
     client = operator_client(addresses)
     if name is None:
-        _, slices = newest_slices(client)
+        _, slices = latest_slices(client)
         rollouts = list(read_rollouts(slices).values())
         if as_json:
             print_json(rollouts)
@@ -254,17 +256,17 @@
             click.echo("no roll-outs")
         return
     found = _existing(client, name)
-    match asyncio.run(ClientAccess(client, None).look()):
-        case Success(sight):
+    match asyncio.run(ClientAccess(client, None).observe()):
+        case Success(fleet_status):
             pass
         case Failure(lost):
-            raise Problem(lost.reason)
+            raise CommandError(lost.reason)
     rows = []
-    for member in sight.routers():
-        look = sight.looks.get(member.name)
+    for member in fleet_status.routers():
+        router_status = fleet_status.router_statuses.get(member.name)
         acts = found.state == "finished" or (found.state == "running" and in_stage(found, found.stage, member))
-        version = None if look is None else look.version
-        rows.append((member.name, member.zone, acts, look is not None and look.ready, version))
+        version = None if router_status is None else router_status.version
+        rows.append((member.name, member.zone, acts, router_status is not None and router_status.ready, version))
     if as_json:
         titles = ("router", "zone", "acts_on_it", "ready", "version")
         print_json({"rollout": found, "routers": [dict(zip(titles, row, strict=True)) for row in rows]})
@@ -281,7 +283,7 @@
 @key_option
 @to_option
 @json_option
-def go_on_(
+def advance_command(
     name: str,
     from_stage: str | None,
     patience: float,
@@ -295,8 +297,8 @@
     stage = found.stages[found.stage]
     if from_stage is not None and from_stage != stage:
         raise Conflict(f"rollout/{name} stands at {stage}")
-    reached = reach_of(found, found.stage + 1, _routers(client))
-    outcome = _take(client, private_key(key_file), go_on(name, found.stage, reached))
+    reached = count_stage_routers(found, found.stage + 1, _routers(client))
+    outcome = _take_step(client, private_key(key_file), advance(name, found.stage, reached))
     last = found.stage + 1 == len(found.stages)
     _report(outcome, as_json, "finished" if last else f"stage {found.stages[found.stage + 1]}")
 
@@ -308,7 +310,7 @@
 @key_option
 @to_option
 @json_option
-def roll_back_(
+def roll_back_command(
     name: str,
     reason: str,
     patience: float,
@@ -319,7 +321,7 @@
     """Puts everything of roll-out NAME back as it was, as a new version."""
     client = operator_client(addresses, patience)
     _existing(client, name)
-    _report(_take(client, private_key(key_file), roll_back(name, reason)), as_json, "rolled back")
+    _report(_take_step(client, private_key(key_file), roll_back(name, reason)), as_json, "rolled back")
 
 
 @rollout.command("forget")
@@ -328,11 +330,13 @@
 @key_option
 @to_option
 @json_option
-def forget_(name: str, patience: float, key_file: Path | None, addresses: tuple[Address, ...], as_json: bool) -> None:
+def forget_command(
+    name: str, patience: float, key_file: Path | None, addresses: tuple[Address, ...], as_json: bool
+) -> None:
     """Takes the record of a finished or rolled back roll-out out of the bundle; the history keeps it."""
     client = operator_client(addresses, patience)
     _existing(client, name)
-    _report(_take(client, private_key(key_file), forget(name)), as_json, "forgotten")
+    _report(_take_step(client, private_key(key_file), forget(name)), as_json, "forgotten")
 
 
 @rollout.command()
@@ -369,6 +373,6 @@
         ClientAccess(client, private), name, click.echo, fewest_calls, Seconds(every), Seconds(give_up)
     )
     ended = asyncio.run(runner.run())
-    click.echo(f"{ended.how}: {ended.reason}")
-    if ended.how != "finished":
+    click.echo(f"{ended.result}: {ended.reason}")
+    if ended.result != "finished":
         raise click.exceptions.Exit(int(ExitCode.UNHEALTHY))
--- a/wingwood/command_line/source.py
+++ b/wingwood/command_line/source.py
@@ -16,7 +16,7 @@
 from ..bundle.parse import empty_bundle, parse_bundle
 from ..bundle.route import Route
 from ..identifiers import SliceName
-from .output import Problem
+from .output import CommandError
 
 Slices = dict[SliceName, bytes]
 
@@ -36,13 +36,13 @@
     return float(value)
 
 
-def _whole(value: Any) -> int:
+def _integer(value: Any) -> int:
     if type(value) is not int:
         raise voluptuous.Invalid("expected a whole number")
     return value
 
 
-def _yes_no(value: Any) -> bool:
+def _boolean(value: Any) -> bool:
     if not isinstance(value, bool):
         raise voluptuous.Invalid("expected true or false")
     return value
@@ -71,7 +71,7 @@
     return check
 
 
-def _maybe(check: Callable[[Any], Any]) -> Callable[[Any], Any]:
+def _optional(check: Callable[[Any], Any]) -> Callable[[Any], Any]:
     return lambda value: None if value is None else check(value)
 
 
@@ -95,19 +95,19 @@
         "name": _text,
         "pool": _text,
         "kind": _one_of(Service, "kind"),
-        "repeatable": _yes_no,
-        "streaming": _yes_no,
+        "repeatable": _boolean,
+        "streaming": _boolean,
         "deadline": _number,
         "first_byte_patience": _number,
         "silence_patience": _number,
         "retry_share": _number,
         "split": _struct(tuple[PoolShare, ...]),
-        "latency_objective": _maybe(_number),
-        "longest_pause": _maybe(_number),
-        "attempts": _whole,
-        "urgency": _whole,
-        "resumable": _yes_no,
-        "idempotency_keys": _yes_no,
+        "latency_objective": _optional(_number),
+        "longest_pause": _optional(_number),
+        "attempts": _integer,
+        "urgency": _integer,
+        "resumable": _boolean,
+        "idempotency_keys": _boolean,
     },
     "route": {
         "name": _text,
@@ -115,11 +115,11 @@
         "service": _text,
         "methods": _texts,
         "host": _text,
-        "needs_key": _yes_no,
-        "position": _whole,
+        "needs_key": _boolean,
+        "position": _integer,
         "annotations": _ANNOTATIONS,
     },
-    "class": {"name": _text, "weight": _number, "urgency": _maybe(_whole)},
+    "class": {"name": _text, "weight": _number, "urgency": _optional(_integer)},
     "tenant": {
         "name": _text,
         "priority_class": _text,
@@ -127,24 +127,24 @@
         "burst": _number,
         "keys": _texts,
         "services": _texts,
-        "limited": _yes_no,
+        "limited": _boolean,
         "unit": _one_of(Tenant, "unit"),
-        "plain_tokens": _whole,
-        "position": _whole,
+        "plain_tokens": _integer,
+        "position": _integer,
         "annotations": _ANNOTATIONS,
     },
     "pool": {
         "name": _text,
-        "connections": _whole,
+        "connections": _integer,
         "health_path": _text,
-        "engine": _maybe(_struct(Engine)),
-        "position": _whole,
+        "engine": _optional(_struct(Engine)),
+        "position": _integer,
         "annotations": _ANNOTATIONS,
     },
     "limits": {
         "name": _text,
-        "head_bytes": _whole,
-        "body_bytes": _whole,
+        "head_bytes": _integer,
+        "body_bytes": _integer,
         "head_time": _number,
         "idle": _number,
         "annotations": _ANNOTATIONS,
@@ -166,35 +166,35 @@
 
     A variant's name ends in ``@zone=ZONE`` or ``@share=PERCENT``; the field itself is without that.
     """
-    whom = ""
+    placement_suffix = ""
     if isinstance(fields.get("name"), str):
         bare, at, rest = str(fields["name"]).partition("@")
-        fields, whom = {**fields, "name": bare}, at + rest
+        fields, placement_suffix = {**fields, "name": bare}, at + rest
     try:
         checked = _SCHEMAS[kind](dict(fields))
     except voluptuous.MultipleInvalid as several:
         first = min(several.errors, key=lambda error: str(error.path))
         field = str(first.path[0]) if first.path else ""
         if field not in FIELDS[kind]:
-            raise Problem(f"{where}: {field} is unknown; the fields are {', '.join(FIELDS[kind])}") from None
+            raise CommandError(f"{where}: {field} is unknown; the fields are {', '.join(FIELDS[kind])}") from None
         if field not in fields:
-            raise Problem(f"{where}: {field} is missing") from None
-        raise Problem(f"{where}: {field} is {fields[field]!r}: {first.msg}") from None
+            raise CommandError(f"{where}: {field} is missing") from None
+        raise CommandError(f"{where}: {field} is {fields[field]!r}: {first.msg}") from None
     part = KINDS[kind](**checked)
-    return SliceName(f"{kind}/{part.name}{whom}"), canonical_json(part)
+    return SliceName(f"{kind}/{part.name}{placement_suffix}"), canonical_json(part)
 
 
 def read_source(path: Path) -> Slices:
     """A TOML file, or all ``*.toml`` of a folder. Tables ``[tenant.NAME]`` or lists ``[[tenant]]`` with a name."""
     files = sorted(path.glob("*.toml")) if path.is_dir() else [path]
     if not files:
-        raise Problem(f"{path}: no *.toml file in this folder")
+        raise CommandError(f"{path}: no *.toml file in this folder")
     slices: Slices = {}
     origin: dict[SliceName, Path] = {}
     for file in files:
         for name, data in _read_file(file).items():
             if name in slices:
-                raise Problem(f"{file}: {name} stands in {origin[name]} too; keep one of them")
+                raise CommandError(f"{file}: {name} stands in {origin[name]} too; keep one of them")
             slices[name], origin[name] = data, file
     return slices
 
@@ -203,17 +203,17 @@
     try:
         document = tomllib.loads(file.read_text())
     except OSError as problem:
-        raise Problem(f"{file}: cannot be read: {problem.strerror}") from None
+        raise CommandError(f"{file}: cannot be read: {problem.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise Problem(f"{file}: not TOML: {problem}") from None
+        raise CommandError(f"{file}: not TOML: {problem}") from None
     slices: Slices = {}
     for kind, content in document.items():
         if kind not in KINDS:
-            raise Problem(f"{file}: {kind} is unknown; use {', '.join(f'[{known}.NAME]' for known in KINDS)}")
+            raise CommandError(f"{file}: {kind} is unknown; use {', '.join(f'[{known}.NAME]' for known in KINDS)}")
         for name, fields in _entries(file, kind, content):
             slice_name, data = slice_from(kind, fields, f"{file}: {kind}.{name}")
             if slice_name in slices:
-                raise Problem(f"{file}: {slice_name} stands twice; keep one of them")
+                raise CommandError(f"{file}: {slice_name} stands twice; keep one of them")
             slices[slice_name] = data
     return slices
 
@@ -223,14 +223,16 @@
         entries = []
         for name, fields in content.items():
             if not isinstance(fields, dict):
-                raise Problem(f"{file}: {kind}.{name} is {fields!r}: expected a table [{kind}.{name}]")
+                raise CommandError(f"{file}: {kind}.{name} is {fields!r}: expected a table [{kind}.{name}]")
             if fields.get("name", name) != name:
-                raise Problem(f"{file}: {kind}.{name}: name is {fields['name']!r}: leave it out, or write {name!r}")
+                raise CommandError(
+                    f"{file}: {kind}.{name}: name is {fields['name']!r}: leave it out, or write {name!r}"
+                )
             entries.append((name, {"name": name, **fields}))
         return entries
     if isinstance(content, list) and all(isinstance(fields, dict) for fields in content):
         return [(str(fields.get("name", f"number {number + 1}")), fields) for number, fields in enumerate(content)]
-    raise Problem(f"{file}: {kind} is {content!r}: expected tables [{kind}.NAME] or [[{kind}]]")
+    raise CommandError(f"{file}: {kind} is {content!r}: expected tables [{kind}.NAME] or [[{kind}]]")
 
 
 def check_bundle(slices: Slices) -> Bundle:
@@ -238,7 +240,7 @@
     root = root_digest({name: slice_digest(data) for name, data in slices.items()})
     checked = parse_bundle(msgspec.structs.replace(empty_bundle().manifest, root=root), slices)
     if isinstance(checked, Failure):
-        raise Problem(str(checked.failure()))
+        raise CommandError(str(checked.failure()))
     return checked.unwrap()
 
 
--- a/wingwood/command_line/tests/stand_in.py
+++ b/wingwood/command_line/tests/fake_daemons.py
@@ -41,20 +41,20 @@
 from ...transport.frames import Identity
 
 
-class Quiet:
+class DiscardingLog:
     def event(self, name: str, **fields: object) -> None:
         pass
 
 
-class StandIn(Collector):
-    """``daemons`` addresses from ``first_port`` up. Those in ``losing`` decide an order and lose the answer."""
+class FakeDaemons(Collector):
+    """``daemons`` addresses from ``first_port`` up. Those in ``losing_answers`` decide an order and lose the answer."""
 
     def __init__(self, operator_keys: Sequence[str], first_port: int, daemons: int = 2) -> None:
         self.state = BundleState(operator_keys)
         self.addresses = [Address("127.0.0.1", first_port + number) for number in range(daemons)]
-        self.losing: set[Address] = set()
+        self.losing_answers: set[Address] = set()
         self.orders: list[tuple[Address, Order]] = []
-        self.interloper: Order | None = None
+        self.competing_order: Order | None = None
         """Another operator's order, decided right before the next one."""
         self.cut_off: set[Address] = set()
         """Daemons that cannot ask control and hold nothing themselves."""
@@ -69,7 +69,7 @@
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
 
-    def __enter__(self) -> StandIn:
+    def __enter__(self) -> FakeDaemons:
         self._thread.start()
         asyncio.run_coroutine_threadsafe(self._start(), self._loop).result(10)
         return self
@@ -94,13 +94,13 @@
         return []
 
     class _Reader(LocalBundleReader):
-        def __init__(self, stand_in: StandIn, address: Address) -> None:
-            super().__init__(stand_in.state, lambda: stand_in.state.version)
-            self._stand_in = stand_in
+        def __init__(self, daemons: FakeDaemons, address: Address) -> None:
+            super().__init__(daemons.state, lambda: daemons.state.version)
+            self._daemons = daemons
             self._address = address
 
         async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-            if self._address in self._stand_in.cut_off:
+            if self._address in self._daemons.cut_off:
                 return Failure(NotReadable("no control daemon answered"))
             return await super().bundle(version)
 
@@ -109,7 +109,7 @@
         return [part for address in self.addresses for part in ("--to", str(address))]
 
     async def _start(self) -> None:
-        log, network = Quiet(), RealNetwork()
+        log, network = DiscardingLog(), RealNetwork()
         tasks = RealTasks(log, lambda reason: None)
         context = Context(
             clock=RealClock(),
@@ -133,11 +133,11 @@
     def _add_routes(self, server: OperatorServer, address: Address, number: int) -> None:
         async def decide(command: SubmitOrder, _within: Seconds) -> Result[OrderOutcome, NotDecided]:
             self.orders.append((address, command.order))
-            if self.interloper is not None:
-                submit(self.state, self.interloper)
-                self.interloper = None
+            if self.competing_order is not None:
+                submit(self.state, self.competing_order)
+                self.competing_order = None
             outcome = submit(self.state, command.order)
-            if address in self.losing:
+            if address in self.losing_answers:
                 server.stop()
             return Success(outcome)
 
--- a/wingwood/command_line/tests/test_command_line.py
+++ b/wingwood/command_line/tests/test_command_line.py
@@ -25,7 +25,7 @@
 from ..main import main
 from ..output import Conflict
 from ..source import read_source, write_source
-from .stand_in import StandIn
+from .fake_daemons import FakeDaemons
 
 Response = Outcome[HTTPResponse, NoAnswer]
 EXAMPLES = Path(__file__).parents[3] / "examples"
@@ -53,8 +53,8 @@
     def json_(self, *arguments: str, code: int = 0) -> Any:
         return json.loads(self.run_(*arguments, "--json", code=code).stdout)
 
-    def stand_in(self, daemons: int = 2) -> StandIn:
-        fleet = StandIn([public_hex(read_key(self.operator))], FIRST_PORT, daemons)
+    def start_fake_daemons(self, daemons: int = 2) -> FakeDaemons:
+        fleet = FakeDaemons([public_hex(read_key(self.operator))], FIRST_PORT, daemons)
         fleet.__enter__()
         self.addCleanup(fleet.__exit__)
         return fleet
@@ -122,15 +122,15 @@
 
 
 class OrderTest(CommandCase):
-    def push(self, fleet: StandIn, *more: str, code: int = 0) -> Result:
+    def push(self, fleet: FakeDaemons, *more: str, code: int = 0) -> Result:
         source = str(EXAMPLES / "despensa.toml")
         return self.run_("bundle", "push", source, "--key", str(self.operator), *fleet.to, *more, code=code)
 
-    def change(self, fleet: StandIn, *more: str, code: int = 0) -> Result:
+    def change(self, fleet: FakeDaemons, *more: str, code: int = 0) -> Result:
         return self.run_("bundle", "change", *more, "--key", str(self.operator), *fleet.to, code=code)
 
     def test_push_show_change_history_and_diff(self) -> None:
-        fleet = self.stand_in()
+        fleet = self.start_fake_daemons()
         self.assertIn("no bundle", self.run_("bundle", "show", *fleet.to, code=1).output)
         self.assertIn("accepted: version 1", self.push(fleet).output)
         self.assertIn("nothing differs", self.push(fleet).output)
@@ -156,7 +156,7 @@
         self.assertEqual(fleet.state.slices_at(BundleVersion(4)), read_source(EXAMPLES / "despensa.toml"))
 
     def test_wrong_changes_are_refused_before_anything_is_sent(self) -> None:
-        fleet = self.stand_in()
+        fleet = self.start_fake_daemons()
         self.push(fleet)
         for flag, value, said in (
             ("--set", "tenant/riders.paid_rate=fast", "paid_rate is 'fast': expected a number"),
@@ -181,16 +181,18 @@
         self.assertIn("class/gold", self.change(fleet, "--dry-run", "--set", "class/gold.weight=9").output)
         self.assertEqual(len(fleet.orders), 1)
 
-    def race(self, fleet: StandIn, part: str) -> None:
+    def race(self, fleet: FakeDaemons, part: str) -> None:
         """Lets another operator win the next version with a change of ``part``."""
         before = fleet.state.slices_at(fleet.state.version) or {}
         name = SliceName(part)
         after = {**before, name: before[name].replace(b'"weight":4.0', b'"weight":5.0').replace(b":15.0", b":16.0")}
         self.assertNotEqual(before, after)
-        fleet.interloper = order_between(fleet.state.version, before, after, f"theirs-{part}", read_key(self.operator))
+        fleet.competing_order = order_between(
+            fleet.state.version, before, after, f"theirs-{part}", read_key(self.operator)
+        )
 
     def test_the_loser_of_a_race_is_told_who_won_and_may_rebase(self) -> None:
-        fleet = self.stand_in()
+        fleet = self.start_fake_daemons()
         self.push(fleet)
         self.race(fleet, "class/gold")
         lost = self.change(fleet, "--set", "tenant/riders.burst=3", code=3).output
@@ -206,32 +208,32 @@
         self.assertIn("tenant/riders was changed by the other order too", both)
 
     def test_after_a_lost_answer_the_same_order_goes_to_the_next_daemon(self) -> None:
-        fleet = self.stand_in()
-        fleet.losing.add(fleet.addresses[0])
-        told = self.push(fleet)
-        self.assertIn("resending is safe", told.stderr)
-        self.assertIn("accepted: version 1", told.stdout)
+        fleet = self.start_fake_daemons()
+        fleet.losing_answers.add(fleet.addresses[0])
+        printed = self.push(fleet)
+        self.assertIn("resending is safe", printed.stderr)
+        self.assertIn("accepted: version 1", printed.stdout)
         self.assertEqual([address for address, _ in fleet.orders], fleet.addresses)
         self.assertEqual(fleet.orders[0][1], fleet.orders[1][1])
         self.assertEqual(fleet.state.version, 1)
 
     def test_without_any_answer_the_outcome_is_unknown_and_the_order_is_kept(self) -> None:
-        fleet = self.stand_in(1)
-        fleet.losing.add(fleet.addresses[0])
-        told = self.push(fleet, "--patience", "0", code=4).output
-        self.assertIn("may or may not come in force", told)
+        fleet = self.start_fake_daemons(1)
+        fleet.losing_answers.add(fleet.addresses[0])
+        printed = self.push(fleet, "--patience", "0", code=4).output
+        self.assertIn("may or may not come in force", printed)
         kept = next(self.folder.glob("order-*.json"))
-        self.assertIn(kept.name, told)
+        self.assertIn(kept.name, printed)
         fleet.__exit__()
         self.assertIn(
             "nothing was sent", self.run_("bundle", "push", kept.name, *fleet.to, "--patience", "0", code=5).output
         )
-        again = self.stand_in(1)
+        again = self.start_fake_daemons(1)
         self.assertEqual(self.json_("bundle", "push", kept.name, *again.to)["version"], 1)
         self.assertEqual(self.json_("bundle", "push", kept.name, *again.to)["outcome"], "accepted")
 
     def test_a_daemon_that_cannot_ask_control_is_passed_over(self) -> None:
-        fleet = self.stand_in()
+        fleet = self.start_fake_daemons()
         self.push(fleet)
         fleet.cut_off.add(fleet.addresses[0])
         self.assertIn("accepted: version 2", self.change(fleet, "--set", "tenant/riders.burst=3").output)
@@ -241,7 +243,7 @@
         self.assertIn("router-b", self.run_("rollout", "status", "x", *fleet.to).output)
 
     def test_an_order_signed_elsewhere(self) -> None:
-        fleet = self.stand_in()
+        fleet = self.start_fake_daemons()
         source, signed = str(EXAMPLES / "sabarmati.toml"), str(self.folder / "signed")
         sign = ("bundle", "sign", source, "--key", str(self.operator), "--output", signed)
         self.assertEqual(self.json_(*sign)["version"], 1)
@@ -281,7 +283,7 @@
 
         client = Client([Address("127.0.0.1", port) for port in (1, 2, 3)], lambda text: None)
         self.addCleanup(client.close)
-        self.assertEqual(client.best("/x", list[int], len, enough=1), [1])
+        self.assertEqual(client.read_highest("/x", list[int], len, sufficient_rank=1), [1])
         self.assertEqual(client.read("/x", list[int]), [1])
         client.submit(order_between(1, {}, {}))
         self.assertEqual(asked, ["1 read", "2 read", "2 read", "2 order"])
@@ -289,7 +291,7 @@
 
 class LookingTest(CommandCase):
     def test_workers_members_and_health(self) -> None:
-        fleet = self.stand_in()
+        fleet = self.start_fake_daemons()
         self.assertIn("w1", self.run_("workers", *fleet.to).output)
         self.assertEqual(self.json_("members", *fleet.to)[0]["name"], "control-1")
         self.assertIn("primary of epoch 3, complete, takes orders", self.run_("health", *fleet.to).output)
@@ -309,7 +311,7 @@
 class RolloutTest(CommandCase):
     def setUp(self) -> None:
         super().setUp()
-        self.fleet = self.stand_in()
+        self.fleet = self.start_fake_daemons()
         self.fleet.routers = True
         self.signed = ("--key", str(self.operator), *self.fleet.to)
         self.run_("bundle", "push", str(EXAMPLES / "despensa.toml"), *self.signed)
@@ -324,9 +326,9 @@
     def test_start_status_go_on_and_roll_back(self) -> None:
         self.assertIn("accepted: version 2", self.start())
         self.assertEqual([order.whole for _, order in self.fleet.orders], [True, False])
-        told = self.run_("rollout", "status", "patience", *self.fleet.to).output
-        self.assertRegex(told, r"router-a +a +yes")
-        self.assertRegex(told, r"router-b +b +no")
+        printed = self.run_("rollout", "status", "patience", *self.fleet.to).output
+        self.assertRegex(printed, r"router-a +a +yes")
+        self.assertRegex(printed, r"router-b +b +no")
         shown = self.run_("bundle", "show", *self.fleet.to).output
         self.assertIn("chat@zone=a", shown)
         self.assertIn("zone=a (1 of 2)", shown)
@@ -388,9 +390,9 @@
     def test_run_watches_and_finishes_or_rolls_back(self) -> None:
         self.start()
         run = ("run", "patience", "--every", "0.1", "--fewest-calls", "1", "--give-up", "20")
-        told = self.rollout(*run)
-        self.assertIn("stage zone=a (1 of 2)", told)
-        self.assertIn("finished: version 4", told)
+        printed = self.rollout(*run)
+        self.assertIn("stage zone=a (1 of 2)", printed)
+        self.assertIn("finished: version 4", printed)
         self.rollout("forget", "patience")
         self.start("--set", "service/chat.pool=odd")
         self.fleet.failing = True
--- a/wingwood/replay/command.py
+++ b/wingwood/replay/command.py
@@ -15,15 +15,15 @@
 import msgspec
 
 from ..command_line.options import AddressType
-from ..command_line.output import Problem, Unreachable, print_json
+from ..command_line.output import CommandError, Unreachable, print_json
 from ..context.curl_client import CurlHttpClient
 from ..context.real import RealClock
 from ..identifiers import Address
-from .day import DayReader, in_order
+from .day import DayReader, sort_by_time
 from .player import Player, PlayerOptions
-from .report import ReplayReport, compared, read_report, table, write_report
+from .report import ReplayReport, comparison_table, read_report, report_table, write_report
 
-PROGRESS_EVERY = 1.0
+PROGRESS_INTERVAL_S = 1.0
 
 
 @click.command("replay")
@@ -81,7 +81,7 @@
     if pair is not None:
         if days:
             raise click.UsageError("--compare takes two reports and no recorded days")
-        click.echo(compared(_report(pair[0]), _report(pair[1])))
+        click.echo(comparison_table(_report(pair[0]), _report(pair[1])))
         return
     if not days or not routers or keys is None:
         raise click.UsageError("a replay needs recorded DAYS, --to and --keys")
@@ -100,9 +100,9 @@
     if as_json:
         print_json(report)
     else:
-        click.echo(table(report))
+        click.echo(report_table(report))
     if not report.calls:
-        raise Problem(f"no call was sent; left out: {report.skipped or 'none'}, bad lines: {report.bad_lines}")
+        raise CommandError(f"no call was sent; left out: {report.skipped or 'none'}, bad lines: {report.bad_lines}")
     if all(set(service.outcomes) <= {"no-connection", "silent"} for service in report.services.values()):
         raise Unreachable("no call got an answer; is --to the routers' caller address?")
 
@@ -116,11 +116,11 @@
         try:
             opened = [files.enter_context(day.open("rb")) for day in days]
         except OSError as problem:
-            raise Problem(f"{problem.filename}: {problem.strerror}") from None
+            raise CommandError(f"{problem.filename}: {problem.strerror}") from None
         reader = DayReader(opened)
         progress = None if quiet else asyncio.get_running_loop().create_task(_show_progress(player))
         try:
-            report = await player.play(in_order(reader))
+            report = await player.play(sort_by_time(reader))
         finally:
             if progress is not None:
                 progress.cancel()
@@ -133,13 +133,13 @@
 async def _show_progress(player: Player) -> None:
     began = time.monotonic()
     while True:
-        await asyncio.sleep(PROGRESS_EVERY)
+        await asyncio.sleep(PROGRESS_INTERVAL_S)
         report = player.report
-        whole = sum(service.whole for service in report.services.values())
+        complete = sum(service.complete for service in report.services.values())
         ended = sum(service.calls for service in report.services.values())
         line = (
-            f"{time.monotonic() - began:6.0f} s  day {player.at:8.0f} s  sent {report.calls}  ended {ended}"
-            f"  whole {whole}  under way {player.in_flight}"
+            f"{time.monotonic() - began:6.0f} s  day {player.position_seconds:8.0f} s  sent {report.calls}"
+            f"  ended {ended}  whole {complete}  under way {player.in_flight}"
         )
         click.echo(f"\r{line}" if sys.stderr.isatty() else line, err=True, nl=not sys.stderr.isatty())
 
@@ -150,14 +150,14 @@
         text = file.read_text()
         found = json.loads(text) if file.suffix == ".json" else tomllib.loads(text)
     except OSError as problem:
-        raise Problem(f"{file}: {problem.strerror}") from None
+        raise CommandError(f"{file}: {problem.strerror}") from None
     except ValueError as problem:
-        raise Problem(f"{file}: {problem}") from None
+        raise CommandError(f"{file}: {problem}") from None
     if not isinstance(found, dict):
-        raise Problem(f"{file}: expected one key for each tenant")
+        raise CommandError(f"{file}: expected one key for each tenant")
     for tenant, key in found.items():
         if not isinstance(key, str) or not key:
-            raise Problem(f"{file}: {tenant}: expected that tenant's key as text")
+            raise CommandError(f"{file}: {tenant}: expected that tenant's key as text")
     return found
 
 
@@ -165,6 +165,6 @@
     try:
         return read_report(file.read_bytes())
     except OSError as problem:
-        raise Problem(f"{file}: {problem.strerror}") from None
+        raise CommandError(f"{file}: {problem.strerror}") from None
     except msgspec.MsgspecError as problem:
-        raise Problem(f"{file}: not a report of this tool: {problem}") from None
+        raise CommandError(f"{file}: not a report of this tool: {problem}") from None
--- a/wingwood/replay/day.py
+++ b/wingwood/replay/day.py
@@ -9,7 +9,7 @@
 
 from ..forward.recording import RecordedCall
 
-LINE_BYTES = 64 * 1024
+MAX_LINE_BYTES = 64 * 1024
 """Longer lines are not calls."""
 
 
@@ -52,9 +52,9 @@
         ) -> Iterator[DayCall]:
             if head is None:
                 return
-            yield _moved(head, earliest)
+            yield _on_common_clock(head, earliest)
             for pair in stream:
-                yield _moved(pair, earliest)
+                yield _on_common_clock(pair, earliest)
 
         merged = heapq.merge(
             *(shifted(stream, head) for stream, head in zip(streams, first, strict=True)),
@@ -69,7 +69,7 @@
             if not line.strip():
                 continue
             try:
-                if len(line) > LINE_BYTES:
+                if len(line) > MAX_LINE_BYTES:
                     raise msgspec.ValidationError("too long")
                 call = self._call.decode(line)
             except msgspec.MsgspecError:
@@ -86,17 +86,17 @@
             yield DayCall(call.at + shift, number, call), began
 
 
-def _moved(pair: tuple[DayCall, float | None], earliest: float) -> DayCall:
+def _on_common_clock(pair: tuple[DayCall, float | None], earliest: float) -> DayCall:
     call, began = pair
     return call if began is None else msgspec.structs.replace(call, at=call.at + began - earliest)
 
 
-def in_order(calls: Iterable[DayCall], most: int = 50_000) -> Iterator[DayCall]:
-    """Sorted by time as far as ``most`` waiting calls allow: calls are recorded when they end."""
+def sort_by_time(calls: Iterable[DayCall], max_waiting: int = 50_000) -> Iterator[DayCall]:
+    """Sorted by time as far as ``max_waiting`` waiting calls allow: calls are recorded when they end."""
     waiting: list[tuple[float, int, DayCall]] = []
     for number, call in enumerate(calls):
         heapq.heappush(waiting, (call.at, number, call))
-        if len(waiting) > most:
+        if len(waiting) > max_waiting:
             yield heapq.heappop(waiting)[2]
     while waiting:
         yield heapq.heappop(waiting)[2]
--- a/wingwood/replay/player.py
+++ b/wingwood/replay/player.py
@@ -19,10 +19,10 @@
 from .day import DayCall
 from .report import ReplayReport
 
-REMEMBERED_PARTS = 100_000
-ANSWER_BYTES = 64 * 1024
+MAX_REMEMBERED_PREFIXES = 100_000
+MAX_REFUSAL_BYTES = 64 * 1024
 TAIL_BYTES = 64
-BODY_BYTES = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
 class PlayerOptions(msgspec.Struct, frozen=True, kw_only=True):
@@ -38,9 +38,9 @@
     """Calls under way at once; further ones wait and count as late."""
     shared_part: float = 0.5
     """How much of the first seen body of a shared prefix is taken as that prefix; lengths of parts aren't recorded."""
-    patience: Seconds = Seconds(30.0)
+    first_byte_timeout: Seconds = Seconds(30.0)
     """For the first byte."""
-    longest: Seconds = Seconds(300.0)
+    call_timeout: Seconds = Seconds(300.0)
     """Of one call."""
 
 
@@ -68,10 +68,10 @@
         self._options = options
         self._number = 0
         self._shared: OrderedDict[str, int] = OrderedDict()
-        self._room = asyncio.Semaphore(options.in_flight)
+        self._call_slots = asyncio.Semaphore(options.in_flight)
         self._tasks: set[asyncio.Task[None]] = set()
         self.report = ReplayReport(name=options.name, speed=options.speed, in_flight_bound=options.in_flight)
-        self.at = 0.0
+        self.position_seconds = 0.0
         """Where in the day it is, in seconds."""
 
     @property
@@ -87,13 +87,13 @@
                 continue
             if day_call.at > options.end:
                 break
-            self.at = day_call.at
+            self.position_seconds = day_call.at
             planned = Instant(began + (day_call.at - options.start) / options.speed)
-            if not self._may_send(day_call.call):
+            if not self._can_send(day_call.call):
                 continue
             if (wait := planned - self._clock.monotonic()) > 0:
                 await self._clock.sleep(Seconds(wait))
-            await self._room.acquire()
+            await self._call_slots.acquire()
             report.late.add(self._clock.monotonic() - planned)
             self._number += 1
             task = asyncio.get_running_loop().create_task(self._send(day_call, self._number))
@@ -106,7 +106,7 @@
         report.took_seconds = self._clock.monotonic() - began
         return report
 
-    def _may_send(self, call: RecordedCall) -> bool:
+    def _can_send(self, call: RecordedCall) -> bool:
         why = "no-tenant" if not call.tenant else "no-key" if call.tenant not in self._keys else None
         if why is not None:
             self.report.skipped[why] = self.report.skipped.get(why, 0) + 1
@@ -118,20 +118,20 @@
             address = self._routers[turn % len(self._routers)]
             exchange = self._http.start(self._request(day_call.call, address, number))
             try:
-                outcome = await self._follow(day_call.call, exchange)
+                outcome = await self._read_outcome(day_call.call, exchange)
             finally:
                 exchange.cancel()
             service = self.report.service(day_call.call.service)
             service.calls += 1
-            service.whole += outcome == "whole"
+            service.complete += outcome == "whole"
             service.outcomes[outcome] = service.outcomes.get(outcome, 0) + 1
             recorded = day_call.call.outcome or "?"
             service.recorded_outcomes[recorded] = service.recorded_outcomes.get(recorded, 0) + 1
             if day_call.call.prefix and day_call.call.how:
-                how = day_call.call.how
-                service.recorded_awards[how] = service.recorded_awards.get(how, 0) + 1
+                award = day_call.call.how
+                service.recorded_awards[award] = service.recorded_awards.get(award, 0) + 1
         finally:
-            self._room.release()
+            self._call_slots.release()
 
     def _request(self, call: RecordedCall, address: Address, number: int) -> HttpRequest:
         headers = [
@@ -146,14 +146,14 @@
 
     def _body(self, call: RecordedCall) -> bytes:
         parts = max(1, len(call.prefix))
-        length = max(0, min(call.body_bytes, BODY_BYTES) - len(_form([""] * parts, call)))
+        length = max(0, min(call.body_bytes, MAX_BODY_BYTES) - len(_form([""] * parts, call)))
         contents: list[str] = []
         for depth in range(parts - 1):
             part = "/".join(call.prefix[: depth + 1])
             size = self._shared.pop(part, None)
             if size is None:
                 size = int(length * self._options.shared_part / (parts - 1))
-                if len(self._shared) >= REMEMBERED_PARTS:
+                if len(self._shared) >= MAX_REMEMBERED_PREFIXES:
                     self._shared.popitem(last=False)
             self._shared[part] = size
             contents.append(_filler(part, size))
@@ -161,14 +161,14 @@
         contents.append(_filler("/".join(call.prefix), left))
         return _form(contents, call)
 
-    async def _follow(self, call: RecordedCall, exchange: HttpExchange) -> str:
+    async def _read_outcome(self, call: RecordedCall, exchange: HttpExchange) -> str:
         """Reads the answer to its end; how it looked to its caller."""
         service = self.report.service(call.service)
         began = self._clock.monotonic()
         try:
-            async with asyncio.timeout(self._options.longest):
+            async with asyncio.timeout(self._options.call_timeout):
                 try:
-                    async with asyncio.timeout(self._options.patience):
+                    async with asyncio.timeout(self._options.first_byte_timeout):
                         answered = await exchange.head()
                 except TimeoutError:
                     return "silent"
@@ -176,17 +176,17 @@
                     fault = answered.failure()
                     return "cut" if fault.request_sent else "no-connection"
                 head: HttpHead = answered.unwrap()
-                if call.prefix and (how := head.header(AWARD)) is not None:
-                    service.awards[how] = service.awards.get(how, 0) + 1
+                if call.prefix and (award := head.header(AWARD)) is not None:
+                    service.awards[award] = service.awards.get(award, 0) + 1
                 service.prompt_tokens += _number(head, PROMPT_TOKENS)
                 service.cached_tokens += _number(head, CACHED_TOKENS)
-                return await self._read(call, exchange, head, began)
+                return await self._read_body(call, exchange, head, began)
         except TimeoutError:
             return "too-long"
         finally:
             service.total.add(self._clock.monotonic() - began)
 
-    async def _read(self, call: RecordedCall, exchange: HttpExchange, head: HttpHead, began: float) -> str:
+    async def _read_body(self, call: RecordedCall, exchange: HttpExchange, head: HttpHead, began: float) -> str:
         service = self.report.service(call.service)
         router_made = head.header(ANSWER) == "router"
         streams = (head.header("Content-Type") or "").startswith(EVENT_STREAM)
@@ -196,19 +196,19 @@
             got = await exchange.next_piece()
             if not isinstance(got, Success):
                 return "cut"
-            piece = got.unwrap()
-            if piece is None:
+            chunk = got.unwrap()
+            if chunk is None:
                 break
             now = self._clock.monotonic()
             if router_made:
-                if len(body) < ANSWER_BYTES:
-                    body += piece
+                if len(body) < MAX_REFUSAL_BYTES:
+                    body += chunk
             elif last is None:
-                service.first_piece.add(now - began)
+                service.first_chunk.add(now - began)
             elif streams:
-                service.between_pieces.add(now - last)
+                service.between_chunks.add(now - last)
             last = now
-            tail = (tail + piece)[-TAIL_BYTES:]
+            tail = (tail + chunk)[-TAIL_BYTES:]
         if router_made:
             return f"refused {_code(bytes(body))}"
         if not 200 <= head.status < 300:
--- a/wingwood/replay/report.py
+++ b/wingwood/replay/report.py
@@ -8,31 +8,31 @@
 
 from .timing import Timing
 
-KEPT = ("award", "claim")
+PREFIX_HIT_AWARDS = ("award", "claim")
 """``Wingwood-Award`` values of turns that went where their prefix was believed to be."""
 
 
 class ServiceReport(msgspec.Struct, kw_only=True):
     calls: int = 0
-    whole: int = 0
+    complete: int = msgspec.field(name="whole", default=0)
     outcomes: dict[str, int] = msgspec.field(default_factory=dict)
     """By what the caller saw: whole, refused CODE, status NNN, cut, silent, no-connection."""
     recorded_outcomes: dict[str, int] = msgspec.field(default_factory=dict)
     awards: dict[str, int] = msgspec.field(default_factory=dict)
     """By the answer's ``Wingwood-Award``; turns with a prefix only."""
     recorded_awards: dict[str, int] = msgspec.field(default_factory=dict)
-    first_piece: Timing = msgspec.field(default_factory=Timing)
-    between_pieces: Timing = msgspec.field(default_factory=Timing)
+    first_chunk: Timing = msgspec.field(name="first_piece", default_factory=Timing)
+    between_chunks: Timing = msgspec.field(name="between_pieces", default_factory=Timing)
     total: Timing = msgspec.field(default_factory=Timing)
     prompt_tokens: int = 0
     cached_tokens: int = 0
     """As workers told them."""
 
     def hit_rate(self) -> float | None:
-        return _kept_part(self.awards)
+        return _hit_share(self.awards)
 
     def recorded_hit_rate(self) -> float | None:
-        return _kept_part(self.recorded_awards)
+        return _hit_share(self.recorded_awards)
 
 
 class ReplayReport(msgspec.Struct, kw_only=True):
@@ -66,9 +66,9 @@
     return msgspec.json.format(msgspec.json.encode(report), indent=1) + b"\n"
 
 
-def _kept_part(awards: dict[str, int]) -> float | None:
+def _hit_share(awards: dict[str, int]) -> float | None:
     total = sum(awards.values())
-    return sum(awards.get(how, 0) for how in KEPT) / total if total else None
+    return sum(awards.get(how, 0) for how in PREFIX_HIT_AWARDS) / total if total else None
 
 
 def _refused(service: ServiceReport) -> float | None:
@@ -76,8 +76,8 @@
     return 100 * refused / service.calls if service.calls else None
 
 
-def _part(part: int, whole: int) -> float | None:
-    return part / whole if whole else None
+def _share(part: int, total: int) -> float | None:
+    return part / total if total else None
 
 
 def _percent(part: float | None) -> float | None:
@@ -87,31 +87,31 @@
 Row = tuple[str, Callable[[ServiceReport], float | None]]
 ROWS: Sequence[Row] = (
     ("calls", lambda service: service.calls),
-    ("whole %", lambda service: 100 * service.whole / service.calls if service.calls else None),
+    ("whole %", lambda service: 100 * service.complete / service.calls if service.calls else None),
     ("refused %", _refused),
     ("hit rate %", lambda service: _percent(service.hit_rate())),
-    ("cached tokens %", lambda service: _percent(_part(service.cached_tokens, service.prompt_tokens))),
-    ("first piece p50 ms", lambda service: service.first_piece.percentile(50)),
-    ("first piece p95 ms", lambda service: service.first_piece.percentile(95)),
-    ("first piece p99 ms", lambda service: service.first_piece.percentile(99)),
-    ("between pieces p95 ms", lambda service: service.between_pieces.percentile(95)),
-    ("between pieces p99 ms", lambda service: service.between_pieces.percentile(99)),
+    ("cached tokens %", lambda service: _percent(_share(service.cached_tokens, service.prompt_tokens))),
+    ("first piece p50 ms", lambda service: service.first_chunk.percentile(50)),
+    ("first piece p95 ms", lambda service: service.first_chunk.percentile(95)),
+    ("first piece p99 ms", lambda service: service.first_chunk.percentile(99)),
+    ("between pieces p95 ms", lambda service: service.between_chunks.percentile(95)),
+    ("between pieces p99 ms", lambda service: service.between_chunks.percentile(99)),
     ("total p95 ms", lambda service: service.total.percentile(95)),
 )
 
 
-def shown(value: float | None) -> str:
+def format_figure(value: float | None) -> str:
     if value is None:
         return "-"
     return f"{value:.0f}" if value == int(value) and abs(value) < 1e9 else f"{value:.2f}"
 
 
-def table(report: ReplayReport) -> str:
+def report_table(report: ReplayReport) -> str:
     """One column for each service."""
     names = sorted(report.services)
     lines = [
         f"{report.name}: {report.calls} calls at {report.speed:g} times the speed in {report.took_seconds:.1f} s;"
-        f" sent late by p99 {shown(report.late.percentile(99))} ms"
+        f" sent late by p99 {format_figure(report.late.percentile(99))} ms"
     ]
     if report.skipped or report.bad_lines:
         left_out = [f"{count} {why}" for why, count in sorted(report.skipped.items())]
@@ -119,9 +119,11 @@
     width = max([12, *(len(name) for name in names)])
     lines.append(f"{'':24}" + "".join(f"  {name:>{width}}" for name in names))
     for title, value in ROWS:
-        cells = "".join(f"  {shown(value(report.services[name])):>{width}}" for name in names)
+        cells = "".join(f"  {format_figure(value(report.services[name])):>{width}}" for name in names)
         lines.append(f"{title:24}{cells}")
-    recorded = "".join(f"  {shown(_percent(report.services[name].recorded_hit_rate())):>{width}}" for name in names)
+    recorded = "".join(
+        f"  {format_figure(_percent(report.services[name].recorded_hit_rate())):>{width}}" for name in names
+    )
     lines.append(f"{'hit rate % as recorded':24}{recorded}")
     for name in names:
         outcomes = sorted(report.services[name].outcomes.items(), key=lambda pair: (-pair[1], pair[0]))
@@ -129,7 +131,7 @@
     return "\n".join(lines)
 
 
-def compared(first: ReplayReport, second: ReplayReport) -> str:
+def comparison_table(first: ReplayReport, second: ReplayReport) -> str:
     """Per service and figure: both, and the change."""
     lines = [f"{'':34}  {first.name[:16]:>16}  {second.name[:16]:>16}  {'change':>9}"]
     empty = ServiceReport()
@@ -140,7 +142,7 @@
             if one is None and other is None:
                 continue
             change = f"{100 * (other - one) / one:+.1f}%" if one and other is not None else "-"
-            lines.append(f"{name + ' ' + title:34}  {shown(one):>16}  {shown(other):>16}  {change:>9}")
+            lines.append(f"{name + ' ' + title:34}  {format_figure(one):>16}  {format_figure(other):>16}  {change:>9}")
     if first.calls != second.calls or first.speed != second.speed:
         lines.append("Not alike: the two replayed different numbers of calls or ran at different speeds.")
     return "\n".join(lines)
--- a/wingwood/replay/tests/test_replay.py
+++ b/wingwood/replay/tests/test_replay.py
@@ -21,9 +21,9 @@
 from ...forward.recording import RecordedCall
 from ...identifiers import Address
 from ..command import replay_command
-from ..day import DayCall, DayReader, in_order
+from ..day import DayCall, DayReader, sort_by_time
 from ..player import Player, PlayerOptions
-from ..report import ReplayReport, compared, read_report, table, write_report
+from ..report import ReplayReport, comparison_table, read_report, report_table, write_report
 from ..timing import Timing
 
 KEY = "a caller's secret"
@@ -57,7 +57,7 @@
 
     def test_a_router_that_was_started_again_goes_on_after_its_earlier_calls(self) -> None:
         reader = DayReader([lines(recorded(500.0), recorded(499.0), recorded(1.0))])
-        self.assertEqual([call.at for call in in_order(reader)], [499.0, 500.0, 501.0])
+        self.assertEqual([call.at for call in sort_by_time(reader)], [499.0, 500.0, 501.0])
 
 
 class TimingTest(unittest.TestCase):
@@ -71,7 +71,7 @@
         self.assertIsNone(Timing().percentile(50))
 
 
-class StandIn(RequestHandler):
+class FakeRouter(RequestHandler):
     """A router that streams three pieces, or does what the path's last part says."""
 
     async def post(self, what: str) -> None:
@@ -87,8 +87,8 @@
         self.set_header("Wingwood-Award", "award")
         self.set_header("Prompt-Tokens", "100")
         self.set_header("Cached-Tokens", "60")
-        for piece in ("data: 1\n\n", "data: 2\n\n", "data: [DONE]\n\n")[: 2 if what == "unended" else 3]:
-            self.write(piece)
+        for chunk in ("data: 1\n\n", "data: 2\n\n", "data: [DONE]\n\n")[: 2 if what == "unended" else 3]:
+            self.write(chunk)
             await self.flush()
             await asyncio.sleep(0.05)
         if what == "broken":
@@ -105,7 +105,7 @@
             for name, calls_seen in seen.items():
 
                 async def main(context: Context, name: str = name, calls_seen: object = calls_seen) -> None:
-                    server = HTTPServer(Application([(r"/v1/(.*)", StandIn)], seen=calls_seen))
+                    server = HTTPServer(Application([(r"/v1/(.*)", FakeRouter)], seen=calls_seen))
 
                     def handle(stream: BaseIOStream, peer: Address) -> None:
                         server.handle_stream(stream, (peer.host, peer.port))  # type: ignore[arg-type]
@@ -164,12 +164,12 @@
             DayCall(0.1 * number, 0, recorded(0.1 * number, path=f"/v1/{path}", prefix=("s",), how="bid", tokens=3))
             for number, path in enumerate(paths)
         ]
-        report, _ = self.play(calls, patience=2.0)
+        report, _ = self.play(calls, first_byte_timeout=2.0)
         service = report.services["chat"]
         self.assertEqual(service.outcomes, {"whole": 2, "refused share-exceeded": 1, "cut": 2, "silent": 1})
         self.assertEqual((service.hit_rate(), service.recorded_hit_rate()), (1.0, 0.0))
         self.assertEqual((service.prompt_tokens, service.cached_tokens), (400, 240))
-        gap = service.between_pieces.percentile(50)
+        gap = service.between_chunks.percentile(50)
         assert gap is not None
         self.assertAlmostEqual(gap, 50.0, delta=5.0)
 
@@ -186,16 +186,16 @@
     def report(self, name: str, milliseconds: float) -> ReplayReport:
         report = ReplayReport(name=name, speed=1.0, calls=2)
         service = report.service("chat")
-        service.calls, service.whole, service.outcomes = 2, 1, {"whole": 1, "refused all-full": 1}
+        service.calls, service.complete, service.outcomes = 2, 1, {"whole": 1, "refused all-full": 1}
         service.awards = {"award": 3, "bid": 1}
-        service.first_piece.add(milliseconds / 1000)
+        service.first_chunk.add(milliseconds / 1000)
         return report
 
     def test_reports_are_read_back_shown_and_compared(self) -> None:
         first, second = self.report("before", 100.0), self.report("after", 150.0)
         self.assertEqual(read_report(write_report(first)), first)
-        self.assertIn("refused all-full", table(first))
-        shown = compared(first, second)
+        self.assertIn("refused all-full", report_table(first))
+        shown = comparison_table(first, second)
         self.assertIn("+50", shown)
         self.assertRegex(shown, r"chat hit rate % +75 +75 +\+0.0%")
         self.assertNotIn("Not alike", shown)
--- a/wingwood/replay/timing.py
+++ b/wingwood/replay/timing.py
@@ -37,7 +37,7 @@
         for bucket in sorted(self.counts):
             seen += self.counts[bucket]
             if seen >= wanted:
-                return min(_highest_of(bucket), self.highest) / 1000
+                return min(_bucket_upper_bound(bucket), self.highest) / 1000
         return self.highest / 1000
 
     def summary(self) -> Mapping[str, float | None]:
@@ -51,6 +51,6 @@
     return (shift << (PRECISION_BITS + 1)) + (value >> shift)
 
 
-def _highest_of(bucket: int) -> int:
+def _bucket_upper_bound(bucket: int) -> int:
     shift, part = bucket >> (PRECISION_BITS + 1), bucket & ((1 << (PRECISION_BITS + 1)) - 1)
     return ((part + 1) << shift) - 1
--- a/wingwood/rollout/plan.py
+++ b/wingwood/rollout/plan.py
@@ -24,14 +24,14 @@
 _PERCENT = re.compile(r"([0-9]+)%")
 
 
-class NotPlanned(msgspec.Struct, frozen=True):
+class StepRefused(msgspec.Struct, frozen=True):
     """Why a step can't be taken; ``kind`` ``conflict`` when another order or roll-out is in the way."""
 
     kind: Literal["conflict", "invalid"]
     reason: str
 
 
-Step = Callable[[Slices], Result[Slices, NotPlanned]]
+Step = Callable[[Slices], Result[Slices, StepRefused]]
 """From the newest slices to those after the step."""
 
 
@@ -45,7 +45,7 @@
     return {rollout.name: rollout for rollout in found}
 
 
-def read_stages(text: str) -> Result[tuple[str, ...], NotPlanned]:
+def read_stages(text: str) -> Result[tuple[str, ...], StepRefused]:
     """``zone=a,25%,all``; ``all`` is added at the end when it is left out."""
     stages = []
     for part in (each.strip() for each in text.split(",")):
@@ -55,12 +55,12 @@
             stage = ALL
         if stage != ALL and not is_whom(stage):
             wrong = f"stage {part!r}: write zone=NAME, a percentage of the routers from 1% to 99%, or all"
-            return Failure(NotPlanned("invalid", wrong))
+            return Failure(StepRefused("invalid", wrong))
         stages.append(stage)
     return Success(tuple(stages if stages[-1] == ALL else [*stages, ALL]))
 
 
-def begin(
+def begin_rollout(
     name: str,
     change: Step,
     stages: Sequence[str],
@@ -71,21 +71,23 @@
 ) -> Step:
     """Puts the first stage of ``change`` in place, which has ``reached`` routers now."""
 
-    def step(slices: Slices) -> Result[Slices, NotPlanned]:
-        held = read_rollouts(slices)
-        if name in held and held[name].state == "running":
+    def step(slices: Slices) -> Result[Slices, StepRefused]:
+        current = read_rollouts(slices)
+        if name in current and current[name].state == "running":
             return _conflict(f"rollout/{name} is running already; take another name or go on with it")
         match change(slices):
             case Success(wanted):
-                return _begun(slices, wanted, held)
+                return _first_stage(slices, wanted, current)
             case refused:
                 return refused
 
-    def _begun(slices: Slices, wanted: Slices, held: Mapping[str, Rollout]) -> Result[Slices, NotPlanned]:
+    def _first_stage(slices: Slices, wanted: Slices, current: Mapping[str, Rollout]) -> Result[Slices, StepRefused]:
         names = sorted(each for each in {*slices, *wanted} if slices.get(each) != wanted.get(each))
         if not names:
             return _invalid("nothing differs from what is in force")
-        holders = {change.slice: each for each in held.values() if each.state == "running" for change in each.changes}
+        holders = {
+            change.slice: each for each in current.values() if each.state == "running" for change in each.changes
+        }
         for each in names:
             if each not in slices or each not in wanted:
                 done = "taken out" if each in slices else "new"
@@ -120,13 +122,13 @@
     return step
 
 
-def go_on(name: str, stage: int, reached: int) -> Step:
+def advance(name: str, stage: int, reached: int) -> Step:
     """From stage ``stage`` to the next one, of ``reached`` routers; after the last one the roll-out is finished."""
 
-    def step(slices: Slices) -> Result[Slices, NotPlanned]:
+    def step(slices: Slices) -> Result[Slices, StepRefused]:
         rollout = read_rollouts(slices).get(name)
         if rollout is None or rollout.state != "running" or rollout.stage != stage:
-            return _conflict(_elsewhere(name, rollout, "another operator took it on"))
+            return _conflict(_describe_state(name, rollout, "another operator took it on"))
         if stage + 1 < len(rollout.stages):
             after = msgspec.structs.replace(rollout, stage=stage + 1, reached=reached)
         else:
@@ -139,10 +141,10 @@
 def roll_back(name: str, reason: str) -> Step:
     """Everything as it was before, as a new version; also after it was finished, while nothing else changed it."""
 
-    def step(slices: Slices) -> Result[Slices, NotPlanned]:
+    def step(slices: Slices) -> Result[Slices, StepRefused]:
         rollout = read_rollouts(slices).get(name)
         if rollout is None or rollout.state == "rolled-back":
-            return _conflict(_elsewhere(name, rollout, "nothing to roll back"))
+            return _conflict(_describe_state(name, rollout, "nothing to roll back"))
         for change in rollout.changes:
             if rollout.state == "finished" and slices.get(change.slice) != canonical_json(change.after):
                 return _conflict(
@@ -157,10 +159,10 @@
 def forget(name: str) -> Step:
     """Takes the record of a finished or rolled back roll-out out of the bundle."""
 
-    def step(slices: Slices) -> Result[Slices, NotPlanned]:
+    def step(slices: Slices) -> Result[Slices, StepRefused]:
         rollout = read_rollouts(slices).get(name)
         if rollout is None or rollout.state == "running":
-            return _conflict(_elsewhere(name, rollout, "roll it back or let it finish first"))
+            return _conflict(_describe_state(name, rollout, "roll it back or let it finish first"))
         return Success({each: data for each, data in slices.items() if each != rollout_slice(name)})
 
     return step
@@ -181,25 +183,25 @@
     return result
 
 
-def keep_rollouts(held: Mapping[SliceName, bytes], wanted: Slices) -> Slices:
+def preserve_rollouts(current: Mapping[SliceName, bytes], wanted: Slices) -> Slices:
     """``wanted`` from an operator's source, with the roll-outs of the bundle in force and their variants."""
-    kept = {name: data for name, data in held.items() if name.startswith("rollout/")}
-    for rollout in read_rollouts(held).values():
+    preserved = {name: data for name, data in current.items() if name.startswith("rollout/")}
+    for rollout in read_rollouts(current).values():
         if rollout.state == "running":
-            kept.update({name: data for name, data in wanted_slices(rollout).items() if "@" in name})
-    return {**wanted, **kept}
+            preserved.update({name: data for name, data in wanted_slices(rollout).items() if "@" in name})
+    return {**wanted, **preserved}
 
 
-def _elsewhere(name: str, rollout: Rollout | None, then: str) -> str:
+def _describe_state(name: str, rollout: Rollout | None, then: str) -> str:
     if rollout is None:
         return f"there is no rollout/{name}"
     where = f"running at stage {rollout.stages[rollout.stage]}" if rollout.state == "running" else rollout.state
     return f"rollout/{name} is {where}: {then}"
 
 
-def _conflict(reason: str) -> Result[Slices, NotPlanned]:
-    return Failure(NotPlanned("conflict", reason))
+def _conflict(reason: str) -> Result[Slices, StepRefused]:
+    return Failure(StepRefused("conflict", reason))
 
 
-def _invalid(reason: str) -> Result[Slices, NotPlanned]:
-    return Failure(NotPlanned("invalid", reason))
+def _invalid(reason: str) -> Result[Slices, StepRefused]:
+    return Failure(StepRefused("invalid", reason))
--- a/wingwood/rollout/tests/test_rollout.py
+++ b/wingwood/rollout/tests/test_rollout.py
@@ -19,23 +19,34 @@
 from ...bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices, submit
 from ...identifiers import Address, BundleVersion, DaemonName, Incarnation, Seconds, SliceName, Zone
 from ...transport.frames import Identity
-from ..plan import NotPlanned, Slices, Step, begin, forget, go_on, keep_rollouts, read_rollouts, read_stages, roll_back
-from ..runner import Ended, Lost, RolloutRunner, take_step
-from ..watch import Look, Sight, Verdict, judge, read_counts, tally
+from ..plan import (
+    Slices,
+    Step,
+    StepRefused,
+    advance,
+    begin_rollout,
+    forget,
+    preserve_rollouts,
+    read_rollouts,
+    read_stages,
+    roll_back,
+)
+from ..runner import Ended, RolloutRunner, Unavailable, take_step
+from ..watch import FleetStatus, RouterStatus, Verdict, judge, read_counts, summarize_calls
 
 CHAT = SliceName("service/chat")
 STAGES = ("zone=a", "share=50", "all")
 
 
 def with_pool(pool: str, name: SliceName = CHAT) -> Step:
-    def change(slices: Slices) -> Result[Slices, NotPlanned]:
+    def change(slices: Slices) -> Result[Slices, StepRefused]:
         return Success({**slices, name: canonical_json({**msgspec.json.decode(slices[name]), "pool": pool})})
 
     return change
 
 
 def beginning(name: str = "bigger", change: Step | None = None, stages: Sequence[str] = STAGES) -> Step:
-    return begin(name, change or with_pool("large"), stages, Seconds(10.0), 0.02, 0.05, 3)
+    return begin_rollout(name, change or with_pool("large"), stages, Seconds(10.0), 0.02, 0.05, 3)
 
 
 def after(slices: Slices, *steps: Step) -> Slices:
@@ -59,7 +70,7 @@
 
     def test_from_the_first_stage_to_the_end_and_back_at_each(self) -> None:
         first = sample_slices()
-        steps = [beginning(), go_on("bigger", 0, 3), go_on("bigger", 1, 3), go_on("bigger", 2, 3)]
+        steps = [beginning(), advance("bigger", 0, 3), advance("bigger", 1, 3), advance("bigger", 2, 3)]
         for taken in range(1, 5):
             reached = after(first, *steps[:taken])
             back = after(reached, roll_back("bigger", "slow"))
@@ -70,10 +81,10 @@
         self.assertEqual(after(back, forget("bigger")), first)
 
     def test_nobody_takes_a_step_twice_or_from_elsewhere(self) -> None:
-        reached = after(sample_slices(), beginning(), go_on("bigger", 0, 3))
+        reached = after(sample_slices(), beginning(), advance("bigger", 0, 3))
         for step, said in (
-            (go_on("bigger", 0, 3), "running at stage share=50: another operator took it on"),
-            (go_on("none", 0, 3), "there is no rollout/none"),
+            (advance("bigger", 0, 3), "running at stage share=50: another operator took it on"),
+            (advance("none", 0, 3), "there is no rollout/none"),
             (forget("bigger"), "roll it back or let it finish"),
             (beginning(), "is running already"),
             (beginning("other"), "service/chat is in rollout/bigger"),
@@ -83,7 +94,7 @@
         self.assertIn(
             "nothing to roll back", roll_back("bigger", "")(after(reached, roll_back("bigger", ""))).failure().reason
         )
-        finished = after(reached, go_on("bigger", 1, 3), go_on("bigger", 2, 3), with_pool("third"))
+        finished = after(reached, advance("bigger", 1, 3), advance("bigger", 2, 3), with_pool("third"))
         self.assertIn("was changed since", roll_back("bigger", "")(finished).failure().reason)
 
     def test_what_cannot_be_rolled_out(self) -> None:
@@ -104,7 +115,7 @@
     def test_a_source_pushed_meanwhile_leaves_the_roll_out_as_it_is(self) -> None:
         held = after(sample_slices(), beginning())
         source = {**sample_slices(), SliceName("class/more"): b'{"name":"more","weight":1.0}'}
-        pushed = keep_rollouts(held, source)
+        pushed = preserve_rollouts(held, source)
         self.assertEqual(set(pushed) - set(held), {"class/more"})
         self.assertEqual(set(held) - set(pushed), set())
         self.assertEqual(without_record(after(pushed, roll_back("bigger", ""))), source)
@@ -119,52 +130,56 @@
 A, B, C = (tuple(each.name for each in ROUTERS if each.zone == zone) for zone in "abc")
 
 
-def sight(
+def fleet_status(
     counts: dict[str, dict[str, float]] | None = None,
     away: Sequence[str] = (),
     versions: dict[str, int] | None = None,
     lives: dict[str, str] | None = None,
-) -> Sight:
+) -> FleetStatus:
     """``counts``: chat's outcomes by zone, for each of its routers."""
-    looks: dict[DaemonName, Look | None] = {}
+    router_statuses: dict[DaemonName, RouterStatus | None] = {}
     for each in ROUTERS:
         found = {("chat", outcome): count for outcome, count in (counts or {}).get(each.zone, {}).items()}
-        look = Look(
+        router_status = RouterStatus(
             incarnation=Incarnation((lives or {}).get(each.name, "1")),
             ready=True,
             version=BundleVersion((versions or {}).get(each.name, 7)),
             counts={**found, ("cards", "worker-broke"): 1000.0 if counts else 0.0},
         )
-        looks[each.name] = None if each.name in away else look
-    return Sight(members=tuple(each for each in ROUTERS if each.name not in away), looks=looks)
+        router_statuses[each.name] = None if each.name in away else router_status
+    return FleetStatus(
+        members=tuple(each for each in ROUTERS if each.name not in away), router_statuses=router_statuses
+    )
 
 
 class JudgeTest(unittest.TestCase):
     def setUp(self) -> None:
         self.rollout: Rollout = read_rollouts(after(sample_slices(), beginning()))["bigger"]
 
-    def judge(self, now: Sight, watched: float = 11.0, away_for: float = 0.0, before: Sight | None = None) -> Verdict:
+    def judge(
+        self, now: FleetStatus, watched: float = 11.0, unavailable_for: float = 0.0, before: FleetStatus | None = None
+    ) -> Verdict:
         routers = {each.name: each for each in ROUTERS}
         return judge(
             self.rollout,
             BundleVersion(7),
             routers,
-            before or sight(),
+            before or fleet_status(),
             now,
             Seconds(watched),
-            Seconds(away_for),
+            Seconds(unavailable_for),
             10,
         )
 
     def test_a_stage_that_does_well_goes_on_when_it_was_watched_for_long_enough(self) -> None:
         good = {zone: {"answered": 100.0, "worker-broke": 1.0} for zone in "abc"}
-        self.assertEqual(self.judge(sight(good)).do, "go-on")
-        self.assertEqual(self.judge(sight(good), watched=9.0).do, "wait")
-        few = self.judge(sight({"a": {"answered": 3.0}}))
-        self.assertEqual((few.do, "waiting for 10 calls" in few.reason), ("wait", True))
-        behind = self.judge(sight(good, versions={A[0]: 6}))
-        self.assertEqual((behind.do, "a-0" in behind.reason), ("begin-anew", True))
-        self.assertEqual(self.judge(sight(good, versions={B[0]: 6})).do, "go-on")
+        self.assertEqual(self.judge(fleet_status(good)).action, "go-on")
+        self.assertEqual(self.judge(fleet_status(good), watched=9.0).action, "wait")
+        few = self.judge(fleet_status({"a": {"answered": 3.0}}))
+        self.assertEqual((few.action, "waiting for 10 calls" in few.reason), ("wait", True))
+        behind = self.judge(fleet_status(good, versions={A[0]: 6}))
+        self.assertEqual((behind.action, "a-0" in behind.reason), ("begin-anew", True))
+        self.assertEqual(self.judge(fleet_status(good, versions={B[0]: 6})).action, "go-on")
 
     def test_failures_and_refusals_over_the_limit_roll_back_at_once_unless_all_do_as_badly(self) -> None:
         for outcome, what in (
@@ -173,41 +188,41 @@
             ("workers-all-full", "refused"),
         ):
             bad = {"answered": 90.0, outcome: 10.0}
-            verdict = self.judge(sight({"a": bad, "b": {"answered": 100.0}}), watched=1.0)
-            self.assertEqual((verdict.do, what in verdict.reason), ("roll-back", True), verdict.reason)
-            self.assertEqual(self.judge(sight({zone: bad for zone in "abc"})).do, "begin-anew")
+            verdict = self.judge(fleet_status({"a": bad, "b": {"answered": 100.0}}), watched=1.0)
+            self.assertEqual((verdict.action, what in verdict.reason), ("roll-back", True), verdict.reason)
+            self.assertEqual(self.judge(fleet_status({zone: bad for zone in "abc"})).action, "begin-anew")
         callers_own = {"answered": 90.0, "key-unknown": 50.0, "share-exceeded": 50.0, "cut-caller-gone": 50.0}
-        self.assertEqual(self.judge(sight({"a": callers_own})).do, "go-on")
-        self.assertEqual(self.judge(sight({"a": {"answered": 3.0, "worker-broke": 1.0}})).do, "go-on")
+        self.assertEqual(self.judge(fleet_status({"a": callers_own})).action, "go-on")
+        self.assertEqual(self.judge(fleet_status({"a": {"answered": 3.0, "worker-broke": 1.0}})).action, "go-on")
 
     def test_lost_routers(self) -> None:
         good = {zone: {"answered": 100.0} for zone in "abc"}
-        self.assertEqual(self.judge(sight(good, away=A[:1])).do, "go-on")
-        for seconds, do in ((5.0, "begin-anew"), (11.0, "roll-back")):
-            verdict = self.judge(sight(good, away=A[:2]), away_for=seconds)
-            self.assertEqual((verdict.do, "a-0, a-1" in verdict.reason), (do, True))
-        everywhere = self.judge(sight(good, away=(*A[:2], *B, *C)), away_for=11.0)
-        self.assertEqual((everywhere.do, "so are 6 of the 6 others" in everywhere.reason), ("begin-anew", True))
+        self.assertEqual(self.judge(fleet_status(good, away=A[:1])).action, "go-on")
+        for seconds, action in ((5.0, "begin-anew"), (11.0, "roll-back")):
+            verdict = self.judge(fleet_status(good, away=A[:2]), unavailable_for=seconds)
+            self.assertEqual((verdict.action, "a-0, a-1" in verdict.reason), (action, True))
+        everywhere = self.judge(fleet_status(good, away=(*A[:2], *B, *C)), unavailable_for=11.0)
+        self.assertEqual((everywhere.action, "so are 6 of the 6 others" in everywhere.reason), ("begin-anew", True))
 
     def test_a_router_that_restarted_counts_from_its_start(self) -> None:
-        before = sight({"a": {"answered": 1000.0}})
-        now = sight({"a": {"answered": 20.0}}, lives={A[0]: "2"})
-        self.assertEqual(tally(A[:1], before, now, frozenset(["chat"])).calls, 20.0)
-        self.assertEqual(tally(A[:1], before, now, None).failures, 1000.0)
+        before = fleet_status({"a": {"answered": 1000.0}})
+        now = fleet_status({"a": {"answered": 20.0}}, lives={A[0]: "2"})
+        self.assertEqual(summarize_calls(A[:1], before, now, frozenset(["chat"])).calls, 20.0)
+        self.assertEqual(summarize_calls(A[:1], before, now, None).failures, 1000.0)
 
     def test_counts_are_read_from_metrics(self) -> None:
         text = '# TYPE wingwood_calls counter\nwingwood_calls_total{outcome="answered",service="chat"} 3.0\n'
         self.assertEqual(read_counts(text + 'other{a="b"} 1\n'), {("chat", "answered"): 3.0})
 
 
-class StandInAccess:
+class FakeFleetAccess:
     """The real bundle state; routers follow at once. ``trouble``: counts a zone's routers show from a version on."""
 
     def __init__(self) -> None:
         self.state = BundleState(OPERATOR_KEYS)
-        self.state_orders = 0
+        self.order_count = 0
         self.before_submit: list[Callable[[], object]] = []
-        self.lose = 0
+        self.answers_to_lose = 0
         self.stale = False
         self.bad_zone = ""
         self.away: tuple[DaemonName, ...] = ()
@@ -215,41 +230,41 @@
 
     def put(self, slices: Slices) -> OrderOutcome:
         version = self.state.version
-        self.state_orders += 1
+        self.order_count += 1
         before = self.state.slices_at(version) or {}
-        return submit(self.state, order_between(version, before, slices, f"order-{self.state_orders}"))
+        return submit(self.state, order_between(version, before, slices, f"order-{self.order_count}"))
 
     def slices(self) -> Slices:
         return self.state.slices_at(self.state.version) or {}
 
-    async def newest(self) -> Result[tuple[BundleVersion, Slices], Lost]:
+    async def latest(self) -> Result[tuple[BundleVersion, Slices], Unavailable]:
         if self.stale:
             return Success((BundleVersion(1), sample_slices()))
         return Success((self.state.version, self.slices()))
 
-    async def submit(self, base: BundleVersion, before: Slices, after: Slices) -> Result[OrderOutcome, Lost]:
+    async def submit(self, base: BundleVersion, before: Slices, after: Slices) -> Result[OrderOutcome, Unavailable]:
         if self.before_submit:
             self.before_submit.pop(0)()
-        self.state_orders += 1
-        outcome = submit(self.state, order_between(base, before, after, f"order-{self.state_orders}"))
-        if self.lose:
-            self.lose -= 1
-            return Failure(Lost("no daemon said what became of it"))
+        self.order_count += 1
+        outcome = submit(self.state, order_between(base, before, after, f"order-{self.order_count}"))
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
+            return Failure(Unavailable("no daemon said what became of it"))
         return Success(outcome)
 
-    async def look(self) -> Result[Sight, Lost]:
+    async def observe(self) -> Result[FleetStatus, Unavailable]:
         now = asyncio.get_running_loop().time()
         counts = {zone: {"answered": now * 10} for zone in "abc"}
         if self.bad_zone:
             counts[self.bad_zone]["worker-broke"] = now * 5
         versions = {str(each.name): int(self.state.version) for each in ROUTERS}
-        return Success(sight(counts, away=self.away, versions=versions))
+        return Success(fleet_status(counts, away=self.away, versions=versions))
 
 
 class RunnerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.access = StandInAccess()
-        self.told: list[str] = []
+        self.access = FakeFleetAccess()
+        self.messages: list[str] = []
 
     def run_on_virtual_time(self, *works: Callable[[], object]) -> list[object]:
         loop = VirtualTimeLoop(Random(1))
@@ -262,8 +277,8 @@
         finally:
             loop.close()
 
-    def runner(self, patience: float = 100.0) -> RolloutRunner:
-        return RolloutRunner(self.access, "bigger", self.told.append, patience=Seconds(patience))
+    def runner(self, stage_timeout: float = 100.0) -> RolloutRunner:
+        return RolloutRunner(self.access, "bigger", self.messages.append, stage_timeout=Seconds(stage_timeout))
 
     def begin(self) -> None:
         self.access.put(after(self.access.slices(), beginning()))
@@ -276,21 +291,21 @@
         (ended,) = self.run_on_virtual_time(self.runner().run)
         self.assertEqual(ended, Ended("finished", "version 5"))
         self.assertIn(b"large", self.access.slices()[CHAT])
-        self.assertEqual(sum("watching left" in line for line in self.told), 30)
+        self.assertEqual(sum("watching left" in line for line in self.messages), 30)
 
     def test_a_bad_change_goes_back_as_a_new_version(self) -> None:
         self.begin()
         self.access.bad_zone = "a"
         (ended,) = self.run_on_virtual_time(self.runner().run)
         assert isinstance(ended, Ended)
-        self.assertEqual((ended.how, self.access.state.version), ("rolled-back", 3))
+        self.assertEqual((ended.result, self.access.state.version), ("rolled-back", 3))
         self.assertIn("calls failed", self.rollout().reason)
         self.assertEqual(without_record(self.access.slices()), sample_slices())
 
     def test_lost_routers_have_ten_seconds_to_come_back(self) -> None:
         self.begin()
 
-        async def a_moment() -> None:
+        async def make_unavailable() -> None:
             await asyncio.sleep(2.5)
             self.access.away = A
             await asyncio.sleep(8.0)
@@ -300,9 +315,9 @@
             await asyncio.sleep(9.0)
             self.assertEqual(self.rollout().state, "running")
 
-        ended, _ = self.run_on_virtual_time(self.runner().run, a_moment)
+        ended, _ = self.run_on_virtual_time(self.runner().run, make_unavailable)
         assert isinstance(ended, Ended)
-        self.assertEqual((ended.how, self.rollout().stage), ("rolled-back", 0))
+        self.assertEqual((ended.result, self.rollout().stage), ("rolled-back", 0))
         self.assertIn("away or not ready: a-0, a-1, a-2", self.rollout().reason)
 
     def test_routers_that_vanish_as_their_stage_begins_count(self) -> None:
@@ -310,16 +325,16 @@
         self.access.before_submit.append(lambda: setattr(self.access, "away", B))
         (ended,) = self.run_on_virtual_time(self.runner().run)
         assert isinstance(ended, Ended)
-        self.assertEqual((ended.how, self.rollout().stage), ("rolled-back", 1))
+        self.assertEqual((ended.result, self.rollout().stage), ("rolled-back", 1))
         self.assertIn("3 of 6 routers of the stage are away or not ready: 3 that control", ended.reason)
 
     def test_whoever_takes_over_knows_how_many_routers_the_stage_had(self) -> None:
         stages = ("zone=a", "zone=b", "all")
-        self.access.put(after(self.access.slices(), beginning(stages=stages), go_on("bigger", 0, 6)))
+        self.access.put(after(self.access.slices(), beginning(stages=stages), advance("bigger", 0, 6)))
         self.access.away = B
         (ended,) = self.run_on_virtual_time(self.runner().run)
         assert isinstance(ended, Ended)
-        self.assertEqual((ended.how, self.rollout().stage), ("rolled-back", 1))
+        self.assertEqual((ended.result, self.rollout().stage), ("rolled-back", 1))
         self.assertIn("3 of 6 routers of the stage are away or not ready: 3 that control no longer lists", ended.reason)
 
     def test_two_operators_run_it_at_once_and_no_stage_is_skipped(self) -> None:
@@ -331,7 +346,7 @@
                 lambda: self.access.put({**self.access.slices(), SliceName("class/x"): b'{"name":"x","weight":1.0}'})
             )
         ended = self.run_on_virtual_time(self.runner().run, self.runner().run)
-        self.assertEqual([each.how for each in ended if isinstance(each, Ended)], ["finished", "finished"])
+        self.assertEqual([each.result for each in ended if isinstance(each, Ended)], ["finished", "finished"])
         seen = []
         for version in range(2, self.access.state.version + 1):
             found = read_rollouts(self.access.state.slices_at(BundleVersion(version)) or {})["bigger"]
@@ -341,20 +356,20 @@
 
     def test_a_lost_answer_does_no_harm(self) -> None:
         self.begin()
-        self.access.lose = 2
+        self.access.answers_to_lose = 2
         (ended,) = self.run_on_virtual_time(self.runner().run)
         self.assertEqual(ended, Ended("finished", "version 5"))
 
     def test_an_older_version_read_from_a_daemon_that_is_cut_off_is_not_believed(self) -> None:
         self.begin()
 
-        async def a_moment() -> None:
+        async def make_unavailable() -> None:
             await asyncio.sleep(3.5)
             self.access.stale = True
             await asyncio.sleep(5.0)
             self.access.stale = False
 
-        ended, _ = self.run_on_virtual_time(self.runner().run, a_moment)
+        ended, _ = self.run_on_virtual_time(self.runner().run, make_unavailable)
         self.assertEqual(ended, Ended("finished", "version 5"))
 
     def test_a_stage_without_calls_is_given_up_where_it_stands(self) -> None:
@@ -362,7 +377,7 @@
         self.access.away = tuple(each.name for each in ROUTERS)
         (ended,) = self.run_on_virtual_time(self.runner(30.0).run)
         assert isinstance(ended, Ended)
-        self.assertEqual((ended.how, self.rollout().state), ("lost", "running"))
+        self.assertEqual((ended.result, self.rollout().state), ("lost", "running"))
 
     def test_a_step_is_worked_out_anew_after_a_conflict(self) -> None:
         other = SliceName("class/gold")
@@ -371,7 +386,7 @@
         (outcome,) = self.run_on_virtual_time(lambda: take_step(self.access, beginning()))
         assert isinstance(outcome, Success)
         self.assertEqual((self.access.state.version, self.access.slices()[other]), (3, richer))
-        self.access.before_submit.append(lambda: self.access.put(after(self.access.slices(), go_on("bigger", 0, 3))))
-        (outcome,) = self.run_on_virtual_time(lambda: take_step(self.access, go_on("bigger", 0, 3)))
+        self.access.before_submit.append(lambda: self.access.put(after(self.access.slices(), advance("bigger", 0, 3))))
+        (outcome,) = self.run_on_virtual_time(lambda: take_step(self.access, advance("bigger", 0, 3)))
         assert isinstance(outcome, Failure)
         self.assertEqual(self.rollout().stage, 1)
--- a/wingwood/rollout/tests/test_rollout_on_fleet.py
+++ b/wingwood/rollout/tests/test_rollout_on_fleet.py
@@ -21,9 +21,9 @@
 from ...identifiers import Address, BundleVersion, DaemonName, Seconds, SliceName
 from ...operator_api.reading import HealthReport
 from ...transport.frames import Identity
-from ..plan import NotPlanned, Slices, Step, begin, read_rollouts, roll_back
-from ..runner import Ended, Lost, RolloutRunner, take_step
-from ..watch import Look, Sight, read_counts
+from ..plan import Slices, Step, StepRefused, begin_rollout, read_rollouts, roll_back
+from ..runner import Ended, RolloutRunner, Unavailable, take_step
+from ..watch import FleetStatus, RouterStatus, read_counts
 
 RUN_EACH_ALONE = True
 
@@ -34,18 +34,18 @@
     def __init__(self, operator: Operator) -> None:
         self._operator = operator
 
-    async def newest(self) -> Result[tuple[BundleVersion, Slices], Lost]:
+    async def latest(self) -> Result[tuple[BundleVersion, Slices], Unavailable]:
         try:
             version, slices = await self._operator.newest()
-            return Success((version, slices)) if version else Failure(Lost("that daemon knows of no bundle"))
+            return Success((version, slices)) if version else Failure(Unavailable("that daemon knows of no bundle"))
         except TimeoutError as late:
-            return Failure(Lost(str(late)))
+            return Failure(Unavailable(str(late)))
 
-    async def submit(self, base: BundleVersion, before: Slices, after: Slices) -> Result[OrderOutcome, Lost]:
+    async def submit(self, base: BundleVersion, before: Slices, after: Slices) -> Result[OrderOutcome, Unavailable]:
         seen, order = self._operator.prepare(base, before, after, "roll-out")
         await self._operator.send(seen, order)
         if not seen.answers or seen.answers[-1].outcome not in ("accepted", "conflict", "invalid"):
-            return Failure(Lost("no daemon said what became of it"))
+            return Failure(Unavailable("no daemon said what became of it"))
         answer = seen.answers[-1]
         return Success(
             OrderOutcome(
@@ -56,27 +56,27 @@
             )
         )
 
-    async def look(self) -> Result[Sight, Lost]:
+    async def observe(self) -> Result[FleetStatus, Unavailable]:
         found: tuple[Identity, ...] = ()
         for desk in self._operator.desks()[:5]:
             answer = await self._get(desk.address, "/control/v1/members")
             members = () if answer is None else tuple(msgspec.json.decode(answer, type=list[Identity]))
             found = max(found, members, key=len)
         if not found:
-            return Failure(Lost("no daemon answered"))
-        looks: dict[DaemonName, Look | None] = {}
+            return Failure(Unavailable("no daemon answered"))
+        router_statuses: dict[DaemonName, RouterStatus | None] = {}
         for member in found:
             if member.role == "router" and member.operator is not None:
-                looks[member.name] = await self._look(member.operator)
-        return Success(Sight(members=found, looks=looks))
+                router_statuses[member.name] = await self._router_status(member.operator)
+        return Success(FleetStatus(members=found, router_statuses=router_statuses))
 
-    async def _look(self, address: Address) -> Look | None:
+    async def _router_status(self, address: Address) -> RouterStatus | None:
         health, metrics = await self._get(address, "/control/v1/health"), await self._get(address, "/metrics")
         if health is None or metrics is None:
             return None
         report = msgspec.json.decode(health, type=HealthReport)
         counts = read_counts(metrics.decode())
-        return Look(incarnation=report.incarnation, ready=report.ready, version=report.version, counts=counts)
+        return RouterStatus(incarnation=report.incarnation, ready=report.ready, version=report.version, counts=counts)
 
     async def _get(self, address: Address, path: str) -> bytes | None:
         answer = await ask(self._operator.context, "GET", address, path, b"", 0.5)
@@ -98,17 +98,17 @@
         self.zone = shape.zones[0]
         self.summary = SliceName("service/order-summary")
         self.ended: dict[str, Ended] = {}
-        self.told: list[str] = []
+        self.messages: list[str] = []
 
     def change(self, **fields: object) -> Step:
-        def change(slices: Slices) -> Result[Slices, NotPlanned]:
+        def change(slices: Slices) -> Result[Slices, StepRefused]:
             held = msgspec.json.decode(slices[self.summary])
             return Success({**slices, self.summary: canonical_json({**held, **fields})})
 
         return change
 
     def start(self, change: Step, *stages: str) -> None:
-        step = begin("trial", change, stages, Seconds(6.0), 0.02, 0.05, len(self.in_zone()))
+        step = begin_rollout("trial", change, stages, Seconds(6.0), 0.02, 0.05, len(self.in_zone()))
         self.take("operator-1", step)
 
     def take(self, name: str, step: Step) -> None:
@@ -122,10 +122,12 @@
         self.assertIsInstance(done[0], Success, done[0])
 
     def run_by(self, name: str) -> None:
-        def say(text: str) -> None:
-            self.told.append(f"{self.world.now:.1f} {name}: {text}")
+        def report_progress(text: str) -> None:
+            self.messages.append(f"{self.world.now:.1f} {name}: {text}")
 
-        runner = RolloutRunner(SimulatedAccess(self.fleet.operators[name]), "trial", say, patience=Seconds(120.0))
+        runner = RolloutRunner(
+            SimulatedAccess(self.fleet.operators[name]), "trial", report_progress, stage_timeout=Seconds(120.0)
+        )
 
         async def work() -> None:
             self.ended[name] = await runner.run()
@@ -135,7 +137,7 @@
     def wait(self, condition: Callable[[], bool], within: float) -> None:
         until = self.world.now + within
         while not condition():
-            self.assertLess(self.world.now, until, "\n".join(self.told))
+            self.assertLess(self.world.now, until, "\n".join(self.messages))
             self.fleet.run(0.5)
 
     def acting(self, field: str, value: object) -> set[str]:
@@ -193,7 +195,7 @@
         for one in sorted(here):
             for other in sorted({self.world.processes[name].machine.name for name in routers} - here):
                 self.fleet.cut(one, other, 9.0)
-        # A key that is removed now works nowhere after 5 s, cut off or not, stage or not; the observer looks.
+        # A key that is removed now works nowhere after 5 s, cut off or not, stage or not; the observer router_statuses.
         removed = self.fleet.operators["operator-2"].push(
             set_field("tenant/riders.keys", []), "remove key", removed_keys=(self.fleet.caller_keys["riders"],)
         )
@@ -201,15 +203,15 @@
         self.fleet.run(2.0)
         self.run_by("operator-2")
         self.wait(lambda: "operator-2" in self.ended, 120.0)
-        self.assertEqual(self.ended["operator-2"].how, "finished", "\n".join(self.told))
-        self.assertIn("away or not ready", "\n".join(self.told))
+        self.assertEqual(self.ended["operator-2"].result, "finished", "\n".join(self.messages))
+        self.assertIn("away or not ready", "\n".join(self.messages))
         self.assertEqual(self.acting("first_byte_patience", 3.5), routers)
         # A finished one may go back too: as a new version.
-        newest = max(version.version for version in self.fleet.history.versions)
+        latest = max(version.version for version in self.fleet.history.versions)
         self.take("operator-2", roll_back("trial", "by hand"))
         self.fleet.run(3.0)
         self.assertEqual(self.acting("first_byte_patience", 3.5), set())
-        self.assertGreater(max(version.version for version in self.fleet.history.versions), newest)
+        self.assertGreater(max(version.version for version in self.fleet.history.versions), latest)
         self.world.restart("operator-1")
         self.fleet.run(1.0)
         self.judge()
@@ -231,7 +233,7 @@
         self.fleet.by_operator("operator-1", self.storm(20.0))
         self.wait(lambda: "operator-2" in self.ended, 60.0)
         self.fleet.end_fault(fault)
-        self.assertEqual(self.ended["operator-2"].how, "rolled-back", "\n".join(self.told))
+        self.assertEqual(self.ended["operator-2"].result, "rolled-back", "\n".join(self.messages))
         self.assertIn("calls refused", self.rollout().reason)
         self.assertGreater(len(self.fleet.history.orders), 30)
         self.fleet.run(3.0)
--- a/wingwood/rollout/watch.py
+++ b/wingwood/rollout/watch.py
@@ -14,17 +14,17 @@
 from ..identifiers import BundleVersion, DaemonName, Incarnation, Seconds
 from ..transport.frames import Identity
 
-FEWEST_BAD = 5
+MIN_BAD_CALLS = 5
 """So many bad calls before a share of them says anything."""
-WORSE_BY = 1.5
+MAX_RATIO_TO_REST = 1.5
 """The stage is to blame when it does so many times worse than the rest of the fleet."""
-MOST_AWAY = 1 / 3
+MAX_UNAVAILABLE_SHARE = 1 / 3
 """Share of a stage's routers that may be lost or not ready: machines fail on ordinary days too."""
 
-AWAY_FOR = Seconds(10.0)
+MAX_UNAVAILABLE_S = Seconds(10.0)
 """A frozen machine or a short cut is no reason to roll back."""
 
-CALLERS_OWN = frozenset(
+CALLER_FAULT_OUTCOMES = frozenset(
     [
         "key-missing",
         "key-unknown",
@@ -47,7 +47,7 @@
     ]
 )
 """Outcomes that a caller brought on itself; they don't count at all."""
-REFUSALS = frozenset(
+REFUSAL_OUTCOMES = frozenset(
     [
         "crowded",
         "overloaded",
@@ -67,7 +67,7 @@
 """Calls by service and outcome."""
 
 
-class Look(msgspec.Struct, frozen=True, kw_only=True):
+class RouterStatus(msgspec.Struct, frozen=True, kw_only=True):
     """One router at one moment."""
 
     incarnation: Incarnation
@@ -76,17 +76,17 @@
     counts: Counts
 
 
-class Sight(msgspec.Struct, frozen=True, kw_only=True):
+class FleetStatus(msgspec.Struct, frozen=True, kw_only=True):
     """The routers that control takes for members, and what each said; None: no answer."""
 
     members: tuple[Identity, ...]
-    looks: Mapping[DaemonName, Look | None]
+    router_statuses: Mapping[DaemonName, RouterStatus | None]
 
     def routers(self) -> list[Identity]:
         return [member for member in self.members if member.role == "router"]
 
 
-class Tally(msgspec.Struct, frozen=True, kw_only=True):
+class CallSummary(msgspec.Struct, frozen=True, kw_only=True):
     calls: float = 0.0
     failures: float = 0.0
     refusals: float = 0.0
@@ -94,13 +94,13 @@
     def share(self, bad: float) -> float:
         return bad / self.calls if self.calls else 0.0
 
-    def told(self) -> str:
+    def describe(self) -> str:
         failed, refused = self.share(self.failures), self.share(self.refusals)
         return f"{self.calls:.0f} calls, {failed:.1%} failed, {refused:.1%} refused"
 
 
 class Verdict(msgspec.Struct, frozen=True, kw_only=True):
-    do: Literal["wait", "begin-anew", "go-on", "roll-back"]
+    action: Literal["wait", "begin-anew", "go-on", "roll-back"]
     """``begin-anew``: the time of watching starts again, since it would show nothing of the change."""
     reason: str
 
@@ -131,103 +131,110 @@
     return frozenset(names)
 
 
-def tally(names: Sequence[DaemonName], before: Sight, after: Sight, services: frozenset[str] | None) -> Tally:
-    """Calls between two looks. A router that restarted meanwhile counts from its start."""
+def summarize_calls(
+    names: Sequence[DaemonName], before: FleetStatus, after: FleetStatus, services: frozenset[str] | None
+) -> CallSummary:
+    """Calls between two router_statuses. A router that restarted meanwhile counts from its start."""
     calls = failures = refusals = 0.0
     for name in names:
-        then, now = before.looks.get(name), after.looks.get(name)
+        then, now = before.router_statuses.get(name), after.router_statuses.get(name)
         if now is None:
             continue
         same = then is not None and then.incarnation == now.incarnation
         for (service, outcome), count in sorted(now.counts.items()):
             more = count - (then.counts.get((service, outcome), 0.0) if same and then is not None else 0.0)
-            if outcome in CALLERS_OWN or (services is not None and service not in services):
+            if outcome in CALLER_FAULT_OUTCOMES or (services is not None and service not in services):
                 continue
             calls += more
-            if outcome in REFUSALS or outcome.startswith("workers-"):
+            if outcome in REFUSAL_OUTCOMES or outcome.startswith("workers-"):
                 refusals += more
             elif outcome != "answered":
                 failures += more
-    return Tally(calls=calls, failures=failures, refusals=refusals)
+    return CallSummary(calls=calls, failures=failures, refusals=refusals)
 
 
 def judge(
     rollout: Rollout,
     version: BundleVersion,
     routers: Routers,
-    before: Sight,
-    now: Sight,
+    before: FleetStatus,
+    now: FleetStatus,
     watched: Seconds,
-    away_for: Seconds,
-    fewest_calls: int,
+    unavailable_for: Seconds,
+    min_calls: int,
 ) -> Verdict:
     """What to do about the stage reached.
 
     ``version`` put the stage in place; ``routers``: all seen since then. ``before`` was seen when the watch
-    began, ``watched`` ago. ``away_for``: how long too many of the stage have been away.
+    began, ``watched`` ago. ``unavailable_for``: how long too many of the stage have been away.
     """
-    stage, rest = parted(rollout, routers)
+    stage, rest = split_routers(rollout, routers)
     if not stage and not rollout.reached:
-        return Verdict(do="begin-anew", reason="no router of this stage is there")
-    away = [name for name in stage if not _serves(now, name)]
-    rest_away = [name for name in rest if not _serves(now, name)]
-    if too_many_away(rollout, routers, now):
+        return Verdict(action="begin-anew", reason="no router of this stage is there")
+    unavailable = [name for name in stage if not _serves(now, name)]
+    rest_unavailable = [name for name in rest if not _serves(now, name)]
+    if too_many_unavailable(rollout, routers, now):
         total = max(len(stage), rollout.reached)
         unknown = [f"{total - len(stage)} that control no longer lists"] if total > len(stage) else []
-        names = ", ".join([*away[:5], *unknown])
-        told = f"{len(away) + total - len(stage)} of {total} routers of the stage are away or not ready: {names}"
+        names = ", ".join([*unavailable[:5], *unknown])
+        message = (
+            f"{len(unavailable) + total - len(stage)} of {total} routers of the stage are away or not ready: {names}"
+        )
         if not rest and rollout.stages[rollout.stage] != ALL:
-            return Verdict(do="begin-anew", reason=f"{told}; no others are to be seen either")
-        if len(rest_away) > MOST_AWAY * len(rest):
-            return Verdict(do="begin-anew", reason=f"{told}; so are {len(rest_away)} of the {len(rest)} others")
-        return Verdict(do="begin-anew" if away_for < AWAY_FOR else "roll-back", reason=told)
-    behind = [name for name in stage if name not in away and _version(now, name) < version]
+            return Verdict(action="begin-anew", reason=f"{message}; no others are to be seen either")
+        if len(rest_unavailable) > MAX_UNAVAILABLE_SHARE * len(rest):
+            return Verdict(
+                action="begin-anew", reason=f"{message}; so are {len(rest_unavailable)} of the {len(rest)} others"
+            )
+        return Verdict(action="begin-anew" if unavailable_for < MAX_UNAVAILABLE_S else "roll-back", reason=message)
+    behind = [name for name in stage if name not in unavailable and _version(now, name) < version]
     if behind:
-        return Verdict(do="begin-anew", reason=f"version {version} is not in force yet on {', '.join(behind[:5])}")
+        return Verdict(action="begin-anew", reason=f"version {version} is not in force yet on {', '.join(behind[:5])}")
     services = changed_services(rollout)
-    here, there = tally(stage, before, now, services), tally(rest, before, now, services)
+    here, there = summarize_calls(stage, before, now, services), summarize_calls(rest, before, now, services)
     for what, bad, elsewhere, highest in (
         ("failed", here.failures, there.failures, rollout.highest_failures),
         ("refused", here.refusals, there.refusals, rollout.highest_refusals),
     ):
-        if bad < FEWEST_BAD or here.share(bad) <= highest:
+        if bad < MIN_BAD_CALLS or here.share(bad) <= highest:
             continue
-        told = f"{here.share(bad):.1%} of {here.calls:.0f} calls {what} (up to {highest:.1%} may)"
-        if there.calls and here.share(bad) <= WORSE_BY * there.share(elsewhere):
+        message = f"{here.share(bad):.1%} of {here.calls:.0f} calls {what} (up to {highest:.1%} may)"
+        if there.calls and here.share(bad) <= MAX_RATIO_TO_REST * there.share(elsewhere):
             return Verdict(
-                do="begin-anew", reason=f"{told}, but so did {there.share(elsewhere):.1%} on the rest of the fleet"
+                action="begin-anew",
+                reason=f"{message}, but so did {there.share(elsewhere):.1%} on the rest of the fleet",
             )
-        return Verdict(do="roll-back", reason=told)
+        return Verdict(action="roll-back", reason=message)
     left = rollout.watch - watched
     if left > 0:
-        return Verdict(do="wait", reason=f"{here.told()}; {left:.0f} s of watching left")
-    if here.calls < fewest_calls:
-        return Verdict(do="wait", reason=f"{here.told()}; waiting for {fewest_calls} calls")
-    return Verdict(do="go-on", reason=here.told())
+        return Verdict(action="wait", reason=f"{here.describe()}; {left:.0f} s of watching left")
+    if here.calls < min_calls:
+        return Verdict(action="wait", reason=f"{here.describe()}; waiting for {min_calls} calls")
+    return Verdict(action="go-on", reason=here.describe())
 
 
-def parted(rollout: Rollout, routers: Routers) -> tuple[list[DaemonName], list[DaemonName]]:
+def split_routers(rollout: Rollout, routers: Routers) -> tuple[list[DaemonName], list[DaemonName]]:
     """The stage's routers and the others, each by name."""
     stage = [name for name in sorted(routers) if in_stage(rollout, rollout.stage, routers[name])]
     return stage, [name for name in sorted(routers) if name not in stage]
 
 
-def too_many_away(rollout: Rollout, routers: Routers, now: Sight) -> bool:
-    stage, _ = parted(rollout, routers)
+def too_many_unavailable(rollout: Rollout, routers: Routers, now: FleetStatus) -> bool:
+    stage, _ = split_routers(rollout, routers)
     total = max(len(stage), rollout.reached)
-    return total - sum(_serves(now, name) for name in stage) > MOST_AWAY * total
+    return total - sum(_serves(now, name) for name in stage) > MAX_UNAVAILABLE_SHARE * total
 
 
-def reach_of(rollout: Rollout, stage: int, routers: Iterable[Identity]) -> int:
+def count_stage_routers(rollout: Rollout, stage: int, routers: Iterable[Identity]) -> int:
     """How many of the routers belong to the stage; 0 beyond the last one."""
     return 0 if stage >= len(rollout.stages) else sum(in_stage(rollout, stage, each) for each in routers)
 
 
-def _serves(sight: Sight, name: DaemonName) -> bool:
-    look = sight.looks.get(name)
-    return look is not None and look.ready
+def _serves(fleet_status: FleetStatus, name: DaemonName) -> bool:
+    router_status = fleet_status.router_statuses.get(name)
+    return router_status is not None and router_status.ready
 
 
-def _version(sight: Sight, name: DaemonName) -> BundleVersion:
-    look = sight.looks.get(name)
-    return BundleVersion(0) if look is None else look.version
+def _version(fleet_status: FleetStatus, name: DaemonName) -> BundleVersion:
+    router_status = fleet_status.router_statuses.get(name)
+    return BundleVersion(0) if router_status is None else router_status.version
