--- a/wingwood/command_line/bundle.py
+++ b/wingwood/command_line/bundle.py
@@ -1,4 +1,4 @@
-"""`wingwood bundle`: check, sign, push, change, show, history, diff."""
+"""Commands `wingwood bundle`: check, sign, push, change, show, history, diff."""
 
 from __future__ import annotations
 
@@ -42,13 +42,14 @@
 
 
 def operator_client(addresses: Sequence[Address], patience: float = 30.0) -> OperatorClient:
+    """Creates a client that is closed when the command ends; ``patience`` is its retry timeout in seconds."""
     client = OperatorClient(addresses, _print_message, Seconds(patience))
     click.get_current_context().call_on_close(client.close)
     return client
 
 
 def latest_slices(client: OperatorClient) -> tuple[BundleVersion, Slices]:
-    """The newest version and its slices; version 0 without any when there is no bundle yet."""
+    """Reads the latest version and its slices; returns version 0 and no slices if there is no bundle yet."""
     try:
         shown = client.read_highest(
             LATEST_BUNDLE_PATH, ShownBundle, lambda shown: math.inf if shown.newest else shown.version
@@ -65,11 +66,13 @@
 def sign_order(
     base: BundleVersion, before: Slices, after: Slices, private: Ed25519PrivateKey, order: str | None
 ) -> Order:
+    """Signs an order that changes ``before`` to ``after``; without ``order`` it gets a random id."""
     order_id = OrderId(order or uuid.uuid4().hex)
     return make_order(base, before, after, private, order_id, WallTime(time.time()))
 
 
 def private_key(key_file: Path | None) -> Ed25519PrivateKey:
+    """Reads the operator's private key; raises CommandError if no file is named or it holds no key."""
     if key_file is None:
         raise CommandError("an order must be signed: name the operator's key with --key FILE or in WINGWOOD_KEY")
     return read_key(key_file)
@@ -227,6 +230,7 @@
     may_rebase: bool,
     as_json: bool,
 ) -> None:
+    """Sends the changes from ``before`` to ``wanted``; after conflicts it rebases them if ``may_rebase`` is set."""
     for _ in range(MAX_REBASES):
         if wanted == before:
             if as_json:
@@ -247,6 +251,11 @@
 
 
 def submit(client: OperatorClient, order: Order, file: Path | None) -> OrderOutcome:
+    """Sends an order and returns its outcome.
+
+    If the outcome stays unknown, saves the order to a file unless it was read from ``file``, and raises
+    OutcomeUnknown with the command that sends the same order again.
+    """
     outcome = client.submit(order)
     if outcome is not None:
         return outcome
--- a/wingwood/command_line/change.py
+++ b/wingwood/command_line/change.py
@@ -1,4 +1,4 @@
-"""Small changes to a bundle, and bringing them onto a newer base (docs/DESIGN.md section 5.6)."""
+"""Makes small changes to a bundle and rebases them onto a later version (docs/DESIGN.md section 5.6)."""
 
 from __future__ import annotations
 
@@ -17,6 +17,8 @@
 
 
 class _Keys(msgspec.Struct):
+    """The field of a tenant's slice that key changes read."""
+
     keys: tuple[str, ...] = ()
 
 
@@ -29,7 +31,10 @@
     remove_keys: Sequence[str] = (),
     removes: Sequence[str] = (),
 ) -> Slices:
-    """``before`` with files put in, then fields set, keys added and removed, slices removed; in this order."""
+    """Returns ``before`` with the slices of files added, fields set, keys added and removed, and slices removed.
+
+    The changes are made in this order. Raises CommandError for a change that can't be made.
+    """
     after = dict(before)
     for file in files:
         after.update(read_source(file))
@@ -61,7 +66,7 @@
 
 
 def _value(text: str) -> object:
-    """A TOML value; what is none is taken as text, so that quotes may be left out."""
+    """Parses a TOML value; anything else is taken as text, so that quotes may be left out."""
     try:
         return tomllib.loads(f"value = {text}")["value"]
     except tomllib.TOMLDecodeError:
@@ -94,7 +99,7 @@
 
 
 def _remove_key(slices: Slices, digest: str) -> None:
-    """``digest`` may be cut short as ``bundle show`` prints it, while it tells one key from all others."""
+    """Removes a caller's key; ``digest`` may be shortened as ``bundle show`` prints it, while it identifies one key."""
     start = digest.removesuffix("..")
     found = [
         (name, key)
@@ -113,7 +118,7 @@
 
 
 def rebase(old_base: Mapping[SliceName, bytes], wanted: Slices, new_base: Mapping[SliceName, bytes]) -> Slices:
-    """``wanted``'s changes to ``old_base``, made to ``new_base``; Problem when both changed the same slice."""
+    """Applies the changes from ``old_base`` to ``wanted`` to ``new_base``; raises Conflict if both changed a slice."""
     after = dict(new_base)
     for name in sorted({*old_base, *wanted}):
         before, mine, theirs = old_base.get(name), wanted.get(name), new_base.get(name)
@@ -129,7 +134,7 @@
 
 
 def differences(before: Mapping[SliceName, bytes], after: Mapping[SliceName, bytes]) -> list[dict[str, object]]:
-    """One entry per slice that differs: what was done, and each field's old and new value."""
+    """Returns an entry for each slice that differs: the kind of change, and the old and new value of each field."""
     found: list[dict[str, object]] = []
     for name in sorted({*before, *after}):
         old, new = before.get(name), after.get(name)
--- a/wingwood/command_line/client.py
+++ b/wingwood/command_line/client.py
@@ -1,4 +1,4 @@
-"""Bounded HTTP calls to daemons' operator addresses; orders are sent again after a lost answer."""
+"""Makes HTTP calls with timeouts to daemons' operator addresses; orders are sent again after a lost answer."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 CONNECT_TIMEOUT_S = Seconds(2.0)
 REQUEST_TIMEOUT_S = Seconds(10.0)
 FAILOVER_READ_TIMEOUT_S = Seconds(5.0)
-"""For what any other daemon can answer as well."""
+"""Timeout of a read while other daemons are named that can answer it as well."""
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 RETRY_PAUSE_S = Seconds(0.5)
-"""Between two rounds over all daemons."""
+"""Pause between two attempts to send an order to all daemons."""
 
 
 class NoBundle(CommandError):
@@ -33,7 +33,7 @@
 
 
 class NoAnswer(msgspec.Struct, frozen=True):
-    """``sent`` False: no connection was made, so nothing left this machine."""
+    """A call without an answer. ``sent`` is False if no connection was made, so that the daemon received nothing."""
 
     address: Address
     sent: bool
@@ -41,7 +41,11 @@
 
 
 class OperatorClient:
-    """Asks the daemons at ``addresses`` in turn. ``report_progress`` gets one line for each thing worth telling."""
+    """Sends calls to the daemons at ``addresses`` in turn.
+
+    ``report_progress`` receives one line for each failed attempt to send an order. Orders are sent again for
+    ``retry_timeout`` seconds. Raises CommandError if there are no addresses.
+    """
 
     def __init__(
         self,
@@ -55,7 +59,7 @@
             raise CommandError("name a daemon with --to 127.0.0.1:7001 (its operator address) or in WINGWOOD_TO")
         self.addresses = tuple(addresses)
         self._request_order = list(addresses)
-        """Those that were silent come last: a frozen machine in the list must not hold up an order."""
+        """Daemons that did not answer move to the end: a frozen machine in the list must not delay an order."""
         self._report_progress = report_progress
         self._retry_timeout = retry_timeout
         self._pause = pause
@@ -68,7 +72,7 @@
         self._http.close()
 
     def ask(self, address: Address, path: str, body: bytes | None = None) -> Result[HTTPResponse, NoAnswer]:
-        """One call, one answer of any status."""
+        """Makes one call and returns its answer, whatever the HTTP status."""
         request = HTTPRequest(
             f"http://{address}{path}",
             method="GET" if body is None else "POST",
@@ -94,7 +98,10 @@
         return answer
 
     def read(self, path: str, type_: type[Value]) -> Value:
-        """The first answer of any daemon, decoded; a daemon that can't answer now is passed over."""
+        """Returns the first answer of any daemon, decoded; a daemon that is unreachable or answers 503 is skipped.
+
+        Raises NoBundle, CommandError for any other status, and Unreachable if no daemon answered.
+        """
         reasons: list[str] = []
         for address in list(self._request_order):
             match self._ask(address, path):
@@ -114,9 +121,10 @@
     def read_highest(
         self, path: str, type_: type[Value], rank: Callable[[Value], float], sufficient_rank: float = math.inf
     ) -> Value:
-        """The answer that ranks highest, of all daemons named or up to one that ranks ``sufficient_rank``.
+        """Asks all daemons and returns the answer with the highest rank; stops at one of ``sufficient_rank``.
 
-        A daemon that is cut off answers from what it held then; others know better.
+        A partitioned daemon answers with outdated state, so one answer alone is not trusted. Raises NoBundle or
+        Unreachable if no daemon gave an answer.
         """
         best: Value | None = None
         problems: list[CommandError] = []
@@ -149,9 +157,10 @@
         raise AssertionError("a result is a success or a failure")
 
     def submit(self, order: Order) -> OrderOutcome | None:
-        """The order's outcome; None when some daemon may have got it and none said what became of it.
+        """Sends an order and returns its outcome; None if a daemon may have received it but none reported an outcome.
 
-        The same bytes go to each daemon in turn until one answers for sure: resending is safe.
+        The same bytes go to each daemon in turn until one reports a definite outcome; resending is safe because
+        an order takes effect once only. Raises Unreachable if nothing was sent.
         """
         body = msgspec.json.encode(order)
         until = self._clock() + self._retry_timeout
@@ -182,6 +191,7 @@
 
 
 def decode(body: bytes, type_: type[Value], address: Address) -> Value:
+    """Decodes a JSON answer; raises CommandError if it is not of this type."""
     try:
         return msgspec.json.decode(body, type=type_)
     except (msgspec.MsgspecError, UnicodeError) as malformed:
@@ -189,6 +199,7 @@
 
 
 def error_of(response: HTTPResponse) -> OperatorError:
+    """Returns the error in an answer; an answer in another format becomes the error ``odd-answer``."""
     try:
         return msgspec.json.decode(response.body or b"", type=OperatorError)
     except (msgspec.MsgspecError, UnicodeError):
@@ -196,7 +207,10 @@
 
 
 def outcome_of(response: HTTPResponse, address: Address) -> OrderOutcome | None:
-    """None for an answer that leaves the order open (503 without an outcome)."""
+    """Returns the outcome in an answer, or None if the answer leaves the order open (503 without an outcome).
+
+    Raises CommandError for any other answer without an outcome.
+    """
     try:
         fields: Any = msgspec.json.decode(response.body or b"null")
     except (msgspec.MsgspecError, UnicodeError):
--- a/wingwood/command_line/daemon_status.py
+++ b/wingwood/command_line/daemon_status.py
@@ -1,4 +1,4 @@
-"""`wingwood workers`, `members` and `health`."""
+"""Commands that read the state of daemons: `wingwood workers`, `members` and `health`."""
 
 from __future__ import annotations
 
@@ -54,23 +54,27 @@
 
 
 UNPROVEN_AFTER_S = Seconds(3.0)
-"""Above what a take-over costs."""
+"""Age of the proof from which a daemon counts as unhealthy; a take-over by another primary takes less."""
 
 
 class DaemonHealth(msgspec.Struct, frozen=True, kw_only=True):
-    """One daemon asked for its health."""
+    """Health report of one daemon, or the reason why there is none."""
 
     address: Address
     health: HealthReport | None = None
     problem: str | None = None
 
     def unproven_note(self) -> str | None:
-        """What is said of a daemon that has heard no proof of lead for too long (docs/DESIGN.md section 9.3)."""
+        """Returns a note if the daemon received no proof of leadership for too long (docs/DESIGN.md section 9.3)."""
         age = None if self.health is None else self.health.bundle_proven_age
         return None if age is None or age < UNPROVEN_AFTER_S else f"no proof of lead heard for {age:.1f} s"
 
     def is_healthy(self) -> bool:
-        """Answers, is ready and, on the primary (only it can tell), control could bear another loss."""
+        """Whether the daemon answers, is ready and has a recent proof of leadership.
+
+        On the primary also whether it accepts orders and control could survive another loss; only the primary
+        knows that.
+        """
         report = self.health
         if report is None or not report.ready or self.unproven_note() is not None:
             return False
--- a/wingwood/command_line/daemons.py
+++ b/wingwood/command_line/daemons.py
@@ -1,4 +1,4 @@
-"""`wingwood router`, `wingwood control` and `wingwood settings check`."""
+"""Commands that run daemons and check their settings: `wingwood router`, `control` and `settings check`."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from .output import CommandError, print_json
 
 LIST_SETTINGS = ("seeds", "operator_keys")
-"""Settings that are lists: their flag is given once for each entry."""
+"""Settings that are lists; their flag is given once for each entry."""
 SETTINGS_WITHOUT_FLAG = ("role", *SECRETS)
-"""Not flags: the subcommand says the role, and a secret does not belong on a command line."""
+"""Settings without a flag: the subcommand determines the role, and a secret must not be on a command line."""
 FLAG_DESCRIPTIONS = {
     "name": "The daemon's name, alone in the fleet",
     "zone": "The zone it stands in",
@@ -55,6 +55,7 @@
 
 
 def _flags(command: Any) -> Any:
+    """Adds one option to a daemon's command for each setting that may be given as a flag."""
     for field in reversed(msgspec.structs.fields(DaemonSettings)):
         if field.name in SETTINGS_WITHOUT_FLAG:
             continue
@@ -74,7 +75,7 @@
 
 
 def _parse_flag(name: str, text: str) -> object:
-    """Numbers in flags become numbers; what they must be is checked with the file's keys."""
+    """Converts the text of a flag to a number or boolean; its range is checked together with the file's settings."""
     types = str(DaemonSettings.__annotations__[name])
     if types == "bool" and text in ("true", "false"):
         return text == "true"
@@ -101,6 +102,7 @@
 
 
 def load_settings(file: Path | None, flags: dict[str, object]) -> DaemonSettings:
+    """Reads settings from a file, overridden by flags; raises CommandError if they are invalid."""
     read = read_settings(file, flags)
     if isinstance(read, Failure):
         raise CommandError(str(read.failure()))
--- a/wingwood/command_line/keys.py
+++ b/wingwood/command_line/keys.py
@@ -1,4 +1,4 @@
-"""`wingwood key` and `wingwood caller-key`: operators', fleets' and callers' keys."""
+"""Commands `wingwood key` and `wingwood caller-key`, which create keys for operators, fleets and callers."""
 
 from __future__ import annotations
 
@@ -78,6 +78,7 @@
 
 
 def _write_secret(file: Path, data: bytes) -> None:
+    """Creates a file that only its owner may read; raises CommandError if it exists or can't be written."""
     try:
         descriptor = os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     except FileExistsError:
@@ -89,6 +90,7 @@
 
 
 def read_key(file: Path) -> Ed25519PrivateKey:
+    """Reads an operator's private key; raises CommandError if the file holds none."""
     try:
         private = load_pem_private_key(file.read_bytes(), password=None)
     except OSError as problem:
--- a/wingwood/command_line/main.py
+++ b/wingwood/command_line/main.py
@@ -1,4 +1,4 @@
-"""The program `wingwood`; the role or the operator's task is a subcommand."""
+"""Defines the program `wingwood`; each daemon role and each operator's task is a subcommand."""
 
 from __future__ import annotations
 
--- a/wingwood/command_line/options.py
+++ b/wingwood/command_line/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Command-line options that several commands share."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
 
 
 class AddressType(click.ParamType[Address]):
+    """A parameter of the form HOST:PORT."""
+
     name = "address"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Address:
@@ -26,6 +28,7 @@
 
 
 def to_option(command: Command) -> Command:
+    """Adds ``--to``, the operator addresses of daemons, as the argument ``addresses``."""
     return click.option(
         "--to",
         "addresses",
@@ -38,10 +41,12 @@
 
 
 def json_option(command: Command) -> Command:
+    """Adds the flag ``--json`` as the argument ``as_json``."""
     return click.option("--json", "as_json", is_flag=True, help="Print JSON for machines.")(command)
 
 
 def key_option(command: Command) -> Command:
+    """Adds ``--key``, the file of the operator's private key, as the argument ``key_file``."""
     return click.option(
         "--key",
         "key_file",
--- a/wingwood/command_line/output.py
+++ b/wingwood/command_line/output.py
@@ -1,4 +1,4 @@
-"""Tables for people, JSON for machines, exit codes (docs/COMMANDS.md)."""
+"""Prints tables for people and JSON for programs, and defines the exit codes (docs/COMMANDS.md)."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 
 
 class ExitCode(IntEnum):
+    """Exit codes that all commands share."""
+
     DONE = 0
     REFUSED = 1
-    """A file, a flag's content or an order is not right; the message says the field, the value and the mend."""
+    """A file, the value of a flag or an order is invalid; the message names the field, the value and the remedy."""
     USAGE = 2
-    """click's own: unknown command, option or type."""
+    """Set by click itself: unknown command or option, or a value of the wrong type."""
     CONFLICT = 3
-    """Another order took the version."""
+    """Another order took the version number."""
     UNKNOWN = 4
-    """No daemon said what became of the order; sending the same one again is safe."""
+    """No daemon reported the outcome of the order; sending the same order again is safe."""
     UNREACHABLE = 5
     """No daemon answered; nothing was sent."""
     UNHEALTHY = 6
-    """Something of the fleet is not as it should be."""
+    """Part of the fleet is not healthy, or a roll-out was rolled back or abandoned."""
 
 
 class CommandError(click.ClickException):
@@ -32,23 +34,30 @@
 
 
 class Conflict(CommandError):
+    """Another order took the version number or changed the same slice."""
+
     exit_code = int(ExitCode.CONFLICT)
 
 
 class OutcomeUnknown(CommandError):
+    """No daemon reported the outcome of an order that may have been received."""
+
     exit_code = int(ExitCode.UNKNOWN)
 
 
 class Unreachable(CommandError):
+    """No daemon answered."""
+
     exit_code = int(ExitCode.UNREACHABLE)
 
 
 def print_json(value: object) -> None:
+    """Prints a value as indented JSON on standard output."""
     click.echo(msgspec.json.format(msgspec.json.encode(value), indent=2).decode())
 
 
 def print_table(titles: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Columns as wide as their widest cell; numbers stand right."""
+    """Prints rows in columns as wide as their widest cell; columns of numbers are aligned to the right."""
     shown = [[_cell(value) for value in row] for row in rows]
     numbers = [bool(shown) and all(_is_number(row[column]) for row in shown) for column in range(len(titles))]
     widths = [max(len(row[column]) for row in [list(titles), *shown]) for column in range(len(titles))]
--- a/wingwood/command_line/rollout.py
+++ b/wingwood/command_line/rollout.py
@@ -1,4 +1,4 @@
-"""`wingwood rollout`: a change in stages (docs/DESIGN.md section 19)."""
+"""Commands `wingwood rollout`, which make a change in stages (docs/DESIGN.md section 19)."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class ClientAccess:
-    """``FleetAccess`` over HTTP to operator addresses."""
+    """Implements ``FleetAccess`` over HTTP to operator addresses."""
 
     def __init__(self, client: OperatorClient, private: Ed25519PrivateKey | None) -> None:
         self._client = client
@@ -91,7 +91,7 @@
 
 
 def _members(client: OperatorClient) -> list[Identity]:
-    """The longest list: whoever is cut off has lost the others."""
+    """Reads the member lists of all daemons and returns the longest: a partitioned daemon has dropped the others."""
     return client.read_highest("/control/v1/members", list[Identity], len)
 
 
@@ -198,7 +198,10 @@
 
 
 def _check_stages(client: OperatorClient, stages: Sequence[str]) -> int:
-    """Each stage must reach routers that the ones before it don't, by what control knows now. Gives the first's."""
+    """Checks that each stage but the last reaches routers that the earlier ones don't; returns the size of the first.
+
+    The check uses the routers that control lists now. Raises CommandError for a stage that reaches no further one.
+    """
     routers = _routers(client)
     reached: set[DaemonName] = set()
     for number, stage in enumerate(stages[:-1]):
@@ -231,6 +234,7 @@
 
 
 def _existing(client: OperatorClient, name: str) -> Rollout:
+    """Reads a roll-out from the latest bundle; raises CommandError if there is none of this name."""
     _, slices = latest_slices(client)
     found = read_rollouts(slices)
     if name not in found:
--- a/wingwood/command_line/rollout_table.py
+++ b/wingwood/command_line/rollout_table.py
@@ -1,4 +1,4 @@
-"""Roll-outs as a table."""
+"""Prints roll-outs as a table."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 
 def print_rollouts(rollouts: Iterable[Rollout]) -> None:
+    """Prints one row for each roll-out; of the changed slices the first three are named."""
     titles = ("rollout", "state", "stage", "stages", "watch", "changes", "reason")
     print_table(titles, [_row(rollout) for rollout in rollouts])
 
--- a/wingwood/command_line/source.py
+++ b/wingwood/command_line/source.py
@@ -1,4 +1,4 @@
-"""The operator's bundle files: TOML in, canonical slices out (docs/DESIGN.md section 5.6)."""
+"""Reads operators' bundle files in TOML into canonical slices and writes them back (docs/DESIGN.md section 5.6)."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 
 
 def _struct(part: Any) -> Callable[[Any], Any]:
-    """A table, or a list of them where ``part`` is a tuple type."""
+    """Returns a check that converts a table to the type ``part``, or a list of tables if ``part`` is a tuple type."""
 
     def check(value: Any) -> Any:
         try:
@@ -162,9 +162,11 @@
 
 
 def slice_from(kind: str, fields: Mapping[str, object], where: str) -> tuple[SliceName, bytes]:
-    """One slice from its fields; defaults are written out, so that a signed bundle never changes its meaning.
+    """Builds one slice from its fields; ``where`` names their place in error texts.
 
-    A variant's name ends in ``@zone=ZONE`` or ``@share=PERCENT``; the field itself is without that.
+    Defaults are written out, so that a signed bundle never changes its meaning. The name of a variant ends in
+    ``@zone=ZONE`` or ``@share=PERCENT``, which the field ``name`` of the slice omits. Raises CommandError for an
+    unknown, missing or invalid field.
     """
     placement_suffix = ""
     if isinstance(fields.get("name"), str):
@@ -185,7 +187,11 @@
 
 
 def read_source(path: Path) -> Slices:
-    """A TOML file, or all ``*.toml`` of a folder. Tables ``[tenant.NAME]`` or lists ``[[tenant]]`` with a name."""
+    """Reads a TOML file, or all ``*.toml`` files of a folder.
+
+    The files have tables ``[tenant.NAME]`` or lists ``[[tenant]]`` with a name. Raises CommandError for a file that
+    can't be read and for a slice that occurs twice.
+    """
     files = sorted(path.glob("*.toml")) if path.is_dir() else [path]
     if not files:
         raise CommandError(f"{path}: no *.toml file in this folder")
@@ -236,7 +242,7 @@
 
 
 def check_bundle(slices: Slices) -> Bundle:
-    """All that a daemon would check but the signature; raises Problem."""
+    """Checks all that a daemon would check except the signature; raises CommandError if the bundle is invalid."""
     root = root_digest({name: slice_digest(data) for name, data in slices.items()})
     checked = parse_bundle(msgspec.structs.replace(empty_bundle().manifest, root=root), slices)
     if isinstance(checked, Failure):
@@ -245,7 +251,7 @@
 
 
 def write_source(slices: Mapping[SliceName, bytes]) -> str:
-    """Slices as a bundle file that ``read_source`` takes; roll-outs are no part of it."""
+    """Formats slices as a bundle file that ``read_source`` accepts; roll-out records are left out."""
     blocks = []
     for kind in KINDS:
         for name in sorted(name for name in slices if name.startswith(f"{kind}/")):
@@ -258,7 +264,7 @@
 
 
 def _toml(value: object) -> str:
-    """A value on one line. TOML has no null: fields without a value are left out."""
+    """Formats a value on one line. TOML has no null, so that fields without a value are left out."""
     if isinstance(value, dict):
         fields = (f"{_quoted(str(key))} = {_toml(each)}" for key, each in value.items() if each is not None)
         return f"{{ {', '.join(fields)} }}" if value else "{}"
--- a/wingwood/replay/command.py
+++ b/wingwood/replay/command.py
@@ -1,4 +1,4 @@
-"""`wingwood replay`: a recorded day against a fleet, and two reports beside each other."""
+"""Command `wingwood replay`: replays a recorded day against a fleet, or compares two reports."""
 
 from __future__ import annotations
 
@@ -145,7 +145,7 @@
 
 
 def read_keys(file: Path) -> dict[str, str]:
-    """Raises Problem naming the file and what is not right in it."""
+    """Reads the key of each tenant; raises CommandError naming the file and the fault in it."""
     try:
         text = file.read_text()
         found = json.loads(text) if file.suffix == ".json" else tomllib.loads(text)
--- a/wingwood/replay/day.py
+++ b/wingwood/replay/day.py
@@ -1,4 +1,4 @@
-"""Reading recorded days (docs/DESIGN.md section 17)."""
+"""Reads recorded days (docs/DESIGN.md section 17)."""
 
 from __future__ import annotations
 
@@ -10,29 +10,31 @@
 from ..forward.recording import RecordedCall
 
 MAX_LINE_BYTES = 64 * 1024
-"""Longer lines are not calls."""
+"""Longest line that is read as a call; longer ones count as bad lines."""
 
 
 class DayCall(msgspec.Struct, frozen=True):
+    """One recorded call, with its time on the clock that all files share."""
+
     at: float
-    """Seconds from the day's start, over all files."""
+    """Seconds from the start of the day, which all files share."""
     source: int
-    """Which file: the router that took the call."""
+    """Index of the file, which stands for the router that took the call."""
     call: RecordedCall
 
 
 class DayStart(msgspec.Struct, frozen=True):
-    """An optional line that puts a file on the common clock; files without one begin with the day."""
+    """An optional line that places a file on the common clock; files without one begin at the start of the day."""
 
     began: float
-    """Seconds since 1970."""
+    """Start of the recording, in seconds since 1970."""
 
 
 class DayReader:
-    """The calls of several routers' files in the order of their times, read as they are needed.
+    """Iterates over the calls of several routers' files, merged by time and read lazily.
 
-    A line that is not a call is counted in ``bad_lines`` and left out. Where times go back in a file its
-    router was started again; what follows is put after the calls before it.
+    A line that is not a call is counted in ``bad_lines`` and skipped. If times go back by more than 60 s within a
+    file, its router was restarted, and the calls that follow are placed after the earlier ones.
     """
 
     def __init__(self, files: Sequence[Iterable[bytes]]) -> None:
@@ -81,7 +83,7 @@
                 continue
             if call.at + shift < last - 60.0:
                 shift = last
-            # A call is written at its end, so lines stand a little out of order.
+            # A call is written when it ends, so that lines are slightly out of order.
             last = max(last, call.at + shift)
             yield DayCall(call.at + shift, number, call), began
 
@@ -92,7 +94,10 @@
 
 
 def sort_by_time(calls: Iterable[DayCall], max_waiting: int = 50_000) -> Iterator[DayCall]:
-    """Sorted by time as far as ``max_waiting`` waiting calls allow: calls are recorded when they end."""
+    """Sorts calls by time with a buffer of ``max_waiting`` calls.
+
+    Calls are recorded when they end, so that the input is not in the order of their start.
+    """
     waiting: list[tuple[float, int, DayCall]] = []
     for number, call in enumerate(calls):
         heapq.heappush(waiting, (call.at, number, call))
--- a/wingwood/replay/player.py
+++ b/wingwood/replay/player.py
@@ -1,4 +1,4 @@
-"""Sending a recorded day's calls to a fleet again (docs/DESIGN.md section 17)."""
+"""Sends the calls of a recorded day to a fleet again (docs/DESIGN.md section 17)."""
 
 from __future__ import annotations
 
@@ -26,29 +26,35 @@
 
 
 class PlayerOptions(msgspec.Struct, frozen=True, kw_only=True):
+    """Options of a replay."""
+
     name: str = "replay"
     speed: float = 1.0
-    """Two: the day runs in half its time."""
+    """Factor of time compression; with 2 the day takes half its time."""
     start: float = 0.0
-    """Seconds into the day."""
+    """Position in the day at which the replay begins, in seconds."""
     end: float = float("inf")
     spread: Literal["as-recorded", "every-call"] = "as-recorded"
-    """Each file's calls to one router, or each call to the next one."""
+    """Whether all calls of a file go to the same router, or each call goes to the next router in turn."""
     in_flight: int = 2000
-    """Calls under way at once; further ones wait and count as late."""
+    """Maximum number of calls in flight; further calls wait and count as late."""
     shared_part: float = 0.5
-    """How much of the first seen body of a shared prefix is taken as that prefix; lengths of parts aren't recorded."""
+    """Share of a body that stands for the shared parts of its prefix.
+
+    It is applied to the first body with a prefix part, because the lengths of parts aren't recorded.
+    """
     first_byte_timeout: Seconds = Seconds(30.0)
-    """For the first byte."""
+    """Timeout for the head of the answer."""
     call_timeout: Seconds = Seconds(300.0)
-    """Of one call."""
+    """Timeout for an entire call."""
 
 
 class Player:
-    """Replays calls open loop: each is sent at its time whether or not the earlier ones are answered.
+    """Replays calls in an open loop: each is sent at its time whether or not earlier calls were answered.
 
-    ``keys`` gives each tenant's key; calls of other tenants are skipped. Bodies weren't recorded, so they
-    are filler of the recorded length: the same for the same prefix part, and growing at its end.
+    ``keys`` maps each tenant to its key; calls of other tenants are skipped. Bodies weren't recorded, so the
+    player sends filler of the recorded length: identical for the same prefix part, and extended at its end as a
+    session grows. Raises ValueError without routers or for a speed that is not positive.
     """
 
     def __init__(
@@ -72,14 +78,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.report = ReplayReport(name=options.name, speed=options.speed, in_flight_bound=options.in_flight)
         self.position_seconds = 0.0
-        """Where in the day it is, in seconds."""
+        """Time of the last call considered, in seconds from the start of the day."""
 
     @property
     def in_flight(self) -> int:
         return len(self._tasks)
 
     async def play(self, calls: Iterable[DayCall]) -> ReplayReport:
-        """Ends when every sent call has ended."""
+        """Sends the calls between ``start`` and ``end`` and returns the report when all of them have ended."""
         options, report = self._options, self.report
         began = self._clock.monotonic()
         for day_call in calls:
@@ -162,7 +168,7 @@
         return _form(contents, call)
 
     async def _read_outcome(self, call: RecordedCall, exchange: HttpExchange) -> str:
-        """Reads the answer to its end; how it looked to its caller."""
+        """Reads the answer to its end, records its figures and returns the outcome as the caller saw it."""
         service = self.report.service(call.service)
         began = self._clock.monotonic()
         try:
@@ -232,7 +238,7 @@
 
 
 class _RefusalCode(msgspec.Struct, frozen=True):
-    """What counts here of a router-made answer, whose other fields may change."""
+    """The only field that is read from an answer made by a router, so that its other fields may change."""
 
     code: str
 
--- a/wingwood/replay/report.py
+++ b/wingwood/replay/report.py
@@ -1,4 +1,4 @@
-"""What a replay measured, as a file, a table, and beside another one (docs/DESIGN.md section 17)."""
+"""Stores, prints and compares the measurements of replays (docs/DESIGN.md section 17)."""
 
 from __future__ import annotations
 
@@ -9,48 +9,58 @@
 from .timing import Timing
 
 PREFIX_HIT_AWARDS = ("award", "claim")
-"""``Wingwood-Award`` values of turns that went where their prefix was believed to be."""
+"""Values of ``Wingwood-Award`` for turns that were sent to a worker believed to have their prefix cached."""
 
 
 class ServiceReport(msgspec.Struct, kw_only=True):
+    """Measurements of the calls of one service."""
+
     calls: int = 0
     complete: int = msgspec.field(name="whole", default=0)
     outcomes: dict[str, int] = msgspec.field(default_factory=dict)
-    """By what the caller saw: whole, refused CODE, status NNN, cut, silent, no-connection."""
+    """Number of calls by the outcome that the caller saw.
+
+    Outcomes are whole, refused CODE, status NNN, cut, silent, no-connection and too-long.
+    """
     recorded_outcomes: dict[str, int] = msgspec.field(default_factory=dict)
     awards: dict[str, int] = msgspec.field(default_factory=dict)
-    """By the answer's ``Wingwood-Award``; turns with a prefix only."""
+    """Number of turns with a prefix, by the value of ``Wingwood-Award`` in the answer."""
     recorded_awards: dict[str, int] = msgspec.field(default_factory=dict)
     first_chunk: Timing = msgspec.field(name="first_piece", default_factory=Timing)
     between_chunks: Timing = msgspec.field(name="between_pieces", default_factory=Timing)
     total: Timing = msgspec.field(default_factory=Timing)
     prompt_tokens: int = 0
     cached_tokens: int = 0
-    """As workers told them."""
+    """Prompt tokens that workers reported as found in their cache."""
 
     def hit_rate(self) -> float | None:
+        """Returns the share of turns sent to their prefix in the replay; None without such turns."""
         return _hit_share(self.awards)
 
     def recorded_hit_rate(self) -> float | None:
+        """Returns the share of turns sent to their prefix on the recorded day; None without such turns."""
         return _hit_share(self.recorded_awards)
 
 
 class ReplayReport(msgspec.Struct, kw_only=True):
+    """Measurements of one replay."""
+
     name: str
     speed: float
     planned_seconds: float = 0.0
-    """Of the replayed part of the day, at that speed."""
+    """Duration of the replayed part of the day at the chosen speed, in seconds."""
     took_seconds: float = 0.0
     calls: int = 0
     skipped: dict[str, int] = msgspec.field(default_factory=dict)
-    """Calls of the day that were not sent, by why: no-key, no-tenant, refused-then."""
+    """Number of recorded calls that were not sent, by reason: no-key, no-tenant."""
     bad_lines: int = 0
     in_flight_bound: int = 0
     late: Timing = msgspec.field(default_factory=Timing)
-    """How much later than planned calls were sent; with much of it the figures are of another day."""
+    """Delay of sending calls after their planned time; if it is large, the load differed from the recorded day."""
     services: dict[str, ServiceReport] = msgspec.field(default_factory=dict)
 
     def service(self, name: str) -> ServiceReport:
+        """Returns the report of a service and creates it if there is none."""
         found = self.services.get(name)
         if found is None:
             found = self.services[name] = ServiceReport()
@@ -58,11 +68,12 @@
 
 
 def read_report(data: bytes) -> ReplayReport:
-    """Raises msgspec.MsgspecError for anything else."""
+    """Decodes a report; raises msgspec.MsgspecError if the data is not a report."""
     return msgspec.json.decode(data, type=ReplayReport)
 
 
 def write_report(report: ReplayReport) -> bytes:
+    """Encodes a report as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(report), indent=1) + b"\n"
 
 
@@ -101,13 +112,14 @@
 
 
 def format_figure(value: float | None) -> str:
+    """Formats a figure for a table; a dash stands for a missing one."""
     if value is None:
         return "-"
     return f"{value:.0f}" if value == int(value) and abs(value) < 1e9 else f"{value:.2f}"
 
 
 def report_table(report: ReplayReport) -> str:
-    """One column for each service."""
+    """Formats a report as a table with one column for each service."""
     names = sorted(report.services)
     lines = [
         f"{report.name}: {report.calls} calls at {report.speed:g} times the speed in {report.took_seconds:.1f} s;"
@@ -132,7 +144,7 @@
 
 
 def comparison_table(first: ReplayReport, second: ReplayReport) -> str:
-    """Per service and figure: both, and the change."""
+    """Formats two reports side by side: both values of each figure of each service, and the change in percent."""
     lines = [f"{'':34}  {first.name[:16]:>16}  {second.name[:16]:>16}  {'change':>9}"]
     empty = ServiceReport()
     for name in sorted({*first.services, *second.services}):
--- a/wingwood/replay/timing.py
+++ b/wingwood/replay/timing.py
@@ -1,4 +1,4 @@
-"""Durations counted in the layout of HDR histograms: equal relative width at every size."""
+"""Counts durations in the bucket layout of HDR histograms, whose relative width is equal at every size."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import msgspec
 
 PRECISION_BITS = 8
-"""256 steps for each doubling: an error below 0.4%."""
+"""256 buckets for each doubling of the value, which gives an error below 0.4%."""
 
 
 class Timing(msgspec.Struct):
-    """A histogram of durations in microseconds; as JSON it is its counts by bucket, so that results can be added up."""
+    """Histogram of microseconds; its JSON form has the count of each bucket, so that results can be added."""
 
     counts: dict[int, int] = msgspec.field(default_factory=dict)
     total: int = 0
@@ -29,7 +29,7 @@
             self.add(seconds)
 
     def percentile(self, percent: float) -> float | None:
-        """Milliseconds; None without values."""
+        """Returns the percentile in milliseconds, or None if there are no values."""
         if not self.total:
             return None
         wanted = max(1, -(-self.total * percent // 100))
@@ -41,6 +41,7 @@
         return self.highest / 1000
 
     def summary(self) -> Mapping[str, float | None]:
+        """Returns the usual percentiles and the maximum in milliseconds."""
         return {f"p{percent:g}": self.percentile(percent) for percent in (50, 95, 99)} | {
             "max": self.highest / 1000 if self.total else None
         }
--- a/wingwood/rollout/plan.py
+++ b/wingwood/rollout/plan.py
@@ -1,6 +1,6 @@
-"""Orders of a staged roll-out, worked out from the slices that are in force (docs/DESIGN.md section 19.3).
+"""Computes the orders of a staged roll-out from the slices in force (docs/DESIGN.md section 19.3).
 
-Each step is a function of the newest slices alone, so that after a conflict it is simply worked out again,
+Each step is a function of the latest slices alone, so that it can simply be computed again after a conflict,
 and any operator can take the next one.
 """
 
@@ -25,28 +25,29 @@
 
 
 class StepRefused(msgspec.Struct, frozen=True):
-    """Why a step can't be taken; ``kind`` ``conflict`` when another order or roll-out is in the way."""
+    """Reason why a step can't be taken; ``kind`` is ``conflict`` when another order or roll-out prevents it."""
 
     kind: Literal["conflict", "invalid"]
     reason: str
 
 
 Step = Callable[[Slices], Result[Slices, StepRefused]]
-"""From the newest slices to those after the step."""
+"""Computes the slices after the step from the latest slices."""
 
 
 def rollout_slice(name: str) -> SliceName:
+    """Returns the name of the slice that holds the record of a roll-out."""
     return SliceName(f"rollout/{name}")
 
 
 def read_rollouts(slices: Mapping[SliceName, bytes]) -> dict[str, Rollout]:
-    """All roll-outs that stand in a bundle, by name."""
+    """Decodes all roll-out records in a bundle; returns them by name of the roll-out."""
     found = [msgspec.json.decode(slices[name], type=Rollout) for name in sorted(slices) if name.startswith("rollout/")]
     return {rollout.name: rollout for rollout in found}
 
 
 def read_stages(text: str) -> Result[tuple[str, ...], StepRefused]:
-    """``zone=a,25%,all``; ``all`` is added at the end when it is left out."""
+    """Parses a text such as ``zone=a,25%,all``; ``all`` is appended when it is left out."""
     stages = []
     for part in (each.strip() for each in text.split(",")):
         percent = _PERCENT.fullmatch(part)
@@ -69,7 +70,7 @@
     highest_refusals: float,
     reached: int,
 ) -> Step:
-    """Puts the first stage of ``change`` in place, which has ``reached`` routers now."""
+    """Returns the step that puts the first stage of ``change`` in place; the stage has ``reached`` routers now."""
 
     def step(slices: Slices) -> Result[Slices, StepRefused]:
         current = read_rollouts(slices)
@@ -123,7 +124,10 @@
 
 
 def advance(name: str, stage: int, reached: int) -> Step:
-    """From stage ``stage`` to the next one, of ``reached`` routers; after the last one the roll-out is finished."""
+    """Returns the step from stage number ``stage`` to the next one, which has ``reached`` routers.
+
+    After the last stage the roll-out is finished.
+    """
 
     def step(slices: Slices) -> Result[Slices, StepRefused]:
         rollout = read_rollouts(slices).get(name)
@@ -139,7 +143,10 @@
 
 
 def roll_back(name: str, reason: str) -> Step:
-    """Everything as it was before, as a new version; also after it was finished, while nothing else changed it."""
+    """Returns the step that restores all slices of the roll-out in a new version.
+
+    A finished roll-out can be rolled back too, as long as none of its slices was changed since.
+    """
 
     def step(slices: Slices) -> Result[Slices, StepRefused]:
         rollout = read_rollouts(slices).get(name)
@@ -157,7 +164,7 @@
 
 
 def forget(name: str) -> Step:
-    """Takes the record of a finished or rolled back roll-out out of the bundle."""
+    """Returns the step that removes the record of a finished or rolled-back roll-out from the bundle."""
 
     def step(slices: Slices) -> Result[Slices, StepRefused]:
         rollout = read_rollouts(slices).get(name)
@@ -169,7 +176,7 @@
 
 
 def _replaced(slices: Slices, before: Rollout | None, after: Rollout) -> Slices:
-    """The slices with the roll-out's own part of them moved from one state to the other."""
+    """Returns the slices with the roll-out's variants, changes and record moved from state ``before`` to ``after``."""
     result = dict(slices)
     if before is not None and before.state == "running":
         for name in wanted_slices(before):
@@ -184,7 +191,10 @@
 
 
 def preserve_rollouts(current: Mapping[SliceName, bytes], wanted: Slices) -> Slices:
-    """``wanted`` from an operator's source, with the roll-outs of the bundle in force and their variants."""
+    """Adds the roll-out records of the bundle in force, and the variants of running ones, to ``wanted``.
+
+    ``wanted`` comes from an operator's source, which holds no roll-outs.
+    """
     preserved = {name: data for name, data in current.items() if name.startswith("rollout/")}
     for rollout in read_rollouts(current).values():
         if rollout.state == "running":
--- a/wingwood/rollout/runner.py
+++ b/wingwood/rollout/runner.py
@@ -1,7 +1,8 @@
-"""Takes a roll-out through its stages, or back (docs/DESIGN.md section 19.4).
+"""Advances a roll-out through its stages, or rolls it back (docs/DESIGN.md section 19.4).
 
-It runs at an operator's, since only operators can sign. All that it must know to go on stands in the bundle;
-what it remembers itself is since when it has been watching, and whoever takes over watches the stage anew.
+The runner is a process of an operator, since only operators can sign orders. All the state that it needs is in
+the bundle. It holds only the time since which it has been watching, so another runner that takes over starts
+the watch of the stage again.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 from .watch import FleetStatus, Verdict, count_stage_routers, judge, too_many_unavailable
 
 MAX_CONFLICTS = 20
-"""Conflicts with other orders in a row."""
+"""Consecutive conflicts with other orders after which a step is abandoned."""
 
 
 class Unavailable(msgspec.Struct, frozen=True):
-    """No daemon answered, or none said what became of the order."""
+    """No daemon answered, or the answers left the outcome of the order unknown."""
 
     reason: str
 
@@ -33,15 +34,19 @@
 
 
 class FleetAccess(Protocol):
-    """How an operator reaches the fleet."""
+    """The calls that an operator makes to the fleet."""
 
-    async def latest(self) -> Result[tuple[BundleVersion, Slices], Unavailable]: ...
+    async def latest(self) -> Result[tuple[BundleVersion, Slices], Unavailable]:
+        """Reads the latest bundle version that can be reached, and its slices."""
+        ...
 
     async def submit(self, base: BundleVersion, before: Slices, after: Slices) -> Result[OrderOutcome, Unavailable]:
-        """Signs and sends one order, again and again until its outcome is known or patience is over."""
+        """Signs one order and sends it repeatedly until its outcome is known or the wait limit is reached."""
         ...
 
-    async def observe(self) -> Result[FleetStatus, Unavailable]: ...
+    async def observe(self) -> Result[FleetStatus, Unavailable]:
+        """Reads the member list and the status of every router."""
+        ...
 
 
 class Ended(msgspec.Struct, frozen=True):
@@ -55,7 +60,7 @@
 
 
 async def take_step(access: FleetAccess, step: Step) -> Result[OrderOutcome, StepRefused | Unavailable]:
-    """One order by compare-and-set; after a conflict the step is worked out anew on the version that won."""
+    """Submits one step as a compare-and-set order; after a conflict it is computed again on the version that won."""
     for _ in range(MAX_CONFLICTS):
         match await access.latest():
             case Success((version, before)):
@@ -80,7 +85,11 @@
 
 
 class RolloutRunner:
-    """``report_progress`` gets a line whenever something new is to be told. Times are the running loop's."""
+    """Watches one roll-out and advances it or rolls it back.
+
+    ``report_progress`` receives a line whenever the state changes. Times are those of the running event loop.
+    A stage without a decision for its watch time plus ``stage_timeout`` ends the run.
+    """
 
     def __init__(
         self,
@@ -89,7 +98,7 @@
         report_progress: Callable[[str], None],
         min_calls: int = 10,
         poll_interval: Seconds = Seconds(1.0),  # noqa: B008 - a number
-        stage_timeout: Seconds = Seconds(600.0),  # noqa: B008 - how long a stage may take beyond its watch
+        stage_timeout: Seconds = Seconds(600.0),  # noqa: B008 - how long a stage may take beyond its watch time
     ) -> None:
         self._access = access
         self._name = name
@@ -101,17 +110,17 @@
         self._stage: int | None = None
         self._version = BundleVersion(0)
         self._latest_version = BundleVersion(0)
-        """The newest seen: a daemon that is cut off answers from what it held then."""
+        """Latest version seen so far: a partitioned daemon answers with the older one that it holds."""
         self._stage_entered_at = 0.0
         self._stage_time_limit = stage_timeout
         self._routers: dict[DaemonName, Identity] = {}
-        """All seen since the stage was entered."""
+        """All routers that were seen since the stage was entered."""
         self._baseline: FleetStatus | None = None
         self._watch_started_at = 0.0
         self._unavailable_since: float | None = None
 
     async def run(self) -> Ended:
-        """Until the roll-out is finished or rolled back, by this runner or by anyone."""
+        """Runs until the roll-out is finished or rolled back, by this runner or by any other operator."""
         clock = asyncio.get_running_loop().time
         self._stage_entered_at = clock()
         while True:
@@ -147,7 +156,7 @@
 
     def _judge_stage(self, rollout: Rollout, version: BundleVersion, fleet_status: FleetStatus, now: float) -> Verdict:
         if self._stage != rollout.stage:
-            # Whoever put this stage in place: what is newest now holds it.
+            # Whichever operator put this stage in place, the latest version contains it.
             self._stage, self._version, self._baseline, self._unavailable_since = rollout.stage, version, None, None
             self._stage_entered_at, self._stage_time_limit = now, Seconds(rollout.watch + self._stage_timeout)
             self._routers = {}
--- a/wingwood/rollout/watch.py
+++ b/wingwood/rollout/watch.py
@@ -1,4 +1,4 @@
-"""How a stage does, judged from what its routers say of themselves (docs/DESIGN.md section 19.4)."""
+"""Judges the stage of a roll-out by the health and the metrics of its routers (docs/DESIGN.md section 19.4)."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 from ..transport.frames import Identity
 
 MIN_BAD_CALLS = 5
-"""So many bad calls before a share of them says anything."""
+"""Failures (or refusals) that a stage must have before their share is judged: below that, a share says nothing."""
 MAX_RATIO_TO_REST = 1.5
-"""The stage is to blame when it does so many times worse than the rest of the fleet."""
+"""The stage is rolled back only when its share of bad calls exceeds this multiple of the share elsewhere.
+
+Below that, the entire fleet does badly and the change is not the cause.
+"""
 MAX_UNAVAILABLE_SHARE = 1 / 3
-"""Share of a stage's routers that may be lost or not ready: machines fail on ordinary days too."""
+"""Share of a stage's routers that may be unreachable or not ready: machines also fail on ordinary days."""
 
 MAX_UNAVAILABLE_S = Seconds(10.0)
-"""A frozen machine or a short cut is no reason to roll back."""
+"""Time for which too many routers may be unavailable: a frozen machine or a short partition causes no rollback."""
 
 CALLER_FAULT_OUTCOMES = frozenset(
     [
@@ -46,7 +49,7 @@
         "cut-caller-gone",
     ]
 )
-"""Outcomes that a caller brought on itself; they don't count at all."""
+"""Outcomes that the caller caused itself; such calls are not counted at all."""
 REFUSAL_OUTCOMES = frozenset(
     [
         "crowded",
@@ -60,15 +63,18 @@
         "router-stopping",
     ]
 )
-"""Outcomes ``not-run`` for want of room or proof; ``workers-...`` too. The rest but ``answered`` are failures."""
+"""Outcomes of calls that were not run for lack of capacity or of a proof that the bundle is the latest.
+
+Outcomes that begin with ``workers-`` count as refusals too. All others but ``answered`` are failures.
+"""
 
 Routers = Mapping[DaemonName, Identity]
 Counts = Mapping[tuple[str, str], float]
-"""Calls by service and outcome."""
+"""Number of calls by service and outcome."""
 
 
 class RouterStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One router at one moment."""
+    """State and call counters of one router at one moment."""
 
     incarnation: Incarnation
     ready: bool
@@ -77,7 +83,7 @@
 
 
 class FleetStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The routers that control takes for members, and what each said; None: no answer."""
+    """The members that control lists, and the status that each router reported; None for a router without an answer."""
 
     members: tuple[Identity, ...]
     router_statuses: Mapping[DaemonName, RouterStatus | None]
@@ -87,6 +93,8 @@
 
 
 class CallSummary(msgspec.Struct, frozen=True, kw_only=True):
+    """Number of calls between two observations, and how many of them failed or were refused."""
+
     calls: float = 0.0
     failures: float = 0.0
     refusals: float = 0.0
@@ -101,12 +109,15 @@
 
 class Verdict(msgspec.Struct, frozen=True, kw_only=True):
     action: Literal["wait", "begin-anew", "go-on", "roll-back"]
-    """``begin-anew``: the time of watching starts again, since it would show nothing of the change."""
+    """What the runner does next.
+
+    ``begin-anew`` restarts the watch, because the time watched so far says nothing about the change.
+    """
     reason: str
 
 
 def read_counts(text: str) -> Counts:
-    """``wingwood_calls_total`` from a router's /metrics."""
+    """Extracts ``wingwood_calls_total`` from the text of a router's ``/metrics``."""
     return {
         (sample.labels["service"], sample.labels["outcome"]): sample.value
         for family in text_string_to_metric_families(text)
@@ -116,12 +127,13 @@
 
 
 def in_stage(rollout: Rollout, stage: int, member: Identity) -> bool:
+    """Whether a member belongs to the stage with this index or to an earlier one."""
     place = Place(member.zone, member.name)
     return any(whom == ALL or fits(whom, place) for whom in rollout.stages[: stage + 1])
 
 
 def changed_services(rollout: Rollout) -> frozenset[str] | None:
-    """Services whose calls tell of the change; None: all."""
+    """Returns the services whose calls the change affects; None means all services."""
     names: set[str] = set()
     for change in rollout.changes:
         kind, _, bare = change.slice.partition("/")
@@ -134,7 +146,10 @@
 def summarize_calls(
     names: Sequence[DaemonName], before: FleetStatus, after: FleetStatus, services: frozenset[str] | None
 ) -> CallSummary:
-    """Calls between two router_statuses. A router that restarted meanwhile counts from its start."""
+    """Sums the calls of the named routers between two observations.
+
+    A router that restarted in between started its counters at zero, so its counts are taken in full.
+    """
     calls = failures = refusals = 0.0
     for name in names:
         then, now = before.router_statuses.get(name), after.router_statuses.get(name)
@@ -163,10 +178,12 @@
     unavailable_for: Seconds,
     min_calls: int,
 ) -> Verdict:
-    """What to do about the stage reached.
+    """Decides what to do about the current stage.
 
-    ``version`` put the stage in place; ``routers``: all seen since then. ``before`` was seen when the watch
-    began, ``watched`` ago. ``unavailable_for``: how long too many of the stage have been away.
+    ``version`` is the bundle version that put the stage in place, and ``routers`` are all that were seen since
+    then. ``before`` was observed when the watch started, ``watched`` seconds ago. ``unavailable_for`` is the time
+    for which too many routers of the stage have been unavailable. The watch is extended until the stage has had
+    ``min_calls`` calls.
     """
     stage, rest = split_routers(rollout, routers)
     if not stage and not rollout.reached:
@@ -214,19 +231,23 @@
 
 
 def split_routers(rollout: Rollout, routers: Routers) -> tuple[list[DaemonName], list[DaemonName]]:
-    """The stage's routers and the others, each by name."""
+    """Splits the routers into those of the stage and the others; both lists are sorted by name."""
     stage = [name for name in sorted(routers) if in_stage(rollout, rollout.stage, routers[name])]
     return stage, [name for name in sorted(routers) if name not in stage]
 
 
 def too_many_unavailable(rollout: Rollout, routers: Routers, now: FleetStatus) -> bool:
+    """Whether more of the stage's routers are unavailable than ``MAX_UNAVAILABLE_SHARE`` allows.
+
+    Routers that control no longer lists count too: ``rollout.reached`` says how many the stage had.
+    """
     stage, _ = split_routers(rollout, routers)
     total = max(len(stage), rollout.reached)
     return total - sum(_serves(now, name) for name in stage) > MAX_UNAVAILABLE_SHARE * total
 
 
 def count_stage_routers(rollout: Rollout, stage: int, routers: Iterable[Identity]) -> int:
-    """How many of the routers belong to the stage; 0 beyond the last one."""
+    """Counts the routers that belong to the stage; returns 0 for a stage beyond the last one."""
     return 0 if stage >= len(rollout.stages) else sum(in_stage(rollout, stage, each) for each in routers)
 
 
