--- a/wingwood/command_line/daemon_status.py
+++ b/wingwood/command_line/daemon_status.py
@@ -35,8 +35,10 @@
     rows = []
     for worker in found:
         load = worker.load
-        told = (load.running, load.waiting, load.cache_tokens_used) if load else (None, None, None)
-        rows.append((worker.instance, worker.pool, worker.zone, worker.address, worker.state, worker.slots, *told))
+        load_figures = (load.running, load.waiting, load.cache_tokens_used) if load else (None, None, None)
+        rows.append(
+            (worker.instance, worker.pool, worker.zone, worker.address, worker.state, worker.slots, *load_figures)
+        )
     print_table(titles, rows)
 
 
--- a/wingwood/command_line/tests/fake_daemons.py
+++ b/wingwood/command_line/tests/fake_daemons.py
@@ -1,4 +1,4 @@
-"""Daemons' operator addresses on real sockets, in a thread, over one bundle state."""
+"""Fake daemons: operator addresses on real sockets, served by a thread and backed by one bundle state."""
 
 from __future__ import annotations
 
@@ -42,12 +42,17 @@
 
 
 class DiscardingLog:
+    """A log that discards all events."""
+
     def event(self, name: str, **fields: object) -> None:
         pass
 
 
 class FakeDaemons(Collector):
-    """``daemons`` addresses from ``first_port`` up. Those in ``losing_answers`` decide an order and lose the answer."""
+    """Serves ``daemons`` addresses from ``first_port`` upwards.
+
+    Those in ``losing_answers`` decide an order but close the connection before they answer.
+    """
 
     def __init__(self, operator_keys: Sequence[str], first_port: int, daemons: int = 2) -> None:
         self.state = BundleState(operator_keys)
@@ -55,15 +60,15 @@
         self.losing_answers: set[Address] = set()
         self.orders: list[tuple[Address, Order]] = []
         self.competing_order: Order | None = None
-        """Another operator's order, decided right before the next one."""
+        """Order of another operator that is decided just before the next order."""
         self.cut_off: set[Address] = set()
-        """Daemons that cannot ask control and hold nothing themselves."""
+        """Daemons that can't reach control and hold no bundle themselves."""
         self.proven_age: Seconds | None = None
         self.complete = True
         self.routers = False
-        """Whether members shows router-a and router-b, of one zone each; the daemons answer for them."""
+        """Whether the member list shows router-a and router-b in zones a and b; the daemons answer in their place."""
         self.failing = False
-        """Whether calls through router-a fail from now on."""
+        """Whether router-a counts as many failed calls as successful ones."""
         self._counted = 0
         self.servers: dict[Address, OperatorServer] = {}
         self._loop = asyncio.new_event_loop()
@@ -83,7 +88,7 @@
         self._loop.close()
 
     def collect(self) -> Iterator[Metric]:
-        """Ten calls more at each look, of which half fail while ``failing``."""
+        """Counts ten more successful calls at each scrape, and as many failed ones while ``failing`` is set."""
         self._counted += 10
         counted = CounterMetricFamily("wingwood_calls", "Calls by outcome", labels=("service", "outcome"))
         counted.add_metric(("chat", "answered"), self._counted)
--- a/wingwood/command_line/tests/test_command_line.py
+++ b/wingwood/command_line/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The operators' command line against stand-in daemons (docs/COMMANDS.md)."""
+"""Tests of the operators' command line against fake daemons on real sockets (docs/COMMANDS.md)."""
 
 from __future__ import annotations
 
@@ -33,6 +33,8 @@
 
 
 class CommandCase(unittest.TestCase):
+    """Runs commands in a temporary working folder that holds an operator's key."""
+
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -65,14 +67,16 @@
 
 
 class KeysTest(CommandCase):
-    def test_a_private_key_is_for_its_owner_and_never_written_over(self) -> None:
+    """Guards against private keys that others can read or that are overwritten, and against wrong digests."""
+
+    def test_private_key_is_readable_by_its_owner_only_and_never_overwritten(self) -> None:
         self.assertEqual(stat.S_IMODE(self.operator.stat().st_mode), 0o600)
         self.assertIn("never written over", self.run_("key", "new", str(self.operator), code=1).output)
         shown = self.run_("key", "show", str(self.operator)).output.strip()
         self.assertEqual(shown, public_hex(read_key(self.operator)))
         self.assertIn("not an operator's key", self.run_("key", "show", self.write("x", "y"), code=1).output)
 
-    def test_a_callers_key_and_its_digest_go_together(self) -> None:
+    def test_digest_printed_with_a_caller_key_matches_the_key(self) -> None:
         made = self.json_("caller-key", "new")
         self.assertEqual(key_digest(made["key"]), made["digest"])
         made = self.json_("key", "new", "--fleet", "fleet.key")
@@ -80,7 +84,9 @@
 
 
 class SourceTest(CommandCase):
-    def test_examples_are_in_order_and_survive_being_written_out(self) -> None:
+    """Guards against invalid bundle sources and settings that are accepted or refused without a usable reason."""
+
+    def test_examples_are_valid_and_unchanged_after_writing_and_reading(self) -> None:
         for name in ("despensa", "sabarmati"):
             source = EXAMPLES / f"{name}.toml"
             self.assertIn(
@@ -94,7 +100,7 @@
         for name in ("router", "control"):
             self.assertIn("in order", self.run_("settings", "check", str(EXAMPLES / f"{name}-settings.toml")).output)
 
-    def test_a_wrong_source_says_file_field_value_and_mend(self) -> None:
+    def test_error_for_an_invalid_source_names_file_field_value_and_remedy(self) -> None:
         service = '[service.chat]\npool = "m"\n'
         for text, said in (
             ("[door.x]\n", "door is unknown; use [service.NAME]"),
@@ -115,13 +121,19 @@
             self.write(name, service)
         self.assertIn("service/chat stands in parts/one.toml too", self.run_("bundle", "check", "parts", code=1).output)
 
-    def test_daemons_do_not_start_on_wrong_settings(self) -> None:
+    def test_daemons_refuse_to_start_with_invalid_settings(self) -> None:
         wrong = self.write("s.toml", 'name = "r"\ncolour = 1\n')
         self.assertIn("s.toml: colour: unknown key", self.run_("router", "--settings", wrong, code=1).output)
         self.assertIn("flag --stop-within", self.run_("control", "--stop-within", "soon", code=1).output)
 
 
 class OrderTest(CommandCase):
+    """Guards against lost, doubled or overwritten changes.
+
+    They can arise when another operator's order comes first, when an answer is lost after the order was decided, or
+    when a partitioned daemon answers with outdated state.
+    """
+
     def push(self, fleet: FakeDaemons, *more: str, code: int = 0) -> Result:
         source = str(EXAMPLES / "despensa.toml")
         return self.run_("bundle", "push", source, "--key", str(self.operator), *fleet.to, *more, code=code)
@@ -155,7 +167,7 @@
         self.run_("bundle", "push", source, "--key", str(self.operator), *fleet.to)
         self.assertEqual(fleet.state.slices_at(BundleVersion(4)), read_source(EXAMPLES / "despensa.toml"))
 
-    def test_wrong_changes_are_refused_before_anything_is_sent(self) -> None:
+    def test_invalid_changes_are_refused_before_an_order_is_sent(self) -> None:
         fleet = self.start_fake_daemons()
         self.push(fleet)
         for flag, value, said in (
@@ -182,7 +194,7 @@
         self.assertEqual(len(fleet.orders), 1)
 
     def race(self, fleet: FakeDaemons, part: str) -> None:
-        """Lets another operator win the next version with a change of ``part``."""
+        """Makes the next order conflict: another operator's order that changes slice ``part`` is decided before it."""
         before = fleet.state.slices_at(fleet.state.version) or {}
         name = SliceName(part)
         after = {**before, name: before[name].replace(b'"weight":4.0', b'"weight":5.0').replace(b":15.0", b":16.0")}
@@ -191,7 +203,7 @@
             fleet.state.version, before, after, f"theirs-{part}", read_key(self.operator)
         )
 
-    def test_the_loser_of_a_race_is_told_who_won_and_may_rebase(self) -> None:
+    def test_conflict_names_the_order_that_won_and_can_be_rebased(self) -> None:
         fleet = self.start_fake_daemons()
         self.push(fleet)
         self.race(fleet, "class/gold")
@@ -207,7 +219,7 @@
         both = self.change(fleet, "--set", "tenant/riders.burst=4", "--rebase", code=3).output
         self.assertIn("tenant/riders was changed by the other order too", both)
 
-    def test_after_a_lost_answer_the_same_order_goes_to_the_next_daemon(self) -> None:
+    def test_same_order_is_sent_to_the_next_daemon_after_a_lost_answer(self) -> None:
         fleet = self.start_fake_daemons()
         fleet.losing_answers.add(fleet.addresses[0])
         printed = self.push(fleet)
@@ -217,7 +229,7 @@
         self.assertEqual(fleet.orders[0][1], fleet.orders[1][1])
         self.assertEqual(fleet.state.version, 1)
 
-    def test_without_any_answer_the_outcome_is_unknown_and_the_order_is_kept(self) -> None:
+    def test_outcome_is_unknown_and_the_order_is_saved_without_any_answer(self) -> None:
         fleet = self.start_fake_daemons(1)
         fleet.losing_answers.add(fleet.addresses[0])
         printed = self.push(fleet, "--patience", "0", code=4).output
@@ -232,7 +244,7 @@
         self.assertEqual(self.json_("bundle", "push", kept.name, *again.to)["version"], 1)
         self.assertEqual(self.json_("bundle", "push", kept.name, *again.to)["outcome"], "accepted")
 
-    def test_a_daemon_that_cannot_ask_control_is_passed_over(self) -> None:
+    def test_daemon_without_connection_to_control_is_skipped(self) -> None:
         fleet = self.start_fake_daemons()
         self.push(fleet)
         fleet.cut_off.add(fleet.addresses[0])
@@ -242,7 +254,7 @@
         self.run_("rollout", *start, "--key", str(self.operator), *fleet.to)
         self.assertIn("router-b", self.run_("rollout", "status", "x", *fleet.to).output)
 
-    def test_an_order_signed_elsewhere(self) -> None:
+    def test_signed_order_file_is_pushed_refused_on_conflict_and_checked(self) -> None:
         fleet = self.start_fake_daemons()
         source, signed = str(EXAMPLES / "sabarmati.toml"), str(self.folder / "signed")
         sign = ("bundle", "sign", source, "--key", str(self.operator), "--output", signed)
@@ -259,7 +271,7 @@
             "not a signed order", self.run_("bundle", "push", self.write("odd", "x"), *fleet.to, code=1).output
         )
 
-    def test_a_rebase_keeps_both_changes_and_removals(self) -> None:
+    def test_rebase_preserves_the_changes_of_both_orders_and_refuses_overlaps(self) -> None:
         one, two, three = SliceName("a"), SliceName("b"), SliceName("c")
         base = {one: b"1", two: b"2", three: b"3"}
         self.assertEqual(rebase(base, {one: b"9", two: b"2"}, {**base, two: b"8"}), {one: b"9", two: b"8"})
@@ -269,7 +281,9 @@
 
 
 class SilentDaemonTest(unittest.TestCase):
-    def test_a_daemon_that_was_silent_once_is_asked_last_from_then_on(self) -> None:
+    """Guards against a frozen daemon that delays every call because it is asked first each time."""
+
+    def test_daemon_without_an_answer_is_asked_last_afterwards(self) -> None:
         asked: list[str] = []
 
         class Client(OperatorClient):
@@ -289,8 +303,10 @@
         self.assertEqual(asked, ["1 read", "2 read", "2 read", "2 order"])
 
 
-class LookingTest(CommandCase):
-    def test_workers_members_and_health(self) -> None:
+class DaemonStatusTest(CommandCase):
+    """Guards against an unhealthy or unreachable daemon that is reported with exit code 0."""
+
+    def test_workers_members_and_health_print_state_and_exit_codes(self) -> None:
         fleet = self.start_fake_daemons()
         self.assertIn("w1", self.run_("workers", *fleet.to).output)
         self.assertEqual(self.json_("members", *fleet.to)[0]["name"], "control-1")
@@ -309,6 +325,11 @@
 
 
 class RolloutTest(CommandCase):
+    """Guards against roll-outs that start invalid, skip a stage or don't restore the bundle.
+
+    Also guards against ordinary orders that remove or change the record or the variants of a running roll-out.
+    """
+
     def setUp(self) -> None:
         super().setUp()
         self.fleet = self.start_fake_daemons()
@@ -342,7 +363,7 @@
         self.assertEqual(self.fleet.state.slices_at(BundleVersion(6)), read_source(EXAMPLES / "despensa.toml"))
         self.assertIn("no roll-outs", self.run_("rollout", "status", *self.fleet.to).output)
 
-    def test_wrong_starts_are_refused_before_anything_is_sent(self) -> None:
+    def test_invalid_starts_are_refused_before_an_order_is_sent(self) -> None:
         for arguments, said, code in (
             (
                 ("--set", "service/chat.pool=x", "--stages", "zone=z,all"),
@@ -359,7 +380,7 @@
         self.assertIn("there is no rollout/new", self.rollout("go-on", "new", code=1))
         self.assertEqual(len(self.fleet.orders), 1)
 
-    def test_ordinary_orders_while_it_runs(self) -> None:
+    def test_ordinary_orders_leave_a_running_rollout_in_place(self) -> None:
         self.start()
         said = self.run_("bundle", "change", "--set", "service/chat.deadline=9", *self.signed, code=1).output
         self.assertIn("wingwood rollout roll-back patience", said)
@@ -373,7 +394,7 @@
         other = ("start", "other", "--set", "service/chat.pool=x", "--stages", "zone=a")
         self.assertIn("service/chat is in rollout/patience", self.rollout(*other, code=3))
 
-    def test_variants_of_ones_own_in_sources_and_changes(self) -> None:
+    def test_variants_of_operators_are_set_changed_and_written_to_sources(self) -> None:
         part = self.write("part.toml", '[class."gold@zone=b"]\nweight = 7\n')
         self.run_("bundle", "change", "--file", part, *self.signed)
         self.run_("bundle", "change", "--set", "class/gold@zone=b.weight=8", *self.signed)
--- a/wingwood/replay/report.py
+++ b/wingwood/replay/report.py
@@ -79,7 +79,7 @@
 
 def _hit_share(awards: dict[str, int]) -> float | None:
     total = sum(awards.values())
-    return sum(awards.get(how, 0) for how in PREFIX_HIT_AWARDS) / total if total else None
+    return sum(awards.get(award, 0) for award in PREFIX_HIT_AWARDS) / total if total else None
 
 
 def _refused(service: ServiceReport) -> float | None:
--- a/wingwood/replay/tests/test_replay.py
+++ b/wingwood/replay/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Reading days, replaying them on simulated time, reports (docs/DESIGN.md section 17)."""
+"""Tests of reading recorded days, replaying them in simulated time and reporting (docs/DESIGN.md section 17)."""
 
 from __future__ import annotations
 
@@ -39,6 +39,8 @@
 
 
 class DayTest(unittest.TestCase):
+    """Guards against a wrong order of calls: files have different starts, truncated lines and restarted routers."""
+
     def test_files_are_merged_by_time_and_bad_lines_counted(self) -> None:
         reader = DayReader(
             [
@@ -49,19 +51,21 @@
         self.assertEqual([(call.at, call.source) for call in reader], [(0.5, 1), (1.0, 0), (1.5, 1)])
         self.assertEqual(reader.bad_lines, 2)
 
-    def test_a_start_line_puts_files_on_one_clock(self) -> None:
+    def test_start_lines_place_files_on_a_common_clock(self) -> None:
         reader = DayReader(
             [[b'{"began": 1000.0}', *lines(recorded(5.0))], [b'{"began": 1010.0}', *lines(recorded(1.0))]]
         )
         self.assertEqual([(call.at, call.source) for call in reader], [(5.0, 0), (11.0, 1)])
 
-    def test_a_router_that_was_started_again_goes_on_after_its_earlier_calls(self) -> None:
+    def test_calls_of_a_restarted_router_follow_its_earlier_calls(self) -> None:
         reader = DayReader([lines(recorded(500.0), recorded(499.0), recorded(1.0))])
         self.assertEqual([call.at for call in sort_by_time(reader)], [499.0, 500.0, 501.0])
 
 
 class TimingTest(unittest.TestCase):
-    def test_percentiles_are_right_within_half_a_percent(self) -> None:
+    """Guards against percentiles that are distorted by the width of the buckets."""
+
+    def test_percentiles_are_exact_within_half_a_percent(self) -> None:
         timing = Timing()
         timing.add_all(number / 1000 for number in range(1, 10_001))
         for percent in (1, 50, 95, 99, 100):
@@ -72,7 +76,7 @@
 
 
 class FakeRouter(RequestHandler):
-    """A router that streams three pieces, or does what the path's last part says."""
+    """Fake router that streams three chunks, or fails in the manner that the last part of the path names."""
 
     async def post(self, what: str) -> None:
         self.application.settings["seen"].append((self.request.headers, self.request.body))
@@ -96,10 +100,12 @@
 
 
 class PlayerTest(unittest.TestCase):
+    """Guards against a replay that sends other calls, times or bodies than recorded, or misjudges the answers."""
+
     def play(
         self, calls: Sequence[DayCall], **options: object
     ) -> tuple[ReplayReport, dict[str, list[tuple[dict[str, str], bytes]]]]:
-        """Against two stand-ins for routers; what each saw."""
+        """Replays calls against two fake routers; returns the report and the requests that each router received."""
         with World(seed=3) as world:
             seen: dict[str, list[tuple[dict[str, str], bytes]]] = {"r0": [], "r1": []}
             for name, calls_seen in seen.items():
@@ -131,7 +137,7 @@
             self.assertEqual(world.broken_invariants, [])
             return reports[0], seen
 
-    def test_calls_go_at_their_times_with_their_keys_and_prefixes(self) -> None:
+    def test_calls_are_sent_at_their_times_with_the_keys_of_their_tenants(self) -> None:
         calls = [DayCall(float(number), number % 2, recorded(float(number), tokens=3)) for number in range(10)]
         calls += [DayCall(10.0, 0, recorded(10.0, tenant="other")), DayCall(10.0, 0, recorded(10.0, tenant=""))]
         report, seen = self.play(calls, speed=2.0, start=2.0, end=11.0)
@@ -145,7 +151,7 @@
         self.assertEqual(len({headers["Idempotency-Key"] for headers, _ in seen["r0"]}), 4)
         self.assertIn(msgspec.json.decode(body)["max_tokens"], (3,))
 
-    def test_the_same_prefix_part_gets_the_same_text_and_sessions_grow_at_their_end(self) -> None:
+    def test_same_prefix_part_has_the_same_text_and_sessions_grow_at_the_end(self) -> None:
         prefixes = (("ab", "cd"), ("ab", "ef"), ("ab", "cd"))
         calls = [
             DayCall(float(number), 0, recorded(float(number), prefix=prefix, body_bytes=400 + 100 * number, tokens=1))
@@ -158,7 +164,7 @@
         self.assertEqual(contents[0][0], contents[1][0])
         self.assertTrue(contents[2][1].startswith(contents[0][1]))
 
-    def test_what_callers_saw_is_told_by_outcome(self) -> None:
+    def test_calls_are_counted_by_the_outcome_that_callers_saw(self) -> None:
         paths = ("whole", "whole", "refuse", "broken", "unended", "slow")
         calls = [
             DayCall(0.1 * number, 0, recorded(0.1 * number, path=f"/v1/{path}", prefix=("s",), how="bid", tokens=3))
@@ -173,7 +179,7 @@
         assert gap is not None
         self.assertAlmostEqual(gap, 50.0, delta=5.0)
 
-    def test_calls_under_way_are_bounded_and_the_wait_shows_as_late(self) -> None:
+    def test_calls_in_flight_are_bounded_and_waiting_counts_as_late(self) -> None:
         calls = [DayCall(0.0, 0, recorded(0.0, tokens=1)) for _ in range(9)]
         report, _ = self.play(calls, in_flight=3)
         self.assertEqual(report.calls, 9)
@@ -183,6 +189,8 @@
 
 
 class ReportTest(unittest.TestCase):
+    """Guards against figures that change when a report is stored, printed or compared."""
+
     def report(self, name: str, milliseconds: float) -> ReplayReport:
         report = ReplayReport(name=name, speed=1.0, calls=2)
         service = report.service("chat")
@@ -191,7 +199,7 @@
         service.first_chunk.add(milliseconds / 1000)
         return report
 
-    def test_reports_are_read_back_shown_and_compared(self) -> None:
+    def test_reports_are_read_back_printed_and_compared(self) -> None:
         first, second = self.report("before", 100.0), self.report("after", 150.0)
         self.assertEqual(read_report(write_report(first)), first)
         self.assertIn("refused all-full", report_table(first))
@@ -200,7 +208,7 @@
         self.assertRegex(shown, r"chat hit rate % +75 +75 +\+0.0%")
         self.assertNotIn("Not alike", shown)
 
-    def test_the_command_compares_files_and_says_what_is_wrong_with_one(self) -> None:
+    def test_command_compares_reports_and_names_a_file_that_is_no_report(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             files = [Path(folder, name) for name in ("a.json", "b.json", "c.json")]
             files[0].write_bytes(write_report(self.report("before", 1.0)))
--- a/wingwood/rollout/tests/test_rollout.py
+++ b/wingwood/rollout/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Steps, judgement and loop of staged roll-outs (docs/DESIGN.md section 19)."""
+"""Tests of the steps, the judgement and the runner of staged roll-outs (docs/DESIGN.md section 19)."""
 
 from __future__ import annotations
 
@@ -62,13 +62,18 @@
 
 
 class PlanTest(unittest.TestCase):
-    def test_stages_as_operators_write_them(self) -> None:
+    """Guards against steps that skip a stage, overwrite another change or don't restore the bundle.
+
+    They can arise when two operators act on the same roll-out, or when other orders come in between.
+    """
+
+    def test_stages_are_parsed_in_the_notation_of_operators(self) -> None:
         self.assertEqual(read_stages("zone=a, 25%").unwrap(), ("zone=a", "share=25", "all"))
         self.assertEqual(read_stages("100%").unwrap(), ("all",))
         for wrong in ("zone-a", "0%", "", "share=x"):
             self.assertIn("write zone=NAME", read_stages(wrong).failure().reason)
 
-    def test_from_the_first_stage_to_the_end_and_back_at_each(self) -> None:
+    def test_roll_back_restores_the_bundle_from_every_stage(self) -> None:
         first = sample_slices()
         steps = [beginning(), advance("bigger", 0, 3), advance("bigger", 1, 3), advance("bigger", 2, 3)]
         for taken in range(1, 5):
@@ -80,7 +85,7 @@
         self.assertEqual(read_rollouts(reached)["bigger"].state, "finished")
         self.assertEqual(after(back, forget("bigger")), first)
 
-    def test_nobody_takes_a_step_twice_or_from_elsewhere(self) -> None:
+    def test_steps_from_another_stage_or_state_are_conflicts(self) -> None:
         reached = after(sample_slices(), beginning(), advance("bigger", 0, 3))
         for step, said in (
             (advance("bigger", 0, 3), "running at stage share=50: another operator took it on"),
@@ -97,7 +102,7 @@
         finished = after(reached, advance("bigger", 1, 3), advance("bigger", 2, 3), with_pool("third"))
         self.assertIn("was changed since", roll_back("bigger", "")(finished).failure().reason)
 
-    def test_what_cannot_be_rolled_out(self) -> None:
+    def test_changes_that_cannot_be_rolled_out_are_refused(self) -> None:
         slices = sample_slices()
         tenant, cards = SliceName("tenant/tenant-1"), SliceName("service/cards")
         richer = canonical_json({**msgspec.json.decode(slices[tenant]), "paid_rate": 99.0})
@@ -112,7 +117,7 @@
             outcome = beginning(change=lambda _, wanted=wanted: Success(wanted))(held)  # type: ignore[misc]
             self.assertIn(said, outcome.failure().reason)
 
-    def test_a_source_pushed_meanwhile_leaves_the_roll_out_as_it_is(self) -> None:
+    def test_pushing_a_source_preserves_a_running_rollout(self) -> None:
         held = after(sample_slices(), beginning())
         source = {**sample_slices(), SliceName("class/more"): b'{"name":"more","weight":1.0}'}
         pushed = preserve_rollouts(held, source)
@@ -136,7 +141,11 @@
     versions: dict[str, int] | None = None,
     lives: dict[str, str] | None = None,
 ) -> FleetStatus:
-    """``counts``: chat's outcomes by zone, for each of its routers."""
+    """Builds an observation of all routers; ``counts`` has the outcomes of chat for each router of a zone.
+
+    ``away`` names routers without an answer, ``versions`` routers with another bundle version than 7, and ``lives``
+    routers with another incarnation than 1.
+    """
     router_statuses: dict[DaemonName, RouterStatus | None] = {}
     for each in ROUTERS:
         found = {("chat", outcome): count for outcome, count in (counts or {}).get(each.zone, {}).items()}
@@ -153,6 +162,8 @@
 
 
 class JudgeTest(unittest.TestCase):
+    """Guards against a bad change that advances, and against a rollback for a fault that the change did not cause."""
+
     def setUp(self) -> None:
         self.rollout: Rollout = read_rollouts(after(sample_slices(), beginning()))["bigger"]
 
@@ -171,7 +182,7 @@
             10,
         )
 
-    def test_a_stage_that_does_well_goes_on_when_it_was_watched_for_long_enough(self) -> None:
+    def test_healthy_stage_advances_after_its_watch_time(self) -> None:
         good = {zone: {"answered": 100.0, "worker-broke": 1.0} for zone in "abc"}
         self.assertEqual(self.judge(fleet_status(good)).action, "go-on")
         self.assertEqual(self.judge(fleet_status(good), watched=9.0).action, "wait")
@@ -181,7 +192,7 @@
         self.assertEqual((behind.action, "a-0" in behind.reason), ("begin-anew", True))
         self.assertEqual(self.judge(fleet_status(good, versions={B[0]: 6})).action, "go-on")
 
-    def test_failures_and_refusals_over_the_limit_roll_back_at_once_unless_all_do_as_badly(self) -> None:
+    def test_too_many_bad_calls_roll_back_unless_the_entire_fleet_is_affected(self) -> None:
         for outcome, what in (
             ("worker-broke", "failed"),
             ("cut-worker-broke", "failed"),
@@ -195,7 +206,7 @@
         self.assertEqual(self.judge(fleet_status({"a": callers_own})).action, "go-on")
         self.assertEqual(self.judge(fleet_status({"a": {"answered": 3.0, "worker-broke": 1.0}})).action, "go-on")
 
-    def test_lost_routers(self) -> None:
+    def test_unavailable_routers_roll_back_after_ten_seconds_unless_the_others_are_too(self) -> None:
         good = {zone: {"answered": 100.0} for zone in "abc"}
         self.assertEqual(self.judge(fleet_status(good, away=A[:1])).action, "go-on")
         for seconds, action in ((5.0, "begin-anew"), (11.0, "roll-back")):
@@ -204,7 +215,7 @@
         everywhere = self.judge(fleet_status(good, away=(*A[:2], *B, *C)), unavailable_for=11.0)
         self.assertEqual((everywhere.action, "so are 6 of the 6 others" in everywhere.reason), ("begin-anew", True))
 
-    def test_a_router_that_restarted_counts_from_its_start(self) -> None:
+    def test_counters_of_a_restarted_router_count_from_zero(self) -> None:
         before = fleet_status({"a": {"answered": 1000.0}})
         now = fleet_status({"a": {"answered": 20.0}}, lives={A[0]: "2"})
         self.assertEqual(summarize_calls(A[:1], before, now, frozenset(["chat"])).calls, 20.0)
@@ -216,7 +227,11 @@
 
 
 class FakeFleetAccess:
-    """The real bundle state; routers follow at once. ``trouble``: counts a zone's routers show from a version on."""
+    """Fake fleet with the real bundle state, whose routers apply each version at once.
+
+    Routers of ``bad_zone`` fail a third of their calls. ``before_submit`` holds functions of which one runs before
+    each order, and ``answers_to_lose`` is the number of orders that are decided without an answer.
+    """
 
     def __init__(self) -> None:
         self.state = BundleState(OPERATOR_KEYS)
@@ -262,6 +277,12 @@
 
 
 class RunnerTest(unittest.TestCase):
+    """Guards against a runner that skips a stage, ignores a bad one or acts on outdated state.
+
+    They can arise when orders of others come in between, when answers are lost, when routers vanish, or when a
+    partitioned daemon answers with an older version.
+    """
+
     def setUp(self) -> None:
         self.access = FakeFleetAccess()
         self.messages: list[str] = []
@@ -286,14 +307,14 @@
     def rollout(self) -> Rollout:
         return read_rollouts(self.access.slices())["bigger"]
 
-    def test_a_good_change_goes_through_all_stages_each_watched(self) -> None:
+    def test_good_change_passes_all_stages_and_each_is_watched(self) -> None:
         self.begin()
         (ended,) = self.run_on_virtual_time(self.runner().run)
         self.assertEqual(ended, Ended("finished", "version 5"))
         self.assertIn(b"large", self.access.slices()[CHAT])
         self.assertEqual(sum("watching left" in line for line in self.messages), 30)
 
-    def test_a_bad_change_goes_back_as_a_new_version(self) -> None:
+    def test_bad_change_is_rolled_back_as_a_new_version(self) -> None:
         self.begin()
         self.access.bad_zone = "a"
         (ended,) = self.run_on_virtual_time(self.runner().run)
@@ -302,7 +323,7 @@
         self.assertIn("calls failed", self.rollout().reason)
         self.assertEqual(without_record(self.access.slices()), sample_slices())
 
-    def test_lost_routers_have_ten_seconds_to_come_back(self) -> None:
+    def test_unavailable_routers_have_ten_seconds_to_return(self) -> None:
         self.begin()
 
         async def make_unavailable() -> None:
@@ -320,7 +341,7 @@
         self.assertEqual((ended.result, self.rollout().stage), ("rolled-back", 0))
         self.assertIn("away or not ready: a-0, a-1, a-2", self.rollout().reason)
 
-    def test_routers_that_vanish_as_their_stage_begins_count(self) -> None:
+    def test_routers_that_leave_as_their_stage_begins_count_as_unavailable(self) -> None:
         self.access.put(after(self.access.slices(), beginning(stages=("zone=a", "zone=b", "all"))))
         self.access.before_submit.append(lambda: setattr(self.access, "away", B))
         (ended,) = self.run_on_virtual_time(self.runner().run)
@@ -328,7 +349,7 @@
         self.assertEqual((ended.result, self.rollout().stage), ("rolled-back", 1))
         self.assertIn("3 of 6 routers of the stage are away or not ready: 3 that control", ended.reason)
 
-    def test_whoever_takes_over_knows_how_many_routers_the_stage_had(self) -> None:
+    def test_new_runner_knows_how_many_routers_the_stage_had(self) -> None:
         stages = ("zone=a", "zone=b", "all")
         self.access.put(after(self.access.slices(), beginning(stages=stages), advance("bigger", 0, 6)))
         self.access.away = B
@@ -337,10 +358,10 @@
         self.assertEqual((ended.result, self.rollout().stage), ("rolled-back", 1))
         self.assertIn("3 of 6 routers of the stage are away or not ready: 3 that control no longer lists", ended.reason)
 
-    def test_two_operators_run_it_at_once_and_no_stage_is_skipped(self) -> None:
+    def test_two_concurrent_runners_skip_no_stage(self) -> None:
         self.begin()
         for _ in range(2):
-            # Other orders come first now and then.
+            # Other orders are decided first at times.
             self.access.before_submit.append(lambda: None)
             self.access.before_submit.append(
                 lambda: self.access.put({**self.access.slices(), SliceName("class/x"): b'{"name":"x","weight":1.0}'})
@@ -354,13 +375,13 @@
         self.assertEqual(list(dict.fromkeys(seen)), [(0, "running"), (1, "running"), (2, "running"), (2, "finished")])
         self.assertGreater(len(seen), 4, "no other order came between")
 
-    def test_a_lost_answer_does_no_harm(self) -> None:
+    def test_lost_answers_to_orders_do_not_stop_the_rollout(self) -> None:
         self.begin()
         self.access.answers_to_lose = 2
         (ended,) = self.run_on_virtual_time(self.runner().run)
         self.assertEqual(ended, Ended("finished", "version 5"))
 
-    def test_an_older_version_read_from_a_daemon_that_is_cut_off_is_not_believed(self) -> None:
+    def test_outdated_version_from_a_partitioned_daemon_is_ignored(self) -> None:
         self.begin()
 
         async def make_unavailable() -> None:
@@ -372,14 +393,14 @@
         ended, _ = self.run_on_virtual_time(self.runner().run, make_unavailable)
         self.assertEqual(ended, Ended("finished", "version 5"))
 
-    def test_a_stage_without_calls_is_given_up_where_it_stands(self) -> None:
+    def test_run_ends_at_the_stage_when_all_routers_stay_unavailable(self) -> None:
         self.begin()
         self.access.away = tuple(each.name for each in ROUTERS)
         (ended,) = self.run_on_virtual_time(self.runner(30.0).run)
         assert isinstance(ended, Ended)
         self.assertEqual((ended.result, self.rollout().state), ("lost", "running"))
 
-    def test_a_step_is_worked_out_anew_after_a_conflict(self) -> None:
+    def test_step_is_computed_again_after_a_conflict(self) -> None:
         other = SliceName("class/gold")
         richer = canonical_json({"name": "gold", "weight": 9.0})
         self.access.before_submit.append(lambda: self.access.put({**self.access.slices(), other: richer}))
--- a/wingwood/rollout/tests/test_rollout_on_fleet.py
+++ b/wingwood/rollout/tests/test_rollout_on_fleet.py
@@ -1,4 +1,4 @@
-"""Staged roll-outs on whole simulated fleets, with faults in the middle (docs/DESIGN.md section 19.5)."""
+"""Tests of staged roll-outs on simulated fleets with faults during the roll-out (docs/DESIGN.md section 19.5)."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class SimulatedAccess:
-    """``FleetAccess`` of a simulated operator: its orders and answers go into the history."""
+    """``FleetAccess`` of a simulated operator, whose orders and answers are recorded in the history."""
 
     def __init__(self, operator: Operator) -> None:
         self._operator = operator
@@ -84,7 +84,7 @@
 
 
 class FleetCase(unittest.TestCase):
-    """A whole fleet with traffic and its first bundle in force."""
+    """Starts a simulated fleet with traffic and with its first bundle in force."""
 
     def setUp(self) -> None:
         shape = shape_named("despensa")
@@ -141,7 +141,7 @@
             self.fleet.run(0.5)
 
     def acting(self, field: str, value: object) -> set[str]:
-        """Routers whose view of the service has that value."""
+        """Returns the running routers whose bundle in force has this value for a field of the service."""
         found = set()
         for name in self.fleet.names("router"):
             bundle = cast(Any, self.fleet.daemons[name]).follower.current()
@@ -178,7 +178,13 @@
 
 
 class RolloutOnFleetTest(FleetCase):
-    def test_through_all_stages_while_routers_zones_and_operators_are_lost(self) -> None:
+    """Guards against roll-outs that stop, skip a stage or harm calls outside their stage under faults.
+
+    The faults are restarted routers, a partitioned zone, an operator's client that is lost for good, and other
+    orders that conflict with those of the roll-out.
+    """
+
+    def test_rollout_finishes_although_routers_a_zone_and_an_operator_are_lost(self) -> None:
         routers = set(self.fleet.names("router"))
         half = {name for name in routers if share_mark(DaemonName(name)) < 50}
         self.assertTrue(half - self.in_zone() and routers - half - self.in_zone())
@@ -189,7 +195,7 @@
         self.fleet.kill("router-4", 3.0)
         self.fleet.kill("router-5", 3.0)
         self.wait(lambda: self.acting("first_byte_patience", 3.5) == self.in_zone() | half, 60.0)
-        # The client of the first operator is lost for good, and the stage's zone is cut off for a while.
+        # The client of the first operator is lost for good, and the zone of the stage is partitioned for 9 s.
         self.world.kill("operator-1")
         here = {self.fleet.world.processes[name].machine.name for name in self.in_zone()}
         for one in sorted(here):
@@ -206,7 +212,7 @@
         self.assertEqual(self.ended["operator-2"].result, "finished", "\n".join(self.messages))
         self.assertIn("away or not ready", "\n".join(self.messages))
         self.assertEqual(self.acting("first_byte_patience", 3.5), routers)
-        # A finished one may go back too: as a new version.
+        # A finished roll-out can be rolled back too, as a new version.
         latest = max(version.version for version in self.fleet.history.versions)
         self.take("operator-2", roll_back("trial", "by hand"))
         self.fleet.run(3.0)
@@ -217,7 +223,7 @@
         self.judge()
 
     async def storm(self, seconds: float) -> None:
-        """Ordinary orders, one after another as fast as they are answered; each is in the roll-out's way."""
+        """Sends ordinary orders one after another as fast as they are answered; each conflicts with the roll-out's."""
         until, number = self.world.now + seconds, 0
         while self.world.now < until:
             number += 1
@@ -226,7 +232,7 @@
                 put_slice("class/storm", value), "storm", on_conflict_again=True
             )
 
-    def test_a_change_that_harms_calls_is_rolled_back_before_it_leaves_its_zone(self) -> None:
+    def test_harmful_change_is_rolled_back_before_it_leaves_its_zone(self) -> None:
         fault = self.fleet.fault("bad roll-out", "all routers")
         self.start(self.change(pool="nowhere"), f"zone={self.zone}", "all")
         self.run_by("operator-2")
