--- a/wingwood/command_line/tests/fake_daemons.py
+++ b/wingwood/command_line/tests/fake_daemons.py
@@ -61,7 +61,7 @@
         self.orders: list[tuple[Address, Order]] = []
         self.competing_order: Order | None = None
         """Order of another operator that is decided just before the next order."""
-        self.cut_off: set[Address] = set()
+        self.without_control: set[Address] = set()
         """Daemons that can't reach control and hold no bundle themselves."""
         self.proven_age: Seconds | None = None
         self.complete = True
@@ -105,7 +105,7 @@
             self._address = address
 
         async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-            if self._address in self._daemons.cut_off:
+            if self._address in self._daemons.without_control:
                 return Failure(NotReadable("no control daemon answered"))
             return await super().bundle(version)
 
@@ -176,14 +176,14 @@
             metrics=metrics,
             current=lambda: (
                 None
-                if self.state.version == 0 or address in self.cut_off
+                if self.state.version == 0 or address in self.without_control
                 else parse_bundle(
                     self.state.manifest_at(self.state.version) or self.orders[0][1].manifest,
                     self.state.slices_at(self.state.version) or {},
                 ).unwrap()
             ),
             reader=self._Reader(self, address),
-            members=lambda: [identity, *(routers if self.routers and address not in self.cut_off else ())],
+            members=lambda: [identity, *(routers if self.routers and address not in self.without_control else ())],
             workers=lambda: [worker],
             health=lambda: msgspec.structs.replace(
                 report,
--- a/wingwood/command_line/tests/test_command_line.py
+++ b/wingwood/command_line/tests/test_command_line.py
@@ -247,7 +247,7 @@
     def test_daemon_without_connection_to_control_is_skipped(self) -> None:
         fleet = self.start_fake_daemons()
         self.push(fleet)
-        fleet.cut_off.add(fleet.addresses[0])
+        fleet.without_control.add(fleet.addresses[0])
         self.assertIn("accepted: version 2", self.change(fleet, "--set", "tenant/riders.burst=3").output)
         fleet.routers = True
         start = ("start", "x", "--set", "class/gold.weight=9", "--stages", "zone=b,all")
--- a/wingwood/replay/timing.py
+++ b/wingwood/replay/timing.py
@@ -11,7 +11,7 @@
 
 
 class Timing(msgspec.Struct):
-    """Histogram of microseconds; its JSON form has the count of each bucket, so that results can be added."""
+    """Histogram of durations in microseconds; its JSON form has the count of each bucket, so that results add up."""
 
     counts: dict[int, int] = msgspec.field(default_factory=dict)
     total: int = 0
--- a/wingwood/rollout/tests/test_rollout.py
+++ b/wingwood/rollout/tests/test_rollout.py
@@ -384,13 +384,13 @@
     def test_outdated_version_from_a_partitioned_daemon_is_ignored(self) -> None:
         self.begin()
 
-        async def make_unavailable() -> None:
+        async def serve_outdated_version() -> None:
             await asyncio.sleep(3.5)
             self.access.stale = True
             await asyncio.sleep(5.0)
             self.access.stale = False
 
-        ended, _ = self.run_on_virtual_time(self.runner().run, make_unavailable)
+        ended, _ = self.run_on_virtual_time(self.runner().run, serve_outdated_version)
         self.assertEqual(ended, Ended("finished", "version 5"))
 
     def test_run_ends_at_the_stage_when_all_routers_stay_unavailable(self) -> None:
--- a/wingwood/rollout/tests/test_rollout_on_fleet.py
+++ b/wingwood/rollout/tests/test_rollout_on_fleet.py
@@ -201,7 +201,7 @@
         for one in sorted(here):
             for other in sorted({self.world.processes[name].machine.name for name in routers} - here):
                 self.fleet.cut(one, other, 9.0)
-        # A key that is removed now works nowhere after 5 s, cut off or not, stage or not; the observer router_statuses.
+        # A removed key must work on no router after 5 s, even if partitioned or in the stage; the observer checks it.
         removed = self.fleet.operators["operator-2"].push(
             set_field("tenant/riders.keys", []), "remove key", removed_keys=(self.fleet.caller_keys["riders"],)
         )
