--- a/wingwood/command_line/change.py
+++ b/wingwood/command_line/change.py
@@ -1,4 +1,4 @@
-"""Small changes to a bundle, and bringing them onto a newer base (docs/DESIGN.md section 5.6)."""
+"""Makes small changes to a bundle and rebases them onto a later version (docs/DESIGN.md section 5.6)."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 import msgspec
 
 from ..identifiers import SliceName
-from .output import Conflict, Problem
+from .output import CommandError, Conflict
 from .source import FIELDS, KINDS, Slices, read_source, slice_from
 
 _FIELD_SET = re.compile(r"([^=@]+(?:@[a-z]+=[^=]+)?)\.([^.=]+)=(.*)", re.DOTALL)
 
 
 class _Keys(msgspec.Struct):
+    """The field of a tenant's slice that key changes read."""
+
     keys: tuple[str, ...] = ()
 
 
@@ -29,7 +31,10 @@
     remove_keys: Sequence[str] = (),
     removes: Sequence[str] = (),
 ) -> Slices:
-    """``before`` with files put in, then fields set, keys added and removed, slices removed; in this order."""
+    """Returns ``before`` with the slices of files added, fields set, keys added and removed, and slices removed.
+
+    The changes are made in this order. Raises CommandError for a change that can't be made.
+    """
     after = dict(before)
     for file in files:
         after.update(read_source(file))
@@ -38,7 +43,7 @@
     for text in add_keys:
         name, separator, digest = text.partition("=")
         if not separator:
-            raise Problem(f"--add-key {text}: write it as tenant/NAME=DIGEST")
+            raise CommandError(f"--add-key {text}: write it as tenant/NAME=DIGEST")
         _change_keys(after, _existing(after, name, "--add-key"), (), (digest,))
     for digest in remove_keys:
         _remove_key(after, digest)
@@ -50,18 +55,18 @@
 def _set_field(slices: Slices, text: str) -> None:
     matched = _FIELD_SET.fullmatch(text)
     if matched is None:
-        raise Problem(f"--set {text}: write it as KIND/NAME.FIELD=VALUE, such as tenant/web-shop.paid_rate=20")
+        raise CommandError(f"--set {text}: write it as KIND/NAME.FIELD=VALUE, such as tenant/web-shop.paid_rate=20")
     name, field, value = matched.groups()
     slice_name = _existing(slices, name, "--set")
     kind = slice_name.partition("/")[0]
     if field not in FIELDS[kind] or field == "name":
         allowed = ", ".join(each for each in FIELDS[kind] if each != "name")
-        raise Problem(f"--set {text}: {field} is unknown; the fields of a {kind} are {allowed}")
+        raise CommandError(f"--set {text}: {field} is unknown; the fields of a {kind} are {allowed}")
     _replace(slices, slice_name, {field: _value(value)})
 
 
 def _value(text: str) -> object:
-    """A TOML value; what is none is taken as text, so that quotes may be left out."""
+    """Parses a TOML value; anything else is taken as text, so that quotes may be left out."""
     try:
         return tomllib.loads(f"value = {text}")["value"]
     except tomllib.TOMLDecodeError:
@@ -69,9 +74,9 @@
 
 
 def _replace(slices: Slices, name: SliceName, fields: Mapping[str, object]) -> None:
-    held = msgspec.json.decode(slices[name], type=dict[str, object])
+    current = msgspec.json.decode(slices[name], type=dict[str, object])
     kind, _, full = name.partition("/")
-    new_name, data = slice_from(kind, {**held, **fields, "name": full}, name)
+    new_name, data = slice_from(kind, {**current, **fields, "name": full}, name)
     slices[new_name] = data
 
 
@@ -81,20 +86,20 @@
         return slice_name
     kind = name.partition("/")[0]
     if kind not in KINDS:
-        raise Problem(f"{flag} {name}: write it as KIND/NAME with KIND one of {', '.join(KINDS)}")
+        raise CommandError(f"{flag} {name}: write it as KIND/NAME with KIND one of {', '.join(KINDS)}")
     known = ", ".join(sorted(each for each in slices if each.startswith(f"{kind}/"))[:8]) or "none"
-    raise Problem(f"{flag} {name}: is not in the bundle; there are: {known}")
+    raise CommandError(f"{flag} {name}: is not in the bundle; there are: {known}")
 
 
 def _change_keys(slices: Slices, name: SliceName, removed: Sequence[str], added: Sequence[str]) -> None:
     if not name.startswith("tenant/"):
-        raise Problem(f"{name} has no keys; only tenants have")
+        raise CommandError(f"{name} has no keys; only tenants have")
     keys = msgspec.json.decode(slices[name], type=_Keys).keys
     _replace(slices, name, {"keys": [key for key in keys if key not in removed] + list(added)})
 
 
 def _remove_key(slices: Slices, digest: str) -> None:
-    """``digest`` may be cut short as ``bundle show`` prints it, while it tells one key from all others."""
+    """Removes a caller's key; ``digest`` may be shortened as ``bundle show`` prints it, while it identifies one key."""
     start = digest.removesuffix("..")
     found = [
         (name, key)
@@ -104,7 +109,7 @@
         if key.startswith(start)
     ]
     if len(start) < 8 or len(found) != 1:
-        raise Problem(
+        raise CommandError(
             f"--remove-key {digest}: {len(found) if len(start) >= 8 else 'too short, perhaps several'} keys start so; "
             "give the digest as `wingwood bundle show --json` does, or 8 of its hex digits and more"
         )
@@ -113,7 +118,7 @@
 
 
 def rebase(old_base: Mapping[SliceName, bytes], wanted: Slices, new_base: Mapping[SliceName, bytes]) -> Slices:
-    """``wanted``'s changes to ``old_base``, made to ``new_base``; Problem when both changed the same slice."""
+    """Applies the changes from ``old_base`` to ``wanted`` to ``new_base``; raises Conflict if both changed a slice."""
     after = dict(new_base)
     for name in sorted({*old_base, *wanted}):
         before, mine, theirs = old_base.get(name), wanted.get(name), new_base.get(name)
@@ -129,7 +134,7 @@
 
 
 def differences(before: Mapping[SliceName, bytes], after: Mapping[SliceName, bytes]) -> list[dict[str, object]]:
-    """One entry per slice that differs: what was done, and each field's old and new value."""
+    """Returns an entry for each slice that differs: the kind of change, and the old and new value of each field."""
     found: list[dict[str, object]] = []
     for name in sorted({*before, *after}):
         old, new = before.get(name), after.get(name)
--- a/wingwood/command_line/tests/stand_in.py
+++ b/wingwood/command_line/tests/fake_daemons.py
@@ -1,4 +1,4 @@
-"""Daemons' operator addresses on real sockets, in a thread, over one bundle state."""
+"""Fake daemons: operator addresses on real sockets, served by a thread and backed by one bundle state."""
 
 from __future__ import annotations
 
@@ -41,35 +41,40 @@
 from ...transport.frames import Identity
 
 
-class Quiet:
+class DiscardingLog:
+    """A log that discards all events."""
+
     def event(self, name: str, **fields: object) -> None:
         pass
 
 
-class StandIn(Collector):
-    """``daemons`` addresses from ``first_port`` up. Those in ``losing`` decide an order and lose the answer."""
+class FakeDaemons(Collector):
+    """Serves ``daemons`` addresses from ``first_port`` upwards.
+
+    Those in ``losing_answers`` decide an order but close the connection before they answer.
+    """
 
     def __init__(self, operator_keys: Sequence[str], first_port: int, daemons: int = 2) -> None:
         self.state = BundleState(operator_keys)
         self.addresses = [Address("127.0.0.1", first_port + number) for number in range(daemons)]
-        self.losing: set[Address] = set()
+        self.losing_answers: set[Address] = set()
         self.orders: list[tuple[Address, Order]] = []
-        self.interloper: Order | None = None
-        """Another operator's order, decided right before the next one."""
-        self.cut_off: set[Address] = set()
-        """Daemons that cannot ask control and hold nothing themselves."""
+        self.competing_order: Order | None = None
+        """Order of another operator that is decided just before the next order."""
+        self.without_control: set[Address] = set()
+        """Daemons that can't reach control and hold no bundle themselves."""
         self.proven_age: Seconds | None = None
         self.complete = True
         self.routers = False
-        """Whether members shows router-a and router-b, of one zone each; the daemons answer for them."""
+        """Whether the member list shows router-a and router-b in zones a and b; the daemons answer in their place."""
         self.failing = False
-        """Whether calls through router-a fail from now on."""
+        """Whether router-a counts as many failed calls as successful ones."""
         self._counted = 0
         self.servers: dict[Address, OperatorServer] = {}
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
 
-    def __enter__(self) -> StandIn:
+    def __enter__(self) -> FakeDaemons:
         self._thread.start()
         asyncio.run_coroutine_threadsafe(self._start(), self._loop).result(10)
         return self
@@ -83,7 +88,7 @@
         self._loop.close()
 
     def collect(self) -> Iterator[Metric]:
-        """Ten calls more at each look, of which half fail while ``failing``."""
+        """Counts ten more successful calls at each scrape, and as many failed ones while ``failing`` is set."""
         self._counted += 10
         counted = CounterMetricFamily("wingwood_calls", "Calls by outcome", labels=("service", "outcome"))
         counted.add_metric(("chat", "answered"), self._counted)
@@ -94,13 +99,13 @@
         return []
 
     class _Reader(LocalBundleReader):
-        def __init__(self, stand_in: StandIn, address: Address) -> None:
-            super().__init__(stand_in.state, lambda: stand_in.state.version)
-            self._stand_in = stand_in
+        def __init__(self, daemons: FakeDaemons, address: Address) -> None:
+            super().__init__(daemons.state, lambda: daemons.state.version)
+            self._daemons = daemons
             self._address = address
 
         async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-            if self._address in self._stand_in.cut_off:
+            if self._address in self._daemons.without_control:
                 return Failure(NotReadable("no control daemon answered"))
             return await super().bundle(version)
 
@@ -109,7 +114,7 @@
         return [part for address in self.addresses for part in ("--to", str(address))]
 
     async def _start(self) -> None:
-        log, network = Quiet(), RealNetwork()
+        log, network = DiscardingLog(), RealNetwork()
         tasks = RealTasks(log, lambda reason: None)
         context = Context(
             clock=RealClock(),
@@ -133,11 +138,11 @@
     def _add_routes(self, server: OperatorServer, address: Address, number: int) -> None:
         async def decide(command: SubmitOrder, _within: Seconds) -> Result[OrderOutcome, NotDecided]:
             self.orders.append((address, command.order))
-            if self.interloper is not None:
-                submit(self.state, self.interloper)
-                self.interloper = None
+            if self.competing_order is not None:
+                submit(self.state, self.competing_order)
+                self.competing_order = None
             outcome = submit(self.state, command.order)
-            if address in self.losing:
+            if address in self.losing_answers:
                 server.stop()
             return Success(outcome)
 
@@ -171,14 +176,14 @@
             metrics=metrics,
             current=lambda: (
                 None
-                if self.state.version == 0 or address in self.cut_off
+                if self.state.version == 0 or address in self.without_control
                 else parse_bundle(
                     self.state.manifest_at(self.state.version) or self.orders[0][1].manifest,
                     self.state.slices_at(self.state.version) or {},
                 ).unwrap()
             ),
             reader=self._Reader(self, address),
-            members=lambda: [identity, *(routers if self.routers and address not in self.cut_off else ())],
+            members=lambda: [identity, *(routers if self.routers and address not in self.without_control else ())],
             workers=lambda: [worker],
             health=lambda: msgspec.structs.replace(
                 report,
--- a/wingwood/replay/player.py
+++ b/wingwood/replay/player.py
@@ -1,4 +1,4 @@
-"""Sending a recorded day's calls to a fleet again (docs/DESIGN.md section 17)."""
+"""Sends the calls of a recorded day to a fleet again (docs/DESIGN.md section 17)."""
 
 from __future__ import annotations
 
@@ -19,36 +19,42 @@
 from .day import DayCall
 from .report import ReplayReport
 
-REMEMBERED_PARTS = 100_000
-ANSWER_BYTES = 64 * 1024
+MAX_REMEMBERED_PREFIXES = 100_000
+MAX_REFUSAL_BYTES = 64 * 1024
 TAIL_BYTES = 64
-BODY_BYTES = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
 class PlayerOptions(msgspec.Struct, frozen=True, kw_only=True):
+    """Options of a replay."""
+
     name: str = "replay"
     speed: float = 1.0
-    """Two: the day runs in half its time."""
+    """Factor of time compression; with 2 the day takes half its time."""
     start: float = 0.0
-    """Seconds into the day."""
+    """Position in the day at which the replay begins, in seconds."""
     end: float = float("inf")
     spread: Literal["as-recorded", "every-call"] = "as-recorded"
-    """Each file's calls to one router, or each call to the next one."""
+    """Whether all calls of a file go to the same router, or each call goes to the next router in turn."""
     in_flight: int = 2000
-    """Calls under way at once; further ones wait and count as late."""
+    """Maximum number of calls in flight; further calls wait and count as late."""
     shared_part: float = 0.5
-    """How much of the first seen body of a shared prefix is taken as that prefix; lengths of parts aren't recorded."""
-    patience: Seconds = Seconds(30.0)
-    """For the first byte."""
-    longest: Seconds = Seconds(300.0)
-    """Of one call."""
+    """Share of a body that stands for the shared parts of its prefix.
+
+    It is applied to the first body with a prefix part, because the lengths of parts aren't recorded.
+    """
+    first_byte_timeout: Seconds = Seconds(30.0)
+    """Timeout for the head of the answer."""
+    call_timeout: Seconds = Seconds(300.0)
+    """Timeout for an entire call."""
 
 
 class Player:
-    """Replays calls open loop: each is sent at its time whether or not the earlier ones are answered.
+    """Replays calls in an open loop: each is sent at its time whether or not earlier calls were answered.
 
-    ``keys`` gives each tenant's key; calls of other tenants are skipped. Bodies weren't recorded, so they
-    are filler of the recorded length: the same for the same prefix part, and growing at its end.
+    ``keys`` maps each tenant to its key; calls of other tenants are skipped. Bodies weren't recorded, so the
+    player sends filler of the recorded length: identical for the same prefix part, and extended at its end as a
+    session grows. Raises ValueError without routers or for a speed that is not positive.
     """
 
     def __init__(
@@ -68,18 +74,18 @@
         self._options = options
         self._number = 0
         self._shared: OrderedDict[str, int] = OrderedDict()
-        self._room = asyncio.Semaphore(options.in_flight)
+        self._call_slots = asyncio.Semaphore(options.in_flight)
         self._tasks: set[asyncio.Task[None]] = set()
         self.report = ReplayReport(name=options.name, speed=options.speed, in_flight_bound=options.in_flight)
-        self.at = 0.0
-        """Where in the day it is, in seconds."""
+        self.position_seconds = 0.0
+        """Time of the last call considered, in seconds from the start of the day."""
 
     @property
     def in_flight(self) -> int:
         return len(self._tasks)
 
     async def play(self, calls: Iterable[DayCall]) -> ReplayReport:
-        """Ends when every sent call has ended."""
+        """Sends the calls between ``start`` and ``end`` and returns the report when all of them have ended."""
         options, report = self._options, self.report
         began = self._clock.monotonic()
         for day_call in calls:
@@ -87,13 +93,13 @@
                 continue
             if day_call.at > options.end:
                 break
-            self.at = day_call.at
+            self.position_seconds = day_call.at
             planned = Instant(began + (day_call.at - options.start) / options.speed)
-            if not self._may_send(day_call.call):
+            if not self._can_send(day_call.call):
                 continue
             if (wait := planned - self._clock.monotonic()) > 0:
                 await self._clock.sleep(Seconds(wait))
-            await self._room.acquire()
+            await self._call_slots.acquire()
             report.late.add(self._clock.monotonic() - planned)
             self._number += 1
             task = asyncio.get_running_loop().create_task(self._send(day_call, self._number))
@@ -106,7 +112,7 @@
         report.took_seconds = self._clock.monotonic() - began
         return report
 
-    def _may_send(self, call: RecordedCall) -> bool:
+    def _can_send(self, call: RecordedCall) -> bool:
         why = "no-tenant" if not call.tenant else "no-key" if call.tenant not in self._keys else None
         if why is not None:
             self.report.skipped[why] = self.report.skipped.get(why, 0) + 1
@@ -118,20 +124,20 @@
             address = self._routers[turn % len(self._routers)]
             exchange = self._http.start(self._request(day_call.call, address, number))
             try:
-                outcome = await self._follow(day_call.call, exchange)
+                outcome = await self._read_outcome(day_call.call, exchange)
             finally:
                 exchange.cancel()
             service = self.report.service(day_call.call.service)
             service.calls += 1
-            service.whole += outcome == "whole"
+            service.complete += outcome == "whole"
             service.outcomes[outcome] = service.outcomes.get(outcome, 0) + 1
             recorded = day_call.call.outcome or "?"
             service.recorded_outcomes[recorded] = service.recorded_outcomes.get(recorded, 0) + 1
             if day_call.call.prefix and day_call.call.how:
-                how = day_call.call.how
-                service.recorded_awards[how] = service.recorded_awards.get(how, 0) + 1
+                award = day_call.call.how
+                service.recorded_awards[award] = service.recorded_awards.get(award, 0) + 1
         finally:
-            self._room.release()
+            self._call_slots.release()
 
     def _request(self, call: RecordedCall, address: Address, number: int) -> HttpRequest:
         headers = [
@@ -146,14 +152,14 @@
 
     def _body(self, call: RecordedCall) -> bytes:
         parts = max(1, len(call.prefix))
-        length = max(0, min(call.body_bytes, BODY_BYTES) - len(_form([""] * parts, call)))
+        length = max(0, min(call.body_bytes, MAX_BODY_BYTES) - len(_form([""] * parts, call)))
         contents: list[str] = []
         for depth in range(parts - 1):
             part = "/".join(call.prefix[: depth + 1])
             size = self._shared.pop(part, None)
             if size is None:
                 size = int(length * self._options.shared_part / (parts - 1))
-                if len(self._shared) >= REMEMBERED_PARTS:
+                if len(self._shared) >= MAX_REMEMBERED_PREFIXES:
                     self._shared.popitem(last=False)
             self._shared[part] = size
             contents.append(_filler(part, size))
@@ -161,14 +167,14 @@
         contents.append(_filler("/".join(call.prefix), left))
         return _form(contents, call)
 
-    async def _follow(self, call: RecordedCall, exchange: HttpExchange) -> str:
-        """Reads the answer to its end; how it looked to its caller."""
+    async def _read_outcome(self, call: RecordedCall, exchange: HttpExchange) -> str:
+        """Reads the answer to its end, records its figures and returns the outcome as the caller saw it."""
         service = self.report.service(call.service)
         began = self._clock.monotonic()
         try:
-            async with asyncio.timeout(self._options.longest):
+            async with asyncio.timeout(self._options.call_timeout):
                 try:
-                    async with asyncio.timeout(self._options.patience):
+                    async with asyncio.timeout(self._options.first_byte_timeout):
                         answered = await exchange.head()
                 except TimeoutError:
                     return "silent"
@@ -176,17 +182,17 @@
                     fault = answered.failure()
                     return "cut" if fault.request_sent else "no-connection"
                 head: HttpHead = answered.unwrap()
-                if call.prefix and (how := head.header(AWARD)) is not None:
-                    service.awards[how] = service.awards.get(how, 0) + 1
+                if call.prefix and (award := head.header(AWARD)) is not None:
+                    service.awards[award] = service.awards.get(award, 0) + 1
                 service.prompt_tokens += _number(head, PROMPT_TOKENS)
                 service.cached_tokens += _number(head, CACHED_TOKENS)
-                return await self._read(call, exchange, head, began)
+                return await self._read_body(call, exchange, head, began)
         except TimeoutError:
             return "too-long"
         finally:
             service.total.add(self._clock.monotonic() - began)
 
-    async def _read(self, call: RecordedCall, exchange: HttpExchange, head: HttpHead, began: float) -> str:
+    async def _read_body(self, call: RecordedCall, exchange: HttpExchange, head: HttpHead, began: float) -> str:
         service = self.report.service(call.service)
         router_made = head.header(ANSWER) == "router"
         streams = (head.header("Content-Type") or "").startswith(EVENT_STREAM)
@@ -196,19 +202,19 @@
             got = await exchange.next_piece()
             if not isinstance(got, Success):
                 return "cut"
-            piece = got.unwrap()
-            if piece is None:
+            chunk = got.unwrap()
+            if chunk is None:
                 break
             now = self._clock.monotonic()
             if router_made:
-                if len(body) < ANSWER_BYTES:
-                    body += piece
+                if len(body) < MAX_REFUSAL_BYTES:
+                    body += chunk
             elif last is None:
-                service.first_piece.add(now - began)
+                service.first_chunk.add(now - began)
             elif streams:
-                service.between_pieces.add(now - last)
+                service.between_chunks.add(now - last)
             last = now
-            tail = (tail + piece)[-TAIL_BYTES:]
+            tail = (tail + chunk)[-TAIL_BYTES:]
         if router_made:
             return f"refused {_code(bytes(body))}"
         if not 200 <= head.status < 300:
@@ -232,7 +238,7 @@
 
 
 class _RefusalCode(msgspec.Struct, frozen=True):
-    """What counts here of a router-made answer, whose other fields may change."""
+    """The only field that is read from an answer made by a router, so that its other fields may change."""
 
     code: str
 
--- a/wingwood/rollout/plan.py
+++ b/wingwood/rollout/plan.py
@@ -1,6 +1,6 @@
-"""Orders of a staged roll-out, worked out from the slices that are in force (docs/DESIGN.md section 19.3).
+"""Computes the orders of a staged roll-out from the slices in force (docs/DESIGN.md section 19.3).
 
-Each step is a function of the newest slices alone, so that after a conflict it is simply worked out again,
+Each step is a function of the latest slices alone, so that it can simply be computed again after a conflict,
 and any operator can take the next one.
 """
 
@@ -24,29 +24,30 @@
 _PERCENT = re.compile(r"([0-9]+)%")
 
 
-class NotPlanned(msgspec.Struct, frozen=True):
-    """Why a step can't be taken; ``kind`` ``conflict`` when another order or roll-out is in the way."""
+class StepRefused(msgspec.Struct, frozen=True):
+    """Reason why a step can't be taken; ``kind`` is ``conflict`` when another order or roll-out prevents it."""
 
     kind: Literal["conflict", "invalid"]
     reason: str
 
 
-Step = Callable[[Slices], Result[Slices, NotPlanned]]
-"""From the newest slices to those after the step."""
+Step = Callable[[Slices], Result[Slices, StepRefused]]
+"""Computes the slices after the step from the latest slices."""
 
 
 def rollout_slice(name: str) -> SliceName:
+    """Returns the name of the slice that holds the record of a roll-out."""
     return SliceName(f"rollout/{name}")
 
 
 def read_rollouts(slices: Mapping[SliceName, bytes]) -> dict[str, Rollout]:
-    """All roll-outs that stand in a bundle, by name."""
+    """Decodes all roll-out records in a bundle; returns them by name of the roll-out."""
     found = [msgspec.json.decode(slices[name], type=Rollout) for name in sorted(slices) if name.startswith("rollout/")]
     return {rollout.name: rollout for rollout in found}
 
 
-def read_stages(text: str) -> Result[tuple[str, ...], NotPlanned]:
-    """``zone=a,25%,all``; ``all`` is added at the end when it is left out."""
+def read_stages(text: str) -> Result[tuple[str, ...], StepRefused]:
+    """Parses a text such as ``zone=a,25%,all``; ``all`` is appended when it is left out."""
     stages = []
     for part in (each.strip() for each in text.split(",")):
         percent = _PERCENT.fullmatch(part)
@@ -55,12 +56,12 @@
             stage = ALL_ROUTERS_STAGE
         if stage != ALL_ROUTERS_STAGE and not is_selector(stage):
             wrong = f"stage {part!r}: write zone=NAME, a percentage of the routers from 1% to 99%, or all"
-            return Failure(NotPlanned("invalid", wrong))
+            return Failure(StepRefused("invalid", wrong))
         stages.append(stage)
     return Success(tuple(stages if stages[-1] == ALL_ROUTERS_STAGE else [*stages, ALL_ROUTERS_STAGE]))
 
 
-def begin(
+def begin_rollout(
     name: str,
     change: Step,
     stages: Sequence[str],
@@ -69,23 +70,25 @@
     highest_refusals: float,
     reached: int,
 ) -> Step:
-    """Puts the first stage of ``change`` in place, which has ``reached`` routers now."""
+    """Returns the step that puts the first stage of ``change`` in place; the stage has ``reached`` routers now."""
 
-    def step(slices: Slices) -> Result[Slices, NotPlanned]:
-        held = read_rollouts(slices)
-        if name in held and held[name].state == "running":
+    def step(slices: Slices) -> Result[Slices, StepRefused]:
+        current = read_rollouts(slices)
+        if name in current and current[name].state == "running":
             return _conflict(f"rollout/{name} is running already; take another name or go on with it")
         match change(slices):
             case Success(wanted):
-                return _begun(slices, wanted, held)
+                return _first_stage(slices, wanted, current)
             case refused:
                 return refused
 
-    def _begun(slices: Slices, wanted: Slices, held: Mapping[str, Rollout]) -> Result[Slices, NotPlanned]:
+    def _first_stage(slices: Slices, wanted: Slices, current: Mapping[str, Rollout]) -> Result[Slices, StepRefused]:
         names = sorted(each for each in {*slices, *wanted} if slices.get(each) != wanted.get(each))
         if not names:
             return _invalid("nothing differs from what is in force")
-        holders = {change.slice: each for each in held.values() if each.state == "running" for change in each.changes}
+        holders = {
+            change.slice: each for each in current.values() if each.state == "running" for change in each.changes
+        }
         for each in names:
             if each not in slices or each not in wanted:
                 done = "taken out" if each in slices else "new"
@@ -120,13 +123,16 @@
     return step
 
 
-def go_on(name: str, stage: int, reached: int) -> Step:
-    """From stage ``stage`` to the next one, of ``reached`` routers; after the last one the roll-out is finished."""
+def advance(name: str, stage: int, reached: int) -> Step:
+    """Returns the step from stage number ``stage`` to the next one, which has ``reached`` routers.
 
-    def step(slices: Slices) -> Result[Slices, NotPlanned]:
+    After the last stage the roll-out is finished.
+    """
+
+    def step(slices: Slices) -> Result[Slices, StepRefused]:
         rollout = read_rollouts(slices).get(name)
         if rollout is None or rollout.state != "running" or rollout.stage != stage:
-            return _conflict(_elsewhere(name, rollout, "another operator took it on"))
+            return _conflict(_describe_state(name, rollout, "another operator took it on"))
         if stage + 1 < len(rollout.stages):
             after = msgspec.structs.replace(rollout, stage=stage + 1, reached=reached)
         else:
@@ -137,12 +143,15 @@
 
 
 def roll_back(name: str, reason: str) -> Step:
-    """Everything as it was before, as a new version; also after it was finished, while nothing else changed it."""
+    """Returns the step that restores all slices of the roll-out in a new version.
+
+    A finished roll-out can be rolled back too, as long as none of its slices was changed since.
+    """
 
-    def step(slices: Slices) -> Result[Slices, NotPlanned]:
+    def step(slices: Slices) -> Result[Slices, StepRefused]:
         rollout = read_rollouts(slices).get(name)
         if rollout is None or rollout.state == "rolled-back":
-            return _conflict(_elsewhere(name, rollout, "nothing to roll back"))
+            return _conflict(_describe_state(name, rollout, "nothing to roll back"))
         for change in rollout.changes:
             if rollout.state == "finished" and slices.get(change.slice) != canonical_json(change.after):
                 return _conflict(
@@ -155,19 +164,19 @@
 
 
 def forget(name: str) -> Step:
-    """Takes the record of a finished or rolled back roll-out out of the bundle."""
+    """Returns the step that removes the record of a finished or rolled-back roll-out from the bundle."""
 
-    def step(slices: Slices) -> Result[Slices, NotPlanned]:
+    def step(slices: Slices) -> Result[Slices, StepRefused]:
         rollout = read_rollouts(slices).get(name)
         if rollout is None or rollout.state == "running":
-            return _conflict(_elsewhere(name, rollout, "roll it back or let it finish first"))
+            return _conflict(_describe_state(name, rollout, "roll it back or let it finish first"))
         return Success({each: data for each, data in slices.items() if each != rollout_slice(name)})
 
     return step
 
 
 def _replaced(slices: Slices, before: Rollout | None, after: Rollout) -> Slices:
-    """The slices with the roll-out's own part of them moved from one state to the other."""
+    """Returns the slices with the roll-out's variants, changes and record moved from state ``before`` to ``after``."""
     result = dict(slices)
     if before is not None and before.state == "running":
         for name in required_slices(before):
@@ -181,25 +190,28 @@
     return result
 
 
-def keep_rollouts(held: Mapping[SliceName, bytes], wanted: Slices) -> Slices:
-    """``wanted`` from an operator's source, with the roll-outs of the bundle in force and their variants."""
-    kept = {name: data for name, data in held.items() if name.startswith("rollout/")}
-    for rollout in read_rollouts(held).values():
+def preserve_rollouts(current: Mapping[SliceName, bytes], wanted: Slices) -> Slices:
+    """Adds the roll-out records of the bundle in force, and the variants of running ones, to ``wanted``.
+
+    ``wanted`` comes from an operator's source, which holds no roll-outs.
+    """
+    preserved = {name: data for name, data in current.items() if name.startswith("rollout/")}
+    for rollout in read_rollouts(current).values():
         if rollout.state == "running":
-            kept.update({name: data for name, data in required_slices(rollout).items() if "@" in name})
-    return {**wanted, **kept}
+            preserved.update({name: data for name, data in required_slices(rollout).items() if "@" in name})
+    return {**wanted, **preserved}
 
 
-def _elsewhere(name: str, rollout: Rollout | None, then: str) -> str:
+def _describe_state(name: str, rollout: Rollout | None, then: str) -> str:
     if rollout is None:
         return f"there is no rollout/{name}"
     where = f"running at stage {rollout.stages[rollout.stage]}" if rollout.state == "running" else rollout.state
     return f"rollout/{name} is {where}: {then}"
 
 
-def _conflict(reason: str) -> Result[Slices, NotPlanned]:
-    return Failure(NotPlanned("conflict", reason))
+def _conflict(reason: str) -> Result[Slices, StepRefused]:
+    return Failure(StepRefused("conflict", reason))
 
 
-def _invalid(reason: str) -> Result[Slices, NotPlanned]:
-    return Failure(NotPlanned("invalid", reason))
+def _invalid(reason: str) -> Result[Slices, StepRefused]:
+    return Failure(StepRefused("invalid", reason))
