--- a/bench/configuration_steps.py
+++ b/bench/configuration_steps.py
@@ -15,7 +15,7 @@
 from typing import TypeVar
 
 import msgspec
-from wingwood_platform.configuration import TranslatedChange, translate_patch, translate_whole, written_configuration
+from wingwood_platform.configuration import TranslatedChange, render_configuration, translate_complete, translate_patch
 from wingwood_platform.tests.configurations import SIGNING_KEY, large_configuration, route
 
 from wingwood.bundle.model import Bundle, EditionChange
@@ -90,7 +90,7 @@
         number=content.number,
         changed=content.changed,
         removed=content.removed,
-        whole=content.whole,
+        whole=content.complete,
     )
 
 
@@ -98,11 +98,11 @@
     body = msgspec.json.encode(large_configuration(routes))
     print(f"{routes} routes, {len(body)} bytes", flush=True)
     stages = Stages()
-    whole = (await measured("whole: translate", lambda: translate_whole(body))).unwrap()
+    whole = (await measured("whole: translate", lambda: translate_complete(body))).unwrap()
     await stages.take("whole", change_of("whole", 0, whole))
     held = stages.state.slices_at(stages.state.version)
     assert held is not None
-    await measured("give back", lambda: written_configuration(held))
+    await measured("give back", lambda: render_configuration(held))
     patch = msgspec.json.encode({"version": 8, "upsert": {"routes": [route("r-00001", service="s2")]}})
     small = (await measured("patch: translate", lambda: translate_patch(patch, held))).unwrap()
     await stages.take("patch", change_of("patch", 7, small))
--- a/bench/forward_bench.py
+++ b/bench/forward_bench.py
@@ -92,7 +92,7 @@
 
     from prometheus_client import CollectorRegistry  # noqa: PLC0415
 
-    from emulator.router_slices import FreeLedger, FreeLimits, FreeShares, HeldBundle, ReadyWorkers  # noqa: PLC0415
+    from emulator.router_fakes import FixedBundle, GrantingLedger, OpenAdmission, ReadyWorkers, UnlimitedShares  # noqa: PLC0415
     from wingwood.context.curl_client import CurlHttpClient  # noqa: PLC0415
     from wingwood.context.logs import EliotLog  # noqa: PLC0415
     from wingwood.context.protocols import Context  # noqa: PLC0415
@@ -125,14 +125,14 @@
         fleet_key=b"",
         operator_keys=(),
     )
-    one_worker, limits = ReadyWorkers([bench_worker(Address("127.0.0.1", WORKER_PORT))]), FreeLimits()
+    one_worker, limits = ReadyWorkers([bench_worker(Address("127.0.0.1", WORKER_PORT))]), OpenAdmission()
     path = RequestPath(
         context,
         settings,
-        HeldBundle(bench_bundle(KEY)),
-        FreeShares(),
+        FixedBundle(bench_bundle(KEY)),
+        UnlimitedShares(),
         limits,
-        FreeLedger(),
+        GrantingLedger(),
         one_worker,
         one_worker,
         limits,
--- a/bench/forward_bundle.py
+++ b/bench/forward_bundle.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from emulator.router_slices import bundle_with, digest_of
+from emulator.router_fakes import bundle_with, digest_of
 from wingwood.bundle.model import Bundle, PriorityClass, Service, Tenant
 from wingwood.identifiers import Address, ClassName, PoolName, ServiceName, TenantName, WorkerInstance, Zone
 from wingwood.registry.protocols import Worker
--- a/bench/load/tests/test_load.py
+++ b/bench/load/tests/test_load.py
@@ -47,7 +47,7 @@
                 assert isinstance(started.start(), Success)
                 self.workers.append(started)
                 if fault is not None and len(self.workers) == 1:
-                    started.switchboard.switch(fault)
+                    started.active_faults.activate(fault)
 
             for number in range(2):
                 world.start(f"w{number}", worker)
--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -131,14 +131,14 @@
             async with self.prefill:
                 cached = self.cache.cached_tokens(parts)
                 await asyncio.sleep((sum(part.tokens for part in parts) - cached) * self.PREFILL_PER_TOKEN)
-                self.cache.keep(parts)
+                self.cache.store(parts)
             await self._decode(1)
             first = clock.time() - begun
             left = generated - 1
             while left > 0:
                 await self._decode(step := min(8, left))
                 left -= step
-            self.cache.keep([*parts[:-1], PromptPart(parts[-1].name, parts[-1].tokens + generated)])
+            self.cache.store([*parts[:-1], PromptPart(parts[-1].name, parts[-1].tokens + generated)])
             self.running -= 1
         self.present -= 1
         return cached, first
--- a/emulator/announcer.py
+++ b/emulator/announcer.py
@@ -12,7 +12,7 @@
 from wingwood.identifiers import Address, Seconds
 
 ANNOUNCE_PATH = "/workers/v1/announce"
-PATIENCE = Seconds(1.5)
+ACKNOWLEDGE_TIMEOUT_S = Seconds(1.5)
 """How long a daemon may take to acknowledge."""
 
 
@@ -46,14 +46,14 @@
         self.acknowledged: Announcement | None = None
         """The last one that a daemon acknowledged."""
         self.refused = 0
-        self.gone = asyncio.Event()
+        self.departed = asyncio.Event()
         """That it is gone was acknowledged, or there is nobody to tell."""
 
     def changed(self) -> None:
         self._changed.set()
 
     async def run(self) -> None:
-        """Until a ``gone`` is acknowledged; forever without one."""
+        """Until a ``departed`` is acknowledged; forever without one."""
         while self._addresses:
             self._changed.clear()
             announcement = self._current()
@@ -71,7 +71,7 @@
                     await self._changed.wait()
             except TimeoutError:
                 continue
-        self.gone.set()
+        self.departed.set()
 
     async def _announce(self, announcement: Announcement) -> bool:
         address = self._addresses[self._next % len(self._addresses)]
@@ -86,7 +86,7 @@
             )
         )
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(ACKNOWLEDGE_TIMEOUT_S):
                 match await exchange.head():
                     case Success(head):
                         return bool(200 <= head.status < 300)
--- a/emulator/faults.py
+++ b/emulator/faults.py
@@ -42,34 +42,34 @@
     calls: int | None = None
 
 
-class Switchboard:
+class ActiveFaults:
     """The faults that touch single calls."""
 
     def __init__(self) -> None:
-        self._switched: dict[str, Fault] = {}
-        self._left: dict[str, int] = {}
+        self._faults: dict[str, Fault] = {}
+        self._calls_left: dict[str, int] = {}
 
-    def switch(self, fault: Fault) -> None:
+    def activate(self, fault: Fault) -> None:
         if fault.fault == "none":
-            self._switched.clear()
-            self._left.clear()
+            self._faults.clear()
+            self._calls_left.clear()
             return
-        self._switched[fault.fault] = fault
-        self._left.pop(fault.fault, None)
+        self._faults[fault.fault] = fault
+        self._calls_left.pop(fault.fault, None)
         if fault.calls is not None:
-            self._left[fault.fault] = fault.calls
+            self._calls_left[fault.fault] = fault.calls
 
     def active(self, kind: FaultKind) -> Fault | None:
         """The fault when it is switched on, without using up one of its calls."""
-        return self._switched.get(kind)
+        return self._faults.get(kind)
 
     def take(self, kind: FaultKind) -> Fault | None:
         """The fault when it touches the call under way."""
-        fault = self._switched.get(kind)
-        if fault is None or kind not in self._left:
+        fault = self._faults.get(kind)
+        if fault is None or kind not in self._calls_left:
             return fault
-        self._left[kind] -= 1
-        if self._left[kind] <= 0:
-            self._switched.pop(kind)
-            self._left.pop(kind)
+        self._calls_left[kind] -= 1
+        if self._calls_left[kind] <= 0:
+            self._faults.pop(kind)
+            self._calls_left.pop(kind)
         return fault
--- a/emulator/prefix_cache.py
+++ b/emulator/prefix_cache.py
@@ -33,13 +33,13 @@
         found = 0
         for part in parts:
             path = (*path, part.name)
-            kept = min(self._tokens.get(path, 0), part.tokens)
-            found += kept
-            if kept < part.tokens:
+            cached = min(self._tokens.get(path, 0), part.tokens)
+            found += cached
+            if cached < part.tokens:
                 break
         return found
 
-    def keep(self, parts: Sequence[PromptPart]) -> None:
+    def store(self, parts: Sequence[PromptPart]) -> None:
         """Records that all parts were just used; their starts count as used last, so they go last."""
         path: tuple[str, ...] = ()
         paths = []
--- a/emulator/process.py
+++ b/emulator/process.py
@@ -23,7 +23,7 @@
 
 from .worker import EmulatedWorker, Run, WorkerOptions
 
-LEAVE_WITHIN = 15.0
+STOP_TIMEOUT_S = 15.0
 """Seconds from SIGTERM to exit at most, for calls under way and for a daemon to acknowledge."""
 
 
@@ -60,16 +60,16 @@
         log.event("worker-not-started", reason=started.failure().detail)
         return 1
 
-    async def leave() -> None:
+    async def stop_gracefully() -> None:
         worker.drain()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LEAVE_WITHIN):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await worker.idle.wait()
-                await worker.announcer.gone.wait()
+                await worker.announcer.departed.wait()
         ended.set()
 
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, lambda: context.tasks.spawn("leave", leave()))
+    loop.add_signal_handler(signal.SIGTERM, lambda: context.tasks.spawn("leave", stop_gracefully()))
     loop.add_signal_handler(signal.SIGINT, ended.set)
     await ended.wait()
     worker.stop()
--- a/emulator/router_slices.py
+++ b/emulator/router_fakes.py
@@ -60,7 +60,7 @@
     )
 
 
-class HeldBundle:
+class FixedBundle:
     """A bundle that is in force, while ``serving``."""
 
     def __init__(self, bundle: Bundle | None) -> None:
@@ -79,14 +79,14 @@
     def on_change(self, callback: Callable[[Bundle], None]) -> None: ...
 
 
-class FreeShares:
+class UnlimitedShares:
     """Every tenant may take all."""
 
     async def take(self, tenant: Tenant, cost: int = 1) -> ShareRefused | None:
         return None
 
 
-class FreeLimits:
+class OpenAdmission:
     """Admission that refuses nothing, and a retry budget that is empty."""
 
     def take(self, service: Service, pool: PoolName | None = None) -> bool:
@@ -98,7 +98,7 @@
     def note_call(self, service: Service, pool: PoolName | None = None) -> None: ...
 
 
-class FreeLedger:
+class GrantingLedger:
     """Grants every claim."""
 
     async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
--- a/emulator/tests/test_prefix_cache.py
+++ b/emulator/tests/test_prefix_cache.py
@@ -14,20 +14,20 @@
 class Kept(unittest.TestCase):
     def test_a_part_is_of_no_use_behind_a_start_that_is_not_kept_whole(self) -> None:
         cache = PrefixCache(1000)
-        cache.keep(prompt(("shared", 100), ("session", 50)))
+        cache.store(prompt(("shared", 100), ("session", 50)))
         self.assertEqual(cache.cached_tokens(prompt(("shared", 100), ("session", 60))), 150)
         self.assertEqual(cache.cached_tokens(prompt(("shared", 120), ("session", 50))), 100)
         self.assertEqual(cache.cached_tokens(prompt(("other", 100), ("session", 50))), 0)
 
     def test_ends_go_before_the_starts_that_they_need(self) -> None:
         cache = PrefixCache(160)
-        cache.keep(prompt(("shared", 100), ("one", 50)))
-        cache.keep(prompt(("apart", 40)))
+        cache.store(prompt(("shared", 100), ("one", 50)))
+        cache.store(prompt(("apart", 40)))
         self.assertEqual(cache.cached_tokens(prompt(("shared", 100), ("one", 50))), 100)
         self.assertEqual((cache.used, cache.evicted), (140, 50))
 
     def test_use_counts_not_only_the_first_keeping(self) -> None:
         cache = PrefixCache(100)
         for name in ("one", "two", "one", "three"):
-            cache.keep(prompt((name, 40)))
+            cache.store(prompt((name, 40)))
         self.assertEqual([cache.cached_tokens(prompt((name, 40))) for name in ("one", "two", "three")], [40, 0, 40])
--- a/emulator/worker.py
+++ b/emulator/worker.py
@@ -31,7 +31,7 @@
 from wingwood.identifiers import Address, Seconds
 
 from .announcer import Announcement, Announcer
-from .faults import Fault, Switchboard
+from .faults import ActiveFaults, Fault
 from .prefix_cache import PrefixCache, PromptPart
 
 BYTES_PER_TOKEN = 4
@@ -106,7 +106,7 @@
         self.state = "ready"
         self.instance = self._new_instance()
         self.cache = PrefixCache(options.cache_tokens)
-        self.switchboard = Switchboard()
+        self.active_faults = ActiveFaults()
         self.runs: list[Run] = []
         self.running = 0
         self.idle = asyncio.Event()
@@ -114,8 +114,8 @@
         self.idle.set()
         self._waiting: deque[asyncio.Future[None]] = deque()
         self._prefill = asyncio.Lock()
-        self._lit = asyncio.Event()
-        self._lit.set()
+        self._responsive = asyncio.Event()
+        self._responsive.set()
         self._calls: dict[int, tuple[Task, BaseIOStream]] = {}
         self._call_number = 0
         self._listener: Listener | None = None
@@ -141,9 +141,9 @@
             self.state = "draining"
             self.context.log.event("worker-draining", instance=self.instance)
             self.announcer.changed()
-            self.context.tasks.spawn("drain", self._say_gone())
+            self.context.tasks.spawn("drain", self._announce_departure())
 
-    async def _say_gone(self) -> None:
+    async def _announce_departure(self) -> None:
         instance = self.instance
         await self.idle.wait()
         if self.instance == instance:
@@ -158,7 +158,7 @@
         self.cache.clear()
         self.state = "ready"
         self.instance = self._new_instance()
-        self._lit.set()
+        self._responsive.set()
         self.context.log.event("worker-restarted", instance=self.instance)
         self.announcer.changed()
 
@@ -173,12 +173,12 @@
     # What is told
 
     def load(self) -> dict[str, int]:
-        if self.switchboard.active("lie-about-load"):
+        if self.active_faults.active("lie-about-load"):
             return {"running": 0, "waiting": 0, "cache_tokens_used": 0}
         return {"running": self.running, "waiting": len(self._waiting), "cache_tokens_used": self.cache.used}
 
     def _announcement(self) -> Announcement | None:
-        if not self._lit.is_set():
+        if not self._responsive.is_set():
             return None
         return Announcement(
             instance=self.instance,
@@ -207,9 +207,9 @@
     async def _serve(self, request: HTTPServerRequest, connection: Any, number: int) -> None:
         try:
             if request.path == "/faults":
-                self._switch(request, connection)
+                self._apply_fault(request, connection)
                 return
-            await self._lit.wait()
+            await self._responsive.wait()
             await self._answer(request, connection)
         except StreamClosedError:
             return
@@ -229,7 +229,7 @@
         else:
             await self._call(request, connection)
 
-    def _switch(self, request: HTTPServerRequest, connection: Any) -> None:
+    def _apply_fault(self, request: HTTPServerRequest, connection: Any) -> None:
         try:
             fault = msgspec.json.decode(request.body, type=Fault)
         except msgspec.MsgspecError as malformed:
@@ -244,12 +244,12 @@
             # The reply above belongs to the old life and must leave before it.
             asyncio.get_running_loop().call_later(0.01, self.restart_empty)
         elif fault.fault == "dark":
-            self._lit.clear()
-            asyncio.get_running_loop().call_later(fault.seconds, self._lit.set)
+            self._responsive.clear()
+            asyncio.get_running_loop().call_later(fault.seconds, self._responsive.set)
         else:
-            self.switchboard.switch(fault)
+            self.active_faults.activate(fault)
             if fault.fault == "none":
-                self._lit.set()
+                self._responsive.set()
         self.announcer.changed()
 
     async def _call(self, request: HTTPServerRequest, connection: Any) -> None:
@@ -264,14 +264,14 @@
         if self.running >= self.options.slots and len(self._waiting) >= self.options.waiting_limit:
             _reply(connection, 503, {"error": "full"}, not_run=True)
             return
-        if error := self.switchboard.take("error-status"):
+        if error := self.active_faults.take("error-status"):
             _reply(connection, error.status, {"error": "switched on"})
             return
         try:
             body = msgspec.json.decode(request.body, type=CallBody)
         except msgspec.MsgspecError:
             body = CallBody(stream=self.options.kind == "model")
-        if late := self.switchboard.take("late"):
+        if late := self.active_faults.take("late"):
             await asyncio.sleep(late.seconds)
         await self._take_slot()
         try:
@@ -284,22 +284,22 @@
         if self.running < self.options.slots:
             self.running += 1
             return
-        place: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting.append(place)
+        waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._waiting.append(waiter)
         try:
-            await place
+            await waiter
         except asyncio.CancelledError:
-            if place.done() and not place.cancelled():
+            if waiter.done() and not waiter.cancelled():
                 self._free_slot()
-            elif place in self._waiting:  # Not when a slot that came free has passed over it.
-                self._waiting.remove(place)
+            elif waiter in self._waiting:  # Not when a slot that came free has passed over it.
+                self._waiting.remove(waiter)
             raise
 
     def _free_slot(self) -> None:
         while self._waiting:
-            place = self._waiting.popleft()
-            if not place.done():
-                place.set_result(None)
+            waiter = self._waiting.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
         self.running -= 1
         if not self.running:
@@ -321,7 +321,7 @@
             prompt_tokens=sum(part.tokens for part in parts),
         )
         self.runs.append(run)
-        self._tell(run)
+        self._report_run(run)
         try:
             if self.options.kind == "plain":
                 await self._plain(connection, body, run)
@@ -333,9 +333,9 @@
             if run.outcome == "running":
                 run.outcome = "caller-gone"
             run.finished = self.context.clock.monotonic()
-            self._tell(run)
+            self._report_run(run)
 
-    def _tell(self, run: Run) -> None:
+    def _report_run(self, run: Run) -> None:
         if self.on_run is not None:
             self.on_run(run)
 
@@ -353,23 +353,23 @@
         async with self._prefill:
             run.cached_tokens = self.cache.cached_tokens(parts)
             await asyncio.sleep((run.prompt_tokens - run.cached_tokens) * self.options.prefill_per_token)
-            self.cache.keep(parts)
+            self.cache.store(parts)
         if not body.stream:
             for _ in range(body.max_tokens):
                 await self._decode()
             run.generated_tokens = body.max_tokens
-            self._keep_generated(parts, body.max_tokens)
+            self._cache_generated(parts, body.max_tokens)
             answer: dict[str, object] = {
                 "request": run.request,
                 "call": body.call,
                 "instance": self.instance,
-                "text": "".join(word(index) for index in range(body.max_tokens)),
+                "text": "".join(token_text(index) for index in range(body.max_tokens)),
             }
             self._finish_plain(connection, run, answer)
             return
-        if self._closed_unanswered(connection, run):
+        if self._closes_without_answer(connection, run):
             return
-        breaks = self.switchboard.take("break-mid-event")
+        breaks = self.active_faults.take("break-mid-event")
         headers = HTTPHeaders(
             {
                 "Content-Type": "text/event-stream",
@@ -378,58 +378,58 @@
                 "Prompt-Tokens": str(run.prompt_tokens),
             }
         )
-        begun = False
+        first_event_sent = False
         for index in range(body.max_tokens):
             await self._decode()
             event: dict[str, object] = {
                 "index": index,
-                "text": word(index),
+                "text": token_text(index),
                 "request": run.request,
                 "call": body.call,
                 "instance": self.instance,
                 "at": self.context.clock.monotonic(),
             }
-            if not begun:
+            if not first_event_sent:
                 event["seconds"] = self.context.clock.monotonic() - run.arrived
             line = b"data: " + msgspec.json.encode(event) + b"\n\n"
             breaking = breaks is not None and index >= breaks.after
             if breaking:
                 line = line[: len(line) // 2]
-            if begun:
+            if first_event_sent:
                 await connection.write(line)
             else:
-                begun = True
+                first_event_sent = True
                 await connection.write_headers(ResponseStartLine("HTTP/1.1", 200, "OK"), headers, line)
             if breaking:
                 run.outcome = "broken"
                 connection.stream.close()
                 return
             run.generated_tokens = index + 1
-        self._keep_generated(parts, body.max_tokens)
+        self._cache_generated(parts, body.max_tokens)
         end = b"data: [DONE]\n\n"
-        if begun:
+        if first_event_sent:
             await connection.write(end)
         else:
             await connection.write_headers(ResponseStartLine("HTTP/1.1", 200, "OK"), headers, end)
         run.outcome = "whole"
         connection.finish()
-        self._trail(connection)
+        self._send_stray_bytes(connection)
 
     async def _decode(self) -> None:
-        await self._lit.wait()
+        await self._responsive.wait()
         others = max(0, self.running - 1)
         await asyncio.sleep(self.options.decode_per_token + others * self.options.decode_per_other_stream)
-        await self._lit.wait()
+        await self._responsive.wait()
 
-    def _keep_generated(self, parts: Sequence[PromptPart], generated: int) -> None:
+    def _cache_generated(self, parts: Sequence[PromptPart], generated: int) -> None:
         """The KV cache of the session now covers the answer too."""
         session = parts[-1]
-        self.cache.keep([*parts[:-1], PromptPart(session.name, session.tokens + generated)])
+        self.cache.store([*parts[:-1], PromptPart(session.name, session.tokens + generated)])
 
     def _finish_plain(self, connection: Any, run: Run, answer: dict[str, object]) -> None:
-        if self._closed_unanswered(connection, run):
+        if self._closes_without_answer(connection, run):
             return
-        if self.switchboard.take("break-mid-event"):
+        if self.active_faults.take("break-mid-event"):
             payload = msgspec.json.encode(answer)
             headers = HTTPHeaders({"Content-Type": "application/json", "Content-Length": str(len(payload))})
             connection.write_headers(ResponseStartLine("HTTP/1.1", 200, "OK"), headers, payload[: len(payload) // 2])
@@ -438,18 +438,18 @@
             return
         run.outcome = "whole"
         _reply(connection, 200, {**answer, "seconds": self.context.clock.monotonic() - run.arrived})
-        self._trail(connection)
+        self._send_stray_bytes(connection)
 
-    def _closed_unanswered(self, connection: Any, run: Run) -> bool:
-        if not self.switchboard.take("close-without-answer"):
+    def _closes_without_answer(self, connection: Any, run: Run) -> bool:
+        if not self.active_faults.take("close-without-answer"):
             return False
         run.outcome = "broken"
         connection.stream.close()
         return True
 
-    def _trail(self, connection: Any) -> None:
+    def _send_stray_bytes(self, connection: Any) -> None:
         stream = connection.stream
-        if self.switchboard.take("stray-bytes") and stream is not None and not stream.closed():
+        if self.active_faults.take("stray-bytes") and stream is not None and not stream.closed():
             stream.write(STRAY_BYTES).add_done_callback(_ignore_closed)
 
 
@@ -467,7 +467,7 @@
     connection.finish()
 
 
-def word(index: int) -> str:
+def token_text(index: int) -> str:
     """The text of one generated token, as long as a token of the prompt."""
     return f"{index % 1000:03d} "
 
--- a/simulation/call_checks.py
+++ b/simulation/call_checks.py
@@ -5,7 +5,7 @@
 from bisect import bisect_left
 from collections import defaultdict
 
-from emulator.worker import word
+from emulator.worker import token_text
 
 from .history import Attempt, SeenRun
 from .seen import Seen, Violation, at_attempt
@@ -103,7 +103,7 @@
         seen.looked["stream-out-of-order"] += len(indexes)
         if indexes != list(range(len(indexes))):
             found.append(at_attempt(attempt, "stream-out-of-order", f"events came as {indexes[:40]}"))
-        elif any(event.text != word(event.index) for event in attempt.events):
+        elif any(event.text != token_text(event.index) for event in attempt.events):
             found.append(at_attempt(attempt, "stream-out-of-order", "an event's text was changed"))
     return found
 
--- a/simulation/scenario.py
+++ b/simulation/scenario.py
@@ -276,10 +276,10 @@
         fault = fleet.fault(f"worker-{_WORKER_FAULTS[match['fault']]}", match["name"])
         fleet.world.note("world", "worker-fault", worker=match["name"], fault=match["fault"])
         kind: Any = _WORKER_FAULTS[match["fault"]]
-        fleet.workers[match["name"]].switchboard.switch(WorkerFault(kind, seconds=3.0))
+        fleet.workers[match["name"]].active_faults.activate(WorkerFault(kind, seconds=3.0))
 
         def back() -> None:
-            fleet.workers[match["name"]].switchboard.switch(WorkerFault("none"))
+            fleet.workers[match["name"]].active_faults.activate(WorkerFault("none"))
             fleet.end_fault(fault)
 
         fleet.world.at(fleet.world.now + _seconds(match), back)
--- a/simulation/tests/test_observer.py
+++ b/simulation/tests/test_observer.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from emulator.worker import word
+from emulator.worker import token_text
 from simulation.history import (
     Attempt,
     Call,
@@ -54,7 +54,7 @@
         ended_at=30.4,
         end="whole",
         status=200,
-        events=[SeenEvent(30.1 + 0.1 * index, index, mark, word(index)) for index in range(3)],
+        events=[SeenEvent(30.1 + 0.1 * index, index, mark, token_text(index)) for index in range(3)],
         done_marker=True,
         sent_bytes=True,
     )
--- a/wingwood/forward/tests/fakes.py
+++ b/wingwood/forward/tests/fakes.py
@@ -11,13 +11,13 @@
 from returns.result import Result, Success
 from tornado.iostream import BaseIOStream, StreamClosedError
 
-from emulator.router_slices import (
+from emulator.router_fakes import (
     TICKET,
-    FreeLedger,
-    FreeLimits,
-    FreeShares,
-    HeldBundle,
+    FixedBundle,
+    GrantingLedger,
+    OpenAdmission,
     ReadyWorkers,
+    UnlimitedShares,
     bundle_with,
     digest_of,
 )
@@ -76,14 +76,14 @@
     return bundle_with(services, [owner, other], [PriorityClass(name=ClassName("gold"), weight=4.0)])
 
 
-class FakeBundle(HeldBundle):
+class FakeBundle(FixedBundle):
     """A bundle in force that a test can replace, remove or make unproven (``serving``)."""
 
     def __init__(self) -> None:
         super().__init__(bundle_of())
 
 
-class FakeLimits(FreeLimits):
+class FakeLimits(OpenAdmission):
     """Paid shares, retry budget and admission; a test sets what they refuse and reads what they were asked."""
 
     def __init__(self) -> None:
@@ -113,7 +113,7 @@
         return self.too_late
 
 
-class FakeShares(FreeShares):
+class FakeShares(UnlimitedShares):
     """The ``Shares`` interface of ``FakeLimits``, whose own ``take`` is that of the retry budget."""
 
     def __init__(self, limits: FakeLimits) -> None:
@@ -123,7 +123,7 @@
         return await self._limits.take_share(tenant, cost)
 
 
-class FakeLedger(FreeLedger):
+class FakeLedger(GrantingLedger):
     """A ledger with one table, which a test can make slow or unreachable."""
 
     def __init__(self) -> None:
