--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""A stand-in for the model and plain workers behind the routers, with the faults they show (docs/DESIGN.md section 17).
+"""An emulated model or plain worker for tests and trials, with the faults that real workers show.
 
-Not part of the shipped package. It is written on the daemons' context, so the same code runs as a
-process (``python -m emulator.process``) and inside the simulator.
+See docs/DESIGN.md section 17. It is not part of the shipped package. It runs on the daemons' context, so that the same
+code runs as a process (``python -m emulator.process``) and inside the simulator.
 """
--- a/emulator/announcer.py
+++ b/emulator/announcer.py
@@ -1,4 +1,4 @@
-"""Tells the routers' worker registry of an emulated worker (docs/DESIGN.md section 10)."""
+"""Announces an emulated worker to the routers' worker registry (docs/DESIGN.md section 10)."""
 
 from __future__ import annotations
 
@@ -13,10 +13,12 @@
 
 ANNOUNCE_PATH = "/workers/v1/announce"
 ACKNOWLEDGE_TIMEOUT_S = Seconds(1.5)
-"""How long a daemon may take to acknowledge."""
+"""Time limit for a daemon to acknowledge an announcement; afterwards the next address is tried."""
 
 
 class Announcement(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+    """The body of an announcement: the worker's identity, size, state and load."""
+
     instance: str
     address: str
     pool: str
@@ -28,7 +30,11 @@
 
 
 class Announcer:
-    """Renews each ``every`` seconds and at once after ``changed``; another address when one does not acknowledge."""
+    """Sends the current announcement every ``every`` seconds, and at once after a call of ``changed``.
+
+    When a daemon does not acknowledge, the announcement goes to the next of ``addresses``. Nothing is sent while
+    ``current`` returns None.
+    """
 
     def __init__(
         self,
@@ -44,16 +50,18 @@
         self._changed = asyncio.Event()
         self._next = 0
         self.acknowledged: Announcement | None = None
-        """The last one that a daemon acknowledged."""
+        """The latest announcement that a daemon acknowledged."""
         self.refused = 0
+        """Number of announcements that were not acknowledged."""
         self.departed = asyncio.Event()
-        """That it is gone was acknowledged, or there is nobody to tell."""
+        """Set once a daemon has acknowledged the departure, or at once when there are no addresses."""
 
     def changed(self) -> None:
+        """Makes ``run`` send the current announcement without waiting for the next renewal."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Until a ``departed`` is acknowledged; forever without one."""
+        """Sends announcements until one with the state ``gone`` is acknowledged."""
         while self._addresses:
             self._changed.clear()
             announcement = self._current()
--- a/emulator/faults.py
+++ b/emulator/faults.py
@@ -1,4 +1,4 @@
-"""What can be made to go wrong with an emulated worker (``POST /faults``)."""
+"""Faults that can be switched on in an emulated worker (``POST /faults``)."""
 
 from __future__ import annotations
 
@@ -21,18 +21,19 @@
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One switch. ``none`` takes all switches back.
+    """A fault to switch on; ``none`` switches all faults off.
 
-    - ``crash``: the process ends at once; ``restart-empty``: a new life at the same address, with an empty cache;
-    - ``dark``: nothing is answered or announced for ``seconds``, connections stay open;
+    - ``crash``: the process ends at once;
+    - ``restart-empty``: a new instance starts at the same address with an empty cache;
+    - ``dark``: the worker answers and announces nothing for ``seconds``, while connections stay open;
     - ``late``: answers begin ``seconds`` later than they would;
-    - ``break-mid-event``: a stream breaks inside event number ``after``, a plain answer short of its length;
-    - ``stray-bytes``: bytes of no answer follow each whole answer;
-    - ``lie-about-load``: says that nothing runs and nothing waits;
-    - ``error-status``: answers with ``status`` instead of running the call;
-    - ``close-without-answer``: runs the call and closes without a byte.
+    - ``break-mid-event``: a stream breaks inside event number ``after``, and a plain answer before its full length;
+    - ``stray-bytes``: bytes that belong to no answer follow each complete answer;
+    - ``lie-about-load``: the worker reports that no calls run or wait;
+    - ``error-status``: the worker answers with ``status`` instead of running the call;
+    - ``close-without-answer``: the worker runs the call and closes the connection without sending a byte.
 
-    ``calls`` bounds how many calls it touches (None: until taken back).
+    ``calls`` limits the number of calls that the fault affects (None: until it is switched off).
     """
 
     fault: FaultKind
@@ -43,13 +44,14 @@
 
 
 class ActiveFaults:
-    """The faults that touch single calls."""
+    """The faults that are switched on and affect single calls."""
 
     def __init__(self) -> None:
         self._faults: dict[str, Fault] = {}
         self._calls_left: dict[str, int] = {}
 
     def activate(self, fault: Fault) -> None:
+        """Switches a fault on, in place of one of the same kind; ``none`` switches all off."""
         if fault.fault == "none":
             self._faults.clear()
             self._calls_left.clear()
@@ -60,11 +62,11 @@
             self._calls_left[fault.fault] = fault.calls
 
     def active(self, kind: FaultKind) -> Fault | None:
-        """The fault when it is switched on, without using up one of its calls."""
+        """Returns the fault if it is switched on, without counting a call against its limit."""
         return self._faults.get(kind)
 
     def take(self, kind: FaultKind) -> Fault | None:
-        """The fault when it touches the call under way."""
+        """Returns the fault if it affects the current call, and counts the call against the fault's limit."""
         fault = self._faults.get(kind)
         if fault is None or kind not in self._calls_left:
             return fault
--- a/emulator/prefix_cache.py
+++ b/emulator/prefix_cache.py
@@ -1,6 +1,7 @@
-"""The KV cache of one emulated worker: bounded tokens over the parts of a prefix, least recently used goes.
+"""The KV cache of an emulated worker: a bounded number of tokens with eviction of the least recently used parts.
 
-A part is known by the path of parts up to it, since a KV cache is only of use behind the same start.
+A part of a prompt is identified by the path of all parts up to it, because KV entries can be used again only after the
+same preceding tokens.
 """
 
 from __future__ import annotations
@@ -12,23 +13,25 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """One part of a prompt: a shared one, or (the last) the session's own turns so far."""
+    """One part of a prompt: a shared part, or (the last one) the session's own turns so far."""
 
     name: str
     tokens: int
 
 
 class PrefixCache:
+    """Counts tokens only; it holds no content."""
+
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        """Tokens that it holds at most."""
+        """Maximum number of tokens in the cache."""
         self.used = 0
         self.evicted = 0
-        """Tokens given up since the start."""
+        """Number of tokens evicted since the start."""
         self._tokens: OrderedDict[tuple[str, ...], int] = OrderedDict()
 
     def cached_tokens(self, parts: Sequence[PromptPart]) -> int:
-        """How many of the prompt's first tokens are kept; the rest needs a prefill."""
+        """Returns how many of the prompt's first tokens are in the cache; the rest needs a prefill."""
         path: tuple[str, ...] = ()
         found = 0
         for part in parts:
@@ -40,7 +43,10 @@
         return found
 
     def store(self, parts: Sequence[PromptPart]) -> None:
-        """Records that all parts were just used; their starts count as used last, so they go last."""
+        """Stores all parts as just used, then evicts the least recently used ones beyond the capacity.
+
+        Earlier parts of a prompt count as used more recently than later ones, so that they are evicted last.
+        """
         path: tuple[str, ...] = ()
         paths = []
         for part in parts:
@@ -56,5 +62,6 @@
             self.evicted += tokens
 
     def clear(self) -> None:
+        """Removes all tokens, without counting them as evicted."""
         self._tokens.clear()
         self.used = 0
--- a/emulator/process.py
+++ b/emulator/process.py
@@ -1,4 +1,4 @@
-"""The emulated worker as a process: ``python -m emulator.process``."""
+"""Command line that runs an emulated worker as a process: ``python -m emulator.process``."""
 
 from __future__ import annotations
 
@@ -24,11 +24,14 @@
 from .worker import EmulatedWorker, Run, WorkerOptions
 
 STOP_TIMEOUT_S = 15.0
-"""Seconds from SIGTERM to exit at most, for calls under way and for a daemon to acknowledge."""
+"""Maximum time from SIGTERM to exit, for running calls to end and for a daemon to acknowledge the departure."""
 
 
 def _write_runs(path: Path) -> Callable[[Run], None]:
-    """Appends each start and end of a run as a JSON line, so that observers have them after a kill too."""
+    """Returns a callback that appends a JSON line at each start and end of a run.
+
+    The file is unbuffered, so that observers have all lines even after the process was killed.
+    """
     output = path.open("ab", buffering=0)
 
     def write(run: Run) -> None:
@@ -38,6 +41,7 @@
 
 
 async def _run(options: WorkerOptions, runs_file: Path | None) -> int:
+    """Runs the worker until SIGTERM or SIGINT; returns the exit code of the process."""
     log = EliotLog(DaemonName(options.name))
     ended = asyncio.Event()
 
@@ -77,21 +81,23 @@
 
 
 @click.command()
-@click.option("--name", default="worker", show_default=True, help="Start of its instances' names.")
-@click.option("--address", required=True, help="Where it listens, such as 127.0.0.1:27100.")
-@click.option("--announce", multiple=True, help="Operator address of a daemon; may be given several times.")
+@click.option("--name", default="worker", show_default=True, help="Start of the names of its instances.")
+@click.option("--address", required=True, help="Address to listen on, such as 127.0.0.1:27100.")
+@click.option(
+    "--announce", multiple=True, help="Operator address of a daemon to announce to; may be given several times."
+)
 @click.option("--pool", default="model", show_default=True)
 @click.option("--zone", default="a", show_default=True)
 @click.option("--kind", type=click.Choice(["model", "plain"]), default="model", show_default=True)
-@click.option("--slots", default=8, show_default=True, help="Calls that run side by side.")
+@click.option("--slots", default=8, show_default=True, help="Number of calls that run at the same time.")
 @click.option("--waiting-limit", default=64, show_default=True)
 @click.option("--cache-tokens", default=120_000, show_default=True)
 @click.option("--prefill-per-token", default=0.00015, show_default=True, help="Seconds for each uncached token.")
 @click.option("--decode-per-token", default=0.02, show_default=True, help="Seconds for each generated token.")
-@click.option("--decode-per-other-stream", default=0.001, show_default=True, help="Seconds more for each other one.")
+@click.option("--decode-per-other-stream", default=0.001, show_default=True, help="Seconds more for each other stream.")
 @click.option("--plain-seconds", default=0.02, show_default=True, help="Seconds that a plain call takes.")
 @click.option("--tells-load/--hides-load", default=True, show_default=True)
-@click.option("--runs-file", type=click.Path(path_type=Path), help="Appends what was run, for observers.")
+@click.option("--runs-file", type=click.Path(path_type=Path), help="File to which runs are appended, for observers.")
 def main(
     name: str,
     address: str,
@@ -109,7 +115,7 @@
     tells_load: bool,
     runs_file: Path | None,
 ) -> None:
-    """A stand-in for a worker: batch slots, prefill, KV cache, decode pace and, on request, faults."""
+    """Runs an emulated worker with batch slots, prefill, KV cache, decode pace and, on request, faults."""
     options = WorkerOptions(
         name=name,
         address=parse_address(address),
--- a/emulator/router_fakes.py
+++ b/emulator/router_fakes.py
@@ -1,6 +1,6 @@
-"""The other slices of a router, as small as they can be, for tests and benches of its request path.
+"""Minimal fakes of the other components of a router, for tests and benchmarks of its request path.
 
-Nothing is refused, nothing is remembered. Tests that look at what a slice was told, or make it refuse, build on these.
+The fakes refuse nothing and record nothing. Tests that inspect calls to a component, or make it refuse, use subclasses.
 """
 
 from __future__ import annotations
@@ -33,11 +33,12 @@
 
 
 def digest_of(key: str) -> KeyDigest:
+    """Returns the digest under which a bundle lists a caller's key."""
     return KeyDigest(hashlib.sha256(key.encode()).hexdigest())
 
 
 def bundle_with(services: Sequence[Service], tenants: Sequence[Tenant], classes: Sequence[PriorityClass]) -> Bundle:
-    """An unsigned bundle; each service has the route ``/NAME``."""
+    """Returns an unsigned bundle in which each service has the route ``/NAME``."""
     manifest = Manifest(
         version=BundleVersion(1),
         base=BundleVersion(0),
@@ -61,7 +62,7 @@
 
 
 class FixedBundle:
-    """A bundle that is in force, while ``serving``."""
+    """A bundle that is in force while ``serving`` is True."""
 
     def __init__(self, bundle: Bundle | None) -> None:
         self.bundle = bundle
@@ -80,14 +81,14 @@
 
 
 class UnlimitedShares:
-    """Every tenant may take all."""
+    """Paid shares without a limit."""
 
     async def take(self, tenant: Tenant, cost: int = 1) -> ShareRefused | None:
         return None
 
 
 class OpenAdmission:
-    """Admission that refuses nothing, and a retry budget that is empty."""
+    """Admission that refuses nothing, and a retry budget that is always empty."""
 
     def take(self, service: Service, pool: PoolName | None = None) -> bool:
         return False
@@ -99,7 +100,7 @@
 
 
 class GrantingLedger:
-    """Grants every claim."""
+    """A ledger that grants every claim."""
 
     async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
         return Claimed(TICKET)
@@ -109,7 +110,7 @@
 
 
 class ReadyWorkers:
-    """Placement and registry: the first worker that is not left out."""
+    """Placement and registry: chooses the first worker that is not excluded."""
 
     def __init__(self, workers: Sequence[Worker] = ()) -> None:
         self.workers = [*workers]
--- a/emulator/worker.py
+++ b/emulator/worker.py
@@ -1,17 +1,17 @@
 """The emulated worker: batch slots, prefill, KV cache, decode pace, faults (docs/DESIGN.md section 17).
 
-Towards the routers it speaks the form of ``wingwood/forward/worker_format.py``, written here a second time on purpose:
-``Prefix``, ``Expect-Instance`` (else 412), 503 with ``Not-Run: true`` when draining or full, streams of events that end
-in ``data: [DONE]``, JSON for all else. Beside that:
+Towards routers it speaks the format of ``wingwood/forward/worker_format.py``, implemented here a second time on
+purpose: ``Prefix``, ``Expect-Instance`` (412 when it names another instance), 503 with ``Not-Run: true`` when draining or full,
+streams of events that end in ``data: [DONE]``, and JSON for everything else. It also serves:
 
 - ``GET /health``: ``{instance, state, running, waiting, cache_tokens_used}``
-- ``GET /runs?after=N``: what was run, in order; for observers
+- ``GET /runs?after=N``: the calls that were started, in order; for observers
 - ``POST /drain``, ``POST /faults``
 
-A call's body is JSON: ``messages`` (one per shared part of the prefix, then the session's own), ``max_tokens``,
+The body of a call is JSON: ``messages`` (one per shared part of the prefix, then the session's own), ``max_tokens``,
 ``stream``, and ``call``, the caller's own mark, which each event and answer repeats. Four bytes count as a token.
-Events tell ``at``, the worker's monotonic clock when each was made; on one machine, tools read transit times from it.
-The first event and plain answers tell ``seconds``, how long ago the call had come to the worker.
+The field ``at`` of an event is the worker's monotonic clock at its creation; on one machine, tools compute transit
+times from it. The field ``seconds`` of the first event and of plain answers is the time since the call arrived at the worker.
 """
 
 from __future__ import annotations
@@ -39,30 +39,35 @@
 
 
 class WorkerOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Times in seconds. The pace is that of one accelerator with continuous batching, roughly."""
+    """Options of an emulated worker, with times in seconds.
+
+    The defaults are roughly the pace of one accelerator with continuous batching.
+    """
 
     name: str
     address: Address
     announce: tuple[Address, ...] = ()
-    """Operator addresses of daemons; one of them is told, the others when it does not acknowledge."""
+    """Operator addresses of daemons; announcements go to one of them, and to the next when it does not acknowledge."""
     pool: str = "model"
     zone: str = "a"
     kind: str = "model"
     """``model`` or ``plain``."""
     slots: int = 8
     waiting_limit: int = 64
+    """Calls that may wait for a slot; further calls get a 503."""
     cache_tokens: int = 120_000
     prefill_per_token: Seconds = Seconds(0.00015)
     decode_per_token: Seconds = Seconds(0.02)
     decode_per_other_stream: Seconds = Seconds(0.001)
-    """How much longer each token takes for each other stream in the batch."""
+    """Additional time per token for each other stream in the batch."""
     plain_seconds: Seconds = Seconds(0.02)
     tells_load: bool = True
+    """Whether announcements state the worker's load."""
     announce_every: Seconds = Seconds(1.0)
 
 
 class Run(msgspec.Struct, kw_only=True):
-    """One call that was begun; times on the worker's monotonic clock."""
+    """A call that was started; times are those of the worker's monotonic clock."""
 
     number: int
     request: str
@@ -73,17 +78,19 @@
     prefix: str
     instance: str
     arrived: float
-    """When the call had come; ``started`` is when a slot was free."""
+    """Time at which the call arrived; ``started`` is the time at which it got a slot."""
     started: float
     finished: float | None = None
     outcome: str = "running"
-    """``whole``, ``caller-gone``, ``broken`` (by a fault) or ``running``."""
+    """``whole`` (answered completely), ``caller-gone``, ``broken`` (by a fault) or ``running``."""
     prompt_tokens: int = 0
     cached_tokens: int = 0
     generated_tokens: int = 0
 
 
 class CallBody(msgspec.Struct, frozen=True):
+    """The body of a call, as the doc string of the module describes it."""
+
     messages: list[dict[str, str]] = []
     max_tokens: int = 16
     stream: bool = True
@@ -91,7 +98,7 @@
 
 
 class EmulatedWorker:
-    """One worker process; several lives when it is restarted empty."""
+    """A worker process; it has several instances in succession when it is restarted empty."""
 
     def __init__(
         self,
@@ -99,7 +106,7 @@
         options: WorkerOptions,
         on_run: Callable[[Run], None] | None = None,
     ) -> None:
-        """``on_run`` is told of each run at its start and at its end."""
+        """``on_run`` is called with each run at its start and at its end."""
         self.context = context
         self.options = options
         self.on_run = on_run
@@ -110,7 +117,7 @@
         self.runs: list[Run] = []
         self.running = 0
         self.idle = asyncio.Event()
-        """Set while nothing runs or waits."""
+        """Set while no call runs or waits."""
         self.idle.set()
         self._waiting: deque[asyncio.Future[None]] = deque()
         self._prefill = asyncio.Lock()
@@ -122,9 +129,10 @@
         self._server = HTTPServer(self._take, max_body_size=64 * 1024 * 1024, max_buffer_size=96 * 1024 * 1024)
         self.announcer = Announcer(context, options.announce, self._announcement, options.announce_every)
 
-    # Life
+    # Start, drain, restart and stop
 
     def start(self) -> Result[None, NetworkFault]:
+        """Listens and starts to announce the worker; a failure says why it cannot listen."""
         match self.context.network.listen(self.options.address, self._handle_stream):
             case Success(listener):
                 self._listener = listener
@@ -136,7 +144,7 @@
         raise AssertionError("a result is a success or a failure")
 
     def drain(self) -> None:
-        """Final for this life: no new calls; says gone when the last has ended."""
+        """Refuses new calls for the rest of this instance, and announces its departure once no call runs or waits."""
         if self.state == "ready":
             self.state = "draining"
             self.context.log.event("worker-draining", instance=self.instance)
@@ -151,7 +159,7 @@
             self.announcer.changed()
 
     def restart_empty(self) -> None:
-        """A new life at the same address: calls under way break, the cache is empty."""
+        """Starts a new instance at the same address: running calls break, and the cache is emptied."""
         for task, stream in list(self._calls.values()):
             task.cancel()
             stream.close()
@@ -163,21 +171,23 @@
         self.announcer.changed()
 
     def stop(self) -> None:
-        """Stops listening; calls under way go on."""
+        """Stops listening; running calls go on."""
         if self._listener is not None:
             self._listener.close()
 
     def _new_instance(self) -> str:
         return f"{self.options.name}-{self.context.random.getrandbits(32):08x}"
 
-    # What is told
+    # Reports of the worker's state
 
     def load(self) -> dict[str, int]:
+        """Returns the load that is reported, which is all zeros under the fault ``lie-about-load``."""
         if self.active_faults.active("lie-about-load"):
             return {"running": 0, "waiting": 0, "cache_tokens_used": 0}
         return {"running": self.running, "waiting": len(self._waiting), "cache_tokens_used": self.cache.used}
 
     def _announcement(self) -> Announcement | None:
+        """Returns the current announcement, or None under the fault ``dark``."""
         if not self._responsive.is_set():
             return None
         return Announcement(
@@ -241,7 +251,7 @@
         if fault.fault == "crash":
             self.context.tasks.stop_process("crash")
         elif fault.fault == "restart-empty":
-            # The reply above belongs to the old life and must leave before it.
+            # The reply above must be sent before the restart closes the connections of the old instance.
             asyncio.get_running_loop().call_later(0.01, self.restart_empty)
         elif fault.fault == "dark":
             self._responsive.clear()
@@ -280,6 +290,7 @@
             self._free_slot()
 
     async def _take_slot(self) -> None:
+        """Waits in order of arrival for a slot; a cancelled call passes its slot on or leaves the queue."""
         self.idle.clear()
         if self.running < self.options.slots:
             self.running += 1
@@ -291,11 +302,12 @@
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
                 self._free_slot()
-            elif waiter in self._waiting:  # Not when a slot that came free has passed over it.
+            elif waiter in self._waiting:  # It is not when a slot that became free skipped it.
                 self._waiting.remove(waiter)
             raise
 
     def _free_slot(self) -> None:
+        """Passes the slot to the first waiting call that was not cancelled, if there is any."""
         while self._waiting:
             waiter = self._waiting.popleft()
             if not waiter.done():
@@ -422,7 +434,7 @@
         await self._responsive.wait()
 
     def _cache_generated(self, parts: Sequence[PromptPart], generated: int) -> None:
-        """The KV cache of the session now covers the answer too."""
+        """Extends the cached part of the session by the generated tokens."""
         session = parts[-1]
         self.cache.store([*parts[:-1], PromptPart(session.name, session.tokens + generated)])
 
@@ -468,12 +480,16 @@
 
 
 def token_text(index: int) -> str:
-    """The text of one generated token, as long as a token of the prompt."""
+    """Returns the text of a generated token, which has ``BYTES_PER_TOKEN`` bytes."""
     return f"{index % 1000:03d} "
 
 
 def prompt_parts(prefix: str | None, body: CallBody, body_bytes: int) -> list[PromptPart]:
-    """Sizes of the prompt's parts: message n is the n-th shared part, all later ones the session's own."""
+    """Returns the prompt's parts with their sizes in tokens.
+
+    Message n is the n-th shared part of the prefix; all later messages belong to the session's own part. With fewer
+    messages than parts, the session's own part has all tokens.
+    """
     names = [name for name in (prefix or "").split("/") if name]
     sizes = [-(-len(message.get("content", "").encode()) // BYTES_PER_TOKEN) for message in body.messages]
     if not names:
