--- a/emulator/worker.py
+++ b/emulator/worker.py
@@ -1,8 +1,8 @@
 """The emulated worker: batch slots, prefill, KV cache, decode pace, faults (docs/DESIGN.md section 17).
 
 Towards routers it speaks the format of ``wingwood/forward/worker_format.py``, implemented here a second time on
-purpose: ``Prefix``, ``Expect-Instance`` (412 when it names another instance), 503 with ``Not-Run: true`` when draining or full,
-streams of events that end in ``data: [DONE]``, and JSON for everything else. It also serves:
+purpose: ``Prefix``, ``Expect-Instance`` (412 when it names another instance), 503 with ``Not-Run: true`` when draining
+or full, streams of events that end in ``data: [DONE]``, and JSON for everything else. It also serves:
 
 - ``GET /health``: ``{instance, state, running, waiting, cache_tokens_used}``
 - ``GET /runs?after=N``: the calls that were started, in order; for observers
@@ -11,7 +11,7 @@
 The body of a call is JSON: ``messages`` (one per shared part of the prefix, then the session's own), ``max_tokens``,
 ``stream``, and ``call``, the caller's own mark, which each event and answer repeats. Four bytes count as a token.
 The field ``at`` of an event is the worker's monotonic clock at its creation; on one machine, tools compute transit
-times from it. The field ``seconds`` of the first event and of plain answers is the time since the call arrived at the worker.
+times from it. The field ``seconds`` of the first event and of plain answers is the time since the call arrived.
 """
 
 from __future__ import annotations
@@ -228,8 +228,8 @@
 
     async def _answer(self, request: HTTPServerRequest, connection: Any) -> None:
         if request.path == "/health":
-            told = {"instance": self.instance, "state": self.state, **self.load()}
-            _reply(connection, 200, told)
+            health = {"instance": self.instance, "state": self.state, **self.load()}
+            _reply(connection, 200, health)
         elif request.path == "/runs":
             after = int(request.arguments.get("after", [b"0"])[0])
             _reply(connection, 200, {"instance": self.instance, "runs": self.runs[after:]})
