--- a/emulator/tests/test_worker.py
+++ b/emulator/tests/test_worker.py
@@ -43,6 +43,8 @@
 
 
 class OneWorker(unittest.TestCase):
+    """An emulated worker, a registry that records its announcements, and a caller."""
+
     slots = 2
     cache_tokens = 10_000
 
