--- a/emulator/worker.py
+++ b/emulator/worker.py
@@ -1,17 +1,17 @@
 """The emulated worker: batch slots, prefill, KV cache, decode pace, faults (docs/DESIGN.md section 17).
 
-Towards the routers it speaks the form of ``wingwood/forward/worker_format.py``, written here a second time on purpose:
-``Prefix``, ``Expect-Instance`` (else 412), 503 with ``Not-Run: true`` when draining or full, streams of events that end
-in ``data: [DONE]``, JSON for all else. Beside that:
+Towards routers it speaks the format of ``wingwood/forward/worker_format.py``, implemented here a second time on
+purpose: ``Prefix``, ``Expect-Instance`` (412 when it names another instance), 503 with ``Not-Run: true`` when draining
+or full, streams of events that end in ``data: [DONE]``, and JSON for everything else. It also serves:
 
 - ``GET /health``: ``{instance, state, running, waiting, cache_tokens_used}``
-- ``GET /runs?after=N``: what was run, in order; for observers
+- ``GET /runs?after=N``: the calls that were started, in order; for observers
 - ``POST /drain``, ``POST /faults``
 
-A call's body is JSON: ``messages`` (one per shared part of the prefix, then the session's own), ``max_tokens``,
+The body of a call is JSON: ``messages`` (one per shared part of the prefix, then the session's own), ``max_tokens``,
 ``stream``, and ``call``, the caller's own mark, which each event and answer repeats. Four bytes count as a token.
-Events tell ``at``, the worker's monotonic clock when each was made; on one machine, tools read transit times from it.
-The first event and plain answers tell ``seconds``, how long ago the call had come to the worker.
+The field ``at`` of an event is the worker's monotonic clock at its creation; on one machine, tools compute transit
+times from it. The field ``seconds`` of the first event and of plain answers is the time since the call arrived.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from wingwood.identifiers import Address, Seconds
 
 from .announcer import Announcement, Announcer
-from .faults import Fault, Switchboard
+from .faults import ActiveFaults, Fault
 from .prefix_cache import PrefixCache, PromptPart
 
 BYTES_PER_TOKEN = 4
@@ -39,30 +39,35 @@
 
 
 class WorkerOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Times in seconds. The pace is that of one accelerator with continuous batching, roughly."""
+    """Options of an emulated worker, with times in seconds.
+
+    The defaults are roughly the pace of one accelerator with continuous batching.
+    """
 
     name: str
     address: Address
     announce: tuple[Address, ...] = ()
-    """Operator addresses of daemons; one of them is told, the others when it does not acknowledge."""
+    """Operator addresses of daemons; announcements go to one of them, and to the next when it does not acknowledge."""
     pool: str = "model"
     zone: str = "a"
     kind: str = "model"
     """``model`` or ``plain``."""
     slots: int = 8
     waiting_limit: int = 64
+    """Calls that may wait for a slot; further calls get a 503."""
     cache_tokens: int = 120_000
     prefill_per_token: Seconds = Seconds(0.00015)
     decode_per_token: Seconds = Seconds(0.02)
     decode_per_other_stream: Seconds = Seconds(0.001)
-    """How much longer each token takes for each other stream in the batch."""
+    """Additional time per token for each other stream in the batch."""
     plain_seconds: Seconds = Seconds(0.02)
     tells_load: bool = True
+    """Whether announcements state the worker's load."""
     announce_every: Seconds = Seconds(1.0)
 
 
 class Run(msgspec.Struct, kw_only=True):
-    """One call that was begun; times on the worker's monotonic clock."""
+    """A call that was started; times are those of the worker's monotonic clock."""
 
     number: int
     request: str
@@ -73,17 +78,19 @@
     prefix: str
     instance: str
     arrived: float
-    """When the call had come; ``started`` is when a slot was free."""
+    """Time at which the call arrived; ``started`` is the time at which it got a slot."""
     started: float
     finished: float | None = None
     outcome: str = "running"
-    """``whole``, ``caller-gone``, ``broken`` (by a fault) or ``running``."""
+    """``whole`` (answered completely), ``caller-gone``, ``broken`` (by a fault) or ``running``."""
     prompt_tokens: int = 0
     cached_tokens: int = 0
     generated_tokens: int = 0
 
 
 class CallBody(msgspec.Struct, frozen=True):
+    """The body of a call, as the doc string of the module describes it."""
+
     messages: list[dict[str, str]] = []
     max_tokens: int = 16
     stream: bool = True
@@ -91,7 +98,7 @@
 
 
 class EmulatedWorker:
-    """One worker process; several lives when it is restarted empty."""
+    """A worker process; it has several instances in succession when it is restarted empty."""
 
     def __init__(
         self,
@@ -99,32 +106,33 @@
         options: WorkerOptions,
         on_run: Callable[[Run], None] | None = None,
     ) -> None:
-        """``on_run`` is told of each run at its start and at its end."""
+        """``on_run`` is called with each run at its start and at its end."""
         self.context = context
         self.options = options
         self.on_run = on_run
         self.state = "ready"
         self.instance = self._new_instance()
         self.cache = PrefixCache(options.cache_tokens)
-        self.switchboard = Switchboard()
+        self.active_faults = ActiveFaults()
         self.runs: list[Run] = []
         self.running = 0
         self.idle = asyncio.Event()
-        """Set while nothing runs or waits."""
+        """Set while no call runs or waits."""
         self.idle.set()
         self._waiting: deque[asyncio.Future[None]] = deque()
         self._prefill = asyncio.Lock()
-        self._lit = asyncio.Event()
-        self._lit.set()
+        self._responsive = asyncio.Event()
+        self._responsive.set()
         self._calls: dict[int, tuple[Task, BaseIOStream]] = {}
         self._call_number = 0
         self._listener: Listener | None = None
         self._server = HTTPServer(self._take, max_body_size=64 * 1024 * 1024, max_buffer_size=96 * 1024 * 1024)
         self.announcer = Announcer(context, options.announce, self._announcement, options.announce_every)
 
-    # Life
+    # Start, drain, restart and stop
 
     def start(self) -> Result[None, NetworkFault]:
+        """Listens and starts to announce the worker; a failure says why it cannot listen."""
         match self.context.network.listen(self.options.address, self._handle_stream):
             case Success(listener):
                 self._listener = listener
@@ -136,14 +144,14 @@
         raise AssertionError("a result is a success or a failure")
 
     def drain(self) -> None:
-        """Final for this life: no new calls; says gone when the last has ended."""
+        """Refuses new calls for the rest of this instance, and announces its departure once no call runs or waits."""
         if self.state == "ready":
             self.state = "draining"
             self.context.log.event("worker-draining", instance=self.instance)
             self.announcer.changed()
-            self.context.tasks.spawn("drain", self._say_gone())
+            self.context.tasks.spawn("drain", self._announce_departure())
 
-    async def _say_gone(self) -> None:
+    async def _announce_departure(self) -> None:
         instance = self.instance
         await self.idle.wait()
         if self.instance == instance:
@@ -151,34 +159,36 @@
             self.announcer.changed()
 
     def restart_empty(self) -> None:
-        """A new life at the same address: calls under way break, the cache is empty."""
+        """Starts a new instance at the same address: running calls break, and the cache is emptied."""
         for task, stream in list(self._calls.values()):
             task.cancel()
             stream.close()
         self.cache.clear()
         self.state = "ready"
         self.instance = self._new_instance()
-        self._lit.set()
+        self._responsive.set()
         self.context.log.event("worker-restarted", instance=self.instance)
         self.announcer.changed()
 
     def stop(self) -> None:
-        """Stops listening; calls under way go on."""
+        """Stops listening; running calls go on."""
         if self._listener is not None:
             self._listener.close()
 
     def _new_instance(self) -> str:
         return f"{self.options.name}-{self.context.random.getrandbits(32):08x}"
 
-    # What is told
+    # Reports of the worker's state
 
     def load(self) -> dict[str, int]:
-        if self.switchboard.active("lie-about-load"):
+        """Returns the load that is reported, which is all zeros under the fault ``lie-about-load``."""
+        if self.active_faults.active("lie-about-load"):
             return {"running": 0, "waiting": 0, "cache_tokens_used": 0}
         return {"running": self.running, "waiting": len(self._waiting), "cache_tokens_used": self.cache.used}
 
     def _announcement(self) -> Announcement | None:
-        if not self._lit.is_set():
+        """Returns the current announcement, or None under the fault ``dark``."""
+        if not self._responsive.is_set():
             return None
         return Announcement(
             instance=self.instance,
@@ -207,9 +217,9 @@
     async def _serve(self, request: HTTPServerRequest, connection: Any, number: int) -> None:
         try:
             if request.path == "/faults":
-                self._switch(request, connection)
+                self._apply_fault(request, connection)
                 return
-            await self._lit.wait()
+            await self._responsive.wait()
             await self._answer(request, connection)
         except StreamClosedError:
             return
@@ -218,8 +228,8 @@
 
     async def _answer(self, request: HTTPServerRequest, connection: Any) -> None:
         if request.path == "/health":
-            told = {"instance": self.instance, "state": self.state, **self.load()}
-            _reply(connection, 200, told)
+            health = {"instance": self.instance, "state": self.state, **self.load()}
+            _reply(connection, 200, health)
         elif request.path == "/runs":
             after = int(request.arguments.get("after", [b"0"])[0])
             _reply(connection, 200, {"instance": self.instance, "runs": self.runs[after:]})
@@ -229,7 +239,7 @@
         else:
             await self._call(request, connection)
 
-    def _switch(self, request: HTTPServerRequest, connection: Any) -> None:
+    def _apply_fault(self, request: HTTPServerRequest, connection: Any) -> None:
         try:
             fault = msgspec.json.decode(request.body, type=Fault)
         except msgspec.MsgspecError as malformed:
@@ -241,15 +251,15 @@
         if fault.fault == "crash":
             self.context.tasks.stop_process("crash")
         elif fault.fault == "restart-empty":
-            # The reply above belongs to the old life and must leave before it.
+            # The reply above must be sent before the restart closes the connections of the old instance.
             asyncio.get_running_loop().call_later(0.01, self.restart_empty)
         elif fault.fault == "dark":
-            self._lit.clear()
-            asyncio.get_running_loop().call_later(fault.seconds, self._lit.set)
+            self._responsive.clear()
+            asyncio.get_running_loop().call_later(fault.seconds, self._responsive.set)
         else:
-            self.switchboard.switch(fault)
+            self.active_faults.activate(fault)
             if fault.fault == "none":
-                self._lit.set()
+                self._responsive.set()
         self.announcer.changed()
 
     async def _call(self, request: HTTPServerRequest, connection: Any) -> None:
@@ -264,14 +274,14 @@
         if self.running >= self.options.slots and len(self._waiting) >= self.options.waiting_limit:
             _reply(connection, 503, {"error": "full"}, not_run=True)
             return
-        if error := self.switchboard.take("error-status"):
+        if error := self.active_faults.take("error-status"):
             _reply(connection, error.status, {"error": "switched on"})
             return
         try:
             body = msgspec.json.decode(request.body, type=CallBody)
         except msgspec.MsgspecError:
             body = CallBody(stream=self.options.kind == "model")
-        if late := self.switchboard.take("late"):
+        if late := self.active_faults.take("late"):
             await asyncio.sleep(late.seconds)
         await self._take_slot()
         try:
@@ -280,26 +290,28 @@
             self._free_slot()
 
     async def _take_slot(self) -> None:
+        """Waits in order of arrival for a slot; a cancelled call passes its slot on or leaves the queue."""
         self.idle.clear()
         if self.running < self.options.slots:
             self.running += 1
             return
-        place: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting.append(place)
+        waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._waiting.append(waiter)
         try:
-            await place
+            await waiter
         except asyncio.CancelledError:
-            if place.done() and not place.cancelled():
+            if waiter.done() and not waiter.cancelled():
                 self._free_slot()
-            elif place in self._waiting:  # Not when a slot that came free has passed over it.
-                self._waiting.remove(place)
+            elif waiter in self._waiting:  # It is not when a slot that became free skipped it.
+                self._waiting.remove(waiter)
             raise
 
     def _free_slot(self) -> None:
+        """Passes the slot to the first waiting call that was not cancelled, if there is any."""
         while self._waiting:
-            place = self._waiting.popleft()
-            if not place.done():
-                place.set_result(None)
+            waiter = self._waiting.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
         self.running -= 1
         if not self.running:
@@ -321,7 +333,7 @@
             prompt_tokens=sum(part.tokens for part in parts),
         )
         self.runs.append(run)
-        self._tell(run)
+        self._report_run(run)
         try:
             if self.options.kind == "plain":
                 await self._plain(connection, body, run)
@@ -333,9 +345,9 @@
             if run.outcome == "running":
                 run.outcome = "caller-gone"
             run.finished = self.context.clock.monotonic()
-            self._tell(run)
+            self._report_run(run)
 
-    def _tell(self, run: Run) -> None:
+    def _report_run(self, run: Run) -> None:
         if self.on_run is not None:
             self.on_run(run)
 
@@ -353,23 +365,23 @@
         async with self._prefill:
             run.cached_tokens = self.cache.cached_tokens(parts)
             await asyncio.sleep((run.prompt_tokens - run.cached_tokens) * self.options.prefill_per_token)
-            self.cache.keep(parts)
+            self.cache.store(parts)
         if not body.stream:
             for _ in range(body.max_tokens):
                 await self._decode()
             run.generated_tokens = body.max_tokens
-            self._keep_generated(parts, body.max_tokens)
+            self._cache_generated(parts, body.max_tokens)
             answer: dict[str, object] = {
                 "request": run.request,
                 "call": body.call,
                 "instance": self.instance,
-                "text": "".join(word(index) for index in range(body.max_tokens)),
+                "text": "".join(token_text(index) for index in range(body.max_tokens)),
             }
             self._finish_plain(connection, run, answer)
             return
-        if self._closed_unanswered(connection, run):
+        if self._closes_without_answer(connection, run):
             return
-        breaks = self.switchboard.take("break-mid-event")
+        breaks = self.active_faults.take("break-mid-event")
         headers = HTTPHeaders(
             {
                 "Content-Type": "text/event-stream",
@@ -378,58 +390,58 @@
                 "Prompt-Tokens": str(run.prompt_tokens),
             }
         )
-        begun = False
+        first_event_sent = False
         for index in range(body.max_tokens):
             await self._decode()
             event: dict[str, object] = {
                 "index": index,
-                "text": word(index),
+                "text": token_text(index),
                 "request": run.request,
                 "call": body.call,
                 "instance": self.instance,
                 "at": self.context.clock.monotonic(),
             }
-            if not begun:
+            if not first_event_sent:
                 event["seconds"] = self.context.clock.monotonic() - run.arrived
             line = b"data: " + msgspec.json.encode(event) + b"\n\n"
             breaking = breaks is not None and index >= breaks.after
             if breaking:
                 line = line[: len(line) // 2]
-            if begun:
+            if first_event_sent:
                 await connection.write(line)
             else:
-                begun = True
+                first_event_sent = True
                 await connection.write_headers(ResponseStartLine("HTTP/1.1", 200, "OK"), headers, line)
             if breaking:
                 run.outcome = "broken"
                 connection.stream.close()
                 return
             run.generated_tokens = index + 1
-        self._keep_generated(parts, body.max_tokens)
+        self._cache_generated(parts, body.max_tokens)
         end = b"data: [DONE]\n\n"
-        if begun:
+        if first_event_sent:
             await connection.write(end)
         else:
             await connection.write_headers(ResponseStartLine("HTTP/1.1", 200, "OK"), headers, end)
         run.outcome = "whole"
         connection.finish()
-        self._trail(connection)
+        self._send_stray_bytes(connection)
 
     async def _decode(self) -> None:
-        await self._lit.wait()
+        await self._responsive.wait()
         others = max(0, self.running - 1)
         await asyncio.sleep(self.options.decode_per_token + others * self.options.decode_per_other_stream)
-        await self._lit.wait()
+        await self._responsive.wait()
 
-    def _keep_generated(self, parts: Sequence[PromptPart], generated: int) -> None:
-        """The KV cache of the session now covers the answer too."""
+    def _cache_generated(self, parts: Sequence[PromptPart], generated: int) -> None:
+        """Extends the cached part of the session by the generated tokens."""
         session = parts[-1]
-        self.cache.keep([*parts[:-1], PromptPart(session.name, session.tokens + generated)])
+        self.cache.store([*parts[:-1], PromptPart(session.name, session.tokens + generated)])
 
     def _finish_plain(self, connection: Any, run: Run, answer: dict[str, object]) -> None:
-        if self._closed_unanswered(connection, run):
+        if self._closes_without_answer(connection, run):
             return
-        if self.switchboard.take("break-mid-event"):
+        if self.active_faults.take("break-mid-event"):
             payload = msgspec.json.encode(answer)
             headers = HTTPHeaders({"Content-Type": "application/json", "Content-Length": str(len(payload))})
             connection.write_headers(ResponseStartLine("HTTP/1.1", 200, "OK"), headers, payload[: len(payload) // 2])
@@ -438,18 +450,18 @@
             return
         run.outcome = "whole"
         _reply(connection, 200, {**answer, "seconds": self.context.clock.monotonic() - run.arrived})
-        self._trail(connection)
+        self._send_stray_bytes(connection)
 
-    def _closed_unanswered(self, connection: Any, run: Run) -> bool:
-        if not self.switchboard.take("close-without-answer"):
+    def _closes_without_answer(self, connection: Any, run: Run) -> bool:
+        if not self.active_faults.take("close-without-answer"):
             return False
         run.outcome = "broken"
         connection.stream.close()
         return True
 
-    def _trail(self, connection: Any) -> None:
+    def _send_stray_bytes(self, connection: Any) -> None:
         stream = connection.stream
-        if self.switchboard.take("stray-bytes") and stream is not None and not stream.closed():
+        if self.active_faults.take("stray-bytes") and stream is not None and not stream.closed():
             stream.write(STRAY_BYTES).add_done_callback(_ignore_closed)
 
 
@@ -467,13 +479,17 @@
     connection.finish()
 
 
-def word(index: int) -> str:
-    """The text of one generated token, as long as a token of the prompt."""
+def token_text(index: int) -> str:
+    """Returns the text of a generated token, which has ``BYTES_PER_TOKEN`` bytes."""
     return f"{index % 1000:03d} "
 
 
 def prompt_parts(prefix: str | None, body: CallBody, body_bytes: int) -> list[PromptPart]:
-    """Sizes of the prompt's parts: message n is the n-th shared part, all later ones the session's own."""
+    """Returns the prompt's parts with their sizes in tokens.
+
+    Message n is the n-th shared part of the prefix; all later messages belong to the session's own part. With fewer
+    messages than parts, the session's own part has all tokens.
+    """
     names = [name for name in (prefix or "").split("/") if name]
     sizes = [-(-len(message.get("content", "").encode()) // BYTES_PER_TOKEN) for message in body.messages]
     if not names:
