--- a/bench/drains.py
+++ b/bench/drains.py
@@ -25,7 +25,7 @@
 from fleet.launcher import Fleet, open_shape, push_bundle
 from fleet.plan import DaemonPlan, WorkerPlan
 from fleet.shape import Shape
-from fleet.waiting import FleetProblem, wait_until
+from fleet.waiting import FleetError, wait_until
 
 from .load.run import new_run_name, run_load
 from .load.target import read_target
@@ -72,7 +72,7 @@
         sent = time.monotonic()
         reply = await self._http.post(daemon.operator, "/workers/v1/announce", announcement)
         at = time.monotonic()
-        if not reply.good:
+        if not reply.succeeded:
             self.problems.append(f"{daemon.name} answered {reply.status} {reply.body}")
             return
         self.announced.append(at - sent)
@@ -90,13 +90,15 @@
     async def _lists(self, router: DaemonPlan, instance: str, since: float) -> float | None:
         while time.monotonic() < since + LISTED_WITHIN:
             reply = await self._http.get(router.operator, "/control/v1/workers")
-            if reply.good and not any(each["instance"] == instance and each["state"] == "ready" for each in reply.body):
+            if reply.succeeded and not any(
+                each["instance"] == instance and each["state"] == "ready" for each in reply.body
+            ):
                 return time.monotonic() - since
             await asyncio.sleep(PAUSE)
         return None
 
     async def _count_turns(self, worker: WorkerPlan, instance: str, at: float) -> None:
-        reply = await self._http.get(worker.address, "/runs", patience=20.0)
+        reply = await self._http.get(worker.address, "/runs", timeout=20.0)
         arrivals = [run["arrived"] for run in reply.body["runs"] if run["request"] and run["instance"] == instance]
         self.turns_before.append(sum(at - 1.0 < arrived <= at for arrived in arrivals))
         late = [arrived - at for arrived in arrivals if arrived > at]
@@ -109,7 +111,7 @@
 
         async def idle() -> bool:
             health = await self._http.get(worker.address, "/health")
-            return health.good and not health.body["running"] and not health.body["waiting"]
+            return health.succeeded and not health.body["running"] and not health.body["waiting"]
 
         await wait_until(f"{worker.name} is idle", idle)
         await self._http.post(worker.address, "/faults", {"fault": "restart-empty"})
@@ -117,7 +119,9 @@
         async def back() -> bool:
             for router in self._fleet.routers():
                 reply = await self._http.get(router.operator, "/control/v1/workers")
-                ready = {each["instance"] for each in reply.body if each["state"] == "ready"} if reply.good else set()
+                ready = (
+                    {each["instance"] for each in reply.body if each["state"] == "ready"} if reply.succeeded else set()
+                )
                 if not any(each != instance and each.rpartition("-")[0] == worker.name for each in ready):
                     return False
             return True
@@ -150,7 +154,7 @@
         await fleet.start()
         await wait_until("control is complete", fleet.control_complete)
         await push_bundle(fleet)
-        await fleet.ready()
+        await fleet.wait_until_ready()
         started: list[Callers] = []
         options = LoadOptions(
             seconds=3600.0,
@@ -161,7 +165,7 @@
             run_name=new_run_name(),
         )
         target = read_target(fleet.folder / "fleet.json")
-        load = asyncio.create_task(run_load(target, options, quiet=True, begun=started.append))
+        load = asyncio.create_task(run_load(target, options, quiet=True, on_start=started.append))
         measure = Measure(fleet, http)
         workers = [worker for worker in fleet.workers.values() if worker.pool.kind == "model"]
         try:
@@ -195,7 +199,7 @@
     try:
         with tempfile.TemporaryDirectory(prefix="wingwood-drains-") as folder:
             found = asyncio.run(_run(open_shape(shape), Path(folder), rounds, scale, flood))
-    except FleetProblem as problem:
+    except FleetError as problem:
         click.echo(f"error: {problem}", err=True)
         sys.exit(2)
     click.echo(json.dumps(found, indent=1))
--- a/bench/load/__main__.py
+++ b/bench/load/__main__.py
@@ -14,9 +14,9 @@
 
 from fleet.launcher import Fleet, open_shape, push_bundle
 from fleet.shape import Shape
-from fleet.waiting import FleetProblem
+from fleet.waiting import FleetError
 
-from .report import compared, draw, table
+from .report import comparison_table, draw_charts, summary_table
 from .run import new_run_name, result_files, run_load
 from .target import read_target
 from .traffic import LoadOptions
@@ -82,16 +82,16 @@
             if balancing is not None:
                 chosen = msgspec.structs.replace(chosen, balancing=balancing)
             result = asyncio.run(_with_own_fleet(chosen, options))
-    except (FleetProblem, OSError, msgspec.MsgspecError) as problem:
+    except (FleetError, OSError, msgspec.MsgspecError) as problem:
         click.echo(f"error: {problem}", err=True)
         sys.exit(2)
     file, picture = result_files(results, name or f"{result['fleet']}-{result['balancing']}-{options.run_name}")
     file.write_text(json.dumps(result, indent=1))
-    draw(result, picture)
-    click.echo(table(result))
+    draw_charts(result, picture)
+    click.echo(summary_table(result))
     click.echo(f"written: {file} {picture}")
-    twice = [key for told in result["workers"].values() for key in told["run_twice"]]
-    sys.exit(1 if result["problems"] or twice else 0)
+    repeated_keys = [key for usage in result["workers"].values() for key in usage["run_twice"]]
+    sys.exit(1 if result["problems"] or repeated_keys else 0)
 
 
 async def _with_own_fleet(shape: Shape, options: LoadOptions) -> dict[str, Any]:
@@ -99,7 +99,7 @@
         async with Fleet(shape, Path(folder)) as fleet:
             await fleet.start()
             await push_bundle(fleet)
-            await fleet.ready()
+            await fleet.wait_until_ready()
             target = read_target(fleet.folder / "fleet.json")
             result, _ = await run_load(target, options, processes=fleet.process_ids())
             return result
@@ -110,7 +110,7 @@
 @click.argument("second", type=click.Path(exists=True, path_type=Path))
 def compare(first: Path, second: Path) -> None:
     """Puts two result files side by side."""
-    click.echo(compared(json.loads(first.read_text()), json.loads(second.read_text())))
+    click.echo(comparison_table(json.loads(first.read_text()), json.loads(second.read_text())))
 
 
 if __name__ == "__main__":
--- a/bench/load/measure.py
+++ b/bench/load/measure.py
@@ -9,21 +9,21 @@
 
 from fleet.caller import CallOutcome, CallPlan
 
-HIGHEST_MICROSECONDS = 120 * 1_000_000
+MAX_DURATION_MICROSECONDS = 120 * 1_000_000
 PERCENTILES = (50.0, 95.0, 99.0, 99.9)
 
 
-class Timing:
+class DurationHistogram:
     """An HDR histogram of durations, kept in microseconds with three significant digits."""
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, HIGHEST_MICROSECONDS, 3)
+        self._histogram = HdrHistogram(1, MAX_DURATION_MICROSECONDS, 3)
 
     def add(self, seconds: float) -> None:
-        self._histogram.record_value(min(HIGHEST_MICROSECONDS, max(1, round(seconds * 1_000_000))))
+        self._histogram.record_value(min(MAX_DURATION_MICROSECONDS, max(1, round(seconds * 1_000_000))))
 
-    def add_all(self, many: Iterable[float]) -> None:
-        for seconds in many:
+    def add_all(self, durations: Iterable[float]) -> None:
+        for seconds in durations:
             self.add(seconds)
 
     @property
@@ -51,8 +51,8 @@
         return str(self._histogram.encode().decode())
 
     @staticmethod
-    def decoded(text: str) -> Timing:
-        timing = Timing()
+    def decoded(text: str) -> DurationHistogram:
+        timing = DurationHistogram()
         timing._histogram.decode_and_add(text.encode())
         return timing
 
@@ -78,7 +78,7 @@
     """
 
     def __init__(self) -> None:
-        self.timings = {name: Timing() for name in TIMINGS}
+        self.timings = {name: DurationHistogram() for name in TIMINGS}
         self.outcomes: Counter[str] = Counter()
         """By how calls ended, all their tries taken together."""
         self.refusals: Counter[str] = Counter()
@@ -89,19 +89,19 @@
         self.tenants: dict[str, Counter[str]] = {}
         self.awards: Counter[str] = Counter()
         self.routers: Counter[str] = Counter()
-        self.tries = 0
+        self.attempts = 0
         self.events = 0
         self.tokens = {"prompt": 0, "cached": 0, "later_prompt": 0, "later_cached": 0}
         self.seconds: dict[int, Counter[str]] = {}
         self.direct_problems: Counter[str] = Counter()
 
-    def begun(self, tenant: str, second: int) -> None:
+    def call_started(self, tenant: str, second: int) -> None:
         self.tenants.setdefault(tenant, Counter())["calls"] += 1
         self.seconds.setdefault(second, Counter())["calls"] += 1
 
-    def tried(self, plan: CallPlan, outcome: CallOutcome, router: str, turn: int) -> None:
+    def record_attempt(self, plan: CallPlan, outcome: CallOutcome, router: str, turn: int) -> None:
         """One try at one router."""
-        self.tries += 1
+        self.attempts += 1
         self.routers[router] += 1
         if outcome.router_made:
             self.refusals[f"{outcome.status} {outcome.code} {outcome.run}"] += 1
@@ -112,21 +112,21 @@
         if award := outcome.headers.get("wingwood-award"):
             self.awards[award] += 1
         if not outcome.events:
-            if outcome.looks_whole:
-                self.timings["plain"].add(outcome.ended_after)
-                if outcome.worker_seconds is not None:
-                    self.timings["added_plain"].add(outcome.ended_after - outcome.worker_seconds)
+            if outcome.looks_complete:
+                self.timings["plain"].add(outcome.duration)
+                if outcome.worker_duration is not None:
+                    self.timings["added_plain"].add(outcome.duration - outcome.worker_duration)
             return
         self.events += outcome.events
-        if outcome.first_event_after is not None:
-            self.timings["first_token"].add(outcome.first_event_after)
+        if outcome.time_to_first_event is not None:
+            self.timings["first_token"].add(outcome.time_to_first_event)
             if turn:
-                self.timings["first_token_later_turns"].add(outcome.first_event_after)
-            if outcome.worker_seconds is not None:
-                self.timings["added_first_token"].add(outcome.first_event_after - outcome.worker_seconds)
+                self.timings["first_token_later_turns"].add(outcome.time_to_first_event)
+            if outcome.worker_duration is not None:
+                self.timings["added_first_token"].add(outcome.time_to_first_event - outcome.worker_duration)
         self.timings["between_tokens"].add_all(outcome.gaps)
-        self.timings["transit_routed"].add_all(outcome.transits)
-        prompt, cached = outcome.number("prompt-tokens"), outcome.number("cached-tokens")
+        self.timings["transit_routed"].add_all(outcome.transit_times)
+        prompt, cached = outcome.integer_header("prompt-tokens"), outcome.integer_header("cached-tokens")
         if prompt is not None and cached is not None:
             self.tokens["prompt"] += prompt
             self.tokens["cached"] += cached
@@ -134,32 +134,32 @@
                 self.tokens["later_prompt"] += prompt
                 self.tokens["later_cached"] += cached
 
-    def ended(self, tenant: str, how: str, second: int, events: int) -> None:
+    def call_ended(self, tenant: str, label: str, second: int, events: int) -> None:
         """The call's last try: ``whole``, ``hung-up``, ``refused CODE``, ``cut`` or ``no answer``."""
-        self.outcomes[how] += 1
-        self.tenants.setdefault(tenant, Counter())[how.partition(" ")[0]] += 1
+        self.outcomes[label] += 1
+        self.tenants.setdefault(tenant, Counter())[label.partition(" ")[0]] += 1
         counts = self.seconds.setdefault(second, Counter())
-        counts[how.partition(" ")[0]] += 1
+        counts[label.partition(" ")[0]] += 1
         counts["events"] += events
 
-    def direct(self, outcome: CallOutcome) -> None:
+    def record_probe(self, outcome: CallOutcome) -> None:
         """A probe that went straight to a worker."""
-        if not outcome.looks_whole or outcome.problem:
+        if not outcome.looks_complete or outcome.problem:
             self.direct_problems[outcome.problem or outcome.fault or str(outcome.status)] += 1
             return
-        if outcome.first_event_after is None:
-            if outcome.worker_seconds is not None:
-                self.timings["direct_plain"].add(outcome.ended_after - outcome.worker_seconds)
+        if outcome.time_to_first_event is None:
+            if outcome.worker_duration is not None:
+                self.timings["direct_plain"].add(outcome.duration - outcome.worker_duration)
             return
-        if outcome.worker_seconds is not None:
-            self.timings["direct_first_token"].add(outcome.first_event_after - outcome.worker_seconds)
-        self.timings["transit_direct"].add_all(outcome.transits)
+        if outcome.worker_duration is not None:
+            self.timings["direct_first_token"].add(outcome.time_to_first_event - outcome.worker_duration)
+        self.timings["transit_direct"].add_all(outcome.transit_times)
 
 
-def how_it_ended(outcome: CallOutcome) -> str:
-    if outcome.hung_up:
+def outcome_label(outcome: CallOutcome) -> str:
+    if outcome.disconnected:
         return "hung-up"
-    if outcome.looks_whole:
+    if outcome.looks_complete:
         return "whole"
     if outcome.router_made:
         return f"refused {outcome.code}"
--- a/bench/load/processes.py
+++ b/bench/load/processes.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 class Usage(msgspec.Struct, frozen=True):
@@ -25,36 +25,36 @@
     except OSError:
         return None
     resident = next((line.split()[1] for line in status.splitlines() if line.startswith("VmRSS:")), "0")
-    return Usage((int(fields[11]) + int(fields[12])) / TICKS, int(resident) * 1024)
+    return Usage((int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND, int(resident) * 1024)
 
 
-class ProcessWatch:
+class ProcessMonitor:
     """``processes``: ids by name, such as ``router-1``."""
 
     def __init__(self, processes: Mapping[str, int]) -> None:
         self._processes = dict(processes)
-        self._before = {name: usage_of(number) for name, number in self._processes.items()}
+        self._before = {name: usage_of(process_id) for name, process_id in self._processes.items()}
 
     def report(self, elapsed: float) -> dict[str, Any]:
         """By name: share of one processor in percent, and resident memory in MB."""
-        told: dict[str, Any] = {}
-        for name, number in self._processes.items():
-            before, after = self._before[name], usage_of(number)
+        usage: dict[str, Any] = {}
+        for name, process_id in self._processes.items():
+            before, after = self._before[name], usage_of(process_id)
             if before is not None and after is not None:
-                spent = after.processor_seconds - before.processor_seconds
-                told[name] = {
-                    "processor_percent": round(100 * spent / elapsed, 2),
-                    "processor_seconds": round(spent, 2),
+                processor_seconds = after.processor_seconds - before.processor_seconds
+                usage[name] = {
+                    "processor_percent": round(100 * processor_seconds / elapsed, 2),
+                    "processor_seconds": round(processor_seconds, 2),
                     "resident_megabytes": round(after.resident_bytes / 1e6, 1),
                 }
-        return told
+        return usage
 
 
-def summed(processes: Mapping[str, Any]) -> dict[str, Any]:
+def usage_by_kind(processes: Mapping[str, Any]) -> dict[str, Any]:
     """By kind of process (the name up to its number)."""
     kinds: dict[str, list[Any]] = {}
-    for name, told in processes.items():
-        kinds.setdefault(name.rpartition("-")[0], []).append(told)
+    for name, usage in processes.items():
+        kinds.setdefault(name.rpartition("-")[0], []).append(usage)
     return {
         kind: {
             "processes": len(each),
--- a/bench/load/report.py
+++ b/bench/load/report.py
@@ -11,11 +11,11 @@
 import msgspec
 from matplotlib.figure import Figure
 
-from .measure import Measurements, Timing
+from .measure import DurationHistogram, Measurements
 from .traffic import Callers, LoadOptions
 
 
-def result_of(callers: Callers, options: LoadOptions, workers: Mapping[str, Any], elapsed: float) -> dict[str, Any]:
+def build_result(callers: Callers, options: LoadOptions, workers: Mapping[str, Any], elapsed: float) -> dict[str, Any]:
     measured = callers.measurements
     tokens = measured.tokens
     paid = {tenant.name: tenant.paid_rate for tenant in callers.target.shape.tenants}
@@ -26,7 +26,7 @@
         "machine": {"processors": os.cpu_count(), "python": platform.python_version()},
         "elapsed": round(elapsed, 2),
         "calls": sum(measured.outcomes.values()),
-        "tries": measured.tries,
+        "tries": measured.attempts,
         "calls_per_second": round(sum(measured.outcomes.values()) / elapsed, 2),
         "events_per_second": round(measured.events / elapsed, 2),
         "outcomes": dict(measured.outcomes.most_common()),
@@ -40,8 +40,8 @@
             name: {**counts, "whole_per_second": round(counts["whole"] / elapsed, 3), "paid_rate": paid.get(name)}
             for name, counts in sorted(measured.tenants.items())
         },
-        "hit_rate": _share(tokens["cached"], tokens["prompt"]),
-        "hit_rate_later_turns": _share(tokens["later_cached"], tokens["later_prompt"]),
+        "hit_rate": _ratio(tokens["cached"], tokens["prompt"]),
+        "hit_rate_later_turns": _ratio(tokens["later_cached"], tokens["later_prompt"]),
         "timings_milliseconds": {name: timing.summary() for name, timing in measured.timings.items()},
         "workers": dict(workers),
         "by_second": {str(second): dict(counts) for second, counts in sorted(measured.seconds.items())},
@@ -49,11 +49,11 @@
     }
 
 
-def _share(part: float, whole: float) -> float | None:
-    return round(part / whole, 4) if whole else None
+def _ratio(part: float, total: float) -> float | None:
+    return round(part / total, 4) if total else None
 
 
-def added(result: Mapping[str, Any]) -> dict[str, float | None]:
+def router_overhead(result: Mapping[str, Any]) -> dict[str, float | None]:
     """What the router adds, in milliseconds: routed less direct at the median and the 99th percentile, same run."""
     timings = result["timings_milliseconds"]
     pairs = {
@@ -61,16 +61,16 @@
         "plain": ("added_plain", "direct_plain"),
         "piece": ("transit_routed", "transit_direct"),
     }
-    told: dict[str, float | None] = {}
+    summary: dict[str, float | None] = {}
     for name, (routed, direct) in pairs.items():
         for percentile in ("p50", "p99"):
             both = timings[routed]["count"] and timings[direct]["count"]
             difference = timings[routed][percentile] - timings[direct][percentile]
-            told[f"{name}_{percentile}"] = round(difference, 3) if both else None
-    return told
+            summary[f"{name}_{percentile}"] = round(difference, 3) if both else None
+    return summary
 
 
-def table(result: Mapping[str, Any]) -> str:
+def summary_table(result: Mapping[str, Any]) -> str:
     lines = [
         f"fleet {result['fleet']}, policy {result['balancing']}: {result['calls']} calls in {result['elapsed']} s "
         f"({result['calls_per_second']}/s), {result['tries']} tries, {result['events_per_second']} pieces/s",
@@ -81,22 +81,22 @@
         f"awards     {_counts(result['awards'])}",
         f"hit rate   {result['hit_rate']} of prompt tokens, {result['hit_rate_later_turns']} in later turns",
     ]
-    for pool, told in result["workers"].items():
+    for pool, summary in result["workers"].items():
         lines.append(
-            f"pool       {pool}: {told['runs']} runs, hit rate {told['hit_rate']}, "
-            f"load max/median {told['imbalance']}, run twice: {len(told['run_twice'])}"
+            f"pool       {pool}: {summary['runs']} runs, hit rate {summary['hit_rate']}, "
+            f"load max/median {summary['imbalance']}, run twice: {len(summary['run_twice'])}"
         )
-    for name, told in result["tenants"].items():
+    for name, summary in result["tenants"].items():
         lines.append(
-            f"tenant     {name}: {told['calls']} calls, {told.get('refused', 0)} refused, "
-            f"{told['whole_per_second']} whole a second, paid for {told['paid_rate']}"
+            f"tenant     {name}: {summary['calls']} calls, {summary.get('refused', 0)} refused, "
+            f"{summary['whole_per_second']} whole a second, paid for {summary['paid_rate']}"
         )
-    for kind, told in result.get("kinds", {}).items():
+    for kind, usage in result.get("kinds", {}).items():
         lines.append(
-            f"processes  {told['processes']} {kind}: {told['processor_percent_mean']} % of a processor on average, "
-            f"{told['processor_percent_most']} % at most, {told['resident_megabytes_mean']} MB"
+            f"processes  {usage['processes']} {kind}: {usage['processor_percent_mean']} % of a processor on average, "
+            f"{usage['processor_percent_most']} % at most, {usage['resident_megabytes_mean']} MB"
         )
-    lines.append(f"added ms   {_counts(added(result))}")
+    lines.append(f"added ms   {_counts(router_overhead(result))}")
     lines.append(f"{'milliseconds':<26}{'count':>9}{'p50':>10}{'p95':>10}{'p99':>10}{'p99.9':>10}{'max':>10}")
     for name, row in result["timings_milliseconds"].items():
         if row["count"]:
@@ -109,7 +109,7 @@
     return ", ".join(f"{name}: {count}" for name, count in counts.items()) or "none"
 
 
-def compared(first: Mapping[str, Any], second: Mapping[str, Any]) -> str:
+def comparison_table(first: Mapping[str, Any], second: Mapping[str, Any]) -> str:
     rows: list[tuple[str, float | None, float | None]] = []
     for name in ("calls_per_second", "events_per_second", "tries", "hit_rate", "hit_rate_later_turns"):
         rows.append((name, first[name], second[name]))
@@ -137,7 +137,7 @@
     return f"{name:<36}{shown[0]}{shown[1]}{change:>10}"
 
 
-def draw(result: Mapping[str, Any], file: Path) -> None:
+def draw_charts(result: Mapping[str, Any], file: Path) -> None:
     """One picture per report: two distributions, the course of the run, and the workers' load."""
     figure = Figure(figsize=(13, 8))
     axes = figure.subplots(2, 2)
@@ -154,11 +154,11 @@
         axis.grid(True, alpha=0.3)
         axis.legend()
     seconds = sorted(int(second) for second in result["by_second"])
-    for how in sorted({how for counts in result["by_second"].values() for how in counts} - {"events"}):
-        axes[1][0].plot(seconds, [result["by_second"][str(second)].get(how, 0) for second in seconds], label=how)
+    for name in sorted({name for counts in result["by_second"].values() for name in counts} - {"events"}):
+        axes[1][0].plot(seconds, [result["by_second"][str(second)].get(name, 0) for second in seconds], label=name)
     axes[1][0].set_title("calls per second of the run")
     axes[1][0].legend()
-    loads = {name: load for told in result["workers"].values() for name, load in told["mean_load"].items()}
+    loads = {name: load for summary in result["workers"].values() for name, load in summary["mean_load"].items()}
     axes[1][1].barh(list(loads), list(loads.values()))
     axes[1][1].set_title("mean running and waiting calls per worker")
     figure.suptitle(f"{result['fleet']}, policy {result['balancing']}, hit rate {result['hit_rate']}")
@@ -167,9 +167,9 @@
 
 
 def _curve(axis: Any, result: Mapping[str, Any], name: str, percents: list[float]) -> None:
-    timing = Timing.decoded(result["histograms"][name])
+    timing = DurationHistogram.decoded(result["histograms"][name])
     if timing.count:
         axis.plot([max(0.001, value) for value in timing.percentiles(percents)], percents, label=name)
 
 
-__all__ = ["Measurements", "added", "compared", "draw", "result_of", "table"]
+__all__ = ["Measurements", "build_result", "comparison_table", "draw_charts", "router_overhead", "summary_table"]
--- a/bench/load/run.py
+++ b/bench/load/run.py
@@ -16,16 +16,16 @@
 from wingwood.context.real import RealClock
 
 from .measure import Measurements
-from .processes import ProcessWatch, summed
-from .report import result_of
+from .processes import ProcessMonitor, usage_by_kind
+from .report import build_result
 from .target import RouterAddresses, Target
 from .traffic import Callers, LoadOptions
-from .workers import WorkerWatch
+from .workers import WorkerMonitor
 
-PROGRESS_EVERY = 2.0
+PROGRESS_INTERVAL_S = 2.0
 
 
-class Platform:
+class ReadinessPoller:
     """Spreads callers over the routers that say they are ready, as the platform does."""
 
     def __init__(self, target: Target, http: JsonClient) -> None:
@@ -33,13 +33,13 @@
         self._http = http
         self.ready: Sequence[RouterAddresses] = target.routers
 
-    async def watch(self) -> None:
+    async def poll(self) -> None:
         while True:
             replies = await asyncio.gather(
-                *(self._http.get(router.operator, "/ready", patience=1.0) for router in self._target.routers)
+                *(self._http.get(router.operator, "/ready", timeout=1.0) for router in self._target.routers)
             )
             self.ready = tuple(
-                router for router, reply in zip(self._target.routers, replies, strict=True) if reply.good
+                router for router, reply in zip(self._target.routers, replies, strict=True) if reply.succeeded
             )
             await asyncio.sleep(0.5)
 
@@ -48,10 +48,10 @@
     target: Target,
     options: LoadOptions,
     quiet: bool = False,
-    begun: Callable[[Callers], None] | None = None,
+    on_start: Callable[[Callers], None] | None = None,
     processes: Mapping[str, int] | None = None,
 ) -> tuple[dict[str, Any], Callers]:
-    """The result and the callers with their records. ``begun`` gets the callers as they begin.
+    """The result and the callers with their records. ``on_start`` gets the callers as they begin.
 
     ``processes``: ids by name of those whose processor time and memory are to be told.
     """
@@ -59,37 +59,41 @@
     http = JsonClient()
     curl = CurlHttpClient()
     callers = Callers(target, options, Caller(curl, clock), clock, Measurements())
-    platform = Platform(target, http)
-    callers.ready = lambda: platform.ready
-    watch = WorkerWatch(target, http)
-    await watch.begin()
-    beside = [asyncio.create_task(watch.sample()), asyncio.create_task(platform.watch())]
+    poller = ReadinessPoller(target, http)
+    callers.ready_routers = lambda: poller.ready
+    worker_monitor = WorkerMonitor(target, http)
+    await worker_monitor.record_baseline()
+    background_tasks = [asyncio.create_task(worker_monitor.sample()), asyncio.create_task(poller.poll())]
     if not quiet:
-        beside.append(asyncio.create_task(_progress(callers, options)))
-    use = ProcessWatch(processes or {})
-    if begun is not None:
-        begun(callers)
+        background_tasks.append(asyncio.create_task(_print_progress(callers, options)))
+    process_monitor = ProcessMonitor(processes or {})
+    if on_start is not None:
+        on_start(callers)
     try:
         await callers.run()
         elapsed = callers.elapsed()
-        used = use.report(elapsed)
+        processes_usage = process_monitor.report(elapsed)
     finally:
-        for task in beside:
+        for task in background_tasks:
             task.cancel()
-    pools = await watch.report()
+    pools = await worker_monitor.report()
     curl.close()
     http.close()
-    return {**result_of(callers, options, pools, elapsed), "processes": used, "kinds": summed(used)}, callers
+    return {
+        **build_result(callers, options, pools, elapsed),
+        "processes": processes_usage,
+        "kinds": usage_by_kind(processes_usage),
+    }, callers
 
 
-async def _progress(callers: Callers, options: LoadOptions) -> None:
+async def _print_progress(callers: Callers, options: LoadOptions) -> None:
     while True:
-        await asyncio.sleep(PROGRESS_EVERY)
+        await asyncio.sleep(PROGRESS_INTERVAL_S)
         measured = callers.measurements
         first = measured.timings["first_token"]
         click.echo(
             f"{callers.elapsed():6.1f}/{options.seconds:.0f} s  calls {sum(measured.outcomes.values()):>6}"
-            f"  under way {callers.under_way:>4}  whole {measured.outcomes['whole']:>6}"
+            f"  under way {callers.open_sessions:>4}  whole {measured.outcomes['whole']:>6}"
             f"  refused {sum(measured.refusals.values()):>5}  pieces {measured.events:>8}"
             f"  first token p50 {first.percentile(50):7.1f} p95 {first.percentile(95):7.1f} ms"
             f"  problems {sum(measured.problems.values())}",
--- a/bench/load/tests/test_load.py
+++ b/bench/load/tests/test_load.py
@@ -19,9 +19,9 @@
 from simulation import World, address_of
 from wingwood.context.protocols import Context
 
-from ..measure import Measurements, Timing, how_it_ended
-from ..processes import ProcessWatch, summed
-from ..report import added, compared, draw, result_of, table
+from ..measure import DurationHistogram, Measurements, outcome_label
+from ..processes import ProcessMonitor, usage_by_kind
+from ..report import build_result, comparison_table, draw_charts, router_overhead, summary_table
 from ..target import RouterAddresses, Target, WorkerAddress
 from ..traffic import Callers, LoadOptions
 
@@ -71,7 +71,7 @@
             world.start("load", load)
             assert world.wait_for(lambda: bool(done), 300)
             assert not world.broken_invariants, world.broken_invariants
-            self.result = result_of(self.callers, options, {}, options.seconds)
+            self.result = build_result(self.callers, options, {}, options.seconds)
 
 
 class OpenLoop(unittest.TestCase):
@@ -97,8 +97,8 @@
         self.assertEqual(load.result["faults"], {"broken": 10})
         self.assertEqual(load.result["tries"], load.result["calls"] + 10)
         self.assertEqual(list(load.result["outcomes"]), ["whole"])
-        retried = [record for record in load.callers.records if len(record.tries) == 2]
-        self.assertTrue(all(record.tries[0][0] == 0 and record.tries[1][3] for record in retried))
+        retried = [record for record in load.callers.records if len(record.attempts) == 2]
+        self.assertTrue(all(record.attempts[0][0] == 0 and record.attempts[1][3] for record in retried))
 
     def test_a_flood_is_counted_by_tenant_and_not_timed(self) -> None:
         flood = LoadOptions(seconds=8, direct_share=0.0, flood_tenant="buyers", flood_rate=20.0, flood_on="one")
@@ -120,17 +120,17 @@
     def test_a_result_is_told_compared_and_drawn(self) -> None:
         result = SimulatedLoad(LoadOptions(seconds=6, direct_share=0.5)).result
         again = json.loads(json.dumps(result))
-        self.assertIn("first_token", table(again))
-        adds_nothing = added(again)["first_token_p50"]
+        self.assertIn("first_token", summary_table(again))
+        adds_nothing = router_overhead(again)["first_token_p50"]
         assert adds_nothing is not None
         self.assertLess(abs(adds_nothing), 5.0)
-        self.assertIn("+0.0%", compared(result, again))
+        self.assertIn("+0.0%", comparison_table(result, again))
         with tempfile.TemporaryDirectory() as folder:
-            draw(again, Path(folder) / "picture.png")
+            draw_charts(again, Path(folder) / "picture.png")
             self.assertTrue((Path(folder) / "picture.png").read_bytes().startswith(b"\x89PNG"))
 
     def test_processor_time_and_memory_are_those_of_the_process(self) -> None:
-        watch = ProcessWatch({"own-1": os.getpid(), "own-2": os.getpid(), "none-1": 2**22 + 1})
+        watch = ProcessMonitor({"own-1": os.getpid(), "own-2": os.getpid(), "none-1": 2**22 + 1})
         spent = time.process_time()
         while time.process_time() - spent < 0.05:
             pass
@@ -138,19 +138,19 @@
         self.assertEqual(sorted(told), ["own-1", "own-2"])
         self.assertGreaterEqual(told["own-1"]["processor_seconds"], 0.03)
         self.assertGreater(told["own-1"]["resident_megabytes"], 5)
-        self.assertEqual(summed(told)["own"]["processes"], 2)
+        self.assertEqual(usage_by_kind(told)["own"]["processes"], 2)
 
     def test_histograms_survive_the_result_file(self) -> None:
-        timing = Timing()
+        timing = DurationHistogram()
         timing.add_all(number / 1000 for number in range(1, 1001))
-        self.assertEqual(Timing.decoded(timing.encoded()).summary(), timing.summary())
+        self.assertEqual(DurationHistogram.decoded(timing.encoded()).summary(), timing.summary())
         self.assertAlmostEqual(timing.percentile(95.0), 950.0, delta=1.0)
 
     def test_a_problem_is_kept_though_the_call_ended_well(self) -> None:
         measured = Measurements()
-        plan = CallPlan(path="/", key="k", mark="m", messages=())
-        outcome = CallOutcome(mark="m", status=200, looks_whole=True, problem="piece of another call", events=1)
-        measured.tried(plan, outcome, "r", 0)
-        self.assertEqual(how_it_ended(outcome), "whole")
+        plan = CallPlan(path="/", key="k", call_id="m", messages=())
+        outcome = CallOutcome(call_id="m", status=200, looks_complete=True, problem="piece of another call", events=1)
+        measured.record_attempt(plan, outcome, "r", 0)
+        self.assertEqual(outcome_label(outcome), "whole")
         self.assertEqual(measured.problems, {"piece of another call": 1})
         self.assertEqual(msgspec.to_builtins(measured.refusals), {})
--- a/bench/load/traffic.py
+++ b/bench/load/traffic.py
@@ -9,15 +9,15 @@
 
 import msgspec
 
-from fleet.caller import Caller, CallOutcome, CallPlan, shared_text
+from fleet.caller import Caller, CallOutcome, CallPlan, prompt_text
 from fleet.shape import ServiceShape, Traffic
 from wingwood.context.protocols import Clock
 from wingwood.identifiers import Address, parse_address
 
-from .measure import Measurements, how_it_ended
+from .measure import Measurements, outcome_label
 from .target import RouterAddresses, Target
 
-RETRY_PAUSE = 0.1
+RETRY_PAUSE_S = 0.1
 
 
 class LoadOptions(msgspec.Struct, frozen=True, kw_only=True):
@@ -44,7 +44,7 @@
     """What an observer keeps of each call that carried an idempotency key."""
 
     idempotency_key: str
-    tries: tuple[tuple[int, str, str, bool], ...]
+    attempts: tuple[tuple[int, str, str, bool], ...]
     """Per try: HTTP status, code, run, whether it looks whole."""
 
 
@@ -58,7 +58,7 @@
         self.options = options
         self.measurements = measurements
         self.records: list[CallRecord] = []
-        self.ready: Callable[[], Sequence[RouterAddresses]] = lambda: target.routers
+        self.ready_routers: Callable[[], Sequence[RouterAddresses]] = lambda: target.routers
         """The routers over which the platform spreads callers now."""
         self._caller = caller
         self._clock = clock
@@ -67,76 +67,80 @@
         self._services = {service.name: service for service in target.shape.services}
         self._number = 0
         self._sessions: set[asyncio.Task[None]] = set()
-        self._ends = options.seconds
+        self._ends_at = options.seconds
 
     async def run(self) -> None:
         """Arrivals for ``seconds``, then waits for calls under way; no new turns after the end."""
         self._began = self._clock.monotonic()
-        await asyncio.gather(*(self._arrivals(traffic) for traffic in self.target.shape.traffic), self._flood())
+        await asyncio.gather(
+            *(self._generate_arrivals(traffic) for traffic in self.target.shape.traffic), self._generate_flood()
+        )
         if self._sessions:
             await asyncio.wait(self._sessions)
 
     def stop(self) -> None:
         """No arrivals and no new turns from now on."""
-        self._ends = self.elapsed()
+        self._ends_at = self.elapsed()
 
     @property
-    def under_way(self) -> int:
+    def open_sessions(self) -> int:
         return len(self._sessions)
 
     def elapsed(self) -> float:
         return self._clock.monotonic() - self._began
 
-    async def _arrivals(self, traffic: Traffic) -> None:
+    async def _generate_arrivals(self, traffic: Traffic) -> None:
         rate = traffic.per_second * self.options.scale
         random = Random(f"{self.options.seed}/{traffic.name}")
-        due = 0.0
+        arrival_at = 0.0
         while rate > 0:
-            due += random.expovariate(rate)
-            if due >= self._ends:
+            arrival_at += random.expovariate(rate)
+            if arrival_at >= self._ends_at:
                 return
-            await asyncio.sleep(max(0.0, due - self.elapsed()))
-            if due >= self._ends:
+            await asyncio.sleep(max(0.0, arrival_at - self.elapsed()))
+            if arrival_at >= self._ends_at:
                 return
             self._number += 1
             session = asyncio.get_running_loop().create_task(self._session(traffic, self._number))
             self._sessions.add(session)
             session.add_done_callback(self._session_ended)
 
-    async def _flood(self) -> None:
+    async def _generate_flood(self) -> None:
         tenant, rate = self.options.flood_tenant, self.options.flood_rate
         if tenant is None or rate <= 0:
             return
         service = next(each for each in self.target.shape.services if each.kind == "model")
         random = Random(f"{self.options.seed}/flood")
-        due, number = 0.0, 0
-        while due < self._ends:
-            due += random.expovariate(rate)
-            await asyncio.sleep(max(0.0, due - self.elapsed()))
+        arrival_at, number = 0.0, 0
+        while arrival_at < self._ends_at:
+            arrival_at += random.expovariate(rate)
+            await asyncio.sleep(max(0.0, arrival_at - self.elapsed()))
             number += 1
             plan = CallPlan(
                 path=service.path,
                 key=self.target.keys[tenant],
-                mark=f"{self.options.run_name}-flood-{number}",
+                call_id=f"{self.options.run_name}-flood-{number}",
                 messages=("hello",),
                 max_tokens=1,
-                first_byte_patience=service.first_byte_patience,
+                first_byte_timeout=service.first_byte_patience,
+            )
+            preferred_router = (
+                self.target.routers[0] if self.options.flood_on == "one" else random.choice(self.target.routers)
             )
-            home = self.target.routers[0] if self.options.flood_on == "one" else random.choice(self.target.routers)
-            call = asyncio.get_running_loop().create_task(self._flood_call(plan, tenant, home))
+            call = asyncio.get_running_loop().create_task(self._flood_call(plan, tenant, preferred_router))
             self._sessions.add(call)
             call.add_done_callback(self._session_ended)
 
-    async def _flood_call(self, plan: CallPlan, tenant: str, home: RouterAddresses) -> None:
+    async def _flood_call(self, plan: CallPlan, tenant: str, preferred_router: RouterAddresses) -> None:
         """Counted by tenant and outcome only, so that the timings stay those of the ordinary traffic."""
-        self.measurements.begun(tenant, int(self.elapsed()))
-        outcome = await self._caller.call(plan, _address(home.caller))
-        self.measurements.tries += 1
+        self.measurements.call_started(tenant, int(self.elapsed()))
+        outcome = await self._caller.call(plan, _address(preferred_router.caller))
+        self.measurements.attempts += 1
         if outcome.problem:
             self.measurements.problems[outcome.problem] += 1
         if outcome.router_made:
             self.measurements.refusals[f"{outcome.status} {outcome.code} {outcome.run}"] += 1
-        self.measurements.ended(tenant, how_it_ended(outcome), int(self.elapsed()), outcome.events)
+        self.measurements.call_ended(tenant, outcome_label(outcome), int(self.elapsed()), outcome.events)
 
     def _session_ended(self, session: asyncio.Task[None]) -> None:
         self._sessions.discard(session)
@@ -148,71 +152,75 @@
         service = self._services[traffic.service]
         tenants = self.target.shape.tenants
         tenant = random.choices(tenants, [each.traffic_share for each in tenants])[0].name
-        shared, prefix = self._start_of_prompt(traffic, random)
+        shared, prefix = self._choose_shared_prefix(traffic, random)
         session = f"{self.options.run_name}-{traffic.name}-{number}"
-        own = shared_text(max(1, traffic.own_tokens), session)
-        home = random.choice(self.target.routers)
+        own = prompt_text(max(1, traffic.own_tokens), session)
+        preferred_router = random.choice(self.target.routers)
         for turn in range(traffic.turns):
             if turn:
                 think = random.expovariate(1 / traffic.think_seconds)
-                if self.elapsed() + think >= self._ends:
+                if self.elapsed() + think >= self._ends_at:
                     return
                 await asyncio.sleep(think)
-                own += shared_text(max(1, traffic.own_tokens // 4), f"{session}-{turn}")
+                own += prompt_text(max(1, traffic.own_tokens // 4), f"{session}-{turn}")
             tokens = max(1, round(traffic.answer_tokens * random.uniform(0.5, 1.5)))
-            mark = f"{session}-{turn}"
+            call_id = f"{session}-{turn}"
             plan = CallPlan(
                 path=service.path,
                 key=self.target.keys[tenant],
-                mark=mark,
+                call_id=call_id,
                 messages=(*shared, own),
                 max_tokens=tokens if service.kind == "model" else 1,
                 stream=service.streaming,
                 prefix="/".join([*prefix, session]) if service.kind == "model" else None,
-                idempotency_key=None if service.repeatable else mark,
-                first_byte_patience=service.first_byte_patience,
-                hang_up_after=max(1, tokens - 2) if random.random() < self.options.unhinted else None,
+                idempotency_key=None if service.repeatable else call_id,
+                first_byte_timeout=service.first_byte_patience,
+                disconnect_after_events=max(1, tokens - 2) if random.random() < self.options.unhinted else None,
             )
             if random.random() < self.options.direct_share:
                 await self._probe(plan, service, number, turn)
-            outcome = await self._call(plan, tenant, home, turn, random)
-            if not outcome.looks_whole and not outcome.hung_up:
+            outcome = await self._call(plan, tenant, preferred_router, turn, random)
+            if not outcome.looks_complete and not outcome.disconnected:
                 return
             own += outcome.text
 
-    def _start_of_prompt(self, traffic: Traffic, random: Random) -> tuple[tuple[str, ...], tuple[str, ...]]:
+    def _choose_shared_prefix(self, traffic: Traffic, random: Random) -> tuple[tuple[str, ...], tuple[str, ...]]:
         if not traffic.shared_prefixes:
             return (), ()
         ranks = range(1, traffic.shared_prefixes + 1)
         rank = random.choices(ranks, [1 / rank for rank in ranks])[0]
         name = f"{traffic.name}-shared-{rank}"
-        return (shared_text(traffic.shared_tokens, name),), (name,)
-
-    async def _call(self, plan: CallPlan, tenant: str, home: RouterAddresses, turn: int, random: Random) -> CallOutcome:
-        self.measurements.begun(tenant, int(self.elapsed()))
-        tries: list[CallOutcome] = []
-        router = self._router(home, random, ())
+        return (prompt_text(traffic.shared_tokens, name),), (name,)
+
+    async def _call(
+        self, plan: CallPlan, tenant: str, preferred_router: RouterAddresses, turn: int, random: Random
+    ) -> CallOutcome:
+        self.measurements.call_started(tenant, int(self.elapsed()))
+        attempts: list[CallOutcome] = []
+        router = self._choose_router(preferred_router, random, ())
         for _ in range(1 + self.options.retries):
             outcome = await self._caller.call(plan, _address(router.caller))
-            self.measurements.tried(plan, outcome, router.name, turn)
-            tries.append(outcome)
-            if not _worth_another_try(outcome):
+            self.measurements.record_attempt(plan, outcome, router.name, turn)
+            attempts.append(outcome)
+            if not _should_retry(outcome):
                 break
-            await asyncio.sleep(RETRY_PAUSE)
-            router = self._router(home, random, (router,))
-        last = tries[-1]
-        events = sum(outcome.events for outcome in tries)
-        self.measurements.ended(tenant, how_it_ended(last), int(self.elapsed()), events)
+            await asyncio.sleep(RETRY_PAUSE_S)
+            router = self._choose_router(preferred_router, random, (router,))
+        last = attempts[-1]
+        events = sum(outcome.events for outcome in attempts)
+        self.measurements.call_ended(tenant, outcome_label(last), int(self.elapsed()), events)
         if plan.idempotency_key is not None:
-            seen = tuple((each.status, each.code, each.run, each.looks_whole) for each in tries)
+            seen = tuple((each.status, each.code, each.run, each.looks_complete) for each in attempts)
             self.records.append(CallRecord(plan.idempotency_key, seen))
         return last
 
-    def _router(self, home: RouterAddresses, random: Random, tried: tuple[RouterAddresses, ...]) -> RouterAddresses:
-        ready = list(self.ready()) or list(self.target.routers)
-        if self.options.spread == "per-session" and home in ready and home not in tried:
-            return home
-        left = [router for router in ready if router not in tried] or ready
+    def _choose_router(
+        self, preferred_router: RouterAddresses, random: Random, tried: tuple[RouterAddresses, ...]
+    ) -> RouterAddresses:
+        ready_routers = list(self.ready_routers()) or list(self.target.routers)
+        if self.options.spread == "per-session" and preferred_router in ready_routers and preferred_router not in tried:
+            return preferred_router
+        left = [router for router in ready_routers if router not in tried] or ready_routers
         return random.choice(left)
 
     async def _probe(self, plan: CallPlan, service: ServiceShape, number: int, turn: int) -> None:
@@ -220,18 +228,18 @@
         worker = workers[(number + turn) % len(workers)]
         probe = msgspec.structs.replace(
             plan,
-            prefix=f"direct/{plan.mark}" if plan.prefix else None,
+            prefix=f"direct/{plan.call_id}" if plan.prefix else None,
             messages=plan.messages[-1:],
             max_tokens=min(plan.max_tokens, 20),
             idempotency_key=None,
-            hang_up_after=None,
+            disconnect_after_events=None,
         )
-        self.measurements.direct(await self._caller.call(probe, _address(worker.address)))
+        self.measurements.record_probe(await self._caller.call(probe, _address(worker.address)))
 
 
-def _worth_another_try(outcome: CallOutcome) -> bool:
+def _should_retry(outcome: CallOutcome) -> bool:
     """Callers try once more when nothing came, and when a router says that it is not the time."""
-    if outcome.looks_whole or outcome.events:
+    if outcome.looks_complete or outcome.events:
         return False
     if outcome.router_made:
         return outcome.status == 503
--- a/bench/load/workers.py
+++ b/bench/load/workers.py
@@ -11,10 +11,10 @@
 
 from .target import Target
 
-SAMPLE_EVERY = 0.5
+SAMPLE_INTERVAL_S = 0.5
 
 
-class WorkerWatch:
+class WorkerMonitor:
     """Samples each worker's load while the run goes on, and reads its runs at the end."""
 
     def __init__(self, target: Target, http: JsonClient) -> None:
@@ -23,10 +23,10 @@
         self._before: dict[str, int] = {}
         self.samples: dict[str, list[int]] = {name: [] for name in target.workers}
 
-    async def begin(self) -> None:
+    async def record_baseline(self) -> None:
         for name, worker in self._target.workers.items():
-            reply = await self._http.get(worker.address, "/runs", patience=10.0)
-            self._before[name] = len(reply.body["runs"]) if reply.good else 0
+            reply = await self._http.get(worker.address, "/runs", timeout=10.0)
+            self._before[name] = len(reply.body["runs"]) if reply.succeeded else 0
 
     async def sample(self) -> None:
         while True:
@@ -34,9 +34,9 @@
                 *(self._http.get(worker.address, "/health") for worker in self._target.workers.values())
             )
             for name, reply in zip(self._target.workers, replies, strict=True):
-                if reply.good:
+                if reply.succeeded:
                     self.samples[name].append(reply.body["running"] + reply.body["waiting"])
-            await asyncio.sleep(SAMPLE_EVERY)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     async def report(self) -> dict[str, Any]:
         """By pool: prompt and cached tokens of routed runs, and the mean load of the fullest over the median one's."""
@@ -62,5 +62,5 @@
 
     async def _runs(self, name: str) -> list[dict[str, Any]]:
         worker = self._target.workers[name]
-        reply = await self._http.get(worker.address, f"/runs?after={self._before[name]}", patience=30.0)
-        return list(reply.body["runs"]) if reply.good else []
+        reply = await self._http.get(worker.address, f"/runs?after={self._before[name]}", timeout=30.0)
+        return list(reply.body["runs"]) if reply.succeeded else []
--- a/bench/losses/__main__.py
+++ b/bench/losses/__main__.py
@@ -27,10 +27,10 @@
             click.echo(str(read.failure()), err=True)
             sys.exit(EXIT_UNREADABLE)
         table = losses_of(read.unwrap())
-        click.echo(msgspec.json.encode(table).decode() if as_json else text_of(str(file), table, least))
+        click.echo(msgspec.json.encode(table).decode() if as_json else render_table(str(file), table, least))
 
 
-def text_of(title: str, table: LossTable, least: float) -> str:
+def render_table(title: str, table: LossTable, least: float) -> str:
     lines = [f"{title}: worth {table.worth:.3f}, lost {1 - table.worth:.3f}"]
     lines += [f"  rule broken: {rule}, {count} times" for rule, count in table.breaks.items()]
     lines.append(f"  {'share':>6} {'worth':>7}  part, moment, reason")
@@ -45,12 +45,12 @@
     for kind in table.kinds:
         lost = f"late {kind.late:.3f}, refused {kind.refused:.3f}, failed {kind.failed:.3f}"
         lines.append(f"  {kind.kind}: worth {kind.worth:.3f}; lost: {lost}")
-    lines += [_sentence(window) for window in table.worst]
+    lines += [_worst_window_line(window) for window in table.worst]
     lines.append("  tries ended: " + "; ".join(f"{end}: {count}" for end, count in table.ends.items()))
     return "\n".join(lines)
 
 
-def _sentence(window: WorstWindow) -> str:
+def _worst_window_line(window: WorstWindow) -> str:
     counts = window.requests
     return (
         f"  worst window, second {window.second:g} ({window.moment}): worth {counts.worth:.3f}; of {counts.n} requests"
--- a/bench/losses/attribution.py
+++ b/bench/losses/attribution.py
@@ -19,13 +19,13 @@
 RECOVERY_S = 8.0
 """A fault's effects are counted as recovery for so long after its end."""
 WORST_WINDOWS = 2
-LEAST_OWED = 0.1
+MIN_OWED_SHARE = 0.1
 """A window in which less than this part of its requests is owed is not among the worst ones."""
-CROWDS = ("burst", "hot_key", "hot_tenant", "retry_abuse")
-LAST_FAULT = "closing"
-EVEN_LATE_LOSS = 0.5
+CROWD_KINDS = ("burst", "hot_key", "hot_tenant", "retry_abuse")
+LAST_FAULT_PREFIX = "closing"
+DEFAULT_LATE_LOSS = 0.5
 """Used where no window of the day has late requests only."""
-OTHERS_AT_MOST = 0.2
+MAX_OTHERS_PER_LATE = 0.2
 """Refused and failed requests for each late one, up to which a window tells what being late costs."""
 SUM_TOLERANCE = 1e-6
 
@@ -71,7 +71,7 @@
 def losses_of(report: DayReport) -> LossTable:
     """The table of one day; its shares sum to 1 (``check_sum`` tells when they don't)."""
     late_loss = late_loss_of(report.windows)
-    rows = [*_parts(report, late_loss), *_prices(report.prices)]
+    rows = [*_part_losses(report, late_loss), *_price_losses(report.prices)]
     total = 1.0 - report.worth
     unexplained = total - sum(row.worth for row in rows)
     if abs(unexplained) > SUM_TOLERANCE:
@@ -79,7 +79,7 @@
     shared = [msgspec.structs.replace(row, share=row.worth / total if total else 0.0) for row in rows]
     ordered = sorted(shared, key=lambda row: -row.worth)
     kinds = tuple(_kind_loss(requests, late_loss) for requests in report.classes)
-    worst = tuple(_worst_window(window, report.events) for window in _worst(report.windows))
+    worst = tuple(_worst_window(window, report.events) for window in _worst_windows(report.windows))
     return LossTable(report.worth, tuple(ordered), kinds, worst, report.breaks, report.ends)
 
 
@@ -90,22 +90,22 @@
 
 def late_loss_of(windows: Sequence[Requests]) -> float:
     """The part of its credit that a late request lost, in windows where little else was lost; from 0 to 1."""
-    telling = [window for window in windows if window.refused + window.failed <= OTHERS_AT_MOST * window.late]
-    late = sum(window.late for window in telling)
+    informative = [window for window in windows if window.refused + window.failed <= MAX_OTHERS_PER_LATE * window.late]
+    late = sum(window.late for window in informative)
     if not late:
-        return EVEN_LATE_LOSS
-    lost = sum(_lost_requests(window) - window.refused - window.failed for window in telling)
+        return DEFAULT_LATE_LOSS
+    lost = sum(_lost_requests(window) - window.refused - window.failed for window in informative)
     return min(1.0, max(0.0, lost / late))
 
 
 def moment_of(second: float, events: Sequence[Event]) -> str:
     """What the window that begins at ``second`` stands under: the gravest of what goes on in it."""
     during = [event for event in events if event.at_s < second + WINDOW_S and event.to_s > second]
-    if any(event.kind.startswith(LAST_FAULT) and event.at_s < second + WINDOW_S for event in events):
+    if any(event.kind.startswith(LAST_FAULT_PREFIX) and event.at_s < second + WINDOW_S for event in events):
         return "last fault"
     faults = [event for event in during if not event.planned]
-    if any(not event.kind.startswith(CROWDS) for event in faults):
-        return "fault and crowd" if any(event.kind.startswith(CROWDS) for event in faults) else "fault"
+    if any(not event.kind.startswith(CROWD_KINDS) for event in faults):
+        return "fault and crowd" if any(event.kind.startswith(CROWD_KINDS) for event in faults) else "fault"
     if faults:
         return "crowd"
     if any(not event.planned and event.to_s <= second < event.to_s + RECOVERY_S for event in events):
@@ -113,11 +113,11 @@
     return "planned work" if during else "calm"
 
 
-def _parts(report: DayReport, late_loss: float) -> list[Loss]:
+def _part_losses(report: DayReport, late_loss: float) -> list[Loss]:
     rows: list[Loss] = []
     for part in report.parts:
         lost = part.weight * (1.0 - part.worth)
-        windows = _worst(report.windows) if "window" in part.name else report.windows
+        windows = _worst_windows(report.windows) if "window" in part.name else report.windows
         if "class" in part.name:
             worst = min(report.classes, key=lambda kind: kind.worth)
             rows.extend(_by_reason(part.name, worst.name, lost, [worst], late_loss))
@@ -130,30 +130,30 @@
     part: str, lost: float, windows: Sequence[Requests], events: Sequence[Event], late_loss: float
 ) -> list[Loss]:
     """Splits by the windows' own losses, each window's by reason."""
-    whole = sum(_lost_requests(window) for window in windows)
-    if not whole:
+    total_lost = sum(_lost_requests(window) for window in windows)
+    if not total_lost:
         return [Loss(part, "", "", lost, 0.0)] if lost else []
     rows: list[Loss] = []
     grouped = groupby(lambda window: moment_of(float(window.name), events), windows)
     for name, group in grouped.items():
-        portion = sum(_lost_requests(window) for window in group) / whole
+        portion = sum(_lost_requests(window) for window in group) / total_lost
         rows.extend(_by_reason(part, name, lost * portion, group, late_loss))
     return rows
 
 
 def _by_reason(part: str, moment: str, lost: float, group: Sequence[Requests], late_loss: float) -> list[Loss]:
-    whole = sum(_lost_requests(requests) for requests in group)
+    total_lost = sum(_lost_requests(requests) for requests in group)
     late = late_loss * sum(requests.late for requests in group)
     refused, failed = sum(requests.refused for requests in group), sum(requests.failed for requests in group)
-    if not whole or not (late or refused or failed):
+    if not total_lost or not (late or refused or failed):
         return [Loss(part, moment, "", lost, 0.0)] if lost else []
-    by_late = lost * min(1.0, late / whole) if refused or failed else lost
+    by_late = lost * min(1.0, late / total_lost) if refused or failed else lost
     others = (lost - by_late) / max(1, refused + failed)
     split = {"late": by_late, "refused": others * refused, "failed": others * failed}
     return [Loss(part, moment, reason, worth, 0.0) for reason, worth in split.items() if worth]
 
 
-def _prices(prices: Sequence[Price]) -> list[Loss]:
+def _price_losses(prices: Sequence[Price]) -> list[Loss]:
     return [Loss("prices", "", price.name, price.worth, 0.0) for price in prices if price.worth]
 
 
@@ -161,8 +161,8 @@
     return window.owed * (1.0 - window.worth)
 
 
-def _worst(windows: Sequence[Requests]) -> list[Requests]:
-    owed = [window for window in windows if window.owed > LEAST_OWED * window.n]
+def _worst_windows(windows: Sequence[Requests]) -> list[Requests]:
+    owed = [window for window in windows if window.owed > MIN_OWED_SHARE * window.n]
     return sorted(owed, key=lambda window: window.worth)[:WORST_WINDOWS]
 
 
--- a/bench/losses/tests/test_losses.py
+++ b/bench/losses/tests/test_losses.py
@@ -37,7 +37,7 @@
     return msgspec.structs.replace(made, **changes)
 
 
-def of_part(table: LossTable, part: str) -> float:
+def worth_lost_by(table: LossTable, part: str) -> float:
     return sum(row.worth for row in table.rows if row.part == part)
 
 
@@ -55,10 +55,10 @@
 
     def test_each_part_loses_its_weight_times_what_it_lacks(self) -> None:
         table = losses_of(report())
-        self.assertAlmostEqual(of_part(table, "whole day"), 0.7 * 0.4)
-        self.assertAlmostEqual(of_part(table, "worst windows"), 0.15 * 0.8)
-        self.assertAlmostEqual(of_part(table, "worst class"), 0.15 * 0.5)
-        self.assertAlmostEqual(of_part(table, "prices"), 0.03)
+        self.assertAlmostEqual(worth_lost_by(table, "whole day"), 0.7 * 0.4)
+        self.assertAlmostEqual(worth_lost_by(table, "worst windows"), 0.15 * 0.8)
+        self.assertAlmostEqual(worth_lost_by(table, "worst class"), 0.15 * 0.5)
+        self.assertAlmostEqual(worth_lost_by(table, "prices"), 0.03)
 
     def test_the_day_is_split_by_what_each_window_lost(self) -> None:
         table = losses_of(report())
@@ -101,14 +101,14 @@
 
     def test_what_the_report_rounds_away_is_a_row_of_its_own(self) -> None:
         table = losses_of(report(worth=report().worth - 0.004))
-        self.assertAlmostEqual(of_part(table, "rounding of the report"), 0.004)
+        self.assertAlmostEqual(worth_lost_by(table, "rounding of the report"), 0.004)
         self.assertLess(check_sum(table), 1e-9)
 
     def test_moments(self) -> None:
         events = (Event(10.0, 12.0, "node_kill"), Event(11.0, 13.0, "burst"), Event(30.0, 31.0, "release", True))
-        told = {second: moment_of(second, events) for second in (0.0, 8.5, 10.0, 12.0, 14.0, 22.0, 30.0)}
+        moments = {second: moment_of(second, events) for second in (0.0, 8.5, 10.0, 12.0, 14.0, 22.0, 30.0)}
         expected = ["calm", "fault", "fault and crowd", "crowd", "recovery", "calm", "planned work"]
-        self.assertEqual(list(told.values()), expected)
+        self.assertEqual(list(moments.values()), expected)
 
 
 class CommandTest(unittest.TestCase):
--- a/bench/real_faults.py
+++ b/bench/real_faults.py
@@ -24,7 +24,7 @@
 from fleet.launcher import Fleet, free_first_port, open_shape, push_bundle
 from fleet.plan import DaemonPlan
 from fleet.shape import Shape
-from fleet.waiting import FleetProblem, wait_until
+from fleet.waiting import FleetError, wait_until
 from wingwood.context.curl_client import CurlHttpClient
 from wingwood.context.real import RealClock
 from wingwood.identifiers import parse_address
@@ -74,7 +74,7 @@
 async def _freeze(fleet: Fleet, name: str, seconds: float = FROZEN) -> None:
     fleet.freeze(name)
     await asyncio.sleep(seconds)
-    fleet.wake(name)
+    fleet.resume(name)
 
 
 async def router_killed(fleet: Fleet) -> None:
@@ -156,13 +156,13 @@
 async def routers_rolled(fleet: Fleet) -> None:
     """Each is asked to stop, ends its streams, and is started again before the next."""
     for router in fleet.routers():
-        await fleet.roll(router.name)
-        await fleet.daemon_answers(router.name, "/ready")
+        await fleet.restart_gracefully(router.name)
+        await fleet.wait_for_daemon(router.name, "/ready")
 
 
 async def controls_rolled(fleet: Fleet) -> None:
     for control in fleet.controls():
-        await fleet.roll(control.name)
+        await fleet.restart_gracefully(control.name)
         await wait_until("control is complete again", fleet.control_complete)
 
 
@@ -288,17 +288,17 @@
     async def run(self) -> CaseReport:
         try:
             await self.fleet.start()
-        except FleetProblem as problem:
+        except FleetError as problem:
             self.report.not_run = str(problem).replace("\n", " ")
             return self.report
         await wait_until("control is complete", self.fleet.control_complete)
         first = await push_bundle(self.fleet)
         await wait_until("the first bundle is in force", lambda: self.in_force(first))
-        await self.fleet.ready()
+        await self.fleet.wait_until_ready()
         target = read_target(self.fleet.folder / "fleet.json")
         options = LoadOptions(seconds=600.0, direct_share=0.0, run_name=new_run_name())
         started: list[Callers] = []
-        load = asyncio.create_task(run_load(target, options, quiet=True, begun=started.append))
+        load = asyncio.create_task(run_load(target, options, quiet=True, on_start=started.append))
         changing = asyncio.create_task(self.operator.run())
         try:
             await asyncio.sleep(WARM_UP)
@@ -351,19 +351,19 @@
     async def both_answered(self, router: DaemonPlan) -> bool:
         for service in self.fleet.shape.services:
             self._probes += 1
-            mark = f"probe-{self._probes}"
+            call_id = f"probe-{self._probes}"
             plan = CallPlan(
                 path=service.path,
                 key=self.fleet.keys.by_tenant[self.fleet.shape.tenants[0].name],
-                mark=mark,
+                call_id=call_id,
                 messages=("hello",),
                 max_tokens=1,
                 stream=service.streaming,
-                idempotency_key=None if service.repeatable else mark,
-                first_byte_patience=service.first_byte_patience,
+                idempotency_key=None if service.repeatable else call_id,
+                first_byte_timeout=service.first_byte_patience,
             )
             outcome = await self.caller.call(plan, parse_address(str(router.caller)))
-            if not outcome.looks_whole:
+            if not outcome.looks_complete:
                 return False
         return True
 
@@ -391,7 +391,7 @@
         newest = max(self.operator.acknowledged, default=0)
         try:
             await wait_until("the newest acknowledged bundle is in force", lambda: self.in_force(newest), GIVE_UP)
-        except FleetProblem as problem:
+        except FleetError as problem:
             self.report.violations.append(str(problem))
         for control in self.fleet.controls():
             if self.fleet.children[control.name].running():
@@ -419,12 +419,12 @@
     found = [f"run {count} times: {key}" for key, count in times.items() if count > 1]
     for record in records:
         key = record.idempotency_key
-        _, _, last_told, _ = record.tries[-1]
+        _, _, last_told, _ = record.attempts[-1]
         if last_told == "not-run" and times[key]:
             found.append(f"told not-run, but ran: {key}")
         if last_told == "ran" and not times[key]:
             found.append(f"told that it ran, but did not: {key}")
-        if any(looks_whole for _, _, _, looks_whole in record.tries) and key not in whole:
+        if any(looks_complete for _, _, _, looks_complete in record.attempts) and key not in whole:
             found.append(f"a success that no worker gave: {key}")
     return found
 
@@ -439,7 +439,7 @@
         async with Fleet(shape, folder) as fleet:
             try:
                 return await Case(fleet, action).run()
-            except FleetProblem as problem:
+            except FleetError as problem:
                 return CaseReport(case=action.__name__, violations=[str(problem)])
 
 
@@ -477,7 +477,7 @@
     """
     try:
         chosen = open_shape(shape)
-    except FleetProblem as problem:
+    except FleetError as problem:
         raise click.UsageError(str(problem)) from None
     reports: list[CaseReport] = []
     cases = [action for action in CASES if not only or action.__name__ in only]
--- a/bench/roll_outs.py
+++ b/bench/roll_outs.py
@@ -26,7 +26,7 @@
 from fleet.http import JsonClient
 from fleet.launcher import Fleet, open_shape, push_bundle
 from fleet.shape import Shape
-from fleet.waiting import FleetProblem, wait_until
+from fleet.waiting import FleetError, wait_until
 from wingwood.bundle.canonical import canonical_json
 from wingwood.bundle.model import Order
 from wingwood.bundle.orders import make_order
@@ -64,7 +64,7 @@
         return self.sightings[-1].version if self.sightings else 0
 
     async def run(self) -> None:
-        """Until it is cancelled; raises FleetProblem when the daemon closes."""
+        """Until it is cancelled; raises FleetError when the daemon closes."""
         reader, writer = await asyncio.open_connection(self._host, self._port)
         question = f"GET /control/v1/health HTTP/1.1\r\nHost: {self._host}\r\n\r\n".encode()
         try:
@@ -78,7 +78,7 @@
                 self.saw(now, int(json.loads(body)["version"]))
                 await asyncio.sleep(LOOK_EVERY)
         except (OSError, asyncio.IncompleteReadError) as problem:
-            raise FleetProblem(f"{self._host}:{self._port} does not answer any more: {problem}") from None
+            raise FleetError(f"{self._host}:{self._port} does not answer any more: {problem}") from None
         finally:
             writer.close()
 
@@ -135,12 +135,12 @@
         order: Order = make_order(BundleVersion(self.version), self._slices, after, self._key, identifier, signed_at)
         begun = time.monotonic()
         for _ in range(5):
-            reply = await self._http.post(self._to, "/control/v1/orders", order, patience=10.0)
-            if reply.good:
+            reply = await self._http.post(self._to, "/control/v1/orders", order, timeout=10.0)
+            if reply.succeeded:
                 break
             self.other_outcomes.append(f"{reply.status} {reply.body}")
         else:
-            raise FleetProblem(f"order on version {self.version} was not taken: {self.other_outcomes[-1]}")
+            raise FleetError(f"order on version {self.version} was not taken: {self.other_outcomes[-1]}")
         now = time.monotonic()
         self.taken.append(now - begun)
         self.version, self._slices = int(reply.body["version"]), after
@@ -232,13 +232,13 @@
         await fleet.start()
         await wait_until("control is complete", fleet.control_complete)
         await push_bundle(fleet)
-        await fleet.ready()
+        await fleet.wait_until_ready()
         started: list[Callers] = []
         options = LoadOptions(seconds=3600.0, scale=scale, direct_share=0.0, run_name=new_run_name())
         load = None
         if scale > 0:
             target = read_target(fleet.folder / "fleet.json")
-            load = asyncio.create_task(run_load(target, options, quiet=True, begun=started.append))
+            load = asyncio.create_task(run_load(target, options, quiet=True, on_start=started.append))
         measure = Measure(fleet, http)
         await measure.operator.read()
         try:
@@ -272,7 +272,7 @@
     try:
         with tempfile.TemporaryDirectory(prefix="wingwood-roll-outs-") as folder:
             found = asyncio.run(_run(open_shape(shape), Path(folder), times, pause, rate, seconds, scale))
-    except FleetProblem as problem:
+    except FleetError as problem:
         click.echo(f"error: {problem}", err=True)
         sys.exit(2)
     click.echo(json.dumps(found, indent=1))
--- a/fleet/caller.py
+++ b/fleet/caller.py
@@ -19,27 +19,27 @@
 
 
 class CallPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller wants to ask. ``mark`` is its own and comes back in each event of an emulated worker's answer."""
+    """A call that a caller is going to make. An emulated worker repeats ``call_id`` in each event of its answer."""
 
     path: str
     key: str
-    mark: str
+    call_id: str
     messages: tuple[str, ...]
     """Contents: one per shared part of the prefix, then the session's own."""
     max_tokens: int = 16
     stream: bool = True
     prefix: str | None = None
     idempotency_key: str | None = None
-    first_byte_patience: float = 4.0
-    silence_patience: float = 10.0
-    hang_up_after: int | None = None
+    first_byte_timeout: float = 4.0
+    idle_timeout: float = 10.0
+    disconnect_after_events: int | None = None
     """Goes away after that many events."""
 
 
 class CallOutcome(msgspec.Struct, kw_only=True):
     """What the caller saw. Times in seconds on the tool's clock."""
 
-    mark: str
+    call_id: str
     status: int = 0
     """0: no head came."""
     headers: dict[str, str] = msgspec.field(default_factory=dict)
@@ -49,37 +49,37 @@
     """Of a router-made answer, such as why it refused."""
     run: str = ""
     """Of a router-made answer: not-run, unknown or ran."""
-    looks_whole: bool = False
+    looks_complete: bool = False
     """A caller takes this for a whole success: status 2xx and a clean end."""
-    hung_up: bool = False
+    disconnected: bool = False
     fault: str = ""
     """Why there was no clean end."""
     problem: str = ""
     """What must never be: another call's piece, a piece lost or twice."""
     events: int = 0
     text: str = ""
-    began: float = 0.0
-    first_event_after: float | None = None
-    ended_after: float = 0.0
+    started_at: float = 0.0
+    time_to_first_event: float | None = None
+    duration: float = 0.0
     gaps: list[float] = msgspec.field(default_factory=list)
-    transits: list[float] = msgspec.field(default_factory=list)
+    transit_times: list[float] = msgspec.field(default_factory=list)
     """From the worker's making of each event to its coming here; only of use on one machine."""
-    worker_seconds: float | None = None
+    worker_duration: float | None = None
     """From the call's coming to the worker to its first event or its answer, as the worker tells."""
     body: Any = None
     """Of an answer that is no stream."""
 
-    def number(self, header: str) -> int | None:
+    def integer_header(self, header: str) -> int | None:
         value = self.headers.get(header, "")
         return int(value) if value.isdigit() else None
 
 
-def request_of(plan: CallPlan, address: Address) -> HttpRequest:
+def build_http_request(plan: CallPlan, address: Address) -> HttpRequest:
     body = {
         "messages": [{"content": content} for content in plan.messages],
         "max_tokens": plan.max_tokens,
         "stream": plan.stream,
-        "call": plan.mark,
+        "call": plan.call_id,
     }
     headers = [("Content-Type", "application/json"), ("Authorization", f"Bearer {plan.key}")]
     if plan.prefix is not None:
@@ -105,66 +105,66 @@
         self, plan: CallPlan, address: Address, on_event: Callable[[dict[str, Any]], None] | None = None
     ) -> CallOutcome:
         """One try at one router (or, in direct mode, at one worker)."""
-        outcome = CallOutcome(mark=plan.mark, began=self._clock.monotonic())
-        exchange = self._http.start(request_of(plan, address))
+        outcome = CallOutcome(call_id=plan.call_id, started_at=self._clock.monotonic())
+        exchange = self._http.start(build_http_request(plan, address))
         try:
-            await self._follow(plan, exchange, outcome, on_event)
+            await self._read_answer(plan, exchange, outcome, on_event)
         finally:
             exchange.cancel()
-            outcome.ended_after = self._clock.monotonic() - outcome.began
+            outcome.duration = self._clock.monotonic() - outcome.started_at
         return outcome
 
-    async def _follow(
+    async def _read_answer(
         self,
         plan: CallPlan,
         exchange: HttpExchange,
         outcome: CallOutcome,
         on_event: Callable[[dict[str, Any]], None] | None,
     ) -> None:
-        patience = plan.first_byte_patience
+        timeout = plan.first_byte_timeout
         try:
-            async with asyncio.timeout(patience):
-                answered = await exchange.head()
+            async with asyncio.timeout(timeout):
+                head_result = await exchange.head()
         except TimeoutError:
             outcome.fault = "silent"
             return
-        if not isinstance(answered, Success):
-            outcome.fault = answered.failure().kind
+        if not isinstance(head_result, Success):
+            outcome.fault = head_result.failure().kind
             return
-        head: HttpHead = answered.unwrap()
+        head: HttpHead = head_result.unwrap()
         outcome.status = head.status
         outcome.headers = {name.lower(): value for name, value in head.headers}
-        streams = outcome.headers.get("content-type", "").startswith("text/event-stream")
+        is_stream = outcome.headers.get("content-type", "").startswith("text/event-stream")
         body = bytearray()
         reader = _EventReader(plan, outcome, self._clock, on_event)
         while True:
             try:
-                async with asyncio.timeout(patience if not outcome.events else plan.silence_patience):
-                    got = await exchange.next_piece()
+                async with asyncio.timeout(timeout if not outcome.events else plan.idle_timeout):
+                    received = await exchange.next_piece()
             except TimeoutError:
                 outcome.fault = "silent"
                 return
-            if not isinstance(got, Success):
-                outcome.fault = got.failure().kind
+            if not isinstance(received, Success):
+                outcome.fault = received.failure().kind
                 return
-            piece: bytes | None = got.unwrap()
-            if piece is None:
+            chunk: bytes | None = received.unwrap()
+            if chunk is None:
                 break
-            if not streams:
-                body += piece
+            if not is_stream:
+                body += chunk
                 continue
-            reader.take(piece)
-            if plan.hang_up_after is not None and outcome.events >= plan.hang_up_after:
-                outcome.hung_up = True
+            reader.feed(chunk)
+            if plan.disconnect_after_events is not None and outcome.events >= plan.disconnect_after_events:
+                outcome.disconnected = True
                 return
-        if streams:
-            reader.end()
-            outcome.looks_whole = outcome.status < 300
+        if is_stream:
+            reader.finish()
+            outcome.looks_complete = outcome.status < 300
         else:
-            _take_body(plan, outcome, bytes(body), head)
+            _read_plain_body(plan, outcome, bytes(body), head)
 
 
-def _take_body(plan: CallPlan, outcome: CallOutcome, body: bytes, head: HttpHead) -> None:
+def _read_plain_body(plan: CallPlan, outcome: CallOutcome, body: bytes, head: HttpHead) -> None:
     try:
         outcome.body = msgspec.json.decode(body)
     except msgspec.MsgspecError:
@@ -174,9 +174,9 @@
     if outcome.router_made:
         outcome.code, outcome.run = str(fields.get("code", "")), str(fields.get("run", ""))
         return
-    outcome.worker_seconds = fields.get("seconds")
-    outcome.looks_whole = outcome.status < 300 and head.framing != "close"
-    if outcome.looks_whole and fields.get("call") != plan.mark:
+    outcome.worker_duration = fields.get("seconds")
+    outcome.looks_complete = outcome.status < 300 and head.framing != "close"
+    if outcome.looks_complete and fields.get("call") != plan.call_id:
         outcome.problem = f"answer of another call: {fields.get('call')!r}"
 
 
@@ -193,28 +193,28 @@
         self._outcome = outcome
         self._clock = clock
         self._on_event = on_event
-        self._rest = b""
-        self._last = outcome.began
+        self._buffer = b""
+        self._last_event_at = outcome.started_at
 
-    def take(self, piece: bytes) -> None:
+    def feed(self, chunk: bytes) -> None:
         now = self._clock.monotonic()
-        *events, self._rest = (self._rest + piece).split(b"\n\n")
+        *events, self._buffer = (self._buffer + chunk).split(b"\n\n")
         for event in events:
-            self._event(event, now)
+            self._read_event(event, now)
 
-    def end(self) -> None:
+    def finish(self) -> None:
         if not self.done:
-            self._problem("a clean end without the end marker")
-        elif self._rest:
-            self._problem("bytes after the end marker")
+            self._record_problem("a clean end without the end marker")
+        elif self._buffer:
+            self._record_problem("bytes after the end marker")
         elif self.done and self._outcome.events != self._plan.max_tokens:
-            self._problem(f"{self._outcome.events} of {self._plan.max_tokens} events before the end marker")
+            self._record_problem(f"{self._outcome.events} of {self._plan.max_tokens} events before the end marker")
 
-    def _event(self, event: bytes, now: float) -> None:
+    def _read_event(self, event: bytes, now: float) -> None:
         outcome = self._outcome
         data = event.removeprefix(b"data: ")
         if self.done:
-            self._problem("an event after the end marker")
+            self._record_problem("an event after the end marker")
             return
         if data == END_MARKER:
             self.done = True
@@ -222,29 +222,29 @@
         try:
             fields = msgspec.json.decode(data)
         except msgspec.MsgspecError:
-            self._problem("an event that is no JSON")
+            self._record_problem("an event that is no JSON")
             return
-        if fields.get("call") != self._plan.mark:
-            self._problem(f"piece of another call: {fields.get('call')!r}")
+        if fields.get("call") != self._plan.call_id:
+            self._record_problem(f"piece of another call: {fields.get('call')!r}")
         elif fields.get("index") != outcome.events:
-            self._problem(f"event {fields.get('index')} in the place of {outcome.events}")
-        if outcome.first_event_after is None:
-            outcome.first_event_after = now - outcome.began
-            outcome.worker_seconds = fields.get("seconds")
+            self._record_problem(f"event {fields.get('index')} in the place of {outcome.events}")
+        if outcome.time_to_first_event is None:
+            outcome.time_to_first_event = now - outcome.started_at
+            outcome.worker_duration = fields.get("seconds")
         else:
-            outcome.gaps.append(now - self._last)
-        self._last = now
+            outcome.gaps.append(now - self._last_event_at)
+        self._last_event_at = now
         if isinstance(fields.get("at"), float):
-            outcome.transits.append(now - fields["at"])
+            outcome.transit_times.append(now - fields["at"])
         outcome.events += 1
         outcome.text += str(fields.get("text", ""))
         if self._on_event is not None:
             self._on_event(fields)
 
-    def _problem(self, problem: str) -> None:
+    def _record_problem(self, problem: str) -> None:
         self._outcome.problem = self._outcome.problem or problem
 
 
-def shared_text(tokens: int, seed: str) -> str:
+def prompt_text(tokens: int, seed: str) -> str:
     """A prompt part of that many tokens (four bytes each)."""
     return (f"{seed} " * (tokens * 4 // (len(seed) + 1) + 1))[: tokens * 4]
--- a/fleet/children.py
+++ b/fleet/children.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-PARENT_DEATH_SIGNAL = 1
+PR_SET_PDEATHSIG = 1
 """``PR_SET_PDEATHSIG`` of prctl(2): a child ends with the launcher even when that is killed."""
 
 
@@ -43,7 +43,7 @@
                 cwd=self.folder,
                 env=_environment(),
                 start_new_session=True,
-                preexec_fn=_end_with_parent,  # noqa: PLW1509 (one system call, made from the main thread)
+                preexec_fn=_kill_on_parent_death,  # noqa: PLW1509 (one system call, made from the main thread)
             )
         self.frozen = False
         self.expected_to_run = True
@@ -64,21 +64,21 @@
         self._signal(signal.SIGSTOP)
         self.frozen = True
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         self._signal(signal.SIGCONT)
         self.frozen = False
 
-    def ask_to_stop(self) -> None:
+    def terminate(self) -> None:
         """SIGTERM; a frozen one is woken for it."""
         self.expected_to_run = False
         if self.running():
             self._signal(signal.SIGTERM)
             if self.frozen:
-                self.wake()
+                self.resume()
 
-    def end(self, patience: float) -> None:
-        """Asked to stop before; killed when it has not ended within ``patience`` seconds."""
-        if not self._wait(patience):
+    def wait_or_kill(self, timeout: float) -> None:
+        """Asked to stop before; killed when it has not ended within ``timeout`` seconds."""
+        if not self._wait(timeout):
             self.kill()
 
     def log_tail(self, lines: int = 12) -> str:
@@ -92,26 +92,26 @@
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(number)
 
-    def _wait(self, patience: float | None) -> bool:
+    def _wait(self, timeout: float | None) -> bool:
         if self._process is None:
             return True
         try:
-            self._process.wait(patience)
+            self._process.wait(timeout)
         except subprocess.TimeoutExpired:
             return False
         return True
 
 
-def end_all(children: Sequence[Child], patience: float) -> None:
-    """Asks all to stop, then ends those that have not within ``patience`` seconds in all."""
+def stop_all(children: Sequence[Child], timeout: float) -> None:
+    """Asks all to stop, then ends those that have not within ``timeout`` seconds in all."""
     for child in children:
-        child.ask_to_stop()
-    give_up = time.monotonic() + patience
+        child.terminate()
+    deadline = time.monotonic() + timeout
     for child in children:
-        child.end(max(0.0, give_up - time.monotonic()))
+        child.wait_or_kill(max(0.0, deadline - time.monotonic()))
 
 
-def python_module(module: str, *arguments: str) -> list[str]:
+def python_module_command(module: str, *arguments: str) -> list[str]:
     return [sys.executable, "-m", module, *arguments]
 
 
@@ -122,5 +122,5 @@
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
-def _end_with_parent() -> None:
-    _libc.prctl(PARENT_DEATH_SIGNAL, signal.SIGKILL)
+def _kill_on_parent_death() -> None:
+    _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
--- a/fleet/demo.py
+++ b/fleet/demo.py
@@ -17,17 +17,17 @@
 from wingwood.context.real import RealClock
 from wingwood.identifiers import parse_address
 
-from .caller import Caller, CallOutcome, CallPlan, shared_text
+from .caller import Caller, CallOutcome, CallPlan, prompt_text
 from .launcher import CommandResult, Fleet, open_shape
 from .plan import DaemonPlan, WorkerPlan
 from .shape import ServiceShape, Shape
-from .waiting import FleetProblem, wait_until
+from .waiting import FleetError, wait_until
 
-DRAIN_BOUND = 2.0
+DRAIN_BOUND_S = 2.0
 """Seconds after which a draining worker gets no new turn."""
-KEY_BOUND = 5.0
+KEY_REMOVAL_BOUND_S = 5.0
 """Seconds after which a removed key works nowhere."""
-THINK = 1.0
+THINK_TIME_S = 1.0
 
 
 class Demo:
@@ -51,9 +51,9 @@
     def verified(self, text: str) -> None:
         click.echo(f"   ok  {text}")
 
-    def verify(self, condition: bool, text: str, otherwise: object) -> None:
+    def verify(self, condition: bool, text: str, observed: object) -> None:
         if not condition:
-            raise FleetProblem(f"not so: {text}; seen: {otherwise}")
+            raise FleetError(f"not so: {text}; seen: {observed}")
         self.verified(text)
 
     async def command(self, *arguments: str, show: bool = True) -> CommandResult:
@@ -65,32 +65,32 @@
             output = (result.output + result.errors).replace(f"{self.fleet.folder}/", "").rstrip()
             click.echo("\n".join(f"     {line}" for line in output.splitlines()))
         if result.code:
-            raise FleetProblem(f"wingwood {arguments[0]} {arguments[1]} ended with code {result.code}: {result.errors}")
+            raise FleetError(f"wingwood {arguments[0]} {arguments[1]} ended with code {result.code}: {result.errors}")
         return result
 
     # Steps
 
     async def run(self) -> None:
-        await self.fleet_up()
+        await self.start_fleet()
         version = await self.push()
         await self.read_back(version)
         await self.two_turns()
-        await self.once_only()
+        await self.at_most_once()
         await self.drain()
         await self.remove_key()
         await self.stop()
 
-    async def fleet_up(self) -> None:
+    async def start_fleet(self) -> None:
         shape = self.fleet.shape
         self.step(
             f"A fleet of {shape.routers} routers, {shape.controls} control daemons and "
             f"{len(self.fleet.workers)} emulated workers comes up"
         )
-        began = time.monotonic()
+        started_at = time.monotonic()
         await self.fleet.start()
         await wait_until("control takes orders and could bear a loss", self.control_complete)
         await wait_until("all routers know all workers", self.workers_known)
-        self.verified(f"all live, control complete, all workers announced, after {time.monotonic() - began:.1f} s")
+        self.verified(f"all live, control complete, all workers announced, after {time.monotonic() - started_at:.1f} s")
 
     async def control_complete(self) -> bool:
         self.fleet.check_children()
@@ -100,7 +100,9 @@
         self.fleet.check_children()
         for router in self.fleet.routers():
             reply = await self.fleet.http.get(router.operator, "/control/v1/workers")
-            if not reply.good or sum(worker["state"] == "ready" for worker in reply.body) < len(self.fleet.workers):
+            if not reply.succeeded or sum(worker["state"] == "ready" for worker in reply.body) < len(
+                self.fleet.workers
+            ):
                 return False
         return True
 
@@ -110,28 +112,28 @@
         await self.command("bundle", "check", str(self.fleet.bundle_file))
         key = str(self.fleet.operator_key_file)
         await self.command("bundle", "sign", str(self.fleet.bundle_file), "--key", key, "--output", str(signed))
-        began = time.monotonic()
-        pushed = await self.command("bundle", "push", str(signed), *self.to(self.fleet.routers()[:2]), "--json")
+        started_at = time.monotonic()
+        pushed = await self.command("bundle", "push", str(signed), *self.to_options(self.fleet.routers()[:2]), "--json")
         version = int(pushed.json()["version"])
         self.verify(pushed.json()["outcome"] == "accepted", f"version {version} acknowledged", pushed.output)
-        await self.in_force(version)
-        self.verified(f"in force on all daemons {time.monotonic() - began:.2f} s after the push was typed")
-        await self.fleet.ready()
+        await self.wait_until_in_force(version)
+        self.verified(f"in force on all daemons {time.monotonic() - started_at:.2f} s after the push was typed")
+        await self.fleet.wait_until_ready()
         self.verified("all daemons ready for the platform")
         return version
 
-    async def in_force(self, version: int) -> None:
-        async def look() -> bool:
+    async def wait_until_in_force(self, version: int) -> None:
+        async def condition() -> bool:
             self.fleet.check_children()
             versions = [await self.fleet.version_on(router.name) for router in self.fleet.routers()]
-            return all(held >= version for held in versions)
+            return all(version_in_force >= version for version_in_force in versions)
 
-        await wait_until(f"version {version} in force on all routers", look)
+        await wait_until(f"version {version} in force on all routers", condition)
 
     async def read_back(self, version: int) -> None:
         self.step("The bundle in force is read back")
         router = self.fleet.routers()[-1]
-        await self.command("bundle", "show", *self.to([router]))
+        await self.command("bundle", "show", *self.to_options([router]))
         roots = set()
         for each in self.fleet.routers():
             reply = await self.fleet.http.get(each.operator, "/control/v1/bundle")
@@ -141,44 +143,46 @@
             f"all {len(self.fleet.routers())} routers hold version {version} with the same root digest",
             roots,
         )
-        await self.command("health", *self.to(list(self.fleet.daemons.values())))
+        await self.command("health", *self.to_options(list(self.fleet.daemons.values())))
 
     async def two_turns(self) -> None:
         self.step("A chat streams piece by piece; its second turn comes to another router")
         routers = self.fleet.routers()
-        shared, own = shared_text(300, "house-rules"), shared_text(200, "When does my order come?")
+        shared, own = prompt_text(300, "house-rules"), prompt_text(200, "When does my order come?")
         first = await self.turn(routers[0], "house-rules/demo-chat", (shared, own), 12)
-        await asyncio.sleep(THINK)
-        own += first.text + shared_text(20, "And if I am not at home?")
+        await asyncio.sleep(THINK_TIME_S)
+        own += first.text + prompt_text(20, "And if I am not at home?")
         second = await self.turn(routers[1 % len(routers)], "house-rules/demo-chat", (shared, own), 12)
         workers = [first.headers["wingwood-worker"], second.headers["wingwood-worker"]]
         self.verify(workers[0] == workers[1], f"the second turn went to the same worker {workers[0]}", workers)
-        how = second.headers.get("wingwood-award")
-        self.verify(how == "award", "it went there by the award that the first turn's end had made", how)
-        cached, prompt = second.number("cached-tokens") or 0, second.number("prompt-tokens") or 0
+        method = second.headers.get("wingwood-award")
+        self.verify(method == "award", "it went there by the award that the first turn's end had made", method)
+        cached, prompt = second.integer_header("cached-tokens") or 0, second.integer_header("prompt-tokens") or 0
         self.verify(cached > prompt // 2, f"{cached} of its {prompt} prompt tokens were still in the KV cache", cached)
 
     async def turn(self, router: DaemonPlan, prefix: str, messages: tuple[str, ...], tokens: int) -> CallOutcome:
         click.echo(f"   {router.name} ({router.zone}): ", nl=False)
-        plan = self.plan(self.chat, f"{prefix}-{tokens}-{router.name}", prefix=prefix, messages=messages, tokens=tokens)
+        call_plan = self.call_plan(
+            self.chat, f"{prefix}-{tokens}-{router.name}", prefix=prefix, messages=messages, tokens=tokens
+        )
         outcome = await self.caller.call(
-            plan, parse_address(str(router.caller)), lambda event: click.echo(event["text"], nl=False)
+            call_plan, parse_address(str(router.caller)), lambda event: click.echo(event["text"], nl=False)
         )
         click.echo()
-        self.expect_whole(outcome)
-        first = (outcome.first_event_after or 0.0) * 1000
+        self.expect_complete(outcome)
+        first = (outcome.time_to_first_event or 0.0) * 1000
         gap = max(outcome.gaps, default=0.0) * 1000
         self.verified(f"{outcome.events} pieces, the first after {first:.0f} ms, longest pause {gap:.0f} ms, whole")
         return outcome
 
-    async def once_only(self) -> None:
+    async def at_most_once(self) -> None:
         self.step(f"A call of {self.plain.name}, which may not be repeated, is sent twice")
         routers = self.fleet.routers()
-        plan = self.plan(self.plain, "demo-card", key="demo-card-1")
-        first = await self.caller.call(plan, parse_address(str(routers[0].caller)))
-        self.expect_whole(first)
+        call_plan = self.call_plan(self.plain, "demo-card", key="demo-card-1")
+        first = await self.caller.call(call_plan, parse_address(str(routers[0].caller)))
+        self.expect_complete(first)
         self.verified(f"{routers[0].name} answered {first.status}: {first.body}")
-        second = await self.caller.call(plan, parse_address(str(routers[1 % len(routers)].caller)))
+        second = await self.caller.call(call_plan, parse_address(str(routers[1 % len(routers)].caller)))
         self.verify(
             second.router_made and second.run == "ran",
             f"{routers[1 % len(routers)].name} answered the second {second.status} {second.code}, run: {second.run}",
@@ -189,47 +193,47 @@
 
     async def drain(self) -> None:
         self.step("A worker is drained under load")
-        load = asyncio.create_task(self.chats(rate=6.0, seconds=8.0))
-        victim = await wait_until("a worker runs at least one chat", self.a_busy_worker)
+        load = asyncio.create_task(self.run_chats(rate=6.0, seconds=8.0))
+        victim = await wait_until("a worker runs at least one chat", self.find_busy_worker)
         reply = await self.fleet.http.post(victim.address, "/drain", {})
         drained = time.monotonic()
-        self.verify(reply.good, f"{victim.name} drains with calls under way", reply)
+        self.verify(reply.succeeded, f"{victim.name} drains with calls under way", reply)
         outcomes = await load
-        bad = [outcome for outcome in outcomes if not outcome.looks_whole or outcome.problem]
-        self.verify(not bad, f"all {len(outcomes)} chats of the load were whole", bad[:2])
+        failed = [outcome for outcome in outcomes if not outcome.looks_complete or outcome.problem]
+        self.verify(not failed, f"all {len(outcomes)} chats of the load were whole", failed[:2])
         runs = [run for run in await self.fleet.runs() if run["instance"] == reply.body["instance"]]
         after = [run["arrived"] - drained for run in runs if run["arrived"] > drained]
-        late = [seconds for seconds in after if seconds > DRAIN_BOUND]
+        late = [seconds for seconds in after if seconds > DRAIN_BOUND_S]
         last = f"the last {max(after):.2f} s after" if after else "none after"
-        self.verify(not late, f"no new turn reached it more than {DRAIN_BOUND:.0f} s later ({last})", late)
+        self.verify(not late, f"no new turn reached it more than {DRAIN_BOUND_S:.0f} s later ({last})", late)
 
-        async def gone() -> bool:
+        async def has_departed() -> bool:
             health = await self.fleet.http.get(victim.address, "/health")
-            return bool(health.good and health.body["state"] == "gone")
+            return bool(health.succeeded and health.body["state"] == "gone")
 
-        await wait_until(f"{victim.name} has finished its calls and says that it is gone", gone)
+        await wait_until(f"{victim.name} has finished its calls and says that it is gone", has_departed)
         self.verified(f"{victim.name} finished its calls and said that it is gone")
 
-    async def a_busy_worker(self) -> WorkerPlan | None:
+    async def find_busy_worker(self) -> WorkerPlan | None:
         for worker in self.fleet.workers.values():
             if worker.pool.name == self.chat.pool:
                 health = await self.fleet.http.get(worker.address, "/health")
-                if health.good and health.body["running"] > 0:
+                if health.succeeded and health.body["running"] > 0:
                     return worker
         return None
 
-    async def chats(self, rate: float, seconds: float) -> list[CallOutcome]:
+    async def run_chats(self, rate: float, seconds: float) -> list[CallOutcome]:
         routers = self.fleet.routers()
         calls = []
         for number in range(int(rate * seconds)):
             session = f"load-{number}"
             tenant = self.tenants[number % len(self.tenants)]
-            plan = self.plan(
-                self.chat, session, prefix=f"house-rules/{session}", messages=(shared_text(200, session),),
+            call_plan = self.call_plan(
+                self.chat, session, prefix=f"house-rules/{session}", messages=(prompt_text(200, session),),
                 tokens=30, tenant=tenant,
             )  # fmt: skip
             address = parse_address(str(routers[number % len(routers)].caller))
-            calls.append(asyncio.create_task(self.caller.call(plan, address)))
+            calls.append(asyncio.create_task(self.caller.call(call_plan, address)))
             await asyncio.sleep(1 / rate)
         return list(await asyncio.gather(*calls))
 
@@ -238,7 +242,7 @@
         self.step(f"The key of {tenant} is removed")
         digest = hashlib.sha256(self.fleet.keys.by_tenant[tenant].encode()).hexdigest()
         key = str(self.fleet.operator_key_file)
-        controls = self.to(self.fleet.controls())
+        controls = self.to_options(self.fleet.controls())
         await self.command("bundle", "change", "--remove-key", digest, "--key", key, *controls)
         acknowledged = time.monotonic()
         for router in self.fleet.routers():
@@ -248,16 +252,18 @@
 
             await wait_until(f"{router.name} refuses the removed key", refused)
         took = time.monotonic() - acknowledged
-        self.verify(took < KEY_BOUND, f"refused by all routers {took:.2f} s after the command had ended", took)
+        self.verify(
+            took < KEY_REMOVAL_BOUND_S, f"refused by all routers {took:.2f} s after the command had ended", took
+        )
         other = self.tenants[0]
         for router in self.fleet.routers():
             outcome = await self.ask(router, other)
-            self.expect_whole(outcome)
+            self.expect_complete(outcome)
         self.verified(f"{other} is still served by all routers")
 
     async def ask(self, router: DaemonPlan, tenant: str) -> CallOutcome:
-        plan = self.plan(self.chat, f"key-{tenant}", messages=("hello",), tokens=1, tenant=tenant)
-        return await self.caller.call(plan, parse_address(str(router.caller)))
+        call_plan = self.call_plan(self.chat, f"key-{tenant}", messages=("hello",), tokens=1, tenant=tenant)
+        return await self.caller.call(call_plan, parse_address(str(router.caller)))
 
     async def stop(self) -> None:
         self.step("The fleet is stopped")
@@ -268,13 +274,13 @@
 
     # Helps
 
-    def to(self, daemons: Sequence[DaemonPlan]) -> list[str]:
+    def to_options(self, daemons: Sequence[DaemonPlan]) -> list[str]:
         return [word for daemon in daemons for word in ("--to", daemon.operator)]
 
-    def plan(
+    def call_plan(
         self,
         service: ServiceShape,
-        mark: str,
+        call_id: str,
         *,
         prefix: str | None = None,
         messages: tuple[str, ...] = ("hello",),
@@ -285,23 +291,25 @@
         return CallPlan(
             path=service.path,
             key=self.fleet.keys.by_tenant[tenant or self.tenants[0]],
-            mark=mark,
+            call_id=call_id,
             messages=messages,
             max_tokens=tokens,
             stream=service.streaming,
             prefix=prefix,
             idempotency_key=key,
-            first_byte_patience=service.first_byte_patience,
+            first_byte_timeout=service.first_byte_patience,
         )
 
-    def expect_whole(self, outcome: CallOutcome) -> None:
-        if not outcome.looks_whole or outcome.problem:
+    def expect_complete(self, outcome: CallOutcome) -> None:
+        if not outcome.looks_complete or outcome.problem:
             seen: Any = outcome.body if outcome.status else outcome.fault
-            raise FleetProblem(f"call {outcome.mark} was not answered whole: {outcome.status} {seen} {outcome.problem}")
+            raise FleetError(
+                f"call {outcome.call_id} was not answered whole: {outcome.status} {seen} {outcome.problem}"
+            )
 
 
 async def run_demo(shape: Shape, folder: Path) -> None:
-    """Raises FleetProblem at the first step that can't be verified."""
+    """Raises FleetError at the first step that can't be verified."""
     async with Fleet(shape, folder) as fleet:
         await Demo(fleet).run()
 
@@ -314,7 +322,7 @@
     try:
         with tempfile.TemporaryDirectory(prefix="wingwood-demo-") as temporary:
             asyncio.run(run_demo(open_shape(Path(shape)), folder or Path(temporary)))
-    except FleetProblem as problem:
+    except FleetError as problem:
         click.echo(f"\nFAILED: {problem}", err=True)
         if folder is not None:
             click.echo(f"logs are in {folder / 'logs'}", err=True)
--- a/fleet/http.py
+++ b/fleet/http.py
@@ -15,7 +15,7 @@
     body: Any
 
     @property
-    def good(self) -> bool:
+    def succeeded(self) -> bool:
         return 200 <= self.status < 300
 
 
@@ -23,20 +23,20 @@
     def __init__(self) -> None:
         self._client: AsyncHTTPClient = SimpleAsyncHTTPClient(force_instance=True, max_clients=200)
 
-    async def get(self, address: str, path: str, patience: float = 2.0) -> JsonReply:
-        return await self.ask("GET", address, path, None, patience)
+    async def get(self, address: str, path: str, timeout: float = 2.0) -> JsonReply:
+        return await self.ask("GET", address, path, None, timeout)
 
-    async def post(self, address: str, path: str, body: object, patience: float = 5.0) -> JsonReply:
-        return await self.ask("POST", address, path, msgspec.json.encode(body), patience)
+    async def post(self, address: str, path: str, body: object, timeout: float = 5.0) -> JsonReply:
+        return await self.ask("POST", address, path, msgspec.json.encode(body), timeout)
 
-    async def ask(self, method: str, address: str, path: str, body: bytes | None, patience: float) -> JsonReply:
+    async def ask(self, method: str, address: str, path: str, body: bytes | None, timeout: float) -> JsonReply:
         request = HTTPRequest(
             f"http://{address}{path}",
             method=method,
             body=body,
             headers={"Content-Type": "application/json"} if body is not None else None,
-            connect_timeout=min(1.0, patience),
-            request_timeout=patience,
+            connect_timeout=min(1.0, timeout),
+            request_timeout=timeout,
             follow_redirects=False,
         )
         try:
--- a/fleet/launcher.py
+++ b/fleet/launcher.py
@@ -22,7 +22,7 @@
 import msgspec
 from returns.result import Failure
 
-from .children import Child, end_all, python_module
+from .children import Child, python_module_command, stop_all
 from .http import JsonClient
 from .plan import (
     CallerKeys,
@@ -35,10 +35,10 @@
     settings_text,
 )
 from .shape import HOST, Shape, read_shape
-from .waiting import FleetProblem, wait_until
+from .waiting import FleetError, wait_until
 
 ROOT = Path(__file__).resolve().parent.parent
-STOP_PATIENCE = 25.0
+STOP_TIMEOUT_S = 25.0
 """Seconds for daemons to finish streams after SIGTERM; above their own ``stop_within``."""
 
 
@@ -96,14 +96,14 @@
         return self.folder / "keys" / "operator.key"
 
     def _make_keys(self) -> None:
-        made = self.command("key", "new", str(self.operator_key_file), "--json")
-        if made.code:
-            raise FleetProblem(f"wingwood key new failed: {made.errors or made.output}")
-        self._operator_public = str(made.json()["public_key"])
+        result = self.command("key", "new", str(self.operator_key_file), "--json")
+        if result.code:
+            raise FleetError(f"wingwood key new failed: {result.errors or result.output}")
+        self._operator_public = str(result.json()["public_key"])
         fleet_key = self.folder / "keys" / "fleet.key"
-        made = self.command("key", "new", "--fleet", str(fleet_key), "--json")
-        if made.code:
-            raise FleetProblem(f"wingwood key new --fleet failed: {made.errors or made.output}")
+        result = self.command("key", "new", "--fleet", str(fleet_key), "--json")
+        if result.code:
+            raise FleetError(f"wingwood key new --fleet failed: {result.errors or result.output}")
         self._fleet_key = fleet_key.read_text().strip()
         self.keys = new_caller_keys(self.shape)
         (self.folder / "keys" / "callers.json").write_text(json.dumps(dict(self.keys.by_tenant), indent=2))
@@ -117,7 +117,7 @@
 
     def _write_addresses(self) -> None:
         """For tools that were started apart, such as the load tool."""
-        told = {
+        document = {
             "shape": msgspec.to_builtins(self.shape),
             "routers": [
                 {"name": daemon.name, "caller": daemon.caller, "operator": daemon.operator} for daemon in self.routers()
@@ -128,12 +128,12 @@
             },
             "keys": dict(self.keys.by_tenant),
         }
-        (self.folder / "fleet.json").write_text(json.dumps(told, indent=2))
+        (self.folder / "fleet.json").write_text(json.dumps(document, indent=2))
 
     def _check_ports(self) -> None:
-        taken = first_taken(range(self.shape.first_port, self.plan.next_port))
-        if taken is not None:
-            raise FleetProblem(f"port {taken} is taken by another program; set first_port in the shape")
+        port_in_use = first_port_in_use(range(self.shape.first_port, self.plan.next_port))
+        if port_in_use is not None:
+            raise FleetError(f"port {port_in_use} is taken by another program; set first_port in the shape")
 
     # Processes
 
@@ -146,7 +146,7 @@
             self._start_worker(worker)
 
     def _start_daemon(self, daemon: DaemonPlan) -> None:
-        command = python_module("wingwood", daemon.role, "--settings", str(self._settings_file(daemon)))
+        command = python_module_command("wingwood", daemon.role, "--settings", str(self._settings_file(daemon)))
         self._start(daemon.name, command)
 
     def _start_worker(self, worker: WorkerPlan) -> None:
@@ -172,7 +172,7 @@
         others = [daemon for daemon in self.daemons.values() if daemon.zone != worker.zone]
         for daemon in (near + others)[:1] + near[-1:] + others[-1:]:
             options += ["--announce", daemon.operator]
-        self._start(worker.name, python_module("emulator.process", *options))
+        self._start(worker.name, python_module_command("emulator.process", *options))
 
     def _start(self, name: str, command: Sequence[str]) -> None:
         child = self.children.get(name)
@@ -189,48 +189,48 @@
         self.prepare()
         self.start_daemons()
         self.start_workers()
-        await self.live()
-        await self.workers_answer()
+        await self.wait_until_live()
+        await self.wait_for_workers()
 
     async def stop(self) -> None:
-        await asyncio.to_thread(end_all, list(self.children.values()), STOP_PATIENCE)
+        await asyncio.to_thread(stop_all, list(self.children.values()), STOP_TIMEOUT_S)
         self.http.close()
 
     # Conditions
 
-    async def live(self) -> None:
+    async def wait_until_live(self) -> None:
         for daemon in self.daemons.values():
-            await self.daemon_answers(daemon.name, "/live")
+            await self.wait_for_daemon(daemon.name, "/live")
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """All daemons say that they are ready; routers only are once a bundle is in force."""
         for daemon in self.daemons.values():
-            await self.daemon_answers(daemon.name, "/ready")
+            await self.wait_for_daemon(daemon.name, "/ready")
 
-    async def daemon_answers(self, name: str, path: str, patience: float = 60.0) -> None:
+    async def wait_for_daemon(self, name: str, path: str, timeout: float = 60.0) -> None:
         daemon = self.daemons[name]
 
-        async def look() -> bool:
+        async def condition() -> bool:
             self.check_children()
-            return (await self.http.get(daemon.operator, path)).good
+            return (await self.http.get(daemon.operator, path)).succeeded
 
-        await wait_until(f"{name} answers {path} with 200", look, patience)
+        await wait_until(f"{name} answers {path} with 200", condition, timeout)
 
-    async def workers_answer(self) -> None:
+    async def wait_for_workers(self) -> None:
         for worker in self.workers.values():
 
-            async def look(worker: WorkerPlan = worker) -> bool:
+            async def condition(worker: WorkerPlan = worker) -> bool:
                 self.check_children()
-                return (await self.http.get(worker.address, "/health")).good
+                return (await self.http.get(worker.address, "/health")).succeeded
 
-            await wait_until(f"worker {worker.name} answers /health", look)
+            await wait_until(f"worker {worker.name} answers /health", condition)
 
     def check_children(self) -> None:
-        """Raises FleetProblem with the log's end when a child has ended by itself."""
+        """Raises FleetError with the log's end when a child has ended by itself."""
         for child in self.children.values():
             if child.expected_to_run and not child.running():
                 child.expected_to_run = False
-                raise FleetProblem(
+                raise FleetError(
                     f"{child.name} ended by itself with code {child.exit_code()}; its log ends:\n{child.log_tail()}"
                 )
 
@@ -242,19 +242,19 @@
     def freeze(self, name: str) -> None:
         self.children[name].freeze()
 
-    def wake(self, name: str) -> None:
-        self.children[name].wake()
+    def resume(self, name: str) -> None:
+        self.children[name].resume()
 
     def restart(self, name: str) -> None:
         """Starts what was killed or stopped again, with the same settings and data."""
         self.kill(name)
         self.children[name].start()
 
-    async def roll(self, name: str) -> None:
+    async def restart_gracefully(self, name: str) -> None:
         """SIGTERM, wait for its end, start again."""
         child = self.children[name]
-        child.ask_to_stop()
-        await asyncio.to_thread(child.end, STOP_PATIENCE)
+        child.terminate()
+        await asyncio.to_thread(child.wait_or_kill, STOP_TIMEOUT_S)
         child.start()
 
     def wipe(self, name: str) -> None:
@@ -310,14 +310,14 @@
     async def version_on(self, name: str) -> int:
         """The bundle version in force on a daemon; 0 without one."""
         reply = await self.http.get(self.daemons[name].operator, "/control/v1/bundle")
-        return int(reply.body["version"]) if reply.good else 0
+        return int(reply.body["version"]) if reply.succeeded else 0
 
     async def control_reports(self) -> dict[str, Any]:
         """What each control daemon that answers says of the control core, with its own incarnation."""
         reports = {}
         for daemon in self.controls():
             reply = await self.http.get(daemon.operator, "/control/v1/health")
-            if reply.good and reply.body.get("control"):
+            if reply.succeeded and reply.body.get("control"):
                 reports[daemon.name] = {**reply.body["control"], "incarnation": reply.body["incarnation"]}
         return reports
 
@@ -352,7 +352,12 @@
     def command(self, *arguments: str) -> CommandResult:
         """One call of the operators' command line."""
         done = subprocess.run(
-            python_module("wingwood", *arguments), cwd=ROOT, capture_output=True, text=True, check=False, timeout=120
+            python_module_command("wingwood", *arguments),
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=False,
+            timeout=120,
         )
         return CommandResult(done.returncode, done.stdout, done.stderr)
 
@@ -360,7 +365,7 @@
         return await asyncio.to_thread(self.command, *arguments)
 
 
-def first_taken(ports: Iterable[int]) -> int | None:
+def first_port_in_use(ports: Iterable[int]) -> int | None:
     """The first of the loopback ports on which another program listens."""
     for port in ports:
         with socket.socket() as probe:
@@ -376,18 +381,18 @@
     """Where a fleet of this shape finds all its ports free, with room for replacements; for tests beside others."""
     span = plan_fleet(shape).next_port - shape.first_port + 20
     for first in range(lowest, highest - span, span):
-        if first_taken(range(first, first + span)) is None:
+        if first_port_in_use(range(first, first + span)) is None:
             return first
-    raise FleetProblem(f"no {span} ports in a row are free from {lowest} to {highest}")
+    raise FleetError(f"no {span} ports in a row are free from {lowest} to {highest}")
 
 
 def open_shape(file: Path) -> Shape:
-    """Reads it or raises FleetProblem; a bare name is looked for beside this file."""
+    """Reads it or raises FleetError; a bare name is looked for beside this file."""
     if not file.exists() and (ROOT / "fleet" / f"{file.name}.toml").exists():
         file = ROOT / "fleet" / f"{file.name}.toml"
     match read_shape(file):
         case Failure(problem):
-            raise FleetProblem(str(problem))
+            raise FleetError(str(problem))
         case read:
             return read.unwrap()
 
@@ -415,7 +420,7 @@
     if push:
         pushed = await push_bundle(fleet)
         click.echo(f"bundle version {pushed} acknowledged")
-        await fleet.ready()
+        await fleet.wait_until_ready()
     for daemon in fleet.daemons.values():
         caller = f", callers {daemon.caller}" if daemon.caller else ""
         click.echo(f"  {daemon.name:<12} {daemon.zone:<8} operators {daemon.operator}{caller}")
@@ -425,15 +430,15 @@
 async def push_bundle(fleet: Fleet) -> int:
     """Signs ``bundle.toml`` and pushes it with the command line; gives the acknowledged version."""
     signed = fleet.folder / "bundle.signed"
-    made = await fleet.run_command(
+    result = await fleet.run_command(
         "bundle", "sign", str(fleet.bundle_file), "--key", str(fleet.operator_key_file), "--output", str(signed)
     )
-    if made.code:
-        raise FleetProblem(f"wingwood bundle sign failed: {made.errors or made.output}")
+    if result.code:
+        raise FleetError(f"wingwood bundle sign failed: {result.errors or result.output}")
     to = [word for daemon in fleet.controls() for word in ("--to", daemon.operator)]
     pushed = await fleet.run_command("bundle", "push", str(signed), *to, "--json")
     if pushed.code:
-        raise FleetProblem(f"wingwood bundle push failed: {pushed.errors or pushed.output}")
+        raise FleetError(f"wingwood bundle push failed: {pushed.errors or pushed.output}")
     return int(pushed.json()["version"])
 
 
@@ -446,7 +451,7 @@
     try:
         with tempfile.TemporaryDirectory(prefix="wingwood-fleet-") as temporary:
             asyncio.run(_run(open_shape(shape), folder or Path(temporary), push))
-    except FleetProblem as problem:
+    except FleetError as problem:
         click.echo(f"error: {problem}", err=True)
         sys.exit(1)
 
--- a/fleet/shape.py
+++ b/fleet/shape.py
@@ -95,7 +95,7 @@
     traffic: tuple[Traffic, ...] = ()
 
 
-class ShapeProblem(msgspec.Struct, frozen=True):
+class InvalidShape(msgspec.Struct, frozen=True):
     file: str
     detail: str
 
@@ -103,15 +103,15 @@
         return f"{self.file}: {self.detail}"
 
 
-def read_shape(file: Path) -> Result[Shape, ShapeProblem]:
+def read_shape(file: Path) -> Result[Shape, InvalidShape]:
     try:
         shape = msgspec.toml.decode(file.read_bytes(), type=Shape)
     except OSError as problem:
-        return Failure(ShapeProblem(str(file), problem.strerror or "cannot be read"))
+        return Failure(InvalidShape(str(file), problem.strerror or "cannot be read"))
     except msgspec.MsgspecError as problem:
-        return Failure(ShapeProblem(str(file), str(problem)))
-    problem_found = check_shape(shape)
-    return Failure(ShapeProblem(str(file), problem_found)) if problem_found else Success(shape)
+        return Failure(InvalidShape(str(file), str(problem)))
+    invalid = check_shape(shape)
+    return Failure(InvalidShape(str(file), invalid)) if invalid else Success(shape)
 
 
 def check_shape(shape: Shape) -> str:
--- a/fleet/tests/test_caller.py
+++ b/fleet/tests/test_caller.py
@@ -18,8 +18,8 @@
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def event(index: int, mark: str = "mine") -> bytes:
-    return b'data: {"index":%d,"text":"x","call":"%s"}\n\n' % (index, mark.encode())
+def event(index: int, call_id: str = "mine") -> bytes:
+    return b'data: {"index":%d,"text":"x","call":"%s"}\n\n' % (index, call_id.encode())
 
 
 def chunked(*pieces: bytes, end: bool = True) -> bytes:
@@ -30,7 +30,7 @@
 
 
 class CallerJudgement(unittest.TestCase):
-    def ask(self, answer: bytes | None, tokens: int = 2, patience: float = 4.0) -> CallOutcome:
+    def ask(self, answer: bytes | None, tokens: int = 2, timeout: float = 4.0) -> CallOutcome:
         """Against ``answer`` to the byte; None: against an emulated worker."""
         with World(3) as world:
             outcomes: list[CallOutcome] = []
@@ -54,10 +54,10 @@
                 plan = CallPlan(
                     path="/v1/chat",
                     key="k",
-                    mark="mine",
+                    call_id="mine",
                     messages=("hello",),
                     max_tokens=tokens,
-                    first_byte_patience=patience,
+                    first_byte_timeout=timeout,
                 )
                 address = address_of(world.machines["server"], PORT)
                 outcomes.append(await Caller(context.http, context.clock).call(plan, address))
@@ -70,17 +70,17 @@
 
     def test_a_whole_stream(self) -> None:
         outcome = self.ask(None, tokens=5)
-        self.assertEqual((outcome.looks_whole, outcome.problem, outcome.events), (True, "", 5))
+        self.assertEqual((outcome.looks_complete, outcome.problem, outcome.events), (True, "", 5))
         self.assertEqual((len(outcome.gaps), outcome.text), (4, "000 001 002 003 004 "))
 
     def test_a_stream_cut_inside_an_event_does_not_look_whole(self) -> None:
         outcome = self.ask(HEAD + chunked(event(0), event(1)[:9], end=False))
-        self.assertEqual((outcome.looks_whole, outcome.problem, outcome.fault), (False, "", "broken"))
+        self.assertEqual((outcome.looks_complete, outcome.problem, outcome.fault), (False, "", "broken"))
 
     def test_a_cut_that_looks_whole_is_a_problem(self) -> None:
         for body in (chunked(event(0)), chunked(event(0), DONE), chunked(event(0), event(1)[:9])):
             outcome = self.ask(HEAD + body)
-            self.assertTrue(outcome.looks_whole and outcome.problem, outcome)
+            self.assertTrue(outcome.looks_complete and outcome.problem, outcome)
 
     def test_pieces_lost_twice_or_of_another_call_are_problems(self) -> None:
         for events in ((event(0), event(0)), (event(1), event(2)), (event(0), event(1, "other"))):
@@ -92,15 +92,15 @@
         head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 16\r\n\r\n"
         self.assertIn("another call", self.ask(head + b'{"call":"other"}').problem)
         outcome = self.ask(head + b'{"call"')
-        self.assertEqual((outcome.looks_whole, outcome.fault), (False, "broken"))
+        self.assertEqual((outcome.looks_complete, outcome.fault), (False, "broken"))
 
     def test_router_made_answers_are_told_apart(self) -> None:
         body = b'{"code":"no-worker","run":"not-run"}'
         head = b"HTTP/1.1 503 No\r\nWingwood-Answer: router\r\nContent-Length: %d\r\n\r\n" % len(body)
         outcome = self.ask(head + body)
         self.assertEqual((outcome.status, outcome.code, outcome.run), (503, "no-worker", "not-run"))
-        self.assertFalse(outcome.looks_whole)
+        self.assertFalse(outcome.looks_complete)
 
     def test_a_silent_stream_is_given_up(self) -> None:
-        outcome = self.ask(None, tokens=3, patience=0.001)
+        outcome = self.ask(None, tokens=3, timeout=0.001)
         self.assertEqual((outcome.fault, outcome.status), ("silent", 0))
--- a/fleet/tests/test_children.py
+++ b/fleet/tests/test_children.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from ..children import Child, end_all
+from ..children import Child, stop_all
 
 WAITS = "import signal; print('up', flush=True); signal.pause()"
 ENDS = "print('up', flush=True); raise SystemExit(3)"
@@ -32,13 +32,13 @@
 
     def test_a_child_that_ignores_the_request_is_killed(self) -> None:
         child = self.child(IGNORES)
-        end_all([child], 0.1)
+        stop_all([child], 0.1)
         self.assertEqual(child.exit_code(), -9)
 
     def test_a_frozen_child_is_woken_to_stop(self) -> None:
         child = self.child(WAITS)
         child.freeze()
-        end_all([child], 30)
+        stop_all([child], 30)
         self.assertEqual(child.exit_code(), -15)
 
     def test_a_killed_child_starts_again_as_another_process(self) -> None:
@@ -52,7 +52,7 @@
 
     def test_an_end_that_nobody_asked_for_can_be_told_from_a_kill(self) -> None:
         child = self.child(ENDS)
-        child.end(30)
+        child.wait_or_kill(30)
         self.assertEqual((child.exit_code(), child.expected_to_run), (3, True))
         killed = self.child(WAITS)
         killed.kill()
--- a/fleet/tests/test_smoke.py
+++ b/fleet/tests/test_smoke.py
@@ -36,17 +36,19 @@
         await fleet.start()
         await wait_until("control is complete", fleet.control_complete)
         version = await push_bundle(fleet)
-        await self.in_force(fleet, version)
-        await fleet.ready()
+        await self.wait_until_in_force(fleet, version)
+        await fleet.wait_until_ready()
         self.caller = Caller(CurlHttpClient(), RealClock())
         await self.turns(fleet)
-        await self.once_only(fleet, "before")
+        await self.at_most_once(fleet, "before")
         await self.lose_the_primary(fleet)
         await self.lose_a_worker(fleet)
-        await self.once_only(fleet, "after")
+        await self.at_most_once(fleet, "after")
 
-    async def ask(self, fleet: Fleet, router: int, path: str, mark: str, **fields: object) -> CallOutcome:
-        plan = CallPlan(path=path, key=fleet.keys.by_tenant["web-shop"], mark=mark, messages=("x" * 400,), max_tokens=5)
+    async def ask(self, fleet: Fleet, router: int, path: str, call_id: str, **fields: object) -> CallOutcome:
+        plan = CallPlan(
+            path=path, key=fleet.keys.by_tenant["web-shop"], call_id=call_id, messages=("x" * 400,), max_tokens=5
+        )
         plan = msgspec.structs.replace(plan, **fields)
         return await self.caller.call(plan, parse_address(str(fleet.routers()[router].caller)))
 
@@ -55,21 +57,21 @@
 
         async def second_turn_is_awarded() -> bool:
             first = await self.ask(fleet, 0, "/v1/chat", "first", prefix="smoke/session")
-            self.assertEqual((first.looks_whole, first.events, first.problem), (True, 5, ""), first)
+            self.assertEqual((first.looks_complete, first.events, first.problem), (True, 5, ""), first)
             second = await self.ask(fleet, 1, "/v1/chat", "second", prefix="smoke/session")
-            self.assertEqual((second.looks_whole, second.events, second.problem), (True, 5, ""), second)
+            self.assertEqual((second.looks_complete, second.events, second.problem), (True, 5, ""), second)
             return second.headers["wingwood-award"] == "award" and (
                 second.headers["wingwood-worker"] == first.headers["wingwood-worker"]
             )
 
         await wait_until("the next turn at another router goes to the awarded worker", second_turn_is_awarded)
 
-    async def once_only(self, fleet: Fleet, key: str) -> None:
+    async def at_most_once(self, fleet: Fleet, key: str) -> None:
         """Asked until it has run; later calls of the key are told so, and the workers ran it once."""
 
         async def answered() -> bool:
             outcome = await self.ask(fleet, 0, "/v1/product-cards", key, stream=False, idempotency_key=key)
-            if outcome.looks_whole:
+            if outcome.looks_complete:
                 return True
             self.assertIn(outcome.run, ("not-run", ""), outcome)
             self.assertNotEqual(outcome.fault, "broken", outcome)
@@ -96,7 +98,7 @@
         )
         self.assertEqual(changed.code, 0, changed)
         self.assertEqual(changed.json()["version"], 2)
-        await self.in_force(fleet, 2)
+        await self.wait_until_in_force(fleet, 2)
         fleet.restart(lost)
         await wait_until("control is complete again", fleet.control_complete)
 
@@ -109,7 +111,7 @@
             async def whole(router: int = router) -> bool:
                 outcome = await self.ask(fleet, router, "/v1/chat", "lost", prefix="smoke/session")
                 self.assertEqual(outcome.problem, "")
-                return outcome.looks_whole
+                return outcome.looks_complete
 
             await wait_until(f"router {router} answers without the lost worker", whole)
         fleet.restart(victim)
@@ -118,14 +120,14 @@
         async def known() -> bool:
             listed = await fleet.http.get(fleet.routers()[0].operator, "/control/v1/workers")
             health = await fleet.http.get(address, "/health")
-            instances = [worker["instance"] for worker in listed.body] if listed.good else []
-            return health.good and health.body["instance"] in instances
+            instances = [worker["instance"] for worker in listed.body] if listed.succeeded else []
+            return health.succeeded and health.body["instance"] in instances
 
         await wait_until("the worker's new life is known", known)
 
-    async def in_force(self, fleet: Fleet, version: int) -> None:
-        async def look() -> bool:
+    async def wait_until_in_force(self, fleet: Fleet, version: int) -> None:
+        async def condition() -> bool:
             fleet.check_children()
             return all([await fleet.version_on(router.name) >= version for router in fleet.routers()])
 
-        await wait_until(f"version {version} in force on all routers", look)
+        await wait_until(f"version {version} in force on all routers", condition)
--- a/tests_runner.py
+++ b/tests_runner.py
@@ -19,10 +19,10 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent
-UNIT_SECONDS = 600
-RAN = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
-BAD = re.compile(r"^(?:FAIL|ERROR): (\S+) \(([^)\s]+)\)", re.MULTILINE)
-SKIPPED = re.compile(r"skipped=(\d+)")
+UNIT_TIMEOUT_S = 600
+RAN_LINE = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
+FAILED_LINE = re.compile(r"^(?:FAIL|ERROR): (\S+) \(([^)\s]+)\)", re.MULTILINE)
+SKIPPED_COUNT = re.compile(r"skipped=(\d+)")
 
 
 def find_units(only: str | None) -> list[list[str]]:
@@ -62,26 +62,30 @@
 
 
 def run_unit(unit: list[str]) -> tuple[list[str], float, int, str, int]:
-    begun = time.monotonic()
+    started = time.monotonic()
     try:
         done = subprocess.run(
             [sys.executable, "-m", "nose2", "-s", str(ROOT), *unit],
             cwd=ROOT,
             capture_output=True,
             text=True,
-            timeout=UNIT_SECONDS,
+            timeout=UNIT_TIMEOUT_S,
             check=False,
             env={**os.environ, "PYTHONPATH": str(ROOT)},
         )
         output, code = done.stdout + done.stderr, done.returncode
-    except subprocess.TimeoutExpired as late:
-        partial = late.stderr.decode(errors="replace") if isinstance(late.stderr, bytes) else (late.stderr or "")
-        output, code = f"{partial}\nno end within {UNIT_SECONDS} s", 124
-    ran = RAN.search(output)
-    return unit, time.monotonic() - begun, int(ran.group(1)) if ran else 0, output, code
+    except subprocess.TimeoutExpired as timed_out:
+        partial = (
+            timed_out.stderr.decode(errors="replace")
+            if isinstance(timed_out.stderr, bytes)
+            else (timed_out.stderr or "")
+        )
+        output, code = f"{partial}\nno end within {UNIT_TIMEOUT_S} s", 124
+    ran_line = RAN_LINE.search(output)
+    return unit, time.monotonic() - started, int(ran_line.group(1)) if ran_line else 0, output, code
 
 
-def known_red() -> dict[str, str]:
+def read_known_failures() -> dict[str, str]:
     path = ROOT / "KNOWN-RED.txt"
     lines = path.read_text().splitlines() if path.exists() else []
     entries = dict(line.split(":", 1) for line in lines if ":" in line and not line.startswith("#"))
@@ -97,29 +101,31 @@
     options = parser.parse_args()
     sys.path.insert(0, str(ROOT))
     units = find_units(options.only)
-    red = known_red()
+    known_failures = read_known_failures()
     total = failed = skipped = 0
-    passed_over: list[str] = []
-    begun = time.monotonic()
+    known_failed: list[str] = []
+    started = time.monotonic()
     with concurrent.futures.ThreadPoolExecutor(options.processes) as pool:
         for unit, seconds, ran, output, code in pool.map(run_unit, units):
             total += ran
-            counted = SKIPPED.search(output)
-            skipped += int(counted.group(1)) if counted else 0
+            skipped_count = SKIPPED_COUNT.search(output)
+            skipped += int(skipped_count.group(1)) if skipped_count else 0
             print(f"{'ok  ' if code == 0 else 'FAIL'} {ran:4d} tests {seconds:7.1f} s  {' '.join(unit)}", flush=True)
             if code == 0:
                 continue
-            names = {f"{where}.{name}" if not where.endswith(name) else where for name, where in BAD.findall(output)}
-            unknown = names - red.keys()
-            if names and not unknown:
-                passed_over.extend(sorted(names))
+            names = {
+                f"{where}.{name}" if not where.endswith(name) else where for name, where in FAILED_LINE.findall(output)
+            }
+            unexpected = names - known_failures.keys()
+            if names and not unexpected:
+                known_failed.extend(sorted(names))
                 continue
-            failed += max(1, len(unknown))
+            failed += max(1, len(unexpected))
             print(output[-20000:], flush=True)
-    for name in passed_over:
-        print(f"known red: {name}: {red[name]}")
-    print(f"whole run {time.monotonic() - begun:.1f} s")
-    passed = total - failed - len(passed_over) - skipped
+    for name in known_failed:
+        print(f"known red: {name}: {known_failures[name]}")
+    print(f"whole run {time.monotonic() - started:.1f} s")
+    passed = total - failed - len(known_failed) - skipped
     print(f"{passed} passed, {failed} failed, {skipped} skipped", flush=True)
     return 1 if failed or total == 0 else 0
 
