--- a/bench/load/workers.py
+++ b/bench/load/workers.py
@@ -1,4 +1,4 @@
-"""What the emulated workers say of a run: hit rate and how evenly they were loaded."""
+"""Collects from the emulated workers the cache hit rate and the load balance of a run."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from .target import Target
 
-SAMPLE_EVERY = 0.5
+SAMPLE_INTERVAL_S = 0.5
 
 
-class WorkerWatch:
-    """Samples each worker's load while the run goes on, and reads its runs at the end."""
+class WorkerMonitor:
+    """Samples the load of each worker during the run, and reads the list of its runs at the end."""
 
     def __init__(self, target: Target, http: JsonClient) -> None:
         self._target = target
@@ -23,10 +23,11 @@
         self._before: dict[str, int] = {}
         self.samples: dict[str, list[int]] = {name: [] for name in target.workers}
 
-    async def begin(self) -> None:
+    async def record_baseline(self) -> None:
+        """Records the number of earlier runs of each worker, which ``report`` leaves out."""
         for name, worker in self._target.workers.items():
-            reply = await self._http.get(worker.address, "/runs", patience=10.0)
-            self._before[name] = len(reply.body["runs"]) if reply.good else 0
+            reply = await self._http.get(worker.address, "/runs", timeout=10.0)
+            self._before[name] = len(reply.body["runs"]) if reply.succeeded else 0
 
     async def sample(self) -> None:
         while True:
@@ -34,12 +35,15 @@
                 *(self._http.get(worker.address, "/health") for worker in self._target.workers.values())
             )
             for name, reply in zip(self._target.workers, replies, strict=True):
-                if reply.good:
+                if reply.succeeded:
                     self.samples[name].append(reply.body["running"] + reply.body["waiting"])
-            await asyncio.sleep(SAMPLE_EVERY)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     async def report(self) -> dict[str, Any]:
-        """By pool: prompt and cached tokens of routed runs, and the mean load of the fullest over the median one's."""
+        """Returns prompt and cached tokens of routed runs and the imbalance of load by pool.
+
+        The imbalance is the mean load of the most loaded worker divided by that of the median worker.
+        """
         pools: dict[str, Any] = {}
         for pool in sorted({worker.pool for worker in self._target.workers.values()}):
             names = [name for name, worker in self._target.workers.items() if worker.pool == pool]
@@ -62,5 +66,5 @@
 
     async def _runs(self, name: str) -> list[dict[str, Any]]:
         worker = self._target.workers[name]
-        reply = await self._http.get(worker.address, f"/runs?after={self._before[name]}", patience=30.0)
-        return list(reply.body["runs"]) if reply.good else []
+        reply = await self._http.get(worker.address, f"/runs?after={self._before[name]}", timeout=30.0)
+        return list(reply.body["runs"]) if reply.succeeded else []
--- a/bench/losses/__main__.py
+++ b/bench/losses/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bench.losses REPORT... [--json] [--least SHARE]``: the table of lost worth of each report."""
+"""Prints a table of lost worth for each report: ``python -m bench.losses REPORT... [--json] [--least SHARE]``."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 @click.command()
 @click.argument("reports", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="One JSON document a report, one a line.")
-@click.option("--least", default=0.01, show_default=True, help="Rows below this share are summed up in one line.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON document per report, one per line.")
+@click.option("--least", default=0.01, show_default=True, help="Rows below this share are combined in one line.")
 def main(reports: tuple[Path, ...], as_json: bool, least: float) -> None:
-    """Where the worth of played days went; the rows of a report add up to 1."""
+    """Prints where the days of the reports lost worth; the rows of a report add up to 1."""
     for file in reports:
         read = read_report(file)
         if isinstance(read, Failure):
             click.echo(str(read.failure()), err=True)
             sys.exit(EXIT_UNREADABLE)
         table = losses_of(read.unwrap())
-        click.echo(msgspec.json.encode(table).decode() if as_json else text_of(str(file), table, least))
+        click.echo(msgspec.json.encode(table).decode() if as_json else render_table(str(file), table, least))
 
 
-def text_of(title: str, table: LossTable, least: float) -> str:
+def render_table(title: str, table: LossTable, least: float) -> str:
     lines = [f"{title}: worth {table.worth:.3f}, lost {1 - table.worth:.3f}"]
     lines += [f"  rule broken: {rule}, {count} times" for rule, count in table.breaks.items()]
     lines.append(f"  {'share':>6} {'worth':>7}  part, moment, reason")
@@ -45,12 +45,12 @@
     for kind in table.kinds:
         lost = f"late {kind.late:.3f}, refused {kind.refused:.3f}, failed {kind.failed:.3f}"
         lines.append(f"  {kind.kind}: worth {kind.worth:.3f}; lost: {lost}")
-    lines += [_sentence(window) for window in table.worst]
+    lines += [_worst_window_line(window) for window in table.worst]
     lines.append("  tries ended: " + "; ".join(f"{end}: {count}" for end, count in table.ends.items()))
     return "\n".join(lines)
 
 
-def _sentence(window: WorstWindow) -> str:
+def _worst_window_line(window: WorstWindow) -> str:
     counts = window.requests
     return (
         f"  worst window, second {window.second:g} ({window.moment}): worth {counts.worth:.3f}; of {counts.n} requests"
--- a/fleet/children.py
+++ b/fleet/children.py
@@ -1,4 +1,4 @@
-"""Child processes: started, frozen, killed and ended by their own id, each with its log file."""
+"""Child processes that are started, suspended, killed and stopped by their own process id, each with a log file."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-PARENT_DEATH_SIGNAL = 1
-"""``PR_SET_PDEATHSIG`` of prctl(2): a child ends with the launcher even when that is killed."""
+PR_SET_PDEATHSIG = 1
+"""Option of prctl(2): the kernel kills a child when the launcher ends, even if the launcher was killed."""
 
 
 class Child:
-    """One child; may be started again after its end. Signals go to its own id only."""
+    """One child process, which may be started again after its end. Signals are sent to its own process id only."""
 
     def __init__(self, name: str, command: Sequence[str], log_file: Path, folder: Path) -> None:
         self.name = name
@@ -25,6 +25,7 @@
         self.folder = folder
         self.frozen = False
         self.expected_to_run = False
+        """Whether the process was started and not asked to end since; if it has ended then, this was unexpected."""
         self._process: subprocess.Popen[bytes] | None = None
 
     @property
@@ -32,6 +33,7 @@
         return self._process.pid if self._process is not None else None
 
     def start(self) -> None:
+        """Starts the process unless it is running; its output is appended to the log file."""
         if self.running():
             return
         with self.log_file.open("ab") as log:
@@ -43,7 +45,7 @@
                 cwd=self.folder,
                 env=_environment(),
                 start_new_session=True,
-                preexec_fn=_end_with_parent,  # noqa: PLW1509 (one system call, made from the main thread)
+                preexec_fn=_kill_on_parent_death,  # noqa: PLW1509 (one system call, made from the main thread)
             )
         self.frozen = False
         self.expected_to_run = True
@@ -55,30 +57,32 @@
         return None if self._process is None else self._process.poll()
 
     def kill(self) -> None:
+        """Sends SIGKILL and waits for the end; the end does not count as unexpected."""
         self.expected_to_run = False
         if self.running():
             self._signal(signal.SIGKILL)
             self._wait(None)
 
     def freeze(self) -> None:
+        """Suspends the process with SIGSTOP until ``resume``."""
         self._signal(signal.SIGSTOP)
         self.frozen = True
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         self._signal(signal.SIGCONT)
         self.frozen = False
 
-    def ask_to_stop(self) -> None:
-        """SIGTERM; a frozen one is woken for it."""
+    def terminate(self) -> None:
+        """Sends SIGTERM, and resumes a suspended child, which could not handle the signal otherwise."""
         self.expected_to_run = False
         if self.running():
             self._signal(signal.SIGTERM)
             if self.frozen:
-                self.wake()
+                self.resume()
 
-    def end(self, patience: float) -> None:
-        """Asked to stop before; killed when it has not ended within ``patience`` seconds."""
-        if not self._wait(patience):
+    def wait_or_kill(self, timeout: float) -> None:
+        """Waits for a child that was asked to terminate; kills it when it has not ended within ``timeout`` seconds."""
+        if not self._wait(timeout):
             self.kill()
 
     def log_tail(self, lines: int = 12) -> str:
@@ -92,26 +96,26 @@
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(number)
 
-    def _wait(self, patience: float | None) -> bool:
+    def _wait(self, timeout: float | None) -> bool:
         if self._process is None:
             return True
         try:
-            self._process.wait(patience)
+            self._process.wait(timeout)
         except subprocess.TimeoutExpired:
             return False
         return True
 
 
-def end_all(children: Sequence[Child], patience: float) -> None:
-    """Asks all to stop, then ends those that have not within ``patience`` seconds in all."""
+def stop_all(children: Sequence[Child], timeout: float) -> None:
+    """Asks all children to terminate, and kills those that have not ended within ``timeout`` seconds in total."""
     for child in children:
-        child.ask_to_stop()
-    give_up = time.monotonic() + patience
+        child.terminate()
+    deadline = time.monotonic() + timeout
     for child in children:
-        child.end(max(0.0, give_up - time.monotonic()))
+        child.wait_or_kill(max(0.0, deadline - time.monotonic()))
 
 
-def python_module(module: str, *arguments: str) -> list[str]:
+def python_module_command(module: str, *arguments: str) -> list[str]:
     return [sys.executable, "-m", module, *arguments]
 
 
@@ -122,5 +126,5 @@
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
-def _end_with_parent() -> None:
-    _libc.prctl(PARENT_DEATH_SIGNAL, signal.SIGKILL)
+def _kill_on_parent_death() -> None:
+    _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
--- a/fleet/launcher.py
+++ b/fleet/launcher.py
@@ -1,6 +1,6 @@
-"""A fleet on this machine: ``python -m fleet.launcher SHAPE.toml [--folder F]`` and the class that tools use.
+"""Runs a fleet on this machine: ``python -m fleet.launcher SHAPE.toml [--folder F]`` and the class that tools use.
 
-It owns its children and ends only them, by their ids. All ports are on loopback.
+The launcher ends only the child processes that it started, by their process ids. All ports are on loopback.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 import msgspec
 from returns.result import Failure
 
-from .children import Child, end_all, python_module
+from .children import Child, python_module_command, stop_all
 from .http import JsonClient
 from .plan import (
     CallerKeys,
@@ -35,14 +35,17 @@
     settings_text,
 )
 from .shape import HOST, Shape, read_shape
-from .waiting import FleetProblem, wait_until
+from .waiting import FleetError, wait_until
 
 ROOT = Path(__file__).resolve().parent.parent
-STOP_PATIENCE = 25.0
-"""Seconds for daemons to finish streams after SIGTERM; above their own ``stop_within``."""
+STOP_TIMEOUT_S = 25.0
+"""Time that daemons get to finish their streams after SIGTERM. It exceeds the daemons' own limit ``stop_within``, so
+that a daemon is killed only if it fails to stop by itself."""
 
 
 class CommandResult(msgspec.Struct, frozen=True):
+    """Exit code, standard output and standard error of a command."""
+
     code: int
     output: str
     errors: str
@@ -52,7 +55,10 @@
 
 
 class Fleet:
-    """Daemons and workers by name. Files go below ``folder``: settings, keys, data, logs, runs, bundle.toml."""
+    """The daemons and workers of one fleet by name.
+
+    Its files are written below ``folder``: settings, keys, data, logs, runs and bundle.toml.
+    """
 
     def __init__(self, shape: Shape, folder: Path) -> None:
         self.shape = shape
@@ -77,7 +83,7 @@
     # Files
 
     def prepare(self) -> None:
-        """Writes keys, settings and the bundle file; nothing is started."""
+        """Writes the keys, settings and the bundle file, without starting a process."""
         for name in ("settings", "keys", "data", "logs", "runs"):
             (self.folder / name).mkdir(parents=True, exist_ok=True)
         self._check_ports()
@@ -96,14 +102,14 @@
         return self.folder / "keys" / "operator.key"
 
     def _make_keys(self) -> None:
-        made = self.command("key", "new", str(self.operator_key_file), "--json")
-        if made.code:
-            raise FleetProblem(f"wingwood key new failed: {made.errors or made.output}")
-        self._operator_public = str(made.json()["public_key"])
+        result = self.command("key", "new", str(self.operator_key_file), "--json")
+        if result.code:
+            raise FleetError(f"wingwood key new failed: {result.errors or result.output}")
+        self._operator_public = str(result.json()["public_key"])
         fleet_key = self.folder / "keys" / "fleet.key"
-        made = self.command("key", "new", "--fleet", str(fleet_key), "--json")
-        if made.code:
-            raise FleetProblem(f"wingwood key new --fleet failed: {made.errors or made.output}")
+        result = self.command("key", "new", "--fleet", str(fleet_key), "--json")
+        if result.code:
+            raise FleetError(f"wingwood key new --fleet failed: {result.errors or result.output}")
         self._fleet_key = fleet_key.read_text().strip()
         self.keys = new_caller_keys(self.shape)
         (self.folder / "keys" / "callers.json").write_text(json.dumps(dict(self.keys.by_tenant), indent=2))
@@ -116,8 +122,8 @@
         return self.folder / "settings" / f"{daemon.name}.toml"
 
     def _write_addresses(self) -> None:
-        """For tools that were started apart, such as the load tool."""
-        told = {
+        """Writes fleet.json for tools that are started separately, such as the load tool."""
+        document = {
             "shape": msgspec.to_builtins(self.shape),
             "routers": [
                 {"name": daemon.name, "caller": daemon.caller, "operator": daemon.operator} for daemon in self.routers()
@@ -128,12 +134,12 @@
             },
             "keys": dict(self.keys.by_tenant),
         }
-        (self.folder / "fleet.json").write_text(json.dumps(told, indent=2))
+        (self.folder / "fleet.json").write_text(json.dumps(document, indent=2))
 
     def _check_ports(self) -> None:
-        taken = first_taken(range(self.shape.first_port, self.plan.next_port))
-        if taken is not None:
-            raise FleetProblem(f"port {taken} is taken by another program; set first_port in the shape")
+        port_in_use = first_port_in_use(range(self.shape.first_port, self.plan.next_port))
+        if port_in_use is not None:
+            raise FleetError(f"port {port_in_use} is taken by another program; set first_port in the shape")
 
     # Processes
 
@@ -146,7 +152,7 @@
             self._start_worker(worker)
 
     def _start_daemon(self, daemon: DaemonPlan) -> None:
-        command = python_module("wingwood", daemon.role, "--settings", str(self._settings_file(daemon)))
+        command = python_module_command("wingwood", daemon.role, "--settings", str(self._settings_file(daemon)))
         self._start(daemon.name, command)
 
     def _start_worker(self, worker: WorkerPlan) -> None:
@@ -167,12 +173,12 @@
         }
         options = [text for name, value in arguments.items() for text in (name, str(value))]
         options.append("--tells-load" if pool.tells_load else "--hides-load")
-        # Each worker knows three daemons, as on the real machines; it begins with one of its zone.
+        # Each worker announces itself to three daemons, as in the real deployments; the first is in its own zone.
         near = [daemon for daemon in self.daemons.values() if daemon.zone == worker.zone]
         others = [daemon for daemon in self.daemons.values() if daemon.zone != worker.zone]
         for daemon in (near + others)[:1] + near[-1:] + others[-1:]:
             options += ["--announce", daemon.operator]
-        self._start(worker.name, python_module("emulator.process", *options))
+        self._start(worker.name, python_module_command("emulator.process", *options))
 
     def _start(self, name: str, command: Sequence[str]) -> None:
         child = self.children.get(name)
@@ -185,53 +191,57 @@
         return self.folder / "runs" / f"{worker}.jsonl"
 
     async def start(self) -> None:
-        """Starts all and returns when all daemons are live and all workers answer."""
+        """Starts all processes, and returns when all daemons are live and all workers answer."""
         self.prepare()
         self.start_daemons()
         self.start_workers()
-        await self.live()
-        await self.workers_answer()
+        await self.wait_until_live()
+        await self.wait_for_workers()
 
     async def stop(self) -> None:
-        await asyncio.to_thread(end_all, list(self.children.values()), STOP_PATIENCE)
+        """Stops all processes; kills those that do not end within ``STOP_TIMEOUT_S``."""
+        await asyncio.to_thread(stop_all, list(self.children.values()), STOP_TIMEOUT_S)
         self.http.close()
 
     # Conditions
 
-    async def live(self) -> None:
+    async def wait_until_live(self) -> None:
+        """Waits until all daemons answer /live."""
         for daemon in self.daemons.values():
-            await self.daemon_answers(daemon.name, "/live")
+            await self.wait_for_daemon(daemon.name, "/live")
 
-    async def ready(self) -> None:
-        """All daemons say that they are ready; routers only are once a bundle is in force."""
+    async def wait_until_ready(self) -> None:
+        """Waits until all daemons report that they are ready. Routers do so only once a bundle is in force."""
         for daemon in self.daemons.values():
-            await self.daemon_answers(daemon.name, "/ready")
+            await self.wait_for_daemon(daemon.name, "/ready")
 
-    async def daemon_answers(self, name: str, path: str, patience: float = 60.0) -> None:
+    async def wait_for_daemon(self, name: str, path: str, timeout: float = 60.0) -> None:
+        """Waits until a daemon answers a path with status 2xx; raises FleetError after ``timeout`` seconds."""
         daemon = self.daemons[name]
 
-        async def look() -> bool:
+        async def condition() -> bool:
             self.check_children()
-            return (await self.http.get(daemon.operator, path)).good
+            return (await self.http.get(daemon.operator, path)).succeeded
 
-        await wait_until(f"{name} answers {path} with 200", look, patience)
+        await wait_until(f"{name} answers {path} with 200", condition, timeout)
 
-    async def workers_answer(self) -> None:
+    async def wait_for_workers(self) -> None:
+        """Waits until all workers answer /health."""
         for worker in self.workers.values():
 
-            async def look(worker: WorkerPlan = worker) -> bool:
+            async def condition(worker: WorkerPlan = worker) -> bool:
                 self.check_children()
-                return (await self.http.get(worker.address, "/health")).good
+                return (await self.http.get(worker.address, "/health")).succeeded
 
-            await wait_until(f"worker {worker.name} answers /health", look)
+            await wait_until(f"worker {worker.name} answers /health", condition)
 
     def check_children(self) -> None:
-        """Raises FleetProblem with the log's end when a child has ended by itself."""
+        """Raises FleetError with the last lines of the log when a child has ended without being asked to."""
         for child in self.children.values():
             if child.expected_to_run and not child.running():
                 child.expected_to_run = False
-                raise FleetProblem(
-                    f"{child.name} ended by itself with code {child.exit_code()}; its log ends:\n{child.log_tail()}"
+                raise FleetError(
+                    f"{child.name} ended unexpectedly with code {child.exit_code()}; its log ends:\n{child.log_tail()}"
                 )
 
     # Faults, by name
@@ -242,31 +252,31 @@
     def freeze(self, name: str) -> None:
         self.children[name].freeze()
 
-    def wake(self, name: str) -> None:
-        self.children[name].wake()
+    def resume(self, name: str) -> None:
+        self.children[name].resume()
 
     def restart(self, name: str) -> None:
-        """Starts what was killed or stopped again, with the same settings and data."""
+        """Kills the process if it still runs, and starts it again with the same settings and data."""
         self.kill(name)
         self.children[name].start()
 
-    async def roll(self, name: str) -> None:
-        """SIGTERM, wait for its end, start again."""
+    async def restart_gracefully(self, name: str) -> None:
+        """Sends SIGTERM, waits for the process to end, and starts it again."""
         child = self.children[name]
-        child.ask_to_stop()
-        await asyncio.to_thread(child.end, STOP_PATIENCE)
+        child.terminate()
+        await asyncio.to_thread(child.wait_or_kill, STOP_TIMEOUT_S)
         child.start()
 
     def wipe(self, name: str) -> None:
-        """Kills a control daemon, empties its data folder and starts it at the same address."""
+        """Kills a control daemon, deletes its data folder and starts it again at the same address."""
         self.kill(name)
         shutil.rmtree(self.folder / "data" / name, ignore_errors=True)
         self.children[name].start()
 
     def replace(self, name: str) -> str:
-        """Kills a daemon for good; an empty one at a new address takes its place. Gives the new one's name.
+        """Kills a daemon permanently and starts a new one without data at a new address. Returns the new daemon's name.
 
-        All settings go on naming the three old seeds.
+        The settings of all daemons still list the three original seeds.
         """
         old = self.daemons.pop(name)
         self.kill(name)
@@ -282,6 +292,7 @@
         return new.name
 
     def replace_worker(self, name: str) -> str:
+        """Kills a worker permanently and starts a new one at a new address. Returns the new worker's name."""
         old = self.workers.pop(name)
         self.kill(name)
         self._replacements += 1
@@ -294,10 +305,10 @@
         self._start_worker(new)
         return new.name
 
-    # Looking
+    # State
 
     def process_ids(self) -> dict[str, int]:
-        """Of the children that run now."""
+        """Returns the process ids of the running children by name."""
         ids = {name: child.process_id for name, child in self.children.items() if child.running()}
         return {name: number for name, number in ids.items() if number is not None}
 
@@ -308,21 +319,24 @@
         return [daemon for daemon in self.daemons.values() if daemon.role == "control"]
 
     async def version_on(self, name: str) -> int:
-        """The bundle version in force on a daemon; 0 without one."""
+        """Returns the bundle version that is in force on a daemon, or 0 when there is none."""
         reply = await self.http.get(self.daemons[name].operator, "/control/v1/bundle")
-        return int(reply.body["version"]) if reply.good else 0
+        return int(reply.body["version"]) if reply.succeeded else 0
 
     async def control_reports(self) -> dict[str, Any]:
-        """What each control daemon that answers says of the control core, with its own incarnation."""
+        """Returns the control status that each answering control daemon reports, with the daemon's own incarnation."""
         reports = {}
         for daemon in self.controls():
             reply = await self.http.get(daemon.operator, "/control/v1/health")
-            if reply.good and reply.body.get("control"):
+            if reply.succeeded and reply.body.get("control"):
                 reports[daemon.name] = {**reply.body["control"], "incarnation": reply.body["incarnation"]}
         return reports
 
     async def control_complete(self) -> bool:
-        """Whether the primary says that any one control daemon may be lost, and all that it counts on answer here."""
+        """Tells whether the control daemons could tolerate the loss of any one of them.
+
+        The primary has to report this, and all members that it counts on have to answer this process.
+        """
         reports = (await self.control_reports()).values()
         answering = {report["incarnation"] for report in reports}
         return any(
@@ -331,14 +345,14 @@
         )
 
     async def primary(self) -> str | None:
-        """The control daemon that says it leads and takes orders."""
+        """Returns the name of the control daemon that reports to be primary and to accept orders, if there is one."""
         for name, report in (await self.control_reports()).items():
             if report["own_role"] == "primary" and report["accepts_orders"]:
                 return name
         return None
 
     async def runs(self) -> list[dict[str, Any]]:
-        """All runs of all workers so far, as their files of runs tell; killed ones' too."""
+        """Returns all runs of all workers so far from their run files, including the runs of killed workers."""
         return await asyncio.to_thread(self._read_runs)
 
     def _read_runs(self) -> list[dict[str, Any]]:
@@ -350,9 +364,14 @@
         return list(latest.values())
 
     def command(self, *arguments: str) -> CommandResult:
-        """One call of the operators' command line."""
+        """Runs the operators' command line once."""
         done = subprocess.run(
-            python_module("wingwood", *arguments), cwd=ROOT, capture_output=True, text=True, check=False, timeout=120
+            python_module_command("wingwood", *arguments),
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=False,
+            timeout=120,
         )
         return CommandResult(done.returncode, done.stdout, done.stderr)
 
@@ -360,8 +379,8 @@
         return await asyncio.to_thread(self.command, *arguments)
 
 
-def first_taken(ports: Iterable[int]) -> int | None:
-    """The first of the loopback ports on which another program listens."""
+def first_port_in_use(ports: Iterable[int]) -> int | None:
+    """Returns the first of the loopback ports on which another program listens."""
     for port in ports:
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -373,21 +392,25 @@
 
 
 def free_first_port(shape: Shape, lowest: int = 28000, highest: int = 29900) -> int:
-    """Where a fleet of this shape finds all its ports free, with room for replacements; for tests beside others."""
+    """Finds a first port for a fleet of this shape, for tests that run while other fleets are up.
+
+    All ports of the fleet and 20 more for replacements are free from there on. Raises FleetError when there is no such
+    port.
+    """
     span = plan_fleet(shape).next_port - shape.first_port + 20
     for first in range(lowest, highest - span, span):
-        if first_taken(range(first, first + span)) is None:
+        if first_port_in_use(range(first, first + span)) is None:
             return first
-    raise FleetProblem(f"no {span} ports in a row are free from {lowest} to {highest}")
+    raise FleetError(f"no {span} ports in a row are free from {lowest} to {highest}")
 
 
 def open_shape(file: Path) -> Shape:
-    """Reads it or raises FleetProblem; a bare name is looked for beside this file."""
+    """Reads a shape file or raises FleetError. A name such as ``demo`` means the shape in the folder of this module."""
     if not file.exists() and (ROOT / "fleet" / f"{file.name}.toml").exists():
         file = ROOT / "fleet" / f"{file.name}.toml"
     match read_shape(file):
         case Failure(problem):
-            raise FleetProblem(str(problem))
+            raise FleetError(str(problem))
         case read:
             return read.unwrap()
 
@@ -415,7 +438,7 @@
     if push:
         pushed = await push_bundle(fleet)
         click.echo(f"bundle version {pushed} acknowledged")
-        await fleet.ready()
+        await fleet.wait_until_ready()
     for daemon in fleet.daemons.values():
         caller = f", callers {daemon.caller}" if daemon.caller else ""
         click.echo(f"  {daemon.name:<12} {daemon.zone:<8} operators {daemon.operator}{caller}")
@@ -423,30 +446,30 @@
 
 
 async def push_bundle(fleet: Fleet) -> int:
-    """Signs ``bundle.toml`` and pushes it with the command line; gives the acknowledged version."""
+    """Signs ``bundle.toml`` and pushes it with the command line. Returns the acknowledged version."""
     signed = fleet.folder / "bundle.signed"
-    made = await fleet.run_command(
+    result = await fleet.run_command(
         "bundle", "sign", str(fleet.bundle_file), "--key", str(fleet.operator_key_file), "--output", str(signed)
     )
-    if made.code:
-        raise FleetProblem(f"wingwood bundle sign failed: {made.errors or made.output}")
+    if result.code:
+        raise FleetError(f"wingwood bundle sign failed: {result.errors or result.output}")
     to = [word for daemon in fleet.controls() for word in ("--to", daemon.operator)]
     pushed = await fleet.run_command("bundle", "push", str(signed), *to, "--json")
     if pushed.code:
-        raise FleetProblem(f"wingwood bundle push failed: {pushed.errors or pushed.output}")
+        raise FleetError(f"wingwood bundle push failed: {pushed.errors or pushed.output}")
     return int(pushed.json()["version"])
 
 
 @click.command()
 @click.argument("shape", type=click.Path(path_type=Path))
-@click.option("--folder", type=click.Path(path_type=Path), help="Where its files go; a new temporary one by default.")
+@click.option("--folder", type=click.Path(path_type=Path), help="Folder for its files; a new temporary one by default.")
 @click.option("--push/--no-push", default=True, show_default=True, help="Sign the shape's bundle and push it.")
 def main(shape: Path, folder: Path | None, push: bool) -> None:
     """Starts the fleet of the file SHAPE (despensa, sabarmati, demo or a path) and keeps it up until Ctrl-C."""
     try:
         with tempfile.TemporaryDirectory(prefix="wingwood-fleet-") as temporary:
             asyncio.run(_run(open_shape(shape), folder or Path(temporary), push))
-    except FleetProblem as problem:
+    except FleetError as problem:
         click.echo(f"error: {problem}", err=True)
         sys.exit(1)
 
--- a/fleet/waiting.py
+++ b/fleet/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for conditions, never for times."""
+"""Waits until a condition holds, instead of sleeping for a fixed time."""
 
 from __future__ import annotations
 
@@ -9,22 +9,28 @@
 
 Value = TypeVar("Value")
 
-PATIENCE = 60.0
-"""Seconds after which a condition counts as never met; far above what any takes, so that a busy machine passes."""
-PAUSE = 0.05
+DEFAULT_TIMEOUT_S = 60.0
+"""A condition that does not hold after this time counts as failed. The value is far above what any condition takes, so
+that waits also succeed on a busy machine."""
+POLL_INTERVAL_S = 0.05
 
 
-class FleetProblem(Exception):
-    """A condition was not met or a step of the launcher failed; the text says which and what was seen."""
+class FleetError(Exception):
+    """A condition did not hold in time, or a step of the launcher failed; the text names it and what was observed."""
 
 
-async def wait_until(what: str, look: Callable[[], Awaitable[Value | None]], patience: float = PATIENCE) -> Value:
-    """The first value of ``look`` that is neither None nor False. Raises FleetProblem after ``patience`` seconds."""
-    give_up = time.monotonic() + patience
+async def wait_until(
+    description: str, condition: Callable[[], Awaitable[Value | None]], timeout: float = DEFAULT_TIMEOUT_S
+) -> Value:
+    """Polls ``condition`` and returns its first value that is neither None nor False.
+
+    Raises FleetError with ``description`` when there is no such value within ``timeout`` seconds.
+    """
+    deadline = time.monotonic() + timeout
     while True:
-        value = await look()
+        value = await condition()
         if value is not None and value is not False:
             return value
-        if time.monotonic() > give_up:
-            raise FleetProblem(f"not within {patience:.0f} s: {what}")
-        await asyncio.sleep(PAUSE)
+        if time.monotonic() > deadline:
+            raise FleetError(f"condition not met within {timeout:.0f} s: {description}")
+        await asyncio.sleep(POLL_INTERVAL_S)
