--- a/bench/http_client_bench.py
+++ b/bench/http_client_bench.py
@@ -97,7 +97,7 @@
     exchange = client.start(request)
     head = await exchange.head()
     assert isinstance(head, Success), head
-    while (await exchange.next_piece()).unwrap() is not None:
+    while (await exchange.next_chunk()).unwrap() is not None:
         pass
     return time.process_time_ns() - begun
 
--- a/emulator/tests/test_worker.py
+++ b/emulator/tests/test_worker.py
@@ -103,7 +103,7 @@
             answer.status = head.unwrap().status
             answer.headers = dict(head.unwrap().headers)
             while True:
-                piece = await exchange.next_piece()
+                piece = await exchange.next_chunk()
                 if not isinstance(piece, Success):
                     answer.end = piece.failure().kind
                     return
--- a/fleet/caller.py
+++ b/fleet/caller.py
@@ -140,7 +140,7 @@
         while True:
             try:
                 async with asyncio.timeout(patience if not outcome.events else plan.silence_patience):
-                    got = await exchange.next_piece()
+                    got = await exchange.next_chunk()
             except TimeoutError:
                 outcome.fault = "silent"
                 return
--- a/simulation/broken.py
+++ b/simulation/broken.py
@@ -43,8 +43,8 @@
     async def head(self) -> Result[HttpHead, HttpFault]:
         return await self.inner.head()
 
-    async def next_piece(self) -> Result[bytes | None, HttpFault]:
-        return await self.inner.next_piece()
+    async def next_chunk(self) -> Result[bytes | None, HttpFault]:
+        return await self.inner.next_chunk()
 
     def cancel(self) -> None:
         self.inner.cancel()
@@ -81,8 +81,8 @@
 
 
 class _HoldsPieces(WrappedExchange):
-    async def next_piece(self) -> Result[bytes | None, HttpFault]:
-        piece = await self.inner.next_piece()
+    async def next_chunk(self) -> Result[bytes | None, HttpFault]:
+        piece = await self.inner.next_chunk()
         await asyncio.sleep(0.3)
         return piece
 
@@ -92,9 +92,9 @@
 
     _events = 0
 
-    async def next_piece(self) -> Result[bytes | None, HttpFault]:
+    async def next_chunk(self) -> Result[bytes | None, HttpFault]:
         while True:
-            piece = await self.inner.next_piece()
+            piece = await self.inner.next_chunk()
             if not isinstance(piece, Success) or not piece.unwrap():
                 return piece
             self._events += 1
@@ -103,8 +103,8 @@
 
 
 class _NamesAnotherCall(WrappedExchange):
-    async def next_piece(self) -> Result[bytes | None, HttpFault]:
-        piece = await self.inner.next_piece()
+    async def next_chunk(self) -> Result[bytes | None, HttpFault]:
+        piece = await self.inner.next_chunk()
         if isinstance(piece, Success) and (data := piece.unwrap()):
             return Success(re.sub(rb'"call":"[^"]', b'"call":"~', data))  # of the same length
         return piece
@@ -115,10 +115,10 @@
 
     _ended = False
 
-    async def next_piece(self) -> Result[bytes | None, HttpFault]:
+    async def next_chunk(self) -> Result[bytes | None, HttpFault]:
         if self._ended:
             return Success(None)
-        piece = await self.inner.next_piece()
+        piece = await self.inner.next_chunk()
         if isinstance(piece, Success):
             return piece
         self._ended = True
@@ -143,8 +143,8 @@
     async def head(self) -> Result[HttpHead, HttpFault]:
         return await (await asyncio.shield(self._ready)).head()
 
-    async def next_piece(self) -> Result[bytes | None, HttpFault]:
-        return await (await asyncio.shield(self._ready)).next_piece()
+    async def next_chunk(self) -> Result[bytes | None, HttpFault]:
+        return await (await asyncio.shield(self._ready)).next_chunk()
 
     def cancel(self) -> None:
         return None
--- a/simulation/callers.py
+++ b/simulation/callers.py
@@ -249,7 +249,7 @@
         attempt.retry_after = float(retry_after) if retry_after else None
         while True:
             async with asyncio.timeout(SILENCE_PATIENCE if attempt.events or not reader.streams else patience):
-                took = await exchange.next_piece()
+                took = await exchange.next_chunk()
             if not isinstance(took, Success):
                 self._failed(attempt, took.failure())
                 return
--- a/simulation/http_client.py
+++ b/simulation/http_client.py
@@ -102,7 +102,7 @@
             framing = "close"
         return HttpHead(int(parts[1]), headers, framing)
 
-    async def next_piece(self) -> Result[bytes | None, HttpFault]:
+    async def next_chunk(self) -> Result[bytes | None, HttpFault]:
         stream, head = self._stream, self._head
         if stream is None or head is None:
             return Failure(HttpFault("cancelled", self._sent))
--- a/simulation/network.py
+++ b/simulation/network.py
@@ -547,5 +547,5 @@
     def listen(self, address: Address, handle_stream: StreamHandler) -> Result[Listener, NetworkFault]:
         return self._core.listen(self._machine, address, handle_stream)
 
-    def most_connections(self) -> int:
+    def connection_limit(self) -> int:
         return 65_536
--- a/simulation/operators.py
+++ b/simulation/operators.py
@@ -46,7 +46,7 @@
                 return None
             read = b""
             while True:
-                took = await exchange.next_piece()
+                took = await exchange.next_chunk()
                 if not isinstance(took, Success):
                     return None
                 piece = took.unwrap()
--- a/simulation/tests/test_world.py
+++ b/simulation/tests/test_world.py
@@ -47,7 +47,7 @@
         return b"", head.failure().kind
     body = b""
     while True:
-        piece = await exchange.next_piece()
+        piece = await exchange.next_chunk()
         if not isinstance(piece, Success):
             return body, piece.failure().kind
         data = piece.unwrap()
--- a/wingwood/context/answer_parser.py
+++ b/wingwood/context/answer_parser.py
@@ -10,33 +10,33 @@
 import re
 from typing import Final, Literal
 
-from .http_exchange import HEAD_BYTES, ChunkDecoder, framing_of, is_token
+from .http_exchange import MAX_HEAD_BYTES, ChunkDecoder, framing_of, is_token
 from .protocols import HttpHead
 
 Outcome = Literal["under way", "ended", "malformed", "broken", "foreign"]
 """``malformed``: no HTTP head; ``broken``: the body breaks its framing; ``foreign``: not the answer to this call."""
 
 _HEAD_END: Final = b"\r\n\r\n"
-_BEGINNING: Final = b"HTTP/1."
+_VERSION_PREFIX: Final = b"HTTP/1."
 _STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-5][0-9]{2})(?: .*)?")
 _KEEP_ALIVE = re.compile(r"(?:^|[,;\s])timeout\s*=\s*\"?([0-9]{1,9})")
 _BARE_LINE_FEED = re.compile(rb"(?:^|[^\r])\n")
 _CONTROLS: Final = bytes([*range(9), *range(10, 32), 127])
-_KNOWN_NAMES: Final = 512
+_MAX_CACHED_NAMES: Final = 512
 _FRAMING_NAMES: Final = frozenset({"content-length", "transfer-encoding"})
 
 _lowered_names: dict[str, str] = {}
 """Names of headers that were found to be tokens, with their lower case: workers repeat the same few."""
 
 
-def _lowered(name: str) -> str | None:
+def _lowercase_token(name: str) -> str | None:
     """The name in lower case; None when it is no token."""
     lowered = _lowered_names.get(name)
     if lowered is None:
         if not is_token(name):
             return None
         lowered = name.lower()
-        if len(_lowered_names) < _KNOWN_NAMES:
+        if len(_lowered_names) < _MAX_CACHED_NAMES:
             _lowered_names[name] = lowered
     return lowered
 
@@ -49,16 +49,16 @@
         "_echo_name",
         "_echo_value",
         "_head_bytes",
-        "_held",
-        "_left",
         "_method",
         "_new_connection",
-        "began",
+        "_pending",
+        "_remaining",
         "head",
         "idle_timeout",
         "outcome",
         "persistent",
         "problem",
+        "started",
         "surplus",
     )
 
@@ -67,7 +67,7 @@
         self.problem = ""
         """Why it is malformed, broken or foreign."""
         self.head: HttpHead | None = None
-        self.began = False
+        self.started = False
         """At least one byte has come."""
         self.persistent = False
         """The other side lets its connection be used again after this answer."""
@@ -79,38 +79,38 @@
         self._new_connection = new_connection
         self._echo_name = None if echo is None else echo[0].lower()
         self._echo_value = "" if echo is None else echo[1]
-        self._held = bytearray()
+        self._pending = bytearray()
         """Start of a head that is not yet there whole."""
         self._head_bytes = 0
         """Size of the heads that have been read, interim answers included."""
-        self._left = 0
+        self._remaining = 0
         """Bytes to come of a body with a length."""
         self._chunks: ChunkDecoder | None = None
 
     def take(self, data: bytes) -> bytes:
         """The body's bytes in ``data``. To be called while ``outcome`` is ``under way``."""
-        self.began = True
+        self.started = True
         if self.head is None:
-            data = self._take_heads(data)
+            data = self._read_heads(data)
             if self.head is None or self.outcome != "under way":
                 self.surplus = len(data)
                 return b""
             if not data:
                 return b""
         if self._chunks is not None:
-            return self._take_chunks(self._chunks, data)
+            return self._read_chunks(self._chunks, data)
         if self.head.framing == "close":
             return data
-        return self._take_length(data)
+        return self._read_length_body(data)
 
-    def take_end(self) -> None:
+    def on_connection_end(self) -> None:
         """The connection has ended in order."""
         if self.head is not None and self.head.framing == "close":
             self.outcome = "ended"
         elif self.head is not None:
             self._fail("broken", "closed within the body")
         else:
-            self._fail("broken", "closed within the head" if self.began else "closed before an answer")
+            self._fail("broken", "closed within the head" if self.started else "closed before an answer")
 
     def _fail(self, outcome: Outcome, problem: str) -> None:
         self.outcome = outcome
@@ -118,16 +118,16 @@
 
     # The body.
 
-    def _take_length(self, data: bytes) -> bytes:
+    def _read_length_body(self, data: bytes) -> bytes:
         size = len(data)
-        if size < self._left:
-            self._left -= size
+        if size < self._remaining:
+            self._remaining -= size
             return data
         self.outcome = "ended"
-        self.surplus = size - self._left
-        return data if not self.surplus else data[: self._left]
+        self.surplus = size - self._remaining
+        return data if not self.surplus else data[: self._remaining]
 
-    def _take_chunks(self, chunks: ChunkDecoder, data: bytes) -> bytes:
+    def _read_chunks(self, chunks: ChunkDecoder, data: bytes) -> bytes:
         body = chunks.take(data)
         if chunks.problem is not None:
             self._fail("broken", chunks.problem)
@@ -138,17 +138,17 @@
 
     # The head.
 
-    def _take_heads(self, data: bytes) -> bytes:
+    def _read_heads(self, data: bytes) -> bytes:
         """Reads up to the end of the last head; what lies behind it."""
-        held = self._held
+        held = self._pending
         searched = max(0, len(held) - len(_HEAD_END) + 1)
         held += data
         while self.head is None and self.outcome == "under way":
             end = held.find(_HEAD_END, searched)
             size = self._head_bytes + (len(held) if end < 0 else end + len(_HEAD_END))
-            if not held.startswith(_BEGINNING) and not _BEGINNING.startswith(held):
+            if not held.startswith(_VERSION_PREFIX) and not _VERSION_PREFIX.startswith(held):
                 self._fail("malformed", "not HTTP")
-            elif size > HEAD_BYTES:
+            elif size > MAX_HEAD_BYTES:
                 self._fail("malformed", "head too long")
             elif end < 0:
                 if _BARE_LINE_FEED.search(held, max(0, searched - 1)) is not None:
@@ -159,12 +159,12 @@
                 head = bytes(held[:end])
                 del held[: end + len(_HEAD_END)]
                 searched = 0
-                self._take_head(head)
+                self._read_head(head)
         rest = bytes(held)
         held.clear()
         return rest
 
-    def _take_head(self, raw: bytes) -> None:
+    def _read_head(self, raw: bytes) -> None:
         first, *lines = raw.decode("latin-1").split("\r\n")
         if len(raw.translate(None, _CONTROLS)) != len(raw) - 2 * len(lines):
             self._fail("malformed", "control character in the head")
@@ -180,7 +180,7 @@
         persistent = found[1] == "1"
         for line in lines:
             name, separator, value = line.partition(":")
-            lowered = _lowered(name) if separator else None
+            lowered = _lowercase_token(name) if separator else None
             if lowered is None:
                 self._fail("malformed", "malformed header")
                 return
@@ -189,10 +189,10 @@
             if lowered in _FRAMING_NAMES:
                 framing.append((lowered, value))
             elif lowered == "connection":
-                persistent = persistent and _keeps_open(value)
+                persistent = persistent and _allows_reuse(value)
             elif lowered == "keep-alive":
-                told = _KEEP_ALIVE.search(value)
-                self.idle_timeout = None if told is None else int(told[1])
+                timeout = _KEEP_ALIVE.search(value)
+                self.idle_timeout = None if timeout is None else int(timeout[1])
             if lowered == self._echo_name:
                 echoed.append(value)
         if status == 101:
@@ -222,9 +222,9 @@
         if framing == "chunked":
             self._chunks = ChunkDecoder()
         elif framing == "length":
-            self._left = int(framing_headers[0][1])
-        if framing == "none" or (framing == "length" and not self._left):
-            self._left = 0
+            self._remaining = int(framing_headers[0][1])
+        if framing == "none" or (framing == "length" and not self._remaining):
+            self._remaining = 0
             self.outcome = "ended"
 
     def _is_foreign(self, echoed: list[str]) -> bool:
@@ -233,6 +233,6 @@
         return any(value != self._echo_value for value in echoed) or (bool(self._echo_value) and not echoed)
 
 
-def _keeps_open(connection: str) -> bool:
+def _allows_reuse(connection: str) -> bool:
     """Whether the value of a ``Connection`` header lets the connection stay."""
     return connection.lower() == "keep-alive" or "close" not in {part.strip() for part in connection.lower().split(",")}
--- a/wingwood/context/connection_pool.py
+++ b/wingwood/context/connection_pool.py
@@ -18,8 +18,8 @@
 from ..identifiers import Address, Instant, Seconds
 from .protocols import Clock
 
-READ_BYTES: Final = 64 * 1024
-_SWEEP_PERIOD: Final = Seconds(0.5)
+READ_BUFFER_BYTES: Final = 64 * 1024
+_SWEEP_PERIOD_S: Final = Seconds(0.5)
 """Connections that rested too long are never used, and are closed at most this much late."""
 
 
@@ -31,14 +31,14 @@
     idle_share: float = 0.5
     """An idle connection is used up to this share of the time that ``Keep-Alive: timeout`` told."""
     longest_idle: Seconds = Seconds(5.0)
-    idle_untold: Seconds = Seconds(0.3)
+    idle_without_keep_alive: Seconds = Seconds(0.3)
     """Longest rest when the answer told no ``Keep-Alive``."""
 
-    def idle_bound(self, told: int | None) -> Seconds:
+    def idle_bound(self, keep_alive_s: int | None) -> Seconds:
         """How long a connection may rest after an answer that told so many seconds."""
-        if told is None:
-            return min(self.idle_untold, self.longest_idle)
-        return Seconds(min(self.idle_share * told, self.longest_idle))
+        if keep_alive_s is None:
+            return min(self.idle_without_keep_alive, self.longest_idle)
+        return Seconds(min(self.idle_share * keep_alive_s, self.longest_idle))
 
 
 class ConnectionCounts(msgspec.Struct):
@@ -56,21 +56,21 @@
 class ConnectionUser(Protocol):
     """The call that a connection works for."""
 
-    def room(self) -> int:
-        """How many bytes may be read now; 0 stops reading until ``go_on_reading``."""
+    def read_allowance(self) -> int:
+        """How many bytes may be read now; 0 stops reading until ``resume_reading``."""
         ...
 
-    def take_bytes(self, data: bytes) -> None: ...
+    def on_data(self, data: bytes) -> None: ...
 
-    def take_end(self) -> None:
+    def on_connection_end(self) -> None:
         """The other side has ended the connection in order."""
         ...
 
-    def take_error(self, problem: OSError) -> None:
+    def on_error(self, problem: OSError) -> None:
         """The connection is reset or timed out; what came before it has been read."""
         ...
 
-    def first_byte_taken(self) -> None:
+    def on_first_byte_written(self) -> None:
         """The kernel has taken the first byte that was to be written for this user."""
         ...
 
@@ -91,12 +91,12 @@
         "_stream",
         "_unsent",
         "_write_failed",
-        "_writes_begun",
+        "_write_started",
         "address",
         "closed",
         "expires",
-        "kept",
-        "rested_since",
+        "idle_since",
+        "reused",
         "user",
     )
 
@@ -110,36 +110,36 @@
         """``buffer`` is shared by all connections: what is read into it is copied out at once."""
         self.address = address
         self.user: ConnectionUser | None = None
-        self.kept = False
+        self.reused = False
         """It has rested in the pool."""
         self.closed = False
-        self.rested_since = Instant(0.0)
+        self.idle_since = Instant(0.0)
         self.expires = Instant(0.0)
         self._stream = stream
         self._buffer = buffer
         self._on_idle_event = on_idle_event
         self._unsent: memoryview | None = None
-        self._writes_begun = False
+        self._write_started = False
         self._write_failed = False
         self._io_loop = stream.io_loop
         self._descriptor = stream.fileno()
         self._events: int = IOLoop.READ
-        self._io_loop.add_handler(self._descriptor, self._take_events, IOLoop.READ)
+        self._io_loop.add_handler(self._descriptor, self._on_events, IOLoop.READ)
 
     def write(self, data: bytes) -> OSError | None:
         """Writes what the kernel takes now and the rest as it makes room; the error when it refused the first byte."""
-        self._writes_begun = False
+        self._write_started = False
         self._unsent = memoryview(data)
-        return self._write_on()
+        return self._continue_write()
 
     def all_written(self) -> bool:
         return self._unsent is None and not self._write_failed
 
-    def go_on_reading(self) -> None:
+    def resume_reading(self) -> None:
         if not self.closed and not self._events & IOLoop.READ:
             self._watch(self._events | IOLoop.READ)
 
-    def shows_nothing(self) -> bool:
+    def is_open_and_quiet(self) -> bool:
         """Whether it is open and quiet at this moment; what it shows is thrown away."""
         try:
             return not self.closed and self._stream.read_from_fd(self._buffer) is None
@@ -158,18 +158,18 @@
         self._events = events
         self._io_loop.update_handler(self._descriptor, events)
 
-    def _take_events(self, _: object, events: int) -> None:
+    def _on_events(self, _: object, events: int) -> None:
         if events & IOLoop.WRITE and not self.closed:
             self._write_more()
         if events & (IOLoop.READ | IOLoop.ERROR) and not self.closed:
             self._read()
 
     def _write_more(self) -> None:
-        problem = self._write_on()
+        problem = self._continue_write()
         if problem is not None and self.user is not None:
-            self.user.take_error(problem)
+            self.user.on_error(problem)
 
-    def _write_on(self) -> OSError | None:
+    def _continue_write(self) -> OSError | None:
         unsent = self._unsent
         if unsent is None:
             return None
@@ -179,10 +179,10 @@
             count = 0
         except OSError as problem:
             return self._writing_failed(problem)
-        if count and not self._writes_begun:
-            self._writes_begun = True
+        if count and not self._write_started:
+            self._write_started = True
             if self.user is not None:
-                self.user.first_byte_taken()
+                self.user.on_first_byte_written()
         if count == len(unsent):
             self._unsent = None
             if self._events & IOLoop.WRITE:
@@ -197,7 +197,7 @@
         """The answer may have come before the error, and then waits to be read: reading finds the end by itself."""
         self._unsent = None
         self._write_failed = True
-        if not self._writes_begun:
+        if not self._write_started:
             return problem
         self._watch(IOLoop.READ)
         return None
@@ -207,20 +207,20 @@
         if user is None:
             self._on_idle_event(self)
             return
-        room = user.room()
-        if room <= 0:
+        read_allowance = user.read_allowance()
+        if read_allowance <= 0:
             self._watch(self._events & ~IOLoop.READ)
             return
-        buffer = self._buffer if room >= READ_BYTES else self._buffer[:room]
+        buffer = self._buffer if read_allowance >= READ_BUFFER_BYTES else self._buffer[:read_allowance]
         try:
             count = self._stream.read_from_fd(buffer)
         except OSError as problem:
-            user.take_error(problem)
+            user.on_error(problem)
             return
         if count:
-            user.take_bytes(bytes(self._buffer[:count]))
+            user.on_data(bytes(self._buffer[:count]))
         elif count == 0:
-            user.take_end()
+            user.on_connection_end()
 
 
 class _AddressState:
@@ -242,7 +242,7 @@
         self.limits = limits
         self.counts = ConnectionCounts()
         self._now = clock.monotonic
-        self._buffer = memoryview(bytearray(READ_BYTES))
+        self._buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self._addresses: dict[Address, _AddressState] = {}
         self._open = 0
         self._idle: dict[PooledConnection, None] = {}
@@ -262,8 +262,8 @@
         state = self._addresses.get(address)
         return 0 if state is None else len(state.idle)
 
-    def take(self, address: Address, rested_at_most: Seconds | None) -> PooledConnection | None:
-        """A kept connection that is open and quiet; it is the caller's until ``keep`` or ``close``."""
+    def acquire(self, address: Address, max_idle: Seconds | None) -> PooledConnection | None:
+        """A kept connection that is open and quiet; it is the caller's until ``store_idle`` or ``close``."""
         state = self._addresses.get(address)
         if state is None or not state.idle:
             return None
@@ -271,22 +271,22 @@
         while state.idle:
             connection = state.idle[-1]
             usable = connection.expires > now
-            if usable and rested_at_most is not None and now - connection.rested_since > rested_at_most:
+            if usable and max_idle is not None and now - connection.idle_since > max_idle:
                 return None
-            self._leave_rest(connection, state)
-            if usable and connection.shows_nothing():
+            self._remove_idle(connection, state)
+            if usable and connection.is_open_and_quiet():
                 return connection
             self.counts.closed_idle += 1
             self.close(connection)
         return None
 
-    def put_back(self, connection: PooledConnection) -> None:
-        """Undoes ``take``: nothing was written, so its rest goes on."""
-        self._rest(connection)
+    def undo_take(self, connection: PooledConnection) -> None:
+        """Undoes ``acquire``: nothing was written, so its rest goes on."""
+        self._add_idle(connection)
 
-    def reserve(self, address: Address, most_connections: int | None) -> bool:
+    def reserve(self, address: Address, connection_limit: int | None) -> bool:
         """Makes room for one more connection, closing idle ones when a bound asks for it; False when it is reached."""
-        bound = self.limits.per_address if most_connections is None else most_connections
+        bound = self.limits.per_address if connection_limit is None else connection_limit
         state = self._addresses.get(address)
         if state is not None and state.open >= bound and state.idle:
             self._close_idle(state.idle[0])
@@ -303,7 +303,7 @@
         self._open += 1
         return True
 
-    def opened(self, address: Address, stream: BaseIOStream) -> PooledConnection:
+    def add(self, address: Address, stream: BaseIOStream) -> PooledConnection:
         """The reserved place is taken by a connection."""
         self.counts.opened += 1
         return PooledConnection(address, stream, self._buffer, self._close_idle)
@@ -322,16 +322,16 @@
             connection.close()
             self.release(connection.address)
 
-    def keep(self, connection: PooledConnection, told: int | None) -> None:
+    def store_idle(self, connection: PooledConnection, keep_alive_s: int | None) -> None:
         """Takes back a connection after an answer whose ``Keep-Alive`` told so many seconds, or which told none."""
-        bound = self.limits.idle_bound(told)
+        bound = self.limits.idle_bound(keep_alive_s)
         if bound <= 0:
             self.close(connection)
             return
-        connection.rested_since = self._now()
-        connection.expires = Instant(connection.rested_since + bound)
-        self._rest(connection)
-        connection.go_on_reading()
+        connection.idle_since = self._now()
+        connection.expires = Instant(connection.idle_since + bound)
+        self._add_idle(connection)
+        connection.resume_reading()
 
     def close_idle(self, address: Address | None = None) -> None:
         """Closes all kept connections, to one address or in all."""
@@ -341,15 +341,15 @@
             self._sweep.cancel()
             self._sweep = None
 
-    def _rest(self, connection: PooledConnection) -> None:
+    def _add_idle(self, connection: PooledConnection) -> None:
         connection.user = None
-        connection.kept = True
+        connection.reused = True
         self._addresses[connection.address].idle.append(connection)
         self._idle[connection] = None
         if self._sweep is None:
             self._sweep_later()
 
-    def _leave_rest(self, connection: PooledConnection, state: _AddressState) -> None:
+    def _remove_idle(self, connection: PooledConnection, state: _AddressState) -> None:
         if state.idle[-1] is connection:
             state.idle.pop()
         else:
@@ -358,12 +358,12 @@
 
     def _close_idle(self, connection: PooledConnection) -> None:
         if connection in self._idle:
-            self._leave_rest(connection, self._addresses[connection.address])
+            self._remove_idle(connection, self._addresses[connection.address])
             self.counts.closed_idle += 1
             self.close(connection)
 
     def _sweep_later(self) -> None:
-        self._sweep = asyncio.get_running_loop().call_later(_SWEEP_PERIOD, self._close_expired)
+        self._sweep = asyncio.get_running_loop().call_later(_SWEEP_PERIOD_S, self._close_expired)
 
     def _close_expired(self) -> None:
         self._sweep = None
--- a/wingwood/context/curl_client.py
+++ b/wingwood/context/curl_client.py
@@ -15,10 +15,10 @@
 import pycurl
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 
-from .http_exchange import HEAD_BYTES, ChunkDecoder, Exchange, fault_of_request, framing_of, is_token
+from .http_exchange import MAX_HEAD_BYTES, ChunkDecoder, Exchange, fault_of_request, framing_of, is_token
 from .protocols import HttpExchange, HttpFault, HttpHead, HttpRequest
 
-_SPARE_HANDLES: Final = 256
+_MAX_SPARE_HANDLES: Final = 256
 _PROCEED: Final[int] = pycurl.PREREQFUNC_OK
 _ABORT: Final[int] = pycurl.PREREQFUNC_ABORT
 _PAUSE: Final[int] = pycurl.WRITEFUNC_PAUSE
@@ -80,7 +80,7 @@
         del self.exchanges[curl]
         self._multi.remove_handle(curl)
         curl.reset()
-        if len(self.spare) < _SPARE_HANDLES:
+        if len(self.spare) < _MAX_SPARE_HANDLES:
             self.spare.append(curl)
         else:
             curl.close()
@@ -138,8 +138,8 @@
             set_option(pycurl.HTTPGET, 1)
             set_option(pycurl.CUSTOMREQUEST, request.method)
         set_option(pycurl.PREREQFUNCTION, self._before_write)
-        set_option(pycurl.HEADERFUNCTION, self._take_header_line)
-        set_option(pycurl.WRITEFUNCTION, self._take_body)
+        set_option(pycurl.HEADERFUNCTION, self._on_header_line)
+        set_option(pycurl.WRITEFUNCTION, self._on_body)
 
     def finished(self, error: int | None, message: str) -> None:
         self._curl = None
@@ -160,28 +160,28 @@
     def _before_write(self, *addresses: object) -> int:
         return _PROCEED if self.may_write() else _ABORT
 
-    def _take_header_line(self, line: bytes) -> int | None:
+    def _on_header_line(self, line: bytes) -> int | None:
         if self._head_done:
             return None  # Trailers of a chunked answer.
         self._head_bytes += len(line)
-        if self._head_bytes > HEAD_BYTES:
-            return self._refuse("head too long")
+        if self._head_bytes > MAX_HEAD_BYTES:
+            return self._reject("head too long")
         text = line.decode("latin-1").rstrip("\r\n")
         if text.startswith("HTTP/"):
             self._headers.clear()
             found = _STATUS_LINE.fullmatch(text)
             if found is None:
-                return self._refuse("malformed status line")
+                return self._reject("malformed status line")
             self._status = int(found[1])
         elif text:
-            return self._take_header(text)
+            return self._add_header(text)
         elif self._status == 101:
-            return self._refuse("switches protocols")
+            return self._reject("switches protocols")
         elif self._status >= 200:
             return self._end_head()
         return None
 
-    def _take_header(self, text: str) -> int | None:
+    def _add_header(self, text: str) -> int | None:
         if text[0] in " \t":
             if self._headers:
                 name, value = self._headers[-1]
@@ -189,7 +189,7 @@
             return None
         name, separator, value = text.partition(":")
         if not separator or not is_token(name):
-            return self._refuse("malformed header")  # libcurl would take it for an unknown one, framing included.
+            return self._reject("malformed header")  # libcurl would take it for an unknown one, framing included.
         self._headers.append((name, value.strip(" \t")))
         return None
 
@@ -197,34 +197,34 @@
         headers = tuple(self._headers)
         framing = framing_of(self.request.method, self._status, headers)
         if framing is None:
-            return self._refuse("contradicting lengths")
+            return self._reject("contradicting lengths")
         self._head_done = True
         if framing == "chunked":
             self._chunks = ChunkDecoder()
-        self.take_head(HttpHead(self._status, headers, framing, new_connection=True))
+        self.set_head(HttpHead(self._status, headers, framing, new_connection=True))
         return None
 
-    def _refuse(self, problem: str) -> int:
+    def _reject(self, problem: str) -> int:
         self._problem = problem
         return -1
 
-    def _take_body(self, piece: bytes) -> int | None:
+    def _on_body(self, chunk: bytes) -> int | None:
         if self.is_full():
             self._paused = True
-            return _PAUSE  # libcurl keeps the piece and gives it again.
+            return _PAUSE  # libcurl keeps the chunk and gives it again.
         if self._chunks is None:
-            self.take_piece(piece)
+            self.add_chunk(chunk)
             return None
-        body = self._chunks.take(piece)
+        body = self._chunks.take(chunk)
         if body:
-            self.take_piece(body)
+            self.add_chunk(body)
         if self._chunks.problem is not None:
             self.end(HttpFault("broken", True, self._chunks.problem))
         elif self._chunks.ended:
             self.end(None)
         return -1 if self.ended() else None  # libcurl itself would read on until the connection closes.
 
-    def _make_room(self) -> None:
+    def _resume_if_paused(self) -> None:
         if self._paused and self._curl is not None:
             self._paused = False
             self._engine.resume(self._curl)
--- a/wingwood/context/http_exchange.py
+++ b/wingwood/context/http_exchange.py
@@ -13,15 +13,15 @@
 
 READ_AHEAD_BYTES: Final = 240 * 1024
 """One more piece of 16 KiB may come on top."""
-HEAD_BYTES: Final = 64 * 1024
+MAX_HEAD_BYTES: Final = 64 * 1024
 """Longest status line and headers taken of an answer."""
-_PIECE_BYTES: Final = 128 * 1024
+_JOINED_CHUNK_BYTES: Final = 128 * 1024
 """Pieces that wait together are handed over joined, up to about this size."""
 
 Framing = Literal["length", "chunked", "close", "none"]
 
-_CHUNK_LINE_BYTES: Final = 4096
-_LENGTH_DIGITS: Final = 18
+_MAX_CHUNK_LINE_BYTES: Final = 4096
+_MAX_LENGTH_DIGITS: Final = 18
 """More would be no length; Python refuses to read numbers of some thousand digits."""
 _CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,15})(?:[ \t]*;[^\r\n]*)?")
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
@@ -35,7 +35,7 @@
     codings = [value.strip().lower() for name, value in headers if name.lower() == "transfer-encoding"]
     if len(lengths) > 1 or (lengths and codings):
         return None
-    if any(not (length.isascii() and length.isdigit() and len(length) <= _LENGTH_DIGITS) for length in lengths):
+    if any(not (length.isascii() and length.isdigit() and len(length) <= _MAX_LENGTH_DIGITS) for length in lengths):
         return None
     if codings and codings != ["chunked"]:
         return None
@@ -73,42 +73,42 @@
         self.problem: str | None = None
         self.surplus = 0
         """Bytes that came with the end of the body and lie behind it."""
-        self._held = b""
+        self._pending = b""
         """Start of a line that is not yet there whole."""
-        self._left = 0
+        self._remaining = 0
         """Bytes to come of the chunk under way."""
         self._trailer_bytes = 0
         self._expects: Literal["size", "line end", "trailer"] = "size"
 
     def take(self, data: bytes) -> bytes:
         """The body's bytes in ``data``; looks at nothing behind the end."""
-        if self._held:
-            data, self._held = self._held + data, b""
+        if self._pending:
+            data, self._pending = self._pending + data, b""
         body: list[bytes] = []
         at = 0
         while at < len(data) and not self.ended and self.problem is None:
-            if self._left:
-                body.append(data[at : at + self._left])
+            if self._remaining:
+                body.append(data[at : at + self._remaining])
                 at += len(body[-1])
-                self._left -= len(body[-1])
-                if not self._left and data.startswith(b"\r\n", at):
+                self._remaining -= len(body[-1])
+                if not self._remaining and data.startswith(b"\r\n", at):
                     self._expects = "size"
                     at += 2
                 continue
             end = data.find(b"\r\n", at)
-            if (len(data) if end < 0 else end) - at > _CHUNK_LINE_BYTES:
+            if (len(data) if end < 0 else end) - at > _MAX_CHUNK_LINE_BYTES:
                 self.problem = "chunk line too long"
             elif end < 0:
-                self._held = data[at:]
+                self._pending = data[at:]
                 break
             else:
-                self._take_line(data[at:end])
+                self._read_line(data[at:end])
                 at = end + 2
         if self.ended:
             self.surplus = len(data) - at
         return body[0] if len(body) == 1 else b"".join(body)
 
-    def _take_line(self, line: bytes) -> None:
+    def _read_line(self, line: bytes) -> None:
         if self._expects == "line end":
             self._expects = "size"
             if line:
@@ -116,13 +116,13 @@
         elif self._expects == "trailer":
             self.ended = not line
             self._trailer_bytes += len(line)
-            if self._trailer_bytes > HEAD_BYTES:
+            if self._trailer_bytes > MAX_HEAD_BYTES:
                 self.problem = "trailers too long"
         elif (size := _CHUNK_SIZE.fullmatch(line)) is None:
             self.problem = "malformed chunk size"
         else:
-            self._left = int(size[1], 16)
-            self._expects = "line end" if self._left else "trailer"
+            self._remaining = int(size[1], 16)
+            self._expects = "line end" if self._remaining else "trailer"
 
 
 class Exchange:
@@ -132,7 +132,7 @@
         self.request = request
         self._loop = asyncio.get_running_loop()
         self._head: HttpHead | None = None
-        self._pieces: deque[bytes] = deque()
+        self._buffered_chunks: deque[bytes] = deque()
         self._buffered = 0
         self._end: Result[bytes | None, HttpFault] | None = None
         self._waiter: asyncio.Future[None] | None = None
@@ -149,28 +149,28 @@
             return Failure(self._end.failure())
         return Success(self._head)
 
-    async def next_piece(self) -> Result[bytes | None, HttpFault]:
-        while not self._pieces:
+    async def next_chunk(self) -> Result[bytes | None, HttpFault]:
+        while not self._buffered_chunks:
             if self._end is not None:
                 return self._end
             await self._wait()
-        piece = self._pieces.popleft()
-        if self._pieces and len(piece) < _PIECE_BYTES:
-            joined = [piece]
-            size = len(piece)
-            while self._pieces and size < _PIECE_BYTES:
-                joined.append(self._pieces.popleft())
+        chunk = self._buffered_chunks.popleft()
+        if self._buffered_chunks and len(chunk) < _JOINED_CHUNK_BYTES:
+            joined = [chunk]
+            size = len(chunk)
+            while self._buffered_chunks and size < _JOINED_CHUNK_BYTES:
+                joined.append(self._buffered_chunks.popleft())
                 size += len(joined[-1])
-            piece = b"".join(joined)
-        self._buffered -= len(piece)
+            chunk = b"".join(joined)
+        self._buffered -= len(chunk)
         if self._end is None and self._buffered < READ_AHEAD_BYTES:
-            self._make_room()
-        return Success(piece)
+            self._resume_if_paused()
+        return Success(chunk)
 
     def cancel(self) -> None:
-        if self._end is not None and not self._pieces:
+        if self._end is not None and not self._buffered_chunks:
             return
-        self._pieces.clear()
+        self._buffered_chunks.clear()
         self._buffered = 0
         running = self._end is None
         self._end = Failure(HttpFault("cancelled", self._sent))
@@ -194,13 +194,13 @@
             return False
         return not self.ended()
 
-    def take_head(self, head: HttpHead) -> None:
+    def set_head(self, head: HttpHead) -> None:
         self._head = head
         self._wake()
 
-    def take_piece(self, piece: bytes) -> None:
-        self._pieces.append(piece)
-        self._buffered += len(piece)
+    def add_chunk(self, chunk: bytes) -> None:
+        self._buffered_chunks.append(chunk)
+        self._buffered += len(chunk)
         self._wake()
 
     def is_full(self) -> bool:
@@ -217,7 +217,7 @@
     def ended(self) -> bool:
         return self._end is not None
 
-    def _make_room(self) -> None:
+    def _resume_if_paused(self) -> None:
         """The consumer has taken pieces: go on reading if it was stopped."""
 
     def _close(self) -> None:
--- a/wingwood/context/pooled_client.py
+++ b/wingwood/context/pooled_client.py
@@ -20,7 +20,7 @@
 from .protocols import Clock, HttpExchange, HttpFault, HttpRequest, Network, NetworkFault, Tasks
 
 _FRAMING_NAME_LENGTHS: Final = frozenset({len("transfer-encoding"), len("content-length")})
-MOST_BUFFERED_BYTES: Final = 256 * 1024
+MAX_BUFFERED_BYTES: Final = 256 * 1024
 """Body bytes of one call that wait for its consumer; reading stops above ``READ_AHEAD_BYTES``."""
 
 
@@ -40,10 +40,10 @@
             exchange.end(HttpFault("malformed", False, problem))
             return exchange
         self._exchanges[exchange] = None
-        kept = self.pool.take(request.address, request.reuse_within) if request.reuse else None
-        if kept is not None:
-            exchange.begin_on_kept(kept)
-        elif self.pool.reserve(request.address, request.most_connections):
+        idle = self.pool.acquire(request.address, request.reuse_within) if request.reuse else None
+        if idle is not None:
+            exchange.start_on_idle(idle)
+        elif self.pool.reserve(request.address, request.connection_limit):
             self._tasks.spawn(f"connect {request.address}", exchange.connect(self._network))
         else:
             exchange.end(HttpFault("busy", False, f"connections to {request.address} or in all"))
@@ -67,7 +67,7 @@
             exchange.cancel()
         self.pool.close_idle()
 
-    def forget(self, exchange: _PooledExchange) -> None:
+    def remove_exchange(self, exchange: _PooledExchange) -> None:
         self._exchanges.pop(exchange, None)
 
 
@@ -83,13 +83,13 @@
 
     # Getting a connection.
 
-    def begin_on_kept(self, connection: PooledConnection) -> None:
+    def start_on_idle(self, connection: PooledConnection) -> None:
         if not self.passes_last_check():
-            self._pool.put_back(connection)
+            self._pool.undo_take(connection)
             self.end(HttpFault("cancelled", False))
             return
         self._pool.counts.reused += 1
-        self._begin(connection)
+        self._send_request(connection)
 
     async def connect(self, network: Network) -> None:
         """Opens a connection in the reserved place. A call cancelled meanwhile still leaves it for another."""
@@ -99,49 +99,49 @@
             self._pool.release(address)
             self.end(_fault_of_connect(opened.failure()))
             return
-        connection = self._pool.opened(address, opened.unwrap())
+        connection = self._pool.add(address, opened.unwrap())
         if self.passes_last_check():
-            self._begin(connection)
+            self._send_request(connection)
             return
         if self.request.reuse:
-            self._pool.keep(connection, None)
+            self._pool.store_idle(connection, None)
         else:
             self._pool.close(connection)
         self.end(HttpFault("cancelled", False))
 
-    def _begin(self, connection: PooledConnection) -> None:
+    def _send_request(self, connection: PooledConnection) -> None:
         request = self.request
         self._connection = connection
-        self._parser = AnswerParser(request.method, request.echo, not connection.kept)
+        self._parser = AnswerParser(request.method, request.echo, not connection.reused)
         connection.user = self
         problem = connection.write(_message(request))
         if problem is not None:
-            self.take_error(problem)
+            self.on_error(problem)
 
     # The connection's side (protocol ConnectionUser).
 
-    def first_byte_taken(self) -> None:
+    def on_first_byte_written(self) -> None:
         self._sent = True
 
-    def room(self) -> int:
-        return 0 if self.is_full() else MOST_BUFFERED_BYTES - self._buffered
+    def read_allowance(self) -> int:
+        return 0 if self.is_full() else MAX_BUFFERED_BYTES - self._buffered
 
-    def take_bytes(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         parser = self._parser
         before = parser.head
         body = parser.take(data)
         if before is None and parser.head is not None:
-            self.take_head(parser.head)
+            self.set_head(parser.head)
         if body:
-            self.take_piece(body)
+            self.add_chunk(body)
         if parser.outcome != "under way":
             self._answer_done()
 
-    def take_end(self) -> None:
-        self._parser.take_end()
+    def on_connection_end(self) -> None:
+        self._parser.on_connection_end()
         self._answer_done()
 
-    def take_error(self, problem: OSError) -> None:
+    def on_error(self, problem: OSError) -> None:
         self._fail("broken", str(problem))
 
     def _answer_done(self) -> None:
@@ -157,9 +157,9 @@
     def _fail(self, kind: Literal["broken", "malformed"], detail: str) -> None:
         connection = self._connection
         assert connection is not None
-        on_kept = kind == "broken" and connection.kept and not self._parser.began
+        on_reused = kind == "broken" and connection.reused and not self._parser.started
         self._close()
-        self.end(HttpFault(kind, self._sent, detail, on_kept))
+        self.end(HttpFault(kind, self._sent, detail, on_reused))
 
     def _free_connection(self) -> None:
         """Keeps the connection for another call if nothing speaks against it."""
@@ -168,7 +168,7 @@
         parser = self._parser
         clean = parser.persistent and not parser.surplus and connection.all_written()
         if clean and self.request.reuse and not _asks_to_close(self.request):
-            self._pool.keep(connection, parser.idle_timeout)
+            self._pool.store_idle(connection, parser.idle_timeout)
         else:
             self._pool.close(connection)
 
@@ -176,17 +176,17 @@
 
     def end(self, fault: HttpFault | None) -> None:
         super().end(fault)
-        self._client.forget(self)
+        self._client.remove_exchange(self)
 
-    def _make_room(self) -> None:
+    def _resume_if_paused(self) -> None:
         if self._connection is not None:
-            self._connection.go_on_reading()
+            self._connection.resume_reading()
 
     def _close(self) -> None:
         connection, self._connection = self._connection, None
         if connection is not None:
             self._pool.close(connection)
-        self._client.forget(self)
+        self._client.remove_exchange(self)
 
 
 def _fault_of_connect(fault: NetworkFault) -> HttpFault:
--- a/wingwood/context/protocols.py
+++ b/wingwood/context/protocols.py
@@ -55,7 +55,7 @@
         """Calls ``handle_stream`` with each accepted stream; binds at once."""
         ...
 
-    def most_connections(self) -> int:
+    def connection_limit(self) -> int:
         """How many connections of all kinds this process can hold at one time."""
         ...
 
@@ -128,7 +128,7 @@
 
     With an empty value an answer without the header is taken too.
     """
-    most_connections: int | None = None
+    connection_limit: int | None = None
     """Bound on this process's connections to ``address``; None is the client's own bound."""
 
 
@@ -160,7 +160,7 @@
     """``busy``: a bound on connections is reached, here and not at the other side."""
     request_sent: bool
     detail: str = ""
-    on_kept_connection: bool = False
+    on_reused_connection: bool = False
     """``broken`` before a single byte of an answer, on a connection that had been kept from an earlier call.
 
     Most likely the other side had closed it while it rested. With ``request_sent`` it may have run the call all the
@@ -175,7 +175,7 @@
         """Waits for status and headers (1xx skipped). Bound the wait with ``asyncio.timeout``, then cancel."""
         ...
 
-    async def next_piece(self) -> Result[bytes | None, HttpFault]:
+    async def next_chunk(self) -> Result[bytes | None, HttpFault]:
         """The next bytes of the body as they came, None after its clean end.
 
         Back-pressure: not more than 256 KiB are read ahead of this call.
--- a/wingwood/context/real.py
+++ b/wingwood/context/real.py
@@ -23,27 +23,27 @@
 from .protocols import DiskFault, Listener, Log, NetworkFault, StreamHandler, Task
 
 Value = TypeVar("Value")
-MOST_DESCRIPTORS = 65_536
-OTHER_DESCRIPTORS = 48
+MAX_DESCRIPTORS = 65_536
+RESERVED_DESCRIPTORS = 48
 """Descriptors left for files, listeners, the event loop, and connections going out when many came in."""
-CONNECTIONS_OUT_AT_LEAST = 24
+RESERVED_OUTGOING_CONNECTIONS = 24
 """Of those, how many connections going out may take."""
-TCP_USER_TIMEOUT = Seconds(2.5)
+TCP_USER_TIMEOUT_S = Seconds(2.5)
 """How long sent bytes may stay unacknowledged before their connection ends."""
-KEEP_ALIVE_AFTER = Seconds(1.0)
+KEEP_ALIVE_PERIOD_S = Seconds(1.0)
 """Probes are sent when nothing came for so long, and as often."""
-ACCEPT_PAUSE = Seconds(0.1)
+ACCEPT_PAUSE_S = Seconds(0.1)
 """A listener that could not take a connection (no descriptor, no memory) rests so long."""
-_PROBES = 2
-_ACCEPT_QUEUE = 1024
-_ACCEPTED_AT_ONCE = 128
+_KEEP_ALIVE_PROBES = 2
+_ACCEPT_BACKLOG = 1024
+_MAX_ACCEPTS_PER_EVENT = 128
 _STREAM_BUFFER_BYTES = 96 * 1024 * 1024
 _CONNECTION_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(1000 * TCP_USER_TIMEOUT)),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, int(KEEP_ALIVE_AFTER)),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, int(KEEP_ALIVE_AFTER)),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(1000 * TCP_USER_TIMEOUT_S)),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, int(KEEP_ALIVE_PERIOD_S)),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, int(KEEP_ALIVE_PERIOD_S)),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEP_ALIVE_PROBES),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
 )
 
@@ -63,7 +63,7 @@
     """For both ends of every connection: no delay of small writes, and a dead peer shows within seconds.
 
     A machine without power or behind a cut says nothing. Unacknowledged bytes end the connection after
-    ``TCP_USER_TIMEOUT``, a silent one by its probes after about as long. So does a peer that is there but lets its
+    ``TCP_USER_TIMEOUT_S``, a silent one by its probes after about as long. So does a peer that is there but lets its
     window stay closed for that time (Linux counts that as unacknowledged).
     """
     for level, option, value in _CONNECTION_OPTIONS:
@@ -85,7 +85,7 @@
             self._on_closed = None
 
 
-class _Listening:
+class _AcceptingListener:
     """Takes connections; a failure to take one is followed by a pause, as the loop would report it again at once."""
 
     def __init__(self, listener: socket.socket, network: RealNetwork, handle_stream: StreamHandler) -> None:
@@ -95,7 +95,7 @@
         self._loop = asyncio.get_running_loop()
         self._pause: asyncio.TimerHandle | None = None
         self._closed = False
-        self._go_on()
+        self._resume()
 
     def close(self) -> None:
         if self._closed:
@@ -107,12 +107,12 @@
             self._loop.remove_reader(self._listener)
         self._listener.close()
 
-    def _go_on(self) -> None:
+    def _resume(self) -> None:
         self._pause = None
         self._loop.add_reader(self._listener, self._accept)
 
     def _accept(self) -> None:
-        for _ in range(_ACCEPTED_AT_ONCE):
+        for _ in range(_MAX_ACCEPTS_PER_EVENT):
             if self._closed:
                 return
             try:
@@ -123,7 +123,7 @@
                 continue  # It was gone before it was taken.
             except OSError:
                 self._loop.remove_reader(self._listener)
-                self._pause = self._loop.call_later(ACCEPT_PAUSE, self._go_on)
+                self._pause = self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
             self._take(connection, peer)
 
@@ -141,10 +141,10 @@
         future.result()
 
 
-def _raise_descriptor_bound() -> int:
+def _raise_descriptor_limit() -> int:
     """Takes as many descriptors as the system lets this process have, and tells how many."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = MOST_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, MOST_DESCRIPTORS)
+    wanted = MAX_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, MAX_DESCRIPTORS)
     if soft != resource.RLIM_INFINITY and soft < wanted:
         with contextlib.suppress(OSError, ValueError):
             resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
@@ -156,22 +156,26 @@
 class RealNetwork:
     """TCP over IPv4. Connections of both directions are counted against the descriptors there are."""
 
-    def __init__(self, most_descriptors: int | None = None) -> None:
-        """``most_descriptors``: how many this process may have, where ``RLIMIT_NOFILE`` doesn't tell."""
-        self._descriptors = _raise_descriptor_bound()
-        self._given = most_descriptors
+    def __init__(self, descriptor_limit: int | None = None) -> None:
+        """``descriptor_limit``: how many this process may have, where ``RLIMIT_NOFILE`` doesn't tell."""
+        self._system_descriptor_limit = _raise_descriptor_limit()
+        self._descriptor_limit = descriptor_limit
         self._open = 0
 
-    def most_connections(self) -> int:
-        known = self._descriptors if self._given is None else min(self._descriptors, self._given)
-        return max(1, known - OTHER_DESCRIPTORS)
+    def connection_limit(self) -> int:
+        known = (
+            self._system_descriptor_limit
+            if self._descriptor_limit is None
+            else min(self._system_descriptor_limit, self._descriptor_limit)
+        )
+        return max(1, known - RESERVED_DESCRIPTORS)
 
     def open_connections(self) -> int:
         """Connections of both directions that are open or being opened."""
         return self._open
 
     async def connect(self, address: Address, timeout: Seconds) -> Result[BaseIOStream, NetworkFault]:
-        if self._open >= self.most_connections() + CONNECTIONS_OUT_AT_LEAST:
+        if self._open >= self.connection_limit() + RESERVED_OUTGOING_CONNECTIONS:
             return Failure(NetworkFault("exhausted", f"{self._open} connections are open"))
         try:
             connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -196,7 +200,7 @@
         if fault is not None:
             self._closed(connection)
             return Failure(fault)
-        return Success(_CountedStream(connection, self._one_less))
+        return Success(_CountedStream(connection, self._on_stream_closed))
 
     def listen(self, address: Address, handle_stream: StreamHandler) -> Result[Listener, NetworkFault]:
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -204,11 +208,11 @@
             listener.setblocking(False)
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.bind((address.host, address.port))
-            listener.listen(_ACCEPT_QUEUE)
+            listener.listen(_ACCEPT_BACKLOG)
         except OSError as problem:
             listener.close()
             return Failure(NetworkFault("in-use", f"{address}: {problem}"))
-        return Success(_Listening(listener, self, handle_stream))
+        return Success(_AcceptingListener(listener, self, handle_stream))
 
     def accepted(self, connection: socket.socket) -> BaseIOStream | None:
         """The stream of a connection that came in; None when there are too many, and it is closed."""
@@ -217,19 +221,19 @@
             return None
         set_up_connection(connection)
         self._open += 1
-        return _CountedStream(connection, self._one_less)
+        return _CountedStream(connection, self._on_stream_closed)
 
     def _has_room(self, connection: socket.socket) -> bool:
-        if self._open >= self.most_connections():
+        if self._open >= self.connection_limit():
             return False
         # The system gives the lowest free number, so numbers count descriptors of every kind.
-        return self._given is not None or connection.fileno() < self.most_connections()
+        return self._descriptor_limit is not None or connection.fileno() < self.connection_limit()
 
     def _closed(self, connection: socket.socket) -> None:
         connection.close()
         self._open -= 1
 
-    def _one_less(self) -> None:
+    def _on_stream_closed(self) -> None:
         self._open -= 1
 
 
--- a/wingwood/context/stream_client.py
+++ b/wingwood/context/stream_client.py
@@ -14,10 +14,10 @@
 from tornado.http1connection import HTTP1Connection, HTTP1ConnectionParameters
 from tornado.iostream import BaseIOStream, IOStream, StreamClosedError, UnsatisfiableReadError
 
-from .http_exchange import HEAD_BYTES, Exchange, fault_of_request, framing_of
+from .http_exchange import MAX_HEAD_BYTES, Exchange, fault_of_request, framing_of
 from .protocols import HttpExchange, HttpFault, HttpHead, HttpRequest, Network, Tasks
 
-_NO_BOUND = 1 << 62
+_UNLIMITED_BYTES = 1 << 62
 
 
 class StreamHttpClient:
@@ -41,7 +41,7 @@
     def __init__(self, request: HttpRequest) -> None:
         super().__init__(request)
         self._stream: BaseIOStream | None = None
-        self._room: list[object] = []
+        self._read_waiters: list[object] = []
         self.problem: str | None = None
 
     async def run(self, network: Network) -> None:
@@ -56,14 +56,14 @@
             if not self.may_write():
                 self.end(HttpFault("cancelled", False))
                 return
-            await self._talk(cast(IOStream, stream))
+            await self._send_and_receive(cast(IOStream, stream))
         finally:
             stream.close()
 
-    async def _talk(self, stream: IOStream) -> None:
+    async def _send_and_receive(self, stream: IOStream) -> None:
         request = self.request
         parameters = HTTP1ConnectionParameters(
-            no_keep_alive=True, max_header_size=HEAD_BYTES, max_body_size=_NO_BOUND, chunk_size=16 * 1024
+            no_keep_alive=True, max_header_size=MAX_HEAD_BYTES, max_body_size=_UNLIMITED_BYTES, chunk_size=16 * 1024
         )
         connection = HTTP1Connection(stream, True, parameters, str(request.address))
         given = {name.lower() for name, _ in request.headers}
@@ -80,7 +80,7 @@
         written = connection.write_headers(start_line, headers, request.body or None)
         written.add_done_callback(lambda future: future.cancelled() or future.exception())
         connection.finish()
-        answer = _Answer(self)
+        answer = _AnswerDelegate(self)
         try:
             await connection.read_response(answer)
         except StreamClosedError as closed:
@@ -91,7 +91,7 @@
     async def wait_for_room(self) -> None:
         while self.is_full() and not self.ended():
             future = self._loop.create_future()
-            self._room.append(future)
+            self._read_waiters.append(future)
             await future
 
     def answer_ended(self) -> None:
@@ -103,18 +103,18 @@
         else:
             self.end(None)
 
-    def _make_room(self) -> None:
-        waiting, self._room = self._room, []
+    def _resume_if_paused(self) -> None:
+        waiting, self._read_waiters = self._read_waiters, []
         for future in waiting:
             future.set_result(None)  # type: ignore[attr-defined]
 
     def _close(self) -> None:
-        self._make_room()
+        self._resume_if_paused()
         if self._stream is not None:
             self._stream.close()
 
 
-class _Answer(httputil.HTTPMessageDelegate):
+class _AnswerDelegate(httputil.HTTPMessageDelegate):
     def __init__(self, exchange: _StreamExchange) -> None:
         self._exchange = exchange
 
@@ -134,11 +134,11 @@
         if framing is None:
             self._exchange.problem = "contradicting lengths"
             raise httputil.HTTPInputError("contradicting lengths")
-        self._exchange.take_head(HttpHead(start_line.code, pairs, framing, new_connection=True))
+        self._exchange.set_head(HttpHead(start_line.code, pairs, framing, new_connection=True))
         return None
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        self._exchange.take_piece(chunk)
+        self._exchange.add_chunk(chunk)
         return self._exchange.wait_for_room() if self._exchange.is_full() else None
 
     def finish(self) -> None:
--- a/wingwood/context/tests/stand_in_worker.py
+++ b/wingwood/context/tests/scripted_worker.py
@@ -23,14 +23,14 @@
 from ..real import RealClock, RealNetwork, RealTasks
 
 ECHO = "X-Id"
-PATIENCE = 10.0
+WAIT_LIMIT_S = 10.0
 PORT = 9000
 
 
-class Turn:
+class ReceivedRequest:
     """One request, as the worker got it."""
 
-    def __init__(self, worker: StandInWorker, stream: BaseIOStream, connection: int, number: int) -> None:
+    def __init__(self, worker: ScriptedWorker, stream: BaseIOStream, connection: int, number: int) -> None:
         self.worker = worker
         self.stream = stream
         self.connection = connection
@@ -50,7 +50,7 @@
 
     def reset(self) -> None:
         """Ends the connection by RST."""
-        self.worker.resets(self.stream)
+        self.worker.reset_stream(self.stream)
 
     async def closed_by_client(self) -> None:
         """Waits, reading on, until the client has closed."""
@@ -61,14 +61,16 @@
             return
 
 
-Script = Callable[[Turn], Awaitable[None]]
+Script = Callable[[ReceivedRequest], Awaitable[None]]
 
 
-async def answers_ok(turn: Turn) -> None:
-    await turn.send(turn.answer(b"body of " + turn.id.encode(), "Keep-Alive: timeout=8"))
+async def answers_ok(received_request: ReceivedRequest) -> None:
+    await received_request.send(
+        received_request.answer(b"body of " + received_request.id.encode(), "Keep-Alive: timeout=8")
+    )
 
 
-class StandInWorker:
+class ScriptedWorker:
     """Counts what it receives. A script may close or reset the stream, which ends its connection."""
 
     def __init__(self, script: Script, reads_bodies: bool = True) -> None:
@@ -96,7 +98,7 @@
         for stream in self.streams:
             stream.close()
 
-    def resets(self, stream: BaseIOStream) -> None:
+    def reset_stream(self, stream: BaseIOStream) -> None:
         if isinstance(stream, SimulatedStream):
             stream.endpoint.network.break_connection(stream.endpoint.peer)
         elif isinstance(stream, IOStream):
@@ -111,24 +113,24 @@
         try:
             while not stream.closed():
                 number += 1
-                turn = Turn(self, stream, connection, number)
-                await self._read(turn)
-                await self.script(turn)
+                received_request = ReceivedRequest(self, stream, connection, number)
+                await self._read(received_request)
+                await self.script(received_request)
         except StreamClosedError:
             pass
         finally:
             stream.close()
             self.open -= 1
 
-    async def _read(self, turn: Turn) -> None:
-        head = (await turn.stream.read_until(b"\r\n\r\n")).decode("latin-1")
+    async def _read(self, received_request: ReceivedRequest) -> None:
+        head = (await received_request.stream.read_until(b"\r\n\r\n")).decode("latin-1")
         first, *lines = head.split("\r\n")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
-        turn.id, turn.method = headers.get(ECHO.lower(), ""), first.split(" ")[0]
-        self.received[turn.id] += 1
+        received_request.id, received_request.method = headers.get(ECHO.lower(), ""), first.split(" ")[0]
+        self.received[received_request.id] += 1
         length = int(headers.get("content-length", "0"))
         if length and self.reads_bodies:
-            turn.body = self.bodies[turn.id] = await turn.stream.read_bytes(length)
+            received_request.body = self.bodies[received_request.id] = await received_request.stream.read_bytes(length)
 
 
 class Outcome(msgspec.Struct):
@@ -138,30 +140,30 @@
     body: bytes
     fault: HttpFault | None
 
-    def told(self) -> tuple[str, bool, bool]:
+    def fault_summary(self) -> tuple[str, bool, bool]:
         assert self.fault is not None
-        return self.fault.kind, self.fault.request_sent, self.fault.on_kept_connection
+        return self.fault.kind, self.fault.request_sent, self.fault.on_reused_connection
 
 
-async def take_answer(exchange: HttpExchange) -> Outcome:
+async def read_answer(exchange: HttpExchange) -> Outcome:
     head = await exchange.head()
     if not isinstance(head, Success):
         return Outcome(None, b"", head.failure())
     body = b""
     while True:
-        piece = await exchange.next_piece()
-        if not isinstance(piece, Success):
-            return Outcome(head.unwrap(), body, piece.failure())
-        data = piece.unwrap()
+        chunk = await exchange.next_chunk()
+        if not isinstance(chunk, Success):
+            return Outcome(head.unwrap(), body, chunk.failure())
+        data = chunk.unwrap()
         if data is None:
             return Outcome(head.unwrap(), body, None)
         body += data
 
 
-class Bed:
+class Testbed:
     """A worker, a client that keeps connections, and the world they share."""
 
-    def __init__(self, worker: StandInWorker, clock: Clock) -> None:
+    def __init__(self, worker: ScriptedWorker, clock: Clock) -> None:
         self.worker = worker
         self.clock = clock
         self.address = Address("127.0.0.1", 0)
@@ -190,33 +192,33 @@
         return self.client.start(self.request(body, **more))
 
     async def call(self, body: bytes = b"", **more: object) -> Outcome:
-        return await take_answer(self.start(body, **more))
+        return await read_answer(self.start(body, **more))
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while not condition():
                 await asyncio.sleep(0.001)
 
 
 class Scenario(Protocol):
-    async def __call__(self, bed: Bed) -> None: ...
+    async def __call__(self, testbed: Testbed) -> None: ...
 
 
-def run_on_loopback(scenario: Scenario, worker: StandInWorker, limits: ConnectionLimits | None = None) -> None:
+def run_on_loopback(scenario: Scenario, worker: ScriptedWorker, limits: ConnectionLimits | None = None) -> None:
     """Real sockets and real time."""
 
     async def main() -> None:
         problems: list[str] = []
-        network, bed = RealNetwork(), Bed(worker, RealClock())
+        network, testbed = RealNetwork(), Testbed(worker, RealClock())
         tasks = RealTasks(mock.Mock(), problems.append)
-        bed.network = network
-        bed.address = worker.start(network, [Address("127.0.0.1", port) for port in range(23400, 23700)])
-        bed.client = PooledHttpClient(network, bed.clock, tasks, limits)
+        testbed.network = network
+        testbed.address = worker.start(network, [Address("127.0.0.1", port) for port in range(23400, 23700)])
+        testbed.client = PooledHttpClient(network, testbed.clock, tasks, limits)
         try:
-            async with asyncio.timeout(3 * PATIENCE):
-                await scenario(bed)
+            async with asyncio.timeout(3 * WAIT_LIMIT_S):
+                await scenario(testbed)
         finally:
-            bed.client.close()
+            testbed.client.close()
             worker.stop()
             await asyncio.sleep(0)
         assert not problems, problems
@@ -225,7 +227,7 @@
 
 
 def run_in_simulation(
-    scenario: Scenario, worker: StandInWorker, limits: ConnectionLimits | None = None, seed: int = 1
+    scenario: Scenario, worker: ScriptedWorker, limits: ConnectionLimits | None = None, seed: int = 1
 ) -> None:
     """Virtual time, bytes split anywhere."""
     done: list[bool] = []
@@ -235,11 +237,11 @@
             worker.start(context.network, [address_of(world.machines["worker"], PORT)])
 
         async def run(context: Context) -> None:
-            bed = Bed(worker, context.clock)
-            bed.world, bed.network = world, context.network
-            bed.address = address_of(world.machines["worker"], PORT)
-            bed.client = PooledHttpClient(context.network, context.clock, context.tasks, limits)
-            await scenario(bed)
+            testbed = Testbed(worker, context.clock)
+            testbed.world, testbed.network = world, context.network
+            testbed.address = address_of(world.machines["worker"], PORT)
+            testbed.client = PooledHttpClient(context.network, context.clock, context.tasks, limits)
+            await scenario(testbed)
             done.append(True)
 
         world.start("worker", serve)
--- a/wingwood/context/tests/test_answer_parser.py
+++ b/wingwood/context/tests/test_answer_parser.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from ..answer_parser import AnswerParser
-from ..http_exchange import HEAD_BYTES, ChunkDecoder
+from ..http_exchange import MAX_HEAD_BYTES, ChunkDecoder
 
 ECHO = ("X-Id", "one")
 
@@ -24,7 +24,7 @@
             if parser.outcome != "under way":
                 parser.surplus += sum(map(len, pieces[at + 1 :]))
     if parser.outcome == "under way":
-        parser.take_end()
+        parser.on_connection_end()
     surplus = parser.surplus if parser.outcome == "ended" else 0
     persistent = parser.outcome == "ended" and parser.persistent
     return parser.outcome, parser.head, body, surplus, persistent, parser.idle_timeout if persistent else None
@@ -139,13 +139,13 @@
             b"HTTP/2 200 OK\r\nContent-Length: 0\r\n\r\n",
             b"http/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
             b"\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-            b"HTTP/1.1 100 Continue\r\n\r\n" * (HEAD_BYTES // 25 + 1),
+            b"HTTP/1.1 100 Continue\r\n\r\n" * (MAX_HEAD_BYTES // 25 + 1),
         ):
             with self.subTest(head=head[:60]):
                 self.assertEqual(self.outcome(head), "malformed")
 
     def test_refused_without_waiting_for_more(self) -> None:
-        for beginning in (b"SSH-2.0", b"X", b"HTTP/1.1 200 OK\n", b"HTTP/1.1 200 OK\r\n" + b"x" * HEAD_BYTES):
+        for beginning in (b"SSH-2.0", b"X", b"HTTP/1.1 200 OK\n", b"HTTP/1.1 200 OK\r\n" + b"x" * MAX_HEAD_BYTES):
             parser = AnswerParser("POST")
             parser.take(beginning)
             self.assertEqual(parser.outcome, "malformed", beginning[:40])
@@ -163,7 +163,7 @@
         self.assertEqual(self.outcome(head % b"", ("X-Id", "")), "ended")
         self.assertEqual(self.outcome(head % b"X-Id: one\r\n", ("X-Id", "")), "foreign")
 
-    def test_interim_answers_tell_nothing_of_the_answer(self) -> None:
+    def test_interim_answers_do_not_affect_the_final_answer(self) -> None:
         early = b"HTTP/1.1 103 Early\r\nX-Id: two\r\nConnection: close\r\nKeep-Alive: timeout=9\r\n\r\n"
         outcome, _, body, surplus, persistent, idle = read(
             [early + b"HTTP/1.1 200 OK\r\nX-Id: one\r\nContent-Length: 2\r\n\r\nok"], echo=ECHO
--- a/wingwood/context/tests/test_http_clients.py
+++ b/wingwood/context/tests/test_http_clients.py
@@ -22,18 +22,18 @@
 from ..real import RealClock, RealNetwork, RealTasks
 from ..stream_client import StreamHttpClient
 
-PATIENCE = 5.0
+WAIT_LIMIT_S = 5.0
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class NastyServer:
+class MisbehavingServer:
     """Takes each connection's request whole, then follows the script it was given."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
         self.requests: list[bytes] = []
         self.connections = 0
-        self.left = asyncio.Event()
+        self.client_closed = asyncio.Event()
         """The client has closed a connection."""
         self.address = Address("127.0.0.1", 0)
 
@@ -62,7 +62,7 @@
             self.requests.append(head + await reader.readexactly(length))
             await self._script(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
-            self.left.set()
+            self.client_closed.set()
         except asyncio.CancelledError:
             pass
         finally:
@@ -120,11 +120,11 @@
 async def read_all(exchange: HttpExchange) -> tuple[bytes, HttpFault | None]:
     body = b""
     while True:
-        match await exchange.next_piece():
+        match await exchange.next_chunk():
             case Success(None):
                 return body, None
-            case Success(piece):
-                body += piece
+            case Success(chunk):
+                body += chunk
             case Failure(fault):
                 return body, fault
 
@@ -141,13 +141,13 @@
         async def asyncSetUp(self) -> None:
             self.client = self.make_client()
 
-        async def serve(self, script: Script) -> NastyServer:
-            server = NastyServer(script)
+        async def serve(self, script: Script) -> MisbehavingServer:
+            server = MisbehavingServer(script)
             await server.start()
             self.addAsyncCleanup(server.stop)
             return server
 
-        def call(self, server: NastyServer, body: bytes = b"hello", **more: object) -> HttpExchange:
+        def call(self, server: MisbehavingServer, body: bytes = b"hello", **more: object) -> HttpExchange:
             fields: dict[str, object] = {
                 "method": "POST",
                 "address": server.address,
@@ -158,22 +158,22 @@
             return self.client.start(HttpRequest(**fields))  # type: ignore[arg-type]
 
         async def head_of(self, exchange: HttpExchange) -> HttpHead:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 return (await exchange.head()).unwrap()
 
         async def fault_of(self, exchange: HttpExchange) -> HttpFault:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 return (await exchange.head()).failure()
 
         async def outcome(self, *parts: bytes, reset: bool = False) -> tuple[HttpHead, bytes, HttpFault | None]:
             server = await self.serve(answers(*parts, reset=reset))
             exchange = self.call(server)
             head = await self.head_of(exchange)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 body, fault = await read_all(exchange)
             return head, body, fault
 
-        async def test_whole_answers_by_length_and_chunks(self) -> None:
+        async def test_complete_answers_by_length_and_chunks(self) -> None:
             head, body, fault = await self.outcome(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-A: b\r\n\r\nworld")
             self.assertEqual((head.status, head.framing, head.header("x-a")), (200, "length", "b"))
             self.assertEqual((body, fault), (b"world", None))
@@ -182,7 +182,7 @@
             )
             self.assertEqual((head.framing, body, fault), ("chunked", b"world", None))
 
-        async def test_request_goes_out_to_the_byte(self) -> None:
+        async def test_request_is_written_byte_for_byte(self) -> None:
             server = await self.serve(answers(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
             body = bytes(range(256)) * 5000  # Above the size at which libcurl would ask with Expect.
             headers = (("X-Empty", ""), ("X-Two", "1"), ("X-Two", "2"), ("X-Latin", "ol\xe9"))
@@ -206,7 +206,7 @@
             self.assertEqual([request.split(b" ")[0] for request in server.requests], [b"HEAD", b"DELETE"])
 
         async def fault_or_head(self, exchange: HttpExchange) -> None:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 await exchange.head()
 
         async def test_closed_without_answer_is_sent_once(self) -> None:
@@ -222,10 +222,10 @@
             for calls in range(1, 4):
                 exchange = self.call(server, headers=(("Connection", "keep-alive"),))
                 await self.head_of(exchange)
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(WAIT_LIMIT_S):
                     self.assertEqual(await read_all(exchange), (b"ok", None))
-                    await server.left.wait()
-                server.left.clear()
+                    await server.client_closed.wait()
+                server.client_closed.clear()
                 self.assertEqual(server.connections, calls)
 
         async def test_refused_connection_is_not_sent(self) -> None:
@@ -246,11 +246,11 @@
             exchange = self.call(server, last_check=refuse)
             fault = await self.fault_of(exchange)
             self.assertEqual((fault.kind, fault.request_sent, asked), ("cancelled", False, [True]))
-            async with asyncio.timeout(PATIENCE):
-                await server.left.wait()
+            async with asyncio.timeout(WAIT_LIMIT_S):
+                await server.client_closed.wait()
             self.assertEqual(server.requests, [])
 
-        async def test_half_an_answer_is_broken(self) -> None:
+        async def test_truncated_answer_is_broken(self) -> None:
             cuts = {
                 b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf": b"half",
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n": b"half",
@@ -268,13 +268,13 @@
                     self.assertTrue(body.startswith(got))
                     self.assertEqual((fault and fault.kind, fault and fault.request_sent), ("broken", True))
 
-        async def test_half_a_head_is_a_fault(self) -> None:
+        async def test_truncated_head_is_a_fault(self) -> None:
             server = await self.serve(answers(b"HTTP/1.1 200 OK\r\nContent-Le"))
             fault = await self.fault_of(self.call(server))
             self.assertIn(fault.kind, ("broken", "malformed"))
             self.assertTrue(fault.request_sent)
 
-        async def test_read_until_close_is_told_as_such(self) -> None:
+        async def test_read_until_close_is_reported_in_the_framing(self) -> None:
             head, body, fault = await self.outcome(b"HTTP/1.1 200 OK\r\n\r\n", b"looks whole")
             self.assertEqual((head.framing, body, fault), ("close", b"looks whole", None))
 
@@ -283,7 +283,7 @@
                 server = await self.serve(answers_and_resets(*parts))
                 exchange = self.call(server)
                 head = await self.head_of(exchange)
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(WAIT_LIMIT_S):
                     _, fault = await read_all(exchange)
                 self.assertEqual(head.framing, "close")
                 self.assertEqual((fault and fault.kind, fault and fault.request_sent), ("broken", True))
@@ -319,7 +319,7 @@
             server = await self.serve(answers(b"HTTP/1.1 307 X\r\nLocation: /again\r\nContent-Length: 0\r\n\r\n"))
             exchange = self.call(server)
             head = await self.head_of(exchange)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 self.assertEqual(await read_all(exchange), (b"", None))
             self.assertEqual((head.status, head.header("Location"), len(server.requests)), (307, "/again", 1))
 
@@ -342,15 +342,15 @@
             )
             self.assertEqual((body, fault), (b"ok", None))
 
-        async def test_pieces_come_while_the_answer_is_under_way(self) -> None:
+        async def test_chunks_arrive_while_the_answer_is_in_progress(self) -> None:
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             server = await self.serve(answers_and_waits(head, b"6\r\npiece1\r\n"))
             exchange = self.call(server)
             await self.head_of(exchange)
-            async with asyncio.timeout(PATIENCE):
-                self.assertEqual((await exchange.next_piece()).unwrap(), b"piece1")
+            async with asyncio.timeout(WAIT_LIMIT_S):
+                self.assertEqual((await exchange.next_chunk()).unwrap(), b"piece1")
 
-        async def test_a_wait_that_is_given_up_loses_no_piece(self) -> None:
+        async def test_wait_that_times_out_loses_no_chunk(self) -> None:
             go_on = asyncio.Event()
 
             async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -363,12 +363,12 @@
             await self.head_of(exchange)
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0):
-                    await exchange.next_piece()
+                    await exchange.next_chunk()
             go_on.set()
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 self.assertEqual(await read_all(exchange), (b"piece", None))
 
-        async def test_silence_ends_by_cancel_and_closes_at_once(self) -> None:
+        async def test_cancel_during_silence_closes_at_once(self) -> None:
             for parts in ((), (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",)):
                 server = await self.serve(answers_and_waits(*parts))
                 exchange = self.call(server)
@@ -380,8 +380,8 @@
                             await exchange.head()
                 async with asyncio.timeout(0.1):
                     exchange.cancel()
-                    await server.left.wait()
-                fault = (await exchange.next_piece()).failure()
+                    await server.client_closed.wait()
+                fault = (await exchange.next_chunk()).failure()
                 self.assertEqual((fault.kind, fault.request_sent), ("cancelled", True))
                 exchange.cancel()
 
@@ -393,7 +393,7 @@
             async with asyncio.timeout(0.1):
                 self.assertEqual((await waiting).failure().kind, "cancelled")
 
-        async def test_cancel_before_the_connection_stands_sends_nothing(self) -> None:
+        async def test_cancel_before_the_connection_is_open_sends_nothing(self) -> None:
             server = await self.serve(answers())
             exchange = self.call(server)
             exchange.cancel()
@@ -403,11 +403,11 @@
             self.assertEqual(len(server.requests), 1)
 
         async def fill(self, exchange: HttpExchange) -> None:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 while not exchange.is_full():  # type: ignore[attr-defined]
                     await asyncio.sleep(0)
 
-        async def test_slow_reader_holds_the_sender_back(self) -> None:
+        async def test_slow_reader_pauses_the_sender(self) -> None:
             server = await self.serve(floods)
             exchange = self.call(server)
             await self.head_of(exchange)
@@ -416,19 +416,19 @@
                 await asyncio.sleep(0)
             self.assertLessEqual(exchange._buffered, 256 * 1024)  # type: ignore[attr-defined]
             total = 0
-            async with asyncio.timeout(4 * PATIENCE):
-                while (piece := (await exchange.next_piece()).unwrap()) is not None:
-                    total += len(piece)
+            async with asyncio.timeout(4 * WAIT_LIMIT_S):
+                while (chunk := (await exchange.next_chunk()).unwrap()) is not None:
+                    total += len(chunk)
             self.assertEqual(total, 67108864)
 
-        async def test_held_back_call_can_be_cancelled(self) -> None:
+        async def test_paused_call_can_be_cancelled(self) -> None:
             server = await self.serve(floods)
             exchange = self.call(server)
             await self.head_of(exchange)
             await self.fill(exchange)
             async with asyncio.timeout(0.1):
                 exchange.cancel()
-                await server.left.wait()
+                await server.client_closed.wait()
 
         async def test_many_calls_run_side_by_side(self) -> None:
             server = await self.serve(answers_and_waits(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"))
@@ -463,7 +463,7 @@
     async def test_trailers_are_neither_body_nor_head(self) -> None:
         parts = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"2\r\nok\r\n0\r\nX-Late: 1\r\n\r\n"
         exchange = self.call(await self.serve(answers(*parts)))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             self.assertEqual(await read_all(exchange), (b"ok", None))
         self.assertIsNone((await self.head_of(exchange)).header("X-Late"))
 
--- a/wingwood/context/tests/test_http_descriptors.py
+++ b/wingwood/context/tests/test_http_descriptors.py
@@ -11,7 +11,7 @@
 from tornado.iostream import BaseIOStream
 
 from ...identifiers import Address
-from ..real import OTHER_DESCRIPTORS, RealNetwork
+from ..real import RESERVED_DESCRIPTORS, RealNetwork
 
 
 class Descriptors(unittest.IsolatedAsyncioTestCase):
@@ -37,5 +37,5 @@
         self.assertTrue(await self.taken(network, 23391))
         lowest_free = os.dup(0)
         os.close(lowest_free)
-        network._descriptors = OTHER_DESCRIPTORS + lowest_free
+        network._system_descriptor_limit = RESERVED_DESCRIPTORS + lowest_free
         self.assertFalse(await self.taken(network, 23392))
--- a/wingwood/context/tests/test_pooled_soak.py
+++ b/wingwood/context/tests/test_pooled_soak.py
@@ -18,7 +18,16 @@
 from ..connection_pool import ConnectionLimits, PooledConnection
 from ..pooled_client import PooledHttpClient
 from ..protocols import HttpExchange, HttpFault, HttpHead, HttpRequest
-from .stand_in_worker import ECHO, Bed, Outcome, StandInWorker, Turn, run_in_simulation, run_on_loopback, take_answer
+from .scripted_worker import (
+    ECHO,
+    Outcome,
+    ReceivedRequest,
+    ScriptedWorker,
+    Testbed,
+    read_answer,
+    run_in_simulation,
+    run_on_loopback,
+)
 
 CALLERS = 6
 CALLS = 40
@@ -31,88 +40,103 @@
     def __init__(self, random: Random) -> None:
         self._random = random
 
-    async def __call__(self, turn: Turn) -> None:
+    async def __call__(self, received_request: ReceivedRequest) -> None:
         random = self._random
-        if turn.number > 1 and random.random() < 0.05:
-            await turn.send(turn.answer(b"body of earlier", id="earlier"))
+        if received_request.number > 1 and random.random() < 0.05:
+            await received_request.send(received_request.answer(b"body of earlier", id="earlier"))
         await asyncio.sleep(random.choice([0.0, 0.0, 0.001, 0.005]))
         behaviour = random.choices(
-            ["whole", "chunks", "no length", "cut", "reset", "silent close", "stray", "close", "garbage", "early"],
+            [
+                "complete",
+                "chunks",
+                "no length",
+                "truncated",
+                "reset",
+                "silent close",
+                "stray",
+                "close",
+                "garbage",
+                "early",
+            ],
             [50, 15, 4, 4, 4, 4, 5, 5, 2, 2],
         )[0]
-        answer = turn.answer(self.body(turn.id), "Keep-Alive: timeout=1")
+        answer = received_request.answer(self.body(received_request.id), "Keep-Alive: timeout=1")
         match behaviour:
-            case "whole":
-                await turn.send(answer)
+            case "complete":
+                await received_request.send(answer)
             case "chunks":
-                await self._send_chunks(turn)
+                await self._send_chunks(received_request)
             case "no length":
-                head = f"HTTP/1.1 200 OK\r\n{ECHO}: {turn.id}\r\n\r\n".encode()
-                await turn.send(head + self.body(turn.id))
-                turn.stream.close()
-            case "cut":
-                await turn.send(answer[: random.randint(1, len(answer) - 1)])
-                turn.stream.close()
+                head = f"HTTP/1.1 200 OK\r\n{ECHO}: {received_request.id}\r\n\r\n".encode()
+                await received_request.send(head + self.body(received_request.id))
+                received_request.stream.close()
+            case "truncated":
+                await received_request.send(answer[: random.randint(1, len(answer) - 1)])
+                received_request.stream.close()
             case "reset":
-                await turn.send(answer[: random.randint(1, len(answer) - 1)])
-                turn.reset()
+                await received_request.send(answer[: random.randint(1, len(answer) - 1)])
+                received_request.reset()
             case "silent close":
-                turn.stream.close()
+                received_request.stream.close()
             case "stray":
-                await turn.send(answer)
+                await received_request.send(answer)
                 await asyncio.sleep(random.choice([0.0, 0.001, 0.01]))
-                await turn.send(turn.answer(b"body of stray", id="stray"))
+                await received_request.send(received_request.answer(b"body of stray", id="stray"))
             case "close":
-                await turn.send(turn.answer(self.body(turn.id), "Connection: close"))
+                await received_request.send(
+                    received_request.answer(self.body(received_request.id), "Connection: close")
+                )
             case "garbage":
-                await turn.send(random.randbytes(300))
+                await received_request.send(random.randbytes(300))
             case "early":
-                await turn.send(answer)
-                turn.reset()
+                await received_request.send(answer)
+                received_request.reset()
 
     @staticmethod
     def body(id: str) -> bytes:
         return f"body of {id}".encode() * 3
 
-    async def _send_chunks(self, turn: Turn) -> None:
-        await turn.send(f"HTTP/1.1 200 OK\r\n{ECHO}: {turn.id}\r\nTransfer-Encoding: chunked\r\n\r\n".encode())
-        for piece in (self.body(turn.id)[:5], self.body(turn.id)[5:]):
+    async def _send_chunks(self, received_request: ReceivedRequest) -> None:
+        await received_request.send(
+            f"HTTP/1.1 200 OK\r\n{ECHO}: {received_request.id}\r\nTransfer-Encoding: chunked\r\n\r\n".encode()
+        )
+        for chunk in (self.body(received_request.id)[:5], self.body(received_request.id)[5:]):
             await asyncio.sleep(0.0005)
-            await turn.send(f"{len(piece):x}\r\n".encode() + piece + b"\r\n")
-        await turn.send(b"0\r\n\r\n")
+            await received_request.send(f"{len(chunk):x}\r\n".encode() + chunk + b"\r\n")
+        await received_request.send(b"0\r\n\r\n")
 
 
-def soak(seed: int, make_client: Callable[[Bed], None] | None = None, on_loopback: bool = False) -> Counts:
+def soak(seed: int, make_client: Callable[[Testbed], None] | None = None, on_loopback: bool = False) -> Counts:
     """Plays it and judges each call; raises AssertionError at what must not be."""
     random = Random(seed)
-    worker = StandInWorker(MisbehavingWorker(Random(seed + 1000)))
+    worker = ScriptedWorker(MisbehavingWorker(Random(seed + 1000)))
     counts = Counts()
 
-    async def caller(bed: Bed, name: str) -> None:
+    async def caller(testbed: Testbed, name: str) -> None:
         for number in range(CALLS):
             identifier = f"{name}-{number}"
             within = Seconds(0.02) if random.random() < 0.3 else None
-            exchange = bed.start(b"x" * random.choice([0, 100, 55_000]), id=identifier, reuse_within=within)
+            exchange = testbed.start(b"x" * random.choice([0, 100, 55_000]), id=identifier, reuse_within=within)
             try:
                 async with asyncio.timeout(2.0):
-                    outcome = await take_answer(exchange)
+                    outcome = await read_answer(exchange)
             except TimeoutError:
                 exchange.cancel()
-                outcome = await take_answer(exchange)
+                outcome = await read_answer(exchange)
             judge(identifier, outcome, worker)
             counts.add(outcome)
             await asyncio.sleep(random.choice([0.0, 0.001, 0.004, 0.02]))
 
-    async def scenario(bed: Bed) -> None:
+    async def scenario(testbed: Testbed) -> None:
         if make_client is not None:
-            make_client(bed)
+            make_client(testbed)
         async with asyncio.TaskGroup() as group:
             for number in range(CALLERS):
-                group.create_task(caller(bed, f"caller-{number}"))
-        pool = bed.client.pool
+                group.create_task(caller(testbed, f"caller-{number}"))
+        pool = testbed.client.pool
         assert pool.open_connections() == pool.idle_connections(), "a place was not given back"
-        assert bed.client.calls() == 0
-        counts.reused = bed.client.counts.reused
+        assert testbed.client.calls() == 0
+        counts.reused = testbed.client.counts.reused
 
     limits = ConnectionLimits(per_address=CALLERS)
     if on_loopback:
@@ -126,20 +150,20 @@
 
 class Counts:
     def __init__(self) -> None:
-        self.whole = 0
+        self.complete = 0
         self.faults: dict[str, int] = {}
-        self.on_kept = 0
+        self.on_reused = 0
         self.reused = 0
 
     def add(self, outcome: Outcome) -> None:
         if outcome.fault is None:
-            self.whole += 1
+            self.complete += 1
         else:
             self.faults[outcome.fault.kind] = self.faults.get(outcome.fault.kind, 0) + 1
-            self.on_kept += outcome.fault.on_kept_connection
+            self.on_reused += outcome.fault.on_reused_connection
 
 
-def judge(identifier: str, outcome: Outcome, worker: StandInWorker) -> None:
+def judge(identifier: str, outcome: Outcome, worker: ScriptedWorker) -> None:
     expected = MisbehavingWorker.body(identifier)
     assert expected.startswith(outcome.body), f"{identifier} got {outcome.body!r}"
     if outcome.fault is None:
@@ -148,7 +172,7 @@
         assert times == 1, f"{identifier} sent twice" if times else f"{identifier} answered and never received"
     elif not outcome.fault.request_sent:
         assert worker.received[identifier] == 0, f"{identifier} was received, and told as unsent"
-    if outcome.fault is not None and outcome.fault.on_kept_connection:
+    if outcome.fault is not None and outcome.fault.on_reused_connection:
         assert outcome.head is None and outcome.fault.kind == "broken"
 
 
@@ -157,13 +181,13 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 counts = soak(seed)
-                self.assertGreater(counts.whole, CALLERS * CALLS // 2)
+                self.assertGreater(counts.complete, CALLERS * CALLS // 2)
                 self.assertGreater(counts.reused, CALLERS * CALLS // 4)
                 self.assertGreater(counts.faults["broken"], 0)
 
     def test_on_loopback(self) -> None:
         counts = soak(1, on_loopback=True)
-        self.assertGreater(counts.whole, CALLERS * CALLS // 2)
+        self.assertGreater(counts.complete, CALLERS * CALLS // 2)
         self.assertGreater(counts.reused, CALLERS * CALLS // 4)
 
 
@@ -177,13 +201,13 @@
 
     async def head(self) -> Result[HttpHead, HttpFault]:
         head = await self._exchange.head()
-        if isinstance(head, Failure) and head.failure().on_kept_connection:
+        if isinstance(head, Failure) and head.failure().on_reused_connection:
             self._exchange = self._client.start(self._request)
             head = await self._exchange.head()
         return head
 
-    async def next_piece(self) -> Result[bytes | None, HttpFault]:
-        return await self._exchange.next_piece()
+    async def next_chunk(self) -> Result[bytes | None, HttpFault]:
+        return await self._exchange.next_chunk()
 
     def cancel(self) -> None:
         self._exchange.cancel()
@@ -193,7 +217,7 @@
 
 
 class BrokenVariants(unittest.TestCase):
-    def caught(self, said: str, make_client: Callable[[Bed], None] | None = None) -> int:
+    def count_objections(self, said: str, make_client: Callable[[Testbed], None] | None = None) -> int:
         """In how many seeds the checks object, all with these words."""
         objections = 0
         for seed in SEEDS:
@@ -205,52 +229,52 @@
         return objections
 
     def test_resending_is_caught(self) -> None:
-        def make(bed: Bed) -> None:
-            bed.start = lambda body=b"", **more: Resending(bed.client, bed.request(body, **more))  # type: ignore[method-assign]
+        def make(testbed: Testbed) -> None:
+            testbed.start = lambda body=b"", **more: Resending(testbed.client, testbed.request(body, **more))  # type: ignore[method-assign]
 
-        self.assertGreater(self.caught("sent twice", make), len(SEEDS) // 2)
+        self.assertGreater(self.count_objections("sent twice", make), len(SEEDS) // 2)
 
-    def test_believing_every_answer_is_caught(self) -> None:
+    def test_skipping_the_echo_check_is_caught(self) -> None:
         with mock.patch.object(AnswerParser, "_is_foreign", lambda self, echoed: False):
-            self.assertGreater(self.caught(" got b'body of"), len(SEEDS) // 2)
+            self.assertGreater(self.count_objections(" got b'body of"), len(SEEDS) // 2)
 
-    def test_reusing_what_showed_something_is_caught(self) -> None:
+    def test_reusing_ended_or_stray_connections_is_caught(self) -> None:
         """Half of the connections end while they rest, the other half get a stray answer."""
 
-        async def answer(turn: Turn) -> None:
-            await turn.send(turn.answer(MisbehavingWorker.body(turn.id)))
+        async def answer(received_request: ReceivedRequest) -> None:
+            await received_request.send(received_request.answer(MisbehavingWorker.body(received_request.id)))
             await asyncio.sleep(0.001)
-            if turn.connection % 2:
-                turn.stream.close()
+            if received_request.connection % 2:
+                received_request.stream.close()
             else:
-                await turn.send(turn.answer(b"stray", id="stray"))
+                await received_request.send(received_request.answer(b"stray", id="stray"))
 
-        def spoiled() -> int:
+        def count_faults() -> int:
             faults: list[HttpFault] = []
 
-            async def scenario(bed: Bed) -> None:
+            async def scenario(testbed: Testbed) -> None:
                 for _ in range(10):
-                    outcome = await bed.call()
+                    outcome = await testbed.call()
                     faults.extend([outcome.fault] if outcome.fault is not None else [])
                     await asyncio.sleep(0.02)
 
-            run_in_simulation(scenario, StandInWorker(answer))
+            run_in_simulation(scenario, ScriptedWorker(answer))
             return len(faults)
 
-        self.assertEqual(spoiled(), 0)
+        self.assertEqual(count_faults(), 0)
         with (
-            mock.patch.object(PooledConnection, "shows_nothing", _believes_in_it),
-            mock.patch.object(PooledConnection, "_take_events", _only_in_use(PooledConnection._take_events)),
+            mock.patch.object(PooledConnection, "is_open_and_quiet", _always_usable),
+            mock.patch.object(PooledConnection, "_on_events", _watch_only_in_use(PooledConnection._on_events)),
         ):
-            self.assertEqual(spoiled(), 5)
+            self.assertEqual(count_faults(), 5)
 
 
-def _believes_in_it(connection: PooledConnection) -> bool:
-    connection.go_on_reading()
+def _always_usable(connection: PooledConnection) -> bool:
+    connection.resume_reading()
     return True
 
 
-def _only_in_use(
+def _watch_only_in_use(
     original: Callable[[PooledConnection, object, int], None],
 ) -> Callable[[PooledConnection, object, int], None]:
     def take(connection: PooledConnection, source: object, events: int) -> None:
--- a/wingwood/context/tests/test_pooled_writes.py
+++ b/wingwood/context/tests/test_pooled_writes.py
@@ -15,7 +15,7 @@
 from ..pooled_client import PooledHttpClient
 from ..protocols import HttpFault, HttpRequest, Listener, NetworkFault, StreamHandler
 from ..real import RealClock, RealTasks
-from .stand_in_worker import take_answer
+from .scripted_worker import read_answer
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 Step = int | bytes | OSError | None
@@ -88,7 +88,7 @@
     def listen(self, address: Address, handle_stream: StreamHandler) -> Result[Listener, NetworkFault]:
         raise NotImplementedError
 
-    def most_connections(self) -> int:
+    def connection_limit(self) -> int:
         return 1
 
 
@@ -105,7 +105,7 @@
             stream.loop.fire(event)
         if events == [] and client.calls():
             exchange.cancel()
-        outcome = await take_answer(exchange)
+        outcome = await read_answer(exchange)
         self.assertEqual(exchange.request_sent(), outcome.fault is None or outcome.fault.request_sent)
         self.assertEqual((client.pool.open_connections(), stream.closed()), (0, True))
         return outcome.body if outcome.fault is None else outcome.fault
--- a/wingwood/context/tests/test_real_network.py
+++ b/wingwood/context/tests/test_real_network.py
@@ -13,10 +13,16 @@
 from tornado.iostream import BaseIOStream, IOStream
 
 from ...identifiers import Address, Seconds
-from ..real import CONNECTIONS_OUT_AT_LEAST, OTHER_DESCRIPTORS, TCP_USER_TIMEOUT, RealNetwork, _Listening
+from ..real import (
+    RESERVED_DESCRIPTORS,
+    RESERVED_OUTGOING_CONNECTIONS,
+    TCP_USER_TIMEOUT_S,
+    RealNetwork,
+    _AcceptingListener,
+)
 
 PORTS = range(23700, 23800)
-SOON = Seconds(1.0)
+WAIT_LIMIT_S = Seconds(1.0)
 
 
 class Sockets(unittest.IsolatedAsyncioTestCase):
@@ -29,18 +35,18 @@
         self.addCleanup(stream.close)
         self.came.set()
 
-    def listen(self, network: RealNetwork) -> tuple[Address, _Listening]:
+    def listen(self, network: RealNetwork) -> tuple[Address, _AcceptingListener]:
         for port in PORTS:
             address = Address("127.0.0.1", port)
             match network.listen(address, self.take):
                 case Success(listener):
                     self.addCleanup(listener.close)
-                    assert isinstance(listener, _Listening)
+                    assert isinstance(listener, _AcceptingListener)
                     return address, listener
         raise AssertionError("no free port")
 
-    async def connected(self, network: RealNetwork, address: Address) -> IOStream:
-        stream = (await network.connect(address, SOON)).unwrap()
+    async def connect(self, network: RealNetwork, address: Address) -> IOStream:
+        stream = (await network.connect(address, WAIT_LIMIT_S)).unwrap()
         assert isinstance(stream, IOStream)
         self.addCleanup(stream.close)
         return stream
@@ -48,20 +54,20 @@
     async def test_options_on_both_ends(self) -> None:
         network = RealNetwork()
         address, _ = self.listen(network)
-        near = await self.connected(network, address)
-        async with asyncio.timeout(SOON):
+        near = await self.connect(network, address)
+        async with asyncio.timeout(WAIT_LIMIT_S):
             await self.came.wait()
         for stream in (near, self.taken[0]):
             assert isinstance(stream, IOStream)
-            told = {
+            options = {
                 name: stream.socket.getsockopt(socket.IPPROTO_TCP, getattr(socket, name))
                 for name in ("TCP_NODELAY", "TCP_USER_TIMEOUT", "TCP_KEEPIDLE", "TCP_KEEPINTVL", "TCP_KEEPCNT")
             }
             self.assertEqual(
-                told,
+                options,
                 {
                     "TCP_NODELAY": 1,
-                    "TCP_USER_TIMEOUT": int(1000 * TCP_USER_TIMEOUT),
+                    "TCP_USER_TIMEOUT": int(1000 * TCP_USER_TIMEOUT_S),
                     "TCP_KEEPIDLE": 1,
                     "TCP_KEEPINTVL": 1,
                     "TCP_KEEPCNT": 2,
@@ -74,15 +80,15 @@
         address, _ = self.listen(network)
         refused = mock.patch("wingwood.context.real._CONNECTION_OPTIONS", ((socket.IPPROTO_TCP, 9999, 1),))
         with refused:
-            await self.connected(network, address)
-            async with asyncio.timeout(SOON):
+            await self.connect(network, address)
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 await self.came.wait()
 
     async def test_address_can_be_taken_again_at_once(self) -> None:
         network = RealNetwork()
         address, listener = self.listen(network)
-        near = await self.connected(network, address)
-        async with asyncio.timeout(SOON):
+        near = await self.connect(network, address)
+        async with asyncio.timeout(WAIT_LIMIT_S):
             await self.came.wait()
         self.taken[0].close()
         near.close()
@@ -92,35 +98,35 @@
         assert isinstance(again, Success)
         again.unwrap().close()
 
-    async def test_given_bound_counts_both_directions(self) -> None:
+    async def test_given_descriptor_limit_counts_both_directions(self) -> None:
         outer = RealNetwork()
-        network = RealNetwork(most_descriptors=OTHER_DESCRIPTORS + 2)
-        self.assertEqual(network.most_connections(), 2)
+        network = RealNetwork(descriptor_limit=RESERVED_DESCRIPTORS + 2)
+        self.assertEqual(network.connection_limit(), 2)
         address, _ = self.listen(network)
-        streams = [await self.connected(outer, address) for _ in range(3)]
-        async with asyncio.timeout(SOON):
+        streams = [await self.connect(outer, address) for _ in range(3)]
+        async with asyncio.timeout(WAIT_LIMIT_S):
             self.assertEqual(await asyncio.get_running_loop().sock_recv(streams[2].socket, 1), b"")
         self.assertEqual((len(self.taken), network.open_connections()), (2, 2))
         self.taken[0].close()
         self.assertEqual(network.open_connections(), 1)
         self.came.clear()
-        await self.connected(outer, address)
-        async with asyncio.timeout(SOON):
+        await self.connect(outer, address)
+        async with asyncio.timeout(WAIT_LIMIT_S):
             await self.came.wait()
 
     async def test_connections_out_beyond_the_bound_fail_at_once(self) -> None:
-        network = RealNetwork(most_descriptors=OTHER_DESCRIPTORS + 1)
+        network = RealNetwork(descriptor_limit=RESERVED_DESCRIPTORS + 1)
         address, _ = self.listen(RealNetwork())
-        streams = [await self.connected(network, address) for _ in range(1 + CONNECTIONS_OUT_AT_LEAST)]
-        fault = (await network.connect(address, SOON)).failure()
+        streams = [await self.connect(network, address) for _ in range(1 + RESERVED_OUTGOING_CONNECTIONS)]
+        fault = (await network.connect(address, WAIT_LIMIT_S)).failure()
         self.assertEqual(fault.kind, "exhausted")
         streams[0].close()
-        await self.connected(network, address)
+        await self.connect(network, address)
 
-    async def test_refused_and_given_up_connections_are_not_counted(self) -> None:
+    async def test_refused_and_cancelled_connections_are_not_counted(self) -> None:
         network = RealNetwork()
-        self.assertEqual((await network.connect(Address("127.0.0.1", 1), SOON)).failure().kind, "refused")
-        opening = asyncio.ensure_future(network.connect(Address("127.0.0.1", 1), SOON))
+        self.assertEqual((await network.connect(Address("127.0.0.1", 1), WAIT_LIMIT_S)).failure().kind, "refused")
+        opening = asyncio.ensure_future(network.connect(Address("127.0.0.1", 1), WAIT_LIMIT_S))
         await asyncio.sleep(0)
         opening.cancel()
         await asyncio.gather(opening, return_exceptions=True)
@@ -133,9 +139,9 @@
         with socket.socket() as raw:
             raw.setblocking(False)
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-            spare = os.dup(0)
-            os.close(spare)
-            resource.setrlimit(resource.RLIMIT_NOFILE, (spare, hard))
+            lowest_free = os.dup(0)
+            os.close(lowest_free)
+            resource.setrlimit(resource.RLIMIT_NOFILE, (lowest_free, hard))
             tries = 0
             accept = listener._accept
 
@@ -145,21 +151,21 @@
                 accept()
 
             try:
-                fault = (await network.connect(address, SOON)).failure()
+                fault = (await network.connect(address, WAIT_LIMIT_S)).failure()
                 self.assertEqual(fault.kind, "exhausted")
                 with mock.patch.object(listener, "_accept", counted):
                     listener._loop.remove_reader(listener._listener)
-                    listener._go_on()
+                    listener._resume()
                     await asyncio.get_running_loop().sock_connect(raw, (address.host, address.port))
                     await asyncio.sleep(0.35)
                     self.assertIn(tries, range(2, 6))
                     self.assertEqual(self.taken, [])
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            async with asyncio.timeout(SOON):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 await self.came.wait()
 
-    async def test_silent_address_is_given_up_in_time(self) -> None:
+    async def test_connecting_to_a_silent_address_times_out(self) -> None:
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
             full.listen(0)
--- a/wingwood/forward/caller_edge.py
+++ b/wingwood/forward/caller_edge.py
@@ -41,7 +41,7 @@
         self._address = address
         self._listener: Listener | None = None
         self._max_connections = min(
-            limits.max_connections, int(context.network.most_connections() * _CALLER_CONNECTIONS_FRACTION)
+            limits.max_connections, int(context.network.connection_limit() * _CALLER_CONNECTIONS_FRACTION)
         )
         self._connections: dict[CallerConnection, None] = {}
         self._parameters = HTTP1ConnectionParameters(
--- a/wingwood/forward/policies/forwarding.py
+++ b/wingwood/forward/policies/forwarding.py
@@ -198,7 +198,7 @@
             last_check=self._may_write,
             reuse=self._limits.reuse,
             reuse_within=None if self._service.repeatable else self._limits.non_repeatable_reuse_within,
-            most_connections=self._policy.most_connections(self._call),
+            connection_limit=self._policy.most_connections(self._call),
         )
 
     # Before the first byte of the answer.
@@ -282,7 +282,7 @@
 
     def _failed(self, fault: HttpFault, run: Literal["unknown", "not-run"]) -> NotAnswered:
         if fault.request_sent:
-            if fault.on_kept_connection:
+            if fault.on_reused_connection:
                 self._call.worker_outcome = "cancelled"  # The worker most likely closed the idle connection.
             else:
                 self._report.failed()
@@ -325,7 +325,7 @@
         self._set_move_within_stream(reader)
         self._check_timers_by(min(self._due_times()))
         while True:
-            chunk_result = await exchange.next_piece()
+            chunk_result = await exchange.next_chunk()
             if isinstance(chunk_result, Failure):
                 return self._interrupted(chunk_result.failure(), reader)
             chunk: bytes | None = chunk_result.unwrap()
--- a/wingwood/forward/tests/test_real_sockets.py
+++ b/wingwood/forward/tests/test_real_sockets.py
@@ -198,7 +198,7 @@
             callers = [await self.send(request("/plain")) for _ in range(3)]
             heads = sorted([(await reader.readline()).split()[1] for reader, _ in callers])
         self.assertEqual(heads, [b"200", b"200", b"503"])
-        self.assertLess(RealNetwork().most_connections() * 0.4 * 2, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        self.assertLess(RealNetwork().connection_limit() * 0.4 * 2, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
     async def test_aborted_answer_has_no_last_chunk(self) -> None:
         self.sends(CHUNKED, chunk(EVENT))
--- a/wingwood/registry/worker_announcements.py
+++ b/wingwood/registry/worker_announcements.py
@@ -143,7 +143,7 @@
                 return None
             body = b""
             while len(body) <= MAX_HEALTH_BYTES:
-                chunk = await exchange.next_piece()
+                chunk = await exchange.next_chunk()
                 if not isinstance(chunk, Success):
                     return None
                 data = chunk.unwrap()
--- a/wingwood/replay/player.py
+++ b/wingwood/replay/player.py
@@ -193,7 +193,7 @@
         body, tail = bytearray(), b""
         last: float | None = None
         while True:
-            got = await exchange.next_piece()
+            got = await exchange.next_chunk()
             if not isinstance(got, Success):
                 return "cut"
             piece = got.unwrap()
