--- a/wingwood/context/answer_parser.py
+++ b/wingwood/context/answer_parser.py
@@ -1,8 +1,8 @@
-"""A strict HTTP/1.1 answer parser on bytes as they come (docs/DESIGN.md section 12.2; RFC 9112).
+"""A strict incremental parser of HTTP/1.1 answers (docs/DESIGN.md section 12.2; RFC 9112).
 
-Stricter than the RFC asks where leniency would let two readers see two answers in the same bytes: no folded
-headers, no bare line ends, no blanks before the colon, no control characters, no contradicting lengths. How the
-bytes are cut into pieces makes no difference to the outcome.
+It is stricter than the RFC where leniency would let two parsers see different answers in the same bytes: it rejects
+folded headers, bare line feeds, blanks before the colon, control characters and contradicting lengths. The outcome
+does not depend on how the bytes are split into reads.
 """
 
 from __future__ import annotations
@@ -14,7 +14,11 @@
 from .protocols import HttpHead
 
 Outcome = Literal["under way", "ended", "malformed", "broken", "foreign"]
-"""``malformed``: no HTTP head; ``broken``: the body breaks its framing; ``foreign``: not the answer to this call."""
+"""The state of an answer.
+
+``malformed``: the head is not valid HTTP. ``broken``: the body violates its framing or the connection ended early.
+``foreign``: the answer belongs to another call.
+"""
 
 _HEAD_END: Final = b"\r\n\r\n"
 _VERSION_PREFIX: Final = b"HTTP/1."
@@ -26,11 +30,11 @@
 _FRAMING_NAMES: Final = frozenset({"content-length", "transfer-encoding"})
 
 _lowered_names: dict[str, str] = {}
-"""Names of headers that were found to be tokens, with their lower case: workers repeat the same few."""
+"""Cache from valid header names to their lower case: workers repeat the same few names."""
 
 
 def _lowercase_token(name: str) -> str | None:
-    """The name in lower case; None when it is no token."""
+    """Returns the name in lower case, or None if it is not a valid header name."""
     lowered = _lowered_names.get(name)
     if lowered is None:
         if not is_token(name):
@@ -42,7 +46,7 @@
 
 
 class AnswerParser:
-    """Reads the answer to one request; interim answers (1xx) are skipped."""
+    """Parses the answer to one request and skips interim answers (1xx)."""
 
     __slots__ = (
         "_chunks",
@@ -65,30 +69,30 @@
     def __init__(self, method: str, echo: tuple[str, str] | None = None, new_connection: bool = True) -> None:
         self.outcome: Outcome = "under way"
         self.problem = ""
-        """Why it is malformed, broken or foreign."""
+        """The reason for the outcome ``malformed``, ``broken`` or ``foreign``."""
         self.head: HttpHead | None = None
         self.started = False
-        """At least one byte has come."""
+        """Whether at least one byte of the answer has arrived."""
         self.persistent = False
-        """The other side lets its connection be used again after this answer."""
+        """Whether the peer allows its connection to be reused after this answer."""
         self.idle_timeout: int | None = None
-        """``Keep-Alive: timeout`` of the head, in seconds."""
+        """The value of ``Keep-Alive: timeout`` in the head, in seconds; None if the head has none."""
         self.surplus = 0
-        """Bytes that came together with the answer's end and lie behind it."""
+        """Number of bytes that arrived after the end of the answer, in the same read."""
         self._method = method
         self._new_connection = new_connection
         self._echo_name = None if echo is None else echo[0].lower()
         self._echo_value = "" if echo is None else echo[1]
         self._pending = bytearray()
-        """Start of a head that is not yet there whole."""
+        """The start of a head that has not arrived completely."""
         self._head_bytes = 0
-        """Size of the heads that have been read, interim answers included."""
+        """Total size of the parsed heads, including those of interim answers."""
         self._remaining = 0
-        """Bytes to come of a body with a length."""
+        """Number of bytes still missing from a body with a length."""
         self._chunks: ChunkDecoder | None = None
 
     def take(self, data: bytes) -> bytes:
-        """The body's bytes in ``data``. To be called while ``outcome`` is ``under way``."""
+        """Parses ``data`` and returns the bytes of the body in it. To be called only while ``outcome`` is ``under way``."""
         self.started = True
         if self.head is None:
             data = self._read_heads(data)
@@ -104,7 +108,7 @@
         return self._read_length_body(data)
 
     def on_connection_end(self) -> None:
-        """The connection has ended in order."""
+        """Handles an orderly end of the connection (FIN)."""
         if self.head is not None and self.head.framing == "close":
             self.outcome = "ended"
         elif self.head is not None:
@@ -116,7 +120,7 @@
         self.outcome = outcome
         self.problem = problem
 
-    # The body.
+    # Parsing of the body.
 
     def _read_length_body(self, data: bytes) -> bytes:
         size = len(data)
@@ -136,10 +140,10 @@
             self.surplus = chunks.surplus
         return body
 
-    # The head.
+    # Parsing of the head.
 
     def _read_heads(self, data: bytes) -> bytes:
-        """Reads up to the end of the last head; what lies behind it."""
+        """Parses heads up to the end of the final one and returns the bytes after it."""
         held = self._pending
         searched = max(0, len(held) - len(_HEAD_END) + 1)
         held += data
@@ -234,5 +238,5 @@
 
 
 def _allows_reuse(connection: str) -> bool:
-    """Whether the value of a ``Connection`` header lets the connection stay."""
+    """Returns whether the value of a ``Connection`` header allows the connection to stay open."""
     return connection.lower() == "keep-alive" or "close" not in {part.strip() for part in connection.lower().split(",")}
--- a/wingwood/context/connection_pool.py
+++ b/wingwood/context/connection_pool.py
@@ -34,7 +34,7 @@
     idle_without_keep_alive: Seconds = Seconds(0.3)
     """Longest rest when the answer told no ``Keep-Alive``."""
 
-    def idle_bound(self, keep_alive_s: int | None) -> Seconds:
+    def max_idle_time(self, keep_alive_s: int | None) -> Seconds:
         """How long a connection may rest after an answer that told so many seconds."""
         if keep_alive_s is None:
             return min(self.idle_without_keep_alive, self.longest_idle)
@@ -178,7 +178,7 @@
         except BlockingIOError:
             count = 0
         except OSError as problem:
-            return self._writing_failed(problem)
+            return self._on_write_error(problem)
         if count and not self._write_started:
             self._write_started = True
             if self.user is not None:
@@ -193,7 +193,7 @@
             self._watch(self._events | IOLoop.WRITE)
         return None
 
-    def _writing_failed(self, problem: OSError) -> OSError | None:
+    def _on_write_error(self, problem: OSError) -> OSError | None:
         """The answer may have come before the error, and then waits to be read: reading finds the end by itself."""
         self._unsent = None
         self._write_failed = True
@@ -280,7 +280,7 @@
             self.close(connection)
         return None
 
-    def undo_take(self, connection: PooledConnection) -> None:
+    def undo_acquire(self, connection: PooledConnection) -> None:
         """Undoes ``acquire``: nothing was written, so its rest goes on."""
         self._add_idle(connection)
 
@@ -324,7 +324,7 @@
 
     def store_idle(self, connection: PooledConnection, keep_alive_s: int | None) -> None:
         """Takes back a connection after an answer whose ``Keep-Alive`` told so many seconds, or which told none."""
-        bound = self.limits.idle_bound(keep_alive_s)
+        bound = self.limits.max_idle_time(keep_alive_s)
         if bound <= 0:
             self.close(connection)
             return
@@ -347,7 +347,7 @@
         self._addresses[connection.address].idle.append(connection)
         self._idle[connection] = None
         if self._sweep is None:
-            self._sweep_later()
+            self._schedule_sweep()
 
     def _remove_idle(self, connection: PooledConnection, state: _AddressState) -> None:
         if state.idle[-1] is connection:
@@ -362,7 +362,7 @@
             self.counts.closed_idle += 1
             self.close(connection)
 
-    def _sweep_later(self) -> None:
+    def _schedule_sweep(self) -> None:
         self._sweep = asyncio.get_running_loop().call_later(_SWEEP_PERIOD_S, self._close_expired)
 
     def _close_expired(self) -> None:
@@ -371,4 +371,4 @@
         for connection in [each for each in self._idle if each.expires <= now]:
             self._close_idle(connection)
         if self._idle:
-            self._sweep_later()
+            self._schedule_sweep()
--- a/wingwood/context/no_disk.py
+++ b/wingwood/context/no_disk.py
@@ -8,14 +8,14 @@
 
 from .protocols import DiskFault
 
-_NONE: Result[None, DiskFault] = Failure(DiskFault("missing", "this daemon has no data folder"))
+_NO_DATA_FOLDER: Result[None, DiskFault] = Failure(DiskFault("missing", "this daemon has no data folder"))
 
 
 class NoDisk:
     """Every method fails: routers keep nothing."""
 
     async def lock(self) -> Result[None, DiskFault]:
-        return _NONE
+        return _NO_DATA_FOLDER
 
     async def names(self) -> Result[Sequence[str], DiskFault]:
         return Failure(DiskFault("missing", "this daemon has no data folder"))
@@ -24,16 +24,16 @@
         return Failure(DiskFault("missing", "this daemon has no data folder"))
 
     async def append(self, name: str, data: bytes, at: int | None = None) -> Result[None, DiskFault]:
-        return _NONE
+        return _NO_DATA_FOLDER
 
     async def write_new(self, name: str, data: bytes) -> Result[None, DiskFault]:
-        return _NONE
+        return _NO_DATA_FOLDER
 
     async def rename(self, name: str, new_name: str) -> Result[None, DiskFault]:
-        return _NONE
+        return _NO_DATA_FOLDER
 
     async def truncate(self, name: str, length: int) -> Result[None, DiskFault]:
-        return _NONE
+        return _NO_DATA_FOLDER
 
     async def remove(self, name: str) -> Result[None, DiskFault]:
-        return _NONE
+        return _NO_DATA_FOLDER
--- a/wingwood/context/pooled_client.py
+++ b/wingwood/context/pooled_client.py
@@ -85,7 +85,7 @@
 
     def start_on_idle(self, connection: PooledConnection) -> None:
         if not self.passes_last_check():
-            self._pool.undo_take(connection)
+            self._pool.undo_acquire(connection)
             self.end(HttpFault("cancelled", False))
             return
         self._pool.counts.reused += 1
--- a/wingwood/context/protocols.py
+++ b/wingwood/context/protocols.py
@@ -1,9 +1,9 @@
-"""What a daemon may ask of the world, as protocols (docs/DESIGN.md section 3).
+"""Protocols of everything that a daemon uses from its environment (docs/DESIGN.md section 3).
 
-The same daemon code runs on the real implementations of this folder and on those of the
-simulator (top-level folder ``simulation``). Tasks, sleeps and timeouts go through asyncio on the
-running loop, which the simulator replaces by one on virtual time; everything else goes through
-these protocols. No daemon code reads a clock, a random source, a file or a socket in any other way.
+The same daemon code runs on the real implementations in this folder and on those of the simulator
+(top-level folder ``simulation``). Tasks, sleeps and timeouts go through asyncio on the running event
+loop, which the simulator replaces by a loop on virtual time; everything else goes through these
+protocols. Daemon code reads a clock, a random source, a file or a socket in no other way.
 """
 
 from __future__ import annotations
@@ -20,89 +20,103 @@
 
 
 class Clock(Protocol):
-    """Time of one process. Durations are seconds."""
+    """The clocks of one process. All durations are in seconds."""
 
     def monotonic(self) -> Instant:
-        """Never goes back; goes on while the process is frozen."""
+        """Returns a time that never goes backwards and that advances while the process is frozen."""
         ...
 
     def wall(self) -> WallTime:
-        """For logs and records only."""
+        """Returns the time of day. It is used for logs and records only, never to measure durations."""
         ...
 
     async def sleep(self, seconds: Seconds) -> None: ...
 
 
 class NetworkFault(msgspec.Struct, frozen=True):
+    """The reason why connecting or listening failed."""
+
     kind: Literal["refused", "timeout", "unreachable", "in-use", "exhausted"]
-    """``exhausted``: this process has no descriptor left for one more connection."""
+    """``exhausted`` means that this process has no file descriptor left for another connection."""
     detail: str = ""
 
 
 class Listener(Protocol):
-    def close(self) -> None: ...
+    """A listening socket."""
+
+    def close(self) -> None:
+        """Stops accepting connections; a second call has no effect."""
+        ...
 
 
 StreamHandler = Callable[[BaseIOStream, Address], Awaitable[None] | None]
 
 
 class Network(Protocol):
-    """TCP by IP number. Streams are tornado streams, so tornado's HTTP server runs on either kind."""
+    """TCP by IP address. Streams are tornado streams, so tornado's HTTP server runs on real and simulated ones."""
 
-    async def connect(self, address: Address, timeout: Seconds) -> Result[BaseIOStream, NetworkFault]: ...
+    async def connect(self, address: Address, timeout: Seconds) -> Result[BaseIOStream, NetworkFault]:
+        """Opens a connection, or fails with ``timeout`` after ``timeout`` seconds."""
+        ...
 
     def listen(self, address: Address, handle_stream: StreamHandler) -> Result[Listener, NetworkFault]:
-        """Calls ``handle_stream`` with each accepted stream; binds at once."""
+        """Binds before it returns, and calls ``handle_stream`` with each accepted stream."""
         ...
 
     def connection_limit(self) -> int:
-        """How many connections of all kinds this process can hold at one time."""
+        """Returns how many connections of all kinds this process can have open at one time."""
         ...
 
 
 class DiskFault(msgspec.Struct, frozen=True):
+    """The reason why a disk operation failed."""
+
     kind: Literal["full", "failed", "locked", "missing"]
     detail: str = ""
 
 
 class Disk(Protocol):
-    """Files of one data folder, by plain names. Nothing lasts until it is synced.
+    """The files of one data folder, addressed by name. Data is durable only once it is synced.
 
-    Every method works off the event loop and may take long when the disk stalls; callers bound
-    their waits. A method that has failed or been left may still have had its effect.
+    Every method works outside the event loop and may take long when the disk stalls, so callers bound
+    their waits. A method that has failed, or that its caller stopped waiting for, may still take effect.
     """
 
     async def lock(self) -> Result[None, DiskFault]:
-        """Holds the folder for this process until it ends; ``locked`` when another has it."""
+        """Locks the folder for this process until the process ends; fails with ``locked`` if another one holds it."""
         ...
 
-    async def names(self) -> Result[Sequence[str], DiskFault]: ...
+    async def names(self) -> Result[Sequence[str], DiskFault]:
+        """Lists the files of the folder in sorted order, without the lock file."""
+        ...
 
     async def read(self, name: str) -> Result[bytes, DiskFault]: ...
 
     async def append(self, name: str, data: bytes, at: int | None = None) -> Result[None, DiskFault]:
-        """Writes at the end (makes the file when missing) and syncs file (and folder when made).
+        """Appends to the file and syncs it; creates a missing file and then syncs the folder too.
 
-        With ``at``: only when the file is there and has that many bytes, else ``missing``: the
-        folder was emptied or changed under this process.
+        If ``at`` is given, the file must exist with exactly that many bytes. Otherwise the call fails with
+        ``missing``, because another process emptied or changed the folder.
         """
         ...
 
     async def write_new(self, name: str, data: bytes) -> Result[None, DiskFault]:
-        """Writes a whole file under ``name`` and syncs it; replaces unsynced leftovers of that name."""
+        """Writes a complete file and syncs it; replaces an unsynced leftover file of that name."""
         ...
 
     async def rename(self, name: str, new_name: str) -> Result[None, DiskFault]:
-        """Replaces atomically, then syncs the folder."""
+        """Renames the file, atomically replacing an existing ``new_name``, then syncs the folder."""
         ...
 
-    async def truncate(self, name: str, length: int) -> Result[None, DiskFault]: ...
+    async def truncate(self, name: str, length: int) -> Result[None, DiskFault]:
+        """Shortens the file to ``length`` bytes and syncs it."""
+        ...
 
     async def remove(self, name: str) -> Result[None, DiskFault]: ...
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """An outgoing call. The body is sent whole, with its length."""
+    """An outgoing call. The body is sent completely, with its ``Content-Length``."""
 
     method: str
     address: Address
@@ -111,119 +125,137 @@
     body: bytes = b""
     connect_timeout: Seconds = Seconds(1.0)
     last_check: Callable[[], bool] | None = None
-    """Asked once, when connected and right before the first byte is written; False cancels the call unsent.
+    """Called once, on an open connection right before the first byte is written; False cancels the call unsent.
 
-    A client that keeps connections may ask it within ``start``.
+    A client that reuses connections may call it from within ``start``.
     """
     reuse: bool = False
-    """The call may go over a kept connection, and its own connection may be kept for later calls."""
+    """Whether the call may use an idle connection, and whether its connection may be retained for later calls."""
     reuse_within: Seconds | None = None
-    """Only a connection that rested at most so long is taken; None leaves it at the client's idle bound.
+    """Longest time for which a reused connection may have been idle; None means the client's own limit.
 
-    The other side may drop an idle connection silently. A call that may not be repeated is in doubt
-    when that shows, so it should only take a connection that rested very shortly.
+    The peer may drop an idle connection silently. The call that finds this out may or may not have run, so a
+    call that must not be repeated should only use a connection that has been idle for a very short time.
     """
     echo: tuple[str, str] | None = None
-    """Name and value of a header that the answer has to carry back; another answer is not this call's.
+    """Name and value of a header that the answer must carry; an answer with another value belongs to another call.
 
-    With an empty value an answer without the header is taken too.
+    If the value is empty, an answer without the header is accepted too.
     """
     connection_limit: int | None = None
-    """Bound on this process's connections to ``address``; None is the client's own bound."""
+    """Maximum number of connections from this process to ``address``; None means the client's own limit."""
 
 
 class HttpHead(msgspec.Struct, frozen=True):
+    """Status and headers of an answer."""
+
     status: int
     headers: tuple[tuple[str, str], ...]
     framing: Literal["length", "chunked", "close", "none"]
-    """How the body's end is known.
+    """How the end of the body is recognized.
 
-    ``close``: the end of the connection. In order (FIN) it is the body's clean end, a reset is a ``broken``
-    fault. A worker that dies in the middle may still end its connection in order.
+    With ``close`` the body ends with the connection: an orderly close (FIN) ends it cleanly, and a reset is a
+    ``broken`` fault. A worker that crashes within a body may still have its connection closed in order, so such
+    a body can be truncated without a fault.
     """
     new_connection: bool = False
-    """The connection was opened for this call."""
+    """Whether the connection was opened for this call."""
 
     def header(self, name: str) -> str | None:
+        """Returns the first value of the header, or None; names are compared without regard to case."""
         lowered = name.lower()
         return next((value for key, value in self.headers if key.lower() == lowered), None)
 
 
 class HttpFault(msgspec.Struct, frozen=True):
-    """Why a call has no (whole) answer.
+    """The reason why a call has no answer or only part of one.
 
-    ``request_sent`` False means that not a byte of the request can have reached the other side
-    and none will; True means that it may have.
+    ``request_sent`` is False only if no byte of the request has reached or will reach the peer. It is True if
+    some bytes may have reached it.
     """
 
     kind: Literal["connect", "timeout", "broken", "malformed", "cancelled", "busy"]
-    """``busy``: a bound on connections is reached, here and not at the other side."""
+    """``busy`` means that a connection limit of this process is reached, not one of the peer."""
     request_sent: bool
     detail: str = ""
     on_reused_connection: bool = False
-    """``broken`` before a single byte of an answer, on a connection that had been kept from an earlier call.
+    """Whether a reused connection was ``broken`` before the first byte of an answer arrived.
 
-    Most likely the other side had closed it while it rested. With ``request_sent`` it may have run the call all the
-    same.
+    Most likely the peer had closed the connection while it was idle. If ``request_sent`` is True, the peer may
+    have run the call nevertheless.
     """
 
 
 class HttpExchange(Protocol):
-    """One call under way."""
+    """One call in progress."""
 
     async def head(self) -> Result[HttpHead, HttpFault]:
-        """Waits for status and headers (1xx skipped). Bound the wait with ``asyncio.timeout``, then cancel."""
+        """Waits for status and headers, skipping 1xx answers.
+
+        The wait has no limit of its own: callers use ``asyncio.timeout`` and then ``cancel``.
+        """
         ...
 
     async def next_chunk(self) -> Result[bytes | None, HttpFault]:
-        """The next bytes of the body as they came, None after its clean end.
+        """Returns the next bytes of the body as they arrived, or None after its clean end.
 
-        Back-pressure: not more than 256 KiB are read ahead of this call.
+        Back-pressure: at most 256 KiB are read ahead of the consumer.
         """
         ...
 
     def cancel(self) -> None:
-        """Closes the connection now; later waits give a ``cancelled`` fault. Harmless when done."""
+        """Closes the connection at once; later waits return a ``cancelled`` fault. Has no effect on a finished call."""
         ...
 
     def request_sent(self) -> bool:
-        """Whether any byte of the request may have left."""
+        """Returns whether any byte of the request may have been sent."""
         ...
 
 
 class HttpClient(Protocol):
-    """No redirects, no decompression, no proxies, no resends, no pipelining.
+    """An HTTP client without redirects, decompression, proxies, resends and pipelining.
 
-    One connection per call, unless the client keeps connections and the request says ``reuse``.
+    Each call has its own connection, unless the client reuses connections and the request sets ``reuse``.
     """
 
     def start(self, request: HttpRequest) -> HttpExchange:
-        """Starts at once; nothing is queued."""
+        """Starts the call immediately; calls are never queued."""
         ...
 
 
 class Log(Protocol):
+    """The structured log of a daemon."""
+
     def event(self, name: str, **fields: object) -> None:
-        """One line of key=value pairs; never secrets or bodies."""
+        """Writes one line of key=value pairs. Callers never pass secrets or bodies."""
         ...
 
 
 class Tasks(Protocol):
+    """The background tasks of a daemon."""
+
     def spawn(self, name: str, coroutine: Coroutine[Any, Any, None]) -> Task:
-        """Runs it to its end. An exception that escapes is a broken invariant: logged, then the process stops."""
+        """Runs the coroutine as a task.
+
+        An exception that escapes it is a broken invariant: it is logged and the process stops.
+        """
         ...
 
-    def stop_process(self, reason: str) -> None: ...
+    def stop_process(self, reason: str) -> None:
+        """Stops the daemon; ``reason`` is reported to the operator."""
+        ...
 
 
 class Task(Protocol):
+    """A task that ``Tasks.spawn`` started."""
+
     def cancel(self) -> object: ...
 
     def done(self) -> bool: ...
 
 
 class Context(msgspec.Struct, frozen=True):
-    """The one object through which a daemon reaches the world (in place of globals)."""
+    """The only object through which a daemon uses its environment; it replaces global variables."""
 
     clock: Clock
     network: Network
--- a/wingwood/context/real.py
+++ b/wingwood/context/real.py
@@ -125,18 +125,18 @@
                 self._loop.remove_reader(self._listener)
                 self._pause = self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
-            self._take(connection, peer)
+            self._handle_connection(connection, peer)
 
-    def _take(self, connection: socket.socket, peer: tuple[str, int]) -> None:
+    def _handle_connection(self, connection: socket.socket, peer: tuple[str, int]) -> None:
         stream = self._network.accepted(connection)
         if stream is None:
             return
         awaitable = self._handle(stream, Address(peer[0], peer[1]))
         if awaitable is not None:
-            asyncio.ensure_future(awaitable).add_done_callback(_raise_problem)
+            asyncio.ensure_future(awaitable).add_done_callback(_raise_exception)
 
 
-def _raise_problem(future: asyncio.Future[Any]) -> None:
+def _raise_exception(future: asyncio.Future[Any]) -> None:
     if not future.cancelled():
         future.result()
 
--- a/wingwood/context/tests/test_pooled_soak.py
+++ b/wingwood/context/tests/test_pooled_soak.py
@@ -123,7 +123,7 @@
             except TimeoutError:
                 exchange.cancel()
                 outcome = await read_answer(exchange)
-            judge(identifier, outcome, worker)
+            check_outcome(identifier, outcome, worker)
             counts.add(outcome)
             await asyncio.sleep(random.choice([0.0, 0.001, 0.004, 0.02]))
 
@@ -163,7 +163,7 @@
             self.on_reused += outcome.fault.on_reused_connection
 
 
-def judge(identifier: str, outcome: Outcome, worker: ScriptedWorker) -> None:
+def check_outcome(identifier: str, outcome: Outcome, worker: ScriptedWorker) -> None:
     expected = MisbehavingWorker.body(identifier)
     assert expected.startswith(outcome.body), f"{identifier} got {outcome.body!r}"
     if outcome.fault is None:
@@ -217,14 +217,14 @@
 
 
 class BrokenVariants(unittest.TestCase):
-    def count_objections(self, said: str, make_client: Callable[[Testbed], None] | None = None) -> int:
+    def count_objections(self, expected_text: str, make_client: Callable[[Testbed], None] | None = None) -> int:
         """In how many seeds the checks object, all with these words."""
         objections = 0
         for seed in SEEDS:
             try:
                 soak(seed, make_client)
             except AssertionError as objection:
-                self.assertIn(said, str(objection))
+                self.assertIn(expected_text, str(objection))
                 objections += 1
         return objections
 
