--- a/wingwood/context/answer_parser.py
+++ b/wingwood/context/answer_parser.py
@@ -92,7 +92,7 @@
         self._chunks: ChunkDecoder | None = None
 
     def take(self, data: bytes) -> bytes:
-        """Parses ``data`` and returns the bytes of the body in it. To be called only while ``outcome`` is ``under way``."""
+        """Parses ``data`` and returns the body bytes in it; may be called only while ``outcome`` is ``under way``."""
         self.started = True
         if self.head is None:
             data = self._read_heads(data)
--- a/wingwood/context/connection_pool.py
+++ b/wingwood/context/connection_pool.py
@@ -1,7 +1,7 @@
-"""Connections to workers that outlive a call, their bounds and their ends (docs/DESIGN.md section 12.2).
+"""A pool of connections to workers that are reused by several calls (docs/DESIGN.md section 12.2).
 
-Knows nothing of HTTP: it counts connections by address, keeps idle ones and watches them. An idle connection on which
-the end, an error or any byte shows is closed and never used again.
+The pool knows nothing of HTTP: it counts connections by address, enforces limits, and stores and watches idle
+connections. An idle connection that ends, fails or receives any byte is closed and never used again.
 """
 
 from __future__ import annotations
@@ -20,66 +20,69 @@
 
 READ_BUFFER_BYTES: Final = 64 * 1024
 _SWEEP_PERIOD_S: Final = Seconds(0.5)
-"""Connections that rested too long are never used, and are closed at most this much late."""
+"""Interval at which expired idle connections are closed. They are never used, but may stay open for this long."""
 
 
 class ConnectionLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of one process's connections to workers; connecting, in use and idle ones count alike."""
+    """Limits on the connections of one process to workers; connecting, used and idle connections all count."""
 
     per_address: int = 64
     total: int = 1024
     idle_share: float = 0.5
-    """An idle connection is used up to this share of the time that ``Keep-Alive: timeout`` told."""
+    """Fraction of the worker's ``Keep-Alive: timeout`` for which an idle connection may be reused."""
     longest_idle: Seconds = Seconds(5.0)
+    """Upper limit of the idle time, whatever the worker allows."""
     idle_without_keep_alive: Seconds = Seconds(0.3)
-    """Longest rest when the answer told no ``Keep-Alive``."""
+    """Longest idle time after an answer without a ``Keep-Alive`` timeout."""
 
     def max_idle_time(self, keep_alive_s: int | None) -> Seconds:
-        """How long a connection may rest after an answer that told so many seconds."""
+        """Returns the longest idle time after an answer with this ``Keep-Alive`` timeout, which may be None."""
         if keep_alive_s is None:
             return min(self.idle_without_keep_alive, self.longest_idle)
         return Seconds(min(self.idle_share * keep_alive_s, self.longest_idle))
 
 
 class ConnectionCounts(msgspec.Struct):
-    """Since the start of the process."""
+    """Counters since the start of the process."""
 
     opened: int = 0
     reused: int = 0
-    """Calls that took a kept connection."""
+    """Calls that used an idle connection."""
     closed_idle: int = 0
-    """Kept connections closed by age, by a bound, or because the other side showed something."""
+    """Idle connections closed by age, by a limit, or because the peer closed them or sent bytes."""
     busy: int = 0
-    """Calls refused because a bound was reached."""
+    """Calls refused because a limit was reached."""
 
 
 class ConnectionUser(Protocol):
-    """The call that a connection works for."""
+    """The call that uses a connection."""
 
     def read_allowance(self) -> int:
-        """How many bytes may be read now; 0 stops reading until ``resume_reading``."""
+        """Returns how many bytes may be read now; 0 pauses reading until ``resume_reading`` is called."""
         ...
 
-    def on_data(self, data: bytes) -> None: ...
+    def on_data(self, data: bytes) -> None:
+        """Is called with received bytes."""
+        ...
 
     def on_connection_end(self) -> None:
-        """The other side has ended the connection in order."""
+        """Is called when the peer has closed the connection in order (FIN)."""
         ...
 
     def on_error(self, problem: OSError) -> None:
-        """The connection is reset or timed out; what came before it has been read."""
+        """Is called when the connection was reset or timed out, after everything received before has been read."""
         ...
 
     def on_first_byte_written(self) -> None:
-        """The kernel has taken the first byte that was to be written for this user."""
+        """Is called when the kernel has accepted the first byte written for this user."""
         ...
 
 
 class PooledConnection:
-    """One connection, watched through the event loop from its first use to its end.
+    """One connection, which the event loop watches from its first use until it is closed.
 
-    Uses the descriptor's side of the tornado stream (``read_from_fd``, ``write_to_fd``) and not its buffers: they cost
-    more than the parser does, and they drop what was received when a write fails.
+    It uses the descriptor methods of the tornado stream (``read_from_fd``, ``write_to_fd``) and not the stream's
+    buffers: these cost more than the parser does, and they drop received bytes when a write fails.
     """
 
     __slots__ = (
@@ -107,11 +110,11 @@
         buffer: memoryview,
         on_idle_event: Callable[[PooledConnection], None],
     ) -> None:
-        """``buffer`` is shared by all connections: what is read into it is copied out at once."""
+        """``buffer`` may be shared by all connections, because received bytes are copied out of it immediately."""
         self.address = address
         self.user: ConnectionUser | None = None
         self.reused = False
-        """It has rested in the pool."""
+        """Whether it has been idle in the pool, that is, an earlier call may have used it."""
         self.closed = False
         self.idle_since = Instant(0.0)
         self.expires = Instant(0.0)
@@ -127,20 +130,25 @@
         self._io_loop.add_handler(self._descriptor, self._on_events, IOLoop.READ)
 
     def write(self, data: bytes) -> OSError | None:
-        """Writes what the kernel takes now and the rest as it makes room; the error when it refused the first byte."""
+        """Writes what the kernel accepts now, and the remainder as it accepts more.
+
+        Returns the error if the kernel refused the first byte, else None.
+        """
         self._write_started = False
         self._unsent = memoryview(data)
         return self._continue_write()
 
     def all_written(self) -> bool:
+        """Returns whether the kernel has accepted all bytes of the last ``write``."""
         return self._unsent is None and not self._write_failed
 
     def resume_reading(self) -> None:
+        """Reads again after ``read_allowance`` was 0."""
         if not self.closed and not self._events & IOLoop.READ:
             self._watch(self._events | IOLoop.READ)
 
     def is_open_and_quiet(self) -> bool:
-        """Whether it is open and quiet at this moment; what it shows is thrown away."""
+        """Returns whether the connection is open and has nothing to read; a byte that was read is discarded."""
         try:
             return not self.closed and self._stream.read_from_fd(self._buffer) is None
         except OSError:
@@ -194,7 +202,11 @@
         return None
 
     def _on_write_error(self, problem: OSError) -> OSError | None:
-        """The answer may have come before the error, and then waits to be read: reading finds the end by itself."""
+        """Returns the error if no byte was written; otherwise goes on reading.
+
+        The answer may have arrived before the error and still be unread. Reading it, and then the end of the
+        connection, decides the outcome.
+        """
         self._unsent = None
         self._write_failed = True
         if not self._write_started:
@@ -224,19 +236,19 @@
 
 
 class _AddressState:
-    """What is open to one address."""
+    """The open connections to one address."""
 
     __slots__ = ("idle", "open")
 
     def __init__(self) -> None:
         self.open = 0
-        """Connecting, in use and idle."""
+        """Number of connecting, used and idle connections."""
         self.idle: deque[PooledConnection] = deque()
-        """Longest rest first."""
+        """The idle connections; the one with the longest idle time comes first."""
 
 
 class ConnectionPool:
-    """Counts connections by address and keeps the idle ones; the one that rested least is used first."""
+    """Counts connections by address and stores idle ones; the most recently used one is reused first."""
 
     def __init__(self, clock: Clock, limits: ConnectionLimits) -> None:
         self.limits = limits
@@ -246,24 +258,28 @@
         self._addresses: dict[Address, _AddressState] = {}
         self._open = 0
         self._idle: dict[PooledConnection, None] = {}
-        """All idle ones, in the order in which they came to rest."""
+        """All idle connections, in the order in which they became idle."""
         self._sweep: asyncio.TimerHandle | None = None
 
     def open_connections(self, address: Address | None = None) -> int:
-        """Connecting, in use and idle, to one address or in all."""
+        """Returns the number of connecting, used and idle connections, to one address or in total."""
         if address is None:
             return self._open
         state = self._addresses.get(address)
         return 0 if state is None else state.open
 
     def idle_connections(self, address: Address | None = None) -> int:
+        """Returns the number of idle connections, to one address or in total."""
         if address is None:
             return len(self._idle)
         state = self._addresses.get(address)
         return 0 if state is None else len(state.idle)
 
     def acquire(self, address: Address, max_idle: Seconds | None) -> PooledConnection | None:
-        """A kept connection that is open and quiet; it is the caller's until ``store_idle`` or ``close``."""
+        """Returns an idle connection that is open and has nothing to read, or None.
+
+        The caller owns it until it calls ``store_idle``, ``close`` or ``undo_acquire``.
+        """
         state = self._addresses.get(address)
         if state is None or not state.idle:
             return None
@@ -281,11 +297,14 @@
         return None
 
     def undo_acquire(self, connection: PooledConnection) -> None:
-        """Undoes ``acquire``: nothing was written, so its rest goes on."""
+        """Undoes ``acquire`` if nothing was written; the idle time of the connection continues."""
         self._add_idle(connection)
 
     def reserve(self, address: Address, connection_limit: int | None) -> bool:
-        """Makes room for one more connection, closing idle ones when a bound asks for it; False when it is reached."""
+        """Reserves a place for one more connection, closing idle connections if a limit requires it.
+
+        Returns False if a limit is reached and no idle connection can be closed.
+        """
         bound = self.limits.per_address if connection_limit is None else connection_limit
         state = self._addresses.get(address)
         if state is not None and state.open >= bound and state.idle:
@@ -304,12 +323,12 @@
         return True
 
     def add(self, address: Address, stream: BaseIOStream) -> PooledConnection:
-        """The reserved place is taken by a connection."""
+        """Adds an opened connection in a place reserved before."""
         self.counts.opened += 1
         return PooledConnection(address, stream, self._buffer, self._close_idle)
 
     def release(self, address: Address) -> None:
-        """Gives a reserved place back."""
+        """Releases a reserved place."""
         state = self._addresses[address]
         state.open -= 1
         self._open -= 1
@@ -317,13 +336,13 @@
             del self._addresses[address]
 
     def close(self, connection: PooledConnection) -> None:
-        """Closes one that isn't idle."""
+        """Closes a connection that is not idle."""
         if not connection.closed:
             connection.close()
             self.release(connection.address)
 
     def store_idle(self, connection: PooledConnection, keep_alive_s: int | None) -> None:
-        """Takes back a connection after an answer whose ``Keep-Alive`` told so many seconds, or which told none."""
+        """Stores a connection as idle after an answer with this ``Keep-Alive`` timeout, which may be None."""
         bound = self.limits.max_idle_time(keep_alive_s)
         if bound <= 0:
             self.close(connection)
@@ -334,7 +353,7 @@
         connection.resume_reading()
 
     def close_idle(self, address: Address | None = None) -> None:
-        """Closes all kept connections, to one address or in all."""
+        """Closes all idle connections, or those to one address."""
         for connection in [each for each in self._idle if address in (None, each.address)]:
             self._close_idle(connection)
         if self._sweep is not None and not self._idle:
--- a/wingwood/context/curl_client.py
+++ b/wingwood/context/curl_client.py
@@ -1,9 +1,9 @@
 """The HTTP client on tornado's curl client and libcurl (docs/DESIGN.md section 12.2).
 
-Only the event loop's side of ``CurlAsyncHTTPClient`` is used. Its ``fetch`` is not: it queues calls
-above ``max_clients`` out of sight, follows redirects, decompresses, takes proxies from the environment
-and can't be cancelled. Each call here has a handle and a connection of its own, so libcurl finds no
-pooled connection on which it would send a request a second time.
+Only the event loop integration of ``CurlAsyncHTTPClient`` is used, not its ``fetch``: that method queues
+calls above ``max_clients`` invisibly, follows redirects, decompresses, takes proxies from the environment
+and can't be cancelled. Each call here has its own handle and connection, so libcurl finds no pooled
+connection on which it would send a request a second time.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class CurlHttpClient:
-    """Protocol HttpClient on real sockets."""
+    """Implements HttpClient on real sockets."""
 
     def __init__(self) -> None:
         self._engine: _Engine | None = None
@@ -46,7 +46,7 @@
         return exchange
 
     def calls(self) -> int:
-        """Calls under way."""
+        """Returns the number of calls in progress."""
         return 0 if self._engine is None else len(self._engine.exchanges)
 
     def close(self) -> None:
@@ -58,7 +58,7 @@
 
 
 class _Engine(CurlAsyncHTTPClient):
-    """libcurl's multi handle on tornado's event loop; ``max_clients`` 0 leaves nothing for ``fetch``."""
+    """libcurl's multi handle on tornado's event loop; ``max_clients`` is 0 because ``fetch`` is not used."""
 
     exchanges: dict[pycurl.Curl, _CurlExchange]
     spare: list[pycurl.Curl]
@@ -76,7 +76,7 @@
         self._set_timeout(0)
 
     def remove(self, curl: pycurl.Curl) -> None:
-        """Takes the handle out, which closes its connection."""
+        """Removes the handle, which closes its connection."""
         del self.exchanges[curl]
         self._multi.remove_handle(curl)
         curl.reset()
@@ -86,7 +86,7 @@
             curl.close()
 
     def resume(self, curl: pycurl.Curl) -> None:
-        with contextlib.suppress(pycurl.error):  # It failed while it was paused: told through _finish.
+        with contextlib.suppress(pycurl.error):  # It failed while paused; _finish reports that.
             curl.pause(pycurl.PAUSE_CONT)
         self._set_timeout(0)
 
@@ -108,14 +108,14 @@
         self._head_done = False
         self._chunks: ChunkDecoder | None = None
         self._problem: str | None = None
-        """What this side found wrong in the answer's head."""
+        """The reason why this client rejected the head of the answer."""
 
     def set_up(self, curl: pycurl.Curl) -> None:
         self._curl = curl
         request = self.request
         set_option = curl.setopt
         set_option(pycurl.URL, f"http://{request.address}/")
-        set_option(pycurl.REQUEST_TARGET, request.path)  # To the byte: the URL's path would be tidied.
+        set_option(pycurl.REQUEST_TARGET, request.path)  # Byte for byte: libcurl would normalize a path in the URL.
         set_option(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
         set_option(pycurl.FRESH_CONNECT, 1)
         set_option(pycurl.FORBID_REUSE, 1)
@@ -124,7 +124,7 @@
         set_option(pycurl.NOSIGNAL, 1)
         set_option(pycurl.FOLLOWLOCATION, 0)
         set_option(pycurl.HTTP_CONTENT_DECODING, 0)
-        # libcurl takes LF for CRLF behind a chunk: one that is a byte short would pass as whole.
+        # libcurl accepts LF instead of CRLF after a chunk, so a chunk that is one byte short would pass as complete.
         set_option(pycurl.HTTP_TRANSFER_DECODING, 0)
         set_option(pycurl.CONNECTTIMEOUT_MS, max(1, int(1000 * request.connect_timeout)))
         set_option(pycurl.HTTPHEADER, _header_lines(request))
@@ -162,7 +162,7 @@
 
     def _on_header_line(self, line: bytes) -> int | None:
         if self._head_done:
-            return None  # Trailers of a chunked answer.
+            return None  # The line belongs to the trailers of a chunked answer.
         self._head_bytes += len(line)
         if self._head_bytes > MAX_HEAD_BYTES:
             return self._reject("head too long")
@@ -189,7 +189,7 @@
             return None
         name, separator, value = text.partition(":")
         if not separator or not is_token(name):
-            return self._reject("malformed header")  # libcurl would take it for an unknown one, framing included.
+            return self._reject("malformed header")  # libcurl would ignore it as unknown, even a framing header.
         self._headers.append((name, value.strip(" \t")))
         return None
 
@@ -211,7 +211,7 @@
     def _on_body(self, chunk: bytes) -> int | None:
         if self.is_full():
             self._paused = True
-            return _PAUSE  # libcurl keeps the chunk and gives it again.
+            return _PAUSE  # libcurl stores the chunk and passes it again after resuming.
         if self._chunks is None:
             self.add_chunk(chunk)
             return None
@@ -222,7 +222,7 @@
             self.end(HttpFault("broken", True, self._chunks.problem))
         elif self._chunks.ended:
             self.end(None)
-        return -1 if self.ended() else None  # libcurl itself would read on until the connection closes.
+        return -1 if self.ended() else None  # libcurl itself would read until the connection closes.
 
     def _resume_if_paused(self) -> None:
         if self._paused and self._curl is not None:
@@ -236,7 +236,7 @@
 
 
 def _header_lines(request: HttpRequest) -> list[bytes]:
-    """In libcurl's form: ``Name;`` for an empty value; ``Name:`` takes one of its own headers away."""
+    """Returns the headers in libcurl's syntax: ``Name;`` sends an empty value, ``Name:`` omits a header of its own."""
     given = {name.lower() for name, _ in request.headers}
     lines = [
         f"{name}: {value}".encode("latin-1") if value.strip() else f"{name};".encode("latin-1")
--- a/wingwood/context/http_exchange.py
+++ b/wingwood/context/http_exchange.py
@@ -1,4 +1,4 @@
-"""What the HTTP clients share: one call's waiting side, and how an answer is framed (docs/DESIGN.md section 12.2)."""
+"""Code shared by the HTTP clients: the state of one call and the framing of answers (docs/DESIGN.md section 12.2)."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from .protocols import HttpFault, HttpHead, HttpRequest
 
 READ_AHEAD_BYTES: Final = 240 * 1024
-"""One more piece of 16 KiB may come on top."""
+"""Buffered body bytes at which reading pauses. One more read of 16 KiB may exceed this, which stays below 256 KiB."""
 MAX_HEAD_BYTES: Final = 64 * 1024
-"""Longest status line and headers taken of an answer."""
+"""Maximum total size of the status line and headers of an answer."""
 _JOINED_CHUNK_BYTES: Final = 128 * 1024
-"""Pieces that wait together are handed over joined, up to about this size."""
+"""Buffered chunks are joined up to about this size when they are passed to the consumer."""
 
 Framing = Literal["length", "chunked", "close", "none"]
 
 _MAX_CHUNK_LINE_BYTES: Final = 4096
 _MAX_LENGTH_DIGITS: Final = 18
-"""More would be no length; Python refuses to read numbers of some thousand digits."""
+"""Maximum number of digits of ``Content-Length``. Longer ones are not real, and Python refuses some thousand digits."""
 _CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,15})(?:[ \t]*;[^\r\n]*)?")
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _PATH = re.compile(r"/[!-~]*")
@@ -30,7 +30,7 @@
 
 
 def framing_of(method: str, status: int, headers: tuple[tuple[str, str], ...]) -> Framing | None:
-    """How the end of the answer's body is known; None when the headers contradict each other."""
+    """Returns how the end of the body is recognized, or None if the headers are invalid or contradict each other."""
     lengths = {value.strip() for name, value in headers if name.lower() == "content-length"}
     codings = [value.strip().lower() for name, value in headers if name.lower() == "transfer-encoding"]
     if len(lengths) > 1 or (lengths and codings):
@@ -47,12 +47,12 @@
 
 
 def is_token(name: str) -> bool:
-    """Whether it may be the name of a header."""
+    """Returns whether the name is a valid header name."""
     return _TOKEN.fullmatch(name) is not None
 
 
 def fault_of_request(request: HttpRequest) -> str | None:
-    """Why the request can't be written as HTTP; None when it can."""
+    """Returns the part of the request that can't be written as HTTP, or None if the request is valid."""
     if not _TOKEN.fullmatch(request.method):
         return "method"
     if not _PATH.fullmatch(request.path):
@@ -66,22 +66,22 @@
 
 
 class ChunkDecoder:
-    """Takes the framing off a chunked body, strictly; trailers are dropped."""
+    """A strict decoder of the chunked transfer coding; it drops trailers."""
 
     def __init__(self) -> None:
         self.ended = False
         self.problem: str | None = None
         self.surplus = 0
-        """Bytes that came with the end of the body and lie behind it."""
+        """Number of bytes after the end of the body, in the same read."""
         self._pending = b""
-        """Start of a line that is not yet there whole."""
+        """The start of a line that has not arrived completely."""
         self._remaining = 0
-        """Bytes to come of the chunk under way."""
+        """Number of bytes still missing from the current chunk."""
         self._trailer_bytes = 0
         self._expects: Literal["size", "line end", "trailer"] = "size"
 
     def take(self, data: bytes) -> bytes:
-        """The body's bytes in ``data``; looks at nothing behind the end."""
+        """Decodes ``data`` and returns the body bytes in it; ignores bytes after the end of the body."""
         if self._pending:
             data, self._pending = self._pending + data, b""
         body: list[bytes] = []
@@ -126,7 +126,7 @@
 
 
 class Exchange:
-    """One call under way: filled from the network's side, waited on by one consumer at a time."""
+    """One call in progress. The network fills it, and one consumer at a time waits for its parts."""
 
     def __init__(self, request: HttpRequest) -> None:
         self.request = request
@@ -138,7 +138,7 @@
         self._waiter: asyncio.Future[None] | None = None
         self._sent = False
 
-    # The consumer's side (protocol HttpExchange).
+    # Methods for the consumer (protocol HttpExchange).
 
     async def head(self) -> Result[HttpHead, HttpFault]:
         while self._head is None:
@@ -181,33 +181,40 @@
     def request_sent(self) -> bool:
         return self._sent
 
-    # The network's side.
+    # Methods for the client implementations.
 
     def may_write(self) -> bool:
-        """Asked at the last instant before the first byte of the request; True counts it as sent."""
+        """Is called immediately before the first byte of the request is written; True marks the request as sent."""
         self._sent = self.passes_last_check()
         return self._sent
 
     def passes_last_check(self) -> bool:
-        """As ``may_write``, for a client that counts the request as sent only when the first byte was taken."""
+        """Returns whether the request may be written.
+
+        Clients that mark the request as sent only once the kernel has accepted its first byte call this instead of
+        ``may_write``. The call can end within ``last_check``, so it is checked before and after.
+        """
         if self.ended() or (self.request.last_check is not None and not self.request.last_check()):
             return False
         return not self.ended()
 
     def set_head(self, head: HttpHead) -> None:
+        """Passes the head to the consumer."""
         self._head = head
         self._wake()
 
     def add_chunk(self, chunk: bytes) -> None:
+        """Buffers body bytes for the consumer."""
         self._buffered_chunks.append(chunk)
         self._buffered += len(chunk)
         self._wake()
 
     def is_full(self) -> bool:
+        """Returns whether reading must pause until the consumer has taken chunks."""
         return self._buffered >= READ_AHEAD_BYTES
 
     def end(self, fault: HttpFault | None) -> None:
-        """The answer's clean end, or why there is none; only the first counts."""
+        """Ends the call, cleanly (None) or with a fault; only the first end counts."""
         if self._end is None:
             if fault is None and self._head is None:
                 fault = HttpFault("malformed", self._sent, "no head")
@@ -218,10 +225,10 @@
         return self._end is not None
 
     def _resume_if_paused(self) -> None:
-        """The consumer has taken pieces: go on reading if it was stopped."""
+        """Is called when the consumer has taken chunks: subclasses resume reading if it was paused."""
 
     def _close(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection at once; subclasses implement it."""
 
     def _wake(self) -> None:
         if self._waiter is not None and not self._waiter.done():
--- a/wingwood/context/logs.py
+++ b/wingwood/context/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: eliot messages, written as one line of key=value pairs (docs/DESIGN.md section 3)."""
+"""Structured logs: eliot messages are written as lines of key=value pairs (docs/DESIGN.md section 3)."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 
 def format_line(fields: dict[str, Any]) -> str:
-    """``event=name key=value``; values with spaces, quotes or line ends are quoted."""
+    """Formats fields as ``key=value`` pairs; values with spaces, quotes or line breaks are quoted."""
     return " ".join(f"{key}={format_value(value)}" for key, value in fields.items())
 
 
 def format_value(value: object) -> str:
+    """Formats one value: floats with six significant digits, text quoted and escaped where necessary."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
@@ -28,7 +29,7 @@
 
 
 class EliotLog:
-    """The daemons' log. Lines go to ``output`` (standard error) through eliot."""
+    """The log of a daemon. It writes through eliot to ``output``, by default standard error."""
 
     def __init__(self, daemon: DaemonName, output: TextIO | None = None) -> None:
         self._daemon = daemon
--- a/wingwood/context/no_disk.py
+++ b/wingwood/context/no_disk.py
@@ -12,7 +12,7 @@
 
 
 class NoDisk:
-    """Every method fails: routers keep nothing."""
+    """A disk on which every method fails. Routers use it, because they have no data folder."""
 
     async def lock(self) -> Result[None, DiskFault]:
         return _NO_DATA_FOLDER
--- a/wingwood/context/pooled_client.py
+++ b/wingwood/context/pooled_client.py
@@ -1,11 +1,12 @@
-"""The HTTP client towards workers that keeps connections and uses them again (docs/DESIGN.md section 12.2).
+"""The HTTP client for calls to workers that reuses connections (docs/DESIGN.md section 12.2).
 
-Over any ``Network``, so it runs on real sockets and in the simulator. A request is written once, on one connection:
-neither the pool nor this client ever sends it again, and no connection carries two requests at a time. An answer frees
-its connection for the next call only when it ended cleanly, nothing lies behind it, the request was written whole and
-neither side wants the connection closed.
+It works on any ``Network``, so it runs on real sockets and in the simulator. A request is written once, on one
+connection: neither the pool nor this client ever sends it again, and no connection carries two requests at a time.
+A connection is reused only if the answer ended cleanly, no bytes followed it, the request was written completely
+and neither side asked to close the connection.
 
-A call that finds a kept connection is written within ``start``; for a new connection it is written when connected.
+A call that gets an idle connection is written within ``start``; otherwise it is written once its new connection is
+open.
 """
 
 from __future__ import annotations
@@ -20,12 +21,13 @@
 from .protocols import Clock, HttpExchange, HttpFault, HttpRequest, Network, NetworkFault, Tasks
 
 _FRAMING_NAME_LENGTHS: Final = frozenset({len("transfer-encoding"), len("content-length")})
+"""Header names of other lengths need not be put in lower case to be compared."""
 MAX_BUFFERED_BYTES: Final = 256 * 1024
-"""Body bytes of one call that wait for its consumer; reading stops above ``READ_AHEAD_BYTES``."""
+"""Maximum number of body bytes of one call that wait for its consumer; reading pauses at ``READ_AHEAD_BYTES``."""
 
 
 class PooledHttpClient:
-    """Protocol HttpClient; requests that say ``reuse`` share connections, each other has one of its own."""
+    """Implements HttpClient. Requests with ``reuse`` share connections; every other request has its own."""
 
     def __init__(self, network: Network, clock: Clock, tasks: Tasks, limits: ConnectionLimits | None = None) -> None:
         self.pool = ConnectionPool(clock, limits or ConnectionLimits())
@@ -50,15 +52,16 @@
         return exchange
 
     def calls(self) -> int:
-        """Calls under way."""
+        """Returns the number of calls in progress."""
         return len(self._exchanges)
 
     @property
     def counts(self) -> ConnectionCounts:
+        """The counters of the connection pool."""
         return self.pool.counts
 
     def set_limits(self, limits: ConnectionLimits) -> None:
-        """Holds for connections opened or kept from now on."""
+        """Sets the limits for connections that are opened or become idle from now on."""
         self.pool.limits = limits
 
     def close(self) -> None:
@@ -68,11 +71,12 @@
         self.pool.close_idle()
 
     def remove_exchange(self, exchange: _PooledExchange) -> None:
+        """Removes a call from those in progress."""
         self._exchanges.pop(exchange, None)
 
 
 class _PooledExchange(Exchange):
-    """One call; the ``ConnectionUser`` of its connection from the first byte written to the answer's end."""
+    """One call. It is the ``ConnectionUser`` of its connection from the first written byte to the end of the answer."""
 
     def __init__(self, request: HttpRequest, client: PooledHttpClient) -> None:
         super().__init__(request)
@@ -81,9 +85,10 @@
         self._connection: PooledConnection | None = None
         self._parser: AnswerParser
 
-    # Getting a connection.
+    # Acquiring a connection.
 
     def start_on_idle(self, connection: PooledConnection) -> None:
+        """Sends the request on an idle connection, unless the last check of the request cancels it."""
         if not self.passes_last_check():
             self._pool.undo_acquire(connection)
             self.end(HttpFault("cancelled", False))
@@ -92,7 +97,10 @@
         self._send_request(connection)
 
     async def connect(self, network: Network) -> None:
-        """Opens a connection in the reserved place. A call cancelled meanwhile still leaves it for another."""
+        """Opens a connection in the reserved place.
+
+        If the call was cancelled meanwhile and its request allows reuse, the connection is stored for another call.
+        """
         address = self.request.address
         opened = await network.connect(address, self.request.connect_timeout)
         if isinstance(opened, Failure):
@@ -118,7 +126,7 @@
         if problem is not None:
             self.on_error(problem)
 
-    # The connection's side (protocol ConnectionUser).
+    # Callbacks of the connection (protocol ConnectionUser).
 
     def on_first_byte_written(self) -> None:
         self._sent = True
@@ -162,7 +170,7 @@
         self.end(HttpFault(kind, self._sent, detail, on_reused))
 
     def _free_connection(self) -> None:
-        """Keeps the connection for another call if nothing speaks against it."""
+        """Stores the connection for another call if it can be reused, else closes it."""
         connection, self._connection = self._connection, None
         assert connection is not None
         parser = self._parser
@@ -172,7 +180,7 @@
         else:
             self._pool.close(connection)
 
-    # The consumer's side.
+    # Methods that the consumer causes to be called.
 
     def end(self, fault: HttpFault | None) -> None:
         super().end(fault)
@@ -195,7 +203,10 @@
 
 
 def _fault_of_framing(request: HttpRequest) -> str | None:
-    """Headers that say another end of the body than the one written: on a kept connection, the next call's bytes."""
+    """Returns the problem of a header that contradicts the length of the body, or None.
+
+    On a reused connection, the peer would take bytes of the next request for this body, or the reverse.
+    """
     for name, value in request.headers:
         if len(name) in _FRAMING_NAME_LENGTHS:
             lowered = name.lower()
@@ -209,7 +220,7 @@
 
 
 def _message(request: HttpRequest) -> bytes:
-    """Head and body, to be written at once."""
+    """Returns head and body as one message, which is written in one call."""
     lines = [f"{request.method} {request.path} HTTP/1.1\r\n"]
     given = set()
     for name, value in request.headers:
--- a/wingwood/context/protocols.py
+++ b/wingwood/context/protocols.py
@@ -45,7 +45,7 @@
     """A listening socket."""
 
     def close(self) -> None:
-        """Stops accepting connections; a second call has no effect."""
+        """Stops accepting connections."""
         ...
 
 
@@ -87,7 +87,7 @@
         ...
 
     async def names(self) -> Result[Sequence[str], DiskFault]:
-        """Lists the files of the folder in sorted order, without the lock file."""
+        """Lists the names of the files in the folder."""
         ...
 
     async def read(self, name: str) -> Result[bytes, DiskFault]: ...
@@ -242,7 +242,7 @@
         ...
 
     def stop_process(self, reason: str) -> None:
-        """Stops the daemon; ``reason`` is reported to the operator."""
+        """Stops the daemon process for the given reason."""
         ...
 
 
--- a/wingwood/context/real.py
+++ b/wingwood/context/real.py
@@ -1,4 +1,4 @@
-"""The real clock, network, disk and tasks (docs/DESIGN.md section 3)."""
+"""The implementations of clock, network, disk and tasks on the operating system (docs/DESIGN.md section 3)."""
 
 from __future__ import annotations
 
@@ -24,16 +24,17 @@
 
 Value = TypeVar("Value")
 MAX_DESCRIPTORS = 65_536
+"""Maximum number of file descriptors that a process requests from the system."""
 RESERVED_DESCRIPTORS = 48
-"""Descriptors left for files, listeners, the event loop, and connections going out when many came in."""
+"""Descriptors reserved for files, listeners, the event loop, and outgoing connections while many came in."""
 RESERVED_OUTGOING_CONNECTIONS = 24
-"""Of those, how many connections going out may take."""
+"""Number of the reserved descriptors that outgoing connections may use."""
 TCP_USER_TIMEOUT_S = Seconds(2.5)
-"""How long sent bytes may stay unacknowledged before their connection ends."""
+"""How long sent bytes may remain unacknowledged before the connection is aborted."""
 KEEP_ALIVE_PERIOD_S = Seconds(1.0)
-"""Probes are sent when nothing came for so long, and as often."""
+"""Idle time before the first TCP keep-alive probe, and interval between probes."""
 ACCEPT_PAUSE_S = Seconds(0.1)
-"""A listener that could not take a connection (no descriptor, no memory) rests so long."""
+"""Pause of a listener that could not accept a connection for lack of descriptors or memory."""
 _KEEP_ALIVE_PROBES = 2
 _ACCEPT_BACKLOG = 1024
 _MAX_ACCEPTS_PER_EVENT = 128
@@ -49,6 +50,8 @@
 
 
 class RealClock:
+    """The clocks of the operating system."""
+
     def monotonic(self) -> Instant:
         return Instant(time.monotonic())
 
@@ -60,19 +63,20 @@
 
 
 def set_up_connection(connection: socket.socket) -> None:
-    """For both ends of every connection: no delay of small writes, and a dead peer shows within seconds.
+    """Sets the options of a connection, at both ends: small writes are not delayed, dead peers are found in seconds.
 
-    A machine without power or behind a cut says nothing. Unacknowledged bytes end the connection after
-    ``TCP_USER_TIMEOUT_S``, a silent one by its probes after about as long. So does a peer that is there but lets its
-    window stay closed for that time (Linux counts that as unacknowledged).
+    A machine that lost power or its network sends nothing. Unacknowledged bytes abort the connection after
+    ``TCP_USER_TIMEOUT_S``; keep-alive probes abort a silent connection after about the same time. A live peer
+    whose receive window stays closed for that time loses its connection too, because Linux counts that as
+    unacknowledged.
     """
     for level, option, value in _CONNECTION_OPTIONS:
-        with contextlib.suppress(OSError):  # It is gone already, or the system lacks the option.
+        with contextlib.suppress(OSError):  # The connection is closed already, or the system lacks the option.
             connection.setsockopt(level, option, value)
 
 
 class _CountedStream(IOStream):
-    """Tells when its descriptor is free again."""
+    """A stream that calls ``on_closed`` when its descriptor is released."""
 
     def __init__(self, connection: socket.socket, on_closed: Callable[[], None]) -> None:
         self._on_closed: Callable[[], None] | None = on_closed
@@ -86,7 +90,7 @@
 
 
 class _AcceptingListener:
-    """Takes connections; a failure to take one is followed by a pause, as the loop would report it again at once."""
+    """Accepts connections. It pauses after a failure, because the event loop would report the same one again at once."""
 
     def __init__(self, listener: socket.socket, network: RealNetwork, handle_stream: StreamHandler) -> None:
         self._listener = listener
@@ -120,7 +124,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionError:
-                continue  # It was gone before it was taken.
+                continue  # The peer closed the connection before it was accepted.
             except OSError:
                 self._loop.remove_reader(self._listener)
                 self._pause = self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
@@ -142,7 +146,7 @@
 
 
 def _raise_descriptor_limit() -> int:
-    """Takes as many descriptors as the system lets this process have, and tells how many."""
+    """Raises the soft limit of descriptors as far as the system allows, and returns the resulting limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = MAX_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, MAX_DESCRIPTORS)
     if soft != resource.RLIM_INFINITY and soft < wanted:
@@ -154,10 +158,10 @@
 
 
 class RealNetwork:
-    """TCP over IPv4. Connections of both directions are counted against the descriptors there are."""
+    """TCP over IPv4. Incoming and outgoing connections count against the limit of descriptors."""
 
     def __init__(self, descriptor_limit: int | None = None) -> None:
-        """``descriptor_limit``: how many this process may have, where ``RLIMIT_NOFILE`` doesn't tell."""
+        """``descriptor_limit`` lowers the limit of this process where ``RLIMIT_NOFILE`` does not reflect it."""
         self._system_descriptor_limit = _raise_descriptor_limit()
         self._descriptor_limit = descriptor_limit
         self._open = 0
@@ -171,7 +175,7 @@
         return max(1, known - RESERVED_DESCRIPTORS)
 
     def open_connections(self) -> int:
-        """Connections of both directions that are open or being opened."""
+        """Returns the number of incoming and outgoing connections that are open or being opened."""
         return self._open
 
     async def connect(self, address: Address, timeout: Seconds) -> Result[BaseIOStream, NetworkFault]:
@@ -215,7 +219,7 @@
         return Success(_AcceptingListener(listener, self, handle_stream))
 
     def accepted(self, connection: socket.socket) -> BaseIOStream | None:
-        """The stream of a connection that came in; None when there are too many, and it is closed."""
+        """Returns the stream of an accepted connection, or closes it and returns None if there are too many."""
         if not self._has_room(connection):
             connection.close()
             return None
@@ -226,7 +230,7 @@
     def _has_room(self, connection: socket.socket) -> bool:
         if self._open >= self.connection_limit():
             return False
-        # The system gives the lowest free number, so numbers count descriptors of every kind.
+        # The system assigns the lowest free number, so the number also reflects descriptors of other kinds.
         return self._descriptor_limit is not None or connection.fileno() < self.connection_limit()
 
     def _closed(self, connection: socket.socket) -> None:
@@ -238,7 +242,7 @@
 
 
 class RealDisk:
-    """One data folder. All calls run on one thread, so they keep their order and a stall blocks only them."""
+    """One data folder. All calls run in order on one thread, so a stalled disk blocks no other work."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -337,7 +341,7 @@
 
 
 class RealTasks:
-    """Keeps tasks alive; an escaped exception is a broken invariant and stops the process."""
+    """Holds references to running tasks. An exception that escapes a task stops the process."""
 
     def __init__(self, log: Log, stop: Callable[[str], None]) -> None:
         self._log = log
@@ -361,6 +365,7 @@
         self._stop(reason)
 
     async def cancel_all(self) -> None:
+        """Cancels all running tasks and waits for their ends."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/wingwood/context/stream_client.py
+++ b/wingwood/context/stream_client.py
@@ -1,6 +1,6 @@
-"""The HTTP client on Context.network, with tornado's HTTP/1.x connection (docs/DESIGN.md section 12.2).
+"""The HTTP client on Context.network that uses tornado's HTTP/1.x connection (docs/DESIGN.md section 12.2).
 
-The simulator uses it, since libcurl only knows real sockets. It keeps the same contract as the
+The simulator uses it, because libcurl only works on real sockets. It fulfils the same contract as the
 curl client, and the same tests run on both.
 """
 
@@ -21,7 +21,7 @@
 
 
 class StreamHttpClient:
-    """Protocol HttpClient over any Network."""
+    """Implements HttpClient on any Network."""
 
     def __init__(self, network: Network, tasks: Tasks) -> None:
         self._network = network
@@ -95,7 +95,11 @@
             await future
 
     def answer_ended(self) -> None:
-        """Tornado takes any end of the connection for the end of a body without a length, a reset too."""
+        """Ends the call when tornado reports the end of the answer.
+
+        For a body without a length, tornado treats every end of the connection as the end of the body, even a
+        reset; here a reset is a ``broken`` fault.
+        """
         error = None if self._stream is None else self._stream.error
         framing = None if self._head is None else self._head.framing
         if framing == "close" and error is not None:
--- a/wingwood/context/tests/scripted_worker.py
+++ b/wingwood/context/tests/scripted_worker.py
@@ -1,4 +1,4 @@
-"""A scripted worker on any Network, and the two beds that run the same test against it: loopback and simulation."""
+"""A scripted fake worker, and functions that run a scenario against it on loopback sockets or in the simulator."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
 
 
 class ReceivedRequest:
-    """One request, as the worker got it."""
+    """One request as the worker received it."""
 
     def __init__(self, worker: ScriptedWorker, stream: BaseIOStream, connection: int, number: int) -> None:
         self.worker = worker
         self.stream = stream
         self.connection = connection
         self.number = number
-        """Counts the requests of its connection, from 1."""
+        """Sequence number of the request on its connection, from 1."""
         self.id = ""
         self.method = ""
         self.body = b""
 
     def answer(self, body: bytes = b"ok", *headers: str, status: str = "200 OK", id: str | None = None) -> bytes:
-        """A whole answer with its length."""
+        """Returns a complete answer with ``Content-Length``."""
         lines = [f"HTTP/1.1 {status}", f"{ECHO}: {self.id if id is None else id}", f"Content-Length: {len(body)}"]
         return "\r\n".join([*lines, *headers, "", ""]).encode() + body
 
@@ -49,11 +49,11 @@
         await self.stream.write(data)
 
     def reset(self) -> None:
-        """Ends the connection by RST."""
+        """Ends the connection with RST."""
         self.worker.reset_stream(self.stream)
 
     async def closed_by_client(self) -> None:
-        """Waits, reading on, until the client has closed."""
+        """Reads and discards bytes until the client has closed the connection."""
         try:
             while True:
                 await self.stream.read_bytes(65536, partial=True)
@@ -71,13 +71,13 @@
 
 
 class ScriptedWorker:
-    """Counts what it receives. A script may close or reset the stream, which ends its connection."""
+    """A fake worker that counts the requests it receives. Its script may close or reset the stream."""
 
     def __init__(self, script: Script, reads_bodies: bool = True) -> None:
         self.script = script
         self.reads_bodies = reads_bodies
         self.received: Counter[str] = Counter()
-        """Requests of which the head came whole, by id."""
+        """Number of requests whose head arrived completely, by id."""
         self.bodies: dict[str, bytes] = {}
         self.connections = 0
         self.open = 0
@@ -134,13 +134,14 @@
 
 
 class Outcome(msgspec.Struct):
-    """What the consumer of one call got."""
+    """What the consumer of one call received."""
 
     head: HttpHead | None
     body: bytes
     fault: HttpFault | None
 
     def fault_summary(self) -> tuple[str, bool, bool]:
+        """Returns the kind of the fault, whether the request was sent, and whether the connection was reused."""
         assert self.fault is not None
         return self.fault.kind, self.fault.request_sent, self.fault.on_reused_connection
 
@@ -161,7 +162,7 @@
 
 
 class Testbed:
-    """A worker, a client that keeps connections, and the world they share."""
+    """A fake worker, a pooled client, and the network and clock that they share."""
 
     def __init__(self, worker: ScriptedWorker, clock: Clock) -> None:
         self.worker = worker
@@ -173,7 +174,7 @@
         self._ids = 0
 
     def request(self, body: bytes = b"", **more: object) -> HttpRequest:
-        """A request with an id of its own, which may reuse connections."""
+        """Returns a request with a new id that may reuse connections."""
         self._ids += 1
         identifier = str(more.pop("id", f"call-{self._ids}"))
         fields: dict[str, object] = {
@@ -205,7 +206,7 @@
 
 
 def run_on_loopback(scenario: Scenario, worker: ScriptedWorker, limits: ConnectionLimits | None = None) -> None:
-    """Real sockets and real time."""
+    """Runs the scenario on loopback sockets in real time."""
 
     async def main() -> None:
         problems: list[str] = []
@@ -229,7 +230,7 @@
 def run_in_simulation(
     scenario: Scenario, worker: ScriptedWorker, limits: ConnectionLimits | None = None, seed: int = 1
 ) -> None:
-    """Virtual time, bytes split anywhere."""
+    """Runs the scenario in the simulator: time is virtual, and bytes arrive split at random places."""
     done: list[bool] = []
     with World(seed) as world:
 
