--- a/wingwood/context/real.py
+++ b/wingwood/context/real.py
@@ -90,7 +90,7 @@
 
 
 class _AcceptingListener:
-    """Accepts connections. It pauses after a failure, because the event loop would report the same one again at once."""
+    """Accepts connections, and pauses after a failure because the event loop would report it again at once."""
 
     def __init__(self, listener: socket.socket, network: RealNetwork, handle_stream: StreamHandler) -> None:
         self._listener = listener
--- a/wingwood/context/tests/test_answer_parser.py
+++ b/wingwood/context/tests/test_answer_parser.py
@@ -1,4 +1,9 @@
-"""The answer parser: what it takes, what it refuses, and that it makes no difference how the bytes are cut."""
+"""Tests of the answer parser.
+
+If the parser depended on how the network splits the bytes, or accepted a head that a worker or proxy reads
+differently, a client could take bytes of one answer for another. Generated answers must have the same outcome in every
+split, and ambiguous heads must be rejected.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +20,7 @@
 
 
 def read(pieces: list[bytes], method: str = "POST", echo: tuple[str, str] | None = None) -> tuple[object, ...]:
-    """All that a client can see of an answer that came in these pieces, and then the connection's end."""
+    """Returns all that a client can see of an answer that arrives in these chunks before the connection ends."""
     parser = AnswerParser(method, echo)
     body = b""
     for at, piece in enumerate(pieces):
@@ -31,6 +36,7 @@
 
 
 def cut(data: bytes, places: list[int]) -> list[bytes]:
+    """Splits the bytes at the given places, taken modulo the length."""
     bounds = [0, *sorted(place % (len(data) + 1) for place in places), len(data)]
     return [data[start:end] for start, end in itertools.pairwise(bounds)]
 
@@ -73,6 +79,8 @@
 
 
 class Fuzz(unittest.TestCase):
+    """Generated answers, valid and damaged, split at any places."""
+
     @settings(max_examples=1500, deadline=None, derandomize=True)
     @given(st.one_of(answers, mangled), places, st.sampled_from(["POST", "HEAD"]), st.sampled_from([None, ECHO]))
     def test_cuts_make_no_difference(
@@ -121,10 +129,13 @@
 
 
 class Heads(unittest.TestCase):
+    """Single answers with a known outcome."""
+
     def outcome(self, data: bytes, echo: tuple[str, str] | None = None) -> object:
         return read([data], echo=echo)[0]
 
-    def test_refused(self) -> None:
+    def test_invalid_heads_are_malformed(self) -> None:
+        """Each head is ambiguous, so that another parser could read it differently, or it is invalid or too long."""
         for head in (
             b"HTTP/1.1 200 OK\nContent-Length: 0\n\n",
             b"HTTP/1.1 200 OK\r\nX: a\r\n folded\r\nContent-Length: 0\r\n\r\n",
@@ -144,13 +155,15 @@
             with self.subTest(head=head[:60]):
                 self.assertEqual(self.outcome(head), "malformed")
 
-    def test_refused_without_waiting_for_more(self) -> None:
+    def test_malformed_start_is_rejected_without_waiting_for_more(self) -> None:
+        """A peer that sends something other than HTTP must not keep the call waiting for the end of a head."""
         for beginning in (b"SSH-2.0", b"X", b"HTTP/1.1 200 OK\n", b"HTTP/1.1 200 OK\r\n" + b"x" * MAX_HEAD_BYTES):
             parser = AnswerParser("POST")
             parser.take(beginning)
             self.assertEqual(parser.outcome, "malformed", beginning[:40])
 
-    def test_echo(self) -> None:
+    def test_answer_without_the_expected_echo_is_foreign(self) -> None:
+        """An answer with the id of another call, or without an id where one is required, is not accepted."""
         head = b"HTTP/1.1 200 OK\r\n%bContent-Length: 0\r\n\r\n"
         for line, outcome in (
             (b"X-Id: one\r\n", "ended"),
@@ -164,6 +177,7 @@
         self.assertEqual(self.outcome(head % b"X-Id: one\r\n", ("X-Id", "")), "foreign")
 
     def test_interim_answers_do_not_affect_the_final_answer(self) -> None:
+        """Headers of a 1xx answer, such as ``Connection`` or the echo, do not apply to the final answer."""
         early = b"HTTP/1.1 103 Early\r\nX-Id: two\r\nConnection: close\r\nKeep-Alive: timeout=9\r\n\r\n"
         outcome, _, body, surplus, persistent, idle = read(
             [early + b"HTTP/1.1 200 OK\r\nX-Id: one\r\nContent-Length: 2\r\n\r\nok"], echo=ECHO
@@ -171,6 +185,7 @@
         self.assertEqual((outcome, body, surplus, persistent, idle), ("ended", b"ok", 0, True, None))
 
     def test_surplus_is_counted(self) -> None:
+        """Bytes after an answer must be seen, so that the connection is not reused."""
         for answer in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
             b"HTTP/1.1 204 No Content\r\n\r\n",
@@ -179,7 +194,8 @@
             self.assertEqual(read([answer + b"more"])[3], 4)
             self.assertEqual(read([answer])[3], 0)
 
-    def test_long_trailers_and_chunk_lines_are_refused(self) -> None:
+    def test_long_trailers_and_chunk_lines_are_broken(self) -> None:
+        """A worker could otherwise make the client buffer without limit."""
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         for body in (b"0\r\n" + b"T: 1234567890\r\n" * 6000 + b"\r\n", b"1;" + b"x" * 5000 + b"\r\na\r\n0\r\n\r\n"):
             self.assertEqual(self.outcome(head + body), "broken")
--- a/wingwood/context/tests/test_http_clients.py
+++ b/wingwood/context/tests/test_http_clients.py
@@ -1,4 +1,8 @@
-"""All HTTP clients against the same badly behaved server (docs/DESIGN.md section 12.2)."""
+"""Tests that all HTTP clients behave alike against a misbehaving server (docs/DESIGN.md section 12.2).
+
+They guard against libraries that resend a request, report a truncated answer as complete, change the request, or
+report a request as unsent although bytes of it were written.
+"""
 
 from __future__ import annotations
 
@@ -27,14 +31,14 @@
 
 
 class MisbehavingServer:
-    """Takes each connection's request whole, then follows the script it was given."""
+    """Reads the complete request of each connection, then runs its script."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
         self.requests: list[bytes] = []
         self.connections = 0
         self.client_closed = asyncio.Event()
-        """The client has closed a connection."""
+        """Is set when the client has closed a connection."""
         self.address = Address("127.0.0.1", 0)
 
     async def start(self) -> None:
@@ -70,7 +74,7 @@
 
 
 def answers(*parts: bytes, reset: bool = False) -> Script:
-    """Sends the parts and closes."""
+    """Sends the parts and closes the connection, by RST if ``reset`` is set."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for part in parts:
@@ -83,7 +87,7 @@
 
 
 def answers_and_resets(*parts: bytes) -> Script:
-    """Sends the parts, lets them arrive, and ends the connection by RST."""
+    """Sends the parts, waits until they have arrived, and ends the connection with RST."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for part in parts:
@@ -110,6 +114,7 @@
 
 
 async def floods(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Sends a chunked body of 64 MiB as fast as the client reads it."""
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     for _ in range(1024):
         writer.write(b"10000\r\n" + b"z" * 65536 + b"\r\n")
@@ -118,6 +123,7 @@
 
 
 async def read_all(exchange: HttpExchange) -> tuple[bytes, HttpFault | None]:
+    """Reads the body to its end and returns it with the fault, if there is one."""
     body = b""
     while True:
         match await exchange.next_chunk():
@@ -129,8 +135,8 @@
                 return body, fault
 
 
-class Conformance:
-    """What holds for every HttpClient; the subclasses say which."""
+class HttpClientConformance:
+    """Tests that hold for every HttpClient; each subclass of ``Tests`` creates one client."""
 
     class Tests(unittest.IsolatedAsyncioTestCase):
         client: HttpClient
@@ -184,7 +190,7 @@
 
         async def test_request_is_written_byte_for_byte(self) -> None:
             server = await self.serve(answers(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-            body = bytes(range(256)) * 5000  # Above the size at which libcurl would ask with Expect.
+            body = bytes(range(256)) * 5000  # Larger than the size at which libcurl would send an Expect header.
             headers = (("X-Empty", ""), ("X-Two", "1"), ("X-Two", "2"), ("X-Latin", "ol\xe9"))
             exchange = self.call(server, body=body, path="/v1/../a//b?q=%2e&x={1}", headers=headers)
             await self.head_of(exchange)
@@ -210,6 +216,7 @@
                 await exchange.head()
 
         async def test_closed_without_answer_is_sent_once(self) -> None:
+            """Client libraries often resend a request when the connection closes without an answer."""
             server = await self.serve(answers())
             for calls in range(1, 4):
                 fault = await self.fault_of(self.call(server))
@@ -236,6 +243,7 @@
             self.assertEqual((fault.kind, fault.request_sent, exchange.request_sent()), ("connect", False, False))
 
         async def test_last_check_stops_the_call_before_its_first_byte(self) -> None:
+            """The check runs once, on an open connection, and its refusal leaves the request unsent."""
             server = await self.serve(answers())
             asked: list[bool] = []
 
@@ -251,6 +259,7 @@
             self.assertEqual(server.requests, [])
 
         async def test_truncated_answer_is_broken(self) -> None:
+            """A truncated or badly framed body must not be reported as complete."""
             cuts = {
                 b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf": b"half",
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n": b"half",
@@ -279,6 +288,7 @@
             self.assertEqual((head.framing, body, fault), ("close", b"looks whole", None))
 
         async def test_reset_is_no_end_of_an_answer_without_length(self) -> None:
+            """Without a length, only an orderly close ends the body; a reset can truncate it anywhere."""
             for parts in ((b"HTTP/1.1 200 OK\r\n\r\n", b"looks whole"), (b"HTTP/1.1 200 OK\r\n\r\n",)):
                 server = await self.serve(answers_and_resets(*parts))
                 exchange = self.call(server)
@@ -351,11 +361,12 @@
                 self.assertEqual((await exchange.next_chunk()).unwrap(), b"piece1")
 
         async def test_wait_that_times_out_loses_no_chunk(self) -> None:
-            go_on = asyncio.Event()
+            """A consumer that times out in ``next_chunk`` gets the chunk at its next call."""
+            proceed = asyncio.Event()
 
             async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
-                await go_on.wait()
+                await proceed.wait()
                 writer.write(b"piece")
                 await writer.drain()
 
@@ -364,7 +375,7 @@
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0):
                     await exchange.next_chunk()
-            go_on.set()
+            proceed.set()
             async with asyncio.timeout(WAIT_LIMIT_S):
                 self.assertEqual(await read_all(exchange), (b"piece", None))
 
@@ -408,6 +419,7 @@
                     await asyncio.sleep(0)
 
         async def test_slow_reader_pauses_the_sender(self) -> None:
+            """A client without back-pressure would buffer the 64 MiB of the answer."""
             server = await self.serve(floods)
             exchange = self.call(server)
             await self.head_of(exchange)
@@ -440,6 +452,7 @@
                 exchange.cancel()
 
         async def test_requests_that_can_not_be_written_are_refused(self) -> None:
+            """Line breaks and blanks in the wrong place would change the meaning of the written request."""
             server = await self.serve(answers())
             for more in (
                 {"path": "/a b"},
@@ -454,7 +467,7 @@
             self.assertEqual(server.connections, 0)
 
 
-class CurlClientTests(Conformance.Tests):
+class CurlClientTests(HttpClientConformance.Tests):
     def make_client(self) -> HttpClient:
         client = CurlHttpClient()
         self.addCleanup(client.close)
@@ -476,12 +489,12 @@
         self.assertEqual((fault.kind, fault.request_sent), ("connect", False))
 
 
-class StreamClientTests(Conformance.Tests):
+class StreamClientTests(HttpClientConformance.Tests):
     def make_client(self) -> HttpClient:
         return StreamHttpClient(RealNetwork(), RealTasks(mock.Mock(), self.fail))
 
 
-class PooledClientTests(Conformance.Tests):
+class PooledClientTests(HttpClientConformance.Tests):
     def make_client(self) -> HttpClient:
         limits = ConnectionLimits(per_address=100)
         client = PooledHttpClient(RealNetwork(), RealClock(), RealTasks(mock.Mock(), self.fail), limits)
--- a/wingwood/context/tests/test_pooled_client.py
+++ b/wingwood/context/tests/test_pooled_client.py
@@ -1,4 +1,8 @@
-"""Connections that are kept and used again: on loopback sockets and in the simulator (docs/DESIGN.md section 12.2)."""
+"""Tests of reused connections, on loopback sockets and in the simulator (docs/DESIGN.md section 12.2).
+
+The main failures they guard against: a request is sent twice, a call receives the answer to another one, a connection
+is reused after its peer closed it or sent stray bytes, and reserved places are not released.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +30,7 @@
 
 
 class OnBothNetworks:
-    """What holds on any network; the subclasses say which."""
+    """Tests that hold on any network; each subclass of ``Tests`` chooses one."""
 
     class Tests(unittest.TestCase):
         def run_scenario(
@@ -37,7 +41,7 @@
         def run_checked(
             self, scenario: Scenario, worker: ScriptedWorker, limits: ConnectionLimits | None = None
         ) -> None:
-            """Whatever happens in a scenario, no request reaches the worker twice."""
+            """Runs the scenario and checks that no request reached the worker twice."""
             self.run_scenario(scenario, worker, limits)
             self.assertLessEqual(max(worker.received.values(), default=0), 1, worker.received)
 
@@ -119,7 +123,7 @@
 
             self.run_checked(scenario, worker)
 
-        # What shows on a resting connection.
+        # Events on an idle connection.
 
         def test_end_while_idle(self) -> None:
             worker = ScriptedWorker(answers_ok)
@@ -134,7 +138,7 @@
             self.run_checked(scenario, worker)
 
         def test_end_that_the_event_loop_has_not_reported_yet(self) -> None:
-            """The end is in the kernel's buffer when the next call starts, in the same callback."""
+            """The end is in the kernel's buffer when the next call starts, but the event loop has not reported it."""
             worker = ScriptedWorker(answers_ok)
 
             async def scenario(testbed: Testbed) -> None:
@@ -173,9 +177,11 @@
 
             self.run_checked(scenario, worker)
 
-        # What shows when the next call is on it.
+        # Faults that appear when the next call uses the connection.
 
         def test_surplus_answer_is_not_taken_for_the_next(self) -> None:
+            """The worker sends a second answer to an earlier request where the next answer is expected."""
+
             async def answer(received_request: ReceivedRequest) -> None:
                 if received_request.number == 2:
                     await received_request.send(received_request.answer(b"surplus", id="call-1"))
@@ -207,7 +213,7 @@
             self.run_checked(scenario, worker)
 
         def test_reset_in_reply_to_the_next_request(self) -> None:
-            """The other side forgot the connection in silence: the next bytes on it are answered by a reset."""
+            """The peer dropped the connection silently, so it replies to the next bytes with a reset."""
 
             async def answer(received_request: ReceivedRequest) -> None:
                 if received_request.number == 2:
@@ -245,6 +251,8 @@
             self.run_checked(scenario, worker)
 
         def test_fault_after_the_first_answer_byte_is_not_blamed_on_reuse(self) -> None:
+            """A peer that sent a byte of an answer had not closed the connection while it was idle."""
+
             async def answer(received_request: ReceivedRequest) -> None:
                 if received_request.number == 1:
                     await received_request.send(received_request.answer())
@@ -261,7 +269,7 @@
 
             self.run_checked(scenario, worker)
 
-        # Ends of answers.
+        # Ends of answers without a length, and truncated answers.
 
         def test_answer_without_length(self) -> None:
             async def answer(received_request: ReceivedRequest) -> None:
@@ -316,7 +324,7 @@
             self.run_checked(scenario, worker)
 
         def test_early_answer_to_a_long_request(self) -> None:
-            """The worker answers by the head alone, then reads on, closes, or resets: the answer counts each time."""
+            """The worker answers before reading the body, then reads on, closes, or resets: the answer counts."""
 
             async def answer(received_request: ReceivedRequest) -> None:
                 await received_request.send(received_request.answer(b"too long", status="413 Content Too Large"))
@@ -339,7 +347,7 @@
 
             self.run_checked(scenario, worker)
 
-        # Cancelling.
+        # Cancelled calls.
 
         def test_cancel_within_an_answer_closes_at_once(self) -> None:
             async def answer(received_request: ReceivedRequest) -> None:
@@ -362,9 +370,9 @@
             worker = ScriptedWorker(answers_ok)
 
             async def scenario(testbed: Testbed) -> None:
-                given_up = testbed.start()
-                given_up.cancel()
-                self.assertEqual((await read_answer(given_up)).fault, HttpFault("cancelled", False))
+                cancelled = testbed.start()
+                cancelled.cancel()
+                self.assertEqual((await read_answer(cancelled)).fault, HttpFault("cancelled", False))
                 await testbed.until(lambda: testbed.client.pool.idle_connections() == 1)
                 self.assertIsNone((await testbed.call()).fault)
                 self.assertEqual((worker.connections, worker.received), (1, {"call-2": 1}))
@@ -389,6 +397,7 @@
             self.run_checked(scenario, worker)
 
         def test_cancelled_call_is_not_written_though_its_last_check_agrees(self) -> None:
+            """``last_check`` itself cancels the call and then returns True."""
             worker = ScriptedWorker(answers_ok)
 
             async def scenario(testbed: Testbed) -> None:
@@ -403,13 +412,13 @@
 
             self.run_checked(scenario, worker)
 
-        # Bounds.
+        # Limits on connections.
 
         def test_bound_per_address(self) -> None:
-            go_on = asyncio.Event()
+            proceed = asyncio.Event()
 
             async def answer(received_request: ReceivedRequest) -> None:
-                await go_on.wait()
+                await proceed.wait()
                 await received_request.send(received_request.answer())
 
             worker = ScriptedWorker(answer)
@@ -421,7 +430,7 @@
                 summary = (await read_answer(beyond)).fault_summary()
                 self.assertEqual((summary, testbed.client.counts.busy), (("busy", False, False), 1))
                 third = testbed.start(connection_limit=3)
-                go_on.set()
+                proceed.set()
                 self.assertEqual([(await read_answer(each)).fault for each in [*running, third]], 3 * [None])
                 self.assertIsNone((await testbed.call()).fault)
                 self.assertEqual(worker.connections, 3)
@@ -429,7 +438,7 @@
             self.run_checked(scenario, worker, ConnectionLimits(per_address=2))
 
         def test_idle_connections_are_closed_for_new_ones(self) -> None:
-            """Of this address when its bound is reached, of another when the bound in all is."""
+            """At the limit per address, one to that address is closed; at the total limit, one to any address."""
             worker = ScriptedWorker(answers_ok)
 
             async def scenario(testbed: Testbed) -> None:
@@ -444,7 +453,7 @@
             self.run_checked(scenario, worker, ConnectionLimits(per_address=1, total=1))
 
         def test_reservations_are_released(self) -> None:
-            """After refused connects, broken answers and cancelled calls, the bound is free again."""
+            """Refused connects, broken answers and malformed answers must not use up the connection limit for good."""
 
             async def answer(received_request: ReceivedRequest) -> None:
                 if received_request.connection % 2:
@@ -465,6 +474,8 @@
             self.run_checked(scenario, worker, ConnectionLimits(per_address=1, total=1))
 
         def test_concurrent_calls_never_share_a_connection(self) -> None:
+            """Two requests on one connection could receive each other's answers."""
+
             async def answer(received_request: ReceivedRequest) -> None:
                 await asyncio.sleep(0.002)
                 await received_request.send(
@@ -485,6 +496,8 @@
         # Back-pressure.
 
         def test_consumer_that_stops_reading_pauses_the_worker(self) -> None:
+            """Without back-pressure, the client would buffer the whole answer."""
+
             async def answer(received_request: ReceivedRequest) -> None:
                 await received_request.send(received_request.answer(b"x" * 20_000_000))
 
@@ -504,6 +517,7 @@
             self.run_checked(scenario, worker)
 
         def test_requests_with_another_length_than_their_body_are_refused(self) -> None:
+            """On a reused connection, the worker would read such a body as part of the next request."""
             worker = ScriptedWorker(answers_ok)
 
             async def scenario(testbed: Testbed) -> None:
@@ -526,19 +540,19 @@
 
 
 class IdleTimes(unittest.TestCase):
-    """On virtual time."""
+    """How long an idle connection is reused, tested in the simulator on virtual time."""
 
     def connections_after(
-        self, rest: float, *headers: str, limits: ConnectionLimits | None = None, within: float | None = None
+        self, idle_s: float, *headers: str, limits: ConnectionLimits | None = None, within: float | None = None
     ) -> int:
-        """How many connections two calls took that had this rest between them."""
+        """Returns how many connections two calls used that were this many seconds apart."""
 
         async def answer(received_request: ReceivedRequest) -> None:
             await received_request.send(received_request.answer(b"ok", *headers))
 
         async def scenario(testbed: Testbed) -> None:
             await testbed.call()
-            await asyncio.sleep(rest)
+            await asyncio.sleep(idle_s)
             await testbed.call(reuse_within=None if within is None else Seconds(within))
 
         worker = ScriptedWorker(answer)
@@ -565,6 +579,8 @@
         self.assertEqual(self.connections_after(0.15, "Keep-Alive: timeout=8", within=0.1), 2)
 
     def test_connection_too_old_for_one_call_stays_for_another(self) -> None:
+        """A call with a short ``reuse_within`` must not close connections that other calls may use."""
+
         async def scenario(testbed: Testbed) -> None:
             await testbed.call()
             await asyncio.sleep(1.0)
@@ -597,6 +613,8 @@
         run_in_simulation(scenario, worker)
 
     def test_call_to_a_worker_without_power_ends_by_its_consumer(self) -> None:
+        """A machine without power sends neither FIN nor RST, so only the consumer's timeout ends the call."""
+
         async def scenario(testbed: Testbed) -> None:
             await testbed.call()
             assert testbed.world is not None
@@ -614,6 +632,8 @@
         run_in_simulation(scenario, ScriptedWorker(answers_ok))
 
     def test_frozen_router_does_not_use_a_connection_that_ended_meanwhile(self) -> None:
+        """The worker closes the connection while the router process is stopped for a second."""
+
         async def scenario(testbed: Testbed) -> None:
             await testbed.call()
             world = testbed.world
--- a/wingwood/context/tests/test_pooled_soak.py
+++ b/wingwood/context/tests/test_pooled_soak.py
@@ -1,6 +1,7 @@
-"""A worker that misbehaves at random, many calls, and what must hold for each (docs/DESIGN.md section 12.2).
+"""Many calls to a worker that misbehaves at random, with checks on each call (docs/DESIGN.md section 12.2).
 
-Two clients that are broken on purpose show that the checks see what they are for.
+The checks find requests that are sent twice, answers given to the wrong call, truncated answers reported as complete,
+and received requests reported as unsent. Clients that are broken on purpose show that the checks detect such faults.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 class MisbehavingWorker:
-    """Mostly answers well. Each stray thing it sends is a whole answer, to an earlier request of the connection."""
+    """A worker script that mostly answers correctly. Its stray data is a complete answer to another request."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -107,7 +108,7 @@
 
 
 def soak(seed: int, make_client: Callable[[Testbed], None] | None = None, on_loopback: bool = False) -> Counts:
-    """Plays it and judges each call; raises AssertionError at what must not be."""
+    """Runs the callers against the worker; raises AssertionError if a check fails for any call."""
     random = Random(seed)
     worker = ScriptedWorker(MisbehavingWorker(Random(seed + 1000)))
     counts = Counts()
@@ -134,7 +135,7 @@
             for number in range(CALLERS):
                 group.create_task(caller(testbed, f"caller-{number}"))
         pool = testbed.client.pool
-        assert pool.open_connections() == pool.idle_connections(), "a place was not given back"
+        assert pool.open_connections() == pool.idle_connections(), "a reserved place was not released"
         assert testbed.client.calls() == 0
         counts.reused = testbed.client.counts.reused
 
@@ -171,7 +172,7 @@
         times = worker.received[identifier]
         assert times == 1, f"{identifier} sent twice" if times else f"{identifier} answered and never received"
     elif not outcome.fault.request_sent:
-        assert worker.received[identifier] == 0, f"{identifier} was received, and told as unsent"
+        assert worker.received[identifier] == 0, f"{identifier} was received, but reported as unsent"
     if outcome.fault is not None and outcome.fault.on_reused_connection:
         assert outcome.head is None and outcome.fault.kind == "broken"
 
@@ -191,8 +192,8 @@
         self.assertGreater(counts.reused, CALLERS * CALLS // 4)
 
 
-class Resending(HttpExchange):
-    """Broken on purpose: sends again what broke on a kept connection, as client libraries do."""
+class ResendingExchange(HttpExchange):
+    """Broken on purpose: resends a request that broke on a reused connection, as client libraries do."""
 
     def __init__(self, client: PooledHttpClient, request: HttpRequest) -> None:
         self._client = client
@@ -218,7 +219,7 @@
 
 class BrokenVariants(unittest.TestCase):
     def count_objections(self, expected_text: str, make_client: Callable[[Testbed], None] | None = None) -> int:
-        """In how many seeds the checks object, all with these words."""
+        """Returns in how many seeds a check fails; each failure must contain the expected text."""
         objections = 0
         for seed in SEEDS:
             try:
@@ -230,7 +231,7 @@
 
     def test_resending_is_caught(self) -> None:
         def make(testbed: Testbed) -> None:
-            testbed.start = lambda body=b"", **more: Resending(testbed.client, testbed.request(body, **more))  # type: ignore[method-assign]
+            testbed.start = lambda body=b"", **more: ResendingExchange(testbed.client, testbed.request(body, **more))  # type: ignore[method-assign]
 
         self.assertGreater(self.count_objections("sent twice", make), len(SEEDS) // 2)
 
@@ -239,7 +240,7 @@
             self.assertGreater(self.count_objections(" got b'body of"), len(SEEDS) // 2)
 
     def test_reusing_ended_or_stray_connections_is_caught(self) -> None:
-        """Half of the connections end while they rest, the other half get a stray answer."""
+        """Half of the connections end while they are idle, the other half receive a stray answer."""
 
         async def answer(received_request: ReceivedRequest) -> None:
             await received_request.send(received_request.answer(MisbehavingWorker.body(received_request.id)))
--- a/wingwood/context/tests/test_pooled_writes.py
+++ b/wingwood/context/tests/test_pooled_writes.py
@@ -1,4 +1,8 @@
-"""What a refused, partial or failed write means for a call: on a descriptor whose every answer is scripted."""
+"""Tests of refused, partial and failed writes, on a stream whose reads and writes are scripted.
+
+A call must be reported as unsent only if the kernel accepted no byte of its request, and an answer that arrived before
+a failed write must not be lost.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +23,11 @@
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 Step = int | bytes | OSError | None
-"""A count of bytes taken, bytes that came, an error, or None for "not now"."""
+"""Number of bytes accepted by a write, bytes returned by a read, an error to raise, or None if it would block."""
 
 
 class ScriptedLoop:
-    """Keeps the handler in place of watching anything."""
+    """A fake event loop that records the handler and lets the test call it."""
 
     def __init__(self) -> None:
         self.handler: Callable[[object, int], None] | None = None
@@ -44,6 +48,8 @@
 
 
 class ScriptedStream(BaseIOStream):
+    """A fake stream; each read or write consumes one step of its script."""
+
     def __init__(self, writes: list[Step], reads: list[Step]) -> None:
         super().__init__()
         self.loop = ScriptedLoop()
@@ -77,7 +83,7 @@
 
 
 class OneStream:
-    """A network of which each connection is the same stream."""
+    """A fake network on which every connection is the same stream."""
 
     def __init__(self, stream: ScriptedStream) -> None:
         self._stream = stream
@@ -93,6 +99,8 @@
 
 
 class Writes(unittest.IsolatedAsyncioTestCase):
+    """The outcome of one call for each course of its writes."""
+
     async def fault_or_body(self, writes: list[Step], reads: list[Step], events: list[int]) -> HttpFault | bytes:
         stream = ScriptedStream(writes, reads)
         client = PooledHttpClient(OneStream(stream), RealClock(), RealTasks(mock.Mock(), self.fail))
@@ -111,7 +119,7 @@
         return outcome.body if outcome.fault is None else outcome.fault
 
     async def test_answer_that_came_before_a_failed_write_counts(self) -> None:
-        """The worker refused early and reset: the write finds out first, the answer waits to be read."""
+        """The worker answered early and reset the connection: the write fails while the answer is still unread."""
         writes: list[Step] = [100, BrokenPipeError(32, "pipe")]
         got = await self.fault_or_body(writes, [ANSWER], [IOLoop.WRITE, IOLoop.READ])
         self.assertEqual(got, b"ok")
--- a/wingwood/context/tests/test_real_network.py
+++ b/wingwood/context/tests/test_real_network.py
@@ -1,4 +1,8 @@
-"""Real sockets: their options, their bounds, and a listener that can't take connections (docs/DESIGN.md section 3)."""
+"""Tests of real sockets: options, descriptor limits, and failing accepts (docs/DESIGN.md section 3).
+
+A process that runs out of descriptors must report it to its callers and must neither spin in its listener nor miscount
+its connections.
+"""
 
 from __future__ import annotations
 
@@ -27,13 +31,13 @@
 
 class Sockets(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.taken: list[BaseIOStream] = []
-        self.came = asyncio.Event()
+        self.accepted: list[BaseIOStream] = []
+        self.accepted_event = asyncio.Event()
 
     def take(self, stream: BaseIOStream, peer: Address) -> None:
-        self.taken.append(stream)
+        self.accepted.append(stream)
         self.addCleanup(stream.close)
-        self.came.set()
+        self.accepted_event.set()
 
     def listen(self, network: RealNetwork) -> tuple[Address, _AcceptingListener]:
         for port in PORTS:
@@ -54,10 +58,10 @@
     async def test_options_on_both_ends(self) -> None:
         network = RealNetwork()
         address, _ = self.listen(network)
-        near = await self.connect(network, address)
+        client_end = await self.connect(network, address)
         async with asyncio.timeout(WAIT_LIMIT_S):
-            await self.came.wait()
-        for stream in (near, self.taken[0]):
+            await self.accepted_event.wait()
+        for stream in (client_end, self.accepted[0]):
             assert isinstance(stream, IOStream)
             options = {
                 name: stream.socket.getsockopt(socket.IPPROTO_TCP, getattr(socket, name))
@@ -82,16 +86,16 @@
         with refused:
             await self.connect(network, address)
             async with asyncio.timeout(WAIT_LIMIT_S):
-                await self.came.wait()
+                await self.accepted_event.wait()
 
     async def test_address_can_be_taken_again_at_once(self) -> None:
         network = RealNetwork()
         address, listener = self.listen(network)
-        near = await self.connect(network, address)
+        client_end = await self.connect(network, address)
         async with asyncio.timeout(WAIT_LIMIT_S):
-            await self.came.wait()
-        self.taken[0].close()
-        near.close()
+            await self.accepted_event.wait()
+        self.accepted[0].close()
+        client_end.close()
         listener.close()
         listener.close()
         again = network.listen(address, self.take)
@@ -106,13 +110,13 @@
         streams = [await self.connect(outer, address) for _ in range(3)]
         async with asyncio.timeout(WAIT_LIMIT_S):
             self.assertEqual(await asyncio.get_running_loop().sock_recv(streams[2].socket, 1), b"")
-        self.assertEqual((len(self.taken), network.open_connections()), (2, 2))
-        self.taken[0].close()
+        self.assertEqual((len(self.accepted), network.open_connections()), (2, 2))
+        self.accepted[0].close()
         self.assertEqual(network.open_connections(), 1)
-        self.came.clear()
+        self.accepted_event.clear()
         await self.connect(outer, address)
         async with asyncio.timeout(WAIT_LIMIT_S):
-            await self.came.wait()
+            await self.accepted_event.wait()
 
     async def test_connections_out_beyond_the_bound_fail_at_once(self) -> None:
         network = RealNetwork(descriptor_limit=RESERVED_DESCRIPTORS + 1)
@@ -133,7 +137,7 @@
         self.assertEqual(network.open_connections(), 0)
 
     async def test_no_descriptor_left(self) -> None:
-        """Connecting fails typed; a listener pauses in place of spinning, and takes the connection when it can."""
+        """Connecting fails as ``exhausted``. A listener pauses instead of spinning, and accepts later."""
         network = RealNetwork()
         address, listener = self.listen(network)
         with socket.socket() as raw:
@@ -142,12 +146,12 @@
             lowest_free = os.dup(0)
             os.close(lowest_free)
             resource.setrlimit(resource.RLIMIT_NOFILE, (lowest_free, hard))
-            tries = 0
+            attempts = 0
             accept = listener._accept
 
             def counted() -> None:
-                nonlocal tries
-                tries += 1
+                nonlocal attempts
+                attempts += 1
                 accept()
 
             try:
@@ -158,12 +162,12 @@
                     listener._resume()
                     await asyncio.get_running_loop().sock_connect(raw, (address.host, address.port))
                     await asyncio.sleep(0.35)
-                    self.assertIn(tries, range(2, 6))
-                    self.assertEqual(self.taken, [])
+                    self.assertIn(attempts, range(2, 6))
+                    self.assertEqual(self.accepted, [])
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             async with asyncio.timeout(WAIT_LIMIT_S):
-                await self.came.wait()
+                await self.accepted_event.wait()
 
     async def test_connecting_to_a_silent_address_times_out(self) -> None:
         with socket.socket() as full:
