--- a/wingwood/context/answer_parser.py
+++ b/wingwood/context/answer_parser.py
@@ -164,9 +164,9 @@
                 del held[: end + len(_HEAD_END)]
                 searched = 0
                 self._read_head(head)
-        rest = bytes(held)
+        remainder = bytes(held)
         held.clear()
-        return rest
+        return remainder
 
     def _read_head(self, raw: bytes) -> None:
         first, *lines = raw.decode("latin-1").split("\r\n")
--- a/wingwood/context/connection_pool.py
+++ b/wingwood/context/connection_pool.py
@@ -118,6 +118,7 @@
         self.closed = False
         self.idle_since = Instant(0.0)
         self.expires = Instant(0.0)
+        """The time from which the idle connection may not be reused."""
         self._stream = stream
         self._buffer = buffer
         self._on_idle_event = on_idle_event
@@ -148,7 +149,7 @@
             self._watch(self._events | IOLoop.READ)
 
     def is_open_and_quiet(self) -> bool:
-        """Returns whether the connection is open and has nothing to read; a byte that was read is discarded."""
+        """Returns whether the connection is open and has nothing to read; received bytes are discarded."""
         try:
             return not self.closed and self._stream.read_from_fd(self._buffer) is None
         except OSError:
@@ -305,12 +306,12 @@
 
         Returns False if a limit is reached and no idle connection can be closed.
         """
-        bound = self.limits.per_address if connection_limit is None else connection_limit
+        limit = self.limits.per_address if connection_limit is None else connection_limit
         state = self._addresses.get(address)
-        if state is not None and state.open >= bound and state.idle:
+        if state is not None and state.open >= limit and state.idle:
             self._close_idle(state.idle[0])
             state = self._addresses.get(address)
-        if bound <= 0 or (state is not None and state.open >= bound):
+        if limit <= 0 or (state is not None and state.open >= limit):
             self.counts.busy += 1
             return False
         if self._open >= self.limits.total and self._idle:
@@ -342,13 +343,16 @@
             self.release(connection.address)
 
     def store_idle(self, connection: PooledConnection, keep_alive_s: int | None) -> None:
-        """Stores a connection as idle after an answer with this ``Keep-Alive`` timeout, which may be None."""
-        bound = self.limits.max_idle_time(keep_alive_s)
-        if bound <= 0:
+        """Stores a connection as idle after an answer with this ``Keep-Alive`` timeout, which may be None.
+
+        A connection that may not be idle at all is closed.
+        """
+        limit = self.limits.max_idle_time(keep_alive_s)
+        if limit <= 0:
             self.close(connection)
             return
         connection.idle_since = self._now()
-        connection.expires = Instant(connection.idle_since + bound)
+        connection.expires = Instant(connection.idle_since + limit)
         self._add_idle(connection)
         connection.resume_reading()
 
--- a/wingwood/context/curl_client.py
+++ b/wingwood/context/curl_client.py
@@ -237,13 +237,13 @@
 
 def _header_lines(request: HttpRequest) -> list[bytes]:
     """Returns the headers in libcurl's syntax: ``Name;`` sends an empty value, ``Name:`` omits a header of its own."""
-    given = {name.lower() for name, _ in request.headers}
+    header_names = {name.lower() for name, _ in request.headers}
     lines = [
         f"{name}: {value}".encode("latin-1") if value.strip() else f"{name};".encode("latin-1")
         for name, value in request.headers
     ]
-    if "connection" not in given:
+    if "connection" not in header_names:
         lines.append(b"Connection: close")
     own = ("Accept", "Content-Type", "Expect", "User-Agent")
-    lines += [name.encode() + b":" for name in own if name.lower() not in given]
+    lines += [name.encode() + b":" for name in own if name.lower() not in header_names]
     return lines
--- a/wingwood/context/pooled_client.py
+++ b/wingwood/context/pooled_client.py
@@ -180,7 +180,7 @@
         else:
             self._pool.close(connection)
 
-    # Methods that the consumer causes to be called.
+    # Overridden methods of Exchange.
 
     def end(self, fault: HttpFault | None) -> None:
         super().end(fault)
@@ -205,7 +205,7 @@
 def _fault_of_framing(request: HttpRequest) -> str | None:
     """Returns the problem of a header that contradicts the length of the body, or None.
 
-    On a reused connection, the peer would take bytes of the next request for this body, or the reverse.
+    On a reused connection, the peer would take bytes of the next request for a part of this body, or the reverse.
     """
     for name, value in request.headers:
         if len(name) in _FRAMING_NAME_LENGTHS:
@@ -222,15 +222,15 @@
 def _message(request: HttpRequest) -> bytes:
     """Returns head and body as one message, which is written in one call."""
     lines = [f"{request.method} {request.path} HTTP/1.1\r\n"]
-    given = set()
+    header_names = set()
     for name, value in request.headers:
-        given.add(name.lower())
+        header_names.add(name.lower())
         lines.append(f"{name}: {value}\r\n")
-    if "host" not in given:
+    if "host" not in header_names:
         lines.insert(1, f"Host: {request.address}\r\n")
-    if "connection" not in given and not request.reuse:
+    if "connection" not in header_names and not request.reuse:
         lines.append("Connection: close\r\n")
-    if (request.body or request.method == "POST") and "content-length" not in given:
+    if (request.body or request.method == "POST") and "content-length" not in header_names:
         lines.append(f"Content-Length: {len(request.body)}\r\n")
     lines.append("\r\n")
     return "".join(lines).encode("latin-1") + request.body
--- a/wingwood/context/stream_client.py
+++ b/wingwood/context/stream_client.py
@@ -66,13 +66,13 @@
             no_keep_alive=True, max_header_size=MAX_HEAD_BYTES, max_body_size=_UNLIMITED_BYTES, chunk_size=16 * 1024
         )
         connection = HTTP1Connection(stream, True, parameters, str(request.address))
-        given = {name.lower() for name, _ in request.headers}
+        header_names = {name.lower() for name, _ in request.headers}
         headers = httputil.HTTPHeaders()
-        if "host" not in given:
+        if "host" not in header_names:
             headers.add("Host", str(request.address))
         for name, value in request.headers:
             headers.add(name, value)
-        if "connection" not in given:
+        if "connection" not in header_names:
             headers.add("Connection", "close")
         if request.body or request.method == "POST":
             headers.add("Content-Length", str(len(request.body)))
--- a/wingwood/context/tests/test_pooled_client.py
+++ b/wingwood/context/tests/test_pooled_client.py
@@ -425,9 +425,9 @@
 
             async def scenario(testbed: Testbed) -> None:
                 running = [testbed.start() for _ in range(2)]
-                beyond = testbed.start()
-                self.assertFalse(beyond.request_sent())
-                summary = (await read_answer(beyond)).fault_summary()
+                excess_call = testbed.start()
+                self.assertFalse(excess_call.request_sent())
+                summary = (await read_answer(excess_call)).fault_summary()
                 self.assertEqual((summary, testbed.client.counts.busy), (("busy", False, False), 1))
                 third = testbed.start(connection_limit=3)
                 proceed.set()
