--- a/emulator/tests/test_worker.py
+++ b/emulator/tests/test_worker.py
@@ -113,7 +113,7 @@
             answer.status = head.unwrap().status
             answer.headers = dict(head.unwrap().headers)
             while True:
-                chunk = await exchange.next_piece()
+                chunk = await exchange.next_chunk()
                 if not isinstance(chunk, Success):
                     answer.end = chunk.failure().kind
                     return
--- a/fleet/caller.py
+++ b/fleet/caller.py
@@ -146,7 +146,7 @@
         while True:
             try:
                 async with asyncio.timeout(timeout if not outcome.events else plan.idle_timeout):
-                    received = await exchange.next_piece()
+                    received = await exchange.next_chunk()
             except TimeoutError:
                 outcome.fault = "silent"
                 return
--- a/wingwood/context/answer_parser.py
+++ b/wingwood/context/answer_parser.py
@@ -1,8 +1,8 @@
-"""A strict HTTP/1.1 answer parser on bytes as they come (docs/DESIGN.md section 12.2; RFC 9112).
+"""A strict incremental parser of HTTP/1.1 answers (docs/DESIGN.md section 12.2; RFC 9112).
 
-Stricter than the RFC asks where leniency would let two readers see two answers in the same bytes: no folded
-headers, no bare line ends, no blanks before the colon, no control characters, no contradicting lengths. How the
-bytes are cut into pieces makes no difference to the outcome.
+It is stricter than the RFC where leniency would let two parsers see different answers in the same bytes: it rejects
+folded headers, bare line feeds, blanks before the colon, control characters and contradicting lengths. The outcome
+does not depend on how the bytes are split into reads.
 """
 
 from __future__ import annotations
@@ -10,124 +10,128 @@
 import re
 from typing import Final, Literal
 
-from .http_exchange import HEAD_BYTES, ChunkDecoder, framing_of, is_token
+from .http_exchange import MAX_HEAD_BYTES, ChunkDecoder, framing_of, is_token
 from .protocols import HttpHead
 
 Outcome = Literal["under way", "ended", "malformed", "broken", "foreign"]
-"""``malformed``: no HTTP head; ``broken``: the body breaks its framing; ``foreign``: not the answer to this call."""
+"""The state of an answer.
+
+``malformed``: the head is not valid HTTP. ``broken``: the body violates its framing or the connection ended early.
+``foreign``: the answer belongs to another call.
+"""
 
 _HEAD_END: Final = b"\r\n\r\n"
-_BEGINNING: Final = b"HTTP/1."
+_VERSION_PREFIX: Final = b"HTTP/1."
 _STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-5][0-9]{2})(?: .*)?")
 _KEEP_ALIVE = re.compile(r"(?:^|[,;\s])timeout\s*=\s*\"?([0-9]{1,9})")
 _BARE_LINE_FEED = re.compile(rb"(?:^|[^\r])\n")
 _CONTROLS: Final = bytes([*range(9), *range(10, 32), 127])
-_KNOWN_NAMES: Final = 512
+_MAX_CACHED_NAMES: Final = 512
 _FRAMING_NAMES: Final = frozenset({"content-length", "transfer-encoding"})
 
 _lowered_names: dict[str, str] = {}
-"""Names of headers that were found to be tokens, with their lower case: workers repeat the same few."""
+"""Cache from valid header names to their lower case: workers repeat the same few names."""
 
 
-def _lowered(name: str) -> str | None:
-    """The name in lower case; None when it is no token."""
+def _lowercase_token(name: str) -> str | None:
+    """Returns the name in lower case, or None if it is not a valid header name."""
     lowered = _lowered_names.get(name)
     if lowered is None:
         if not is_token(name):
             return None
         lowered = name.lower()
-        if len(_lowered_names) < _KNOWN_NAMES:
+        if len(_lowered_names) < _MAX_CACHED_NAMES:
             _lowered_names[name] = lowered
     return lowered
 
 
 class AnswerParser:
-    """Reads the answer to one request; interim answers (1xx) are skipped."""
+    """Parses the answer to one request and skips interim answers (1xx)."""
 
     __slots__ = (
         "_chunks",
         "_echo_name",
         "_echo_value",
         "_head_bytes",
-        "_held",
-        "_left",
         "_method",
         "_new_connection",
-        "began",
+        "_pending",
+        "_remaining",
         "head",
         "idle_timeout",
         "outcome",
         "persistent",
         "problem",
+        "started",
         "surplus",
     )
 
     def __init__(self, method: str, echo: tuple[str, str] | None = None, new_connection: bool = True) -> None:
         self.outcome: Outcome = "under way"
         self.problem = ""
-        """Why it is malformed, broken or foreign."""
+        """The reason for the outcome ``malformed``, ``broken`` or ``foreign``."""
         self.head: HttpHead | None = None
-        self.began = False
-        """At least one byte has come."""
+        self.started = False
+        """Whether at least one byte of the answer has arrived."""
         self.persistent = False
-        """The other side lets its connection be used again after this answer."""
+        """Whether the peer allows its connection to be reused after this answer."""
         self.idle_timeout: int | None = None
-        """``Keep-Alive: timeout`` of the head, in seconds."""
+        """The value of ``Keep-Alive: timeout`` in the head, in seconds; None if the head has none."""
         self.surplus = 0
-        """Bytes that came together with the answer's end and lie behind it."""
+        """Number of bytes that arrived after the end of the answer, in the same read."""
         self._method = method
         self._new_connection = new_connection
         self._echo_name = None if echo is None else echo[0].lower()
         self._echo_value = "" if echo is None else echo[1]
-        self._held = bytearray()
-        """Start of a head that is not yet there whole."""
+        self._pending = bytearray()
+        """The start of a head that has not arrived completely."""
         self._head_bytes = 0
-        """Size of the heads that have been read, interim answers included."""
-        self._left = 0
-        """Bytes to come of a body with a length."""
+        """Total size of the parsed heads, including those of interim answers."""
+        self._remaining = 0
+        """Number of bytes still missing from a body with a length."""
         self._chunks: ChunkDecoder | None = None
 
     def take(self, data: bytes) -> bytes:
-        """The body's bytes in ``data``. To be called while ``outcome`` is ``under way``."""
-        self.began = True
+        """Parses ``data`` and returns the body bytes in it; may be called only while ``outcome`` is ``under way``."""
+        self.started = True
         if self.head is None:
-            data = self._take_heads(data)
+            data = self._read_heads(data)
             if self.head is None or self.outcome != "under way":
                 self.surplus = len(data)
                 return b""
             if not data:
                 return b""
         if self._chunks is not None:
-            return self._take_chunks(self._chunks, data)
+            return self._read_chunks(self._chunks, data)
         if self.head.framing == "close":
             return data
-        return self._take_length(data)
+        return self._read_length_body(data)
 
-    def take_end(self) -> None:
-        """The connection has ended in order."""
+    def on_connection_end(self) -> None:
+        """Handles an orderly end of the connection (FIN)."""
         if self.head is not None and self.head.framing == "close":
             self.outcome = "ended"
         elif self.head is not None:
             self._fail("broken", "closed within the body")
         else:
-            self._fail("broken", "closed within the head" if self.began else "closed before an answer")
+            self._fail("broken", "closed within the head" if self.started else "closed before an answer")
 
     def _fail(self, outcome: Outcome, problem: str) -> None:
         self.outcome = outcome
         self.problem = problem
 
-    # The body.
+    # Parsing of the body.
 
-    def _take_length(self, data: bytes) -> bytes:
+    def _read_length_body(self, data: bytes) -> bytes:
         size = len(data)
-        if size < self._left:
-            self._left -= size
+        if size < self._remaining:
+            self._remaining -= size
             return data
         self.outcome = "ended"
-        self.surplus = size - self._left
-        return data if not self.surplus else data[: self._left]
+        self.surplus = size - self._remaining
+        return data if not self.surplus else data[: self._remaining]
 
-    def _take_chunks(self, chunks: ChunkDecoder, data: bytes) -> bytes:
+    def _read_chunks(self, chunks: ChunkDecoder, data: bytes) -> bytes:
         body = chunks.take(data)
         if chunks.problem is not None:
             self._fail("broken", chunks.problem)
@@ -136,19 +140,19 @@
             self.surplus = chunks.surplus
         return body
 
-    # The head.
+    # Parsing of the head.
 
-    def _take_heads(self, data: bytes) -> bytes:
-        """Reads up to the end of the last head; what lies behind it."""
-        held = self._held
+    def _read_heads(self, data: bytes) -> bytes:
+        """Parses heads up to the end of the final one and returns the bytes after it."""
+        held = self._pending
         searched = max(0, len(held) - len(_HEAD_END) + 1)
         held += data
         while self.head is None and self.outcome == "under way":
             end = held.find(_HEAD_END, searched)
             size = self._head_bytes + (len(held) if end < 0 else end + len(_HEAD_END))
-            if not held.startswith(_BEGINNING) and not _BEGINNING.startswith(held):
+            if not held.startswith(_VERSION_PREFIX) and not _VERSION_PREFIX.startswith(held):
                 self._fail("malformed", "not HTTP")
-            elif size > HEAD_BYTES:
+            elif size > MAX_HEAD_BYTES:
                 self._fail("malformed", "head too long")
             elif end < 0:
                 if _BARE_LINE_FEED.search(held, max(0, searched - 1)) is not None:
@@ -159,12 +163,12 @@
                 head = bytes(held[:end])
                 del held[: end + len(_HEAD_END)]
                 searched = 0
-                self._take_head(head)
-        rest = bytes(held)
+                self._read_head(head)
+        remainder = bytes(held)
         held.clear()
-        return rest
+        return remainder
 
-    def _take_head(self, raw: bytes) -> None:
+    def _read_head(self, raw: bytes) -> None:
         first, *lines = raw.decode("latin-1").split("\r\n")
         if len(raw.translate(None, _CONTROLS)) != len(raw) - 2 * len(lines):
             self._fail("malformed", "control character in the head")
@@ -180,7 +184,7 @@
         persistent = found[1] == "1"
         for line in lines:
             name, separator, value = line.partition(":")
-            lowered = _lowered(name) if separator else None
+            lowered = _lowercase_token(name) if separator else None
             if lowered is None:
                 self._fail("malformed", "malformed header")
                 return
@@ -189,10 +193,10 @@
             if lowered in _FRAMING_NAMES:
                 framing.append((lowered, value))
             elif lowered == "connection":
-                persistent = persistent and _keeps_open(value)
+                persistent = persistent and _allows_reuse(value)
             elif lowered == "keep-alive":
-                told = _KEEP_ALIVE.search(value)
-                self.idle_timeout = None if told is None else int(told[1])
+                timeout = _KEEP_ALIVE.search(value)
+                self.idle_timeout = None if timeout is None else int(timeout[1])
             if lowered == self._echo_name:
                 echoed.append(value)
         if status == 101:
@@ -222,9 +226,9 @@
         if framing == "chunked":
             self._chunks = ChunkDecoder()
         elif framing == "length":
-            self._left = int(framing_headers[0][1])
-        if framing == "none" or (framing == "length" and not self._left):
-            self._left = 0
+            self._remaining = int(framing_headers[0][1])
+        if framing == "none" or (framing == "length" and not self._remaining):
+            self._remaining = 0
             self.outcome = "ended"
 
     def _is_foreign(self, echoed: list[str]) -> bool:
@@ -233,6 +237,6 @@
         return any(value != self._echo_value for value in echoed) or (bool(self._echo_value) and not echoed)
 
 
-def _keeps_open(connection: str) -> bool:
-    """Whether the value of a ``Connection`` header lets the connection stay."""
+def _allows_reuse(connection: str) -> bool:
+    """Returns whether the value of a ``Connection`` header allows the connection to stay open."""
     return connection.lower() == "keep-alive" or "close" not in {part.strip() for part in connection.lower().split(",")}
--- a/wingwood/context/pooled_client.py
+++ b/wingwood/context/pooled_client.py
@@ -1,11 +1,12 @@
-"""The HTTP client towards workers that keeps connections and uses them again (docs/DESIGN.md section 12.2).
+"""The HTTP client for calls to workers that reuses connections (docs/DESIGN.md section 12.2).
 
-Over any ``Network``, so it runs on real sockets and in the simulator. A request is written once, on one connection:
-neither the pool nor this client ever sends it again, and no connection carries two requests at a time. An answer frees
-its connection for the next call only when it ended cleanly, nothing lies behind it, the request was written whole and
-neither side wants the connection closed.
+It works on any ``Network``, so it runs on real sockets and in the simulator. A request is written once, on one
+connection: neither the pool nor this client ever sends it again, and no connection carries two requests at a time.
+A connection is reused only if the answer ended cleanly, no bytes followed it, the request was written completely
+and neither side asked to close the connection.
 
-A call that finds a kept connection is written within ``start``; for a new connection it is written when connected.
+A call that gets an idle connection is written within ``start``; otherwise it is written once its new connection is
+open.
 """
 
 from __future__ import annotations
@@ -20,12 +21,13 @@
 from .protocols import Clock, HttpExchange, HttpFault, HttpRequest, Network, NetworkFault, Tasks
 
 _FRAMING_NAME_LENGTHS: Final = frozenset({len("transfer-encoding"), len("content-length")})
-MOST_BUFFERED_BYTES: Final = 256 * 1024
-"""Body bytes of one call that wait for its consumer; reading stops above ``READ_AHEAD_BYTES``."""
+"""Header names of other lengths need not be put in lower case to be compared."""
+MAX_BUFFERED_BYTES: Final = 256 * 1024
+"""Maximum number of body bytes of one call that wait for its consumer; reading pauses at ``READ_AHEAD_BYTES``."""
 
 
 class PooledHttpClient:
-    """Protocol HttpClient; requests that say ``reuse`` share connections, each other has one of its own."""
+    """Implements HttpClient. Requests with ``reuse`` share connections; every other request has its own."""
 
     def __init__(self, network: Network, clock: Clock, tasks: Tasks, limits: ConnectionLimits | None = None) -> None:
         self.pool = ConnectionPool(clock, limits or ConnectionLimits())
@@ -40,25 +42,26 @@
             exchange.end(HttpFault("malformed", False, problem))
             return exchange
         self._exchanges[exchange] = None
-        kept = self.pool.take(request.address, request.reuse_within) if request.reuse else None
-        if kept is not None:
-            exchange.begin_on_kept(kept)
-        elif self.pool.reserve(request.address, request.most_connections):
+        idle = self.pool.acquire(request.address, request.reuse_within) if request.reuse else None
+        if idle is not None:
+            exchange.start_on_idle(idle)
+        elif self.pool.reserve(request.address, request.connection_limit):
             self._tasks.spawn(f"connect {request.address}", exchange.connect(self._network))
         else:
             exchange.end(HttpFault("busy", False, f"connections to {request.address} or in all"))
         return exchange
 
     def calls(self) -> int:
-        """Calls under way."""
+        """Returns the number of calls in progress."""
         return len(self._exchanges)
 
     @property
     def counts(self) -> ConnectionCounts:
+        """The counters of the connection pool."""
         return self.pool.counts
 
     def set_limits(self, limits: ConnectionLimits) -> None:
-        """Holds for connections opened or kept from now on."""
+        """Sets the limits for connections that are opened or become idle from now on."""
         self.pool.limits = limits
 
     def close(self) -> None:
@@ -67,12 +70,13 @@
             exchange.cancel()
         self.pool.close_idle()
 
-    def forget(self, exchange: _PooledExchange) -> None:
+    def remove_exchange(self, exchange: _PooledExchange) -> None:
+        """Removes a call from those in progress."""
         self._exchanges.pop(exchange, None)
 
 
 class _PooledExchange(Exchange):
-    """One call; the ``ConnectionUser`` of its connection from the first byte written to the answer's end."""
+    """One call. It is the ``ConnectionUser`` of its connection from the first written byte to the end of the answer."""
 
     def __init__(self, request: HttpRequest, client: PooledHttpClient) -> None:
         super().__init__(request)
@@ -81,67 +85,71 @@
         self._connection: PooledConnection | None = None
         self._parser: AnswerParser
 
-    # Getting a connection.
+    # Acquiring a connection.
 
-    def begin_on_kept(self, connection: PooledConnection) -> None:
+    def start_on_idle(self, connection: PooledConnection) -> None:
+        """Sends the request on an idle connection, unless the last check of the request cancels it."""
         if not self.passes_last_check():
-            self._pool.put_back(connection)
+            self._pool.undo_acquire(connection)
             self.end(HttpFault("cancelled", False))
             return
         self._pool.counts.reused += 1
-        self._begin(connection)
+        self._send_request(connection)
 
     async def connect(self, network: Network) -> None:
-        """Opens a connection in the reserved place. A call cancelled meanwhile still leaves it for another."""
+        """Opens a connection in the reserved place.
+
+        If the call was cancelled meanwhile and its request allows reuse, the connection is stored for another call.
+        """
         address = self.request.address
         opened = await network.connect(address, self.request.connect_timeout)
         if isinstance(opened, Failure):
             self._pool.release(address)
             self.end(_fault_of_connect(opened.failure()))
             return
-        connection = self._pool.opened(address, opened.unwrap())
+        connection = self._pool.add(address, opened.unwrap())
         if self.passes_last_check():
-            self._begin(connection)
+            self._send_request(connection)
             return
         if self.request.reuse:
-            self._pool.keep(connection, None)
+            self._pool.store_idle(connection, None)
         else:
             self._pool.close(connection)
         self.end(HttpFault("cancelled", False))
 
-    def _begin(self, connection: PooledConnection) -> None:
+    def _send_request(self, connection: PooledConnection) -> None:
         request = self.request
         self._connection = connection
-        self._parser = AnswerParser(request.method, request.echo, not connection.kept)
+        self._parser = AnswerParser(request.method, request.echo, not connection.reused)
         connection.user = self
         problem = connection.write(_message(request))
         if problem is not None:
-            self.take_error(problem)
+            self.on_error(problem)
 
-    # The connection's side (protocol ConnectionUser).
+    # Callbacks of the connection (protocol ConnectionUser).
 
-    def first_byte_taken(self) -> None:
+    def on_first_byte_written(self) -> None:
         self._sent = True
 
-    def room(self) -> int:
-        return 0 if self.is_full() else MOST_BUFFERED_BYTES - self._buffered
+    def read_allowance(self) -> int:
+        return 0 if self.is_full() else MAX_BUFFERED_BYTES - self._buffered
 
-    def take_bytes(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         parser = self._parser
         before = parser.head
         body = parser.take(data)
         if before is None and parser.head is not None:
-            self.take_head(parser.head)
+            self.set_head(parser.head)
         if body:
-            self.take_piece(body)
+            self.add_chunk(body)
         if parser.outcome != "under way":
             self._answer_done()
 
-    def take_end(self) -> None:
-        self._parser.take_end()
+    def on_connection_end(self) -> None:
+        self._parser.on_connection_end()
         self._answer_done()
 
-    def take_error(self, problem: OSError) -> None:
+    def on_error(self, problem: OSError) -> None:
         self._fail("broken", str(problem))
 
     def _answer_done(self) -> None:
@@ -157,36 +165,36 @@
     def _fail(self, kind: Literal["broken", "malformed"], detail: str) -> None:
         connection = self._connection
         assert connection is not None
-        on_kept = kind == "broken" and connection.kept and not self._parser.began
+        on_reused = kind == "broken" and connection.reused and not self._parser.started
         self._close()
-        self.end(HttpFault(kind, self._sent, detail, on_kept))
+        self.end(HttpFault(kind, self._sent, detail, on_reused))
 
     def _free_connection(self) -> None:
-        """Keeps the connection for another call if nothing speaks against it."""
+        """Stores the connection for another call if it can be reused, else closes it."""
         connection, self._connection = self._connection, None
         assert connection is not None
         parser = self._parser
         clean = parser.persistent and not parser.surplus and connection.all_written()
         if clean and self.request.reuse and not _asks_to_close(self.request):
-            self._pool.keep(connection, parser.idle_timeout)
+            self._pool.store_idle(connection, parser.idle_timeout)
         else:
             self._pool.close(connection)
 
-    # The consumer's side.
+    # Overridden methods of Exchange.
 
     def end(self, fault: HttpFault | None) -> None:
         super().end(fault)
-        self._client.forget(self)
+        self._client.remove_exchange(self)
 
-    def _make_room(self) -> None:
+    def _resume_if_paused(self) -> None:
         if self._connection is not None:
-            self._connection.go_on_reading()
+            self._connection.resume_reading()
 
     def _close(self) -> None:
         connection, self._connection = self._connection, None
         if connection is not None:
             self._pool.close(connection)
-        self._client.forget(self)
+        self._client.remove_exchange(self)
 
 
 def _fault_of_connect(fault: NetworkFault) -> HttpFault:
@@ -195,7 +203,10 @@
 
 
 def _fault_of_framing(request: HttpRequest) -> str | None:
-    """Headers that say another end of the body than the one written: on a kept connection, the next call's bytes."""
+    """Returns the problem of a header that contradicts the length of the body, or None.
+
+    On a reused connection, the peer would take bytes of the next request for a part of this body, or the reverse.
+    """
     for name, value in request.headers:
         if len(name) in _FRAMING_NAME_LENGTHS:
             lowered = name.lower()
@@ -209,17 +220,17 @@
 
 
 def _message(request: HttpRequest) -> bytes:
-    """Head and body, to be written at once."""
+    """Returns head and body as one message, which is written in one call."""
     lines = [f"{request.method} {request.path} HTTP/1.1\r\n"]
-    given = set()
+    header_names = set()
     for name, value in request.headers:
-        given.add(name.lower())
+        header_names.add(name.lower())
         lines.append(f"{name}: {value}\r\n")
-    if "host" not in given:
+    if "host" not in header_names:
         lines.insert(1, f"Host: {request.address}\r\n")
-    if "connection" not in given and not request.reuse:
+    if "connection" not in header_names and not request.reuse:
         lines.append("Connection: close\r\n")
-    if (request.body or request.method == "POST") and "content-length" not in given:
+    if (request.body or request.method == "POST") and "content-length" not in header_names:
         lines.append(f"Content-Length: {len(request.body)}\r\n")
     lines.append("\r\n")
     return "".join(lines).encode("latin-1") + request.body
--- a/wingwood/context/real.py
+++ b/wingwood/context/real.py
@@ -1,4 +1,4 @@
-"""The real clock, network, disk and tasks (docs/DESIGN.md section 3)."""
+"""The implementations of clock, network, disk and tasks on the operating system (docs/DESIGN.md section 3)."""
 
 from __future__ import annotations
 
@@ -23,32 +23,35 @@
 from .protocols import DiskFault, Listener, Log, NetworkFault, StreamHandler, Task
 
 Value = TypeVar("Value")
-MOST_DESCRIPTORS = 65_536
-OTHER_DESCRIPTORS = 48
-"""Descriptors left for files, listeners, the event loop, and connections going out when many came in."""
-CONNECTIONS_OUT_AT_LEAST = 24
-"""Of those, how many connections going out may take."""
-TCP_USER_TIMEOUT = Seconds(2.5)
-"""How long sent bytes may stay unacknowledged before their connection ends."""
-KEEP_ALIVE_AFTER = Seconds(1.0)
-"""Probes are sent when nothing came for so long, and as often."""
-ACCEPT_PAUSE = Seconds(0.1)
-"""A listener that could not take a connection (no descriptor, no memory) rests so long."""
-_PROBES = 2
-_ACCEPT_QUEUE = 1024
-_ACCEPTED_AT_ONCE = 128
+MAX_DESCRIPTORS = 65_536
+"""Maximum number of file descriptors that a process requests from the system."""
+RESERVED_DESCRIPTORS = 48
+"""Descriptors reserved for files, listeners, the event loop, and outgoing connections while many came in."""
+RESERVED_OUTGOING_CONNECTIONS = 24
+"""Number of the reserved descriptors that outgoing connections may use."""
+TCP_USER_TIMEOUT_S = Seconds(2.5)
+"""How long sent bytes may remain unacknowledged before the connection is aborted."""
+KEEP_ALIVE_PERIOD_S = Seconds(1.0)
+"""Idle time before the first TCP keep-alive probe, and interval between probes."""
+ACCEPT_PAUSE_S = Seconds(0.1)
+"""Pause of a listener that could not accept a connection for lack of descriptors or memory."""
+_KEEP_ALIVE_PROBES = 2
+_ACCEPT_BACKLOG = 1024
+_MAX_ACCEPTS_PER_EVENT = 128
 _STREAM_BUFFER_BYTES = 96 * 1024 * 1024
 _CONNECTION_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(1000 * TCP_USER_TIMEOUT)),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, int(KEEP_ALIVE_AFTER)),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, int(KEEP_ALIVE_AFTER)),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(1000 * TCP_USER_TIMEOUT_S)),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, int(KEEP_ALIVE_PERIOD_S)),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, int(KEEP_ALIVE_PERIOD_S)),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEP_ALIVE_PROBES),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
 )
 
 
 class RealClock:
+    """The clocks of the operating system."""
+
     def monotonic(self) -> Instant:
         return Instant(time.monotonic())
 
@@ -60,19 +63,20 @@
 
 
 def set_up_connection(connection: socket.socket) -> None:
-    """For both ends of every connection: no delay of small writes, and a dead peer shows within seconds.
+    """Sets the options of a connection, at both ends: small writes are not delayed, dead peers are found in seconds.
 
-    A machine without power or behind a cut says nothing. Unacknowledged bytes end the connection after
-    ``TCP_USER_TIMEOUT``, a silent one by its probes after about as long. So does a peer that is there but lets its
-    window stay closed for that time (Linux counts that as unacknowledged).
+    A machine that lost power or its network sends nothing. Unacknowledged bytes abort the connection after
+    ``TCP_USER_TIMEOUT_S``; keep-alive probes abort a silent connection after about the same time. A live peer
+    whose receive window stays closed for that time loses its connection too, because Linux counts that as
+    unacknowledged.
     """
     for level, option, value in _CONNECTION_OPTIONS:
-        with contextlib.suppress(OSError):  # It is gone already, or the system lacks the option.
+        with contextlib.suppress(OSError):  # The connection is closed already, or the system lacks the option.
             connection.setsockopt(level, option, value)
 
 
 class _CountedStream(IOStream):
-    """Tells when its descriptor is free again."""
+    """A stream that calls ``on_closed`` when its descriptor is released."""
 
     def __init__(self, connection: socket.socket, on_closed: Callable[[], None]) -> None:
         self._on_closed: Callable[[], None] | None = on_closed
@@ -85,8 +89,8 @@
             self._on_closed = None
 
 
-class _Listening:
-    """Takes connections; a failure to take one is followed by a pause, as the loop would report it again at once."""
+class _AcceptingListener:
+    """Accepts connections, and pauses after a failure because the event loop would report it again at once."""
 
     def __init__(self, listener: socket.socket, network: RealNetwork, handle_stream: StreamHandler) -> None:
         self._listener = listener
@@ -95,7 +99,7 @@
         self._loop = asyncio.get_running_loop()
         self._pause: asyncio.TimerHandle | None = None
         self._closed = False
-        self._go_on()
+        self._resume()
 
     def close(self) -> None:
         if self._closed:
@@ -107,12 +111,12 @@
             self._loop.remove_reader(self._listener)
         self._listener.close()
 
-    def _go_on(self) -> None:
+    def _resume(self) -> None:
         self._pause = None
         self._loop.add_reader(self._listener, self._accept)
 
     def _accept(self) -> None:
-        for _ in range(_ACCEPTED_AT_ONCE):
+        for _ in range(_MAX_ACCEPTS_PER_EVENT):
             if self._closed:
                 return
             try:
@@ -120,31 +124,31 @@
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionError:
-                continue  # It was gone before it was taken.
+                continue  # The peer closed the connection before it was accepted.
             except OSError:
                 self._loop.remove_reader(self._listener)
-                self._pause = self._loop.call_later(ACCEPT_PAUSE, self._go_on)
+                self._pause = self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
-            self._take(connection, peer)
+            self._handle_connection(connection, peer)
 
-    def _take(self, connection: socket.socket, peer: tuple[str, int]) -> None:
+    def _handle_connection(self, connection: socket.socket, peer: tuple[str, int]) -> None:
         stream = self._network.accepted(connection)
         if stream is None:
             return
         awaitable = self._handle(stream, Address(peer[0], peer[1]))
         if awaitable is not None:
-            asyncio.ensure_future(awaitable).add_done_callback(_raise_problem)
+            asyncio.ensure_future(awaitable).add_done_callback(_raise_exception)
 
 
-def _raise_problem(future: asyncio.Future[Any]) -> None:
+def _raise_exception(future: asyncio.Future[Any]) -> None:
     if not future.cancelled():
         future.result()
 
 
-def _raise_descriptor_bound() -> int:
-    """Takes as many descriptors as the system lets this process have, and tells how many."""
+def _raise_descriptor_limit() -> int:
+    """Raises the soft limit of descriptors as far as the system allows, and returns the resulting limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = MOST_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, MOST_DESCRIPTORS)
+    wanted = MAX_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(hard, MAX_DESCRIPTORS)
     if soft != resource.RLIM_INFINITY and soft < wanted:
         with contextlib.suppress(OSError, ValueError):
             resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
@@ -154,24 +158,28 @@
 
 
 class RealNetwork:
-    """TCP over IPv4. Connections of both directions are counted against the descriptors there are."""
+    """TCP over IPv4. Incoming and outgoing connections count against the limit of descriptors."""
 
-    def __init__(self, most_descriptors: int | None = None) -> None:
-        """``most_descriptors``: how many this process may have, where ``RLIMIT_NOFILE`` doesn't tell."""
-        self._descriptors = _raise_descriptor_bound()
-        self._given = most_descriptors
+    def __init__(self, descriptor_limit: int | None = None) -> None:
+        """``descriptor_limit`` lowers the limit of this process where ``RLIMIT_NOFILE`` does not reflect it."""
+        self._system_descriptor_limit = _raise_descriptor_limit()
+        self._descriptor_limit = descriptor_limit
         self._open = 0
 
-    def most_connections(self) -> int:
-        known = self._descriptors if self._given is None else min(self._descriptors, self._given)
-        return max(1, known - OTHER_DESCRIPTORS)
+    def connection_limit(self) -> int:
+        known = (
+            self._system_descriptor_limit
+            if self._descriptor_limit is None
+            else min(self._system_descriptor_limit, self._descriptor_limit)
+        )
+        return max(1, known - RESERVED_DESCRIPTORS)
 
     def open_connections(self) -> int:
-        """Connections of both directions that are open or being opened."""
+        """Returns the number of incoming and outgoing connections that are open or being opened."""
         return self._open
 
     async def connect(self, address: Address, timeout: Seconds) -> Result[BaseIOStream, NetworkFault]:
-        if self._open >= self.most_connections() + CONNECTIONS_OUT_AT_LEAST:
+        if self._open >= self.connection_limit() + RESERVED_OUTGOING_CONNECTIONS:
             return Failure(NetworkFault("exhausted", f"{self._open} connections are open"))
         try:
             connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -196,7 +204,7 @@
         if fault is not None:
             self._closed(connection)
             return Failure(fault)
-        return Success(_CountedStream(connection, self._one_less))
+        return Success(_CountedStream(connection, self._on_stream_closed))
 
     def listen(self, address: Address, handle_stream: StreamHandler) -> Result[Listener, NetworkFault]:
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -204,37 +212,37 @@
             listener.setblocking(False)
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.bind((address.host, address.port))
-            listener.listen(_ACCEPT_QUEUE)
+            listener.listen(_ACCEPT_BACKLOG)
         except OSError as problem:
             listener.close()
             return Failure(NetworkFault("in-use", f"{address}: {problem}"))
-        return Success(_Listening(listener, self, handle_stream))
+        return Success(_AcceptingListener(listener, self, handle_stream))
 
     def accepted(self, connection: socket.socket) -> BaseIOStream | None:
-        """The stream of a connection that came in; None when there are too many, and it is closed."""
+        """Returns the stream of an accepted connection, or closes it and returns None if there are too many."""
         if not self._has_room(connection):
             connection.close()
             return None
         set_up_connection(connection)
         self._open += 1
-        return _CountedStream(connection, self._one_less)
+        return _CountedStream(connection, self._on_stream_closed)
 
     def _has_room(self, connection: socket.socket) -> bool:
-        if self._open >= self.most_connections():
+        if self._open >= self.connection_limit():
             return False
-        # The system gives the lowest free number, so numbers count descriptors of every kind.
-        return self._given is not None or connection.fileno() < self.most_connections()
+        # The system assigns the lowest free number, so the number also reflects descriptors of other kinds.
+        return self._descriptor_limit is not None or connection.fileno() < self.connection_limit()
 
     def _closed(self, connection: socket.socket) -> None:
         connection.close()
         self._open -= 1
 
-    def _one_less(self) -> None:
+    def _on_stream_closed(self) -> None:
         self._open -= 1
 
 
 class RealDisk:
-    """One data folder. All calls run on one thread, so they keep their order and a stall blocks only them."""
+    """One data folder. All calls run in order on one thread, so a stalled disk blocks no other work."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -333,7 +341,7 @@
 
 
 class RealTasks:
-    """Keeps tasks alive; an escaped exception is a broken invariant and stops the process."""
+    """Holds references to running tasks. An exception that escapes a task stops the process."""
 
     def __init__(self, log: Log, stop: Callable[[str], None]) -> None:
         self._log = log
@@ -357,6 +365,7 @@
         self._stop(reason)
 
     async def cancel_all(self) -> None:
+        """Cancels all running tasks and waits for their ends."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/wingwood/context/tests/stand_in_worker.py
+++ b/wingwood/context/tests/scripted_worker.py
@@ -1,4 +1,4 @@
-"""A scripted worker on any Network, and the two beds that run the same test against it: loopback and simulation."""
+"""A scripted fake worker, and functions that run a scenario against it on loopback sockets or in the simulator."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 from ..real import RealClock, RealNetwork, RealTasks
 
 ECHO = "X-Id"
-PATIENCE = 10.0
+WAIT_LIMIT_S = 10.0
 PORT = 9000
 
 
-class Turn:
-    """One request, as the worker got it."""
+class ReceivedRequest:
+    """One request as the worker received it."""
 
-    def __init__(self, worker: StandInWorker, stream: BaseIOStream, connection: int, number: int) -> None:
+    def __init__(self, worker: ScriptedWorker, stream: BaseIOStream, connection: int, number: int) -> None:
         self.worker = worker
         self.stream = stream
         self.connection = connection
         self.number = number
-        """Counts the requests of its connection, from 1."""
+        """Sequence number of the request on its connection, from 1."""
         self.id = ""
         self.method = ""
         self.body = b""
 
     def answer(self, body: bytes = b"ok", *headers: str, status: str = "200 OK", id: str | None = None) -> bytes:
-        """A whole answer with its length."""
+        """Returns a complete answer with ``Content-Length``."""
         lines = [f"HTTP/1.1 {status}", f"{ECHO}: {self.id if id is None else id}", f"Content-Length: {len(body)}"]
         return "\r\n".join([*lines, *headers, "", ""]).encode() + body
 
@@ -49,11 +49,11 @@
         await self.stream.write(data)
 
     def reset(self) -> None:
-        """Ends the connection by RST."""
-        self.worker.resets(self.stream)
+        """Ends the connection with RST."""
+        self.worker.reset_stream(self.stream)
 
     async def closed_by_client(self) -> None:
-        """Waits, reading on, until the client has closed."""
+        """Reads and discards bytes until the client has closed the connection."""
         try:
             while True:
                 await self.stream.read_bytes(65536, partial=True)
@@ -61,21 +61,23 @@
             return
 
 
-Script = Callable[[Turn], Awaitable[None]]
+Script = Callable[[ReceivedRequest], Awaitable[None]]
 
 
-async def answers_ok(turn: Turn) -> None:
-    await turn.send(turn.answer(b"body of " + turn.id.encode(), "Keep-Alive: timeout=8"))
+async def answers_ok(received_request: ReceivedRequest) -> None:
+    await received_request.send(
+        received_request.answer(b"body of " + received_request.id.encode(), "Keep-Alive: timeout=8")
+    )
 
 
-class StandInWorker:
-    """Counts what it receives. A script may close or reset the stream, which ends its connection."""
+class ScriptedWorker:
+    """A fake worker that counts the requests it receives. Its script may close or reset the stream."""
 
     def __init__(self, script: Script, reads_bodies: bool = True) -> None:
         self.script = script
         self.reads_bodies = reads_bodies
         self.received: Counter[str] = Counter()
-        """Requests of which the head came whole, by id."""
+        """Number of requests whose head arrived completely, by id."""
         self.bodies: dict[str, bytes] = {}
         self.connections = 0
         self.open = 0
@@ -96,7 +98,7 @@
         for stream in self.streams:
             stream.close()
 
-    def resets(self, stream: BaseIOStream) -> None:
+    def reset_stream(self, stream: BaseIOStream) -> None:
         if isinstance(stream, SimulatedStream):
             stream.endpoint.network.break_connection(stream.endpoint.peer)
         elif isinstance(stream, IOStream):
@@ -111,57 +113,58 @@
         try:
             while not stream.closed():
                 number += 1
-                turn = Turn(self, stream, connection, number)
-                await self._read(turn)
-                await self.script(turn)
+                received_request = ReceivedRequest(self, stream, connection, number)
+                await self._read(received_request)
+                await self.script(received_request)
         except StreamClosedError:
             pass
         finally:
             stream.close()
             self.open -= 1
 
-    async def _read(self, turn: Turn) -> None:
-        head = (await turn.stream.read_until(b"\r\n\r\n")).decode("latin-1")
+    async def _read(self, received_request: ReceivedRequest) -> None:
+        head = (await received_request.stream.read_until(b"\r\n\r\n")).decode("latin-1")
         first, *lines = head.split("\r\n")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
-        turn.id, turn.method = headers.get(ECHO.lower(), ""), first.split(" ")[0]
-        self.received[turn.id] += 1
+        received_request.id, received_request.method = headers.get(ECHO.lower(), ""), first.split(" ")[0]
+        self.received[received_request.id] += 1
         length = int(headers.get("content-length", "0"))
         if length and self.reads_bodies:
-            turn.body = self.bodies[turn.id] = await turn.stream.read_bytes(length)
+            received_request.body = self.bodies[received_request.id] = await received_request.stream.read_bytes(length)
 
 
 class Outcome(msgspec.Struct):
-    """What the consumer of one call got."""
+    """What the consumer of one call received."""
 
     head: HttpHead | None
     body: bytes
     fault: HttpFault | None
 
-    def told(self) -> tuple[str, bool, bool]:
+    def fault_summary(self) -> tuple[str, bool, bool]:
+        """Returns the kind of the fault, whether the request was sent, and whether the connection was reused."""
         assert self.fault is not None
-        return self.fault.kind, self.fault.request_sent, self.fault.on_kept_connection
+        return self.fault.kind, self.fault.request_sent, self.fault.on_reused_connection
 
 
-async def take_answer(exchange: HttpExchange) -> Outcome:
+async def read_answer(exchange: HttpExchange) -> Outcome:
     head = await exchange.head()
     if not isinstance(head, Success):
         return Outcome(None, b"", head.failure())
     body = b""
     while True:
-        piece = await exchange.next_piece()
-        if not isinstance(piece, Success):
-            return Outcome(head.unwrap(), body, piece.failure())
-        data = piece.unwrap()
+        chunk = await exchange.next_chunk()
+        if not isinstance(chunk, Success):
+            return Outcome(head.unwrap(), body, chunk.failure())
+        data = chunk.unwrap()
         if data is None:
             return Outcome(head.unwrap(), body, None)
         body += data
 
 
-class Bed:
-    """A worker, a client that keeps connections, and the world they share."""
+class Testbed:
+    """A fake worker, a pooled client, and the network and clock that they share."""
 
-    def __init__(self, worker: StandInWorker, clock: Clock) -> None:
+    def __init__(self, worker: ScriptedWorker, clock: Clock) -> None:
         self.worker = worker
         self.clock = clock
         self.address = Address("127.0.0.1", 0)
@@ -171,7 +174,7 @@
         self._ids = 0
 
     def request(self, body: bytes = b"", **more: object) -> HttpRequest:
-        """A request with an id of its own, which may reuse connections."""
+        """Returns a request with a new id that may reuse connections."""
         self._ids += 1
         identifier = str(more.pop("id", f"call-{self._ids}"))
         fields: dict[str, object] = {
@@ -190,33 +193,33 @@
         return self.client.start(self.request(body, **more))
 
     async def call(self, body: bytes = b"", **more: object) -> Outcome:
-        return await take_answer(self.start(body, **more))
+        return await read_answer(self.start(body, **more))
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while not condition():
                 await asyncio.sleep(0.001)
 
 
 class Scenario(Protocol):
-    async def __call__(self, bed: Bed) -> None: ...
+    async def __call__(self, testbed: Testbed) -> None: ...
 
 
-def run_on_loopback(scenario: Scenario, worker: StandInWorker, limits: ConnectionLimits | None = None) -> None:
-    """Real sockets and real time."""
+def run_on_loopback(scenario: Scenario, worker: ScriptedWorker, limits: ConnectionLimits | None = None) -> None:
+    """Runs the scenario on loopback sockets in real time."""
 
     async def main() -> None:
         problems: list[str] = []
-        network, bed = RealNetwork(), Bed(worker, RealClock())
+        network, testbed = RealNetwork(), Testbed(worker, RealClock())
         tasks = RealTasks(mock.Mock(), problems.append)
-        bed.network = network
-        bed.address = worker.start(network, [Address("127.0.0.1", port) for port in range(23400, 23700)])
-        bed.client = PooledHttpClient(network, bed.clock, tasks, limits)
+        testbed.network = network
+        testbed.address = worker.start(network, [Address("127.0.0.1", port) for port in range(23400, 23700)])
+        testbed.client = PooledHttpClient(network, testbed.clock, tasks, limits)
         try:
-            async with asyncio.timeout(3 * PATIENCE):
-                await scenario(bed)
+            async with asyncio.timeout(3 * WAIT_LIMIT_S):
+                await scenario(testbed)
         finally:
-            bed.client.close()
+            testbed.client.close()
             worker.stop()
             await asyncio.sleep(0)
         assert not problems, problems
@@ -225,9 +228,9 @@
 
 
 def run_in_simulation(
-    scenario: Scenario, worker: StandInWorker, limits: ConnectionLimits | None = None, seed: int = 1
+    scenario: Scenario, worker: ScriptedWorker, limits: ConnectionLimits | None = None, seed: int = 1
 ) -> None:
-    """Virtual time, bytes split anywhere."""
+    """Runs the scenario in the simulator: time is virtual, and bytes arrive split at random places."""
     done: list[bool] = []
     with World(seed) as world:
 
@@ -235,11 +238,11 @@
             worker.start(context.network, [address_of(world.machines["worker"], PORT)])
 
         async def run(context: Context) -> None:
-            bed = Bed(worker, context.clock)
-            bed.world, bed.network = world, context.network
-            bed.address = address_of(world.machines["worker"], PORT)
-            bed.client = PooledHttpClient(context.network, context.clock, context.tasks, limits)
-            await scenario(bed)
+            testbed = Testbed(worker, context.clock)
+            testbed.world, testbed.network = world, context.network
+            testbed.address = address_of(world.machines["worker"], PORT)
+            testbed.client = PooledHttpClient(context.network, context.clock, context.tasks, limits)
+            await scenario(testbed)
             done.append(True)
 
         world.start("worker", serve)
--- a/wingwood/context/tests/test_http_clients.py
+++ b/wingwood/context/tests/test_http_clients.py
@@ -1,4 +1,8 @@
-"""All HTTP clients against the same badly behaved server (docs/DESIGN.md section 12.2)."""
+"""Tests that all HTTP clients behave alike against a misbehaving server (docs/DESIGN.md section 12.2).
+
+They guard against libraries that resend a request, report a truncated answer as complete, change the request, or
+report a request as unsent although bytes of it were written.
+"""
 
 from __future__ import annotations
 
@@ -22,19 +26,19 @@
 from ..real import RealClock, RealNetwork, RealTasks
 from ..stream_client import StreamHttpClient
 
-PATIENCE = 5.0
+WAIT_LIMIT_S = 5.0
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class NastyServer:
-    """Takes each connection's request whole, then follows the script it was given."""
+class MisbehavingServer:
+    """Reads the complete request of each connection, then runs its script."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
         self.requests: list[bytes] = []
         self.connections = 0
-        self.left = asyncio.Event()
-        """The client has closed a connection."""
+        self.client_closed = asyncio.Event()
+        """Is set when the client has closed a connection."""
         self.address = Address("127.0.0.1", 0)
 
     async def start(self) -> None:
@@ -62,7 +66,7 @@
             self.requests.append(head + await reader.readexactly(length))
             await self._script(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
-            self.left.set()
+            self.client_closed.set()
         except asyncio.CancelledError:
             pass
         finally:
@@ -70,7 +74,7 @@
 
 
 def answers(*parts: bytes, reset: bool = False) -> Script:
-    """Sends the parts and closes."""
+    """Sends the parts and closes the connection, by RST if ``reset`` is set."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for part in parts:
@@ -83,7 +87,7 @@
 
 
 def answers_and_resets(*parts: bytes) -> Script:
-    """Sends the parts, lets them arrive, and ends the connection by RST."""
+    """Sends the parts, waits until they have arrived, and ends the connection with RST."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for part in parts:
@@ -110,6 +114,7 @@
 
 
 async def floods(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Sends a chunked body of 64 MiB as fast as the client reads it."""
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     for _ in range(1024):
         writer.write(b"10000\r\n" + b"z" * 65536 + b"\r\n")
@@ -118,19 +123,20 @@
 
 
 async def read_all(exchange: HttpExchange) -> tuple[bytes, HttpFault | None]:
+    """Reads the body to its end and returns it with the fault, if there is one."""
     body = b""
     while True:
-        match await exchange.next_piece():
+        match await exchange.next_chunk():
             case Success(None):
                 return body, None
-            case Success(piece):
-                body += piece
+            case Success(chunk):
+                body += chunk
             case Failure(fault):
                 return body, fault
 
 
-class Conformance:
-    """What holds for every HttpClient; the subclasses say which."""
+class HttpClientConformance:
+    """Tests that hold for every HttpClient; each subclass of ``Tests`` creates one client."""
 
     class Tests(unittest.IsolatedAsyncioTestCase):
         client: HttpClient
@@ -141,13 +147,13 @@
         async def asyncSetUp(self) -> None:
             self.client = self.make_client()
 
-        async def serve(self, script: Script) -> NastyServer:
-            server = NastyServer(script)
+        async def serve(self, script: Script) -> MisbehavingServer:
+            server = MisbehavingServer(script)
             await server.start()
             self.addAsyncCleanup(server.stop)
             return server
 
-        def call(self, server: NastyServer, body: bytes = b"hello", **more: object) -> HttpExchange:
+        def call(self, server: MisbehavingServer, body: bytes = b"hello", **more: object) -> HttpExchange:
             fields: dict[str, object] = {
                 "method": "POST",
                 "address": server.address,
@@ -158,22 +164,22 @@
             return self.client.start(HttpRequest(**fields))  # type: ignore[arg-type]
 
         async def head_of(self, exchange: HttpExchange) -> HttpHead:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 return (await exchange.head()).unwrap()
 
         async def fault_of(self, exchange: HttpExchange) -> HttpFault:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 return (await exchange.head()).failure()
 
         async def outcome(self, *parts: bytes, reset: bool = False) -> tuple[HttpHead, bytes, HttpFault | None]:
             server = await self.serve(answers(*parts, reset=reset))
             exchange = self.call(server)
             head = await self.head_of(exchange)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 body, fault = await read_all(exchange)
             return head, body, fault
 
-        async def test_whole_answers_by_length_and_chunks(self) -> None:
+        async def test_complete_answers_by_length_and_chunks(self) -> None:
             head, body, fault = await self.outcome(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-A: b\r\n\r\nworld")
             self.assertEqual((head.status, head.framing, head.header("x-a")), (200, "length", "b"))
             self.assertEqual((body, fault), (b"world", None))
@@ -182,9 +188,9 @@
             )
             self.assertEqual((head.framing, body, fault), ("chunked", b"world", None))
 
-        async def test_request_goes_out_to_the_byte(self) -> None:
+        async def test_request_is_written_byte_for_byte(self) -> None:
             server = await self.serve(answers(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-            body = bytes(range(256)) * 5000  # Above the size at which libcurl would ask with Expect.
+            body = bytes(range(256)) * 5000  # Larger than the size at which libcurl would send an Expect header.
             headers = (("X-Empty", ""), ("X-Two", "1"), ("X-Two", "2"), ("X-Latin", "ol\xe9"))
             exchange = self.call(server, body=body, path="/v1/../a//b?q=%2e&x={1}", headers=headers)
             await self.head_of(exchange)
@@ -206,10 +212,11 @@
             self.assertEqual([request.split(b" ")[0] for request in server.requests], [b"HEAD", b"DELETE"])
 
         async def fault_or_head(self, exchange: HttpExchange) -> None:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 await exchange.head()
 
         async def test_closed_without_answer_is_sent_once(self) -> None:
+            """Client libraries often resend a request when the connection closes without an answer."""
             server = await self.serve(answers())
             for calls in range(1, 4):
                 fault = await self.fault_of(self.call(server))
@@ -222,10 +229,10 @@
             for calls in range(1, 4):
                 exchange = self.call(server, headers=(("Connection", "keep-alive"),))
                 await self.head_of(exchange)
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(WAIT_LIMIT_S):
                     self.assertEqual(await read_all(exchange), (b"ok", None))
-                    await server.left.wait()
-                server.left.clear()
+                    await server.client_closed.wait()
+                server.client_closed.clear()
                 self.assertEqual(server.connections, calls)
 
         async def test_refused_connection_is_not_sent(self) -> None:
@@ -236,6 +243,7 @@
             self.assertEqual((fault.kind, fault.request_sent, exchange.request_sent()), ("connect", False, False))
 
         async def test_last_check_stops_the_call_before_its_first_byte(self) -> None:
+            """The check runs once, on an open connection, and its refusal leaves the request unsent."""
             server = await self.serve(answers())
             asked: list[bool] = []
 
@@ -246,11 +254,12 @@
             exchange = self.call(server, last_check=refuse)
             fault = await self.fault_of(exchange)
             self.assertEqual((fault.kind, fault.request_sent, asked), ("cancelled", False, [True]))
-            async with asyncio.timeout(PATIENCE):
-                await server.left.wait()
+            async with asyncio.timeout(WAIT_LIMIT_S):
+                await server.client_closed.wait()
             self.assertEqual(server.requests, [])
 
-        async def test_half_an_answer_is_broken(self) -> None:
+        async def test_truncated_answer_is_broken(self) -> None:
+            """A truncated or badly framed body must not be reported as complete."""
             cuts = {
                 b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf": b"half",
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n": b"half",
@@ -268,22 +277,23 @@
                     self.assertTrue(body.startswith(got))
                     self.assertEqual((fault and fault.kind, fault and fault.request_sent), ("broken", True))
 
-        async def test_half_a_head_is_a_fault(self) -> None:
+        async def test_truncated_head_is_a_fault(self) -> None:
             server = await self.serve(answers(b"HTTP/1.1 200 OK\r\nContent-Le"))
             fault = await self.fault_of(self.call(server))
             self.assertIn(fault.kind, ("broken", "malformed"))
             self.assertTrue(fault.request_sent)
 
-        async def test_read_until_close_is_told_as_such(self) -> None:
+        async def test_read_until_close_is_reported_in_the_framing(self) -> None:
             head, body, fault = await self.outcome(b"HTTP/1.1 200 OK\r\n\r\n", b"looks whole")
             self.assertEqual((head.framing, body, fault), ("close", b"looks whole", None))
 
         async def test_reset_is_no_end_of_an_answer_without_length(self) -> None:
+            """Without a length, only an orderly close ends the body; a reset can truncate it anywhere."""
             for parts in ((b"HTTP/1.1 200 OK\r\n\r\n", b"looks whole"), (b"HTTP/1.1 200 OK\r\n\r\n",)):
                 server = await self.serve(answers_and_resets(*parts))
                 exchange = self.call(server)
                 head = await self.head_of(exchange)
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(WAIT_LIMIT_S):
                     _, fault = await read_all(exchange)
                 self.assertEqual(head.framing, "close")
                 self.assertEqual((fault and fault.kind, fault and fault.request_sent), ("broken", True))
@@ -319,7 +329,7 @@
             server = await self.serve(answers(b"HTTP/1.1 307 X\r\nLocation: /again\r\nContent-Length: 0\r\n\r\n"))
             exchange = self.call(server)
             head = await self.head_of(exchange)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 self.assertEqual(await read_all(exchange), (b"", None))
             self.assertEqual((head.status, head.header("Location"), len(server.requests)), (307, "/again", 1))
 
@@ -342,20 +352,21 @@
             )
             self.assertEqual((body, fault), (b"ok", None))
 
-        async def test_pieces_come_while_the_answer_is_under_way(self) -> None:
+        async def test_chunks_arrive_while_the_answer_is_in_progress(self) -> None:
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             server = await self.serve(answers_and_waits(head, b"6\r\npiece1\r\n"))
             exchange = self.call(server)
             await self.head_of(exchange)
-            async with asyncio.timeout(PATIENCE):
-                self.assertEqual((await exchange.next_piece()).unwrap(), b"piece1")
+            async with asyncio.timeout(WAIT_LIMIT_S):
+                self.assertEqual((await exchange.next_chunk()).unwrap(), b"piece1")
 
-        async def test_a_wait_that_is_given_up_loses_no_piece(self) -> None:
-            go_on = asyncio.Event()
+        async def test_wait_that_times_out_loses_no_chunk(self) -> None:
+            """A consumer that times out in ``next_chunk`` gets the chunk at its next call."""
+            proceed = asyncio.Event()
 
             async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
-                await go_on.wait()
+                await proceed.wait()
                 writer.write(b"piece")
                 await writer.drain()
 
@@ -363,12 +374,12 @@
             await self.head_of(exchange)
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0):
-                    await exchange.next_piece()
-            go_on.set()
-            async with asyncio.timeout(PATIENCE):
+                    await exchange.next_chunk()
+            proceed.set()
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 self.assertEqual(await read_all(exchange), (b"piece", None))
 
-        async def test_silence_ends_by_cancel_and_closes_at_once(self) -> None:
+        async def test_cancel_during_silence_closes_at_once(self) -> None:
             for parts in ((), (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",)):
                 server = await self.serve(answers_and_waits(*parts))
                 exchange = self.call(server)
@@ -380,8 +391,8 @@
                             await exchange.head()
                 async with asyncio.timeout(0.1):
                     exchange.cancel()
-                    await server.left.wait()
-                fault = (await exchange.next_piece()).failure()
+                    await server.client_closed.wait()
+                fault = (await exchange.next_chunk()).failure()
                 self.assertEqual((fault.kind, fault.request_sent), ("cancelled", True))
                 exchange.cancel()
 
@@ -393,7 +404,7 @@
             async with asyncio.timeout(0.1):
                 self.assertEqual((await waiting).failure().kind, "cancelled")
 
-        async def test_cancel_before_the_connection_stands_sends_nothing(self) -> None:
+        async def test_cancel_before_the_connection_is_open_sends_nothing(self) -> None:
             server = await self.serve(answers())
             exchange = self.call(server)
             exchange.cancel()
@@ -403,11 +414,12 @@
             self.assertEqual(len(server.requests), 1)
 
         async def fill(self, exchange: HttpExchange) -> None:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 while not exchange.is_full():  # type: ignore[attr-defined]
                     await asyncio.sleep(0)
 
-        async def test_slow_reader_holds_the_sender_back(self) -> None:
+        async def test_slow_reader_pauses_the_sender(self) -> None:
+            """A client without back-pressure would buffer the 64 MiB of the answer."""
             server = await self.serve(floods)
             exchange = self.call(server)
             await self.head_of(exchange)
@@ -416,19 +428,19 @@
                 await asyncio.sleep(0)
             self.assertLessEqual(exchange._buffered, 256 * 1024)  # type: ignore[attr-defined]
             total = 0
-            async with asyncio.timeout(4 * PATIENCE):
-                while (piece := (await exchange.next_piece()).unwrap()) is not None:
-                    total += len(piece)
+            async with asyncio.timeout(4 * WAIT_LIMIT_S):
+                while (chunk := (await exchange.next_chunk()).unwrap()) is not None:
+                    total += len(chunk)
             self.assertEqual(total, 67108864)
 
-        async def test_held_back_call_can_be_cancelled(self) -> None:
+        async def test_paused_call_can_be_cancelled(self) -> None:
             server = await self.serve(floods)
             exchange = self.call(server)
             await self.head_of(exchange)
             await self.fill(exchange)
             async with asyncio.timeout(0.1):
                 exchange.cancel()
-                await server.left.wait()
+                await server.client_closed.wait()
 
         async def test_many_calls_run_side_by_side(self) -> None:
             server = await self.serve(answers_and_waits(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"))
@@ -440,6 +452,7 @@
                 exchange.cancel()
 
         async def test_requests_that_can_not_be_written_are_refused(self) -> None:
+            """Line breaks and blanks in the wrong place would change the meaning of the written request."""
             server = await self.serve(answers())
             for more in (
                 {"path": "/a b"},
@@ -454,7 +467,7 @@
             self.assertEqual(server.connections, 0)
 
 
-class CurlClientTests(Conformance.Tests):
+class CurlClientTests(HttpClientConformance.Tests):
     def make_client(self) -> HttpClient:
         client = CurlHttpClient()
         self.addCleanup(client.close)
@@ -463,7 +476,7 @@
     async def test_trailers_are_neither_body_nor_head(self) -> None:
         parts = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"2\r\nok\r\n0\r\nX-Late: 1\r\n\r\n"
         exchange = self.call(await self.serve(answers(*parts)))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             self.assertEqual(await read_all(exchange), (b"ok", None))
         self.assertIsNone((await self.head_of(exchange)).header("X-Late"))
 
@@ -476,12 +489,12 @@
         self.assertEqual((fault.kind, fault.request_sent), ("connect", False))
 
 
-class StreamClientTests(Conformance.Tests):
+class StreamClientTests(HttpClientConformance.Tests):
     def make_client(self) -> HttpClient:
         return StreamHttpClient(RealNetwork(), RealTasks(mock.Mock(), self.fail))
 
 
-class PooledClientTests(Conformance.Tests):
+class PooledClientTests(HttpClientConformance.Tests):
     def make_client(self) -> HttpClient:
         limits = ConnectionLimits(per_address=100)
         client = PooledHttpClient(RealNetwork(), RealClock(), RealTasks(mock.Mock(), self.fail), limits)
