--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -18,9 +18,9 @@
 
 import click
 
-from .common import Row, all_rounded
+from .common import Row, rounded_rows
 
-FLEETS = ((11, 1), (100, 1), (300, 1), (1000, 4))
+FLEET_SIZES = ((11, 1), (100, 1), (300, 1), (1000, 4))
 """Hollow daemons, and the processes that share them."""
 
 
@@ -31,9 +31,21 @@
 
 
 def probes() -> dict[str, Callable[[], list[Row]]]:
-    from . import control, daemons, forward, keepers, ledger, members, messages, prefixes, sessions, shares, workers  # noqa: PLC0415
-
-    found: dict[str, Callable[[], list[Row]]] = {
+    from . import (  # noqa: PLC0415
+        control,
+        coordinators,
+        daemons,
+        forward,
+        ledger,
+        members,
+        messages,
+        prefixes,
+        sessions,
+        shares,
+        workers,
+    )
+
+    result: dict[str, Callable[[], list[Row]]] = {
         "empty processes": daemons.measure_empty,
         "messages": messages.measure,
         "members changed": members.measure,
@@ -41,7 +53,7 @@
         "shared prefixes": prefixes.measure,
         "ledger entries": ledger.measure_entries,
         "ledger claims": ledger.measure_claims,
-        "keepers": keepers.measure,
+        "keepers": coordinators.measure,
         "share asks": shares.measure_asks,
         "share grants": shares.measure_grants,
         "forward calls": forward.measure_calls,
@@ -55,9 +67,9 @@
         "control state": control.measure_state,
         "control restarts": control.measure_restarts,
     }
-    for size, processes in FLEETS:
-        found[f"fleet {size}"] = lambda size=size, processes=processes: _fleet(size, processes)  # type: ignore[misc]
-    return found
+    for size, processes in FLEET_SIZES:
+        result[f"fleet {size}"] = lambda size=size, processes=processes: _fleet(size, processes)  # type: ignore[misc]
+    return result
 
 
 @click.group()
@@ -69,7 +81,7 @@
 @click.argument("name")
 def probe(name: str) -> None:
     """One probe in this process; prints its rows as JSON (started by ``measure``)."""
-    print("\n" + json.dumps(all_rounded(probes()[name]())))
+    print("\n" + json.dumps(rounded_rows(probes()[name]())))
 
 
 @main.command()
@@ -83,19 +95,19 @@
         raise click.UsageError(f"unknown probes {unknown}; known: {', '.join(known)}")
     failed = []
     for name in only or known:
-        found = _run(name, limit)
+        result = _run(name, limit)
         measured: dict[str, Any] = json.loads(output.read_text()) if output.exists() else {}
-        measured[name] = found
+        measured[name] = result
         output.write_text(json.dumps(dict(sorted(measured.items())), indent=1) + "\n")
-        click.echo(f"{name}: {found['seconds']} s, load {found['load']}, {found.get('failed', 'ok')}")
-        failed += [name] if "failed" in found else []
+        click.echo(f"{name}: {result['seconds']} s, load {result['load']}, {result.get('failed', 'ok')}")
+        failed += [name] if "failed" in result else []
     if failed:
         raise SystemExit(f"failed: {', '.join(failed)}")
 
 
 def _run(name: str, limit: float) -> dict[str, Any]:
-    load, begun = os.getloadavg()[0], time.monotonic()
-    found: dict[str, Any] = {
+    load, started = os.getloadavg()[0], time.monotonic()
+    result: dict[str, Any] = {
         "at": time.strftime("%Y-%m-%d %H:%M:%S"),
         "cores": os.cpu_count(),
         "python": sys.version.split()[0],
@@ -104,24 +116,24 @@
     command = [sys.executable, "-m", "bench.capacity", "probe", name]
     child = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
     try:
-        told, _ = child.communicate(timeout=limit)
+        output, _ = child.communicate(timeout=limit)
         if child.returncode:
             raise ValueError(f"exit code {child.returncode}")
-        found["rows"] = json.loads(told.strip().splitlines()[-1])
+        result["rows"] = json.loads(output.strip().splitlines()[-1])
     except subprocess.TimeoutExpired:
         child.terminate()
         child.communicate()
-        found |= {"failed": f"not done after {limit:.0f} s", "rows": []}
+        result |= {"failed": f"not done after {limit:.0f} s", "rows": []}
     except (ValueError, IndexError) as problem:
-        found |= {"failed": str(problem), "rows": []}
-    found["seconds"] = round(time.monotonic() - begun, 1)
-    found["load"] = [round(load, 1), round(os.getloadavg()[0], 1)]
-    return found
+        result |= {"failed": str(problem), "rows": []}
+    result["seconds"] = round(time.monotonic() - started, 1)
+    result["load"] = [round(load, 1), round(os.getloadavg()[0], 1)]
+    return result
 
 
 def _commit() -> str:
-    told = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=False)
-    return told.stdout.strip()
+    output = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=False)
+    return output.stdout.strip()
 
 
 @main.command()
--- a/bench/capacity/common.py
+++ b/bench/capacity/common.py
@@ -22,14 +22,14 @@
 Row = dict[str, Any]
 
 
-class QuietLog:
+class ErrorsOnlyLog:
     def event(self, name: str, **fields: object) -> None:
         if name in ("invariant-broken", "peer-refused"):
             print(name, fields, file=sys.stderr, flush=True)
 
 
 def real_quiet_context(folder: Path | None = None) -> Context:
-    log = QuietLog()
+    log = ErrorsOnlyLog()
     return Context(
         clock=RealClock(),
         network=RealNetwork(),
@@ -85,7 +85,7 @@
         self._callbacks.append(callback)
 
 
-class DeafMessenger:
+class DiscardingMessenger:
     """Takes posts and forgets them; for probes of one daemon's own work."""
 
     def __init__(self, identity: Identity) -> None:
@@ -131,7 +131,7 @@
     return int(Path(f"/proc/{process}/statm").read_text().split()[1]) * resource.getpagesize()
 
 
-def processor_of(process: int) -> float:
+def processor_seconds_of(process: int) -> float:
     fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -140,16 +140,16 @@
     return float((after[field] - before[field]) / (after["at"] - before["at"]))
 
 
-def timed(work: Callable[[], object]) -> float:
+def cpu_seconds(work: Callable[[], object]) -> float:
     """Processor seconds of one call."""
-    begun = time.process_time()
+    started = time.process_time()
     work()
-    return time.process_time() - begun
+    return time.process_time() - started
 
 
-def rounded(row: Row) -> Row:
+def rounded_row(row: Row) -> Row:
     return {name: float(f"{value:.6g}") if isinstance(value, float) else value for name, value in row.items()}
 
 
-def all_rounded(rows: Iterable[Row]) -> list[Row]:
-    return [rounded(row) for row in rows]
+def rounded_rows(rows: Iterable[Row]) -> list[Row]:
+    return [rounded_row(row) for row in rows]
--- a/bench/capacity/control.py
+++ b/bench/capacity/control.py
@@ -21,14 +21,14 @@
 from wingwood.transport.messenger import TcpMessenger
 
 from .. import control_bench
-from .common import Row, processor_of, resident_bytes, timed
+from .common import Row, cpu_seconds, processor_seconds_of, resident_bytes
 
 CHANGES = (1_000, 10_000, 28_000)
-PORT = 32200
+FIRST_PORT = 32200
 
 
 def use_own_ports() -> None:
-    own: dict[str, Any] = {"FIRST_PORT": PORT}
+    own: dict[str, Any] = {"FIRST_PORT": FIRST_PORT}
     for name, value in own.items():
         setattr(control_bench, name, value)
 
@@ -40,35 +40,35 @@
     empty = resident_bytes()
     rows: list[Row] = []
     deciding = applying = 0.0
-    record_bytes = since = 0
+    record_bytes = counted_changes = 0
     order = operator.first()
     while True:
-        begun = time.process_time()
+        started = time.process_time()
         record, _ = state.decide(SubmitOrder(order))
-        deciding += time.process_time() - begun
+        deciding += time.process_time() - started
         assert record is not None
-        begun = time.process_time()
+        started = time.process_time()
         state.apply(record)
-        applying += time.process_time() - begun
+        applying += time.process_time() - started
         operator.version = order.manifest.version
         if operator.version > 1:
             record_bytes += len(record)
-            since += 1
+            counted_changes += 1
         if operator.version in CHANGES:
-            held: list[bytes] = []
-            shot = timed(lambda: held.append(state.snapshot()))  # noqa: B023
+            snapshots: list[bytes] = []
+            snapshot_seconds = cpu_seconds(lambda: snapshots.append(state.snapshot()))  # noqa: B023
             resident = resident_bytes()
             fresh = BundleState(control_bench.settings_of(9, None).operator_keys)
-            restored = timed(lambda: fresh.restore(held[0]))  # noqa: B023
+            restore_seconds = cpu_seconds(lambda: fresh.restore(snapshots[0]))  # noqa: B023
             rows.append(
                 {
                     "changes": operator.version,
-                    "decide_ms": deciding / (since + 1) * 1e3,
-                    "apply_ms": applying / (since + 1) * 1e3,
-                    "record_bytes": record_bytes / since,
-                    "snapshot_mb": len(held[0]) / 1e6,
-                    "snapshot_ms": shot * 1e3,
-                    "restore_ms": restored * 1e3,
+                    "decide_ms": deciding / (counted_changes + 1) * 1e3,
+                    "apply_ms": applying / (counted_changes + 1) * 1e3,
+                    "record_bytes": record_bytes / counted_changes,
+                    "snapshot_mb": len(snapshots[0]) / 1e6,
+                    "snapshot_ms": snapshot_seconds * 1e3,
+                    "restore_ms": restore_seconds * 1e3,
                     "resident_mb": (resident - empty) / 1e6,
                     "order_bytes": len(msgspec.msgpack.encode(order)),
                 }
@@ -91,7 +91,7 @@
             )
 
     def processor(self) -> list[float]:
-        return [processor_of(child.pid) for child in self.children.values()]
+        return [processor_seconds_of(child.pid) for child in self.children.values()]
 
     def resident(self) -> list[int]:
         return [resident_bytes(child.pid) for child in self.children.values()]
@@ -107,28 +107,31 @@
     operator = control_bench.Operator(ControlClient(context, messenger, control_bench.seeds))
     await operator.send(operator.first())
     rows: list[Row] = []
-    for goal in CHANGES:
+    for target_version in CHANGES:
         first = operator.version
-        before, begun = fleet.processor(), time.monotonic()
-        taken = sorted([await operator.send(operator.change()) for _ in range(goal - first)])
-        spent = sorted(late - early for early, late in zip(before, fleet.processor(), strict=True))
+        before, started = fleet.processor(), time.monotonic()
+        order_seconds = sorted([await operator.send(operator.change()) for _ in range(target_version - first)])
+        used_seconds = sorted(
+            after_seconds - before_seconds
+            for before_seconds, after_seconds in zip(before, fleet.processor(), strict=True)
+        )
         row: Row = {
-            "changes": goal,
-            "orders_per_second": (goal - first) / (time.monotonic() - begun),
-            "p50_ms": taken[len(taken) // 2] * 1e3,
-            "p99_ms": taken[int(len(taken) * 0.99)] * 1e3,
+            "changes": target_version,
+            "orders_per_second": (target_version - first) / (time.monotonic() - started),
+            "p50_ms": order_seconds[len(order_seconds) // 2] * 1e3,
+            "p99_ms": order_seconds[int(len(order_seconds) * 0.99)] * 1e3,
             "journal_mb": fleet.journal_bytes() / 1e6,
-            "order_core_ms": [share / (goal - first) * 1e3 for share in spent],
+            "order_core_ms": [share / (target_version - first) * 1e3 for share in used_seconds],
             "resident_mb": [pages / 1e6 for pages in fleet.resident()],
         }
         opened = len(fleet.logged("opened", "took"))
         fleet.kill_all()
         order = operator.change()
-        begun = time.monotonic()
+        started = time.monotonic()
         for number in (2, 0, 1):
             fleet.start(number)
         await operator.send(order)
-        row["restart_s"] = time.monotonic() - begun
+        row["restart_s"] = time.monotonic() - started
         row["journal_read_s"] = max(fleet.logged("opened", "took")[opened - 3 :] or [0.0])
         row["restart_processor_s"] = max(fleet.processor())
         rows.append(row)
--- a/bench/capacity/keepers.py
+++ b/bench/capacity/coordinators.py
@@ -23,66 +23,68 @@
 from .common import KEY, Child, Row, per_second, real_quiet_context
 from .planned import PLANNED
 
-PORT = 32700
-NUMBERS = ((3, 1), (10, 1), (20, 2), (30, 3), (PLANNED.control_machines, 4))
+FIRST_PORT = 32700
+COORDINATOR_COUNTS = ((3, 1), (10, 1), (20, 2), (30, 3), (PLANNED.control_machines, 4))
 """Keepers, and the processes that share them: 43 in one process need the whole of its core and never come to rest."""
-SECONDS = 8.0
+MEASURED_SECONDS = 8.0
 
 
 async def serve(first: int, end: int) -> None:
-    seeds = tuple(Address("127.0.0.1", PORT + number) for number in range(3))
+    seeds = tuple(Address("127.0.0.1", FIRST_PORT + number) for number in range(3))
     messengers: list[TcpMessenger] = []
-    keepers: list[MembershipCoordinator] = []
+    coordinators: list[MembershipCoordinator] = []
     for number in range(first, end):
         own = Identity(
             DaemonName(f"c{number:02}"),
             Incarnation(f"{number:016x}"),
             "control",
             Zone(f"zone-{number % PLANNED.zones}"),
-            Address("127.0.0.1", PORT + number),
+            Address("127.0.0.1", FIRST_PORT + number),
         )
         context = msgspec.structs.replace(real_quiet_context(), random=random.Random(number))
         messenger = TcpMessenger(context, own, KEY)
-        keeper = MembershipCoordinator(context, messenger, seeds)
+        coordinator = MembershipCoordinator(context, messenger, seeds)
         assert isinstance(messenger.start(), Success)
-        keeper.start()
+        coordinator.start()
         messengers.append(messenger)
-        keepers.append(keeper)
+        coordinators.append(coordinator)
     await answer_parent(
-        lambda: own_report(messengers) | {"fewest_members": min(len(keeper.members()) for keeper in keepers)}
+        lambda: (
+            own_report(messengers) | {"fewest_members": min(len(coordinator.members()) for coordinator in coordinators)}
+        )
     )
 
 
-def _one(count: int, processes: int) -> Row:
-    firsts = [count * number // processes for number in range(processes + 1)]
-    children = [Child("bench.capacity.keepers", str(first), str(end)) for first, end in pairwise(firsts)]
+def _measure_count(count: int, processes: int) -> Row:
+    boundaries = [count * number // processes for number in range(processes + 1)]
+    children = [Child("bench.capacity.coordinators", str(first), str(end)) for first, end in pairwise(boundaries)]
 
     def reports() -> list[Row]:
         return [child.report() for child in children]
 
     try:
-        begun = time.monotonic()
+        started = time.monotonic()
         while (fewest := min(report["fewest_members"] for report in reports())) < count:
-            if time.monotonic() - begun > 40:
+            if time.monotonic() - started > 40:
                 raise TimeoutError(f"keepers know {fewest} of {count}")
             time.sleep(0.1)
-        formed = time.monotonic() - begun
+        formed = time.monotonic() - started
         time.sleep(4.0)
         before = reports()
-        time.sleep(SECONDS)
+        time.sleep(MEASURED_SECONDS)
         after = reports()
 
-        def each(field: str) -> float:
-            return sum(per_second(early, late, field) for early, late in zip(before, after, strict=True)) / count
+        def mean_rate(field: str) -> float:
+            return sum(per_second(earlier, later, field) for earlier, later in zip(before, after, strict=True)) / count
 
         return {
             "keepers": count,
             "processes": processes,
             "formed_s": formed,
             "members_after": min(report["fewest_members"] for report in after),
-            "keeper_core": each("processor"),
-            "keeper_bytes": each("messenger_bytes"),
-            "keeper_wire_bytes": each("wire_bytes"),
+            "keeper_core": mean_rate("processor"),
+            "keeper_bytes": mean_rate("messenger_bytes"),
+            "keeper_wire_bytes": mean_rate("wire_bytes"),
         }
     finally:
         for child in children:
@@ -90,7 +92,7 @@
 
 
 def measure() -> list[Row]:
-    return [_one(count, processes) for count, processes in NUMBERS]
+    return [_measure_count(count, processes) for count, processes in COORDINATOR_COUNTS]
 
 
 if __name__ == "__main__":
--- a/bench/capacity/daemons.py
+++ b/bench/capacity/daemons.py
@@ -29,13 +29,13 @@
 from wingwood.transport.frames import Identity
 from wingwood.transport.messenger import TcpMessenger
 
-from .common import Row, processor_of, real_quiet_context, resident_bytes
+from .common import Row, processor_seconds_of, real_quiet_context, resident_bytes
 
-PORT = 32500
+FIRST_PORT = 32500
 FLEET_KEY = "0123456789abcdef" * 4
 SLICES = (0, 100, 1000, 2600)
 CHANGES = 60
-CHANGES_A_SECOND = 6.0
+CHANGES_PER_SECOND = 6.0
 IDLE_SECONDS = 8.0
 
 IMPORTS = {
@@ -61,24 +61,26 @@
 
 def _start(folder: Path, role: str, name: str, number: int) -> subprocess.Popen[bytes]:
     command = [sys.executable, "-m", "wingwood", role, "--name", name, "--zone", "a"]
-    command += ["--internal", f"127.0.0.1:{PORT + number}", "--operator", f"127.0.0.1:{PORT + 20 + number}"]
+    command += ["--internal", f"127.0.0.1:{FIRST_PORT + number}", "--operator", f"127.0.0.1:{FIRST_PORT + 20 + number}"]
     for seed in range(3):
-        command += ["--seed", f"127.0.0.1:{PORT + seed}"]
+        command += ["--seed", f"127.0.0.1:{FIRST_PORT + seed}"]
     command += ["--operator-key", OPERATOR_KEYS[0], "--fleet-key-file", str(folder / "key")]
     if role == "control":
         command += ["--data-folder", str(folder / name)]
     else:
-        command += ["--caller", f"127.0.0.1:{PORT + 40 + number}"]
+        command += ["--caller", f"127.0.0.1:{FIRST_PORT + 40 + number}"]
     with (folder / f"{name}.log").open("ab") as log:
         return subprocess.Popen(command, stdout=log, stderr=log)
 
 
 class _Operator:
     def __init__(self) -> None:
-        own = Identity(DaemonName("bench"), Incarnation("bench"), "tool", Zone("a"), Address("127.0.0.1", PORT + 60))
+        own = Identity(
+            DaemonName("bench"), Incarnation("bench"), "tool", Zone("a"), Address("127.0.0.1", FIRST_PORT + 60)
+        )
         context = real_quiet_context()
         messenger = TcpMessenger(context, own, bytes.fromhex(FLEET_KEY))
-        seeds = tuple(Address("127.0.0.1", PORT + number) for number in range(3))
+        seeds = tuple(Address("127.0.0.1", FIRST_PORT + number) for number in range(3))
         self._client = ControlClient(context, messenger, lambda: seeds)
         self._slices: dict[SliceName, bytes] = {}
         self.version = BundleVersion(0)
@@ -98,7 +100,7 @@
         await self.send(self._slices | dict([slice_of(tenant)]))
 
 
-async def _one(slices: int) -> Row:
+async def _measure_slices(slices: int) -> Row:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         (folder / "key").write_text(FLEET_KEY)
@@ -110,15 +112,18 @@
             row: Row = {"slices": slices}
             operator = _Operator()
             if slices:
-                begun = time.monotonic()
+                started = time.monotonic()
                 await operator.send(sample_slices(slices - 8))
-                row["first_bundle_s"] = time.monotonic() - begun
+                row["first_bundle_s"] = time.monotonic() - started
             await asyncio.sleep(4.0)
             assert all(child.poll() is None for child in children), "a daemon ended"
-            before, begun = [processor_of(child.pid) for child in children], time.monotonic()
+            before, started = [processor_seconds_of(child.pid) for child in children], time.monotonic()
             await asyncio.sleep(IDLE_SECONDS)
-            passed = time.monotonic() - begun
-            idle = [(processor_of(child.pid) - early) / passed for child, early in zip(children, before, strict=True)]
+            passed = time.monotonic() - started
+            idle = [
+                (processor_seconds_of(child.pid) - early) / passed
+                for child, early in zip(children, before, strict=True)
+            ]
             resident = [resident_bytes(child.pid) / 1e6 for child in children]
             row |= {
                 "router_mb": resident[3],
@@ -127,14 +132,14 @@
                 "control_idle_core": sorted(idle[:3]),
             }
             if slices:
-                before, begun = [processor_of(child.pid) for child in children], time.monotonic()
+                before, started = [processor_seconds_of(child.pid) for child in children], time.monotonic()
                 for number in range(CHANGES):
                     await operator.change(slices - 8)
-                    await asyncio.sleep(max(0.0, begun + (number + 1) / CHANGES_A_SECOND - time.monotonic()))
+                    await asyncio.sleep(max(0.0, started + (number + 1) / CHANGES_PER_SECOND - time.monotonic()))
                 await asyncio.sleep(1.0)
-                passed = time.monotonic() - begun
+                passed = time.monotonic() - started
                 spent = [
-                    (processor_of(child.pid) - early - share * passed) / CHANGES * 1e3
+                    (processor_seconds_of(child.pid) - early - share * passed) / CHANGES * 1e3
                     for child, early, share in zip(children, before, idle, strict=True)
                 ]
                 row |= {
@@ -153,4 +158,4 @@
 
 
 def measure_daemons() -> list[Row]:
-    return [asyncio.run(_one(slices)) for slices in SLICES]
+    return [asyncio.run(_measure_slices(slices)) for slices in SLICES]
--- a/bench/capacity/fits.py
+++ b/bench/capacity/fits.py
@@ -21,7 +21,7 @@
     def probes(self) -> list[str]:
         return sorted(self._measured)
 
-    def about(self, probe: str) -> dict[str, Any]:
+    def metadata(self, probe: str) -> dict[str, Any]:
         return dict(self._measured.get(probe, {}))
 
     def fleets(self) -> list[dict[str, Any]]:
--- a/bench/capacity/forward.py
+++ b/bench/capacity/forward.py
@@ -16,13 +16,13 @@
 from .common import Row
 
 PORT = 32400
-STREAMS = (10, 50, 200)
-CALLERS = (2, 10, 40)
-CALLS_EACH = 10.0
+STREAM_COUNTS = (10, 50, 200)
+CALLER_COUNTS = (2, 10, 40)
+CALLS_PER_SECOND_PER_CALLER = 10.0
 """A second, by each caller: well below what the router can do, so that the rate is known."""
-OPEN = (100, 300, 600)
-PACE = 0.032
-SECONDS = 6.0
+OPEN_STREAM_COUNTS = (100, 300, 600)
+EVENT_INTERVAL_S = 0.032
+MEASURED_SECONDS = 6.0
 
 
 def use_own_ports() -> None:
@@ -31,18 +31,18 @@
         setattr(forward_bench, name, value)
 
 
-def _child(role: str) -> subprocess.Popen[str]:
+def _start_child(role: str) -> subprocess.Popen[str]:
     command = [sys.executable, "-m", "bench.capacity.forward", "--role", role]
     child = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
     assert child.stdout is not None and child.stdout.readline().strip() == "ready", role
     return child
 
 
-def _with_router(measured: Any) -> list[Row]:
+def _with_router(measure: Any) -> list[Row]:
     use_own_ports()
-    children = [_child("worker"), _child("router")]
+    children = [_start_child("worker"), _start_child("router")]
     try:
-        rows: list[Row] = asyncio.run(measured())
+        rows: list[Row] = asyncio.run(measure())
         return rows
     finally:
         for child in children:
@@ -50,15 +50,15 @@
             child.wait()
 
 
-async def _loop(callers: int, data: bytes, streams: bool) -> Row:
-    before, begun = await router_cost(), time.monotonic()
-    found = await closed_loop(PORT, callers, SECONDS, data, streams)
-    after, took = await router_cost(), time.monotonic() - begun
+async def _measure_closed_loop(callers: int, data: bytes, streams: bool) -> Row:
+    before, started = await router_cost(), time.monotonic()
+    found = await closed_loop(PORT, callers, MEASURED_SECONDS, data, streams)
+    after, elapsed = await router_cost(), time.monotonic() - started
     row: Row = {
         "callers": callers,
-        "calls_per_second": len(found["calls"]) / took,
-        "pieces_per_second": len(found["events"]) / took,
-        "core": (after["processor"] - before["processor"]) / took,
+        "calls_per_second": len(found["calls"]) / elapsed,
+        "pieces_per_second": len(found["events"]) / elapsed,
+        "core": (after["processor"] - before["processor"]) / elapsed,
     }
     quantile = quantiles(found["events" if streams else "calls"])
     return row | {f"{name}_ms": value for name, value in quantile.items()}
@@ -69,37 +69,37 @@
     loop = asyncio.get_running_loop()
     data = request_bytes("/plain")
     rows: list[Row] = []
-    for callers in CALLERS:
+    for callers in CALLER_COUNTS:
         took_ms: list[float] = []
-        before, begun = await router_cost(), time.monotonic()
+        before, started = await router_cost(), time.monotonic()
 
-        async def call_on(number: int, callers: int, begun: float, took_ms: list[float]) -> int:
+        async def call_on(number: int, callers: int, started: float, took_ms: list[float]) -> int:
             _, protocol = await loop.create_connection(lambda: BareCaller([]), "127.0.0.1", PORT)
-            due = begun + number / callers / CALLS_EACH
-            while due < begun + SECONDS:
+            due = started + number / callers / CALLS_PER_SECOND_PER_CALLER
+            while due < started + MEASURED_SECONDS:
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
                 sent = time.monotonic()
                 await protocol.call(data, False)
                 took_ms.append((time.monotonic() - sent) * 1e3)
-                due += 1 / CALLS_EACH
+                due += 1 / CALLS_PER_SECOND_PER_CALLER
             protocol.transport.close()
             return protocol.failed
 
-        failed = sum(await asyncio.gather(*(call_on(number, callers, begun, took_ms) for number in range(callers))))
-        after, took = await router_cost(), time.monotonic() - begun
+        failed = sum(await asyncio.gather(*(call_on(number, callers, started, took_ms) for number in range(callers))))
+        after, elapsed = await router_cost(), time.monotonic() - started
         row: Row = {
             "callers": callers,
-            "calls_per_second": len(took_ms) / took,
+            "calls_per_second": len(took_ms) / elapsed,
             "failed": failed,
-            "core": (after["processor"] - before["processor"]) / took,
+            "core": (after["processor"] - before["processor"]) / elapsed,
         }
         rows.append(row | {f"{name}_ms": value for name, value in quantiles(took_ms).items()})
     return rows
 
 
 async def _streams() -> list[Row]:
-    data = request_bytes("/chat", X_Events=100, X_Pace=PACE)
-    return [await _loop(streams, data, True) for streams in STREAMS]
+    data = request_bytes("/chat", X_Events=100, X_Pace=EVENT_INTERVAL_S)
+    return [await _measure_closed_loop(streams, data, True) for streams in STREAM_COUNTS]
 
 
 async def _open() -> list[Row]:
@@ -107,12 +107,12 @@
     loop = asyncio.get_running_loop()
     data = request_bytes("/chat", X_Events=2, X_Pace=5.0)
     rows: list[Row] = [{"streams": 0, "resident_mb": (await router_cost())["memory"] / 1e6}]
-    for count in OPEN:
+    for count in OPEN_STREAM_COUNTS:
         callers = [(await loop.create_connection(lambda: BareCaller([]), "127.0.0.1", PORT))[1] for _ in range(count)]
-        ends = [caller.call(data, streams=True) for caller in callers]
+        answers = [caller.call(data, streams=True) for caller in callers]
         await asyncio.sleep(2.5)
         rows.append({"streams": count, "resident_mb": (await router_cost())["memory"] / 1e6})
-        await asyncio.gather(*ends)
+        await asyncio.gather(*answers)
         for caller in callers:
             caller.transport.close()
     return rows
--- a/bench/capacity/ledger.py
+++ b/bench/capacity/ledger.py
@@ -22,17 +22,17 @@
 from wingwood.transport.messenger import TcpMessenger
 
 from .. import ledger_bench
-from .common import Row, processor_seconds, real_quiet_context, timed
+from .common import Row, cpu_seconds, processor_seconds, real_quiet_context
 
 SIZES = (10_000, 100_000, 1_000_000)
 RATES = (30, 300, 1000, 2000)
-PORT = 32100
+FIRST_PORT = 32100
 
 
 def use_own_ports() -> None:
     own: dict[str, Any] = {
-        "FIRST_PORT": PORT,
-        "SEEDS": tuple(Address("127.0.0.1", PORT + number) for number in range(3)),
+        "FIRST_PORT": FIRST_PORT,
+        "SEEDS": tuple(Address("127.0.0.1", FIRST_PORT + number) for number in range(3)),
     }
     for name, value in own.items():
         setattr(ledger_bench, name, value)
@@ -47,30 +47,30 @@
             tracemalloc.start()
             state = LedgerState(RealClock(), ledger_bench.RETENTION)
             # A tenth is enough for the weight of an entry, and tracing makes the filling slow.
-            part = size if size <= 100_000 else size // 4
-            ledger_bench._fill(state, part, settled)
+            traced_entries = size if size <= 100_000 else size // 4
+            ledger_bench._fill(state, traced_entries, settled)
             gc.collect()
-            weights.append(tracemalloc.get_traced_memory()[0] / part)
+            weights.append(tracemalloc.get_traced_memory()[0] / traced_entries)
             tracemalloc.stop()
         state = LedgerState(RealClock(), ledger_bench.RETENTION)
-        filled = timed(lambda: ledger_bench._fill(state, size, True))  # noqa: B023
+        fill_seconds = cpu_seconds(lambda: ledger_bench._fill(state, size, True))  # noqa: B023
         snapshot = b""
 
-        def shoot() -> None:
+        def take_snapshot() -> None:
             nonlocal snapshot
             snapshot = state.snapshot()  # noqa: B023
 
-        shot = timed(shoot)
-        restored = timed(lambda: LedgerState(RealClock(), ledger_bench.RETENTION).restore(snapshot))  # noqa: B023
+        snapshot_seconds = cpu_seconds(take_snapshot)
+        restore_seconds = cpu_seconds(lambda: LedgerState(RealClock(), ledger_bench.RETENTION).restore(snapshot))  # noqa: B023
         rows.append(
             {
                 "entries": size,
                 "ran_bytes": weights[0],
                 "running_bytes": weights[1],
-                "rules_us": filled / size * 1e6,
+                "rules_us": fill_seconds / size * 1e6,
                 "snapshot_bytes": len(snapshot) / size,
-                "snapshot_ms": shot * 1e3,
-                "restore_ms": restored * 1e3,
+                "snapshot_ms": snapshot_seconds * 1e3,
+                "restore_ms": restore_seconds * 1e3,
             }
         )
     return rows
@@ -99,47 +99,49 @@
 
 async def _claims(children: Sequence[_ControlChild], seconds: float) -> list[Row]:
     context = real_quiet_context()
-    identity = Identity(DaemonName("bench"), Incarnation("bench"), "router", Zone("a"), Address("127.0.0.1", PORT + 10))
+    identity = Identity(
+        DaemonName("bench"), Incarnation("bench"), "router", Zone("a"), Address("127.0.0.1", FIRST_PORT + 10)
+    )
     messenger = TcpMessenger(context, identity, ledger_bench.KEY)
     seeds = ledger_bench.SEEDS
     ledger = RouterLedger(context, Incarnation("bench"), ControlClient(context, messenger, lambda: seeds))
     number = 0
     rows = []
 
-    async def one(times: list[float]) -> bool:
+    async def claim_and_settle(times: list[float]) -> bool:
         nonlocal number
         number += 1
         key = ledger_bench.call_key(number)
-        begun = time.perf_counter()
+        started = time.perf_counter()
         answer = await ledger.claim(key, Seconds(5.0))
         if isinstance(answer, Claimed):
             ledger.settle_soon(key, answer.ticket, "ran")
-            times.append(time.perf_counter() - begun)
+            times.append(time.perf_counter() - started)
         return isinstance(answer, Claimed)
 
     for _ in range(200):
-        if await one([]):
+        if await claim_and_settle([]):
             break
         await asyncio.sleep(0.1)
     for rate in RATES:
         times: list[float] = []
         before, own = [child.report() for child in children], processor_seconds()
-        begun = time.perf_counter()
+        started = time.perf_counter()
         tasks: list[asyncio.Task[bool]] = []
-        while (passed := time.perf_counter() - begun) < seconds:
+        while (passed := time.perf_counter() - started) < seconds:
             while len(tasks) < passed * rate:
-                tasks.append(asyncio.create_task(one(times)))
+                tasks.append(asyncio.create_task(claim_and_settle(times)))
             await asyncio.sleep(0.005)
         failed = sum(not granted for granted in await asyncio.gather(*tasks))
         await asyncio.sleep(0.3)
-        took, spent = time.perf_counter() - begun, processor_seconds() - own
+        took, spent = time.perf_counter() - started, processor_seconds() - own
         times.sort()
         row: Row = {"rate": len(tasks) / took, "wanted_rate": rate, "failed": failed, "router_core": spent / took}
         for (early, _, bytes_early), child in zip(before, children, strict=True):
             late, role, bytes_late = child.report()
             row[f"{role}_core"] = (late - early) / took
             row[f"{role}_journal_bytes"] = (bytes_late - bytes_early) / len(tasks)
-        row["p50_ms"], row["p99_ms"] = (1e3 * times[int(len(times) * part)] for part in (0.5, 0.99))
+        row["p50_ms"], row["p99_ms"] = (1e3 * times[int(len(times) * traced_entries)] for traced_entries in (0.5, 0.99))
         rows.append(row)
     return rows
 
--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -23,37 +23,45 @@
 from wingwood.registry.worker_registry import WorkerRegistry
 from wingwood.settings.model import DaemonSettings
 
-from .common import KEY, DeafMessenger, FixedMembership, Row, real_quiet_context, routers, timed
+from .common import (
+    KEY,
+    DiscardingMessenger,
+    FixedMembership,
+    Row,
+    cpu_seconds,
+    real_quiet_context,
+    routers,
+)
 
 ROUTERS = (11, 100, 300, 1000)
 POOLS = 39
 TENANTS = 2500
-KEPT = 11_600
+STORED_ENTRIES = 11_600
 """Entries at each keeper: 5.8 million live sessions, two keepers each, over 1,000 routers."""
-RECENT = 3_900
+RECENT_ENTRIES = 3_900
 """13 calls a second for the 300 s that a router's own records are kept."""
 
 
-def entry(now: Instant) -> Entry:
+def sample_entry(now: Instant) -> Entry:
     return Entry(
         pool=PoolName("p"), holder=WorkerInstance("model-00001-1234"), tokens=3000, own_tokens=1000, last_used_at=now
     )
 
 
-def filled_map(context: Context, membership: FixedMembership, own: int, kept: int, recent: int) -> DistributedMap:
+def filled_map(context: Context, membership: FixedMembership, own: int, stored: int, recent: int) -> DistributedMap:
     """A keeper's map with keys that are really its own."""
     identity = membership.routers()[own]
-    held = DistributedMap(context, DeafMessenger(identity), membership)
+    distributed_map = DistributedMap(context, DiscardingMessenger(identity), membership)
     now = context.clock.monotonic()
     number = 0
-    while len(held._stored.by_key) < kept:
+    while len(distributed_map._stored.by_key) < stored:
         key = session_key(PoolName("p"), SessionId(f"session-{number}"))
         number += 1
-        if any(router.incarnation == identity.incarnation for router in held._owners_of(key)):
-            held._store(key, entry(now))
-        elif len(held._recent.by_key) < recent:
-            held._recent.put(key, entry(now))
-    return held
+        if any(router.incarnation == identity.incarnation for router in distributed_map._owners_of(key)):
+            distributed_map._store(key, sample_entry(now))
+        elif len(distributed_map._recent.by_key) < recent:
+            distributed_map._recent.put(key, sample_entry(now))
+    return distributed_map
 
 
 def settings() -> DaemonSettings:
@@ -69,41 +77,41 @@
     )
 
 
-async def _one(count: int) -> Row:
+async def _measure_routers(count: int) -> Row:
     context = real_quiet_context()
     all_routers = routers(count, zones=14)
     fewer = all_routers[:-1]
     row: Row = {"routers": count}
-    row["ring_ms"] = 1e3 * min(timed(lambda: OwnerRing(all_routers)) for _ in range(3))
+    row["ring_ms"] = 1e3 * min(cpu_seconds(lambda: OwnerRing(all_routers)) for _ in range(3))
     membership = FixedMembership(all_routers)
-    held = filled_map(context, membership, 0, KEPT, RECENT)
+    distributed_map = filled_map(context, membership, 0, STORED_ENTRIES, RECENT_ENTRIES)
     gc.collect()
-    row["session_map_ms"] = 1e3 * timed(lambda: membership.set(fewer))
-    row["handed_over"] = len(held._pending_handover)
-    held._pending_handover.clear()
-    own = DeafMessenger(all_routers[0])
+    row["session_map_ms"] = 1e3 * cpu_seconds(lambda: membership.set(fewer))
+    row["handed_over"] = len(distributed_map._pending_handover)
+    distributed_map._pending_handover.clear()
+    own = DiscardingMessenger(all_routers[0])
     membership = FixedMembership(all_routers)
     registry = WorkerRegistry(context, own, membership, settings())
     for number in range(POOLS):
         registry.watch(PoolName(f"pool-{number}"))
-    row["registry_ms"] = 1e3 * timed(lambda: membership.set(fewer))
+    row["registry_ms"] = 1e3 * cpu_seconds(lambda: membership.set(fewer))
     membership = FixedMembership(all_routers)
     shares = FleetShares(context, own, membership)
     tenants = [
         Tenant(name=TenantName(f"tenant-{number}"), priority_class=ClassName("gold"), paid_rate=10.0)
         for number in range(TENANTS)
     ]
-    row["share_keepers_first_ms"] = 1e3 * timed(lambda: [shares.allocator_of(tenant.name) for tenant in tenants])
+    row["share_keepers_first_ms"] = 1e3 * cpu_seconds(lambda: [shares.allocator_of(tenant.name) for tenant in tenants])
 
     def changed() -> None:
         membership.set(fewer)
         for tenant in tenants:
             shares.allocator_of(tenant.name)
 
-    row["share_keepers_ms"] = 1e3 * timed(changed)
+    row["share_keepers_ms"] = 1e3 * cpu_seconds(changed)
     row["all_ms"] = row["session_map_ms"] + row["registry_ms"] + row["share_keepers_ms"]
     return row
 
 
 def measure() -> list[Row]:
-    return [asyncio.run(_one(count)) for count in ROUTERS]
+    return [asyncio.run(_measure_routers(count)) for count in ROUTERS]
--- a/bench/capacity/messages.py
+++ b/bench/capacity/messages.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import time
+from typing import ClassVar
 
 import msgspec
 from returns.result import Success
@@ -20,7 +21,8 @@
 COUNT = 3_000
 
 
-class Ask(msgspec.Struct, frozen=True):
+class Request(msgspec.Struct, frozen=True):
+    WIRE_NAME: ClassVar[str] = "Ask"
     body: bytes
 
 
@@ -28,7 +30,8 @@
     body: bytes
 
 
-class Told(msgspec.Struct, frozen=True):
+class Notification(msgspec.Struct, frozen=True):
+    WIRE_NAME: ClassVar[str] = "Told"
     body: bytes
 
 
@@ -38,32 +41,32 @@
 
 async def serve() -> None:
     messenger = TcpMessenger(real_quiet_context(), identity("answerer", PORT), KEY)
-    took = 0
+    received = 0
 
-    async def answer(_: Identity, ask: Ask) -> Answer:
+    async def answer(_: Identity, request: Request) -> Answer:
         return Answer(b"x" * 64)
 
-    def take(_: Identity, told: Told) -> None:
-        nonlocal took
-        took += 1
+    def receive(_: Identity, notification: Notification) -> None:
+        nonlocal received
+        received += 1
 
-    messenger.on_call(Ask, answer)
-    messenger.on_post(Told, take)
+    messenger.on_call(Request, answer)
+    messenger.on_post(Notification, receive)
     assert isinstance(messenger.start(), Success)
-    await answer_parent(lambda: own_report([messenger]) | {"took": took})
+    await answer_parent(lambda: own_report([messenger]) | {"took": received})
 
 
 async def _measure(child: Child) -> list[Row]:
     messenger = TcpMessenger(real_quiet_context(), identity("asker", PORT + 1), KEY)
     address = Address("127.0.0.1", PORT)
     rows = []
-    while not isinstance(await messenger.call(address, Ask(b""), Answer, Seconds(1.0)), Success):
+    while not isinstance(await messenger.call(address, Request(b""), Answer, Seconds(1.0)), Success):
         await asyncio.sleep(0.1)
     for size in SIZES:
         body = b"x" * size
         before, own = child.report(), processor_seconds()
         for _ in range(COUNT):
-            assert isinstance(await messenger.call(address, Ask(body), Answer, Seconds(5.0)), Success)
+            assert isinstance(await messenger.call(address, Request(body), Answer, Seconds(5.0)), Success)
         spent, after = processor_seconds() - own, child.report()
         row: Row = {
             "body": size,
@@ -74,7 +77,7 @@
         }
         before, own = child.report(), processor_seconds()
         for _ in range(COUNT):
-            messenger.post(address, Told(body))
+            messenger.post(address, Notification(body))
             await asyncio.sleep(0)  # one by one, as daemons post them
             await asyncio.sleep(0)
         while child.report()["took"] < before["took"] + COUNT:
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -21,10 +21,10 @@
 def measured_table(inputs: Inputs) -> Table:
     table = [["probe", "at", "load before, after", "seconds", "commit", "result"]]
     for probe in inputs.probes():
-        about = inputs.about(probe)
-        load = ", ".join(str(value) for value in about["load"])
-        result = about.get("failed", f"{len(about['rows'])} sizes")
-        table.append([probe, about["at"][11:16], load, number(about["seconds"]), about["commit"], result])
+        metadata = inputs.metadata(probe)
+        load = ", ".join(str(value) for value in metadata["load"])
+        result = metadata.get("failed", f"{len(metadata['rows'])} sizes")
+        table.append([probe, metadata["at"][11:16], load, number(metadata["seconds"]), metadata["commit"], result])
     return table
 
 
@@ -67,12 +67,12 @@
     for probe in inputs.probes():
         if probe.startswith("other fleet "):
             runs += [(probe.partition(",")[2], row) for row in inputs.rows(probe)]
-    for which, row in runs:
+    for suffix, row in runs:
         for found in row["phases"]:
-            rolled = found["all_in_force_ms"]
+            distribution_ms = found["all_in_force_ms"]
             table.append(
                 [
-                    f"{row['daemons']} in {row['processes']}{which}",
+                    f"{row['daemons']} in {row['processes']}{suffix}",
                     number(row["formed_after"]),
                     number(row["daemon_memory"] / 1e6),
                     f"{found['name']}, {found['changes']} changes",
@@ -80,7 +80,7 @@
                     number(100 * found["daemon_processor"]),
                     " / ".join(number(100 * share) for share in found["control_processor"]),
                     " / ".join(number(value) for value in found["control_messenger_bytes"]),
-                    f"{number(rolled['p50'])} / {number(rolled['max'])}" if rolled else "",
+                    f"{number(distribution_ms['p50'])} / {number(distribution_ms['max'])}" if distribution_ms else "",
                     f"{found['not_serving']} / {found['behind']}",
                 ]
             )
@@ -251,7 +251,9 @@
     inputs = Inputs(measured)
     fits = Fits(inputs)
     found = {
-        "planned": markdown([["what", "number"], *([what, number(value, 6)] for what, value in PLANNED.told())]),
+        "planned": markdown(
+            [["what", "number"], *([what, number(value, 6)] for what, value in PLANNED.derived_rows())]
+        ),
         "probes": markdown(measured_table(inputs)),
         "fits": markdown(fits_table(fits)),
         "fleet": markdown(fleet_table(inputs)),
@@ -262,29 +264,29 @@
     for probe in ("keepers", "messages", "forward streams", "forward calls"):
         other[f"{probe}, later"] = COLUMNS[probe]
     for probe, columns in (COLUMNS | other).items():
-        about = inputs.about(probe)
-        if "failed" in about:
-            found[probe] = f"Not measured: {about['failed']}."
-        elif not about:
+        metadata = inputs.metadata(probe)
+        if "failed" in metadata:
+            found[probe] = f"Not measured: {metadata['failed']}."
+        elif not metadata:
             found[probe] = "Not run."
         else:
             found[probe] = markdown(plain_table(inputs.rows(probe), columns))
     return found
 
 
-def fill(page: str, found: dict[str, str]) -> str:
+def fill_tables(page: str, found: dict[str, str]) -> str:
     """The page with each table put between its markers; a marker that names no table is an error."""
 
-    def put(match: re.Match[str]) -> str:
+    def replacement(match: re.Match[str]) -> str:
         name = match[1]
         if name not in found:
             raise ValueError(f"the page asks for table {name!r}; known: {', '.join(sorted(found))}")
         return f"<!-- table: {name} -->\n{found[name]}\n<!-- end -->"
 
-    return re.sub(r"<!-- table: ([^>]+?) -->\n.*?<!-- end -->", put, page, flags=re.DOTALL)
+    return re.sub(r"<!-- table: ([^>]+?) -->\n.*?<!-- end -->", replacement, page, flags=re.DOTALL)
 
 
-def draw(measured: dict[str, Any], target: Path) -> None:
+def draw_slopes(measured: dict[str, Any], target: Path) -> None:
     """Four slopes with their lines drawn to the planned size."""
     import matplotlib  # noqa: PLC0415
 
@@ -331,12 +333,12 @@
         ),
     ]
     figure, axes = pyplot.subplots(1, 4, figsize=(13, 3))
-    for axis, (name, probe, size, value, upto, label, title) in zip(axes, panels, strict=True):
+    for axis, (name, probe, size, value, planned_size, label, title) in zip(axes, panels, strict=True):
         rows = fits.inputs.rows(probe)
         axis.plot([row[size] for row in rows], [row[value] for row in rows], "o", markersize=4)
         line = fits.get(name)
         if line is not None:
-            axis.plot([0, upto], [line.at(0), line.at(upto)], linewidth=1)
+            axis.plot([0, planned_size], [line.at(0), line.at(planned_size)], linewidth=1)
         axis.set_xlabel(label, fontsize=8)
         axis.set_title(title, fontsize=8)
         axis.tick_params(labelsize=7)
@@ -348,5 +350,5 @@
 
 
 def write_page(measured: dict[str, Any], target: Path) -> None:
-    target.write_text(fill(target.read_text(), tables(measured)))
-    draw(measured, target.parent / "pictures" / "capacity-slopes.png")
+    target.write_text(fill_tables(target.read_text(), tables(measured)))
+    draw_slopes(measured, target.parent / "pictures" / "capacity-slopes.png")
--- a/bench/capacity/planned.py
+++ b/bench/capacity/planned.py
@@ -12,84 +12,84 @@
     zones: int = 14
     regions: int = 4
     control_machines: int = 43
-    requests: float = 13_000.0
-    tokens: float = 5_600_000.0
-    between_tokens: float = 0.032
+    requests_per_second: float = 13_000.0
+    tokens_per_second: float = 5_600_000.0
+    token_interval_s: float = 0.032
     sessions: float = 5_800_000.0
     prefixes: int = 50_000
     tenants: int = 2_500
-    changes_a_day: float = 28_000.0
-    restarts_a_day: float = 2_400.0 + 76.0
+    changes_per_day: float = 28_000.0
+    restarts_per_day: float = 2_400.0 + 76.0
     slices: int = 2_600
     """Tenants, and the services, routes and classes of 39 models."""
-    retention: float = 1_800.0 * 1.25
+    ledger_retention_s: float = 1_800.0 * 1.25
     """Seconds that a ledger keeps an outcome, at the longest."""
-    recent: float = 300.0
+    record_retention_s: float = 300.0
     """Seconds that a router keeps its own records."""
     core_share: float = 0.017
     memory_mb: float = 64.0
     bytes_per_second: float = 2_000.0
 
     @property
-    def changes(self) -> float:
-        return self.changes_a_day / 86_400
+    def changes_per_second(self) -> float:
+        return self.changes_per_day / 86_400
 
     @property
-    def calls_each(self) -> float:
-        return self.requests / self.daemons
+    def calls_per_daemon(self) -> float:
+        return self.requests_per_second / self.daemons
 
     @property
-    def pieces_each(self) -> float:
-        return self.tokens / self.daemons
+    def chunks_per_daemon(self) -> float:
+        return self.tokens_per_second / self.daemons
 
     @property
-    def streams_each(self) -> float:
+    def streams_per_daemon(self) -> float:
         """Open at a time: each gives a token every 32 ms."""
-        return self.pieces_each * self.between_tokens
+        return self.chunks_per_daemon * self.token_interval_s
 
     @property
-    def workers_each(self) -> float:
+    def workers_per_daemon(self) -> float:
         return self.workers / self.daemons
 
     @property
-    def pool_workers(self) -> float:
+    def workers_per_pool(self) -> float:
         return self.workers / self.pools
 
     @property
-    def zone_routers(self) -> float:
+    def routers_per_zone(self) -> float:
         return self.daemons / self.zones
 
     @property
-    def kept_each(self) -> float:
+    def entries_per_daemon(self) -> float:
         return 2 * self.sessions / self.daemons
 
     @property
-    def member_changes_a_day(self) -> float:
+    def member_changes_per_day(self) -> float:
         """Each restart is a leaving and a coming; daemons have their part of all machines' restarts."""
-        return 2 * self.restarts_a_day * self.daemons / (self.daemons + self.workers)
+        return 2 * self.restarts_per_day * self.daemons / (self.daemons + self.workers)
 
     @property
-    def member_changes_at_most(self) -> float:
-        return 2 * self.restarts_a_day
+    def max_member_changes_per_day(self) -> float:
+        return 2 * self.restarts_per_day
 
     @property
-    def worker_changes(self) -> float:
+    def worker_changes_per_second(self) -> float:
         """New states a second: ready, draining and gone for each restart of a worker."""
-        return 3 * self.restarts_a_day * self.workers / (self.daemons + self.workers) / 86_400
+        return 3 * self.restarts_per_day * self.workers / (self.daemons + self.workers) / 86_400
 
-    def told(self) -> list[tuple[str, float]]:
+    def derived_rows(self) -> list[tuple[str, float]]:
         return [
-            ("calls/s a daemon", self.calls_each),
-            ("pieces (tokens)/s a daemon", self.pieces_each),
-            ("open streams a daemon (each a token in 32 ms)", self.streams_each),
-            ("workers that announce themselves to a daemon", self.workers_each),
-            ("workers of a pool", self.pool_workers),
-            ("routers of a zone", self.zone_routers),
-            ("session entries at a keeper (two copies)", self.kept_each),
-            ("changes of configuration a second", self.changes),
-            ("changes of members a day (daemons' part of 2,476 restarts, twice)", self.member_changes_a_day),
-            ("the same if all restarts were daemons", self.member_changes_at_most),
-            ("new worker states a second", self.worker_changes),
+            ("calls/s a daemon", self.calls_per_daemon),
+            ("pieces (tokens)/s a daemon", self.chunks_per_daemon),
+            ("open streams a daemon (each a token in 32 ms)", self.streams_per_daemon),
+            ("workers that announce themselves to a daemon", self.workers_per_daemon),
+            ("workers of a pool", self.workers_per_pool),
+            ("routers of a zone", self.routers_per_zone),
+            ("session entries at a keeper (two copies)", self.entries_per_daemon),
+            ("changes of configuration a second", self.changes_per_second),
+            ("changes of members a day (daemons' part of 2,476 restarts, twice)", self.member_changes_per_day),
+            ("the same if all restarts were daemons", self.max_member_changes_per_day),
+            ("new worker states a second", self.worker_changes_per_second),
         ]
 
 
--- a/bench/capacity/planned_roles.py
+++ b/bench/capacity/planned_roles.py
@@ -14,12 +14,12 @@
 from .planned import PLANNED
 from .text import number
 
-HOMES_FOLLOWED = PLANNED.zone_routers * (1 - (1 - 1 / PLANNED.zone_routers) ** PLANNED.pools)
+OWNERS_FOLLOWED = PLANNED.routers_per_zone * (1 - (1 - 1 / PLANNED.routers_per_zone) ** PLANNED.pools)
 """Different routers among a zone's homes of 39 pools."""
-ASKS_TO_A_HOME = 1 / 0.3
-HOMES_EACH = PLANNED.pools * PLANNED.zones / PLANNED.daemons
+OWNER_REQUESTS_PER_SECOND = 1 / 0.3
+OWNER_DUTIES_PER_ROUTER = PLANNED.pools * PLANNED.zones / PLANNED.daemons
 """Duties as home that a router has in the mean."""
-ONCE_SHARE = 0.1
+UNREPEATABLE_CALL_SHARE = 0.1
 """Assumed part of the calls that may not be repeated."""
 EVENT_BYTES = 140.0
 """Of one token's event with its chunk, as in the bench."""
@@ -49,7 +49,7 @@
     return found
 
 
-class Worked:
+class RoleCosts:
     """The numbers of all roles; a number whose probe did not run is None."""
 
     def __init__(self, fits: Fits) -> None:
@@ -109,47 +109,47 @@
         return self.at("heartbeat bytes", PLANNED.daemons)
 
     def change_core(self) -> Value:
-        return self.at("router change", PLANNED.slices).times(1e-3 * PLANNED.changes)
+        return self.at("router change", PLANNED.slices).times(1e-3 * PLANNED.changes_per_second)
 
     def change_bytes(self) -> Value:
-        return self.slope("change bytes").times(PLANNED.changes)
+        return self.slope("change bytes").times(PLANNED.changes_per_second)
 
     def members_core(self) -> Value:
-        return self.at("members ms", PLANNED.daemons).times(1e-3 * PLANNED.member_changes_a_day / 86_400)
+        return self.at("members ms", PLANNED.daemons).times(1e-3 * PLANNED.member_changes_per_day / 86_400)
 
-    def feed_core(self) -> Value:
-        more = self.ask().times((HOMES_FOLLOWED - 1) * ASKS_TO_A_HOME)
-        return self.at("feed core", PLANNED.pools) + more
+    def follower_core(self) -> Value:
+        additional = self.ask().times((OWNERS_FOLLOWED - 1) * OWNER_REQUESTS_PER_SECOND)
+        return self.at("feed core", PLANNED.pools) + additional
 
-    def feed_bytes(self) -> Value:
-        more = Value(self.frame_bytes() * (HOMES_FOLLOWED - 1) * ASKS_TO_A_HOME)
-        return self.at("feed bytes", PLANNED.pools) + more
+    def follower_bytes(self) -> Value:
+        additional = Value(self.frame_bytes() * (OWNERS_FOLLOWED - 1) * OWNER_REQUESTS_PER_SECOND)
+        return self.at("feed bytes", PLANNED.pools) + additional
 
-    def edge_calls_more(self) -> float:
+    def additional_edge_calls(self) -> float:
         """Measured with one home a zone for all pools: four batches a second. Homes that differ get each its own."""
-        return (PLANNED.workers_each - 4.0) * PLANNED.zones
+        return (PLANNED.workers_per_daemon - 4.0) * PLANNED.zones
 
     def edge_core(self) -> Value:
-        passing = self.slope("zones core").times(PLANNED.zones - 1) + self.ask().times(self.edge_calls_more())
-        return self.slope("edge core").times(PLANNED.workers_each) + passing
+        passing = self.slope("zones core").times(PLANNED.zones - 1) + self.ask().times(self.additional_edge_calls())
+        return self.slope("edge core").times(PLANNED.workers_per_daemon) + passing
 
     def edge_bytes(self) -> Value:
-        more = Value(self.edge_calls_more() * (self.frame_bytes() + 64), kind="a")
-        return self.slope("zones bytes").times(PLANNED.zones) + more
+        additional = Value(self.additional_edge_calls() * (self.frame_bytes() + 64), kind="a")
+        return self.slope("zones bytes").times(PLANNED.zones) + additional
 
-    def home_core(self) -> Value:
+    def owner_core(self) -> Value:
         """One duty: followers, renewals from as many edges as the pool has workers, questions among homes."""
-        calls = PLANNED.pool_workers - 4.0
+        calls = PLANNED.workers_per_pool - 4.0
         return (
-            self.at("home core", PLANNED.zone_routers)
+            self.at("home core", PLANNED.routers_per_zone)
             + self.answer().times(calls)
-            + self.ask().times((PLANNED.zones - 1) * ASKS_TO_A_HOME)
-            + self.answer().times((PLANNED.zones - 1) * ASKS_TO_A_HOME)
+            + self.ask().times((PLANNED.zones - 1) * OWNER_REQUESTS_PER_SECOND)
+            + self.answer().times((PLANNED.zones - 1) * OWNER_REQUESTS_PER_SECOND)
         )
 
-    def home_bytes(self) -> Value:
-        calls = PLANNED.pool_workers - 4.0 + 2 * (PLANNED.zones - 1) * ASKS_TO_A_HOME
-        return self.at("home bytes", PLANNED.zone_routers) + Value(self.frame_bytes() * calls)
+    def owner_bytes(self) -> Value:
+        calls = PLANNED.workers_per_pool - 4.0 + 2 * (PLANNED.zones - 1) * OWNER_REQUESTS_PER_SECOND
+        return self.at("home bytes", PLANNED.routers_per_zone) + Value(self.frame_bytes() * calls)
 
     # --- per call ----------------------------------------------------------------------------------
 
@@ -158,29 +158,31 @@
         row = self.row("session map", entries=10_000)
         own = Value((row["look_up_us"] + 2 * row["record_us"]) * 1e-6, kind="m")
         messages = self.ask() + self.answer() + self.post().times(2) + self.take().times(2)
-        return (messages + own).times(PLANNED.calls_each)
+        return (messages + own).times(PLANNED.calls_per_daemon)
 
     def session_bytes(self) -> Value:
         row = self.row("session map", entries=10_000)
-        note, look_up = float(row["note_bytes"]), 12.0
+        record_bytes, look_up = float(row["note_bytes"]), 12.0
         frame = float(self.row("messages", body=64)["post_bytes"]) - 64
-        each = 2 * (note + frame) + (look_up + note + self.frame_bytes())
-        return Value(2 * each * PLANNED.calls_each, kind="m")
+        each = 2 * (record_bytes + frame) + (look_up + record_bytes + self.frame_bytes())
+        return Value(2 * each * PLANNED.calls_per_daemon, kind="m")
 
     def session_memory(self) -> Value:
-        return self.slope("map bytes").times(PLANNED.kept_each + PLANNED.calls_each * PLANNED.recent)
+        return self.slope("map bytes").times(
+            PLANNED.entries_per_daemon + PLANNED.calls_per_daemon * PLANNED.record_retention_s
+        )
 
     def share_core(self) -> Value:
         grant = Value(float(self.row("share grants", tenants=100)["grant_us"]) * 1e-6, kind="m")
-        return (self.ask() + self.answer() + grant).times(PLANNED.calls_each)
+        return (self.ask() + self.answer() + grant).times(PLANNED.calls_per_daemon)
 
     def share_bytes(self) -> Value:
-        return Value(2 * 107.0 * PLANNED.calls_each, kind="m")
+        return Value(2 * 107.0 * PLANNED.calls_per_daemon, kind="m")
 
     def ledger_router_core(self) -> Value:
         """At a router's own low rate nothing is batched: the cost a call of the slowest load."""
         row = self.row("ledger claims", wanted_rate=30)
-        return Value(row["router_core"] / row["rate"] * PLANNED.calls_each * ONCE_SHARE, kind="m")
+        return Value(row["router_core"] / row["rate"] * PLANNED.calls_per_daemon * UNREPEATABLE_CALL_SHARE, kind="m")
 
     def ledger_core(self, name: str, claims: float) -> Value:
         """Batches of one router were measured; from a thousand, each claim and each settle is a call of its own."""
@@ -189,30 +191,30 @@
 
     def forward_core(self) -> Value:
         # The measured streams have a call in each 100 pieces, the planned ones in each 430.
-        calls = PLANNED.calls_each - PLANNED.pieces_each / 100
-        return self.at("pieces core", PLANNED.pieces_each) + self.slope("calls core").times(calls)
+        calls = PLANNED.calls_per_daemon - PLANNED.chunks_per_daemon / 100
+        return self.at("pieces core", PLANNED.chunks_per_daemon) + self.slope("calls core").times(calls)
 
     def stream_memory(self) -> Value:
-        return self.slope("stream memory").times(PLANNED.streams_each)
+        return self.slope("stream memory").times(PLANNED.streams_per_daemon)
 
     # --- control ------------------------------------------------------------------------------------
 
-    def mesh_more(self, machines: int, field: str) -> Value:
+    def additional_mesh_cost(self, machines: int, field: str) -> Value:
         """What the questions among so many keepers cost each, beyond those among three."""
-        more, three = (self.row("keepers", keepers=count)[field] for count in (machines, 3))
-        return Value(more - three, kind="m")
+        additional, three = (self.row("keepers", keepers=count)[field] for count in (machines, 3))
+        return Value(additional - three, kind="m")
 
-    def keeper_core(self, machines: int) -> Value:
+    def coordinator_core(self, machines: int) -> Value:
         """A control core, the sessions of its part of the daemons, and the questions among all keepers."""
         # Of the line's daemons a third are each keeper's own.
         sessions = self.slope("keeper core").times(3 * PLANNED.daemons / machines)
-        return self.base("keeper core") + sessions + self.mesh_more(machines, "keeper_core")
+        return self.base("keeper core") + sessions + self.additional_mesh_cost(machines, "keeper_core")
 
-    def keeper_bytes(self, machines: int) -> Value:
+    def coordinator_bytes(self, machines: int) -> Value:
         sessions = self.slope("keeper bytes").times(3 * PLANNED.daemons / machines)
-        return self.base("keeper bytes") + sessions + self.mesh_more(machines, "keeper_bytes")
+        return self.base("keeper bytes") + sessions + self.additional_mesh_cost(machines, "keeper_bytes")
 
-    def keeper_memory_mb(self) -> Value:
+    def coordinator_memory_mb(self) -> Value:
         return self.at("control memory", PLANNED.slices) + self.slope("keeper memory").times(PLANNED.daemons * 1e-6)
 
     def order_core(self, rank: int) -> Value:
@@ -220,23 +222,23 @@
         if not rows:
             raise KeyError("control restarts")
         each = sorted(rows[-1]["order_core_ms"])[rank]
-        return Value(each * 1e-3 * PLANNED.changes, kind="m")
+        return Value(each * 1e-3 * PLANNED.changes_per_second, kind="m")
 
 
-def _cell(make: Any) -> str:
+def _cell(calculate: Any) -> str:
     try:
-        return str(make())
+        return str(calculate())
     except KeyError as missing:
         return f"not measured ({missing.args[0]})"
 
 
 def role_rows(fits: Fits) -> list[list[str]]:
-    worked = Worked(fits)
+    costs = RoleCosts(fits)
     size = PLANNED
-    claims = size.requests * ONCE_SHARE
-    keeper_duties = 2.0
-    home_questions = (size.zone_routers + 2 * (size.zones - 1)) * ASKS_TO_A_HOME
-    peer_questions = 4.0 * (size.control_machines - 1)
+    claims = size.requests_per_second * UNREPEATABLE_CALL_SHARE
+    allocator_duties = 2.0
+    owner_requests = (size.routers_per_zone + 2 * (size.zones - 1)) * OWNER_REQUESTS_PER_SECOND
+    coordinator_requests = 4.0 * (size.control_machines - 1)
 
     def percent(value: Value) -> str:
         return value.text("%", 100)
@@ -250,23 +252,23 @@
     rows = [
         (
             "router: forwarding",
-            lambda: f"{size.streams_each:.0f} open streams",
-            lambda: f"{size.calls_each:.0f} calls, {size.pieces_each:,.0f} pieces in and out",
-            lambda: kilobytes(Value(2 * EVENT_BYTES * size.pieces_each, kind="a")),
-            lambda: percent(worked.forward_core()),
-            lambda: megabytes(worked.stream_memory()),
+            lambda: f"{size.streams_per_daemon:.0f} open streams",
+            lambda: f"{size.calls_per_daemon:.0f} calls, {size.chunks_per_daemon:,.0f} pieces in and out",
+            lambda: kilobytes(Value(2 * EVENT_BYTES * size.chunks_per_daemon, kind="a")),
+            lambda: percent(costs.forward_core()),
+            lambda: megabytes(costs.stream_memory()),
         ),
         (
             "router: membership, bundle, proof",
             lambda: f"{size.daemons:,} members, {size.slices:,} slices",
-            lambda: f"2.2 heartbeats, {size.changes:.2f} changes",
-            lambda: kilobytes(worked.heartbeat_bytes() + worked.change_bytes()),
-            lambda: percent(worked.heartbeat_core() + worked.change_core() + worked.members_core()),
+            lambda: f"2.2 heartbeats, {size.changes_per_second:.2f} changes",
+            lambda: kilobytes(costs.heartbeat_bytes() + costs.change_bytes()),
+            lambda: percent(costs.heartbeat_core() + costs.change_core() + costs.members_core()),
             lambda: (
                 megabytes(
-                    worked.at("router memory", size.slices)
-                    + worked.at("hollow memory", size.daemons).times(1e-6)
-                    + worked.at("hollow memory", 11).times(-1e-6)
+                    costs.at("router memory", size.slices)
+                    + costs.at("hollow memory", size.daemons).times(1e-6)
+                    + costs.at("hollow memory", 11).times(-1e-6)
                 )
                 + " whole process"
             ),
@@ -274,85 +276,99 @@
         (
             "router: follows worker states",
             lambda: f"{size.workers:,} workers",
-            lambda: f"{HOMES_FOLLOWED * ASKS_TO_A_HOME:.0f} questions, {size.worker_changes:.2f} pushes",
-            lambda: kilobytes(worked.feed_bytes()),
-            lambda: percent(worked.feed_core()),
-            lambda: megabytes(worked.slope("feed memory").times(size.pools)),
+            lambda: (
+                f"{OWNERS_FOLLOWED * OWNER_REQUESTS_PER_SECOND:.0f} questions, "
+                f"{size.worker_changes_per_second:.2f} pushes"
+            ),
+            lambda: kilobytes(costs.follower_bytes()),
+            lambda: percent(costs.follower_core()),
+            lambda: megabytes(costs.slope("feed memory").times(size.pools)),
         ),
         (
             "worker registry's edge",
-            lambda: f"{size.workers_each:.0f} workers",
-            lambda: f"{size.workers_each:.0f} renewals in, {size.workers_each * size.zones:.0f} calls out at most",
-            lambda: kilobytes(worked.edge_bytes()),
-            lambda: percent(worked.edge_core()),
+            lambda: f"{size.workers_per_daemon:.0f} workers",
+            lambda: (
+                f"{size.workers_per_daemon:.0f} renewals in, "
+                f"{size.workers_per_daemon * size.zones:.0f} calls out at most"
+            ),
+            lambda: kilobytes(costs.edge_bytes()),
+            lambda: percent(costs.edge_core()),
             lambda: "under 0.1 MB *a*",
         ),
         (
-            f"worker-state home (one of {size.pools * size.zones}; {HOMES_EACH:.2f} a router)",
-            lambda: f"{size.pool_workers:.0f} workers, {size.zone_routers:.0f} followers",
-            lambda: f"{size.pool_workers:.0f} renewals, {home_questions:.0f} questions",
-            lambda: kilobytes(worked.home_bytes()),
-            lambda: percent(worked.home_core()),
-            lambda: megabytes(worked.slope("feed memory")),
+            f"worker-state home (one of {size.pools * size.zones}; {OWNER_DUTIES_PER_ROUTER:.2f} a router)",
+            lambda: f"{size.workers_per_pool:.0f} workers, {size.routers_per_zone:.0f} followers",
+            lambda: f"{size.workers_per_pool:.0f} renewals, {owner_requests:.0f} questions",
+            lambda: kilobytes(costs.owner_bytes()),
+            lambda: percent(costs.owner_core()),
+            lambda: megabytes(costs.slope("feed memory")),
         ),
         (
             f"bundle home (one of {size.zones})",
-            lambda: f"deltas of at most 4 MiB; {size.zone_routers:.0f} subscribers",
+            lambda: f"deltas of at most 4 MiB; {size.routers_per_zone:.0f} subscribers",
             lambda: (
-                f"{size.changes * size.zone_routers:.0f} posts, {size.zone_routers / 3:.0f} renewals of subscriptions"
+                f"{size.changes_per_second * size.routers_per_zone:.0f} posts, "
+                f"{size.routers_per_zone / 3:.0f} renewals of subscriptions"
             ),
-            lambda: kilobytes(worked.change_bytes().times(size.zone_routers)),
+            lambda: kilobytes(costs.change_bytes().times(size.routers_per_zone)),
             lambda: percent(
-                worked.post(700).times(size.changes * size.zone_routers) + worked.answer().times(size.zone_routers / 3)
+                costs.post(700).times(size.changes_per_second * size.routers_per_zone)
+                + costs.answer().times(size.routers_per_zone / 3)
             ),
             lambda: "4 to 8 MB *a* (bounds)",
         ),
         (
             "session keeper",
-            lambda: f"{size.kept_each:,.0f} entries, {size.calls_each * size.recent:,.0f} own records",
-            lambda: f"{size.calls_each:.0f} look-ups and {2 * size.calls_each:.0f} notes each way",
-            lambda: kilobytes(worked.session_bytes()),
-            lambda: percent(worked.session_core()),
-            lambda: megabytes(worked.session_memory()),
+            lambda: (
+                f"{size.entries_per_daemon:,.0f} entries, "
+                f"{size.calls_per_daemon * size.record_retention_s:,.0f} own records"
+            ),
+            lambda: f"{size.calls_per_daemon:.0f} look-ups and {2 * size.calls_per_daemon:.0f} notes each way",
+            lambda: kilobytes(costs.session_bytes()),
+            lambda: percent(costs.session_core()),
+            lambda: megabytes(costs.session_memory()),
         ),
         (
             "share keeper",
-            lambda: f"{keeper_duties * size.tenants / size.daemons:.0f} tenants (keeper or deputy)",
-            lambda: f"{size.calls_each:.0f} asks each way",
-            lambda: kilobytes(worked.share_bytes()),
-            lambda: percent(worked.share_core()),
+            lambda: f"{allocator_duties * size.tenants / size.daemons:.0f} tenants (keeper or deputy)",
+            lambda: f"{size.calls_per_daemon:.0f} asks each way",
+            lambda: kilobytes(costs.share_bytes()),
+            lambda: percent(costs.share_core()),
             lambda: "under 0.1 MB *a*",
         ),
         (
             f"ledger's primary, all {claims:,.0f} claims/s in one triple",
-            lambda: f"{claims * size.retention / 1e6:.2f} M entries",
+            lambda: f"{claims * size.ledger_retention_s / 1e6:.2f} M entries",
             lambda: f"{claims:,.0f} claims and settles, batched",
             lambda: kilobytes(Value(2 * claims * 2 * 60.0, kind="a")),
-            lambda: percent(worked.ledger_core("primary", claims)),
-            lambda: megabytes(worked.slope("ledger bytes").times(claims * size.retention * 1e-6)),
+            lambda: percent(costs.ledger_core("primary", claims)),
+            lambda: megabytes(costs.slope("ledger bytes").times(claims * size.ledger_retention_s * 1e-6)),
         ),
         (
             "ledger's backup",
             lambda: "the same",
             lambda: "the primary's batches",
             lambda: kilobytes(Value(claims * 2 * 60.0, kind="a")),
-            lambda: percent(worked.ledger_core("backup", claims)),
+            lambda: percent(costs.ledger_core("backup", claims)),
             lambda: "the same",
         ),
         (
             "control primary",
-            lambda: f"{size.changes_a_day:,.0f} outcomes a day, {size.slices:,} slices",
-            lambda: f"{size.changes:.2f} orders, 8 heartbeats, {2 * size.changes * size.zones:.0f} posts to homes",
-            lambda: kilobytes(worked.keeper_bytes(3) + worked.change_bytes().times(2 * size.zones)),
-            lambda: percent(worked.keeper_core(3) + worked.order_core(2)),
-            lambda: megabytes(worked.keeper_memory_mb() + worked.slope("state memory").times(size.changes_a_day)),
+            lambda: f"{size.changes_per_day:,.0f} outcomes a day, {size.slices:,} slices",
+            lambda: (
+                f"{size.changes_per_second:.2f} orders, 8 heartbeats, "
+                f"{2 * size.changes_per_second * size.zones:.0f} posts to homes"
+            ),
+            lambda: kilobytes(costs.coordinator_bytes(3) + costs.change_bytes().times(2 * size.zones)),
+            lambda: percent(costs.coordinator_core(3) + costs.order_core(2)),
+            lambda: megabytes(costs.coordinator_memory_mb() + costs.slope("state memory").times(size.changes_per_day)),
         ),
         (
             "control backup",
             lambda: "the same",
-            lambda: f"{size.changes:.2f} batches",
+            lambda: f"{size.changes_per_second:.2f} batches",
             lambda: "as a session keeper",
-            lambda: percent(worked.order_core(1)) + " beside its sessions",
+            lambda: percent(costs.order_core(1)) + " beside its sessions",
             lambda: "the same",
         ),
         (
@@ -360,24 +376,26 @@
             lambda: "epoch and view, under 1 KB",
             lambda: "4 heartbeats",
             lambda: "0.29 KB/s *m* (commit 3a42f5f)",
-            lambda: percent(worked.order_core(0)) + " beside its sessions",
+            lambda: percent(costs.order_core(0)) + " beside its sessions",
             lambda: "as a session keeper",
         ),
         (
             "session-holding control daemon, 3 of them",
             lambda: f"{size.daemons / 3:.0f} sessions",
             lambda: f"{2.2 * size.daemons / 3:.0f} heartbeats, 8 questions",
-            lambda: kilobytes(worked.keeper_bytes(3)),
-            lambda: percent(worked.keeper_core(3)),
-            lambda: megabytes(worked.keeper_memory_mb()),
+            lambda: kilobytes(costs.coordinator_bytes(3)),
+            lambda: percent(costs.coordinator_core(3)),
+            lambda: megabytes(costs.coordinator_memory_mb()),
         ),
         (
             f"the same, {size.control_machines} of them",
             lambda: f"{size.daemons / size.control_machines:.0f} sessions, all {size.daemons:,} members",
-            lambda: f"{2.2 * size.daemons / size.control_machines:.0f} heartbeats, {peer_questions:.0f} questions",
-            lambda: kilobytes(worked.keeper_bytes(size.control_machines)),
-            lambda: percent(worked.keeper_core(size.control_machines)),
-            lambda: megabytes(worked.keeper_memory_mb()),
+            lambda: (
+                f"{2.2 * size.daemons / size.control_machines:.0f} heartbeats, {coordinator_requests:.0f} questions"
+            ),
+            lambda: kilobytes(costs.coordinator_bytes(size.control_machines)),
+            lambda: percent(costs.coordinator_core(size.control_machines)),
+            lambda: megabytes(costs.coordinator_memory_mb()),
         ),
     ]
     head = ["role", "state", "messages/s", "bytes/s", "one core", "memory"]
@@ -386,36 +404,36 @@
 
 def control_budget(fits: Fits) -> list[list[str]]:
     """What a router spends on control, part by part, against what it may."""
-    worked = Worked(fits)
+    costs = RoleCosts(fits)
     parts: list[tuple[str, Any, Any]] = [
-        ("heartbeats, proof, idle timers", worked.heartbeat_core, worked.heartbeat_bytes),
-        ("changes of configuration", worked.change_core, worked.change_bytes),
-        ("changes of members", worked.members_core, lambda: Value(0.0, kind="a")),
+        ("heartbeats, proof, idle timers", costs.heartbeat_core, costs.heartbeat_bytes),
+        ("changes of configuration", costs.change_core, costs.change_bytes),
+        ("changes of members", costs.members_core, lambda: Value(0.0, kind="a")),
         ("*sum: membership and bundles*", None, None),
-        ("worker states followed", worked.feed_core, worked.feed_bytes),
-        ("worker registry's edge", worked.edge_core, worked.edge_bytes),
+        ("worker states followed", costs.follower_core, costs.follower_bytes),
+        ("worker registry's edge", costs.edge_core, costs.edge_bytes),
         (
-            f"worker-state homes ({HOMES_EACH:.2f} duties)",
-            lambda: worked.home_core().times(HOMES_EACH),
-            lambda: worked.home_bytes().times(HOMES_EACH),
+            f"worker-state homes ({OWNER_DUTIES_PER_ROUTER:.2f} duties)",
+            lambda: costs.owner_core().times(OWNER_DUTIES_PER_ROUTER),
+            lambda: costs.owner_bytes().times(OWNER_DUTIES_PER_ROUTER),
         ),
         ("*sum with worker states*", None, None),
-        ("session map, both sides (per call)", worked.session_core, worked.session_bytes),
-        ("shares, both sides (per call)", worked.share_core, worked.share_bytes),
+        ("session map, both sides (per call)", costs.session_core, costs.session_bytes),
+        ("shares, both sides (per call)", costs.share_core, costs.share_bytes),
         (
-            f"ledger's client, {100 * ONCE_SHARE:.0f}% of the calls *a* (per call)",
-            worked.ledger_router_core,
-            lambda: Value(2 * 60.0 * PLANNED.calls_each * ONCE_SHARE, kind="a"),
+            f"ledger's client, {100 * UNREPEATABLE_CALL_SHARE:.0f}% of the calls *a* (per call)",
+            costs.ledger_router_core,
+            lambda: Value(2 * 60.0 * PLANNED.calls_per_daemon * UNREPEATABLE_CALL_SHARE, kind="a"),
         ),
         ("*sum with what each call costs*", None, None),
     ]
     table = [["part", "one core (allowed 1.7%)", "KB/s, frames without TCP heads (allowed 2)"]]
     cores: list[Value] = []
     rates: list[Value] = []
-    whole = True
+    complete = True
     for name, core, rate in parts:
         if core is None:
-            missing = "" if whole else " at least"
+            missing = "" if complete else " at least"
             sums = (total(cores).text("%", 100), total(rates).text("", 1e-3)) if cores else ("0", "0")
             table.append([name, *(text + missing for text in sums)])
             continue
@@ -424,6 +442,6 @@
             rates.append(rate())
             table.append([name, cores[-1].text("%", 100), rates[-1].text("", 1e-3)])
         except KeyError as missed:
-            whole = False
+            complete = False
             table.append([name, f"not measured ({missed.args[0]})", ""])
     return table
--- a/bench/capacity/prefixes.py
+++ b/bench/capacity/prefixes.py
@@ -15,8 +15,8 @@
 from .common import Row
 from .planned import PLANNED
 
-NUMBERS = (500, 5_000, 50_000)
-SECONDS = 1_800.0
+PREFIX_COUNTS = (500, 5_000, 50_000)
+RECORD_RETENTION_S = 1_800.0
 
 
 def _turns(number: int, exponent: float, draw: random.Random) -> Iterator[int]:
@@ -29,28 +29,28 @@
 def _known(number: int, exponent: float) -> tuple[float, float]:
     """Share of the turns in the second half whose prefix had a size, and processor seconds for each turn."""
     parts, pool, draw = SharedPrefixes(), PoolName("p"), random.Random(1)
-    count = int(SECONDS * PLANNED.calls_each)
+    count = int(RECORD_RETENTION_S * PLANNED.calls_per_daemon)
     known = 0
-    begun = time.process_time()
+    started = time.process_time()
     for turn, prefix in zip(range(count), _turns(number, exponent, draw), strict=False):
         name = (f"shared-{prefix}", f"session-{turn}")
         known += turn >= count // 2 and parts.tokens(pool, name) > 0
         worker = WorkerInstance(f"model-{draw.randrange(8)}")
-        parts.sent(pool, name, turn, 3000, worker, Instant(turn / PLANNED.calls_each))
-    return known / (count - count // 2), (time.process_time() - begun) / count
+        parts.sent(pool, name, turn, 3000, worker, Instant(turn / PLANNED.calls_per_daemon))
+    return known / (count - count // 2), (time.process_time() - started) / count
 
 
 def measure() -> list[Row]:
     rows: list[Row] = []
-    for number in NUMBERS:
+    for number in PREFIX_COUNTS:
         gc.collect()
         tracemalloc.start()
         parts = SharedPrefixes()
-        held = min(number, MAX_SHARED_PARTS)
-        for turn in range(8 * held):
-            name = (f"shared-{turn % held}", f"session-{turn}")
-            parts.sent(PoolName("p"), name, turn, 3000, WorkerInstance(f"model-{turn // held}"), Instant(0.0))
-        weight = tracemalloc.get_traced_memory()[0] / held
+        tracked_parts = min(number, MAX_SHARED_PARTS)
+        for turn in range(8 * tracked_parts):
+            name = (f"shared-{turn % tracked_parts}", f"session-{turn}")
+            parts.sent(PoolName("p"), name, turn, 3000, WorkerInstance(f"model-{turn // tracked_parts}"), Instant(0.0))
+        bytes_per_part = tracemalloc.get_traced_memory()[0] / tracked_parts
         tracemalloc.stop()
         even, turn_seconds = _known(number, 0.0)
         skewed, _ = _known(number, 1.0)
@@ -58,7 +58,7 @@
             {
                 "prefixes": number,
                 "bound_today": MAX_SHARED_PARTS,
-                "part_bytes": weight,
+                "part_bytes": bytes_per_part,
                 "known_even": even,
                 "known_skewed": skewed,
                 "turn_us": turn_seconds * 1e6,
--- a/bench/capacity/sessions.py
+++ b/bench/capacity/sessions.py
@@ -14,60 +14,62 @@
 from wingwood.placement.messages import LookUpSession, StoreSessionRecords
 from wingwood.placement.session_map import CLAIM_RETENTION_S, DistributedMap, RecentEntries, session_key
 
-from .common import DeafMessenger, FixedMembership, Row, real_quiet_context, routers
-from .members import entry
+from .common import DiscardingMessenger, FixedMembership, Row, real_quiet_context, routers
+from .members import sample_entry
 
 SIZES = (10_000, 100_000, 1_000_000)
 ROUTERS = 1000
 
 
-async def _one(size: int) -> Row:
+async def _measure_size(size: int) -> Row:
     context = real_quiet_context()
     members = routers(2)
     now = context.clock.monotonic()
 
     def empty_map() -> DistributedMap:
-        held = DistributedMap(context, DeafMessenger(members[0]), FixedMembership(members))
-        held._stored = RecentEntries(2 * size, CLAIM_RETENTION_S)  # without the bound of the daemon
-        return held
+        distributed_map = DistributedMap(context, DiscardingMessenger(members[0]), FixedMembership(members))
+        distributed_map._stored = RecentEntries(2 * size, CLAIM_RETENTION_S)  # without the bound of the daemon
+        return distributed_map
 
-    # As notes come from the wire: each string is interned by the map, each number is a new object.
+    # As session_records come from the encoded_record: each string is interned by the map, each number is a new object.
     maker = empty_map()
     keys = [session_key(PoolName("p"), SessionId(f"session-{number}")) for number in range(size)]
-    encoded = msgspec.msgpack.encode(StoreSessionRecords((maker._to_record(keys[0], entry(now)),)))
-    notes = [maker._to_record(key, entry(now)) for key in keys[:2000]]
-    wires = [msgspec.msgpack.encode(StoreSessionRecords((note,))) for note in notes]
+    encoded = msgspec.msgpack.encode(StoreSessionRecords((maker._to_record(keys[0], sample_entry(now)),)))
+    session_records = [maker._to_record(key, sample_entry(now)) for key in keys[:2000]]
+    encoded_records = [
+        msgspec.msgpack.encode(StoreSessionRecords((session_record,))) for session_record in session_records
+    ]
 
     gc.collect()
     tracemalloc.start()
-    held = empty_map()
+    distributed_map = empty_map()
     decoded = msgspec.msgpack.decode(encoded, type=StoreSessionRecords).records[0]
     for key in keys:
-        held._store(key, held._to_entry(decoded))
+        distributed_map._store(key, distributed_map._to_entry(decoded))
     gc.collect()
     # The keys exist already in ``keys``; a keeper holds them itself: 36 bytes each.
-    weight = tracemalloc.get_traced_memory()[0] / size + 36
+    bytes_per_entry = tracemalloc.get_traced_memory()[0] / size + 36
     tracemalloc.stop()
 
-    begun = time.process_time()
-    for wire in wires:
-        held._on_store_records(members[1], msgspec.msgpack.decode(wire, type=StoreSessionRecords))
-    record = (time.process_time() - begun) / len(wires)
+    started = time.process_time()
+    for encoded_record in encoded_records:
+        distributed_map._on_store_records(members[1], msgspec.msgpack.decode(encoded_record, type=StoreSessionRecords))
+    record_seconds = (time.process_time() - started) / len(encoded_records)
     questions = [LookUpSession(key) for key in keys[:: max(1, size // 5000)]]
-    begun = time.process_time()
+    started = time.process_time()
     for question in questions:
-        msgspec.msgpack.encode(await held._on_look_up(members[1], question))
-    look_up = (time.process_time() - begun) / len(questions)
+        msgspec.msgpack.encode(await distributed_map._on_look_up(members[1], question))
+    look_up_seconds = (time.process_time() - started) / len(questions)
     return {
         "entries": size,
-        "entry_bytes": weight,
-        "total_mb": weight * size / 1e6,
-        "record_us": 1e6 * record,
-        "look_up_us": 1e6 * look_up,
+        "entry_bytes": bytes_per_entry,
+        "total_mb": bytes_per_entry * size / 1e6,
+        "record_us": 1e6 * record_seconds,
+        "look_up_us": 1e6 * look_up_seconds,
         "note_bytes": len(encoded),
         "bound_today": session_map.MAX_ENTRIES,
     }
 
 
 def measure() -> list[Row]:
-    return [asyncio.run(_one(size)) for size in SIZES]
+    return [asyncio.run(_measure_size(size)) for size in SIZES]
--- a/bench/capacity/shares.py
+++ b/bench/capacity/shares.py
@@ -12,10 +12,10 @@
 from wingwood.transport.messenger import TcpMessenger
 
 from ..limits_bench import even
-from .common import DeafMessenger, FixedMembership, Row, real_quiet_context, routers
+from .common import DiscardingMessenger, FixedMembership, Row, real_quiet_context, routers
 
 RATES = (1.0, 10.0, 100.0, 1000.0)
-SECONDS = 20.0
+SIMULATED_SECONDS = 20.0
 
 
 def measure_asks() -> list[Row]:
@@ -24,32 +24,32 @@
 
     rows: list[Row] = []
     original = TcpMessenger.call
-    asks = 0
+    lease_requests = 0
 
     async def counting(self: TcpMessenger, address, message, *rest):  # type: ignore[no-untyped-def]
-        nonlocal asks
-        asks += isinstance(message, LeaseRequest)
+        nonlocal lease_requests
+        lease_requests += isinstance(message, LeaseRequest)
         return await original(self, address, message, *rest)
 
     TcpMessenger.call = counting  # type: ignore[method-assign, assignment]
     try:
         for rate in RATES:
-            asks = 0
+            lease_requests = 0
             load = even(rate)
             with World(5) as world:
                 fleet = ShareFleet(world, 11, tenant(2 * rate), load, max(load(0, 2.0), 0.01))
-                world.run(SECONDS)
-                accepted = fleet.accepted(0.0, SECONDS)
-                refused = fleet.offered(0.0, SECONDS) - accepted
+                world.run(SIMULATED_SECONDS)
+                accepted = fleet.accepted(0.0, SIMULATED_SECONDS)
+                refused = fleet.offered(0.0, SIMULATED_SECONDS) - accepted
             rows.append(
                 {
                     "rate": rate,
                     "rate_per_router": rate / 11,
                     "accepted": accepted,
                     "refused": refused,
-                    "asks": asks,
-                    "asks_per_call": asks / accepted,
-                    "asks_per_second_and_router": asks / SECONDS / 11,
+                    "asks": lease_requests,
+                    "asks_per_call": lease_requests / accepted,
+                    "asks_per_second_and_router": lease_requests / SIMULATED_SECONDS / 11,
                 }
             )
     finally:
@@ -57,13 +57,13 @@
     return rows
 
 
-async def _cost() -> list[Row]:
+async def _grant_cost() -> list[Row]:
     """The keeper's own part of an ask, without the message, by the number of tenants that it keeps."""
     rows: list[Row] = []
     for count in (100, 1_000, 10_000):
         members = routers(2)
         context = real_quiet_context()
-        shares = FleetShares(context, DeafMessenger(members[0]), FixedMembership(members[:1]))
+        shares = FleetShares(context, DiscardingMessenger(members[0]), FixedMembership(members[:1]))
         tenants = [tenant(1e6) for _ in range(1)]
         names = [TenantName(f"t{number}") for number in range(count)]
         number = 0
@@ -72,15 +72,15 @@
             await shares._answer_lease_request(
                 members[1], LeaseRequest(name, 1e6, tenants[0].burst, "calls", number, (1,))
             )
-        asks = 5_000
-        begun = time.process_time()
-        for step in range(asks):
+        lease_requests = 5_000
+        started = time.process_time()
+        for step in range(lease_requests):
             number += 1
-            ask = LeaseRequest(names[step % count], 1e6, tenants[0].burst, "calls", number, (1,))
-            assert (await shares._answer_lease_request(members[1], ask)).granted == (True,)
-        rows.append({"tenants": count, "grant_us": (time.process_time() - begun) / asks * 1e6})
+            lease_request = LeaseRequest(names[step % count], 1e6, tenants[0].burst, "calls", number, (1,))
+            assert (await shares._answer_lease_request(members[1], lease_request)).granted == (True,)
+        rows.append({"tenants": count, "grant_us": (time.process_time() - started) / lease_requests * 1e6})
     return rows
 
 
 def measure_grants() -> list[Row]:
-    return asyncio.run(_cost())
+    return asyncio.run(_grant_cost())
--- a/bench/capacity/tests/test_page.py
+++ b/bench/capacity/tests/test_page.py
@@ -9,37 +9,37 @@
 from typing import Any
 
 from ..fits import Fits, Inputs
-from ..page import fill, tables
+from ..page import fill_tables, tables
 from ..planned import PLANNED
-from ..planned_roles import Value, Worked, control_budget
+from ..planned_roles import RoleCosts, Value, control_budget
 from ..text import markdown, number, with_error
 
 
 def measured(**probes: list[dict[str, Any]]) -> dict[str, Any]:
-    about = {"at": "2026-01-01 10:20:30", "load": [1.0, 2.0], "seconds": 3.0, "commit": "abc"}
-    return {name.replace("_", " "): about | {"rows": rows} for name, rows in probes.items()}
+    metadata = {"at": "2026-01-01 10:20:30", "load": [1.0, 2.0], "seconds": 3.0, "commit": "abc"}
+    return {name.replace("_", " "): metadata | {"rows": rows} for name, rows in probes.items()}
 
 
 class PageTests(unittest.TestCase):
     def test_tables_take_the_place_between_their_markers_only(self) -> None:
         page = "words\n<!-- table: a -->\nold\nrows\n<!-- end -->\nmore\n<!-- table: b -->\n<!-- end -->\n"
-        filled = fill(page, {"a": "| new |", "b": "| b |"})
+        filled = fill_tables(page, {"a": "| new |", "b": "| b |"})
         self.assertEqual(
             filled,
             "words\n<!-- table: a -->\n| new |\n<!-- end -->\nmore\n<!-- table: b -->\n| b |\n<!-- end -->\n",
         )
-        self.assertEqual(fill(filled, {"a": "| new |", "b": "| b |"}), filled)
+        self.assertEqual(fill_tables(filled, {"a": "| new |", "b": "| b |"}), filled)
 
     def test_the_page_in_the_tree_is_the_one_of_the_inputs_in_the_tree(self) -> None:
         root = Path(__file__).resolve().parents[3]
         inputs = json.loads((root / "bench" / "capacity" / "measured.json").read_text())
         page = (root / "docs" / "CAPACITY.md").read_text()
-        self.assertEqual(fill(page, tables(inputs)), page)
+        self.assertEqual(fill_tables(page, tables(inputs)), page)
         self.assertNotIn("not measured (", page)
 
     def test_a_marker_without_a_table_is_an_error(self) -> None:
         with self.assertRaisesRegex(ValueError, "asks for table 'lost'"):
-            fill("<!-- table: lost -->\n<!-- end -->\n", {"a": ""})
+            fill_tables("<!-- table: lost -->\n<!-- end -->\n", {"a": ""})
 
     def test_numbers_keep_three_figures(self) -> None:
         self.assertEqual([number(value) for value in (1234.5, 12.345, 0.012345, 0.0, -0.5)],
@@ -78,12 +78,12 @@
             {"routers": routers, "ring_ms": 0.1 * routers, "all_ms": 20 + 0.2 * routers, "share_keepers_first_ms": 1.0}
             for routers in (11, 100, 1000)
         ]
-        worked = Worked(Fits(Inputs(measured(members_changed=rows))))
+        costs = RoleCosts(Fits(Inputs(measured(members_changed=rows))))
         changes_a_second = 2 * 2476 / 13 / 86_400
-        self.assertAlmostEqual(worked.members_core().value, 0.220 * changes_a_second)
-        self.assertAlmostEqual(PLANNED.streams_each, 179.2)
-        self.assertAlmostEqual(PLANNED.kept_each, 11_600)
-        told = control_budget(worked.fits)
-        self.assertEqual(told[3][0], "changes of members")
-        self.assertEqual(told[3][1], f"{number(22.0 * changes_a_second)} ± 0% *f*")
-        self.assertTrue(math.isclose(PLANNED.changes, 0.324, rel_tol=0.001))
+        self.assertAlmostEqual(costs.members_core().value, 0.220 * changes_a_second)
+        self.assertAlmostEqual(PLANNED.streams_per_daemon, 179.2)
+        self.assertAlmostEqual(PLANNED.entries_per_daemon, 11_600)
+        budget = control_budget(costs.fits)
+        self.assertEqual(budget[3][0], "changes of members")
+        self.assertEqual(budget[3][1], f"{number(22.0 * changes_a_second)} ± 0% *f*")
+        self.assertTrue(math.isclose(PLANNED.changes_per_second, 0.324, rel_tol=0.001))
--- a/bench/capacity/workers.py
+++ b/bench/capacity/workers.py
@@ -31,7 +31,7 @@
 OPERATOR_PORT = 32290
 POOL_WORKERS = 308
 """12,000 workers in 39 pools."""
-SECONDS = 8.0
+MEASURED_SECONDS = 8.0
 
 
 def registry_of(own: Identity, members: Sequence[Identity]) -> tuple[TcpMessenger, WorkerRegistry]:
@@ -45,26 +45,26 @@
     return messenger, registry
 
 
-def homes_in(zones: int) -> list[Identity]:
+def owners_in(zones: int) -> list[Identity]:
     """The edge in the first zone, and one more router in each zone."""
     edge, *others = routers(1 + zones, first_port=PORT)
     in_zones = [msgspec.structs.replace(other, zone=Zone(f"zone-{number}")) for number, other in enumerate(others)]
     return [edge, *in_zones]
 
 
-def pools_kept_by(keeper: Identity, members: Sequence[Identity], count: int) -> list[PoolName]:
+def pools_owned_by(owner: Identity, members: Sequence[Identity], count: int) -> list[PoolName]:
     """Pools whose home is this router."""
     found: list[PoolName] = []
     number = 0
     while len(found) < count:
         pool = PoolName(f"pool-{number}")
         number += 1
-        if ranked(f"workers/{pool}", members, lambda router: router.name)[0] == keeper:
+        if ranked(f"workers/{pool}", members, lambda router: router.name)[0] == owner:
             found.append(pool)
     return found
 
 
-def hollow_worker(pool: PoolName, number: int, load: WorkerLoad | None) -> Worker:
+def fake_worker(pool: PoolName, number: int, load: WorkerLoad | None) -> Worker:
     return Worker(
         instance=WorkerInstance(f"{pool}-{number:05d}-12345678"),
         address=Address(f"10.{len(pool)}.{number // 250}.{number % 250 + 1}", 7000),
@@ -92,19 +92,23 @@
     """Some of the routers."""
 
     async def run() -> None:
-        everybody = homes_in(zones) if zones else routers(members, first_port=PORT)
-        made = [registry_of(everybody[number], everybody) for number in range(first, first + count)]
-        for _, registry in made:
+        all_routers = owners_in(zones) if zones else routers(members, first_port=PORT)
+        started_routers = [registry_of(all_routers[number], all_routers) for number in range(first, first + count)]
+        for _, registry in started_routers:
             for pool in pools.split(",") if pools else ():
                 registry.watch(PoolName(pool))
         if operator:
             server = OperatorServer(real_quiet_context())
-            made[0][1].add_routes(server)
+            started_routers[0][1].add_routes(server)
             assert isinstance(server.start(Address("127.0.0.1", OPERATOR_PORT)), Success)
         await answer_parent(
             lambda: (
-                own_report([messenger for messenger, _ in made])
-                | {"ready": min(sum(len(registry.ready(pool)) for pool in registry.pools()) for _, registry in made)}
+                own_report([messenger for messenger, _ in started_routers])
+                | {
+                    "ready": min(
+                        sum(len(registry.ready(pool)) for pool in registry.pools()) for _, registry in started_routers
+                    )
+                }
             )
         )
 
@@ -113,45 +117,45 @@
 
 async def _announce(registry: WorkerRegistry, workers: Sequence[tuple[PoolName, int]], seconds: float) -> None:
     """Each worker once a second with a new load, spread evenly over the second."""
-    begun = time.monotonic()
+    started = time.monotonic()
     done = 0
-    while (passed := time.monotonic() - begun) < seconds:
+    while (passed := time.monotonic() - started) < seconds:
         due = int(passed * len(workers))
         for step in range(done, due):
             pool, number = workers[step % len(workers)]
             load = WorkerLoad(step // len(workers) % 8, number % 3, 1000 * (step // len(workers)))
-            await registry.accept_announcement(hollow_worker(pool, number, load))
+            await registry.accept_announcement(fake_worker(pool, number, load))
         done = max(done, due)
         await asyncio.sleep(0.01)
 
 
-async def _fleet(pools_count: int, pool_workers: int, followers: int, announced: bool = True) -> Row:
+async def _measure_pools(pools_count: int, pool_workers: int, followers: int, announced: bool = True) -> Row:
     """This process takes the announcements; one child is the home of all pools, another has the followers."""
     members = routers(2 + followers, first_port=PORT)
-    pools = pools_kept_by(members[1], members, pools_count)
+    pools = pools_owned_by(members[1], members, pools_count)
     listed = ",".join(pools)
     common = ("--members", str(len(members)), "--pools", listed)
-    home = Child("bench.capacity.workers", "serve", "--first", "1", *common)
-    following = Child("bench.capacity.workers", "serve", "--first", "2", "--count", str(followers), *common)
+    owner = Child("bench.capacity.workers", "serve", "--first", "1", *common)
+    follower_process = Child("bench.capacity.workers", "serve", "--first", "2", "--count", str(followers), *common)
     try:
-        home.report(), following.report()
+        owner.report(), follower_process.report()
         messenger, registry = registry_of(members[0], members)
         workers = [(pool, number) for number in range(pool_workers) for pool in pools]
-        begun = time.monotonic()
+        started = time.monotonic()
         for pool, number in workers:
-            await registry.accept_announcement(hollow_worker(pool, number, None))
-        while following.report()["ready"] < len(workers):
-            if time.monotonic() - begun > 60:
-                raise TimeoutError(f"followers know {following.report()['ready']} of {len(workers)} workers")
+            await registry.accept_announcement(fake_worker(pool, number, None))
+        while follower_process.report()["ready"] < len(workers):
+            if time.monotonic() - started > 60:
+                raise TimeoutError(f"followers know {follower_process.report()['ready']} of {len(workers)} workers")
             await _announce(registry, workers, 1.0)
-        formed = time.monotonic() - begun
+        formed = time.monotonic() - started
         await _announce(registry, workers, 4.0)
-        before = [home.report(), following.report()]
+        before = [owner.report(), follower_process.report()]
         if announced:
-            await _announce(registry, workers, SECONDS)
+            await _announce(registry, workers, MEASURED_SECONDS)
         else:
-            await asyncio.sleep(SECONDS)
-        after = [home.report(), following.report()]
+            await asyncio.sleep(MEASURED_SECONDS)
+        after = [owner.report(), follower_process.report()]
         messenger.stop()
         return {
             "pools": pools_count,
@@ -167,37 +171,37 @@
             "follower_memory_mb": after[1]["memory"] / 1e6,
         }
     finally:
-        home.end()
-        following.end()
+        owner.end()
+        follower_process.end()
 
 
 def measure_workers() -> list[Row]:
     """One follower; from 12 workers to 12,012 in 39 pools."""
     sizes = ((1, 12), (1, 120), (1, POOL_WORKERS), (4, POOL_WORKERS), (13, POOL_WORKERS), (39, POOL_WORKERS))
-    return [asyncio.run(_fleet(pools, workers, 1)) for pools, workers in sizes]
+    return [asyncio.run(_measure_pools(pools, workers, 1)) for pools, workers in sizes]
 
 
 def measure_followers() -> list[Row]:
     """One pool of 308 workers at a home with more and more followers."""
-    return [asyncio.run(_fleet(1, POOL_WORKERS, followers)) for followers in (2, 10, 30, 70)]
+    return [asyncio.run(_measure_pools(1, POOL_WORKERS, followers)) for followers in (2, 10, 30, 70)]
 
 
-async def _zones(zones: int) -> Row:
+async def _measure_zone_count(zones: int) -> Row:
     """An edge with 12 workers of 12 pools; one home for all pools in each zone. The homes share a process."""
-    members = homes_in(zones)
-    pools = pools_kept_by(members[1], members[:2], 12)
+    members = owners_in(zones)
+    pools = pools_owned_by(members[1], members[:2], 12)
     common = ("--members", str(len(members)), "--pools", ",".join(pools))
-    homes = Child(
+    owners = Child(
         "bench.capacity.workers", "serve", "--first", "1", "--count", str(zones), "--zones", str(zones), *common
     )
     try:
-        homes.report()
+        owners.report()
         messenger, registry = registry_of(members[0], members)
         workers = [(pool, 0) for pool in pools]
         await _announce(registry, workers, 5.0)
-        before, own = homes.report(), own_report([messenger])
-        await _announce(registry, workers, SECONDS)
-        after, own_after = homes.report(), own_report([messenger])
+        before, own = owners.report(), own_report([messenger])
+        await _announce(registry, workers, MEASURED_SECONDS)
+        after, own_after = owners.report(), own_report([messenger])
         messenger.stop()
         return {
             "zones": zones,
@@ -210,14 +214,14 @@
             "home_bytes": per_second(before, after, "messenger_bytes") / zones,
         }
     finally:
-        homes.end()
+        owners.end()
 
 
 def measure_zones() -> list[Row]:
-    return [asyncio.run(_zones(zones)) for zones in (1, 3, 7, 14)]
+    return [asyncio.run(_measure_zone_count(zones)) for zones in (1, 3, 7, 14)]
 
 
-async def _http_worker(number: int, pool: PoolName, until: float, failed: list[int]) -> None:
+async def _http_worker(number: int, pool: PoolName, until: float, counters: list[int]) -> None:
     reader, writer = await asyncio.open_connection("127.0.0.1", OPERATOR_PORT)
     await asyncio.sleep(number % 97 / 97)
     step = 0
@@ -234,7 +238,7 @@
                 "load": {"running": step % 8, "waiting": number % 3, "cache_tokens_used": 1000 * step},
             }
         ).encode()
-        begun = time.monotonic()
+        started = time.monotonic()
         writer.write(
             b"POST /workers/v1/announce HTTP/1.1\r\nHost: bench\r\nContent-Type: application/json\r\n"
             b"Content-Length: %d\r\n\r\n" % len(body) + body
@@ -244,46 +248,46 @@
             int(line.split(b":")[1]) for line in head.split(b"\r\n") if line.lower().startswith(b"content-length")
         )
         await reader.readexactly(length)
-        failed[0] += b" 200 " not in head[:20]
-        failed[1] += 1
-        await asyncio.sleep(max(0.0, begun + 1.0 - time.monotonic()))
+        counters[0] += b" 200 " not in head[:20]
+        counters[1] += 1
+        await asyncio.sleep(max(0.0, started + 1.0 - time.monotonic()))
     writer.close()
 
 
-async def _edge(workers: int) -> Row:
+async def _measure_edge_workers(workers: int) -> Row:
     members = routers(2, first_port=PORT)
-    pool = pools_kept_by(members[1], members, 1)[0]
+    pool = pools_owned_by(members[1], members, 1)[0]
     common = ("--members", "2", "--pools", pool)
-    home = Child("bench.capacity.workers", "serve", "--first", "1", *common)
+    owner = Child("bench.capacity.workers", "serve", "--first", "1", *common)
     edge = Child("bench.capacity.workers", "serve", "--first", "0", "--operator", *common)
     try:
-        home.report(), edge.report()
-        told = [0, 0]
-        until = time.monotonic() + SECONDS + 4.0
-        tasks = [asyncio.create_task(_http_worker(number, pool, until, told)) for number in range(workers)]
+        owner.report(), edge.report()
+        counters = [0, 0]
+        until = time.monotonic() + MEASURED_SECONDS + 4.0
+        tasks = [asyncio.create_task(_http_worker(number, pool, until, counters)) for number in range(workers)]
         await asyncio.sleep(3.0)
-        before, count = [edge.report(), home.report()], told[1]
-        await asyncio.sleep(SECONDS)
-        after, count = [edge.report(), home.report()], told[1] - count
+        before, count = [edge.report(), owner.report()], counters[1]
+        await asyncio.sleep(MEASURED_SECONDS)
+        after, count = [edge.report(), owner.report()], counters[1] - count
         await asyncio.gather(*tasks)
         passed = after[0]["at"] - before[0]["at"]
         return {
             "workers": workers,
             "renewals_per_second": count / passed,
-            "failed": told[0],
+            "failed": counters[0],
             "edge_core": per_second(before[0], after[0], "processor"),
             "edge_bytes_to_home": per_second(before[0], after[0], "messenger_bytes"),
             "home_core": per_second(before[1], after[1], "processor"),
             "edge_memory_mb": after[0]["memory"] / 1e6,
         }
     finally:
-        home.end()
+        owner.end()
         edge.end()
 
 
 def measure_edge() -> list[Row]:
     """Workers that announce over HTTP on connections that they keep open."""
-    return [asyncio.run(_edge(workers)) for workers in (12, 120, 400)]
+    return [asyncio.run(_measure_edge_workers(workers)) for workers in (12, 120, 400)]
 
 
 if __name__ == "__main__":
