--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -1,7 +1,8 @@
 """``python -m bench.capacity measure --output FILE`` and ``python -m bench.capacity page --input FILE``.
 
-Each probe runs in a process of its own, one after another; what it gave is written into the file at once,
-with the machine's load beside it. ``--only NAME`` measures some probes anew and keeps the others.
+A probe is one measurement program. ``measure`` runs the probes one after another, each in its own process, and
+writes the rows of a probe and the load of the machine to the file as soon as the probe ends. ``--only NAME`` repeats
+the named probes and leaves the results of the others as they are. ``page`` writes the tables of docs/CAPACITY.md.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 from .common import Row, rounded_rows
 
 FLEET_SIZES = ((11, 1), (100, 1), (300, 1), (1000, 4))
-"""Hollow daemons, and the processes that share them."""
+"""Pairs: the number of hollow daemons, and the number of processes that run them."""
 
 
-def _fleet(daemons: int, processes: int) -> list[Row]:
+def _measure_fleet(daemons: int, processes: int) -> list[Row]:
     from .hollow import measure_fleet  # noqa: PLC0415
 
     return [asyncio.run(measure_fleet(daemons, processes, 5, 15.0))]
@@ -68,28 +69,28 @@
         "control restarts": control.measure_restarts,
     }
     for size, processes in FLEET_SIZES:
-        result[f"fleet {size}"] = lambda size=size, processes=processes: _fleet(size, processes)  # type: ignore[misc]
+        result[f"fleet {size}"] = lambda size=size, processes=processes: _measure_fleet(size, processes)  # type: ignore[misc]
     return result
 
 
 @click.group()
 def main() -> None:
-    """Measured inputs of docs/CAPACITY.md, and the page's tables."""
+    """Measures the inputs of docs/CAPACITY.md and writes the tables of the page."""
 
 
 @main.command()
 @click.argument("name")
 def probe(name: str) -> None:
-    """One probe in this process; prints its rows as JSON (started by ``measure``)."""
+    """Runs one probe in this process and prints its rows as JSON; ``measure`` starts this command."""
     print("\n" + json.dumps(rounded_rows(probes()[name]())))
 
 
 @main.command()
 @click.option("--output", type=click.Path(path_type=Path), required=True)
-@click.option("--only", multiple=True, help="Probes to measure anew; all if left out.")
-@click.option("--limit", default=600.0, show_default=True, help="Seconds for one probe.")
+@click.option("--only", multiple=True, help="Probe to run, may be repeated; all probes run if left out.")
+@click.option("--limit", default=600.0, show_default=True, help="Time limit of one probe, in seconds.")
 def measure(output: Path, only: Sequence[str], limit: float) -> None:
-    """Runs the probes one after another; a probe that fails is written down as failed."""
+    """Runs the probes one after another and records a probe that fails as failed."""
     known = list(probes())
     if unknown := sorted(set(only) - set(known)):
         raise click.UsageError(f"unknown probes {unknown}; known: {', '.join(known)}")
@@ -140,7 +141,7 @@
 @click.option("--input", "source", type=click.Path(path_type=Path, exists=True), required=True)
 @click.option("--page", "target", type=click.Path(path_type=Path, exists=True), default=Path("docs/CAPACITY.md"))
 def page(source: Path, target: Path) -> None:
-    """Writes the tables of docs/CAPACITY.md between their markers, and the picture."""
+    """Writes the tables of docs/CAPACITY.md between their markers, and draws its picture."""
     from .page import write_page  # noqa: PLC0415
 
     write_page(json.loads(source.read_text()), target)
--- a/bench/capacity/common.py
+++ b/bench/capacity/common.py
@@ -1,4 +1,4 @@
-"""What the probes share: a quiet real context, members that stand still, children asked by line."""
+"""Shared parts of the probes: a real context that logs only errors, a fixed membership, and child processes."""
 
 from __future__ import annotations
 
@@ -23,6 +23,8 @@
 
 
 class ErrorsOnlyLog:
+    """A log that prints broken invariants and refused peers to stderr and drops every other event."""
+
     def event(self, name: str, **fields: object) -> None:
         if name in ("invariant-broken", "peer-refused"):
             print(name, fields, file=sys.stderr, flush=True)
@@ -55,7 +57,7 @@
 
 
 class FixedMembership:
-    """Members that the bench sets; the session is always just proven."""
+    """A membership whose members the probe sets; its session always counts as proven at the present moment."""
 
     def __init__(self, members: Sequence[Identity]) -> None:
         self._members = tuple(members)
@@ -86,7 +88,7 @@
 
 
 class DiscardingMessenger:
-    """Takes posts and forgets them; for probes of one daemon's own work."""
+    """A messenger that counts posts and discards them, for probes that measure the work of one daemon alone."""
 
     def __init__(self, identity: Identity) -> None:
         self.identity = identity
@@ -97,14 +99,17 @@
     def on_post(self, message_type: type, handler: Any) -> None: ...
 
     async def call(self, *arguments: Any) -> Any:
-        raise AssertionError("the probe asks nobody")
+        raise AssertionError("a probe with a discarding messenger sent a call; only posts are supported")
 
     def post(self, address: Address, message: Any) -> None:
         self.posts += 1
 
 
 class Child:
-    """``python -m MODULE ARGUMENTS``; answers each empty line with one JSON line; ended by its id."""
+    """A child process ``python -m MODULE ARGUMENTS`` that answers each empty line on stdin with one JSON line.
+
+    The child is terminated by its own process id.
+    """
 
     def __init__(self, module: str, *arguments: str) -> None:
         command = [sys.executable, "-m", module, *arguments]
@@ -123,6 +128,7 @@
 
 
 def processor_seconds() -> float:
+    """Returns the processor seconds (user and system) that this process has used since its start."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
 
@@ -132,16 +138,18 @@
 
 
 def processor_seconds_of(process: int) -> float:
+    """Returns the processor seconds (user and system) of another process, read from /proc."""
     fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def per_second(before: Row, after: Row, field: str) -> float:
+    """Returns the mean increase of ``field`` per second between two reports of a child."""
     return float((after[field] - before[field]) / (after["at"] - before["at"]))
 
 
 def cpu_seconds(work: Callable[[], object]) -> float:
-    """Processor seconds of one call."""
+    """Returns the processor seconds that one call of ``work`` uses."""
     started = time.process_time()
     work()
     return time.process_time() - started
--- a/bench/capacity/control.py
+++ b/bench/capacity/control.py
@@ -1,4 +1,8 @@
-"""The control state by the number of changes kept: journal, snapshot, deciding; and restarts of real processes."""
+"""Measures the control state against the number of changes in it, and restarts of real control processes.
+
+The figures of the state are the times of deciding, applying, snapshot and restore, the memory and the sizes. The
+probe of restarts also measures the rate of orders, the journal and the time until the control daemons answer again.
+"""
 
 from __future__ import annotations
 
@@ -28,13 +32,14 @@
 
 
 def use_own_ports() -> None:
+    """Replaces the first port of ``control_bench`` with the one of this module."""
     own: dict[str, Any] = {"FIRST_PORT": FIRST_PORT}
     for name, value in own.items():
         setattr(control_bench, name, value)
 
 
 def measure_state() -> list[Row]:
-    """One state of 2,500 tenants; signing is the operator's work and is not counted."""
+    """Measures one state of 2,500 tenants; signing is done by the operator and is not counted."""
     operator = control_bench.Operator(None)  # type: ignore[arg-type]
     state = BundleState(control_bench.settings_of(9, None).operator_keys)
     empty = resident_bytes()
--- a/bench/capacity/coordinators.py
+++ b/bench/capacity/coordinators.py
@@ -1,6 +1,7 @@
-"""Session keepers in one full mesh: what each spends on the questions among them, by their number.
+"""Measures membership coordinators in a full mesh: the cost of their mutual requests against their number.
 
-No daemon holds a session here. Keepers share a few child processes, so some of their wake-ups are shared too.
+No daemon holds a session in this probe. Several coordinators run in one child process, so they share some wake-ups
+that separate processes would each pay for.
 """
 
 from __future__ import annotations
@@ -25,7 +26,10 @@
 
 FIRST_PORT = 32700
 COORDINATOR_COUNTS = ((3, 1), (10, 1), (20, 2), (30, 3), (PLANNED.control_machines, 4))
-"""Keepers, and the processes that share them: 43 in one process need the whole of its core and never come to rest."""
+"""Pairs: the number of coordinators, and the number of processes that run them.
+
+43 coordinators in a single process use its whole core and never settle.
+"""
 MEASURED_SECONDS = 8.0
 
 
@@ -66,7 +70,9 @@
         started = time.monotonic()
         while (fewest := min(report["fewest_members"] for report in reports())) < count:
             if time.monotonic() - started > 40:
-                raise TimeoutError(f"keepers know {fewest} of {count}")
+                raise TimeoutError(
+                    f"membership not formed after 40 s: a coordinator knows only {fewest} of {count} members"
+                )
             time.sleep(0.1)
         formed = time.monotonic() - started
         time.sleep(4.0)
--- a/bench/capacity/daemons.py
+++ b/bench/capacity/daemons.py
@@ -1,4 +1,4 @@
-"""Real `wingwood router` and `wingwood control` processes: memory and processor time by the size of the bundle."""
+"""Measures memory and processor time of real router and control processes against the size of the bundle."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
 
 
 def measure_empty() -> list[Row]:
-    """Resident memory of an interpreter that only imports."""
+    """Measures the resident memory of an interpreter that only imports modules."""
     rows: list[Row] = []
     for name, imports in IMPORTS.items():
         program = f"{imports}\nprint(open('/proc/self/statm').read())"
         found = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
         resident, shared = (int(pages) * 4096 / 1e6 for pages in found.stdout.split()[1:3])
-        # Pages of files (programs, libraries) are shared by all processes of a machine.
+        # Pages that map files (programs, libraries) are shared by all processes of a machine.
         rows.append({"imports": name, "resident_mb": resident, "of_files_mb": shared})
     return rows
 
@@ -116,7 +116,7 @@
                 await operator.send(sample_slices(slices - 8))
                 row["first_bundle_s"] = time.monotonic() - started
             await asyncio.sleep(4.0)
-            assert all(child.poll() is None for child in children), "a daemon ended"
+            assert all(child.poll() is None for child in children), "a daemon exited before the measurement"
             before, started = [processor_seconds_of(child.pid) for child in children], time.monotonic()
             await asyncio.sleep(IDLE_SECONDS)
             passed = time.monotonic() - started
--- a/bench/capacity/fit.py
+++ b/bench/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with the error of what they give."""
+"""Fits straight lines to measured points and gives the standard errors of the lines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """``value = base + slope * size``, by least squares; errors are standard errors of the fit."""
+    """The line ``value = base + slope * size`` of a least-squares fit; the errors are standard errors."""
 
     slope: float
     slope_error: float
@@ -18,20 +18,24 @@
     points: int
     mean_size: float
     residual: float
-    """Standard deviation of the points from the line."""
+    """The standard deviation of the points from the line."""
     spread: float
-    """Sum of squares of the sizes from their mean."""
+    """The sum of squared differences between the sizes and their mean."""
 
     def at(self, size: float) -> float:
         return self.base + self.slope * size
 
     def error_at(self, size: float) -> float:
-        """Standard error of the line itself at ``size``; grows with the distance from what was measured."""
+        """Returns the standard error of the line at ``size``; it grows with the distance from the measured sizes."""
         return self.residual * math.sqrt(1 / self.points + (size - self.mean_size) ** 2 / self.spread)
 
 
 def fit_line(sizes: Sequence[float], values: Sequence[float]) -> Line:
-    """At least three different sizes: with two any line fits and has no error to tell."""
+    """Fits a line by least squares.
+
+    Raises ValueError with fewer than three different sizes: a line through two sizes has no residual, so its error
+    is unknown. Raises ValueError as well if the numbers of sizes and values differ.
+    """
     if len(sizes) != len(values):
         raise ValueError(f"{len(sizes)} sizes and {len(values)} values")
     if len(set(sizes)) < 3:
--- a/bench/capacity/fits.py
+++ b/bench/capacity/fits.py
@@ -1,4 +1,4 @@
-"""Measured rows, and every line that docs/CAPACITY.md is worked out from."""
+"""The measured rows, and all fitted lines from which docs/CAPACITY.md is calculated."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Inputs:
-    """Measured rows by probe; what was not run, or failed, gives nothing."""
+    """The measured rows by probe; a probe that was not run or failed has no rows."""
 
     def __init__(self, measured: dict[str, Any]) -> None:
         self._measured = measured
@@ -22,10 +22,11 @@
         return sorted(self._measured)
 
     def metadata(self, probe: str) -> dict[str, Any]:
+        """Returns the record of a probe's run (time, load, commit, failure, rows); empty if it was not run."""
         return dict(self._measured.get(probe, {}))
 
     def fleets(self) -> list[dict[str, Any]]:
-        """The hollow fleets that formed, smallest first."""
+        """Returns the rows of the hollow fleets that formed, the smallest fleet first."""
         found = [row for probe in self.probes() if probe.startswith("fleet ") for row in self.rows(probe)]
         return sorted((row for row in found if row.get("phases")), key=lambda row: int(row["daemons"]))
 
@@ -36,7 +37,7 @@
     def line_of(
         rows: Sequence[dict[str, Any]], size: str, value: str | Callable[[dict[str, Any]], float]
     ) -> Line | None:
-        """None without three sizes; rows of runs that lack the value don't count."""
+        """Fits a line to the rows that hold both fields; returns None if they have fewer than three different sizes."""
         if callable(value):
             points = [(float(row[size]), value(row)) for row in rows if size in row]
         else:
@@ -47,6 +48,7 @@
 
 
 def phase(row: dict[str, Any], name: str) -> dict[str, Any]:
+    """Returns the phase of this name from the row of a hollow fleet; raises StopIteration if it is missing."""
     return next(dict(found) for found in row["phases"] if found["name"] == name)
 
 
@@ -55,19 +57,22 @@
 
 
 def by_changes(row: dict[str, Any], field: str) -> Line | None:
-    """A daemon's rate against changes a second, over the three phases of one hollow fleet."""
+    """Fits the rate of a daemon against changes per second over the phases of one hollow fleet.
+
+    Returns None with fewer than three phases.
+    """
     points = [(found["changes"] / found["seconds"], float(found[field])) for found in row["phases"]]
     return fit_line([at for at, _ in points], [value for _, value in points]) if len(points) >= 3 else None
 
 
 class Fits:
-    """Every line that the page uses, by name."""
+    """All lines that the page uses, by name: the probe, the text that describes the line, and the fit or None."""
 
     def __init__(self, inputs: Inputs) -> None:
         self.inputs = inputs
         fleets = inputs.fleets()
         pools = [row for row in inputs.rows("worker pools") if row["workers"] >= 300]
-        # Below some 250 claims a second each has a batch of its own; above, batches share the cost.
+        # Below about 250 claims per second each claim has its own batch; above, the claims of a batch share its cost.
         batched = [row for row in inputs.rows("ledger claims") if row["rate"] > 250]
         ran = [row | {"ran_total": row["ran_bytes"] * row["entries"]} for row in inputs.rows("ledger entries")]
         self.lines: dict[str, tuple[str, str, Line | None]] = {
@@ -238,9 +243,10 @@
         }
 
     def get(self, name: str) -> Line | None:
+        """Returns the line, or None if its probe gave too few sizes; raises KeyError for an unknown name."""
         return self.lines[name][2]
 
     def at(self, name: str, size: float) -> tuple[float, float] | None:
-        """The line at a size, and its standard error there."""
+        """Returns the value and the standard error of the line at ``size``, or None if the line was not fitted."""
         line = self.get(name)
         return None if line is None else (line.at(size), line.error_at(size))
--- a/bench/capacity/forward.py
+++ b/bench/capacity/forward.py
@@ -1,6 +1,6 @@
-"""Forwarding: processor time of a router against calls and pieces a second, and memory against open streams.
+"""Measures forwarding: processor time of a router against calls and chunks per second, memory against open streams.
 
-``python -m bench.capacity.forward --role worker|router`` is one of the children.
+``python -m bench.capacity.forward --role worker|router`` runs one of the child processes.
 """
 
 from __future__ import annotations
@@ -19,13 +19,15 @@
 STREAM_COUNTS = (10, 50, 200)
 CALLER_COUNTS = (2, 10, 40)
 CALLS_PER_SECOND_PER_CALLER = 10.0
-"""A second, by each caller: well below what the router can do, so that the rate is known."""
+"""The rate is well below the capacity of the router, so that the router sustains it and the rate is known."""
 OPEN_STREAM_COUNTS = (100, 300, 600)
 EVENT_INTERVAL_S = 0.032
+"""The time between two events of a stream."""
 MEASURED_SECONDS = 6.0
 
 
 def use_own_ports() -> None:
+    """Replaces the ports of ``forward_bench`` with those of this module."""
     own: dict[str, Any] = {"ROUTER_PORT": PORT, "WORKER_PORT": PORT + 1, "COST_PORT": PORT + 2}
     for name, value in own.items():
         setattr(forward_bench, name, value)
@@ -39,6 +41,7 @@
 
 
 def _with_router(measure: Any) -> list[Row]:
+    """Runs the measurement against a worker and a router that run as child processes."""
     use_own_ports()
     children = [_start_child("worker"), _start_child("router")]
     try:
@@ -65,7 +68,7 @@
 
 
 async def _calls() -> list[Row]:
-    """Short calls without a stream on connections that are kept, at a known rate."""
+    """Measures short calls without a stream, at a known rate, on connections that stay open."""
     loop = asyncio.get_running_loop()
     data = request_bytes("/plain")
     rows: list[Row] = []
@@ -103,7 +106,10 @@
 
 
 async def _open() -> list[Row]:
-    """Each size: that many slow streams open at once; sizes grow, so nothing of an earlier one is left to reuse."""
+    """Measures the memory of a router with a number of slow streams open at once.
+
+    The numbers increase, so that a larger number cannot run entirely in memory left over from the one before.
+    """
     loop = asyncio.get_running_loop()
     data = request_bytes("/chat", X_Events=2, X_Pace=5.0)
     rows: list[Row] = [{"streams": 0, "resident_mb": (await router_cost())["memory"] / 1e6}]
--- a/bench/capacity/hollow.py
+++ b/bench/capacity/hollow.py
@@ -1,6 +1,7 @@
-"""The hollow daemons of ``bench.hollow_daemons`` on ports of this bench.
+"""Runs the fleets of ``bench.hollow_daemons`` on ports that belong to the capacity bench.
 
-``python -m bench.capacity.hollow control|hollow ...`` is one of its child processes.
+A hollow daemon has the real membership client and bundle follower of a router, but no callers.
+``python -m bench.capacity.hollow control|hollow ...`` runs one of the child processes.
 """
 
 from __future__ import annotations
@@ -30,6 +31,7 @@
 
 
 def use_own_ports() -> None:
+    """Replaces the ports and the child class of ``hollow_daemons`` with those of this module."""
     own: dict[str, Any] = {
         "CONTROL_PORT": CONTROL_PORT,
         "HOLLOW_PORT": HOLLOW_PORT,
@@ -41,7 +43,7 @@
 
 
 async def measure_fleet(daemons: int, processes: int, tenants: int, seconds: float) -> dict[str, Any]:
-    """One size: idle, the planned rate of changes, two changes a second."""
+    """Measures a fleet of one size in three phases: idle, the planned rate of changes, and two changes per second."""
     use_own_ports()
     zones = 3 if daemons < 100 else 14
     size = await hollow_daemons.measure(daemons, zones, processes, tenants, seconds, 0.0)
--- a/bench/capacity/ledger.py
+++ b/bench/capacity/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: entries in memory at growing numbers, and claims at growing rates through three control processes."""
+"""Measures the ledger: memory by the number of entries, and claims at rising rates through three control processes."""
 
 from __future__ import annotations
 
@@ -39,6 +39,7 @@
 
 
 def measure_entries() -> list[Row]:
+    """Measures memory, claim time, snapshot and restore of one ledger state at each number of entries."""
     rows = []
     for size in SIZES:
         weights = []
@@ -46,7 +47,7 @@
             gc.collect()
             tracemalloc.start()
             state = LedgerState(RealClock(), ledger_bench.RETENTION)
-            # A tenth is enough for the weight of an entry, and tracing makes the filling slow.
+            # Tracing slows the filling, and a quarter of the largest size is enough to give the memory of one entry.
             traced_entries = size if size <= 100_000 else size // 4
             ledger_bench._fill(state, traced_entries, settled)
             gc.collect()
@@ -147,6 +148,7 @@
 
 
 def measure_claims() -> list[Row]:
+    """Measures claims of one router at each rate, against three control processes."""
     use_own_ports()
     with tempfile.TemporaryDirectory() as folder:
         children = [_ControlChild(number, Path(folder) / f"c{number}") for number in range(3)]
--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -1,4 +1,7 @@
-"""What one change of the members costs a router, by the number of routers: all on its event loop, in one go."""
+"""Measures the cost of one membership change on a router against the number of routers.
+
+All of the work runs on the event loop of the router without a pause.
+"""
 
 from __future__ import annotations
 
@@ -37,9 +40,9 @@
 POOLS = 39
 TENANTS = 2500
 STORED_ENTRIES = 11_600
-"""Entries at each keeper: 5.8 million live sessions, two keepers each, over 1,000 routers."""
+"""Session entries that a router stores as an owner: 5.8 million live sessions with two owners each, 1,000 routers."""
 RECENT_ENTRIES = 3_900
-"""13 calls a second for the 300 s that a router's own records are kept."""
+"""Records of a router's own calls: 13 calls per second, each record retained for 300 s."""
 
 
 def sample_entry(now: Instant) -> Entry:
@@ -49,7 +52,7 @@
 
 
 def filled_map(context: Context, membership: FixedMembership, own: int, stored: int, recent: int) -> DistributedMap:
-    """A keeper's map with keys that are really its own."""
+    """Returns the session map of the router at index ``own``, filled with keys that this router really owns."""
     identity = membership.routers()[own]
     distributed_map = DistributedMap(context, DiscardingMessenger(identity), membership)
     now = context.clock.monotonic()
--- a/bench/capacity/messages.py
+++ b/bench/capacity/messages.py
@@ -1,4 +1,4 @@
-"""What one message between two daemons costs on loopback, at three sizes, at each end."""
+"""Measures the cost of one message between two daemons over loopback, for sender and receiver, at three sizes."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
         before, own = child.report(), processor_seconds()
         for _ in range(COUNT):
             messenger.post(address, Notification(body))
-            await asyncio.sleep(0)  # one by one, as daemons post them
+            await asyncio.sleep(0)  # posts leave one by one, as they do in a daemon
             await asyncio.sleep(0)
         while child.report()["took"] < before["took"] + COUNT:
             await asyncio.sleep(0.02)
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -1,8 +1,8 @@
-"""The tables and the picture of docs/CAPACITY.md from the measured inputs.
+"""Writes the tables and the picture of docs/CAPACITY.md from the measured inputs.
 
-A table stands between ``<!-- table: NAME -->`` and ``<!-- end -->``; the words around it are written by people.
-Each number says where it comes from: *m* measured at that very size, *f* a fitted line (with its standard error),
-*a* assumed.
+A table stands between ``<!-- table: NAME -->`` and ``<!-- end -->``; the text around the tables is written by hand.
+A letter after each number states its source: *m* measured at exactly that size, *f* taken from a fitted line (with
+its standard error), *a* assumed.
 """
 
 from __future__ import annotations
@@ -19,6 +19,7 @@
 
 
 def measured_table(inputs: Inputs) -> Table:
+    """Returns the table of the runs of all probes: time, load, duration, commit and result."""
     table = [["probe", "at", "load before, after", "seconds", "commit", "result"]]
     for probe in inputs.probes():
         metadata = inputs.metadata(probe)
@@ -40,12 +41,14 @@
 
 
 def plain_table(rows: Sequence[dict[str, Any]], columns: dict[str, str]) -> Table:
-    def cell(value: Any) -> str:
+    """Returns a table of measured rows; ``columns`` maps the keys of the rows to headings."""
+
+    def format_cell(value: Any) -> str:
         if isinstance(value, list):
             return " / ".join(number(float(each)) for each in value)
         return number(float(value)) if isinstance(value, int | float) else str(value if value is not None else "")
 
-    return [list(columns.values()), *([cell(row.get(column)) for column in columns] for row in rows)]
+    return [list(columns.values()), *([format_cell(row.get(column)) for column in columns] for row in rows)]
 
 
 def fleet_table(inputs: Inputs) -> Table:
@@ -247,7 +250,7 @@
 
 
 def tables(measured: dict[str, Any]) -> dict[str, str]:
-    """Every table of the page by name, as Markdown."""
+    """Returns all tables of the page by name, as Markdown."""
     inputs = Inputs(measured)
     fits = Fits(inputs)
     found = {
@@ -275,7 +278,7 @@
 
 
 def fill_tables(page: str, found: dict[str, str]) -> str:
-    """The page with each table put between its markers; a marker that names no table is an error."""
+    """Returns the page with each table between its markers; raises ValueError for a marker of an unknown table."""
 
     def replacement(match: re.Match[str]) -> str:
         name = match[1]
@@ -287,7 +290,7 @@
 
 
 def draw_slopes(measured: dict[str, Any], target: Path) -> None:
-    """Four slopes with their lines drawn to the planned size."""
+    """Draws four of the measured quantities, with the fitted lines extended to the planned size."""
     import matplotlib  # noqa: PLC0415
 
     matplotlib.use("Agg")
@@ -350,5 +353,6 @@
 
 
 def write_page(measured: dict[str, Any], target: Path) -> None:
+    """Replaces the tables of the page in place and writes the picture beside it."""
     target.write_text(fill_tables(target.read_text(), tables(measured)))
     draw_slopes(measured, target.parent / "pictures" / "capacity-slopes.png")
--- a/bench/capacity/planned.py
+++ b/bench/capacity/planned.py
@@ -1,4 +1,4 @@
-"""The size to design for, and what follows from it by division alone."""
+"""The fleet size that the design is planned for, and the quantities that follow from it by arithmetic alone."""
 
 from __future__ import annotations
 
@@ -6,6 +6,8 @@
 
 
 class PlannedSize(msgspec.Struct, frozen=True, kw_only=True):
+    """Totals of the whole fleet, rates per second where no other unit is given; the properties are derived."""
+
     daemons: int = 1_000
     workers: int = 12_000
     pools: int = 39
@@ -21,11 +23,11 @@
     changes_per_day: float = 28_000.0
     restarts_per_day: float = 2_400.0 + 76.0
     slices: int = 2_600
-    """Tenants, and the services, routes and classes of 39 models."""
+    """Slices of the bundle: the tenants, and the services, routes and classes of 39 models."""
     ledger_retention_s: float = 1_800.0 * 1.25
-    """Seconds that a ledger keeps an outcome, at the longest."""
+    """The longest time in seconds that a ledger retains an outcome."""
     record_retention_s: float = 300.0
-    """Seconds that a router keeps its own records."""
+    """The time in seconds that a router retains the records of its own calls."""
     core_share: float = 0.017
     memory_mb: float = 64.0
     bytes_per_second: float = 2_000.0
@@ -44,7 +46,7 @@
 
     @property
     def streams_per_daemon(self) -> float:
-        """Open at a time: each gives a token every 32 ms."""
+        """Streams that are open at the same time; each carries one token every 32 ms."""
         return self.chunks_per_daemon * self.token_interval_s
 
     @property
@@ -61,23 +63,29 @@
 
     @property
     def entries_per_daemon(self) -> float:
+        """Session entries that a daemon stores: each session has two copies."""
         return 2 * self.sessions / self.daemons
 
     @property
     def member_changes_per_day(self) -> float:
-        """Each restart is a leaving and a coming; daemons have their part of all machines' restarts."""
+        """Each restart counts as two changes, a departure and a join.
+
+        The daemons have their proportional part of the restarts of all machines.
+        """
         return 2 * self.restarts_per_day * self.daemons / (self.daemons + self.workers)
 
     @property
     def max_member_changes_per_day(self) -> float:
+        """The changes of members per day if all restarts were restarts of daemons."""
         return 2 * self.restarts_per_day
 
     @property
     def worker_changes_per_second(self) -> float:
-        """New states a second: ready, draining and gone for each restart of a worker."""
+        """New worker states per second: each restart of a worker gives ready, draining and removed."""
         return 3 * self.restarts_per_day * self.workers / (self.daemons + self.workers) / 86_400
 
     def derived_rows(self) -> list[tuple[str, float]]:
+        """Returns the rows of the page's table of planned quantities: a text and a number."""
         return [
             ("calls/s a daemon", self.calls_per_daemon),
             ("pieces (tokens)/s a daemon", self.chunks_per_daemon),
--- a/bench/capacity/planned_roles.py
+++ b/bench/capacity/planned_roles.py
@@ -1,6 +1,7 @@
-"""Each role at the planned size, worked out from the fitted lines.
+"""Calculates the cost of each role at the planned size from the fitted lines.
 
-Kinds: *m* measured at that very size, *f* fitted line (its standard error beside it), *a* assumed.
+The kind of a number is *m* measured at exactly that size, *f* taken from a fitted line (with its standard error),
+or *a* assumed.
 """
 
 from __future__ import annotations
@@ -15,17 +16,20 @@
 from .text import number
 
 OWNERS_FOLLOWED = PLANNED.routers_per_zone * (1 - (1 - 1 / PLANNED.routers_per_zone) ** PLANNED.pools)
-"""Different routers among a zone's homes of 39 pools."""
+"""The expected number of different routers among the owners of 39 pools in one zone."""
 OWNER_REQUESTS_PER_SECOND = 1 / 0.3
+"""A follower asks an owner once in 0.3 s."""
 OWNER_DUTIES_PER_ROUTER = PLANNED.pools * PLANNED.zones / PLANNED.daemons
-"""Duties as home that a router has in the mean."""
+"""The mean number of pools that a router owns, where each zone has an owner for each pool."""
 UNREPEATABLE_CALL_SHARE = 0.1
-"""Assumed part of the calls that may not be repeated."""
+"""The assumed share of the calls that must not run twice and therefore need the ledger."""
 EVENT_BYTES = 140.0
-"""Of one token's event with its chunk, as in the bench."""
+"""The size of one token's event with the HTTP chunk around it, as in the bench."""
 
 
 class Value(msgspec.Struct, frozen=True):
+    """A number with its standard error and its kinds; a sum has the kinds of all of its parts."""
+
     value: float
     error: float = 0.0
     kind: str = "f"
@@ -50,7 +54,10 @@
 
 
 class RoleCosts:
-    """The numbers of all roles; a number whose probe did not run is None."""
+    """Calculates the costs of all roles; a method raises KeyError if its probe did not run or gave too few sizes.
+
+    Core values are shares of one core, byte values are bytes per second and memory values are MB.
+    """
 
     def __init__(self, fits: Fits) -> None:
         self.fits = fits
@@ -75,12 +82,13 @@
         return Value(line.base, line.base_error)
 
     def row(self, probe: str, **wanted: Any) -> dict[str, Any]:
+        """Returns the first row of a probe with these values; raises KeyError if there is none."""
         for row in self.inputs.rows(probe):
             if all(row.get(name) == value for name, value in wanted.items()):
                 return row
         raise KeyError(probe)
 
-    # --- messages: processor seconds, by the messages' probe -----------------------------------------
+    # --- messages: processor seconds per message, from the probe "messages" ---------------------------
 
     def ask(self, body: float = 128.0) -> Value:
         return self.at("ask", body).times(1e-6)
@@ -95,14 +103,14 @@
         return self.at("take", body).times(1e-6)
 
     def frame_bytes(self) -> float:
-        """Bytes of an ask and its answer beyond their bodies."""
+        """Returns the bytes that a request and its answer need beyond their bodies."""
         row = self.row("messages", body=64)
         return float(row["bytes"]) - 2 * 64
 
-    # --- parts of a router's control ---------------------------------------------------------------
+    # --- control work of a router ------------------------------------------------------------------
 
     def heartbeat_core(self) -> Value:
-        """A real router process without traffic: heartbeats, proof, timers."""
+        """Returns the core of a real router process without traffic: heartbeats, proof of the bundle, timers."""
         return Value(float(self.row("daemons", slices=2600)["router_idle_core"]), kind="m")
 
     def heartbeat_bytes(self) -> Value:
@@ -126,7 +134,11 @@
         return self.at("feed bytes", PLANNED.pools) + additional
 
     def additional_edge_calls(self) -> float:
-        """Measured with one home a zone for all pools: four batches a second. Homes that differ get each its own."""
+        """Returns the calls per second of an edge beyond the measured ones.
+
+        The probe had a single owner per zone for all pools, which gives four batches per second. Owners that differ
+        by pool each receive a call of their own.
+        """
         return (PLANNED.workers_per_daemon - 4.0) * PLANNED.zones
 
     def edge_core(self) -> Value:
@@ -138,7 +150,11 @@
         return self.slope("zones bytes").times(PLANNED.zones) + additional
 
     def owner_core(self) -> Value:
-        """One duty: followers, renewals from as many edges as the pool has workers, questions among homes."""
+        """Returns the core of owning one pool in one zone.
+
+        The parts are the followers, the renewals from as many edges as the pool has workers, and the requests between
+        the owners of the pool in different zones.
+        """
         calls = PLANNED.workers_per_pool - 4.0
         return (
             self.at("home core", PLANNED.routers_per_zone)
@@ -154,7 +170,7 @@
     # --- per call ----------------------------------------------------------------------------------
 
     def session_core(self) -> Value:
-        """As asker and as keeper: one look-up and two records each way for each call."""
+        """Returns the core of the session map on both sides: a look-up and two records, sent and received, per call."""
         row = self.row("session map", entries=10_000)
         own = Value((row["look_up_us"] + 2 * row["record_us"]) * 1e-6, kind="m")
         messages = self.ask() + self.answer() + self.post().times(2) + self.take().times(2)
@@ -162,9 +178,9 @@
 
     def session_bytes(self) -> Value:
         row = self.row("session map", entries=10_000)
-        record_bytes, look_up = float(row["note_bytes"]), 12.0
+        record_bytes, look_up_bytes = float(row["note_bytes"]), 12.0
         frame = float(self.row("messages", body=64)["post_bytes"]) - 64
-        each = 2 * (record_bytes + frame) + (look_up + record_bytes + self.frame_bytes())
+        each = 2 * (record_bytes + frame) + (look_up_bytes + record_bytes + self.frame_bytes())
         return Value(2 * each * PLANNED.calls_per_daemon, kind="m")
 
     def session_memory(self) -> Value:
@@ -180,17 +196,24 @@
         return Value(2 * 107.0 * PLANNED.calls_per_daemon, kind="m")
 
     def ledger_router_core(self) -> Value:
-        """At a router's own low rate nothing is batched: the cost a call of the slowest load."""
+        """Returns the core of the ledger's client, with the cost per call of the lowest measured rate.
+
+        At the low rate of a single router no calls are batched.
+        """
         row = self.row("ledger claims", wanted_rate=30)
         return Value(row["router_core"] / row["rate"] * PLANNED.calls_per_daemon * UNREPEATABLE_CALL_SHARE, kind="m")
 
     def ledger_core(self, name: str, claims: float) -> Value:
-        """Batches of one router were measured; from a thousand, each claim and each settle is a call of its own."""
+        """Returns the core of a ledger daemon (``name`` is primary or backup) at this many claims per second.
+
+        The probe measured the batches of one router. From a thousand routers, each claim and each settlement is a call
+        of its own, which the primary answers.
+        """
         own = self.at(f"claims {name}", claims)
         return own + self.answer().times(2 * claims) if name == "primary" else own
 
     def forward_core(self) -> Value:
-        # The measured streams have a call in each 100 pieces, the planned ones in each 430.
+        # The measured streams have one call per 100 chunks, the planned ones one per 430.
         calls = PLANNED.calls_per_daemon - PLANNED.chunks_per_daemon / 100
         return self.at("pieces core", PLANNED.chunks_per_daemon) + self.slope("calls core").times(calls)
 
@@ -200,13 +223,13 @@
     # --- control ------------------------------------------------------------------------------------
 
     def additional_mesh_cost(self, machines: int, field: str) -> Value:
-        """What the questions among so many keepers cost each, beyond those among three."""
+        """Returns the cost per coordinator of the requests among ``machines`` coordinators beyond those among three."""
         additional, three = (self.row("keepers", keepers=count)[field] for count in (machines, 3))
         return Value(additional - three, kind="m")
 
     def coordinator_core(self, machines: int) -> Value:
-        """A control core, the sessions of its part of the daemons, and the questions among all keepers."""
-        # Of the line's daemons a third are each keeper's own.
+        """Returns the core of a control daemon, the sessions that it holds, and the requests among coordinators."""
+        # The line counts all daemons of a fleet with three coordinators, each of which holds a third of the sessions.
         sessions = self.slope("keeper core").times(3 * PLANNED.daemons / machines)
         return self.base("keeper core") + sessions + self.additional_mesh_cost(machines, "keeper_core")
 
@@ -218,6 +241,7 @@
         return self.at("control memory", PLANNED.slices) + self.slope("keeper memory").times(PLANNED.daemons * 1e-6)
 
     def order_core(self, rank: int) -> Value:
+        """Returns the core for orders of a control daemon: rank 0 is the least loaded of three, rank 2 the most."""
         rows = self.inputs.rows("control restarts")
         if not rows:
             raise KeyError("control restarts")
@@ -233,6 +257,7 @@
 
 
 def role_rows(fits: Fits) -> list[list[str]]:
+    """Returns the table of all roles; a cell whose probe did not run says which measurement is missing."""
     costs = RoleCosts(fits)
     size = PLANNED
     claims = size.requests_per_second * UNREPEATABLE_CALL_SHARE
@@ -403,7 +428,7 @@
 
 
 def control_budget(fits: Fits) -> list[list[str]]:
-    """What a router spends on control, part by part, against what it may."""
+    """Returns the table of a router's control costs, part by part, against the permitted amount."""
     costs = RoleCosts(fits)
     parts: list[tuple[str, Any, Any]] = [
         ("heartbeats, proof, idle timers", costs.heartbeat_core, costs.heartbeat_bytes),
@@ -441,7 +466,7 @@
             cores.append(core())
             rates.append(rate())
             table.append([name, cores[-1].text("%", 100), rates[-1].text("", 1e-3)])
-        except KeyError as missed:
+        except KeyError as missing:
             complete = False
-            table.append([name, f"not measured ({missed.args[0]})", ""])
+            table.append([name, f"not measured ({missing.args[0]})", ""])
     return table
--- a/bench/capacity/prefixes.py
+++ b/bench/capacity/prefixes.py
@@ -1,4 +1,4 @@
-"""Shared prefixes: how often one router knows the prefix of a turn that comes to it, and what a part weighs."""
+"""Measures shared prefixes: the share of turns whose prefix a router knows, and the memory of one shared part."""
 
 from __future__ import annotations
 
@@ -19,23 +19,29 @@
 RECORD_RETENTION_S = 1_800.0
 
 
-def _turns(number: int, exponent: float, draw: random.Random) -> Iterator[int]:
-    """Which prefix each of one router's turns has; popularity falls with the rank to this power (0: all alike)."""
+def _prefix_numbers(number: int, exponent: float, rng: random.Random) -> Iterator[int]:
+    """Yields the prefix number of each turn of one router.
+
+    The popularity of a prefix falls with its rank to the power ``exponent`` (0: all prefixes are equally popular).
+    """
     bounds = list(accumulate((rank + 1) ** -exponent for rank in range(number)))
     while True:
-        yield from draw.choices(range(number), cum_weights=bounds, k=1000)
+        yield from rng.choices(range(number), cum_weights=bounds, k=1000)
+
 
+def _known_share(number: int, exponent: float) -> tuple[float, float]:
+    """Returns the share of turns with a known prefix size, and the processor seconds per turn.
 
-def _known(number: int, exponent: float) -> tuple[float, float]:
-    """Share of the turns in the second half whose prefix had a size, and processor seconds for each turn."""
-    parts, pool, draw = SharedPrefixes(), PoolName("p"), random.Random(1)
+    Only the second half of the turns counts for the share, when the router has already seen the earlier ones.
+    """
+    parts, pool, rng = SharedPrefixes(), PoolName("p"), random.Random(1)
     count = int(RECORD_RETENTION_S * PLANNED.calls_per_daemon)
     known = 0
     started = time.process_time()
-    for turn, prefix in zip(range(count), _turns(number, exponent, draw), strict=False):
+    for turn, prefix in zip(range(count), _prefix_numbers(number, exponent, rng), strict=False):
         name = (f"shared-{prefix}", f"session-{turn}")
         known += turn >= count // 2 and parts.tokens(pool, name) > 0
-        worker = WorkerInstance(f"model-{draw.randrange(8)}")
+        worker = WorkerInstance(f"model-{rng.randrange(8)}")
         parts.sent(pool, name, turn, 3000, worker, Instant(turn / PLANNED.calls_per_daemon))
     return known / (count - count // 2), (time.process_time() - started) / count
 
@@ -52,8 +58,8 @@
             parts.sent(PoolName("p"), name, turn, 3000, WorkerInstance(f"model-{turn // tracked_parts}"), Instant(0.0))
         bytes_per_part = tracemalloc.get_traced_memory()[0] / tracked_parts
         tracemalloc.stop()
-        even, turn_seconds = _known(number, 0.0)
-        skewed, _ = _known(number, 1.0)
+        even, turn_seconds = _known_share(number, 0.0)
+        skewed, _ = _known_share(number, 1.0)
         rows.append(
             {
                 "prefixes": number,
--- a/bench/capacity/sessions.py
+++ b/bench/capacity/sessions.py
@@ -1,4 +1,4 @@
-"""The session map: what an entry weighs, and what recording and looking up cost, at growing numbers."""
+"""Measures the session map: memory per entry and the cost of a record and a look-up, at rising numbers of entries."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
     def empty_map() -> DistributedMap:
         distributed_map = DistributedMap(context, DiscardingMessenger(members[0]), FixedMembership(members))
-        distributed_map._stored = RecentEntries(2 * size, CLAIM_RETENTION_S)  # without the bound of the daemon
+        distributed_map._stored = RecentEntries(2 * size, CLAIM_RETENTION_S)  # without the limit that a daemon sets
         return distributed_map
 
-    # As session_records come from the encoded_record: each string is interned by the map, each number is a new object.
+    # Records are decoded as from the network: the map interns each string, and each number is a new object.
     maker = empty_map()
     keys = [session_key(PoolName("p"), SessionId(f"session-{number}")) for number in range(size)]
     encoded = msgspec.msgpack.encode(StoreSessionRecords((maker._to_record(keys[0], sample_entry(now)),)))
@@ -47,7 +47,7 @@
     for key in keys:
         distributed_map._store(key, distributed_map._to_entry(decoded))
     gc.collect()
-    # The keys exist already in ``keys``; a keeper holds them itself: 36 bytes each.
+    # ``keys`` holds the keys already, outside of the traced memory; the map of a daemon holds them: 36 bytes each.
     bytes_per_entry = tracemalloc.get_traced_memory()[0] / size + 36
     tracemalloc.stop()
 
--- a/bench/capacity/shares.py
+++ b/bench/capacity/shares.py
@@ -1,4 +1,4 @@
-"""Paid shares: how many asks a tenant's calls cost by its rate (simulated), and what an ask costs (loopback)."""
+"""Measures paid shares: lease requests per call against a tenant's rate (simulated), and the cost of a request."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def measure_asks() -> list[Row]:
-    """Eleven routers, each tenant's calls spread evenly over them, at half of its paid rate."""
+    """Counts lease requests of eleven routers that share the calls of a tenant evenly, at half of its paid rate."""
     from simulation import World  # noqa: PLC0415
 
     rows: list[Row] = []
@@ -58,7 +58,7 @@
 
 
 async def _grant_cost() -> list[Row]:
-    """The keeper's own part of an ask, without the message, by the number of tenants that it keeps."""
+    """Measures the allocator's own work for a lease request, without the message, against its number of tenants."""
     rows: list[Row] = []
     for count in (100, 1_000, 10_000):
         members = routers(2)
--- a/bench/capacity/tests/test_page.py
+++ b/bench/capacity/tests/test_page.py
@@ -1,4 +1,8 @@
-"""What stands on the page: markers, kinds and errors of numbers, probes that did not run."""
+"""Tests the tables of the capacity page.
+
+They guard against hand-written text that is overwritten, a page that no longer matches the committed measurements,
+numbers with a wrong error or source, and a failed or missing probe that looks like a measured one.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +20,13 @@
 
 
 def measured(**probes: list[dict[str, Any]]) -> dict[str, Any]:
+    """Returns contents of measured.json with these rows; an underscore in a probe's name stands for a space."""
     metadata = {"at": "2026-01-01 10:20:30", "load": [1.0, 2.0], "seconds": 3.0, "commit": "abc"}
     return {name.replace("_", " "): metadata | {"rows": rows} for name, rows in probes.items()}
 
 
 class PageTests(unittest.TestCase):
-    def test_tables_take_the_place_between_their_markers_only(self) -> None:
+    def test_only_the_text_between_markers_is_replaced(self) -> None:
         page = "words\n<!-- table: a -->\nold\nrows\n<!-- end -->\nmore\n<!-- table: b -->\n<!-- end -->\n"
         filled = fill_tables(page, {"a": "| new |", "b": "| b |"})
         self.assertEqual(
@@ -30,24 +35,24 @@
         )
         self.assertEqual(fill_tables(filled, {"a": "| new |", "b": "| b |"}), filled)
 
-    def test_the_page_in_the_tree_is_the_one_of_the_inputs_in_the_tree(self) -> None:
+    def test_committed_page_matches_the_committed_measurements(self) -> None:
         root = Path(__file__).resolve().parents[3]
         inputs = json.loads((root / "bench" / "capacity" / "measured.json").read_text())
         page = (root / "docs" / "CAPACITY.md").read_text()
         self.assertEqual(fill_tables(page, tables(inputs)), page)
         self.assertNotIn("not measured (", page)
 
-    def test_a_marker_without_a_table_is_an_error(self) -> None:
+    def test_marker_of_an_unknown_table_is_refused(self) -> None:
         with self.assertRaisesRegex(ValueError, "asks for table 'lost'"):
             fill_tables("<!-- table: lost -->\n<!-- end -->\n", {"a": ""})
 
-    def test_numbers_keep_three_figures(self) -> None:
+    def test_numbers_are_formatted_with_three_significant_figures(self) -> None:
         self.assertEqual([number(value) for value in (1234.5, 12.345, 0.012345, 0.0, -0.5)],
                          ["1,234", "12.3", "0.0123", "0", "-0.5"])  # fmt: skip
         self.assertEqual(with_error(0.0000353, 0.0000043), "0.0000353 ± 0.0000043")
         self.assertEqual(markdown([["a", "b"], ["1", "2"]]), "| a | b |\n| --- | --- |\n| 1 | 2 |")
 
-    def test_sums_keep_where_their_parts_come_from(self) -> None:
+    def test_sum_adds_errors_in_quadrature_and_unites_kinds(self) -> None:
         found = Value(1.0, 0.3) + Value(2.0, 0.4) + Value(4.0, 0.0, "a")
         self.assertAlmostEqual(found.value, 7.0)
         self.assertAlmostEqual(found.error, 0.5)
@@ -55,7 +60,7 @@
         self.assertEqual(found.text("%"), "7 ± 0.5% *af*")
         self.assertEqual(Value(4.0, 0.0, "m").times(2).text(), "8 *m*")
 
-    def test_what_was_not_run_or_failed_is_said(self) -> None:
+    def test_missing_and_failed_probes_are_named_in_the_tables(self) -> None:
         inputs = measured(messages=[]) | {"session map": {"failed": "not done after 600 s", "rows": [],
                                                          "at": "2026-01-01 10:20:30", "load": [1, 1],
                                                          "seconds": 600.0, "commit": "abc"}}  # fmt: skip
@@ -65,7 +70,7 @@
         self.assertIn("not measured (daemons)", found["budget"])
         self.assertIn("at least", found["budget"])
 
-    def test_a_fit_needs_three_sizes(self) -> None:
+    def test_line_is_absent_with_fewer_than_three_sizes(self) -> None:
         rows = [{"zones": zones, "edge_bytes": 100.0 + 50 * zones, "edge_core": 0.01} for zones in (1, 3)]
         self.assertIsNone(Fits(Inputs(measured(worker_zones=rows))).get("zones bytes"))
         rows.append({"zones": 7, "edge_bytes": 450.0, "edge_core": 0.01})
@@ -73,7 +78,7 @@
         assert line is not None
         self.assertAlmostEqual(line.slope, 50.0)
 
-    def test_a_role_follows_from_its_slopes(self) -> None:
+    def test_role_cost_is_calculated_from_the_fitted_slopes(self) -> None:
         rows = [
             {"routers": routers, "ring_ms": 0.1 * routers, "all_ms": 20 + 0.2 * routers, "share_keepers_first_ms": 1.0}
             for routers in (11, 100, 1000)
--- a/bench/capacity/text.py
+++ b/bench/capacity/text.py
@@ -1,4 +1,4 @@
-"""Numbers and tables as Markdown."""
+"""Formats numbers and tables as Markdown."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def number(value: float, digits: int = 3) -> str:
-    """Three figures that a person can read."""
+    """Formats a number with ``digits`` significant figures and without an exponent; large numbers keep all digits."""
     if value == 0:
         return "0"
     size = abs(value)
--- a/bench/capacity/workers.py
+++ b/bench/capacity/workers.py
@@ -1,7 +1,8 @@
-"""Worker states: what renewals cost at the edge, at a pool's home and at its followers.
+"""Measures worker states: the cost of renewals at the edge, at the owner of a pool and at its followers.
 
-Real registries on real messengers over loopback, in one zone: an edge that takes the announcements, homes,
-and followers that only listen. ``python -m bench.capacity.workers serve ...`` is one of the processes.
+The probe runs real registries on real messengers over loopback, in one zone unless it measures zones. The edge is the
+router that accepts the announcements of workers, an owner holds the worker list of a pool, and a follower only receives
+it. ``python -m bench.capacity.workers serve ...`` runs one of the processes.
 """
 
 from __future__ import annotations
@@ -35,6 +36,7 @@
 
 
 def registry_of(own: Identity, members: Sequence[Identity]) -> tuple[TcpMessenger, WorkerRegistry]:
+    """Returns the started messenger and worker registry of a router."""
     context = real_quiet_context()
     messenger = TcpMessenger(context, own, KEY)
     registry = WorkerRegistry(
@@ -46,14 +48,14 @@
 
 
 def owners_in(zones: int) -> list[Identity]:
-    """The edge in the first zone, and one more router in each zone."""
+    """Returns the edge, which is in the first zone, and one further router in each zone."""
     edge, *others = routers(1 + zones, first_port=PORT)
     in_zones = [msgspec.structs.replace(other, zone=Zone(f"zone-{number}")) for number, other in enumerate(others)]
     return [edge, *in_zones]
 
 
 def pools_owned_by(owner: Identity, members: Sequence[Identity], count: int) -> list[PoolName]:
-    """Pools whose home is this router."""
+    """Returns ``count`` names of pools whose owner among ``members`` is the given router."""
     found: list[PoolName] = []
     number = 0
     while len(found) < count:
@@ -78,18 +80,20 @@
 
 @click.group()
 def main() -> None:
-    """Processes of the workers' probe."""
+    """Child processes of the probes of worker states."""
 
 
 @main.command()
 @click.option("--members", type=int, required=True)
 @click.option("--first", type=int, required=True)
 @click.option("--count", type=int, default=1)
-@click.option("--pools", default="", help="Watched from the start.")
+@click.option("--pools", default="", help="Pools that the routers watch from the start, separated by commas.")
 @click.option("--operator/--no-operator", default=False)
-@click.option("--zones", type=int, default=0, help="Homes in so many zones, in place of all in one.")
+@click.option(
+    "--zones", type=int, default=0, help="Number of zones with one router each; 0 puts all routers into one zone."
+)
 def serve(members: int, first: int, count: int, pools: str, operator: bool, zones: int) -> None:
-    """Some of the routers."""
+    """Runs ``count`` routers, beginning with the router number ``first``."""
 
     async def run() -> None:
         all_routers = owners_in(zones) if zones else routers(members, first_port=PORT)
@@ -116,7 +120,7 @@
 
 
 async def _announce(registry: WorkerRegistry, workers: Sequence[tuple[PoolName, int]], seconds: float) -> None:
-    """Each worker once a second with a new load, spread evenly over the second."""
+    """Announces each worker once per second with a new load, spread evenly over the second."""
     started = time.monotonic()
     done = 0
     while (passed := time.monotonic() - started) < seconds:
@@ -130,7 +134,7 @@
 
 
 async def _measure_pools(pools_count: int, pool_workers: int, followers: int, announced: bool = True) -> Row:
-    """This process takes the announcements; one child is the home of all pools, another has the followers."""
+    """Measures with this process as the edge, one child as the owner of all pools, and another with all followers."""
     members = routers(2 + followers, first_port=PORT)
     pools = pools_owned_by(members[1], members, pools_count)
     listed = ",".join(pools)
@@ -146,7 +150,9 @@
             await registry.accept_announcement(fake_worker(pool, number, None))
         while follower_process.report()["ready"] < len(workers):
             if time.monotonic() - started > 60:
-                raise TimeoutError(f"followers know {follower_process.report()['ready']} of {len(workers)} workers")
+                raise TimeoutError(
+                    f"after 60 s the followers know only {follower_process.report()['ready']} of {len(workers)}"
+                )
             await _announce(registry, workers, 1.0)
         formed = time.monotonic() - started
         await _announce(registry, workers, 4.0)
@@ -176,18 +182,18 @@
 
 
 def measure_workers() -> list[Row]:
-    """One follower; from 12 workers to 12,012 in 39 pools."""
+    """Measures a single follower, with 12 workers up to 12,012 workers in 39 pools."""
     sizes = ((1, 12), (1, 120), (1, POOL_WORKERS), (4, POOL_WORKERS), (13, POOL_WORKERS), (39, POOL_WORKERS))
     return [asyncio.run(_measure_pools(pools, workers, 1)) for pools, workers in sizes]
 
 
 def measure_followers() -> list[Row]:
-    """One pool of 308 workers at a home with more and more followers."""
+    """Measures an owner of one pool of 308 workers with a rising number of followers."""
     return [asyncio.run(_measure_pools(1, POOL_WORKERS, followers)) for followers in (2, 10, 30, 70)]
 
 
 async def _measure_zone_count(zones: int) -> Row:
-    """An edge with 12 workers of 12 pools; one home for all pools in each zone. The homes share a process."""
+    """Measures an edge with 12 workers of 12 pools, and one owner of all pools per zone; the owners share a process."""
     members = owners_in(zones)
     pools = pools_owned_by(members[1], members[:2], 12)
     common = ("--members", str(len(members)), "--pools", ",".join(pools))
@@ -222,6 +228,7 @@
 
 
 async def _http_worker(number: int, pool: PoolName, until: float, counters: list[int]) -> None:
+    """Announces one worker once per second; ``counters`` holds the failed and all announcements."""
     reader, writer = await asyncio.open_connection("127.0.0.1", OPERATOR_PORT)
     await asyncio.sleep(number % 97 / 97)
     step = 0
@@ -286,7 +293,7 @@
 
 
 def measure_edge() -> list[Row]:
-    """Workers that announce over HTTP on connections that they keep open."""
+    """Measures workers that announce over HTTP on connections that stay open."""
     return [asyncio.run(_measure_edge_workers(workers)) for workers in (12, 120, 400)]
 
 
