--- a/bench/capacity/common.py
+++ b/bench/capacity/common.py
@@ -31,6 +31,7 @@
 
 
 def real_quiet_context(folder: Path | None = None) -> Context:
+    """Returns a context with the real clock, network and disk; a failed task ends the process with exit code 3."""
     log = ErrorsOnlyLog()
     return Context(
         clock=RealClock(),
@@ -44,6 +45,7 @@
 
 
 def routers(count: int, zones: int = 1, first_port: int = 1) -> list[Identity]:
+    """Returns identities of routers on consecutive ports, spread over the zones in turn."""
     return [
         Identity(
             DaemonName(f"r{number:04}"),
@@ -134,6 +136,7 @@
 
 
 def resident_bytes(process: int | str = "self") -> int:
+    """Returns the resident memory of a process in bytes, read from /proc."""
     return int(Path(f"/proc/{process}/statm").read_text().split()[1]) * resource.getpagesize()
 
 
@@ -156,6 +159,7 @@
 
 
 def rounded_row(row: Row) -> Row:
+    """Returns the row with its floating-point numbers rounded to six significant figures."""
     return {name: float(f"{value:.6g}") if isinstance(value, float) else value for name, value in row.items()}
 
 
--- a/bench/capacity/planned_roles.py
+++ b/bench/capacity/planned_roles.py
@@ -18,7 +18,7 @@
 OWNERS_FOLLOWED = PLANNED.routers_per_zone * (1 - (1 - 1 / PLANNED.routers_per_zone) ** PLANNED.pools)
 """The expected number of different routers among the owners of 39 pools in one zone."""
 OWNER_REQUESTS_PER_SECOND = 1 / 0.3
-"""A follower asks an owner once in 0.3 s."""
+"""Requests per second of one follower to one owner: a request every 0.3 s."""
 OWNER_DUTIES_PER_ROUTER = PLANNED.pools * PLANNED.zones / PLANNED.daemons
 """The mean number of pools that a router owns, where each zone has an owner for each pool."""
 UNREPEATABLE_CALL_SHARE = 0.1
--- a/bench/capacity/prefixes.py
+++ b/bench/capacity/prefixes.py
@@ -16,7 +16,7 @@
 from .planned import PLANNED
 
 PREFIX_COUNTS = (500, 5_000, 50_000)
-RECORD_RETENTION_S = 1_800.0
+SIMULATED_SECONDS = 1_800.0
 
 
 def _prefix_numbers(number: int, exponent: float, rng: random.Random) -> Iterator[int]:
@@ -35,7 +35,7 @@
     Only the second half of the turns counts for the share, when the router has already seen the earlier ones.
     """
     parts, pool, rng = SharedPrefixes(), PoolName("p"), random.Random(1)
-    count = int(RECORD_RETENTION_S * PLANNED.calls_per_daemon)
+    count = int(SIMULATED_SECONDS * PLANNED.calls_per_daemon)
     known = 0
     started = time.process_time()
     for turn, prefix in zip(range(count), _prefix_numbers(number, exponent, rng), strict=False):
