--- a/bench/capacity/control.py
+++ b/bench/capacity/control.py
@@ -41,7 +41,7 @@
     rows: list[Row] = []
     deciding = applying = 0.0
     record_bytes = since = 0
-    order = operator.first()
+    order = operator.initial_order()
     while True:
         begun = time.process_time()
         record, _ = state.decide(SubmitOrder(order))
@@ -78,7 +78,7 @@
         order = operator.change()
 
 
-class _Fleet(control_bench.Fleet):
+class _Fleet(control_bench.ControlProcesses):
     def start(self, number: int) -> None:
         (self.folder / f"c{number + 1}").mkdir(parents=True, exist_ok=True)
         with (self.folder / f"c{number + 1}.log").open("ab") as log:
@@ -105,7 +105,7 @@
     identity = Identity(DaemonName("bench"), Incarnation("bench"), "tool", Zone("a"), settings.internal)
     messenger = TcpMessenger(context, identity, control_bench.KEY)
     operator = control_bench.Operator(ControlClient(context, messenger, control_bench.seeds))
-    await operator.send(operator.first())
+    await operator.send(operator.initial_order())
     rows: list[Row] = []
     for goal in CHANGES:
         first = operator.version
@@ -121,7 +121,7 @@
             "order_core_ms": [share / (goal - first) * 1e3 for share in spent],
             "resident_mb": [pages / 1e6 for pages in fleet.resident()],
         }
-        opened = len(fleet.logged("opened", "took"))
+        opened = len(fleet.logged_values("opened", "took"))
         fleet.kill_all()
         order = operator.change()
         begun = time.monotonic()
@@ -129,10 +129,10 @@
             fleet.start(number)
         await operator.send(order)
         row["restart_s"] = time.monotonic() - begun
-        row["journal_read_s"] = max(fleet.logged("opened", "took")[opened - 3 :] or [0.0])
+        row["journal_read_s"] = max(fleet.logged_values("opened", "took")[opened - 3 :] or [0.0])
         row["restart_processor_s"] = max(fleet.processor())
         rows.append(row)
-    rewrites = fleet.logged("journal-rewritten", "took")
+    rewrites = fleet.logged_values("journal-rewritten", "took")
     rows[-1] |= {"rewrites": len(rewrites), "longest_rewrite_s": max(rewrites, default=0.0)}
     return rows
 
--- a/bench/capacity/ledger.py
+++ b/bench/capacity/ledger.py
@@ -48,12 +48,12 @@
             state = LedgerState(RealClock(), ledger_bench.RETENTION)
             # A tenth is enough for the weight of an entry, and tracing makes the filling slow.
             part = size if size <= 100_000 else size // 4
-            ledger_bench._fill(state, part, settled)
+            ledger_bench._fill_ledger(state, part, settled)
             gc.collect()
             weights.append(tracemalloc.get_traced_memory()[0] / part)
             tracemalloc.stop()
         state = LedgerState(RealClock(), ledger_bench.RETENTION)
-        filled = timed(lambda: ledger_bench._fill(state, size, True))  # noqa: B023
+        filled = timed(lambda: ledger_bench._fill_ledger(state, size, True))  # noqa: B023
         snapshot = b""
 
         def shoot() -> None:
--- a/bench/configuration_steps.py
+++ b/bench/configuration_steps.py
@@ -29,26 +29,26 @@
 Value = TypeVar("Value")
 
 
-async def measured(title: str, work: Callable[[], Awaitable[Value]]) -> Value:
+async def run_measured(title: str, work: Callable[[], Awaitable[Value]]) -> Value:
     """Runs the work beside a task that notes each turn of the loop."""
-    longest, last = 0.0, time.perf_counter()
+    longest_gap, last_turn_at = 0.0, time.perf_counter()
 
-    async def watch() -> None:
-        nonlocal longest, last
+    async def note_loop_turns() -> None:
+        nonlocal longest_gap, last_turn_at
         while True:
             now = time.perf_counter()
-            longest, last = max(longest, now - last), now
+            longest_gap, last_turn_at = max(longest_gap, now - last_turn_at), now
             await asyncio.sleep(0)
 
     gc.collect()
-    watching = asyncio.create_task(watch())
+    watcher = asyncio.create_task(note_loop_turns())
     await asyncio.sleep(0)
-    longest, last, begun = 0.0, time.perf_counter(), time.process_time()
+    longest_gap, last_turn_at, started_at = 0.0, time.perf_counter(), time.process_time()
     value = await work()
-    longest = max(longest, time.perf_counter() - last)
-    spent = time.process_time() - begun
-    watching.cancel()
-    print(f"  {title:34s} {1000 * spent:7.1f} ms in all, longest {1000 * longest:6.2f} ms", flush=True)
+    longest_gap = max(longest_gap, time.perf_counter() - last_turn_at)
+    cpu_seconds = time.process_time() - started_at
+    watcher.cancel()
+    print(f"  {title:34s} {1000 * cpu_seconds:7.1f} ms in all, longest {1000 * longest_gap:6.2f} ms", flush=True)
     return value
 
 
@@ -60,30 +60,34 @@
         self.signers = (public_hex(self.state._signing_key),) if self.state._signing_key else ()
         self.bundle: Bundle | None = None
 
-    async def take(self, title: str, change: EditionChange) -> None:
+    async def submit_change(self, title: str, change: EditionChange) -> None:
         command = SubmitEdition(change)
-        sent = await measured(f"{title}: encode command", self._now(lambda: msgspec.msgpack.encode(command)))
-        await measured(f"{title}: decode command", self._now(lambda: msgspec.msgpack.decode(sent, type=SubmitEdition)))
-        await measured(f"{title}: prepare", lambda: self.state.prepare(command))
-        record, _ = await measured(f"{title}: decide", self._now(lambda: self.state.decide(command)))
+        encoded = await run_measured(
+            f"{title}: encode command", self._as_coroutine(lambda: msgspec.msgpack.encode(command))
+        )
+        await run_measured(
+            f"{title}: decode command", self._as_coroutine(lambda: msgspec.msgpack.decode(encoded, type=SubmitEdition))
+        )
+        await run_measured(f"{title}: prepare", lambda: self.state.prepare(command))
+        record, _ = await run_measured(f"{title}: decide", self._as_coroutine(lambda: self.state.decide(command)))
         assert record is not None
-        await measured(f"{title}: apply", self._now(lambda: self.state.apply(record)))
+        await run_measured(f"{title}: apply", self._as_coroutine(lambda: self.state.apply(record)))
         since = BundleVersion(0 if self.bundle is None else self.bundle.version)
         delta = self.state.delta_since(since, self.state.version)
         assert delta is not None
-        held = self.bundle
+        current = self.bundle
         self.bundle = (
-            await measured(f"{title}: router reads", lambda: apply_delta_gradually(held, delta, self.signers))
+            await run_measured(f"{title}: router reads", lambda: apply_delta_gradually(current, delta, self.signers))
         ).unwrap()
 
-    def _now(self, work: Callable[[], Value]) -> Callable[[], Awaitable[Value]]:
+    def _as_coroutine(self, work: Callable[[], Value]) -> Callable[[], Awaitable[Value]]:
         async def run() -> Value:
             return work()
 
         return run
 
 
-def change_of(order: str, base: int, content: TranslatedChange) -> EditionChange:
+def edition_change(order: str, base: int, content: TranslatedChange) -> EditionChange:
     return EditionChange(
         order=OrderId(order),
         base=base,
@@ -98,14 +102,14 @@
     body = msgspec.json.encode(large_configuration(routes))
     print(f"{routes} routes, {len(body)} bytes", flush=True)
     stages = Stages()
-    whole = (await measured("whole: translate", lambda: translate_complete(body))).unwrap()
-    await stages.take("whole", change_of("whole", 0, whole))
-    held = stages.state.slices_at(stages.state.version)
-    assert held is not None
-    await measured("give back", lambda: render_configuration(held))
+    complete = (await run_measured("whole: translate", lambda: translate_complete(body))).unwrap()
+    await stages.submit_change("whole", edition_change("whole", 0, complete))
+    current = stages.state.slices_at(stages.state.version)
+    assert current is not None
+    await run_measured("give back", lambda: render_configuration(current))
     patch = msgspec.json.encode({"version": 8, "upsert": {"routes": [route("r-00001", service="s2")]}})
-    small = (await measured("patch: translate", lambda: translate_patch(patch, held))).unwrap()
-    await stages.take("patch", change_of("patch", 7, small))
+    small = (await run_measured("patch: translate", lambda: translate_patch(patch, current))).unwrap()
+    await stages.submit_change("patch", edition_change("patch", 7, small))
 
 
 def main() -> None:
--- a/bench/control_bench.py
+++ b/bench/control_bench.py
@@ -89,13 +89,13 @@
 async def _serve(settings: DaemonSettings) -> None:
     stopped = asyncio.Event()
     context = real_context(settings, lambda reason: stopped.set())
-    begun = time.monotonic()
+    started_at = time.monotonic()
     match await open_store(context):
         case Success((store, contents)):
             pass
         case Failure(fault):
             raise SystemExit(fault.detail)
-    context.log.event("opened", took=time.monotonic() - begun)
+    context.log.event("opened", took=time.monotonic() - started_at)
     identity = Identity(settings.name, store.incarnation, "control", settings.zone, settings.internal)
     messenger = TcpMessenger(context, identity, settings.fleet_key)
     appliers = (BundleState(settings.operator_keys), LedgerState(context.clock, Seconds(1800.0)))
@@ -105,7 +105,7 @@
     await stopped.wait()
 
 
-class Fleet:
+class ControlProcesses:
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.children: dict[int, subprocess.Popen[bytes]] = {}
@@ -130,7 +130,7 @@
         for number in list(self.children):
             self.kill(number)
 
-    def logged(self, event: str, field: str) -> list[float]:
+    def logged_values(self, event: str, field: str) -> list[float]:
         """The field of all such events in the children's logs."""
         found: list[float] = []
         for log in sorted(self.folder.glob("c*.log")):
@@ -151,7 +151,7 @@
         self.version = 0
         self.slices: dict[SliceName, bytes] = {}
 
-    def first(self) -> Order:
+    def initial_order(self) -> Order:
         gold = PriorityClass(name=ClassName("gold"))
         after = {SliceName("class/gold"): canonical_json(gold)}
         for number in range(TENANTS):
@@ -180,11 +180,11 @@
         return order
 
     async def send(self, order: Order, within: float = 20.0) -> float:
-        begun = time.monotonic()
+        started_at = time.monotonic()
         match await self.client.submit(SubmitOrder(order), Seconds(within)):
             case Success(OrderOutcome(outcome="accepted")):
                 self.version = order.manifest.version
-                return time.monotonic() - begun
+                return time.monotonic() - started_at
             case other:
                 raise SystemExit(f"order {order.manifest.order}: {other}")
 
@@ -201,7 +201,7 @@
 def run(folder: Path, changes: str) -> None:
     """The whole bench."""
     shutil.rmtree(folder, ignore_errors=True)
-    fleet = Fleet(folder)
+    fleet = ControlProcesses(folder)
     try:
         asyncio.run(_run(fleet, [int(number) for number in changes.split(",")]))
     finally:
@@ -209,7 +209,7 @@
         shutil.rmtree(folder, ignore_errors=True)
 
 
-async def _run(fleet: Fleet, changes: Sequence[int]) -> None:
+async def _run(fleet: ControlProcesses, changes: Sequence[int]) -> None:
     for number in range(3):
         fleet.start(number)
     settings = settings_of(9, None)
@@ -217,21 +217,24 @@
     identity = Identity(DaemonName("bench"), Incarnation("bench"), "tool", Zone("a"), settings.internal)
     messenger = TcpMessenger(context, identity, KEY)
     operator = Operator(ControlClient(context, messenger, seeds))
-    begun = time.monotonic()
-    await operator.send(operator.first())
-    click.echo(f"first bundle of {TENANTS} tenants, from the start of the processes: {time.monotonic() - begun:.2f} s")
+    started_at = time.monotonic()
+    await operator.send(operator.initial_order())
+    click.echo(
+        f"first bundle of {TENANTS} tenants, from the start of the processes: {time.monotonic() - started_at:.2f} s"
+    )
     for goal in changes:
-        taken: list[float] = []
+        latencies: list[float] = []
         while operator.version < goal:
-            taken.append(await operator.send(operator.change()))
-            if len(taken) % 2000 == 0:
+            latencies.append(await operator.send(operator.change()))
+            if len(latencies) % 2000 == 0:
                 click.echo(f"  {operator.version} orders", err=True)
         click.echo(
-            percentiles(f"orders one after another, up to {goal}", taken) + f", {1 / (sum(taken) / len(taken)):.0f}/s"
+            percentiles(f"orders one after another, up to {goal}", latencies)
+            + f", {1 / (sum(latencies) / len(latencies)):.0f}/s"
         )
         click.echo(f"  journal {fleet.journal_bytes() / 1e6:.1f} MB")
         await _restart(fleet, operator, goal)
-    rewrites = fleet.logged("journal-rewritten", "took")
+    rewrites = fleet.logged_values("journal-rewritten", "took")
     if rewrites:
         click.echo(
             f"journal rewrites: {len(rewrites)}, beside the orders, taking at most {max(rewrites) * 1000:.0f} ms"
@@ -242,23 +245,23 @@
     click.echo(f"first control daemon killed, next order after {await operator.send(operator.change()):.2f} s")
 
 
-async def _restart(fleet: Fleet, operator: Operator, goal: int) -> None:
+async def _restart(fleet: ControlProcesses, operator: Operator, goal: int) -> None:
     """Orders were acknowledged up to ``goal``: all daemons are killed, then started."""
-    before = len(fleet.logged("opened", "took"))
+    before = len(fleet.logged_values("opened", "took"))
     fleet.kill_all()
     order = operator.change()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     for number in (2, 0, 1):
         fleet.start(number)
     await operator.send(order)
     click.echo(
-        f"all killed at {goal} orders: next order acknowledged {time.monotonic() - begun:.2f} s after the start; "
-        f"journal read in at most {max(fleet.logged('opened', 'took')[before - 3 :]):.2f} s"
+        f"all killed at {goal} orders: next order acknowledged {time.monotonic() - started_at:.2f} s after the start; "
+        f"journal read in at most {max(fleet.logged_values('opened', 'took')[before - 3 :]):.2f} s"
     )
 
 
 async def _ledger(client: ControlClient, clients: int) -> None:
-    taken: list[float] = []
+    latencies: list[float] = []
     end = time.monotonic() + 4.0
 
     async def one(number: int) -> None:
@@ -266,16 +269,16 @@
         while time.monotonic() < end:
             claim += 1
             key = claim.to_bytes(8, "big") + number.to_bytes(4, "big") + clients.to_bytes(4, "big")
-            begun = time.monotonic()
+            started_at = time.monotonic()
             batch = LedgerBatch(router, 0, claims=(ClaimKey(claim, key),))
             match await client.decide("ledger", batch, LedgerAnswers, Seconds(5.0)):
                 case Success(_):
-                    taken.append(time.monotonic() - begun)
+                    latencies.append(time.monotonic() - started_at)
                 case Failure(fault):
                     raise SystemExit(f"ledger: {fault}")
 
     await asyncio.gather(*(one(number) for number in range(clients)))
-    click.echo(percentiles(f"ledger claims, {clients} at a time", taken) + f", {len(taken) / 4.0:.0f}/s")
+    click.echo(percentiles(f"ledger claims, {clients} at a time", latencies) + f", {len(latencies) / 4.0:.0f}/s")
 
 
 if __name__ == "__main__":
--- a/bench/control_losses.py
+++ b/bench/control_losses.py
@@ -15,7 +15,7 @@
 THREE = SIX[:3]
 FILLER = b"x" * 65_536
 """Sixteen of them make a state of 1 MB."""
-PATIENCE = 30.0
+RECOVERY_TIMEOUT_SECONDS = 30.0
 
 Fault = Callable[[ControlWorld, str], None]
 
@@ -51,21 +51,21 @@
 
 
 def _cut_off(control: ControlWorld, name: str) -> None:
-    cut = control.world.cut_off(name)
-    control.world.at(control.world.now + 5.0, lambda: control.world.heal(cut))
+    partition = control.world.cut_off(name)
+    control.world.at(control.world.now + 5.0, lambda: control.world.heal(partition))
 
 
 def _wipe_running(control: ControlWorld, name: str) -> None:
     """The supervisor starts the process again 0.2 s after it stopped."""
     control.world.wipe(name)
 
-    def look() -> None:
+    def restart_when_stopped() -> None:
         if control.world.processes[name].alive:
-            control.world.at(control.world.now + 0.1, look)
+            control.world.at(control.world.now + 0.1, restart_when_stopped)
         else:
             control.world.at(control.world.now + 0.2, lambda: control.world.restart(name))
 
-    look()
+    restart_when_stopped()
 
 
 FAULTS: dict[str, Fault] = {
@@ -99,23 +99,23 @@
         members = [
             str(member.name) for member in sorted(view.members, key=lambda member: rank.get(member.incarnation, 2))
         ]
-        places = {"primary": 0, "backup": 1, "second backup": 2, "witness": len(members) - 1}
-        begun = world.now
+        positions = {"primary": 0, "backup": 1, "second backup": 2, "witness": len(members) - 1}
+        started_at = world.now
         for role in roles:
-            fault(control, members[places[role]])
-        while control.send(timeout=10.0) is None and world.now - begun < PATIENCE:
+            fault(control, members[positions[role]])
+        while control.send(timeout=10.0) is None and world.now - started_at < RECOVERY_TIMEOUT_SECONDS:
             pass
-        gap = world.now - begun
-        world.run(max(0.0, begun + 0.3 - world.now))
-        world.wait_for(control.complete, PATIENCE, every=0.02)
+        gap = world.now - started_at
+        world.run(max(0.0, started_at + 0.3 - world.now))
+        world.wait_for(control.complete, RECOVERY_TIMEOUT_SECONDS, every=0.02)
         if control.observer.faults or world.broken_invariants:
             raise AssertionError([*control.observer.faults, *world.broken_invariants])
-        return gap, world.now - begun
+        return gap, world.now - started_at
     finally:
         control.close()
 
 
-def main(seeds: int, only: int | None) -> None:
+def main(seeds: int, only_losses: int | None) -> None:
     print(f"{seeds} seeds, state 1 MB; seconds: median and longest gap, median and longest until complete")
     cases: list[tuple[int, tuple[str, ...]]] = [
         (1, ("primary",)),
@@ -125,17 +125,17 @@
         (2, ("backup", "second backup")),
         (2, ("primary", "witness")),
     ]
-    for losses, roles in [case for case in cases if only in (None, case[0])]:
+    for losses, roles in [case for case in cases if only_losses in (None, case[0])]:
         for name, fault in FAULTS.items():
             found = [measure(seed, losses, roles, fault) for seed in range(seeds)]
-            gaps, wholes = [gap for gap, _ in found], [whole for _, whole in found]
+            gaps, completion_times = [gap for gap, _ in found], [completed_after for _, completed_after in found]
             print(
                 f"f={losses} {' and '.join(roles):26} {name:30} gap {statistics.median(gaps):5.2f} {max(gaps):5.2f}"
-                f"  complete {statistics.median(wholes):5.2f} {max(wholes):5.2f}",
+                f"  complete {statistics.median(completion_times):5.2f} {max(completion_times):5.2f}",
                 flush=True,
             )
 
 
 if __name__ == "__main__":
-    given = [int(argument) for argument in sys.argv[1:]]
-    main(given[0] if given else 10, given[1] if len(given) > 1 else None)
+    arguments = [int(argument) for argument in sys.argv[1:]]
+    main(arguments[0] if arguments else 10, arguments[1] if len(arguments) > 1 else None)
--- a/bench/drains.py
+++ b/bench/drains.py
@@ -30,29 +30,29 @@
 from .load.run import new_run_name, run_load
 from .load.target import read_target
 from .load.traffic import Callers, LoadOptions
-from .roll_outs import told
+from .roll_outs import percentiles_ms
 
-WATCHED = 2.5
+WATCH_SECONDS = 2.5
 """Seconds after the acknowledgement; a turn beyond 2 s must never be."""
-LIMIT = 2.0
-WARM_UP = 5.0
-PAUSE = 0.02
-LISTED_WITHIN = 5.0
+MAX_TURN_DELAY_SECONDS = 2.0
+WARM_UP_SECONDS = 5.0
+POLL_INTERVAL_SECONDS = 0.02
+LISTING_TIMEOUT_SECONDS = 5.0
 
 
 class Measure:
     def __init__(self, fleet: Fleet, http: JsonClient) -> None:
         self._fleet = fleet
         self._http = http
-        self.announced: list[float] = []
+        self.acknowledgement_times: list[float] = []
         """Seconds from sending the announcement to its acknowledgement."""
-        self.last_turn: list[float] = []
+        self.last_turn_delays: list[float] = []
         """Per round with a turn after the acknowledgement: the last one's coming."""
         self.late_turns = 0
         self.turns_before: list[float] = []
         """Turns that came to the worker in the second before."""
-        self.listed: list[float] = []
-        self.listed_last: list[float] = []
+        self.listing_times: list[float] = []
+        self.last_listing_times: list[float] = []
         self.problems: list[str] = []
 
     async def round(self, number: int, worker: WorkerPlan) -> None:
@@ -71,42 +71,44 @@
         }
         sent = time.monotonic()
         reply = await self._http.post(daemon.operator, "/workers/v1/announce", announcement)
-        at = time.monotonic()
+        acknowledged_at = time.monotonic()
         if not reply.succeeded:
             self.problems.append(f"{daemon.name} answered {reply.status} {reply.body}")
             return
-        self.announced.append(at - sent)
-        waits = await asyncio.gather(*(self._lists(router, instance, at) for router in self._fleet.routers()))
+        self.acknowledgement_times.append(acknowledged_at - sent)
+        waits = await asyncio.gather(
+            *(self._time_until_listed(router, instance, acknowledged_at) for router in self._fleet.routers())
+        )
         seen = [wait for wait in waits if wait is not None]
-        self.listed += seen
+        self.listing_times += seen
         if len(seen) == len(waits):
-            self.listed_last.append(max(seen))
+            self.last_listing_times.append(max(seen))
         else:
             self.problems.append(f"{len(waits) - len(seen)} routers did not list {instance} as draining")
-        await asyncio.sleep(max(0.0, at + WATCHED - time.monotonic()))
-        await self._count_turns(worker, instance, at)
-        await self._begin_anew(worker, instance)
+        await asyncio.sleep(max(0.0, acknowledged_at + WATCH_SECONDS - time.monotonic()))
+        await self._count_turns(worker, instance, acknowledged_at)
+        await self._restart_worker(worker, instance)
 
-    async def _lists(self, router: DaemonPlan, instance: str, since: float) -> float | None:
-        while time.monotonic() < since + LISTED_WITHIN:
+    async def _time_until_listed(self, router: DaemonPlan, instance: str, since: float) -> float | None:
+        while time.monotonic() < since + LISTING_TIMEOUT_SECONDS:
             reply = await self._http.get(router.operator, "/control/v1/workers")
             if reply.succeeded and not any(
                 each["instance"] == instance and each["state"] == "ready" for each in reply.body
             ):
                 return time.monotonic() - since
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         return None
 
-    async def _count_turns(self, worker: WorkerPlan, instance: str, at: float) -> None:
+    async def _count_turns(self, worker: WorkerPlan, instance: str, acknowledged_at: float) -> None:
         reply = await self._http.get(worker.address, "/runs", timeout=20.0)
         arrivals = [run["arrived"] for run in reply.body["runs"] if run["request"] and run["instance"] == instance]
-        self.turns_before.append(sum(at - 1.0 < arrived <= at for arrived in arrivals))
-        late = [arrived - at for arrived in arrivals if arrived > at]
+        self.turns_before.append(sum(acknowledged_at - 1.0 < arrived <= acknowledged_at for arrived in arrivals))
+        late = [arrived - acknowledged_at for arrived in arrivals if arrived > acknowledged_at]
         self.late_turns += len(late)
         if late:
-            self.last_turn.append(max(late))
+            self.last_turn_delays.append(max(late))
 
-    async def _begin_anew(self, worker: WorkerPlan, instance: str) -> None:
+    async def _restart_worker(self, worker: WorkerPlan, instance: str) -> None:
         """A new life with an empty cache once its streams have ended, and back in all routers' lists."""
 
         async def idle() -> bool:
@@ -116,7 +118,7 @@
         await wait_until(f"{worker.name} is idle", idle)
         await self._http.post(worker.address, "/faults", {"fault": "restart-empty"})
 
-        async def back() -> bool:
+        async def is_listed_again() -> bool:
             for router in self._fleet.routers():
                 reply = await self._http.get(router.operator, "/control/v1/workers")
                 ready = (
@@ -126,19 +128,19 @@
                     return False
             return True
 
-        await wait_until(f"{worker.name} is back", back)
+        await wait_until(f"{worker.name} is back", is_listed_again)
 
     def report(self) -> dict[str, Any]:
-        rounds = len(self.announced)
+        rounds = len(self.acknowledgement_times)
         return {
             "rounds": rounds,
-            "announcement_acknowledged_after": told(self.announced),
+            "announcement_acknowledged_after": percentiles_ms(self.acknowledgement_times),
             "turns_a_second_before": round(sum(self.turns_before) / max(1, len(self.turns_before)), 2),
             "late_turns": self.late_turns,
-            "rounds_with_late_turns": len(self.last_turn),
-            "last_late_turn": told(self.last_turn),
-            "listed_as_draining_each_router": told(self.listed),
-            "listed_as_draining_last_router": told(self.listed_last),
+            "rounds_with_late_turns": len(self.last_turn_delays),
+            "last_late_turn": percentiles_ms(self.last_turn_delays),
+            "listed_as_draining_each_router": percentiles_ms(self.listing_times),
+            "listed_as_draining_last_router": percentiles_ms(self.last_listing_times),
             "problems": self.problems,
         }
 
@@ -169,7 +171,7 @@
         measure = Measure(fleet, http)
         workers = [worker for worker in fleet.workers.values() if worker.pool.kind == "model"]
         try:
-            await asyncio.sleep(WARM_UP)
+            await asyncio.sleep(WARM_UP_SECONDS)
             before = os.getloadavg()
             for number in range(rounds):
                 await measure.round(number, workers[number % len(workers)])
@@ -179,13 +181,15 @@
                 callers.stop()
             result = (await load)[0]
             http.close()
-        kept = {name: result[name] for name in ("calls", "calls_per_second", "outcomes", "refusals", "problems")}
+        caller_results = {
+            name: result[name] for name in ("calls", "calls_per_second", "outcomes", "refusals", "problems")
+        }
         return {
             "shape": shape.name,
             "load_average": before,
             "load_average_end": after,
             **measure.report(),
-            "callers": kept,
+            "callers": caller_results,
         }
 
 
@@ -203,7 +207,7 @@
         click.echo(f"error: {problem}", err=True)
         sys.exit(2)
     click.echo(json.dumps(found, indent=1))
-    too_late = found["last_late_turn"].get("max", 0.0) > LIMIT * 1000
+    too_late = found["last_late_turn"].get("max", 0.0) > MAX_TURN_DELAY_SECONDS * 1000
     sys.exit(1 if too_late or found["problems"] else 0)
 
 
--- a/bench/engine_model.py
+++ b/bench/engine_model.py
@@ -18,7 +18,7 @@
 from wingwood.placement.sent_chains import Chain, chains
 from wingwood.registry.protocols import Worker, WorkerLoad
 
-QUIET_STEPS = 8
+MAX_STEPS_WITHOUT_PREFILL = 8
 """Steps taken at once while nothing is prefilled."""
 
 
@@ -27,10 +27,10 @@
 
     slots: int = 32
     cache_tokens: int = 250_000
-    step: float = 0.0007
-    step_per_stream: float = 0.000002
-    prefill_per_token: float = 1 / 300_000
-    chunk: int = 2000
+    step_seconds: float = 0.0007
+    step_seconds_per_stream: float = 0.000002
+    prefill_seconds_per_token: float = 1 / 300_000
+    chunk_tokens: int = 2000
     tokens_per_event: int = 34
 
 
@@ -43,15 +43,15 @@
         self.generate = max(1, generate)
         self.end = end
         self.first: asyncio.Future[None] = end.get_loop().create_future()
-        self.left_to_prefill = -1
+        self.remaining_prefill_tokens = -1
         """-1: not begun."""
         self.cached = 0
         self.generated = 0
         self.events: list[float] = []
-        self.gone = False
+        self.aborted = False
 
     @property
-    def rest(self) -> int:
+    def unshared_tokens(self) -> int:
         return max(0, self.prompt - sum(part.tokens for part in self.parts))
 
 
@@ -61,18 +61,18 @@
         self.engine = engine
         self.zone = zone
         self.up = True
-        self.slow = 1.0
+        self.slow_factor = 1.0
         self._loop = asyncio.get_event_loop()
         self._cache: OrderedDict[Chain, int] = OrderedDict()
         self._cached_tokens = 0
-        self._held = 0
+        self._reserved_tokens = 0
         self._waiting: deque[Stream] = deque()
         self._running: list[Stream] = []
         self._stepping = False
-        self.read_tokens = 0
-        self.read_part_tokens = 0
+        self.prefilled_tokens = 0
+        self.prefilled_part_tokens = 0
 
-    def announced(self, pool: PoolName) -> Worker:
+    def announcement(self, pool: PoolName) -> Worker:
         return Worker(
             instance=self.instance,
             address=Address("127.0.0.1", 1),
@@ -84,10 +84,10 @@
         )
 
     @property
-    def present(self) -> int:
+    def stream_count(self) -> int:
         return len(self._running) + len(self._waiting)
 
-    def take(self, parts: tuple[PromptPart, ...], prompt: int, generate: int) -> Stream:
+    def submit(self, parts: tuple[PromptPart, ...], prompt: int, generate: int) -> Stream:
         stream = Stream(parts, prompt, generate, self._loop.create_future())
         self._waiting.append(stream)
         self._wake()
@@ -96,9 +96,9 @@
     def tokens_ahead(self) -> int:
         """Tokens that a new prompt has before it."""
         waiting = sum(stream.prompt - self.cached(stream.parts) for stream in self._waiting)
-        return waiting + sum(max(0, stream.left_to_prefill) for stream in self._running)
+        return waiting + sum(max(0, stream.remaining_prefill_tokens) for stream in self._running)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         self.up = True
         self._wake()
 
@@ -111,13 +111,13 @@
 
     def _step(self) -> None:
         self._admit()
-        prefilled, reading = self._prefill_chunk()
-        decoding = [stream for stream in self._running if stream.left_to_prefill == 0]
+        prefilled, did_prefill = self._prefill_chunk()
+        decoding = [stream for stream in self._running if stream.remaining_prefill_tokens == 0]
         steps = 1
-        if not reading and decoding:
-            steps = min(QUIET_STEPS, *(self._to_boundary(stream) for stream in decoding))
-        per_step = self.engine.step + self.engine.step_per_stream * len(self._running)
-        seconds = (steps * per_step + prefilled * self.engine.prefill_per_token) * self.slow
+        if not did_prefill and decoding:
+            steps = min(MAX_STEPS_WITHOUT_PREFILL, *(self._to_boundary(stream) for stream in decoding))
+        per_step = self.engine.step_seconds + self.engine.step_seconds_per_stream * len(self._running)
+        seconds = (steps * per_step + prefilled * self.engine.prefill_seconds_per_token) * self.slow_factor
         self._loop.call_later(seconds, self._stepped, decoding, steps)
 
     def _to_boundary(self, stream: Stream) -> int:
@@ -125,39 +125,42 @@
         return min(stream.generate - stream.generated, event - stream.generated % event)
 
     def _admit(self) -> None:
-        self._waiting = deque(stream for stream in self._waiting if not stream.gone)
-        for stream in [stream for stream in self._running if stream.gone]:
+        self._waiting = deque(stream for stream in self._waiting if not stream.aborted)
+        for stream in [stream for stream in self._running if stream.aborted]:
             self._leave(stream)
         while self._waiting and len(self._running) < self.engine.slots:
             stream = self._waiting[0]
-            if self._running and self._held + stream.rest + stream.generate > self.engine.cache_tokens:
+            if (
+                self._running
+                and self._reserved_tokens + stream.unshared_tokens + stream.generate > self.engine.cache_tokens
+            ):
                 return
             self._waiting.popleft()
             self._running.append(stream)
-            self._held += stream.rest + stream.generate
+            self._reserved_tokens += stream.unshared_tokens + stream.generate
             stream.cached = self.cached(stream.parts)
             self._touch(stream.parts, stream.cached)
-            stream.left_to_prefill = stream.prompt - stream.cached
-            self.read_tokens += stream.left_to_prefill
-            self.read_part_tokens += stream.prompt - stream.rest - stream.cached
+            stream.remaining_prefill_tokens = stream.prompt - stream.cached
+            self.prefilled_tokens += stream.remaining_prefill_tokens
+            self.prefilled_part_tokens += stream.prompt - stream.unshared_tokens - stream.cached
 
     def _prefill_chunk(self) -> tuple[int, bool]:
         """Tokens prefilled in this step, and whether prompts remain."""
-        left = self.engine.chunk
+        remaining = self.engine.chunk_tokens
         for stream in self._running:
-            if stream.left_to_prefill > 0 and left > 0:
-                tokens = min(left, stream.left_to_prefill)
-                stream.left_to_prefill -= tokens
-                left -= tokens
-                if stream.left_to_prefill == 0:
-                    self._keep(stream.parts)
-        reading = left < self.engine.chunk
-        return self.engine.chunk - left, reading
+            if stream.remaining_prefill_tokens > 0 and remaining > 0:
+                tokens = min(remaining, stream.remaining_prefill_tokens)
+                stream.remaining_prefill_tokens -= tokens
+                remaining -= tokens
+                if stream.remaining_prefill_tokens == 0:
+                    self._store(stream.parts)
+        did_prefill = remaining < self.engine.chunk_tokens
+        return self.engine.chunk_tokens - remaining, did_prefill
 
     def _stepped(self, decoding: Sequence[Stream], steps: int) -> None:
         now = self._loop.time()
         for stream in decoding:
-            if stream.gone:
+            if stream.aborted:
                 continue
             stream.generated += steps
             done = stream.generated >= stream.generate
@@ -173,34 +176,34 @@
 
     def _leave(self, stream: Stream) -> None:
         self._running.remove(stream)
-        self._held -= stream.rest + stream.generate
-        self._keep(stream.parts)
+        self._reserved_tokens -= stream.unshared_tokens + stream.generate
+        self._store(stream.parts)
 
     # --- the cache ----------------------------------------------------------------------------
 
     def cached(self, parts: tuple[PromptPart, ...]) -> int:
         """Tokens of a prompt that it keeps."""
         tokens = 0
-        for chain, upto in chains(parts):
+        for chain, end_tokens in chains(parts):
             if chain not in self._cache:
                 break
-            tokens = upto
+            tokens = end_tokens
         return tokens
 
     def _touch(self, parts: tuple[PromptPart, ...], tokens: int) -> None:
         """Longest first, so that a prefix is never older than what follows on it."""
-        for chain, upto in reversed(list(chains(parts))):
-            if upto <= tokens and chain in self._cache:
+        for chain, end_tokens in reversed(list(chains(parts))):
+            if end_tokens <= tokens and chain in self._cache:
                 self._cache.move_to_end(chain)
 
-    def _keep(self, parts: tuple[PromptPart, ...]) -> None:
+    def _store(self, parts: tuple[PromptPart, ...]) -> None:
         before = 0
-        for chain, upto in chains(parts):
+        for chain, end_tokens in chains(parts):
             if chain not in self._cache:
-                self._cache[chain] = upto - before
-                self._cached_tokens += upto - before
-            before = upto
+                self._cache[chain] = end_tokens - before
+                self._cached_tokens += end_tokens - before
+            before = end_tokens
         self._touch(parts, before)
-        while self._cache and self._cached_tokens + self._held > self.engine.cache_tokens:
+        while self._cache and self._cached_tokens + self._reserved_tokens > self.engine.cache_tokens:
             _, tokens = self._cache.popitem(last=False)
             self._cached_tokens -= tokens
--- a/bench/fleet_growth.py
+++ b/bench/fleet_growth.py
@@ -21,26 +21,26 @@
 CONTROLS = 6
 MODEL_WORKERS = 30
 PLAIN_WORKERS = 3
-USUAL_ROUTERS = 11
-FORMED_WITHIN = 30.0
-WARM_UP = 6.0
+REFERENCE_ROUTERS = 11
+FORMATION_TIMEOUT_SECONDS = 30.0
+WARM_UP_SECONDS = 6.0
 
 
-class Spent(msgspec.Struct, frozen=True):
+class DaemonTraffic(msgspec.Struct, frozen=True):
     """Of one daemon of a role, each second."""
 
     bytes_mean: float
-    bytes_most: float
+    bytes_max: float
     messages_mean: float
-    messages_most: float
+    messages_max: float
 
 
 class Growth(msgspec.Struct, frozen=True):
     routers: int
     processor_ms: float
     """Per daemon and second, the simulator's part included."""
-    router: Spent
-    control: Spent
+    router: DaemonTraffic
+    control: DaemonTraffic
 
 
 def shape_of(routers: int) -> Shape:
@@ -60,7 +60,7 @@
     return found
 
 
-def counted(messengers: dict[str, TcpMessenger]) -> dict[str, tuple[int, int]]:
+def traffic_counters(messengers: dict[str, TcpMessenger]) -> dict[str, tuple[int, int]]:
     """Bytes in and out, and messages sent, so far."""
     return {
         name: (messenger.bytes_in + messenger.bytes_out, messenger.messages_out)
@@ -68,10 +68,12 @@
     }
 
 
-def spent(before: dict[str, tuple[int, int]], after: dict[str, tuple[int, int]], seconds: float) -> Spent:
+def traffic_per_second(
+    before: dict[str, tuple[int, int]], after: dict[str, tuple[int, int]], seconds: float
+) -> DaemonTraffic:
     sizes = [(after[name][0] - before[name][0]) / seconds for name in before]
     messages = [(after[name][1] - before[name][1]) / seconds for name in before]
-    return Spent(sum(sizes) / len(sizes), max(sizes), sum(messages) / len(messages), max(messages))
+    return DaemonTraffic(sum(sizes) / len(sizes), max(sizes), sum(messages) / len(messages), max(messages))
 
 
 def measure(routers: int, traffic: float, seconds: float, seed: int) -> Growth:
@@ -80,18 +82,20 @@
     with World(seed, network_shape(shape)) as world:
         fleet = Fleet(world, shape, supervised=False)
         fleet.start()
-        fleet.put_in_force(FORMED_WITHIN)
-        fleet.set_traffic(traffic * routers / USUAL_ROUTERS)
-        world.run(WARM_UP)
+        fleet.put_in_force(FORMATION_TIMEOUT_SECONDS)
+        fleet.set_traffic(traffic * routers / REFERENCE_ROUTERS)
+        world.run(WARM_UP_SECONDS)
         roles = {role: messengers_of(fleet, role) for role in ("router", "control")}
-        before = {role: counted(found) for role, found in roles.items()}
-        used = time.process_time()
+        before = {role: traffic_counters(found) for role, found in roles.items()}
+        cpu_seconds = time.process_time()
         world.run(seconds)
-        used = time.process_time() - used
-        figures = {role: spent(before[role], counted(found), seconds) for role, found in roles.items()}
+        cpu_seconds = time.process_time() - cpu_seconds
+        figures = {
+            role: traffic_per_second(before[role], traffic_counters(found), seconds) for role, found in roles.items()
+        }
     return Growth(
         routers=routers,
-        processor_ms=1000 * used / seconds / (routers + CONTROLS),
+        processor_ms=1000 * cpu_seconds / seconds / (routers + CONTROLS),
         router=figures["router"],
         control=figures["control"],
     )
@@ -107,14 +111,14 @@
     click.echo("routers traffic | ms/s a daemon | router B/s mean, most | msg/s mean, most | control B/s | msg/s")
     for traffic in loads:
         for routers in sizes:
-            grown = measure(routers, traffic, seconds, seed)
-            router, control = grown.router, grown.control
+            growth = measure(routers, traffic, seconds, seed)
+            router, control = growth.router, growth.control
             click.echo(
-                f"{routers:>7} {traffic:>7} | {grown.processor_ms:>13.2f} "
-                f"| {router.bytes_mean:>10.0f} {router.bytes_most:>10.0f} "
-                f"| {router.messages_mean:>8.1f} {router.messages_most:>7.1f} "
-                f"| {control.bytes_mean:>6.0f} {control.bytes_most:>6.0f} "
-                f"| {control.messages_mean:>6.1f} {control.messages_most:>6.1f}"
+                f"{routers:>7} {traffic:>7} | {growth.processor_ms:>13.2f} "
+                f"| {router.bytes_mean:>10.0f} {router.bytes_max:>10.0f} "
+                f"| {router.messages_mean:>8.1f} {router.messages_max:>7.1f} "
+                f"| {control.bytes_mean:>6.0f} {control.bytes_max:>6.0f} "
+                f"| {control.messages_mean:>6.1f} {control.messages_max:>6.1f}"
             )
 
 
--- a/bench/forward_bench.py
+++ b/bench/forward_bench.py
@@ -47,27 +47,27 @@
         if head.startswith(b"POST /plain"):
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}")
             return
-        self.left = int(_header(head, b"x-events"))
+        self.remaining_events = int(_header(head, b"x-events"))
         self.pace = float(_header(head, b"x-pace"))
         self.transport.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
         )
-        self.due = asyncio.get_running_loop().time()
+        self.next_event_at = asyncio.get_running_loop().time()
         self.send_event()
 
     def send_event(self) -> None:
         if self.transport.is_closing():
             return
-        if self.left == 0:
+        if self.remaining_events == 0:
             self.transport.write(b"e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n")
             return
-        self.left -= 1
+        self.remaining_events -= 1
         event = b"data: %d " % time.monotonic_ns()
         event += b"x" * (EVENT_BYTES - len(event) - 2) + b"\n\n"
         self.transport.write(b"%x\r\n%s\r\n" % (len(event), event))
         loop = asyncio.get_running_loop()
-        self.due += self.pace
-        loop.call_at(self.due, self.send_event)
+        self.next_event_at += self.pace
+        loop.call_at(self.next_event_at, self.send_event)
 
 
 def _header(head: bytes, name: bytes) -> bytes:
@@ -140,14 +140,14 @@
     )
     path.start().unwrap()
 
-    async def tell_cost(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def report_cost(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         used = resource.getrusage(resource.RUSAGE_SELF)
         cost = {"processor": used.ru_utime + used.ru_stime, "memory": _resident_bytes()}
         writer.write(json.dumps(cost).encode() + b"\n")
         await writer.drain()
         writer.close()
 
-    await asyncio.start_server(tell_cost, "127.0.0.1", COST_PORT)
+    await asyncio.start_server(report_cost, "127.0.0.1", COST_PORT)
     ended = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ended.set)
     if profile:
@@ -169,9 +169,9 @@
 
 async def router_cost() -> dict[str, float]:
     reader, writer = await asyncio.open_connection("127.0.0.1", COST_PORT)
-    told: dict[str, float] = json.loads(await reader.readline())
+    cost: dict[str, float] = json.loads(await reader.readline())
     writer.close()
-    return told
+    return cost
 
 
 class BareCaller(asyncio.Protocol):
@@ -232,19 +232,19 @@
     loop = asyncio.get_running_loop()
     calls: Numbers = []
     events: Numbers = []
-    until = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     failed = 0
 
     async def caller(number: int) -> None:
         nonlocal failed
         await asyncio.sleep(0.05 * number / callers)  # Else all streams' events would come at the same time.
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             # Each stream has a connection of its own at the worker too, as the router makes one for each call.
             _, protocol = await loop.create_connection(lambda: BareCaller(events), "127.0.0.1", port)
-            while time.monotonic() < until and not protocol.transport.is_closing():
-                begun = time.monotonic()
+            while time.monotonic() < deadline and not protocol.transport.is_closing():
+                started_at = time.monotonic()
                 await protocol.call(data, streams)
-                calls.append((time.monotonic() - begun) * 1e3)
+                calls.append((time.monotonic() - started_at) * 1e3)
             failed += protocol.failed
             protocol.transport.close()
 
@@ -271,18 +271,18 @@
         many = await closed_loop(port, streams, seconds / 2, chat, streams=True)
         report[f"piece ms, {streams} streams, {name}"] = quantiles(many["events"])
     before = await router_cost()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     full = await closed_loop(ROUTER_PORT, 32, seconds, plain, streams=False)
-    after, took = await router_cost(), time.monotonic() - begun
+    after, took = await router_cost(), time.monotonic() - started_at
     used = after["processor"] - before["processor"]
     report["calls/s, 32 callers"] = round(len(full["calls"]) / took)
     report["calls per processor second"] = round(len(full["calls"]) / used)
     report["call ms, 32 callers, router"] = quantiles(full["calls"])
     fast = request_bytes("/chat", X_Events=1000, X_Pace=0.002)
     before = await router_cost()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     flood = await closed_loop(ROUTER_PORT, 16, seconds, fast, streams=True)
-    after, took = await router_cost(), time.monotonic() - begun
+    after, took = await router_cost(), time.monotonic() - started_at
     used = after["processor"] - before["processor"]
     report["pieces/s, 16 streams"] = round(len(flood["events"]) / took)
     report["pieces per processor second"] = round(len(flood["events"]) / used)
--- a/bench/hollow_daemons.py
+++ b/bench/hollow_daemons.py
@@ -65,19 +65,19 @@
 KEY = b"hollow daemons' key, of no worth"
 CONTROL_PORT = 26000
 HOLLOW_PORT = 26010
-HEAD_BYTES = 52
+SEGMENT_HEADER_BYTES = 52
 SEEDS = tuple(Address("127.0.0.1", CONTROL_PORT + number) for number in range(3))
-PLANNED_CHANGES_A_SECOND = 28_000 / 86_400
+PLANNED_CHANGES_PER_SECOND = 28_000 / 86_400
 
 
-class NoLog:
+class ErrorLog:
     def event(self, name: str, **fields: object) -> None:
         if name in ("invariant-broken", "bundle-refused", "peer-refused"):
             print(name, fields, file=sys.stderr, flush=True)
 
 
 def make_context(folder: Path) -> Context:
-    log = NoLog()
+    log = ErrorLog()
     tasks = RealTasks(log, lambda reason: os._exit(3))
     return Context(
         clock=RealClock(),
@@ -90,19 +90,19 @@
     )
 
 
-def segments() -> tuple[int, int]:
+def tcp_traffic() -> tuple[int, int]:
     """Bytes and segments, in and out, of all TCP sockets of this process so far."""
     total_bytes = total_segments = 0
     for name in os.listdir("/proc/self/fd"):
         try:
             if not os.readlink(f"/proc/self/fd/{name}").startswith("socket:"):
                 continue
-            held = socket.socket(fileno=os.dup(int(name)))
+            duplicate = socket.socket(fileno=os.dup(int(name)))
         except OSError:
             continue
-        with held:
+        with duplicate:
             try:
-                info = held.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 192)
+                info = duplicate.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 192)
             except OSError:
                 continue
         if len(info) >= 144:
@@ -114,14 +114,14 @@
 
 def own_report(messengers: Sequence[TcpMessenger]) -> dict[str, Any]:
     usage = resource.getrusage(resource.RUSAGE_SELF)
-    wire_bytes, wire_segments = segments()
+    wire_bytes, wire_segments = tcp_traffic()
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return {
         "at": time.monotonic(),
         "processor": usage.ru_utime + usage.ru_stime,
         "memory": pages * resource.getpagesize(),
         "messenger_bytes": sum(messenger.bytes_in + messenger.bytes_out for messenger in messengers),
-        "wire_bytes": wire_bytes + HEAD_BYTES * wire_segments,
+        "wire_bytes": wire_bytes + SEGMENT_HEADER_BYTES * wire_segments,
     }
 
 
@@ -154,7 +154,7 @@
         messenger = TcpMessenger(
             context, Identity(name, store.incarnation, "control", Zone(f"zone-{number}"), SEEDS[number]), KEY
         )
-        keeper = MembershipCoordinator(context, messenger, SEEDS)
+        coordinator = MembershipCoordinator(context, messenger, SEEDS)
         state = BundleState(OPERATOR_KEYS)
         core = ReplicatedCore(
             context,
@@ -163,19 +163,23 @@
             contents,
             [state],
             SEEDS,
-            knows_of_history=keeper.knows_of_history,
-            other_controls=keeper.known_controls,
+            knows_of_history=coordinator.knows_of_history,
+            other_controls=coordinator.known_controls,
         )
-        publisher = BundlePublisher(context, messenger, core, CommittedBundles(core, state), keeper)
-        keeper.set_update_source(publisher.membership_update)
+        publisher = BundlePublisher(context, messenger, core, CommittedBundles(core, state), coordinator)
+        coordinator.set_update_source(publisher.membership_update)
         assert isinstance(messenger.start(), Success)
         core.start()
-        keeper.start()
+        coordinator.start()
         publisher.start()
         await answer_parent(
             lambda: (
                 own_report([messenger])
-                | {"members": len(keeper.members()), "leads": core.leads(), "accepts": core.report().accepts_orders}
+                | {
+                    "members": len(coordinator.members()),
+                    "leads": core.leads(),
+                    "accepts": core.report().accepts_orders,
+                }
             )
         )
 
@@ -198,7 +202,7 @@
         followers: list[BundleFollower] = []
         in_force: dict[int, list[float]] = {}
 
-        def note(bundle: Bundle) -> None:
+        def record_activation(bundle: Bundle) -> None:
             in_force.setdefault(bundle.version, []).append(time.monotonic())
 
         for number in range(first, first + daemons):
@@ -212,7 +216,7 @@
             messenger = TcpMessenger(context, identity, KEY)
             client = MembershipClient(context, messenger, SEEDS)
             follower = BundleFollower(context, messenger, client, OPERATOR_KEYS, Seconds(5.0))
-            follower.on_change(note)
+            follower.on_change(record_activation)
             assert isinstance(messenger.start(), Success)
             client.start()
             follower.start()
@@ -223,14 +227,14 @@
                 await asyncio.sleep(0.1)
 
         def report() -> dict[str, Any]:
-            seen, in_force_now = dict(in_force), sorted(follower.version() for follower in followers)
+            activations, in_force_now = dict(in_force), sorted(follower.version() for follower in followers)
             in_force.clear()
             return own_report(messengers) | {
                 "empty_memory": empty,
                 "fewest_members": min(len(client.members()) for client in clients),
                 "lowest_version": in_force_now[0],
                 "serving": sum(follower.may_serve() for follower in followers),
-                "in_force": seen,
+                "in_force": activations,
             }
 
         await answer_parent(report)
@@ -326,7 +330,7 @@
     phases: list[Phase]
 
 
-def spread(values: Sequence[float]) -> dict[str, float]:
+def latency_summary(values: Sequence[float]) -> dict[str, float]:
     if not values:
         return {}
     ordered = sorted(values)
@@ -345,7 +349,7 @@
         self._tenants = tenants
         self._slices: dict[SliceName, bytes] = {}
         self.version = BundleVersion(0)
-        self.took: list[float] = []
+        self.latencies: list[float] = []
         self.acknowledged: dict[int, float] = {}
 
     async def change(self) -> None:
@@ -359,12 +363,12 @@
             )
             after = self._slices | dict([slice_of(tenant)])
         order = order_between(self.version, self._slices, after)
-        begun = time.monotonic()
+        started_at = time.monotonic()
         outcome = await self._client.decide("bundle", SubmitOrder(order), OrderOutcome, Seconds(15.0))
         now = time.monotonic()
         assert isinstance(outcome, Success) and outcome.unwrap().outcome == "accepted", outcome
         self.version, self._slices = order.manifest.version, after
-        self.took.append(now - begun)
+        self.latencies.append(now - started_at)
         self.acknowledged[self.version] = now
 
 
@@ -378,23 +382,23 @@
     daemons: int,
 ) -> Phase:
     before, before_hollow = [child.report() for child in controls], hollow_child.report()
-    operator.took.clear()
+    operator.latencies.clear()
     operator.acknowledged.clear()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     changes = 0
-    while (left := begun + seconds - time.monotonic()) > 0:
+    while (remaining := started_at + seconds - time.monotonic()) > 0:
         if rate:
             await operator.change()
             changes += 1
-            await asyncio.sleep(max(0.0, begun + changes / rate - time.monotonic()))
+            await asyncio.sleep(max(0.0, started_at + changes / rate - time.monotonic()))
         else:
-            await asyncio.sleep(left)
+            await asyncio.sleep(remaining)
     await asyncio.sleep(2.5 if rate else 0.0)
     after, after_hollow = [child.report() for child in controls], hollow_child.report()
-    passed = after_hollow["at"] - before_hollow["at"]
+    elapsed = after_hollow["at"] - before_hollow["at"]
 
     def daemon_rate(field: str) -> float:
-        return float(round((after_hollow[field] - before_hollow[field]) / passed / daemons, 6))
+        return float(round((after_hollow[field] - before_hollow[field]) / elapsed / daemons, 6))
 
     def control_rates(field: str) -> list[float]:
         pairs = zip(before, after, strict=True)
@@ -402,16 +406,16 @@
 
     each: list[float] = []
     last: list[float] = []
-    seen = sorted((int(version), times) for version, times in after_hollow["in_force"].items())
+    activations = sorted((int(version), times) for version, times in after_hollow["in_force"].items())
     for version, acknowledged in sorted(operator.acknowledged.items()):
-        each += [at - acknowledged for found, times in seen if found == version for at in times]
+        each += [at - acknowledged for found, times in activations if found == version for at in times]
         # Each daemon has this version when it has it or a later one; the last to do so counts.
-        firsts = sorted(at for found, times in seen if found >= version for at in times)
+        firsts = sorted(at for found, times in activations if found >= version for at in times)
         if len(firsts) >= daemons:
-            last.append(_last_of_all(version, seen, daemons) - acknowledged)
+            last.append(_last_activation(version, activations, daemons) - acknowledged)
     return Phase(
         name=name,
-        seconds=round(passed, 3),
+        seconds=round(elapsed, 3),
         changes=changes,
         daemon_messenger_bytes=daemon_rate("messenger_bytes"),
         daemon_wire_bytes=daemon_rate("wire_bytes"),
@@ -420,22 +424,22 @@
         behind=operator.version - after_hollow["lowest_version"],
         control_processor=control_rates("processor"),
         control_messenger_bytes=control_rates("messenger_bytes"),
-        acknowledged_ms=spread(operator.took),
-        all_in_force_ms=spread(last),
-        each_in_force_ms=spread(each),
+        acknowledged_ms=latency_summary(operator.latencies),
+        all_in_force_ms=latency_summary(last),
+        each_in_force_ms=latency_summary(each),
     )
 
 
-def _last_of_all(version: int, seen: Sequence[tuple[int, list[float]]], daemons: int) -> float:
+def _last_activation(version: int, activations: Sequence[tuple[int, list[float]]], daemons: int) -> float:
     """An upper bound of when the last daemon had ``version``: the last one's first later version.
 
     Daemons don't say who they are, so the count of activations of the first version that all daemons
     put in force is taken where versions were skipped.
     """
-    for found, times in seen:
+    for found, times in activations:
         if found >= version and len(times) >= daemons:
             return max(times)
-    return max(at for _, times in seen for at in times)
+    return max(at for _, times in activations for at in times)
 
 
 async def measure(daemons: int, zones: int, processes: int, tenants: int, seconds: float, storm: float) -> Size:
@@ -447,7 +451,7 @@
         hollow_child = HollowChildren(daemons, zones, processes)
         try:
             operator = Operator(make_context(Path(folder)), tenants)
-            begun = time.monotonic()
+            started_at = time.monotonic()
             while not any(child.report()["accepts"] for child in controls):
                 await asyncio.sleep(0.2)
             await operator.change()
@@ -455,12 +459,12 @@
                 report = hollow_child.report()
                 if report["fewest_members"] == daemons + 3 and report["lowest_version"] == operator.version:
                     break
-                if time.monotonic() - begun > 120:
+                if time.monotonic() - started_at > 120:
                     raise TimeoutError(f"the fleet did not form: {report}")
                 await asyncio.sleep(0.2)
-            formed = time.monotonic() - begun
+            formation_seconds = time.monotonic() - started_at
             await asyncio.sleep(5.0)
-            plan = [("idle", 0.0), ("planned", PLANNED_CHANGES_A_SECOND), ("2 a second", 2.0)]
+            plan = [("idle", 0.0), ("planned", PLANNED_CHANGES_PER_SECOND), ("2 a second", 2.0)]
             plan += [("storm", storm)] if storm else []
             phases = [
                 await run_phase(name, operator, seconds, rate, controls, hollow_child, daemons) for name, rate in plan
@@ -470,7 +474,7 @@
                 daemons=daemons,
                 zones=zones,
                 tenants=tenants,
-                formed_after=round(formed, 2),
+                formed_after=round(formation_seconds, 2),
                 daemon_memory=round((report["memory"] - report["empty_memory"]) / daemons),
                 empty_memory=report["empty_memory"] / min(processes, daemons),
                 control_memory=[child.report()["memory"] for child in controls],
--- a/bench/http_client_bench.py
+++ b/bench/http_client_bench.py
@@ -32,9 +32,9 @@
 from wingwood.identifiers import Address
 
 PORT: Final = 23911
-EVENTS: Final = 40
+EVENTS_PER_STREAM: Final = 40
 EVENT: Final = b'data: {"token": "' + b"x" * 90 + b'"}\n\n'
-PACE: Final = 0.002
+EVENT_INTERVAL_SECONDS: Final = 0.002
 """Seconds between events: each arrives on its own."""
 HEADERS: Final = (
     b"Content-Type: text/event-stream\r\nX-Request-Id: 9c41d07be2a35f68\r\nKeep-Alive: timeout=5\r\n"
@@ -71,14 +71,14 @@
         self.received.clear()
         if streamed:
             self.transport.write(STREAM_HEAD)
-            asyncio.get_running_loop().call_later(PACE, self.send_event, EVENTS)
+            asyncio.get_running_loop().call_later(EVENT_INTERVAL_SECONDS, self.send_event, EVENTS_PER_STREAM)
         else:
             self.transport.write(PLAIN)
 
-    def send_event(self, left: int) -> None:
-        if left:
+    def send_event(self, remaining: int) -> None:
+        if remaining:
             self.transport.write(CHUNK)
-            asyncio.get_running_loop().call_later(PACE, self.send_event, left - 1)
+            asyncio.get_running_loop().call_later(EVENT_INTERVAL_SECONDS, self.send_event, remaining - 1)
         else:
             self.transport.write(b"0\r\n\r\n")
 
@@ -91,15 +91,15 @@
     asyncio.run(main())
 
 
-async def one_call(client: HttpClient, request: HttpRequest) -> int:
+async def call_cpu_ns(client: HttpClient, request: HttpRequest) -> int:
     """Its processor time in nanoseconds."""
-    begun = time.process_time_ns()
+    started_at = time.process_time_ns()
     exchange = client.start(request)
     head = await exchange.head()
     assert isinstance(head, Success), head
     while (await exchange.next_piece()).unwrap() is not None:
         pass
-    return time.process_time_ns() - begun
+    return time.process_time_ns() - started_at
 
 
 async def measure(calls: int, rounds: int) -> None:
@@ -122,11 +122,15 @@
                 request = HttpRequest(
                     "POST", Address("127.0.0.1", PORT), path, REQUEST_HEADERS, b"p" * size, reuse=reuse
                 )
-                await one_call(client, request)
-                costs[name] += [await one_call(client, request) for _ in range(count)]
+                await call_cpu_ns(client, request)
+                costs[name] += [await call_cpu_ns(client, request) for _ in range(count)]
         for name, values in costs.items():
             ordered = sorted(values)
-            per = f", {statistics.median(ordered) / 1000 / EVENTS:.1f} us per event" if path == "/stream" else ""
+            per = (
+                f", {statistics.median(ordered) / 1000 / EVENTS_PER_STREAM:.1f} us per event"
+                if path == "/stream"
+                else ""
+            )
             print(
                 f"{case}: {name}: p50 {statistics.median(ordered) / 1000:.0f} us, "
                 f"p90 {ordered[len(ordered) * 9 // 10] / 1000:.0f} us{per} ({len(ordered)} calls)"
@@ -138,20 +142,20 @@
 class MemoryStream(BaseIOStream):
     """Gives the pieces of an answer, one for each read."""
 
-    def __init__(self, pieces: list[bytes]) -> None:
+    def __init__(self, chunks: list[bytes]) -> None:
         super().__init__()
         self.socket, self._other = socket.socketpair()
-        self._pieces = pieces[::-1]
+        self._chunks = chunks[::-1]
 
     def fileno(self) -> int:
         return self.socket.fileno()
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        if not self._pieces:
+        if not self._chunks:
             return 0
-        piece = self._pieces.pop()
-        buf[: len(piece)] = piece
-        return len(piece)
+        chunk = self._chunks.pop()
+        buf[: len(chunk)] = chunk
+        return len(chunk)
 
     def write_to_fd(self, data: memoryview) -> int:
         return len(data)
@@ -161,37 +165,37 @@
         self._other.close()
 
 
-async def parse_by_tornado(pieces: list[bytes]) -> int:
-    stream = MemoryStream(pieces)
+async def parse_with_tornado(chunks: list[bytes]) -> int:
+    stream = MemoryStream(chunks)
     parameters = HTTP1ConnectionParameters(no_keep_alive=True, max_header_size=65536, chunk_size=16 * 1024)
     connection = HTTP1Connection(stream, True, parameters)  # type: ignore[arg-type]
     start_line = httputil.RequestStartLine("POST", "/", "HTTP/1.1")
     await connection.write_headers(start_line, httputil.HTTPHeaders({"Content-Length": "0"}))
     connection.finish()
-    begun = time.process_time_ns()
+    started_at = time.process_time_ns()
     await connection.read_response(httputil.HTTPMessageDelegate())
-    cost = time.process_time_ns() - begun
+    cost = time.process_time_ns() - started_at
     stream.close()
     return cost
 
 
-async def parse_by_own(pieces: list[bytes]) -> int:
-    begun = time.process_time_ns()
+async def parse_with_answer_parser(chunks: list[bytes]) -> int:
+    started_at = time.process_time_ns()
     parser = AnswerParser("POST", ("X-Request-Id", "9c41d07be2a35f68"))
-    for piece in pieces:
-        parser.take(piece)
+    for chunk in chunks:
+        parser.take(chunk)
     assert parser.outcome == "ended"
-    return time.process_time_ns() - begun
+    return time.process_time_ns() - started_at
 
 
 async def measure_parsers(times: int) -> None:
     parsers: list[tuple[str, Callable[[list[bytes]], Awaitable[int]]]] = [
-        ("tornado's HTTP1Connection on a stream in memory", parse_by_tornado),
-        ("AnswerParser", parse_by_own),
+        ("tornado's HTTP1Connection on a stream in memory", parse_with_tornado),
+        ("AnswerParser", parse_with_answer_parser),
     ]
-    for case, pieces in (("plain", [PLAIN]), ("stream", [STREAM_HEAD, *EVENTS * [CHUNK], b"0\r\n\r\n"])):
+    for case, chunks in (("plain", [PLAIN]), ("stream", [STREAM_HEAD, *EVENTS_PER_STREAM * [CHUNK], b"0\r\n\r\n"])):
         for name, parse in parsers:
-            costs = [await parse(pieces) for _ in range(times)]
+            costs = [await parse(chunks) for _ in range(times)]
             print(f"parse {case}: {name}: p50 {statistics.median(costs) / 1000:.1f} us ({times} times)")
 
 
--- a/bench/ledger_bench.py
+++ b/bench/ledger_bench.py
@@ -50,14 +50,14 @@
 RETENTION = Seconds(1800.0)
 
 
-class NoLog:
+class InvariantLog:
     def event(self, name: str, **fields: object) -> None:
         if name == "invariant-broken":
             print(name, fields, file=sys.stderr, flush=True)
 
 
 def make_context(folder: Path) -> Context:
-    log = NoLog()
+    log = InvariantLog()
     return Context(
         clock=RealClock(),
         network=RealNetwork(),
@@ -145,19 +145,19 @@
     ledger = RouterLedger(context, Incarnation("bench"), ControlClient(context, messenger, lambda: SEEDS))
     number = 0
 
-    async def one() -> tuple[bool, float]:
+    async def claim_once() -> tuple[bool, float]:
         nonlocal number
         number += 1
         key = call_key(number)
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         answer = await ledger.claim(key, Seconds(5.0))
-        took = time.perf_counter() - began
+        took = time.perf_counter() - started_at
         if isinstance(answer, Claimed):
             ledger.settle_soon(key, answer.ticket, "ran")
         return isinstance(answer, Claimed), took
 
     for _ in range(100):
-        if (await one())[0]:
+        if (await claim_once())[0]:
             break
         await asyncio.sleep(0.1)
     titles = f"{'load':>16} {'claims/s':>9} {'p50 ms':>7} {'p99 ms':>7} {'max ms':>7} {'failed':>6}"
@@ -165,19 +165,19 @@
     for callers, pace in ((1, 30.0), (1, 0.0), (16, 0.0), (64, 0.0), (256, 0.0)):
         before = [child.report() for child in children]
         times: list[float] = []
-        began, failed = time.perf_counter(), 0
+        started_at, failed = time.perf_counter(), 0
 
         async def caller(pace: float, times: list[float], until: float) -> None:
             nonlocal failed
             while time.perf_counter() < until:
-                granted, took = await one()
+                granted, took = await claim_once()
                 failed += not granted
                 times.append(took)
                 if pace:
                     await asyncio.sleep(max(0.0, 1 / pace - took))
 
-        await asyncio.gather(*(caller(pace, times, began + seconds) for _ in range(callers)))
-        took = time.perf_counter() - began
+        await asyncio.gather(*(caller(pace, times, started_at + seconds) for _ in range(callers)))
+        took = time.perf_counter() - started_at
         times.sort()
         shares = sorted(
             ((role, (processor - earlier[0]) / took, (journal - earlier[2]) / len(times)))
@@ -199,29 +199,30 @@
     titles = f"{'entries':>9} {'ran B':>6} {'held B':>6} {'snapshot B':>10} {'snapshot ms':>11}"
     click.echo(titles + f" {'restore ms':>10} {'µs a call':>9}")
     for size in (int(text) for text in sizes.split(",")):
-        weights = []
+        bytes_per_entry = []
         for settled in (True, False):
             gc.collect()
             tracemalloc.start()
             state = LedgerState(RealClock(), RETENTION)
             before = tracemalloc.get_traced_memory()[0]
-            _fill(state, size, settled)
+            _fill_ledger(state, size, settled)
             gc.collect()
-            weights.append((tracemalloc.get_traced_memory()[0] - before) / size)
+            bytes_per_entry.append((tracemalloc.get_traced_memory()[0] - before) / size)
             tracemalloc.stop()
         state = LedgerState(RealClock(), RETENTION)
-        began = time.perf_counter()
-        _fill(state, size, True)
-        filled = time.perf_counter() - began
-        began = time.perf_counter()
+        started_at = time.perf_counter()
+        _fill_ledger(state, size, True)
+        fill_seconds = time.perf_counter() - started_at
+        started_at = time.perf_counter()
         snapshot = state.snapshot()
-        shot = time.perf_counter() - began
-        began = time.perf_counter()
+        snapshot_seconds = time.perf_counter() - started_at
+        started_at = time.perf_counter()
         LedgerState(RealClock(), RETENTION).restore(snapshot)
-        restored = time.perf_counter() - began
+        restore_seconds = time.perf_counter() - started_at
         click.echo(
-            f"{size:9} {weights[0]:6.0f} {weights[1]:6.0f} {len(snapshot) / size:10.1f} {shot * 1e3:11.1f}"
-            f" {restored * 1e3:10.1f} {filled / size * 1e6:9.1f}"
+            f"{size:9} {bytes_per_entry[0]:6.0f} {bytes_per_entry[1]:6.0f} {len(snapshot) / size:10.1f}"
+            f" {snapshot_seconds * 1e3:11.1f}"
+            f" {restore_seconds * 1e3:10.1f} {fill_seconds / size * 1e6:9.1f}"
         )
 
 
@@ -230,18 +231,18 @@
 def takeover(seeds: int) -> None:
     """On simulated time: 30 claims a second while a control machine is lost; refused ones and the longest wait."""
     click.echo(f"{'lost':>10} {'claims':>7} {'refused':>8} {'longest granted':>16}")
-    for lost in ("primary killed", "primary frozen", "primary dark", "backup killed", "all restarted"):
+    for loss in ("primary killed", "primary frozen", "primary dark", "backup killed", "all restarted"):
         claims = refused = 0
         longest = 0.0
         for seed in range(seeds):
-            answers = _lose(seed, lost)
+            answers = _claims_during_loss(seed, loss)
             claims += len(answers)
             refused += sum(not granted for granted, _ in answers)
             longest = max(longest, *(took for granted, took in answers if granted))
-        click.echo(f"{lost:>14} {claims:>7} {refused:>8} {longest:>14.2f} s")
+        click.echo(f"{loss:>14} {claims:>7} {refused:>8} {longest:>14.2f} s")
 
 
-def _lose(seed: int, lost: str) -> list[tuple[bool, float]]:
+def _claims_during_loss(seed: int, loss: str) -> list[tuple[bool, float]]:
     """Claims begun within 5 s after the loss: whether granted, and after how long."""
     fleet = LedgerFleet(seed, routers=2)
     assert fleet.routers is not None
@@ -249,16 +250,16 @@
     context = world.context_for(world.processes["r0"])
     answers: list[tuple[bool, float]] = []
 
-    async def one(number: int) -> None:
-        began = world.now
+    async def claim_once(number: int) -> None:
+        started_at = world.now
         answer = await ledger.claim(call_key(number), Seconds(2.0))
-        answers.append((isinstance(answer, Claimed), world.now - began))
+        answers.append((isinstance(answer, Claimed), world.now - started_at))
         if isinstance(answer, Claimed):
             ledger.settle_soon(call_key(number), answer.ticket, "ran")
 
     async def load() -> None:
         for number in range(150):
-            context.tasks.spawn("claim", one(number))
+            context.tasks.spawn("claim", claim_once(number))
             await context.clock.sleep(Seconds(1 / 30))
 
     world.run(2.0)
@@ -266,13 +267,13 @@
     assert primary is not None
     world.spawn(world.processes["r0"], load(), "load")
     world.run(0.01)
-    if lost == "primary killed":
+    if loss == "primary killed":
         world.kill(primary)
-    elif lost == "primary frozen":
+    elif loss == "primary frozen":
         world.freeze(primary)
-    elif lost == "primary dark":
+    elif loss == "primary dark":
         world.power_off(primary)
-    elif lost == "backup killed":
+    elif loss == "backup killed":
         world.kill(fleet.control.name_with_role("backup"))
     else:
         for name in CONTROLS:
@@ -282,15 +283,15 @@
     return answers
 
 
-def _fill(state: LedgerState, size: int, settled: bool) -> None:
+def _fill_ledger(state: LedgerState, size: int, settled: bool) -> None:
     """One claim in each batch, and the settle of the call before it."""
-    last: tuple[SettleKey, ...] = ()
+    previous_settle: tuple[SettleKey, ...] = ()
     for number in range(1, size + 1):
         key = call_digest(call_key(number))
-        record, _ = state.decide(LedgerBatch(Incarnation("bench"), number, (ClaimKey(number, key),), last))
+        record, _ = state.decide(LedgerBatch(Incarnation("bench"), number, (ClaimKey(number, key),), previous_settle))
         assert record is not None
         state.apply(record)
-        last = (SettleKey(number, key, "ran"),) if settled else ()
+        previous_settle = (SettleKey(number, key, "ran"),) if settled else ()
 
 
 if __name__ == "__main__":
--- a/bench/limits_bench.py
+++ b/bench/limits_bench.py
@@ -28,108 +28,110 @@
 
 ROUTERS = 11
 Fault = Callable[[World, ShareFleet], None]
-START = 1.0
+START_SECONDS = 1.0
 """Load begins after the first heartbeats."""
 
 
 def even(rate: float) -> Load:
-    return lambda router, now: rate / ROUTERS if now >= START and router < ROUTERS else 0.0
+    return lambda router, now: rate / ROUTERS if now >= START_SECONDS and router < ROUTERS else 0.0
 
 
-def one(rate: float, chosen: int = 3) -> Load:
-    return lambda router, now: rate if router == chosen and now >= START else 0.0
+def one_router(rate: float, chosen: int = 3) -> Load:
+    return lambda router, now: rate if router == chosen and now >= START_SECONDS else 0.0
 
 
 def roaming(rate: float) -> Load:
     """All calls land on one router, another one each second."""
-    return lambda router, now: rate if now >= START and int(now) * 7 % ROUTERS == router else 0.0
+    return lambda router, now: rate if now >= START_SECONDS and int(now) * 7 % ROUTERS == router else 0.0
 
 
-def nothing(world: World, fleet: ShareFleet) -> None:
+def no_fault(world: World, fleet: ShareFleet) -> None:
     pass
 
 
-def at_five(act: Callable[[World, ShareFleet, str], None]) -> Fault:
+def at_five_seconds(act: Callable[[World, ShareFleet, str], None]) -> Fault:
     def plan(world: World, fleet: ShareFleet) -> None:
         world.at(5.0, lambda: act(world, fleet, fleet.allocator()))
 
     return plan
 
 
-def kill(world: World, fleet: ShareFleet, keeper: str) -> None:
-    fleet.mark_unreachable(keeper)
-    world.kill(keeper)
+def kill(world: World, fleet: ShareFleet, allocator: str) -> None:
+    fleet.mark_unreachable(allocator)
+    world.kill(allocator)
 
 
-def freeze(world: World, fleet: ShareFleet, keeper: str) -> None:
-    fleet.mark_unreachable(keeper)
-    world.freeze(keeper)
-    world.at(11.0, lambda: fleet.mark_recovered(keeper))
-    world.at(11.0, lambda: world.wake(keeper))
+def freeze(world: World, fleet: ShareFleet, allocator: str) -> None:
+    fleet.mark_unreachable(allocator)
+    world.freeze(allocator)
+    world.at(11.0, lambda: fleet.mark_recovered(allocator))
+    world.at(11.0, lambda: world.wake(allocator))
 
 
-def cut(world: World, fleet: ShareFleet, keeper: str) -> None:
-    fleet.mark_unreachable(keeper)
-    wires = world.cut_off(keeper)
-    world.at(11.0, lambda: fleet.mark_recovered(keeper))
-    world.at(11.0, lambda: world.heal(wires))
+def cut(world: World, fleet: ShareFleet, allocator: str) -> None:
+    fleet.mark_unreachable(allocator)
+    links = world.cut_off(allocator)
+    world.at(11.0, lambda: fleet.mark_recovered(allocator))
+    world.at(11.0, lambda: world.heal(links))
 
 
-def cut_from_deputy(world: World, fleet: ShareFleet, keeper: str) -> None:
+def cut_from_deputy(world: World, fleet: ShareFleet, allocator: str) -> None:
     """Only the wire between the keeper and the router next in order is cut; both remain members."""
-    wires = world.cut(keeper, fleet.deputy())
-    world.at(11.0, lambda: world.heal(wires))
+    links = world.cut(allocator, fleet.deputy())
+    world.at(11.0, lambda: world.heal(links))
 
 
-def control_down(world: World, fleet: ShareFleet, keeper: str) -> None:
+def control_down(world: World, fleet: ShareFleet, allocator: str) -> None:
     fleet.control_down = True
 
 
-def join(world: World, fleet: ShareFleet, keeper: str) -> None:
+def join(world: World, fleet: ShareFleet, allocator: str) -> None:
     for number in range(ROUTERS, ROUTERS + 5):
         fleet.join(number)
 
 
-def halve(world: World, fleet: ShareFleet, keeper: str) -> None:
+def halve(world: World, fleet: ShareFleet, allocator: str) -> None:
     fleet.change_tenant(tenant(fleet.tenant.paid_rate / 2))
 
 
 CASES: list[tuple[str, float, Load, Fault]] = [
-    ("even, 0.9 of paid", 100, even(90), nothing),
-    ("even, 2 x paid", 100, even(200), nothing),
-    ("one router, 0.9 of paid", 100, one(90), nothing),
-    ("one router, 2 x paid", 100, one(200), nothing),
-    ("roaming, 0.9 of paid", 100, roaming(90), nothing),
-    ("roaming, 2 x paid", 100, roaming(200), nothing),
-    ("crowd, 20 x paid, even", 100, even(2000), nothing),
-    ("small tenant, 0.9 of 2/s", 2, even(1.8), nothing),
-    ("small tenant, 3 x 2/s", 2, even(6), nothing),
-    ("large tenant, 2 x 1000/s", 1000, even(2000), nothing),
-    ("keeper killed, 0.9", 100, even(90), at_five(kill)),
-    ("keeper killed, 2 x", 100, even(200), at_five(kill)),
-    ("keeper killed, one router, 0.9", 100, one(90), at_five(kill)),
-    ("keeper frozen 6 s, 2 x", 100, even(200), at_five(freeze)),
-    ("keeper frozen 6 s, 0.9", 100, even(90), at_five(freeze)),
-    ("keeper cut off 6 s, 2 x", 100, even(200), at_five(cut)),
-    ("keeper cut off 6 s, 0.9", 100, even(90), at_five(cut)),
-    ("keeper cut from its deputy, 2 x", 100, even(200), at_five(cut_from_deputy)),
-    ("keeper cut from its deputy, 0.9", 100, even(90), at_five(cut_from_deputy)),
-    ("small, keeper killed, 4 of 8/s", 8, even(4), at_five(kill)),
-    ("small, keeper frozen, 4 of 8/s", 8, even(4), at_five(freeze)),
-    ("small, keeper killed, 16 of 8/s", 8, even(16), at_five(kill)),
-    ("control down, one router, 0.9", 100, one(90), at_five(control_down)),
-    ("control down, 2 x", 100, even(200), at_five(control_down)),
-    ("five join, 2 x", 100, even(200), at_five(join)),
-    ("five join, 0.9", 100, even(90), at_five(join)),
-    ("paid rate halved, 2 x", 100, even(200), at_five(halve)),
+    ("even, 0.9 of paid", 100, even(90), no_fault),
+    ("even, 2 x paid", 100, even(200), no_fault),
+    ("one router, 0.9 of paid", 100, one_router(90), no_fault),
+    ("one router, 2 x paid", 100, one_router(200), no_fault),
+    ("roaming, 0.9 of paid", 100, roaming(90), no_fault),
+    ("roaming, 2 x paid", 100, roaming(200), no_fault),
+    ("crowd, 20 x paid, even", 100, even(2000), no_fault),
+    ("small tenant, 0.9 of 2/s", 2, even(1.8), no_fault),
+    ("small tenant, 3 x 2/s", 2, even(6), no_fault),
+    ("large tenant, 2 x 1000/s", 1000, even(2000), no_fault),
+    ("keeper killed, 0.9", 100, even(90), at_five_seconds(kill)),
+    ("keeper killed, 2 x", 100, even(200), at_five_seconds(kill)),
+    ("keeper killed, one router, 0.9", 100, one_router(90), at_five_seconds(kill)),
+    ("keeper frozen 6 s, 2 x", 100, even(200), at_five_seconds(freeze)),
+    ("keeper frozen 6 s, 0.9", 100, even(90), at_five_seconds(freeze)),
+    ("keeper cut off 6 s, 2 x", 100, even(200), at_five_seconds(cut)),
+    ("keeper cut off 6 s, 0.9", 100, even(90), at_five_seconds(cut)),
+    ("keeper cut from its deputy, 2 x", 100, even(200), at_five_seconds(cut_from_deputy)),
+    ("keeper cut from its deputy, 0.9", 100, even(90), at_five_seconds(cut_from_deputy)),
+    ("small, keeper killed, 4 of 8/s", 8, even(4), at_five_seconds(kill)),
+    ("small, keeper frozen, 4 of 8/s", 8, even(4), at_five_seconds(freeze)),
+    ("small, keeper killed, 16 of 8/s", 8, even(16), at_five_seconds(kill)),
+    ("control down, one router, 0.9", 100, one_router(90), at_five_seconds(control_down)),
+    ("control down, 2 x", 100, even(200), at_five_seconds(control_down)),
+    ("five join, 2 x", 100, even(200), at_five_seconds(join)),
+    ("five join, 0.9", 100, even(90), at_five_seconds(join)),
+    ("paid rate halved, 2 x", 100, even(200), at_five_seconds(halve)),
 ]
 
 
 def run_case(seed: int, paid: float, load: Load, fault: Fault, seconds: float) -> ShareFleet:
     with World(seed) as world:
-        most = max(load(router, START + tenth / 10) for router in range(ROUTERS) for tenth in range(int(seconds * 10)))
+        max_rate = max(
+            load(router, START_SECONDS + tenth / 10) for router in range(ROUTERS) for tenth in range(int(seconds * 10))
+        )
         share: Tenant = tenant(paid)
-        fleet = ShareFleet(world, ROUTERS, share, load, most)
+        fleet = ShareFleet(world, ROUTERS, share, load, max_rate)
         fault(world, fleet)
         world.run(seconds)
         if world.broken_invariants:
@@ -155,8 +157,10 @@
             fleet = run_case(seed, paid, load, fault, seconds)
             wait = max((call[3] for call in fleet.calls), default=0.0)
             click.echo(
-                f"{name:34} {seed:4} {fleet.paid_ratio(START, seconds):6.3f} {fleet.paid_ratio(START, START + 1):6.2f}"
-                f" {fleet.max_paid_ratio(START, seconds, 1.0):7.2f} {fleet.refused_fraction(START, seconds):8.3f}"
+                f"{name:34} {seed:4} {fleet.paid_ratio(START_SECONDS, seconds):6.3f}"
+                f" {fleet.paid_ratio(START_SECONDS, START_SECONDS + 1):6.2f}"
+                f" {fleet.max_paid_ratio(START_SECONDS, seconds, 1.0):7.2f}"
+                f" {fleet.refused_fraction(START_SECONDS, seconds):8.3f}"
                 f" {wait * 1000:9.1f} ms  "
                 + " ".join(f"{fleet.refused_fraction(second, second + 1):.2f}" for second in range(1, int(seconds)))
             )
@@ -169,7 +173,7 @@
     asyncio.run(_cost(asks))
 
 
-class _TwoRouters:
+class _FixedMembership:
     def __init__(self, own: Identity, members: Sequence[Identity]) -> None:
         self._own = own
         self._members = members
@@ -201,46 +205,50 @@
         TcpMessenger(context, identity, b"bench") for context, identity in zip(contexts, identities, strict=True)
     ]
     shares = [
-        FleetShares(context, messenger, _TwoRouters(messenger.identity, identities))
+        FleetShares(context, messenger, _FixedMembership(messenger.identity, identities))
         for context, messenger in zip(contexts, messengers, strict=True)
     ]
     for messenger in messengers:
         assert isinstance(messenger.start(), Success)
-    tenants = [_named(f"t{number}", 1e6) for number in range(100)]
-    far, near = (
+    tenants = [_named_tenant(f"t{number}", 1e6) for number in range(100)]
+    remote_tenant, local_tenant = (
         next(each for each in tenants if shares[0].allocator_of(each.name) == identity)
         for identity in reversed(identities)
     )
-    for each in (far, near):
+    for each in (remote_tenant, local_tenant):
         for _ in range(50):
             await shares[0].take(each)
             await asyncio.sleep(0.01)
 
     async def timed(name: str, count: int, work: Callable[[int], Awaitable[object]]) -> None:
         before = sum(messenger.bytes_in + messenger.bytes_out for messenger in messengers)
-        began = time.process_time()
+        started_at = time.process_time()
         for number in range(count):
             await work(number)
-        spent = time.process_time() - began
-        moved = sum(messenger.bytes_in + messenger.bytes_out for messenger in messengers) - before
-        click.echo(f"{name:44} {spent / count * 1e6:8.1f} µs  {moved / count:7.1f} bytes counted by the messengers")
-
-    await timed("call (with its part of the asks)", 10 * asks, lambda _: shares[0].take(far))
-    keeper = identities[1]
-    ask = LeaseRequest(far.name, far.paid_rate, far.burst, far.unit, 1 << 40, (1,))
+        cpu_seconds = time.process_time() - started_at
+        bytes_moved = sum(messenger.bytes_in + messenger.bytes_out for messenger in messengers) - before
+        click.echo(
+            f"{name:44} {cpu_seconds / count * 1e6:8.1f} µs  {bytes_moved / count:7.1f} bytes counted by the messengers"
+        )
+
+    await timed("call (with its part of the asks)", 10 * asks, lambda _: shares[0].take(remote_tenant))
+    allocator = identities[1]
+    request = LeaseRequest(
+        remote_tenant.name, remote_tenant.paid_rate, remote_tenant.burst, remote_tenant.unit, 1 << 40, (1,)
+    )
 
-    async def one_ask(number: int) -> object:
-        numbered = msgspec.structs.replace(ask, number=(1 << 40) + number)
-        return await messengers[0].call(keeper.internal, numbered, LeaseGrant, Seconds(1.0))
+    async def one_request(number: int) -> object:
+        numbered = msgspec.structs.replace(request, number=(1 << 40) + number)
+        return await messengers[0].call(allocator.internal, numbered, LeaseGrant, Seconds(1.0))
 
-    await timed("ask and answer, both ends", asks, one_ask)
-    encoded = len(msgspec.msgpack.encode(ask))
+    await timed("ask and answer, both ends", asks, one_request)
+    encoded = len(msgspec.msgpack.encode(request))
     click.echo(f"an ask's own body: {encoded} bytes")
     for messenger in messengers:
         messenger.stop()
 
 
-def _named(name: str, rate: float) -> Tenant:
+def _named_tenant(name: str, rate: float) -> Tenant:
     return msgspec.structs.replace(tenant(rate), name=TenantName(name))
 
 
--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -53,11 +53,11 @@
     POOL,
     BenchMembership,
     BenchMessenger,
+    BenchNetwork,
     BenchRegistry,
-    NoMap,
+    NoSessionMap,
     Table,
     VirtualRun,
-    Wires,
     plain_policy,
     router_identities,
 )
@@ -77,7 +77,7 @@
     slots: int = 8
     cache_tokens: int = 120_000
     turns_per_second: float = 16.0
-    unhinted: float = 0.0
+    unhinted_share: float = 0.0
     """Share of turns whose end the router does not take as a hint (nor as news of the session)."""
     lost_routers: int = 0
     """How many routers die half-way."""
@@ -106,11 +106,11 @@
         self.cache = PrefixCache(shape.cache_tokens)
         self.slots = asyncio.Semaphore(shape.slots)
         self.prefill = asyncio.Lock()
-        self.present = 0
+        self.turn_count = 0
         self.running = 0
         self.up = number >= shape.late_workers
 
-    def announced(self) -> Worker:
+    def announcement(self) -> Worker:
         return Worker(
             instance=self.instance,
             address=Address("127.0.0.1", 1),
@@ -118,14 +118,14 @@
             zone=Zone("a"),
             slots=self.shape.slots,
             cache_tokens=self.shape.cache_tokens,
-            load=WorkerLoad(self.running, self.present - self.running),
+            load=WorkerLoad(self.running, self.turn_count - self.running),
         )
 
     async def run(self, parts: Sequence[PromptPart], generated: int) -> tuple[int, float]:
         """Cached tokens and the time to the first token."""
         clock = asyncio.get_running_loop()
-        begun = clock.time()
-        self.present += 1
+        started_at = clock.time()
+        self.turn_count += 1
         async with self.slots:
             self.running += 1
             async with self.prefill:
@@ -133,27 +133,27 @@
                 await asyncio.sleep((sum(part.tokens for part in parts) - cached) * self.PREFILL_PER_TOKEN)
                 self.cache.store(parts)
             await self._decode(1)
-            first = clock.time() - begun
-            left = generated - 1
-            while left > 0:
-                await self._decode(step := min(8, left))
-                left -= step
+            first = clock.time() - started_at
+            remaining = generated - 1
+            while remaining > 0:
+                await self._decode(step := min(8, remaining))
+                remaining -= step
             self.cache.store([*parts[:-1], PromptPart(parts[-1].name, parts[-1].tokens + generated)])
             self.running -= 1
-        self.present -= 1
+        self.turn_count -= 1
         return cached, first
 
     async def _decode(self, tokens: int) -> None:
         await asyncio.sleep(tokens * (self.DECODE_PER_TOKEN + self.DECODE_PER_OTHER * (self.running - 1)))
 
 
-class HintLosing(AwardPlacement):
+class HintDroppingPlacement(AwardPlacement):
     """Does not take a share of the ends of turns as hints."""
 
-    lost_share = 0.0
+    dropped_share = 0.0
 
     def hint(self, turn: Turn, holder: Worker, tokens: int) -> None:
-        if self._context.random.random() >= self.lost_share:
+        if self._context.random.random() >= self.dropped_share:
             super().hint(turn, holder, tokens)
 
 
@@ -174,9 +174,9 @@
         self.refused = 0
         self.imbalance: list[float] = []
         self.requests = 0
-        self.live: list[int] = list(range(shape.routers))
+        self.live_routers: list[int] = list(range(shape.routers))
         self.workers = [ModelWorker(number, shape) for number in range(shape.workers)]
-        self.wires = Wires(self.loop, shape.wire_delay)
+        self.network = BenchNetwork(self.loop, shape.wire_delay)
         self.registries: list[BenchRegistry] = []
         identities = router_identities(shape.routers)
         self.membership = BenchMembership(identities)
@@ -186,7 +186,7 @@
         self.template_tokens = [self.random.randrange(2000, 6000) for _ in self.templates]
 
     def _announced(self) -> tuple[Worker, ...]:
-        return tuple(worker.announced() for worker in self.workers if worker.up)
+        return tuple(worker.announcement() for worker in self.workers if worker.up)
 
     def _placement(self, number: int, identity: Identity, seed: int) -> Placement:
         shape = self.shape
@@ -195,22 +195,24 @@
         plain = plain_policy(shape.policy, context, registry)
         if plain is not None:
             return plain
-        messenger = cast(Any, BenchMessenger(self.wires, identity))
+        messenger = cast(Any, BenchMessenger(self.network, identity))
         membership = cast(Any, self.membership)
-        session_map: Any = {"local": LocalMap, "hash": NoMap}.get(shape.session_map, lambda: None)()
+        session_map: Any = {"local": LocalMap, "hash": NoSessionMap}.get(shape.session_map, lambda: None)()
         if session_map is None:
             session_map = DistributedMap(context, messenger, membership)
-        placement = HintLosing(context, membership, cast(Any, registry), registry, session_map, shape.settings)
-        placement.lost_share = shape.unhinted
-        if not isinstance(session_map, NoMap):
+        placement = HintDroppingPlacement(
+            context, membership, cast(Any, registry), registry, session_map, shape.settings
+        )
+        placement.dropped_share = shape.unhinted_share
+        if not isinstance(session_map, NoSessionMap):
             session_map.on_entry_stored = placement.entry_stored
         return placement
 
-    def go(self) -> dict[str, float]:
+    def execute(self) -> dict[str, float]:
         shape = self.shape
         self.loop.create_task(self._sessions())
         self.loop.create_task(self._refresh())
-        self.loop.call_later(shape.seconds / 2, self._all_up)
+        self.loop.call_later(shape.seconds / 2, self._start_late_workers)
         if shape.lost_routers:
             self.loop.call_later(shape.seconds / 2, self._lose_routers)
         self.run_for(shape.seconds)
@@ -227,27 +229,27 @@
                 if step % 3 == number % 3:
                     registry.refresh_running()
             if step % 10 == 0 and self.loop.now > self.shape.warm_up:
-                present = [worker.present for worker in self.workers if worker.up]
-                self.imbalance.append(max(present) / max(1.0, statistics.median(present)))
+                turn_count = [worker.turn_count for worker in self.workers if worker.up]
+                self.imbalance.append(max(turn_count) / max(1.0, statistics.median(turn_count)))
 
-    def _all_up(self) -> None:
+    def _start_late_workers(self) -> None:
         for worker in self.workers:
             worker.up = True
 
     def _lose_routers(self) -> None:
-        lost = self.live[: self.shape.lost_routers]
-        del self.live[: self.shape.lost_routers]
+        lost = self.live_routers[: self.shape.lost_routers]
+        del self.live_routers[: self.shape.lost_routers]
         addresses = [self.membership.all[number].internal for number in lost]
-        self.wires.dead.update(addresses)
+        self.network.unreachable.update(addresses)
         for number in lost:
             self.registries[number].count = lambda pool: {}
 
-        def noticed() -> None:
+        def remove_lost_members() -> None:
             self.membership.all = [identity for identity in self.membership.all if identity.internal not in addresses]
             for callback in list(self.membership.callbacks):
                 callback()
 
-        self.loop.call_later(2.0, noticed)
+        self.loop.call_later(2.0, remove_lost_members)
 
     async def _sessions(self) -> None:
         mean_turns = self.shape.session_length * (self.shape.summaries * 3 + (1 - self.shape.summaries) * 6)
@@ -267,7 +269,7 @@
         if random.random() < shape.summaries:
             template = 0 if random.random() < shape.hot_share else random.randrange(len(self.templates))
             shared = [PromptPart(self.templates[template], self.template_tokens[template])]
-            turns, own, asked, answer, think = (
+            turns, own_tokens, asked, answer, think = (
                 1 + _geometric(random, 3 * shape.session_length),
                 random.randrange(600, 2600),
                 60,
@@ -276,8 +278,14 @@
             )
         else:
             shared = [PromptPart("assistant", 300)]
-            turns, own, asked, answer, think = 1 + _geometric(random, 6 * shape.session_length), 80, 80, 110, 11.3
-        await self._turns(name, random, weight, shared, turns, own, asked, answer, think)
+            turns, own_tokens, asked, answer, think = (
+                1 + _geometric(random, 6 * shape.session_length),
+                80,
+                80,
+                110,
+                11.3,
+            )
+        await self._turns(name, random, weight, shared, turns, own_tokens, asked, answer, think)
 
     async def _turns(
         self,
@@ -286,19 +294,19 @@
         weight: float,
         shared: list[PromptPart],
         turns: int,
-        own: int,
+        own_tokens: int,
         asked: int,
         answer: int,
         think: float,
     ) -> None:
         for number in range(turns):
             generated = max(8, round(random.expovariate(1 / answer)))
-            own += asked
-            parts = [*shared, PromptPart(name, own)]
-            placement = self.placements[random.choice(self.live)]
+            own_tokens += asked
+            parts = [*shared, PromptPart(name, own_tokens)]
+            placement = self.placements[random.choice(self.live_routers)]
             if not await self._turn(placement, parts, weight, generated, number == 0):
                 return
-            own += generated
+            own_tokens += generated
             await asyncio.sleep(random.lognormvariate(0.0, 0.6) * think * 0.83)
 
     async def _turn(
@@ -314,21 +322,21 @@
             prefix=tuple(part.name for part in parts),
             prompt_tokens=prompt,
         )
-        asked_at = self.loop.now
+        started_at = self.loop.now
         chosen: Result[Choice, Any] = await placement.choose(turn, ())
         if not isinstance(chosen, Success):
             self.refused += 1
             return False
         choice = chosen.unwrap()
-        if shape_refuses(self.shape, choice):
+        if is_refused(self.shape, choice):
             self.refused += 1
             placement.finished(turn, choice, "cancelled", 0, None)
             return False
         worker = next(worker for worker in self.workers if worker.instance == choice.worker.instance)
-        waited = self.loop.now - asked_at
+        waited = self.loop.now - started_at
         cached, first = await worker.run(parts, generated)
         placement.finished(turn, choice, "whole", generated, Seconds(first))
-        if asked_at > self.shape.warm_up:
+        if started_at > self.shape.warm_up:
             predicted = choice.first_token
             self.figures.append(TurnFigures(first + waited, prompt, cached, weight, predicted, first_turn))
         return True
@@ -352,17 +360,17 @@
             "hit_free": _hit([figure for figure in figures if figure.weight == 1]),
             "imbalance": statistics.fmean(self.imbalance),
             "imbalance_p95": _quantile(sorted(self.imbalance), 0.95),
-            "map_bytes_per_turn": self.wires.bytes / max(1, self.requests),
+            "map_bytes_per_turn": self.network.bytes / max(1, self.requests),
         }
         report |= self.award_figures(self.requests)
         return report
 
 
 def figures_of(shape: Shape, seed: int) -> dict[str, float]:
-    return Run(shape, seed).go()
+    return Run(shape, seed).execute()
 
 
-def shape_refuses(shape: Shape, choice: Choice) -> bool:
+def is_refused(shape: Shape, choice: Choice) -> bool:
     return shape.admission and DeadlineAdmission().refuse(SERVICE, choice.first_token) is not None
 
 
@@ -388,10 +396,10 @@
     return {
         "policies": policies,
         "busy": {name: change(shape, turns_per_second=20.0) for name, shape in policies.items()},
-        "unhinted": {f"{share:.0%}": change(base, unhinted=share) for share in (0.0, 0.1, 0.5, 1.0)},
+        "unhinted": {f"{share:.0%}": change(base, unhinted_share=share) for share in (0.0, 0.1, 0.5, 1.0)},
         "maps": {name: change(base, session_map=name) for name in ("keeper", "local", "hash")},
         "maps-unhinted-10%": {
-            name: change(base, session_map=name, unhinted=0.1) for name in ("keeper", "local", "hash")
+            name: change(base, session_map=name, unhinted_share=0.1) for name in ("keeper", "local", "hash")
         },
         "keeper-loss": {f"{lost} of 11 lost": change(base, lost_routers=lost) for lost in (0, 1, 2, 4)},
         "hot-prefix": {
@@ -449,21 +457,21 @@
                 load=WorkerLoad(step % 8, number % 3, 1000 * step),
             )
 
-            async def told() -> None:
+            async def announce_once() -> None:
                 await fleet.routers[name].registry.accept_announcement(worker)
 
-            world.spawn(world.processes[name], told(), "announce")
+            world.spawn(world.processes[name], announce_once(), "announce")
 
-        def second(step: int) -> None:
+        def run_second(step: int) -> None:
             for number in range(workers):
                 announce(number, step)
             world.run(1.0)
 
         for step in range(4):
-            second(step)
+            run_second(step)
         bytes_before, used_before = world.network.bytes_delivered, time.process_time()
         for step in range(4, 4 + seconds):
-            second(step)
+            run_second(step)
         share = seconds * routers
         if any(len(fleet.ready_at(name)) != workers for name in fleet.routers):
             raise RuntimeError("a router does not know all workers")
@@ -503,48 +511,50 @@
     with World(seed) as world:
         fleet = Fleet(world, 11)
         worker = fleet.start_worker("w0")
-        edge = next(name for name in sorted(fleet.routers) if name not in {fleet.owner(zone) for zone in "abc"})
+        receiver = next(name for name in sorted(fleet.routers) if name not in {fleet.owner(zone) for zone in "abc"})
         for _ in range(2):
-            fleet.announce(worker, edge)
+            fleet.announce(worker, receiver)
             world.run(1.0 + world.random.random() * 0.3)
-        fleet.announce(worker, edge)
-        home = fleet.owner("b")
+        fleet.announce(worker, receiver)
+        owner = fleet.owner("b")
         names = sorted(fleet.routers)
-        follower = next(name for name in names if name not in {home, edge} and fleet.routers[name].identity.zone == "b")
-        struck = follower if fault.startswith("follower") else home
-        others = [name for name in names if name != struck]
+        follower = next(
+            name for name in names if name not in {owner, receiver} and fleet.routers[name].identity.zone == "b"
+        )
+        affected = follower if fault.startswith("follower") else owner
+        others = [name for name in names if name != affected]
         match fault:
             case "home frozen":
-                world.freeze(home)
+                world.freeze(owner)
             case "home killed":
-                world.kill(home)
+                world.kill(owner)
             case "follower cut off" | "zone's home cut off":
                 for name in others:
-                    world.cut(struck, name)
+                    world.cut(affected, name)
         worker.state = "draining"
-        asked = [name for name in names if name != struck or "cut off" in fault]
-        began = world.now
+        asked = [name for name in names if name != affected or "cut off" in fault]
+        started_at = world.now
 
         async def announce(at: str) -> None:
             request = fleet.request(worker)
             while (await fleet.routers[at].registry.handle_announcement(request)).status != 200:
                 await asyncio.sleep(0.2)
 
-        world.spawn(world.processes[edge], announce(edge), "announce")
-        lasts: dict[str, float] = {}
+        world.spawn(world.processes[receiver], announce(receiver), "announce")
+        last_confirmed_at: dict[str, float] = {}
 
         async def watch(name: str) -> None:
             registry = fleet.routers[name].registry
             while True:
                 for found in registry.ready(FEED_POOL):
                     if await registry.confirm(found):
-                        lasts[name] = world.now
+                        last_confirmed_at[name] = world.now
                 await asyncio.sleep(0.01)
 
         for name in asked:
             world.spawn(world.processes[name], watch(name), "watch")
         world.run(3.0)
-        return max(lasts.values(), default=began) - began
+        return max(last_confirmed_at.values(), default=started_at) - started_at
 
 
 def print_drains(seeds: int) -> None:
--- a/bench/placement_parts.py
+++ b/bench/placement_parts.py
@@ -59,25 +59,25 @@
         return self._loop.create_task(coroutine, name=name)
 
 
-class Wires:
+class BenchNetwork:
     """All routers' messengers by address."""
 
     def __init__(self, loop: VirtualTimeLoop, delay: float) -> None:
         self.loop = loop
         self.delay = delay
         self.messengers: dict[Address, BenchMessenger] = {}
-        self.dead: set[Address] = set()
+        self.unreachable: set[Address] = set()
         self.messages = 0
         self.bytes = 0
 
 
 class BenchMessenger:
-    def __init__(self, wires: Wires, identity: Identity) -> None:
+    def __init__(self, network: BenchNetwork, identity: Identity) -> None:
         self.identity = identity
-        self._wires = wires
+        self._network = network
         self._calls: dict[type, Callable[[Identity, Any], Awaitable[msgspec.Struct]]] = {}
         self._posts: dict[type, Callable[[Identity, Any], None]] = {}
-        wires.messengers[identity.internal] = self
+        network.messengers[identity.internal] = self
 
     def on_call(self, message_type: type, handler: Any) -> None:
         self._calls[message_type] = handler
@@ -86,25 +86,25 @@
         self._posts[message_type] = handler
 
     def _count(self, message: msgspec.Struct) -> None:
-        self._wires.messages += 1
-        self._wires.bytes += len(msgspec.msgpack.encode(message)) + 30
+        self._network.messages += 1
+        self._network.bytes += len(msgspec.msgpack.encode(message)) + 30
 
     async def call(self, address: Address, message: msgspec.Struct, reply_type: type, timeout: Seconds) -> Any:
         self._count(message)
-        if address in self._wires.dead:
+        if address in self._network.unreachable:
             await asyncio.sleep(timeout)
             return Failure(TransportFault("timeout", True))
-        await asyncio.sleep(self._wires.delay)
-        reply = await self._wires.messengers[address]._calls[type(message)](self.identity, message)
+        await asyncio.sleep(self._network.delay)
+        reply = await self._network.messengers[address]._calls[type(message)](self.identity, message)
         self._count(reply)
-        await asyncio.sleep(self._wires.delay)
+        await asyncio.sleep(self._network.delay)
         return Success(reply)
 
     def post(self, address: Address, message: msgspec.Struct) -> None:
         self._count(message)
-        if address not in self._wires.dead:
-            handler = self._wires.messengers[address]._posts[type(message)]
-            self._wires.loop.call_later(self._wires.delay, handler, self.identity, message)
+        if address not in self._network.unreachable:
+            handler = self._network.messengers[address]._posts[type(message)]
+            self._network.loop.call_later(self._network.delay, handler, self.identity, message)
 
 
 class BenchMembership:
@@ -125,9 +125,9 @@
     def __init__(self, announced: Callable[[], tuple[Worker, ...]], counts: list[BenchRegistry]) -> None:
         """``announced``: the workers that are up, as they announce themselves now."""
         self._announced = announced
-        self._all = counts
+        self._registries = counts
         self.count: Callable[[PoolName], dict[WorkerInstance, Engagement]] = lambda pool: {}
-        self._elsewhere: dict[WorkerInstance, Engagement] = {}
+        self._engagement_of_others: dict[WorkerInstance, Engagement] = {}
         self._ready: tuple[Worker, ...] = ()
         counts.append(self)
         self.refresh_loads()
@@ -137,11 +137,11 @@
 
     def refresh_running(self) -> None:
         totals: dict[WorkerInstance, Engagement] = {}
-        for other in self._all:
+        for other in self._registries:
             if other is not self:
                 for instance, part in other.count(POOL).items():
                     totals[instance] = totals.get(instance, Engagement()).plus(part)
-        self._elsewhere = totals
+        self._engagement_of_others = totals
 
     def ready(self, pool: PoolName) -> Sequence[Worker]:
         return self._ready
@@ -156,10 +156,10 @@
         self.count = count
 
     def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
-        return self._elsewhere.get(instance, Engagement())
+        return self._engagement_of_others.get(instance, Engagement())
 
 
-class NoMap:
+class NoSessionMap:
     """No map at all: every router falls back to what all agree on without asking."""
 
     async def find(self, key: int) -> Entry | Unreachable | None:
--- a/bench/real_faults.py
+++ b/bench/real_faults.py
@@ -33,18 +33,18 @@
 from .load.target import read_target
 from .load.traffic import Callers, CallRecord, LoadOptions
 
-BACK_WITHIN = 12.0
+RECOVERY_LIMIT_SECONDS = 12.0
 """Seconds after the last fault within which service must be back."""
-GIVE_UP = 40.0
-WARM_UP = 3.0
-FROZEN = 6.0
-FROZEN_LONG = 22.0
-PAUSE = 0.1
+RECOVERY_TIMEOUT_SECONDS = 40.0
+WARM_UP_SECONDS = 3.0
+FREEZE_SECONDS = 6.0
+LONG_FREEZE_SECONDS = 22.0
+POLL_INTERVAL_SECONDS = 0.1
 
 Action = Callable[[Fleet], Awaitable[None]]
 
 
-class NotRun(Exception):
+class CaseNotPossible(Exception):
     """This machine does not allow the case."""
 
 
@@ -56,22 +56,22 @@
 
 
 async def _backup(fleet: Fleet) -> str:
-    async def look() -> str | None:
+    async def find() -> str | None:
         reports = await fleet.control_reports()
         return next((name for name, report in reports.items() if report["own_role"] == "backup"), None)
 
-    return await wait_until("there is a backup", look)
+    return await wait_until("there is a backup", find)
 
 
 async def _witness(fleet: Fleet) -> str:
-    async def look() -> str | None:
+    async def find() -> str | None:
         reports = await fleet.control_reports()
         return next((name for name, report in reports.items() if report["own_role"] == "witness"), None)
 
-    return await wait_until("there is a witness", look)
+    return await wait_until("there is a witness", find)
 
 
-async def _freeze(fleet: Fleet, name: str, seconds: float = FROZEN) -> None:
+async def _freeze(fleet: Fleet, name: str, seconds: float = FREEZE_SECONDS) -> None:
     fleet.freeze(name)
     await asyncio.sleep(seconds)
     fleet.resume(name)
@@ -90,7 +90,7 @@
 
 
 async def primary_frozen_long(fleet: Fleet) -> None:
-    await _freeze(fleet, await _primary(fleet), FROZEN_LONG)
+    await _freeze(fleet, await _primary(fleet), LONG_FREEZE_SECONDS)
 
 
 async def backup_wiped(fleet: Fleet) -> None:
@@ -195,13 +195,13 @@
     """Only those on this daemon's own ports."""
     ports = [daemon.first_port + offset for offset in range(3 if daemon.caller else 2)]
     condition = " or ".join(f"sport = :{port} or dport = :{port}" for port in ports)
-    give_up = time.monotonic() + seconds
-    while time.monotonic() < give_up:
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         done = await asyncio.to_thread(
             subprocess.run, ["ss", "-K", "-t", "state", "established", condition], capture_output=True, check=False
         )
         if done.returncode:
-            raise NotRun(f"sockets can't be closed here: {done.stderr.decode().strip()}")
+            raise CaseNotPossible(f"sockets can't be closed here: {done.stderr.decode().strip()}")
         await asyncio.sleep(0.3)
 
 
@@ -258,7 +258,7 @@
             await self.change()
             await asyncio.sleep(0.5)
 
-    async def change(self, patience: float = 3.0) -> int | None:
+    async def change(self, timeout: float = 3.0) -> int | None:
         """The acknowledged version."""
         self._weight += 1
         daemons = [*self._fleet.controls(), *self._fleet.routers()]
@@ -266,7 +266,7 @@
         name = self._fleet.shape.classes[-1].name
         done = await self._fleet.run_command(
             "bundle", "change", "--set", f"class/{name}.weight={self._weight % 900 + 1}", "--rebase", "--json",
-            "--patience", str(patience), "--key", str(self._fleet.operator_key_file), *to,
+            "--patience", str(timeout), "--key", str(self._fleet.operator_key_file), *to,
         )  # fmt: skip
         if done.code:
             return None
@@ -301,10 +301,10 @@
         load = asyncio.create_task(run_load(target, options, quiet=True, on_start=started.append))
         changing = asyncio.create_task(self.operator.run())
         try:
-            await asyncio.sleep(WARM_UP)
+            await asyncio.sleep(WARM_UP_SECONDS)
             await self.action(self.fleet)
-            await self.back(time.monotonic())
-        except NotRun as reason:
+            await self.measure_recovery(time.monotonic())
+        except CaseNotPossible as reason:
             self.report.not_run = str(reason)
         finally:
             changing.cancel()
@@ -313,19 +313,19 @@
             result, callers = await load
         self.report.outcomes, self.report.refusals = result["outcomes"], result["refusals"]
         self.report.acknowledged = len(self.operator.acknowledged)
-        self.judge_calls(result, callers.records, await self.fleet.runs())
-        await self.judge_bundles()
+        self.check_calls(result, callers.records, await self.fleet.runs())
+        await self.check_bundles()
         self.curl.close()
         return self.report
 
-    # Service back
+    # Service measure_recovery
 
-    async def back(self, since: float) -> None:
+    async def measure_recovery(self, since: float) -> None:
         async def after(what: Callable[[], Awaitable[bool]]) -> float | None:
-            while time.monotonic() - since < GIVE_UP:
+            while time.monotonic() - since < RECOVERY_TIMEOUT_SECONDS:
                 if await what():
                     return round(time.monotonic() - since, 2)
-                await asyncio.sleep(PAUSE)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
             return None
 
         answered: set[str] = set()
@@ -335,7 +335,7 @@
         self.report.calls_back_after, self.report.orders_back_after = calls, orders
         self.report.complete_after = complete
         for name, seconds in (("calls", calls), ("orders", orders)):
-            if seconds is None or seconds > BACK_WITHIN:
+            if seconds is None or seconds > RECOVERY_LIMIT_SECONDS:
                 self.report.violations.append(f"{name} back after {seconds} s")
 
     def live_routers(self) -> list[DaemonPlan]:
@@ -343,9 +343,9 @@
 
     async def calls_answered(self, answered: set[str]) -> bool:
         """One whole chat and one whole call that runs once, through each live router."""
-        left = [router for router in self.live_routers() if router.name not in answered]
-        whole = await asyncio.gather(*(self.both_answered(router) for router in left))
-        answered.update(router.name for router, both in zip(left, whole, strict=True) if both)
+        pending = [router for router in self.live_routers() if router.name not in answered]
+        results = await asyncio.gather(*(self.both_answered(router) for router in pending))
+        answered.update(router.name for router, both in zip(pending, results, strict=True) if both)
         return all(router.name in answered for router in self.live_routers())
 
     async def both_answered(self, router: DaemonPlan) -> bool:
@@ -368,7 +368,7 @@
         return True
 
     async def order_in_force(self) -> bool:
-        version = await self.operator.change(patience=1.0)
+        version = await self.operator.change(timeout=1.0)
         return version is not None and await self.in_force(version)
 
     async def complete(self) -> bool:
@@ -379,52 +379,57 @@
 
     # What must never be
 
-    def judge_calls(self, result: dict[str, Any], records: Sequence[CallRecord], runs: list[dict[str, Any]]) -> None:
+    def check_calls(self, result: dict[str, Any], records: Sequence[CallRecord], runs: list[dict[str, Any]]) -> None:
         violations = self.report.violations
         violations.extend(f"{problem}: {count} times" for problem, count in result["problems"].items())
-        violations.extend(judged(records, runs))
+        violations.extend(find_violations(records, runs))
         ended = [child.name for child in self.fleet.children.values() if child.expected_to_run and not child.running()]
         violations.extend(f"{name} ended by itself" for name in ended)
 
-    async def judge_bundles(self) -> None:
+    async def check_bundles(self) -> None:
         """Every acknowledged order stands in the history under its version, and the newest is in force."""
-        newest = max(self.operator.acknowledged, default=0)
+        latest = max(self.operator.acknowledged, default=0)
         try:
-            await wait_until("the newest acknowledged bundle is in force", lambda: self.in_force(newest), GIVE_UP)
+            await wait_until(
+                "the newest acknowledged bundle is in force", lambda: self.in_force(latest), RECOVERY_TIMEOUT_SECONDS
+            )
         except FleetError as problem:
             self.report.violations.append(str(problem))
         for control in self.fleet.controls():
             if self.fleet.children[control.name].running():
-                await self.judge_history(control)
+                await self.check_history(control)
 
-    async def judge_history(self, control: DaemonPlan) -> None:
+    async def check_history(self, control: DaemonPlan) -> None:
         answer = await self.fleet.run_command("bundle", "history", "--most", "1000", "--json", "--to", control.operator)
         if answer.code:
             self.report.violations.append(f"no history at {control.name}: {answer.errors.strip()}")
             return
-        kept = {entry["version"]: entry["order"] for entry in answer.json()["entries"]}
-        lost = [version for version, order in self.operator.acknowledged.items() if kept.get(version) != order]
+        recorded = {entry["version"]: entry["order"] for entry in answer.json()["entries"]}
+        lost = [version for version, order in self.operator.acknowledged.items() if recorded.get(version) != order]
         if lost:
-            told = [(version, self.operator.acknowledged[version], kept.get(version)) for version in sorted(lost)]
+            differences = [
+                (version, self.operator.acknowledged[version], recorded.get(version)) for version in sorted(lost)
+            ]
             self.report.violations.append(
-                f"acknowledged and not in the history of {control.name} (version, order, what stands there): {told}; "
-                f"its newest is {max(kept, default=0)}"
+                f"acknowledged and not in the history of {control.name} "
+                f"(version, order, order in the history): {differences}; "
+                f"its latest version is {max(recorded, default=0)}"
             )
 
 
-def judged(records: Sequence[CallRecord], runs: Sequence[dict[str, Any]]) -> list[str]:
+def find_violations(records: Sequence[CallRecord], runs: Sequence[dict[str, Any]]) -> list[str]:
     """What must never be of calls that run at most once, from what their callers and the workers saw."""
-    times = Counter(run["idempotency_key"] for run in runs if run["idempotency_key"])
-    whole = {run["idempotency_key"] for run in runs if run["outcome"] == "whole"}
-    found = [f"run {count} times: {key}" for key, count in times.items() if count > 1]
+    run_counts = Counter(run["idempotency_key"] for run in runs if run["idempotency_key"])
+    completed_keys = {run["idempotency_key"] for run in runs if run["outcome"] == "whole"}
+    found = [f"run {count} times: {key}" for key, count in run_counts.items() if count > 1]
     for record in records:
         key = record.idempotency_key
-        _, _, last_told, _ = record.attempts[-1]
-        if last_told == "not-run" and times[key]:
+        _, _, last_status, _ = record.attempts[-1]
+        if last_status == "not-run" and run_counts[key]:
             found.append(f"told not-run, but ran: {key}")
-        if last_told == "ran" and not times[key]:
+        if last_status == "ran" and not run_counts[key]:
             found.append(f"told that it ran, but did not: {key}")
-        if any(looks_complete for _, _, _, looks_complete in record.attempts) and key not in whole:
+        if any(looks_complete for _, _, _, looks_complete in record.attempts) and key not in completed_keys:
             found.append(f"a success that no worker gave: {key}")
     return found
 
@@ -434,8 +439,8 @@
     with tempfile.TemporaryDirectory(prefix="wingwood-faults-") as temporary:
         folder = Path(temporary)
         if logs is not None:
-            kept = len(list(logs.glob(f"{action.__name__}-*")))
-            folder = logs / f"{action.__name__}-{kept + 1}"
+            log_count = len(list(logs.glob(f"{action.__name__}-*")))
+            folder = logs / f"{action.__name__}-{log_count + 1}"
         async with Fleet(shape, folder) as fleet:
             try:
                 return await Case(fleet, action).run()
--- a/bench/roll_outs.py
+++ b/bench/roll_outs.py
@@ -36,11 +36,11 @@
 from .load.target import read_target
 from .load.traffic import Callers, LoadOptions
 
-LOOK_EVERY = 0.005
-SETTLED_WITHIN = 15.0
+POLL_INTERVAL_SECONDS = 0.005
+SETTLE_TIMEOUT_SECONDS = 15.0
 
 
-class Sighting(msgspec.Struct, frozen=True):
+class VersionObservation(msgspec.Struct, frozen=True):
     """At ``at`` an answer told ``version``; between two sightings of a router the version may have changed."""
 
     at: float
@@ -53,40 +53,40 @@
     def __init__(self, address: str) -> None:
         self._host, _, port = address.rpartition(":")
         self._port = int(port)
-        self.sightings: list[Sighting] = []
-        self.went_back = 0
+        self.observations: list[VersionObservation] = []
+        self.regressions = 0
         """Answers with an older version than the one before; must stay 0."""
-        self.looks: list[float] = []
-        """How long each question took: the measure's own coarseness, beside ``LOOK_EVERY``."""
+        self.poll_durations: list[float] = []
+        """How long each question took: the measure's own coarseness, beside ``POLL_INTERVAL_SECONDS``."""
 
     @property
     def version(self) -> int:
-        return self.sightings[-1].version if self.sightings else 0
+        return self.observations[-1].version if self.observations else 0
 
     async def run(self) -> None:
         """Until it is cancelled; raises FleetError when the daemon closes."""
         reader, writer = await asyncio.open_connection(self._host, self._port)
-        question = f"GET /control/v1/health HTTP/1.1\r\nHost: {self._host}\r\n\r\n".encode()
+        request = f"GET /control/v1/health HTTP/1.1\r\nHost: {self._host}\r\n\r\n".encode()
         try:
             while True:
-                begun = time.monotonic()
-                writer.write(question)
+                started_at = time.monotonic()
+                writer.write(request)
                 head = await reader.readuntil(b"\r\n\r\n")
                 body = await reader.readexactly(_length(head))
                 now = time.monotonic()
-                self.looks.append(now - begun)
-                self.saw(now, int(json.loads(body)["version"]))
-                await asyncio.sleep(LOOK_EVERY)
+                self.poll_durations.append(now - started_at)
+                self.record_answer(now, int(json.loads(body)["version"]))
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
         except (OSError, asyncio.IncompleteReadError) as problem:
             raise FleetError(f"{self._host}:{self._port} does not answer any more: {problem}") from None
         finally:
             writer.close()
 
-    def saw(self, at: float, version: int) -> None:
+    def record_answer(self, at: float, version: int) -> None:
         if version < self.version:
-            self.went_back += 1
+            self.regressions += 1
         elif version > self.version:
-            self.sightings.append(Sighting(at, version))
+            self.observations.append(VersionObservation(at, version))
 
 
 def _length(head: bytes) -> int:
@@ -94,13 +94,13 @@
     return next(int(value) for name, _, value in fields if name == b"content-length")
 
 
-def in_force_after(acknowledged: Mapping[int, float], sightings: Sequence[Sighting]) -> list[float | None]:
+def in_force_after(acknowledged: Mapping[int, float], observations: Sequence[VersionObservation]) -> list[float | None]:
     """Per acknowledged version, rising: seconds until one router told it or a newer one; None: never seen."""
-    versions = [sighting.version for sighting in sightings]
+    versions = [observation.version for observation in observations]
     found: list[float | None] = []
     for version in sorted(acknowledged):
-        place = bisect_left(versions, version)
-        found.append(max(0.0, sightings[place].at - acknowledged[version]) if place < len(versions) else None)
+        index = bisect_left(versions, version)
+        found.append(max(0.0, observations[index].at - acknowledged[version]) if index < len(versions) else None)
     return found
 
 
@@ -109,7 +109,7 @@
 
     def __init__(self, fleet: Fleet, http: JsonClient) -> None:
         self._http = http
-        self._to = fleet.controls()[-1].operator
+        self._control_address = fleet.controls()[-1].operator
         key = load_pem_private_key(fleet.operator_key_file.read_bytes(), None)
         assert isinstance(key, Ed25519PrivateKey)
         self._key = key
@@ -117,12 +117,12 @@
         self._slices: dict[SliceName, bytes] = {}
         self.version = 0
         self.acknowledged: dict[int, float] = {}
-        self.taken: list[float] = []
+        self.latencies: list[float] = []
         """Seconds from sending an order to its acknowledgement."""
         self.other_outcomes: list[str] = []
 
     async def read(self) -> None:
-        reply = await self._http.get(self._to, "/control/v1/bundle?newest=1")
+        reply = await self._http.get(self._control_address, "/control/v1/bundle?newest=1")
         self.version = int(reply.body["version"])
         self._slices = {SliceName(name): canonical_json(value) for name, value in reply.body["slices"].items()}
 
@@ -133,21 +133,21 @@
         identifier = OrderId(os.urandom(16).hex())
         signed_at = WallTime(time.time())
         order: Order = make_order(BundleVersion(self.version), self._slices, after, self._key, identifier, signed_at)
-        begun = time.monotonic()
+        started_at = time.monotonic()
         for _ in range(5):
-            reply = await self._http.post(self._to, "/control/v1/orders", order, timeout=10.0)
+            reply = await self._http.post(self._control_address, "/control/v1/orders", order, timeout=10.0)
             if reply.succeeded:
                 break
             self.other_outcomes.append(f"{reply.status} {reply.body}")
         else:
             raise FleetError(f"order on version {self.version} was not taken: {self.other_outcomes[-1]}")
         now = time.monotonic()
-        self.taken.append(now - begun)
+        self.latencies.append(now - started_at)
         self.version, self._slices = int(reply.body["version"]), after
         self.acknowledged[self.version] = now
 
 
-def told(values: Sequence[float]) -> dict[str, float]:
+def percentiles_ms(values: Sequence[float]) -> dict[str, float]:
     """Milliseconds."""
     if not values:
         return {"count": 0}
@@ -165,18 +165,18 @@
         self._fleet = fleet
         self.operator = Operator(fleet, http)
         self.watches = {router.name: RouterWatch(router.operator) for router in fleet.routers()}
-        self.watching = [asyncio.create_task(watch.run()) for watch in self.watches.values()]
+        self.watch_tasks = [asyncio.create_task(watch.run()) for watch in self.watches.values()]
 
     async def settled(self) -> bool:
-        """Whether all routers have the newest acknowledged version, waited for without end but ``SETTLED_WITHIN``."""
-        give_up = time.monotonic() + SETTLED_WITHIN
-        while time.monotonic() < give_up:
-            for task in self.watching:
+        """Returns whether all routers reach the latest acknowledged version within SETTLE_TIMEOUT_SECONDS."""
+        deadline = time.monotonic() + SETTLE_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
+            for task in self.watch_tasks:
                 if task.done():
                     task.result()
             if all(watch.version >= self.operator.version for watch in self.watches.values()):
                 return True
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         return False
 
     async def one_after_another(self, times: int, pause: float) -> dict[str, Any]:
@@ -189,38 +189,38 @@
 
     async def storm(self, rate: float, seconds: float) -> dict[str, Any]:
         """``rate`` changes a second; each builds on the one before, so a late answer delays the next."""
-        begun = time.monotonic()
+        started_at = time.monotonic()
         for number in range(int(rate * seconds)):
-            await asyncio.sleep(max(0.0, begun + number / rate - time.monotonic()))
+            await asyncio.sleep(max(0.0, started_at + number / rate - time.monotonic()))
             await self.operator.change()
-        elapsed = time.monotonic() - begun
+        elapsed = time.monotonic() - started_at
         settled = await self.settled()
         return {"changes_per_second": round(rate * seconds / elapsed, 1), "settled": settled, **self._report()}
 
     def _report(self) -> dict[str, Any]:
         acknowledged, self.operator.acknowledged = self.operator.acknowledged, {}
-        taken, self.operator.taken = self.operator.taken, []
+        latencies, self.operator.latencies = self.operator.latencies, []
         others, self.operator.other_outcomes = self.operator.other_outcomes, []
         each: list[float] = []
         last: list[float] = []
         never = 0
-        by_router = {name: in_force_after(acknowledged, watch.sightings) for name, watch in self.watches.items()}
+        by_router = {name: in_force_after(acknowledged, watch.observations) for name, watch in self.watches.items()}
         for times in zip(*by_router.values(), strict=True):
             seen = [value for value in times if value is not None]
             never += len(times) - len(seen)
             each += seen
             if len(seen) == len(times):
                 last.append(max(seen))
-        looks = [look for watch in self.watches.values() for look in watch.looks]
+        poll_durations = [duration for watch in self.watches.values() for duration in watch.poll_durations]
         return {
             "changes": len(acknowledged),
-            "acknowledged_after": told(taken),
-            "in_force_each_router": told(each),
-            "in_force_last_router": told(last),
+            "acknowledged_after": percentiles_ms(latencies),
+            "in_force_each_router": percentiles_ms(each),
+            "in_force_last_router": percentiles_ms(last),
             "never_seen": never,
-            "went_back": sum(watch.went_back for watch in self.watches.values()),
+            "went_back": sum(watch.regressions for watch in self.watches.values()),
             "other_outcomes": others,
-            "look": told(looks),
+            "look": percentiles_ms(poll_durations),
         }
 
 
@@ -250,14 +250,14 @@
             found["storm"] = await measure.storm(rate, seconds)
             found["load_average_end"] = os.getloadavg()
         finally:
-            for task in measure.watching:
+            for task in measure.watch_tasks:
                 task.cancel()
             for callers in started:
                 callers.stop()
             result = (await load)[0] if load is not None else {}
             http.close()
-        kept = ("calls", "outcomes", "refusals", "problems")
-        return {"shape": shape.name, **found, "callers": {name: result[name] for name in kept if name in result}}
+        result_keys = ("calls", "outcomes", "refusals", "problems")
+        return {"shape": shape.name, **found, "callers": {name: result[name] for name in result_keys if name in result}}
 
 
 @click.command()
--- a/bench/tests/test_engine_model.py
+++ b/bench/tests/test_engine_model.py
@@ -14,7 +14,9 @@
 from ..engine_model import Engine, EngineWorker, Stream
 
 SHARED = (PromptPart("kind", 2500), PromptPart("subject", 3800))
-ENGINE = Engine(slots=4, cache_tokens=30_000, step=0.001, step_per_stream=0.0, prefill_per_token=1 / 100_000)
+ENGINE = Engine(
+    slots=4, cache_tokens=30_000, step_seconds=0.001, step_seconds_per_stream=0.0, prefill_seconds_per_token=1 / 100_000
+)
 
 
 class EngineModelTest(unittest.TestCase):
@@ -26,10 +28,10 @@
 
     def run_one(self, parts: tuple[PromptPart, ...], prompt: int, generate: int = 34) -> tuple[float, Stream]:
         """Seconds to its first event."""
-        began = self.loop.time()
-        stream = self.worker.take(parts, prompt, generate)
+        started_at = self.loop.time()
+        stream = self.worker.submit(parts, prompt, generate)
         self.loop.run_until_complete(stream.end)
-        return stream.events[0] - began, stream
+        return stream.events[0] - started_at, stream
 
     def test_kept_parts_are_not_prefilled_again(self) -> None:
         cold, _ = self.run_one(SHARED, 8300)
@@ -50,9 +52,9 @@
         self.assertEqual(self.worker.cached((PromptPart("p1", 9000),)), 0)
 
     def test_prefills_hold_up_running_streams(self) -> None:
-        stream = self.worker.take((), 10, 340)
+        stream = self.worker.submit((), 10, 340)
         self.loop.run_until_complete(stream.first)
-        self.loop.run_until_complete(self.worker.take((), 10_000, 1).end)
+        self.loop.run_until_complete(self.worker.submit((), 10_000, 1).end)
         self.loop.run_until_complete(stream.end)
         gaps = [after - before for before, after in itertools.pairwise(stream.events)]
         self.assertAlmostEqual(max(gaps), 0.034 + 0.1, delta=0.01)
@@ -60,17 +62,17 @@
         self.assertEqual(len(stream.events), 10)
 
     def test_no_more_run_than_there_are_slots(self) -> None:
-        streams = [self.worker.take((), 100, 34) for _ in range(5)]
-        self.assertEqual(self.worker.present, 5)
+        streams = [self.worker.submit((), 100, 34) for _ in range(5)]
+        self.assertEqual(self.worker.stream_count, 5)
         self.loop.run_until_complete(streams[-1].end)
         self.assertGreater(streams[4].events[0], streams[3].events[0] + 0.03)
 
     def test_frozen_worker_goes_on_where_it_was(self) -> None:
         self.worker.up = False
-        stream = self.worker.take((), 100, 34)
+        stream = self.worker.submit((), 100, 34)
         self.loop.run_until_complete(asyncio.sleep(3.0))
         self.assertFalse(stream.first.done())
-        self.worker.thaw()
+        self.worker.resume()
         self.loop.run_until_complete(stream.end)
 
 
--- a/bench/tests/test_fleet_growth.py
+++ b/bench/tests/test_fleet_growth.py
@@ -11,11 +11,11 @@
     def test_an_idle_fleet_spends_little_and_traffic_adds_to_it(self) -> None:
         idle = measure(routers=6, traffic=0.0, seconds=2.0, seed=1)
         busy = measure(routers=6, traffic=0.5, seconds=2.0, seed=1)
-        for grown in (idle, busy):
-            for role in (grown.router, grown.control):
+        for growth in (idle, busy):
+            for role in (growth.router, growth.control):
                 self.assertGreater(role.bytes_mean, 0.0)
-                self.assertLessEqual(role.bytes_mean, role.bytes_most)
-                self.assertLessEqual(role.messages_mean, role.messages_most)
+                self.assertLessEqual(role.bytes_mean, role.bytes_max)
+                self.assertLessEqual(role.messages_mean, role.messages_max)
         self.assertLess(idle.router.bytes_mean, 10_000.0)
         self.assertGreater(busy.router.bytes_mean, idle.router.bytes_mean)
 
--- a/bench/tests/test_real_faults.py
+++ b/bench/tests/test_real_faults.py
@@ -5,7 +5,7 @@
 import unittest
 
 from ..load.traffic import CallRecord
-from ..real_faults import judged
+from ..real_faults import find_violations
 
 REFUSED = (503, "ledger-unreachable", "not-run", False)
 LOST = (0, "", "", False)
@@ -26,7 +26,7 @@
             CallRecord("lost-then-told", (LOST, RAN)),
         ]
         runs = [run("answered"), run("second-try"), run("lost-then-told", "caller-gone"), run("")]
-        self.assertEqual(judged(records, runs), [])
+        self.assertEqual(find_violations(records, runs), [])
 
     def test_each_thing_that_must_never_be_is_told(self) -> None:
         cases = {
@@ -36,5 +36,5 @@
             "a success that no worker gave": (CallRecord("k", (ANSWERED,)), [run("k", "broken")]),
         }
         for words, (record, runs) in cases.items():
-            found = judged([record], runs)
+            found = find_violations([record], runs)
             self.assertEqual([text.partition(":")[0] for text in found], [words])
--- a/bench/told_placement_bench.py
+++ b/bench/told_placement_bench.py
@@ -45,11 +45,11 @@
     ZONES,
     BenchMembership,
     BenchMessenger,
+    BenchNetwork,
     BenchRegistry,
-    NoMap,
+    NoSessionMap,
     Table,
     VirtualRun,
-    Wires,
     plain_policy,
     router_identities,
 )
@@ -70,23 +70,25 @@
     first_byte_patience=Seconds(2.0),
     urgency=4,
 )
-CALLER_WAY = 0.01
+CALLER_ROUND_TRIP_SECONDS = 0.01
 """Seconds between caller and router both ways, with the work of both."""
-ZONE_DELAY = 0.0015
-DARK_AFTER = 0.8
+ZONE_DELAY_SECONDS = 0.0015
+FIRST_TOKEN_TIMEOUT_SECONDS = 0.8
 """A router gives up a worker without a first token after so many seconds, and tries another once."""
-NOTICED_AFTER = 0.6
+FREEZE_NOTICED_AFTER_SECONDS = 0.6
 """Seconds after which the registry has a dark worker out."""
 
 
 SMALL_CACHE = Engine(tokens_per_event=32)
-LARGE_CACHE = Engine(slots=16, cache_tokens=900_000, step=0.0006, prefill_per_token=1 / 350_000, tokens_per_event=48)
+LARGE_CACHE = Engine(
+    slots=16, cache_tokens=900_000, step_seconds=0.0006, prefill_seconds_per_token=1 / 350_000, tokens_per_event=48
+)
 MEMORY_BOUND = Engine(
     cache_tokens=305_000,
-    step=0.0006,
-    step_per_stream=0.0000017,
-    prefill_per_token=1 / 290_000,
-    chunk=1024,
+    step_seconds=0.0006,
+    step_seconds_per_stream=0.0000017,
+    prefill_seconds_per_token=1 / 290_000,
+    chunk_tokens=1024,
     tokens_per_event=50,
 )
 """Engines whose caches the subjects of one pool more than fill: 12 of them keep 3.7 of 6.5 million part tokens."""
@@ -95,29 +97,29 @@
 
 
 class Shape(msgspec.Struct, frozen=True, kw_only=True):
-    """One run. Times in seconds; the trouble lasts from ``begins`` to the end, and only then is measured."""
+    """One run. Times in seconds; the trouble lasts from ``trouble_starts_at`` to the end, and only then is measured."""
 
     policy: str = "award"
     seconds: float = 40.0
-    begins: float = 15.0
+    trouble_starts_at: float = 15.0
     routers: int = 11
     workers: int = 9
     engine: Engine = SMALL_CACHE
-    summaries: float = 120.0
-    chats: float = 9.0
+    summaries_per_second: float = 120.0
+    chats_per_second: float = 9.0
     subjects: int = 2000
-    burst: float = 1.0
+    burst_factor: float = 1.0
     """Factor on the summaries during the trouble."""
-    hot: float = 0.0
+    hot_share: float = 0.0
     """Share of the summaries that have the same subject during the trouble."""
-    dark: int = 0
+    frozen_workers: int = 0
     """Workers that freeze when the trouble begins and thaw after 5 s, again and again."""
-    slow: int = 0
+    slow_workers: int = 0
     """Workers that run 3 times slower during the trouble."""
     settings: AwardSettings = AwardSettings()
 
 
-class Served(msgspec.Struct, frozen=True):
+class ServedCall(msgspec.Struct, frozen=True):
     service: str
     first: float
     """Infinite when refused or lost."""
@@ -137,8 +139,8 @@
 
         open_workers = [w for w in self._workers if w.up and w.instance not in excluded]
         best = min(open_workers, key=cost)
-        first_token = cost(best) * best.engine.prefill_per_token + 0.03
-        return Success(Choice(worker=best.announced(POOL), method="policy", first_token=Seconds(first_token)))
+        first_token = cost(best) * best.engine.prefill_seconds_per_token + 0.03
+        return Success(Choice(worker=best.announcement(POOL), method="policy", first_token=Seconds(first_token)))
 
     def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
         pass
@@ -170,9 +172,9 @@
             for number in range(count)
         ]
 
-    def summary(self, hot: float, event: int) -> tuple[tuple[PromptPart, ...], int, int]:
+    def summary(self, hot_share: float, event: int) -> tuple[tuple[PromptPart, ...], int, int]:
         """Parts, tokens of the whole prompt, and tokens to generate."""
-        if self._random.random() < hot:
+        if self._random.random() < hot_share:
             parts = self._subjects[-1]
         else:
             parts = self._random.choices(self._subjects, cum_weights=self._subject_weights)[0]
@@ -196,10 +198,10 @@
         self.shape = shape
         self.workers = [EngineWorker(n, shape.engine, ZONES[n % len(ZONES)]) for n in range(shape.workers)]
         self.prompts = Prompts(shape, Random(seed + 7))
-        self.wires = Wires(self.loop, ZONE_DELAY)
+        self.network = BenchNetwork(self.loop, ZONE_DELAY_SECONDS)
         self.registries: list[BenchRegistry] = []
-        self.served: list[Served] = []
-        self.read_before = (0, 0)
+        self.served: list[ServedCall] = []
+        self.prefilled_before = (0, 0)
         self.calls = 0
         self.identities = router_identities(shape.routers)
         self.membership = BenchMembership(self.identities)
@@ -207,7 +209,7 @@
         self.router_weights = [1.0 + self.random.random() for _ in self.identities]
 
     def _announced(self) -> tuple[Worker, ...]:
-        return tuple(worker.announced(POOL) for worker in self.workers if worker.up)
+        return tuple(worker.announcement(POOL) for worker in self.workers if worker.up)
 
     def _placement(self, identity: Identity, seed: int) -> Placement:
         context = self.context(Random(f"{seed} {identity.name}"))
@@ -218,16 +220,16 @@
         if plain is not None:
             return plain
         membership = cast(Any, self.membership)
-        messenger = cast(Any, BenchMessenger(self.wires, identity))
+        messenger = cast(Any, BenchMessenger(self.network, identity))
         session_map: Any
         match self.shape.policy:
             case "award-local":
                 session_map = LocalMap()
             case "award-no-map":
-                session_map = NoMap()
+                session_map = NoSessionMap()
             case _:
                 session_map = DistributedMap(context, messenger, membership)
-        alone = self.shape.policy == "award-alone"
+        without_owners = self.shape.policy == "award-alone"
         placement = AwardPlacement(
             context,
             membership,
@@ -236,45 +238,45 @@
             session_map,
             self.shape.settings,
             None if self.shape.policy == "award-guessed" else identity.zone,
-            None if alone else RouterQueueOwners(context, messenger, membership),
+            None if without_owners else RouterQueueOwners(context, messenger, membership),
         )
-        if not isinstance(session_map, NoMap):
+        if not isinstance(session_map, NoSessionMap):
             session_map.on_entry_stored = placement.entry_stored
         return placement
 
-    def go(self) -> dict[str, float]:
+    def execute(self) -> dict[str, float]:
         shape = self.shape
         self.loop.create_task(self._arrivals(SUMMARY))
         self.loop.create_task(self._arrivals(CHAT))
         self.loop.create_task(self._refresh())
-        self.loop.call_later(shape.begins, self._trouble)
+        self.loop.call_later(shape.trouble_starts_at, self._start_trouble)
         self.run_for(shape.seconds)
         return self._report()
 
     # --- troubles -----------------------------------------------------------------------------
 
-    def _trouble(self) -> None:
-        self.read_before = self._read()
-        for worker in self.workers[: self.shape.slow]:
-            worker.slow = 3.0
-        if self.shape.dark:
-            self.loop.create_task(self._darken())
+    def _start_trouble(self) -> None:
+        self.prefilled_before = self._prefilled()
+        for worker in self.workers[: self.shape.slow_workers]:
+            worker.slow_factor = 3.0
+        if self.shape.frozen_workers:
+            self.loop.create_task(self._freeze_workers())
 
-    async def _darken(self) -> None:
+    async def _freeze_workers(self) -> None:
         number = 0
         while True:
-            struck = [self.workers[(number + n) % len(self.workers)] for n in range(self.shape.dark)]
-            number += self.shape.dark
-            for worker in struck:
+            affected = [self.workers[(number + n) % len(self.workers)] for n in range(self.shape.frozen_workers)]
+            number += self.shape.frozen_workers
+            for worker in affected:
                 worker.up = False
-            self.loop.call_later(NOTICED_AFTER, self._tell)
+            self.loop.call_later(FREEZE_NOTICED_AFTER_SECONDS, self._refresh_all_loads)
             await asyncio.sleep(5.0)
-            for worker in struck:
-                worker.thaw()
-            self._tell()
+            for worker in affected:
+                worker.resume()
+            self._refresh_all_loads()
             await asyncio.sleep(3.0)
 
-    def _tell(self) -> None:
+    def _refresh_all_loads(self) -> None:
         for registry in self.registries:
             registry.refresh_loads()
 
@@ -287,17 +289,17 @@
             for number, registry in enumerate(self.registries):
                 if step % 11 == number % 11:
                     registry.refresh_running()
-                if step % 33 == number % 33 and not self.shape.dark:
+                if step % 33 == number % 33 and not self.shape.frozen_workers:
                     registry.refresh_loads()
 
     # --- calls --------------------------------------------------------------------------------
 
     async def _arrivals(self, service: Service) -> None:
         while True:
-            rate = self.shape.chats
-            in_trouble = self.loop.time() >= self.shape.begins
+            rate = self.shape.chats_per_second
+            in_trouble = self.loop.time() >= self.shape.trouble_starts_at
             if service is SUMMARY:
-                rate = self.shape.summaries * (self.shape.burst if in_trouble else 1.0)
+                rate = self.shape.summaries_per_second * (self.shape.burst_factor if in_trouble else 1.0)
             await asyncio.sleep(self.random.expovariate(rate))
             router = self.random.choices(range(self.shape.routers), self.router_weights)[0]
             self.loop.create_task(self._call(service, router, in_trouble))
@@ -305,9 +307,11 @@
     async def _call(self, service: Service, router: int, counted: bool) -> None:
         self.calls += 1
         event = self.shape.engine.tokens_per_event
-        hot = self.shape.hot if counted else 0.0
-        parts, prompt, generate = self.prompts.summary(hot, event) if service is SUMMARY else self.prompts.chat(event)
-        began = self.loop.time()
+        hot_share = self.shape.hot_share if counted else 0.0
+        parts, prompt, generate = (
+            self.prompts.summary(hot_share, event) if service is SUMMARY else self.prompts.chat(event)
+        )
+        started_at = self.loop.time()
         turn = Turn(
             request=RequestId(f"q{self.calls}"),
             service=service,
@@ -318,16 +322,16 @@
             parts=() if self.shape.policy == "award-guessed" else parts,
             generate_tokens=generate,
             urgency=service.urgency,
-            deadline=Instant(began + (2.0 if service is SUMMARY else 15.0)),
+            deadline=Instant(started_at + (2.0 if service is SUMMARY else 15.0)),
         )
-        served = Served(service.name, float("inf"), 0.0, 0.0)
+        served = ServedCall(service.name, float("inf"), 0.0, 0.0)
         excluded: list[Any] = []
         for _ in range(2):
             stream, predicted, choice = await self._try(turn, router, parts, excluded)
             if stream is not None and stream.events:
                 gaps = [after - before for before, after in itertools.pairwise(stream.events)]
-                first = stream.events[0] - began + CALLER_WAY
-                served = Served(service.name, first, max(gaps, default=0.0), predicted)
+                first = stream.events[0] - started_at + CALLER_ROUND_TRIP_SECONDS
+                served = ServedCall(service.name, first, max(gaps, default=0.0), predicted)
                 break
             if choice is None:
                 break
@@ -345,15 +349,15 @@
         choice = chosen.unwrap()
         worker = next(worker for worker in self.workers if worker.instance == choice.worker.instance)
         sent = self.loop.time()
-        way = ZONE_DELAY if worker.zone != self.identities[router].zone else 0.0002
-        await asyncio.sleep(way)
-        stream = worker.take(parts, turn.prompt_tokens, turn.generate_tokens)
-        await asyncio.wait([stream.first], timeout=DARK_AFTER)
+        delay = ZONE_DELAY_SECONDS if worker.zone != self.identities[router].zone else 0.0002
+        await asyncio.sleep(delay)
+        stream = worker.submit(parts, turn.prompt_tokens, turn.generate_tokens)
+        await asyncio.wait([stream.first], timeout=FIRST_TOKEN_TIMEOUT_SECONDS)
         if not stream.first.done():
-            stream.gone = True
+            stream.aborted = True
             placement.finished(turn, choice, "broken", 0, None)
             return stream, 0.0, choice
-        await asyncio.sleep(way)
+        await asyncio.sleep(delay)
         after = Seconds(self.loop.time() - sent)
         placement.first_token_received(turn, choice, after)
         await stream.end
@@ -362,8 +366,10 @@
 
     # --- the report ---------------------------------------------------------------------------
 
-    def _read(self) -> tuple[int, int]:
-        return sum(worker.read_tokens for worker in self.workers), sum(w.read_part_tokens for w in self.workers)
+    def _prefilled(self) -> tuple[int, int]:
+        return sum(worker.prefilled_tokens for worker in self.workers), sum(
+            w.prefilled_part_tokens for w in self.workers
+        )
 
     def _report(self) -> dict[str, float]:
         report: dict[str, float] = {}
@@ -378,20 +384,22 @@
             paused = sum(each.longest_pause > pause for each in served)
             report[f"{service.name}_paused"] = paused / max(1, len(served))
             report[f"{service.name}_lost"] = sum(each.first > 9.0 for each in served) / max(1, len(served))
-        errors = [abs(each.predicted - each.first + CALLER_WAY) for each in self.served if each.first < 9.0]
+        errors = [
+            abs(each.predicted - each.first + CALLER_ROUND_TRIP_SECONDS) for each in self.served if each.first < 9.0
+        ]
         report["off"] = statistics.fmean(errors)
-        read, parts = self._read()
-        seconds = self.shape.seconds - self.shape.begins
-        report["read_per_s"] = (read - self.read_before[0]) / seconds
-        report["parts_read_per_s"] = (parts - self.read_before[1]) / seconds
-        report["use"] = report["read_per_s"] * self.shape.engine.prefill_per_token / self.shape.workers
-        report["bytes_per_call"] = self.wires.bytes / max(1, self.calls)
+        read, parts = self._prefilled()
+        seconds = self.shape.seconds - self.shape.trouble_starts_at
+        report["read_per_s"] = (read - self.prefilled_before[0]) / seconds
+        report["parts_read_per_s"] = (parts - self.prefilled_before[1]) / seconds
+        report["use"] = report["read_per_s"] * self.shape.engine.prefill_seconds_per_token / self.shape.workers
+        report["bytes_per_call"] = self.network.bytes / max(1, self.calls)
         report |= self.award_figures(self.calls)
         return report
 
 
 def figures_of(shape: Shape, seed: int) -> dict[str, float]:
-    return Run(shape, seed).go()
+    return Run(shape, seed).execute()
 
 
 POLICIES = (
@@ -404,26 +412,26 @@
     "award",
     "oracle",
 )
-"""``award`` is what routers do; ``award-alone`` has no queue keepers, ``award-guessed`` is not told any parts."""
+"""``award`` is what routers do; ``award-alone`` has no queue owners, ``award-guessed`` gets no prompt parts."""
 
 
 def tables() -> dict[str, dict[str, Shape]]:
     base = Shape()
     troubles = {
         "normal": base,
-        "burst": msgspec.structs.replace(base, burst=1.5),
-        "burst-2": msgspec.structs.replace(base, burst=2.0),
-        "hot": msgspec.structs.replace(base, hot=0.25),
-        "dark": msgspec.structs.replace(base, dark=2),
-        "slow": msgspec.structs.replace(base, slow=2),
+        "burst": msgspec.structs.replace(base, burst_factor=1.5),
+        "burst-2": msgspec.structs.replace(base, burst_factor=2.0),
+        "hot": msgspec.structs.replace(base, hot_share=0.25),
+        "dark": msgspec.structs.replace(base, frozen_workers=2),
+        "slow": msgspec.structs.replace(base, slow_workers=2),
     }
     for name, shape in list(troubles.items()):
-        troubles[f"{name}-large"] = msgspec.structs.replace(shape, engine=LARGE_CACHE, chats=5.0)
-    bound = Shape(workers=12, engine=MEMORY_BOUND, summaries=144.0, chats=15.0, subjects=1636)
+        troubles[f"{name}-large"] = msgspec.structs.replace(shape, engine=LARGE_CACHE, chats_per_second=5.0)
+    bound = Shape(workers=12, engine=MEMORY_BOUND, summaries_per_second=144.0, chats_per_second=15.0, subjects=1636)
     troubles["memory"] = bound
-    troubles["memory-burst"] = msgspec.structs.replace(bound, burst=1.5)
-    troubles["memory-burst-2"] = msgspec.structs.replace(bound, burst=2.0)
-    troubles["memory-dark"] = msgspec.structs.replace(bound, dark=2)
+    troubles["memory-burst"] = msgspec.structs.replace(bound, burst_factor=1.5)
+    troubles["memory-burst-2"] = msgspec.structs.replace(bound, burst_factor=2.0)
+    troubles["memory-dark"] = msgspec.structs.replace(bound, frozen_workers=2)
     return {
         name: {policy: msgspec.structs.replace(shape, policy=policy) for policy in POLICIES}
         for name, shape in troubles.items()
@@ -481,11 +489,11 @@
                 deadline=Instant(run.loop.time() + 2.0),
             )
             await asyncio.sleep(0.08)
-            began = time.process_time()
+            started_at = time.process_time()
             choice = (await placement.choose(turn, ())).unwrap()
             placement.first_token_received(turn, choice, Seconds(0.05))
             placement.finished(turn, choice, "whole", generate, Seconds(0.05))
-            times.append(time.process_time() - began)
+            times.append(time.process_time() - started_at)
 
     run.loop.run_until_complete(all_turns())
     run.close()
