--- a/bench/configuration_steps.py
+++ b/bench/configuration_steps.py
@@ -1,8 +1,9 @@
-"""How long the operator's configurations hold the event loop: ``python -m bench.configuration_steps [ROUTES ...]``.
+"""Measures how long the operator's configurations block the event loop.
 
-For each size and stage one line: processor time in all, and the longest time between two turns of the event loop.
-Stages: translation of a whole configuration, checking on the primary beforehand, its decision and record, a router's
-reading, giving back, and the same for a patch of one route.
+``python -m bench.configuration_steps [ROUTES ...]`` prints one line for each size and stage: the total processor time
+and the longest time between two turns of the event loop. The stages are the translation of a complete configuration,
+the preparation on the primary, its decision and the application of the record, the reading by a router, the rendering
+of the configuration, and the same for a patch of one route.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 async def run_measured(title: str, work: Callable[[], Awaitable[Value]]) -> Value:
-    """Runs the work beside a task that notes each turn of the loop."""
+    """Runs ``work`` beside a task that runs in each turn of the event loop; prints the times and returns the value."""
     longest_gap, last_turn_at = 0.0, time.perf_counter()
 
     async def note_loop_turns() -> None:
@@ -53,7 +54,7 @@
 
 
 class Stages:
-    """One control state and one router's bundle."""
+    """Passes a change through one control state to the bundle of one router."""
 
     def __init__(self) -> None:
         self.state = BundleState((), signing_key=SIGNING_KEY)
--- a/bench/control_bench.py
+++ b/bench/control_bench.py
@@ -1,8 +1,8 @@
-"""Control core on real disks and loopback: acknowledgement latency, orders a second, restart, rewrite (section 7).
+"""Measures the control core on real disks and loopback: latency, throughput, restart, journal rewrites (section 7).
 
-``python -m bench.control_bench run --folder DIR`` starts three control cores as child processes with data
-folders below DIR, drives them with signed orders and ledger batches, kills and restarts them, and prints a
-table. It ends only its own children, by id.
+``python -m bench.control_bench run --folder DIR`` starts three control cores as child processes with data folders
+below DIR, sends them signed orders and ledger batches, kills and restarts them, and prints a table. It ends only its
+own children, by their process ids.
 """
 
 from __future__ import annotations
@@ -75,14 +75,14 @@
 
 @click.group()
 def main() -> None:
-    """Bench of the control core."""
+    """Measures the control core."""
 
 
 @main.command()
 @click.option("--number", type=int, required=True)
 @click.option("--folder", type=click.Path(path_type=Path), required=True)
 def serve(number: int, folder: Path) -> None:
-    """One control core (started by ``run``)."""
+    """Runs one control core; ``run`` starts it as a child process."""
     asyncio.run(_serve(settings_of(number, folder)))
 
 
@@ -131,7 +131,7 @@
             self.kill(number)
 
     def logged_values(self, event: str, field: str) -> list[float]:
-        """The field of all such events in the children's logs."""
+        """Returns the values of ``field`` of all events named ``event`` in the logs of the children."""
         found: list[float] = []
         for log in sorted(self.folder.glob("c*.log")):
             for line in log.read_text().splitlines():
@@ -144,7 +144,7 @@
 
 
 class Operator:
-    """Builds signed orders (one tenant's rate changed in each) and sends them."""
+    """Builds signed orders, each of which changes the paid rate of one tenant, and sends them."""
 
     def __init__(self, client: ControlClient) -> None:
         self.client = client
@@ -186,7 +186,7 @@
                 self.version = order.manifest.version
                 return time.monotonic() - started_at
             case other:
-                raise SystemExit(f"order {order.manifest.order}: {other}")
+                raise SystemExit(f"order {order.manifest.order} was not accepted: {other}")
 
 
 def percentiles(name: str, values: Sequence[float]) -> str:
@@ -196,10 +196,12 @@
 
 
 @main.command()
-@click.option("--folder", type=click.Path(path_type=Path), required=True, help="Emptied before and after.")
+@click.option(
+    "--folder", type=click.Path(path_type=Path), required=True, help="Folder for the data; removed before and after."
+)
 @click.option("--changes", default="1000,28000", show_default=True, help="Restart is timed at these numbers.")
 def run(folder: Path, changes: str) -> None:
-    """The whole bench."""
+    """Starts three control cores, measures them, and removes their data folders."""
     shutil.rmtree(folder, ignore_errors=True)
     fleet = ControlProcesses(folder)
     try:
@@ -246,7 +248,7 @@
 
 
 async def _restart(fleet: ControlProcesses, operator: Operator, goal: int) -> None:
-    """Orders were acknowledged up to ``goal``: all daemons are killed, then started."""
+    """Kills all daemons after ``goal`` acknowledged orders and measures the restart up to the next acknowledgement."""
     before = len(fleet.logged_values("opened", "took"))
     fleet.kill_all()
     order = operator.change()
@@ -275,7 +277,7 @@
                 case Success(_):
                     latencies.append(time.monotonic() - started_at)
                 case Failure(fault):
-                    raise SystemExit(f"ledger: {fault}")
+                    raise SystemExit(f"ledger claim failed: {fault}")
 
     await asyncio.gather(*(one(number) for number in range(clients)))
     click.echo(percentiles(f"ledger claims, {clients} at a time", latencies) + f", {len(latencies) / 4.0:.0f}/s")
--- a/bench/control_losses.py
+++ b/bench/control_losses.py
@@ -1,7 +1,8 @@
-"""Gaps between acknowledgements of the control core when members are lost, in virtual time.
+"""Measures gaps between acknowledgements of the control core when members are lost, in virtual time.
 
-``python -m bench.control_losses [SEEDS [LOSSES_BORNE]]``: for each fault the median and longest time from the fault
-to the next acknowledged order as its sender saw it, and until health calls the view complete again (section 7.4).
+``python -m bench.control_losses [SEEDS [LOSSES_BORNE]]`` prints for each fault the median and the longest time from
+the fault to the next acknowledged order as its sender saw it, and to the health report that calls the view complete
+again (section 7.4).
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 THREE = SIX[:3]
 FILLER = b"x" * 65_536
-"""Sixteen of them make a state of 1 MB."""
+"""Filler of one order; sixteen orders make a state of 1 MB."""
 RECOVERY_TIMEOUT_SECONDS = 30.0
 
 Fault = Callable[[ControlWorld, str], None]
@@ -56,7 +57,7 @@
 
 
 def _wipe_running(control: ControlWorld, name: str) -> None:
-    """The supervisor starts the process again 0.2 s after it stopped."""
+    """Wipes the disk of a running process; the supervisor restarts the process 0.2 s after it has stopped."""
     control.world.wipe(name)
 
     def restart_when_stopped() -> None:
@@ -81,13 +82,16 @@
 
 
 def measure(seed: int, losses: int, roles: tuple[str, ...], fault: Fault) -> tuple[float, float]:
-    """Seconds until the next acknowledgement and until complete."""
+    """Returns the seconds from the fault to the next acknowledgement and to a complete view.
+
+    Raises TimeoutError when the view does not form, and AssertionError when an invariant was broken.
+    """
     control = ControlWorld(seed, core_maker(losses_borne=losses), SIX if losses == 2 else THREE)
     world = control.world
     try:
         control.operator()
         if not world.wait_for(control.complete, 10.0):
-            raise TimeoutError("not formed")
+            raise TimeoutError("the control view was not complete within 10 s")
         for _ in range(16):
             control.send(filler=FILLER)
         world.run(0.3 + 0.25 * world.random.random())
--- a/bench/drains.py
+++ b/bench/drains.py
@@ -1,10 +1,11 @@
-"""How soon a draining worker gets no more turns: ``python -m bench.drains`` (docs/MEASUREMENTS.md).
-
-A real fleet under load, with short calls of one tenant on top so that each worker gets many turns a second. In each
-round the tool announces, in a model worker's name, that it drains. The worker itself is not told and goes on taking
-what comes, so that each turn that is late is run and seen; had it been told, it would refuse them. (A router whose
-feed is older than a second asks the worker, which then says ready: the tool's way is the stricter one.) Counted from
-the acknowledgement: the last new turn's coming to the worker, and each router's first list with the worker draining.
+"""Measures how soon a draining worker receives no more turns: ``python -m bench.drains`` (docs/MEASUREMENTS.md).
+
+A real fleet runs under load; short calls of one tenant are added so that each worker receives many turns a second. In
+each round the tool announces in the name of a model worker that the worker drains. The worker itself does not know and
+accepts every turn, so each late turn runs and is seen; a worker that knew would refuse them. (A router whose feed is
+older than a second asks the worker, which then answers that it is ready: the method of this tool is the stricter one.)
+Times count from the acknowledgement of the announcement: to the arrival of the last new turn at the worker, and to the
+first list of each router that shows the worker as draining.
 """
 
 from __future__ import annotations
@@ -33,8 +34,9 @@
 from .roll_outs import percentiles_ms
 
 WATCH_SECONDS = 2.5
-"""Seconds after the acknowledgement; a turn beyond 2 s must never be."""
+"""How long turns are counted after the acknowledgement."""
 MAX_TURN_DELAY_SECONDS = 2.0
+"""No turn may arrive at the worker later than this after the acknowledgement."""
 WARM_UP_SECONDS = 5.0
 POLL_INTERVAL_SECONDS = 0.02
 LISTING_TIMEOUT_SECONDS = 5.0
@@ -45,12 +47,12 @@
         self._fleet = fleet
         self._http = http
         self.acknowledgement_times: list[float] = []
-        """Seconds from sending the announcement to its acknowledgement."""
+        """Seconds from sending each announcement to its acknowledgement."""
         self.last_turn_delays: list[float] = []
-        """Per round with a turn after the acknowledgement: the last one's coming."""
+        """Seconds from the acknowledgement to the arrival of the last turn, for each round that had a late turn."""
         self.late_turns = 0
         self.turns_before: list[float] = []
-        """Turns that came to the worker in the second before."""
+        """Turns that arrived at the worker in the second before the acknowledgement, one count for each round."""
         self.listing_times: list[float] = []
         self.last_listing_times: list[float] = []
         self.problems: list[str] = []
@@ -109,7 +111,7 @@
             self.last_turn_delays.append(max(late))
 
     async def _restart_worker(self, worker: WorkerPlan, instance: str) -> None:
-        """A new life with an empty cache once its streams have ended, and back in all routers' lists."""
+        """Restarts the idle worker with an empty cache and waits until all routers list its new instance as ready."""
 
         async def idle() -> bool:
             health = await self._http.get(worker.address, "/health")
@@ -196,10 +198,13 @@
 @click.command()
 @click.option("--shape", type=click.Path(path_type=Path), default=Path("despensa"), show_default=True)
 @click.option("--rounds", default=27, show_default=True)
-@click.option("--scale", default=1.0, show_default=True, help="Times the shape's rates.")
-@click.option("--flood", default=60.0, show_default=True, help="Short calls a second on top.")
+@click.option("--scale", default=1.0, show_default=True, help="Factor on the call rates of the shape.")
+@click.option("--flood", default=60.0, show_default=True, help="Additional short calls per second.")
 def main(shape: Path, rounds: int, scale: float, flood: float) -> None:
-    """Prints JSON; exit code 1 after a turn later than 2 s or another problem, 2 when the fleet failed."""
+    """Prints the results as JSON.
+
+    The exit code is 1 after a turn later than 2 s or another problem, and 2 when the fleet failed.
+    """
     try:
         with tempfile.TemporaryDirectory(prefix="wingwood-drains-") as folder:
             found = asyncio.run(_run(open_shape(shape), Path(folder), rounds, scale, flood))
--- a/bench/engine_model.py
+++ b/bench/engine_model.py
@@ -1,8 +1,9 @@
-"""A model of a batching engine with chunked prefill and a KV cache of prompt parts, on virtual time.
+"""Models a batching engine with chunked prefill and a KV cache of prompt parts, on virtual time.
 
-Each step gives every running stream one token and prefills up to a chunk of waiting prompts, first come
-first served. A step takes a base time, a little per running stream, and the chunk's prefill. Finished
-prompts leave their told parts in the cache; the least recently used go when running turns need room.
+Each step generates one token for every running stream and prefills waiting prompts in order of arrival, up to the size
+of one chunk. A step takes a base time, a little time for each running stream, and the time to prefill the chunk. The
+declared parts of a finished prompt stay in the cache; the least recently used parts are evicted when running turns
+need room.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 from wingwood.registry.protocols import Worker, WorkerLoad
 
 MAX_STEPS_WITHOUT_PREFILL = 8
-"""Steps taken at once while nothing is prefilled."""
+"""The most steps that are simulated as one while nothing is prefilled."""
 
 
 class Engine(msgspec.Struct, frozen=True, kw_only=True):
-    """Times in seconds, sizes in tokens."""
+    """Parameters of an engine; times are in seconds, sizes in tokens."""
 
     slots: int = 32
     cache_tokens: int = 250_000
@@ -35,7 +36,7 @@
 
 
 class Stream:
-    """One turn at an engine: the instants of its events, and a future that ends with it."""
+    """One turn at an engine: the times of its events, and a future that is set when the turn ends."""
 
     def __init__(self, parts: tuple[PromptPart, ...], prompt: int, generate: int, end: asyncio.Future[None]) -> None:
         self.parts = parts
@@ -44,7 +45,7 @@
         self.end = end
         self.first: asyncio.Future[None] = end.get_loop().create_future()
         self.remaining_prefill_tokens = -1
-        """-1: not begun."""
+        """-1 until the stream is admitted."""
         self.cached = 0
         self.generated = 0
         self.events: list[float] = []
@@ -94,7 +95,7 @@
         return stream
 
     def tokens_ahead(self) -> int:
-        """Tokens that a new prompt has before it."""
+        """Returns how many tokens the engine has to prefill before it starts a new prompt."""
         waiting = sum(stream.prompt - self.cached(stream.parts) for stream in self._waiting)
         return waiting + sum(max(0, stream.remaining_prefill_tokens) for stream in self._running)
 
@@ -145,7 +146,7 @@
             self.prefilled_part_tokens += stream.prompt - stream.unshared_tokens - stream.cached
 
     def _prefill_chunk(self) -> tuple[int, bool]:
-        """Tokens prefilled in this step, and whether prompts remain."""
+        """Returns the number of tokens prefilled in this step, and whether that number is above zero."""
         remaining = self.engine.chunk_tokens
         for stream in self._running:
             if stream.remaining_prefill_tokens > 0 and remaining > 0:
@@ -182,7 +183,7 @@
     # --- the cache ----------------------------------------------------------------------------
 
     def cached(self, parts: tuple[PromptPart, ...]) -> int:
-        """Tokens of a prompt that it keeps."""
+        """Returns how many tokens of a prompt with these parts are cached."""
         tokens = 0
         for chain, end_tokens in chains(parts):
             if chain not in self._cache:
@@ -191,7 +192,7 @@
         return tokens
 
     def _touch(self, parts: tuple[PromptPart, ...], tokens: int) -> None:
-        """Longest first, so that a prefix is never older than what follows on it."""
+        """Marks chains as recently used, the longest first, so that no prefix is evicted before its continuations."""
         for chain, end_tokens in reversed(list(chains(parts))):
             if end_tokens <= tokens and chain in self._cache:
                 self._cache.move_to_end(chain)
--- a/bench/fleet_growth.py
+++ b/bench/fleet_growth.py
@@ -1,8 +1,9 @@
-"""What one daemon of an emulated fleet spends while the fleet grows, idle and with the same traffic at each router.
+"""Measures the traffic and processor time of one daemon of an emulated fleet as the fleet grows.
 
-``python -m bench.fleet_growth --routers 11 --routers 79 --routers 300`` runs whole fleets (six control daemons, 33
-workers, the daemons' own code) on simulated time in one process. Bytes and messages are those of the daemons' own
-links. Processor time includes the simulator's wires, so it is good for slopes and not as a sum.
+``python -m bench.fleet_growth --routers 11 --routers 79 --routers 300`` runs complete fleets (six control daemons, 33
+workers, the daemons' own code) on simulated time in one process, idle and with the same traffic at each router. Bytes
+and messages are those of the daemons' own connections. The processor time includes the simulated network, so it
+shows how the cost grows but not its absolute size.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class DaemonTraffic(msgspec.Struct, frozen=True):
-    """Of one daemon of a role, each second."""
+    """Bytes and messages per second of the daemons of one role: their mean, and the highest of any daemon."""
 
     bytes_mean: float
     bytes_max: float
@@ -38,7 +39,7 @@
 class Growth(msgspec.Struct, frozen=True):
     routers: int
     processor_ms: float
-    """Per daemon and second, the simulator's part included."""
+    """Processor time per daemon and second in milliseconds, including that of the simulator."""
     router: DaemonTraffic
     control: DaemonTraffic
 
@@ -61,7 +62,7 @@
 
 
 def traffic_counters(messengers: dict[str, TcpMessenger]) -> dict[str, tuple[int, int]]:
-    """Bytes in and out, and messages sent, so far."""
+    """Returns for each daemon the bytes received and sent, and the messages sent, so far."""
     return {
         name: (messenger.bytes_in + messenger.bytes_out, messenger.messages_out)
         for name, messenger in messengers.items()
@@ -77,7 +78,10 @@
 
 
 def measure(routers: int, traffic: float, seconds: float, seed: int) -> Growth:
-    """``traffic``: that of the usual deployment, for each router; 0 for an idle fleet."""
+    """Runs one fleet and returns its figures.
+
+    ``traffic`` is a factor on the traffic that each router of the reference deployment has; 0 gives an idle fleet.
+    """
     shape = shape_of(routers)
     with World(seed, network_shape(shape)) as world:
         fleet = Fleet(world, shape, supervised=False)
@@ -107,7 +111,7 @@
 @click.option("--seconds", default=10.0, show_default=True)
 @click.option("--seed", default=3, show_default=True)
 def main(sizes: tuple[int, ...], loads: tuple[float, ...], seconds: float, seed: int) -> None:
-    """Prints a row for each size and load; mean and busiest daemon of each role."""
+    """Prints a row for each size and load, with the mean and the busiest daemon of each role."""
     click.echo("routers traffic | ms/s a daemon | router B/s mean, most | msg/s mean, most | control B/s | msg/s")
     for traffic in loads:
         for routers in sizes:
--- a/bench/forward_bench.py
+++ b/bench/forward_bench.py
@@ -1,11 +1,12 @@
-"""What the request path costs: a router between a worker and callers, against callers straight at the worker.
+"""Measures the cost of the request path: calls through a router compared with calls straight to the worker.
 
-Three processes on loopback: a bare worker, a router (real sockets, curl client, stand-ins for the other
-slices), and this one with bare callers. ``python -m bench.forward_bench --help``.
+Three processes run on loopback: a bare worker, a router (real sockets, curl client, fakes for the other modules), and
+this process with bare callers. ``python -m bench.forward_bench --help`` shows the options.
 
-Latency per call: callers in a closed loop, few enough that nothing queues. Latency per piece: the worker
-stamps each event with the machine's monotonic clock, callers subtract. Cost: processor time of the router
-process over calls and pieces. Both ways run in turns in the same run.
+Latency per call is measured with callers in a closed loop, few enough that nothing queues. For the latency per chunk
+the worker stamps each event with the machine's monotonic clock, and callers subtract the stamp from their own time.
+Cost is the processor time of the router process divided by calls and chunks. Direct and routed calls alternate within
+one run.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 class BareWorker(asyncio.Protocol):
-    """``POST /plain`` answers at once; ``POST /chat`` streams ``X-Events`` events, one each ``X-Pace`` seconds."""
+    """Answers ``POST /plain`` at once; streams ``X-Events`` events, one each ``X-Pace`` seconds, for ``POST /chat``."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: asyncio.Transport = transport  # type: ignore[assignment]
@@ -86,7 +87,7 @@
 
 
 async def run_router(profile: str | None) -> None:
-    """The request path with stand-ins that answer at once."""
+    """Runs the request path with fakes of the other modules that answer at once, until SIGTERM."""
     from pathlib import Path  # noqa: PLC0415
     from random import Random  # noqa: PLC0415
 
@@ -175,7 +176,7 @@
 
 
 class BareCaller(asyncio.Protocol):
-    """One keep-alive connection; notes when each call ended and how old each event was."""
+    """Calls over one keep-alive connection and records the age of each event in milliseconds."""
 
     def __init__(self, events: Numbers) -> None:
         self.events = events
@@ -228,7 +229,10 @@
 
 
 async def closed_loop(port: int, callers: int, seconds: float, data: bytes, streams: bool) -> dict[str, Numbers]:
-    """Each caller sends its next call when the last has ended."""
+    """Runs callers that each send the next call when the previous one has ended.
+
+    Returns the durations of calls and the ages of events in milliseconds.
+    """
     loop = asyncio.get_running_loop()
     calls: Numbers = []
     events: Numbers = []
@@ -237,9 +241,9 @@
 
     async def caller(number: int) -> None:
         nonlocal failed
-        await asyncio.sleep(0.05 * number / callers)  # Else all streams' events would come at the same time.
+        await asyncio.sleep(0.05 * number / callers)  # Otherwise the events of all streams coincide.
         while time.monotonic() < deadline:
-            # Each stream has a connection of its own at the worker too, as the router makes one for each call.
+            # Each stream has its own connection to the worker too, since the router opens one for each call.
             _, protocol = await loop.create_connection(lambda: BareCaller(events), "127.0.0.1", port)
             while time.monotonic() < deadline and not protocol.transport.is_closing():
                 started_at = time.monotonic()
@@ -292,7 +296,7 @@
 
 
 async def memory_per_stream(count: int) -> int:
-    """Bytes of the router for each of ``count`` streams that are open and slow."""
+    """Returns the resident bytes of the router for each of ``count`` slow open streams."""
     loop = asyncio.get_running_loop()
     data = request_bytes("/chat", X_Events=2, X_Pace=4.0)
     before = await router_cost()
@@ -313,14 +317,19 @@
     child = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
     assert child.stdout is not None
     if child.stdout.readline().strip() != "ready":
-        raise SystemExit(f"{arguments[1]} did not start")
+        raise SystemExit(f"the {arguments[1]} process did not start")
     return child
 
 
 @click.command()
-@click.option("--role", type=click.Choice(["all", "worker", "router"]), default="all", help="Which process to be.")
+@click.option(
+    "--role",
+    type=click.Choice(["all", "worker", "router"]),
+    default="all",
+    help="Process to run; all starts the others.",
+)
 @click.option("--seconds", default=4.0, help="Length of each measurement.")
-@click.option("--streams", default=50, help="Streams side by side for the latency per piece.")
+@click.option("--streams", default=50, help="Concurrent streams for the latency per chunk.")
 @click.option("--pace", default=0.03, help="Seconds between two events of a stream.")
 @click.option("--profile", default=None, help="File for a profile of the router (slows it down).")
 def main(role: str, seconds: float, streams: int, pace: float, profile: str | None) -> None:
--- a/bench/forward_bundle.py
+++ b/bench/forward_bundle.py
@@ -1,4 +1,4 @@
-"""What the router of the forwarding bench serves: two services on one worker, for one tenant with one key."""
+"""Builds the bundle and worker of the forwarding bench: two services on one worker, for one tenant with one key."""
 
 from __future__ import annotations
 
--- a/bench/hollow_daemons.py
+++ b/bench/hollow_daemons.py
@@ -1,13 +1,13 @@
-"""Membership and distribution at growing sizes: hollow daemons against three real control cores.
+"""Measures membership and bundle distribution at growing sizes: hollow daemons with three real control daemons.
 
 ``python -m bench.hollow_daemons --daemons 11 --daemons 100 --daemons 300 --daemons 1000 --output results.json``
 
-A hollow daemon is a router's MembershipClient and BundleFollower on a real messenger over loopback,
-without callers; many share one process. The three control daemons are processes of their own, each
-with the replicated core (journal in a temporary folder, synced), SessionKeeper and BundlePublisher.
-For each size: an idle phase, a phase with the planned rate of changes (28,000 a day), a storm. Bytes
-are counted twice: what the messengers send and take, and estimated on the wire from the kernel's
-counts of segments (52 bytes of IP and TCP head each).
+A hollow daemon is a router's MembershipClient and BundleFollower on a real messenger over loopback, without callers;
+many of them share one process. The three control daemons are processes of their own, each with the replicated core
+(journal in a temporary folder, synced), MembershipCoordinator and BundlePublisher. Each size runs an idle phase, a
+phase with the planned rate of changes (28,000 a day), a phase with two changes a second, and a storm. Bytes are
+counted twice: those that the messengers send and receive, and an estimate of the bytes on the wire from the kernel's
+segment counts (52 bytes of IP and TCP headers for each segment).
 """
 
 from __future__ import annotations
@@ -91,7 +91,7 @@
 
 
 def tcp_traffic() -> tuple[int, int]:
-    """Bytes and segments, in and out, of all TCP sockets of this process so far."""
+    """Returns the bytes and the segments that all TCP sockets of this process have sent and received so far."""
     total_bytes = total_segments = 0
     for name in os.listdir("/proc/self/fd"):
         try:
@@ -126,7 +126,7 @@
 
 
 async def answer_parent(report: Callable[[], dict[str, Any]]) -> None:
-    """One JSON line for each line of standard input; ends when that ends."""
+    """Prints a JSON report for each line of standard input, until standard input ends."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -136,14 +136,14 @@
 
 @click.group()
 def programs() -> None:
-    """Parts of the bench that run as processes of their own."""
+    """Runs the parts of the bench that are processes of their own."""
 
 
 @programs.command()
 @click.option("--number", type=int, required=True)
 @click.option("--folder", type=click.Path(path_type=Path), required=True)
 def control(number: int, folder: Path) -> None:
-    """One control daemon."""
+    """Runs one control daemon."""
 
     async def main() -> None:
         context = make_context(folder)
@@ -191,7 +191,7 @@
 @click.option("--zones", type=int, required=True)
 @click.option("--first", type=int, required=True)
 def hollow(daemons: int, zones: int, first: int) -> None:
-    """Many hollow daemons."""
+    """Runs many hollow daemons in one process."""
 
     async def main() -> None:
         context = make_context(Path("."))
@@ -243,7 +243,7 @@
 
 
 class Child:
-    """A process of this bench, ended by its id."""
+    """A child process of this bench; it is ended by its process id."""
 
     def __init__(self, *arguments: str) -> None:
         self._process = subprocess.Popen(
@@ -266,7 +266,7 @@
 
 
 class HollowChildren:
-    """The processes that share the hollow daemons, as one."""
+    """Presents the processes that share the hollow daemons as one."""
 
     def __init__(self, daemons: int, zones: int, processes: int) -> None:
         firsts = [daemons * number // processes for number in range(processes + 1)]
@@ -276,7 +276,7 @@
         ]
 
     def report(self) -> dict[str, Any]:
-        """Sums, apart from the least values and the time of the last report."""
+        """Returns the sums of the reports; for the fields named fewest or lowest the minimum, and the last time."""
         reports = [child.report() for child in self._children]
         total = {name: sum(report[name] for report in reports) for name in reports[0] if name != "in_force"}
         total["at"] = reports[-1]["at"]
@@ -294,7 +294,7 @@
 
 
 class Phase(msgspec.Struct, kw_only=True):
-    """Rates are per second; those of a hollow daemon are one daemon's."""
+    """Results of one phase; rates are per second, and fields named ``daemon_...`` are for one hollow daemon."""
 
     name: str
     seconds: float
@@ -302,18 +302,18 @@
     daemon_messenger_bytes: float
     daemon_wire_bytes: float
     daemon_processor: float
-    """Share of one core."""
+    """Share of one processor core."""
     not_serving: int
-    """Daemons whose proof was too old for Despensa's bound at the end of the phase."""
+    """Daemons whose bundle proof was older than Despensa's limit at the end of the phase, so that they don't serve."""
     behind: int
-    """Versions by which the last daemon was behind at the end, 2.5 s after the last change."""
+    """Versions by which the slowest daemon was behind at the end, 2.5 s after the last change."""
     control_processor: list[float]
     control_messenger_bytes: list[float]
     acknowledged_ms: dict[str, float]
     all_in_force_ms: dict[str, float]
-    """From acknowledgement to the last of all daemons."""
+    """Time from the acknowledgement until the last daemon had the version in force."""
     each_in_force_ms: dict[str, float]
-    """From acknowledgement to each daemon; versions that were skipped over are not counted."""
+    """Time from the acknowledgement until each daemon had the version in force; skipped versions are not counted."""
 
 
 class Size(msgspec.Struct, kw_only=True):
@@ -321,11 +321,11 @@
     zones: int
     tenants: int
     formed_after: float
-    """Seconds until all hollow daemons saw all members."""
+    """Seconds until all hollow daemons saw all members and had the first bundle."""
     daemon_memory: float
-    """Bytes of one hollow daemon above the empty process (libraries loaded)."""
+    """Bytes of one hollow daemon, without those of the empty process (libraries loaded)."""
     empty_memory: float
-    """Of one process."""
+    """Bytes of one process before it starts hollow daemons."""
     control_memory: list[float]
     phases: list[Phase]
 
@@ -339,7 +339,7 @@
 
 
 class Operator:
-    """Signs and sends changes of one tenant each, and notes when each was acknowledged."""
+    """Signs and sends changes of one tenant each, and records when each was acknowledged."""
 
     def __init__(self, context: Context, tenants: int) -> None:
         identity = Identity(
@@ -409,7 +409,7 @@
     activations = sorted((int(version), times) for version, times in after_hollow["in_force"].items())
     for version, acknowledged in sorted(operator.acknowledged.items()):
         each += [at - acknowledged for found, times in activations if found == version for at in times]
-        # Each daemon has this version when it has it or a later one; the last to do so counts.
+        # A daemon has this version when it has it or a later one; the last daemon to reach it counts.
         firsts = sorted(at for found, times in activations if found >= version for at in times)
         if len(firsts) >= daemons:
             last.append(_last_activation(version, activations, daemons) - acknowledged)
@@ -431,10 +431,10 @@
 
 
 def _last_activation(version: int, activations: Sequence[tuple[int, list[float]]], daemons: int) -> float:
-    """An upper bound of when the last daemon had ``version``: the last one's first later version.
+    """Returns an upper bound of the time at which the last daemon had ``version`` in force.
 
-    Daemons don't say who they are, so the count of activations of the first version that all daemons
-    put in force is taken where versions were skipped.
+    Reports don't name the daemons, so where versions were skipped the bound is the last activation of the first
+    later version that all daemons put in force.
     """
     for found, times in activations:
         if found >= version and len(times) >= daemons:
@@ -460,7 +460,7 @@
                 if report["fewest_members"] == daemons + 3 and report["lowest_version"] == operator.version:
                     break
                 if time.monotonic() - started_at > 120:
-                    raise TimeoutError(f"the fleet did not form: {report}")
+                    raise TimeoutError(f"the fleet did not form within 120 s: {report}")
                 await asyncio.sleep(0.2)
             formation_seconds = time.monotonic() - started_at
             await asyncio.sleep(5.0)
@@ -488,8 +488,8 @@
 
 @click.command()
 @click.option("--daemons", "sizes", type=int, multiple=True, default=(11, 100, 300, 1000), show_default=True)
-@click.option("--processes", type=int, default=2, show_default=True, help="That share the hollow daemons.")
-@click.option("--tenants", type=int, default=5, show_default=True, help="Slices of the bundle, about.")
+@click.option("--processes", type=int, default=2, show_default=True, help="Processes that share the hollow daemons.")
+@click.option("--tenants", type=int, default=5, show_default=True, help="Tenants in the bundle, one slice each.")
 @click.option("--seconds", type=float, default=15.0, show_default=True, help="Length of each phase.")
 @click.option("--storm", type=float, default=50.0, show_default=True, help="Changes a second in the storm; 0: none.")
 @click.option("--output", type=click.Path(path_type=Path), help="Results file (JSON).")
--- a/bench/http_client_bench.py
+++ b/bench/http_client_bench.py
@@ -1,8 +1,8 @@
-"""What the HTTP clients towards workers cost: processor time per call and per piece, and that of their parsers alone.
+"""Measures the HTTP clients that call workers: processor time per call and per chunk, and that of their parsers alone.
 
-A bare worker in a process of its own on loopback; the clients take turns in this one, a round each, with one call at a
-time, so nothing queues. A call's cost is this process's processor time from its start to its end.
-``python -m bench.http_client_bench --help``.
+A bare worker runs in a process of its own on loopback. The clients alternate in this process, a round each, with one
+call at a time, so nothing queues. The cost of a call is the processor time of this process from its start to its end.
+``python -m bench.http_client_bench --help`` shows the options.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 EVENTS_PER_STREAM: Final = 40
 EVENT: Final = b'data: {"token": "' + b"x" * 90 + b'"}\n\n'
 EVENT_INTERVAL_SECONDS: Final = 0.002
-"""Seconds between events: each arrives on its own."""
+"""Time between events, long enough that each event arrives on its own."""
 HEADERS: Final = (
     b"Content-Type: text/event-stream\r\nX-Request-Id: 9c41d07be2a35f68\r\nKeep-Alive: timeout=5\r\n"
     b"X-Signature: 3e1b.07.5a2.600.0.c9f2a4d1\r\nX-Load: 3,0,12\r\nDate: Tue, 02 Dec 2025 06:23:00 GMT\r\n"
@@ -92,7 +92,7 @@
 
 
 async def call_cpu_ns(client: HttpClient, request: HttpRequest) -> int:
-    """Its processor time in nanoseconds."""
+    """Makes one call and returns its processor time in nanoseconds."""
     started_at = time.process_time_ns()
     exchange = client.start(request)
     head = await exchange.head()
@@ -140,7 +140,7 @@
 
 
 class MemoryStream(BaseIOStream):
-    """Gives the pieces of an answer, one for each read."""
+    """Returns the chunks of an answer, one for each read."""
 
     def __init__(self, chunks: list[bytes]) -> None:
         super().__init__()
--- a/bench/ledger_bench.py
+++ b/bench/ledger_bench.py
@@ -1,8 +1,8 @@
-"""Claims through the real control core on loopback, and what an entry weighs.
+"""Measures claims through the real control core on loopback, and the size of ledger entries.
 
-``python -m bench.ledger_bench claims`` starts three control daemons as children (ended by their ids) and
-claims and settles through them from this process; ``entries`` fills a ledger in memory; ``takeover`` loses
-control machines on simulated time.
+``python -m bench.ledger_bench claims`` starts three control daemons as child processes (ended by their process ids)
+and claims and settles through them from this process; ``entries`` fills a ledger in memory; ``takeover`` loses control
+machines on simulated time.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
 @click.option("--number", type=int, required=True)
 @click.option("--folder", type=click.Path(path_type=Path), required=True)
 def control(number: int, folder: Path) -> None:
-    """One control daemon, until its standard input ends."""
+    """Runs one control daemon until its standard input ends."""
 
     async def run() -> None:
         context = make_context(folder)
@@ -125,9 +125,9 @@
 
 
 @main.command()
-@click.option("--seconds", default=4.0, show_default=True, help="Of each load.")
+@click.option("--seconds", default=4.0, show_default=True, help="Length of each load.")
 def claims(seconds: float) -> None:
-    """Claims and settles at several numbers of callers, and at today's 30 calls a second."""
+    """Claims and settles with several numbers of callers, and at the current production rate of 30 calls a second."""
     with tempfile.TemporaryDirectory() as folder:
         children = [ControlChild(number, Path(folder) / f"c{number}") for number in range(3)]
         try:
@@ -195,7 +195,7 @@
 @main.command()
 @click.option("--sizes", default="10000,54000,200000,1000000", show_default=True)
 def entries(sizes: str) -> None:
-    """Bytes per entry (calls that ran, and calls that run), snapshot size, and the rules' own speed."""
+    """Measures bytes per entry (settled and running calls), snapshot size, and processor time of the ledger state."""
     titles = f"{'entries':>9} {'ran B':>6} {'held B':>6} {'snapshot B':>10} {'snapshot ms':>11}"
     click.echo(titles + f" {'restore ms':>10} {'µs a call':>9}")
     for size in (int(text) for text in sizes.split(",")):
@@ -229,7 +229,7 @@
 @main.command()
 @click.option("--seeds", default=6, show_default=True)
 def takeover(seeds: int) -> None:
-    """On simulated time: 30 claims a second while a control machine is lost; refused ones and the longest wait."""
+    """Makes 30 claims a second on simulated time while a control machine is lost; prints refusals and longest wait."""
     click.echo(f"{'lost':>10} {'claims':>7} {'refused':>8} {'longest granted':>16}")
     for loss in ("primary killed", "primary frozen", "primary dark", "backup killed", "all restarted"):
         claims = refused = 0
@@ -243,7 +243,7 @@
 
 
 def _claims_during_loss(seed: int, loss: str) -> list[tuple[bool, float]]:
-    """Claims begun within 5 s after the loss: whether granted, and after how long."""
+    """Returns for each claim started within 5 s after the loss whether it was granted, and after how many seconds."""
     fleet = LedgerFleet(seed, routers=2)
     assert fleet.routers is not None
     world, ledger = fleet.world, fleet.routers.ledgers["r0"]
@@ -284,7 +284,7 @@
 
 
 def _fill_ledger(state: LedgerState, size: int, settled: bool) -> None:
-    """One claim in each batch, and the settle of the call before it."""
+    """Adds ``size`` entries, one claim in each batch; with ``settled`` each batch settles the previous call."""
     previous_settle: tuple[SettleKey, ...] = ()
     for number in range(1, size + 1):
         key = call_digest(call_key(number))
--- a/bench/limits_bench.py
+++ b/bench/limits_bench.py
@@ -1,6 +1,9 @@
-"""Tenants' paid shares: ``python -m bench.limits_bench accuracy`` over a simulated fleet, ``... cost`` on loopback.
+"""Measures tenants' paid shares: ``python -m bench.limits_bench accuracy|cost``.
 
-Columns of accuracy: accepted/paid over the whole time, in the worst second, refused part, longest wait of a call.
+``accuracy`` runs on a simulated fleet, ``cost`` on loopback.
+
+Columns of ``accuracy``: accepted divided by paid over the whole time, in the first second and in the worst second, the
+refused part of the calls, and the longest wait of a call.
 """
 
 from __future__ import annotations
@@ -29,7 +32,7 @@
 ROUTERS = 11
 Fault = Callable[[World, ShareFleet], None]
 START_SECONDS = 1.0
-"""Load begins after the first heartbeats."""
+"""Load starts after the first heartbeats."""
 
 
 def even(rate: float) -> Load:
@@ -41,7 +44,7 @@
 
 
 def roaming(rate: float) -> Load:
-    """All calls land on one router, another one each second."""
+    """Sends all calls to one router, a different one each second."""
     return lambda router, now: rate if now >= START_SECONDS and int(now) * 7 % ROUTERS == router else 0.0
 
 
@@ -76,7 +79,7 @@
 
 
 def cut_from_deputy(world: World, fleet: ShareFleet, allocator: str) -> None:
-    """Only the wire between the keeper and the router next in order is cut; both remain members."""
+    """Cuts only the link between the allocator and its deputy, the next router in order; both remain members."""
     links = world.cut(allocator, fleet.deputy())
     world.at(11.0, lambda: world.heal(links))
 
@@ -149,7 +152,7 @@
 @click.option("--seconds", default=16.0, show_default=True, help="Virtual seconds of each run.")
 @click.option("--only", default="", help="Cases whose name contains this.")
 def accuracy(seeds: int, seconds: float, only: str) -> None:
-    """Accepted against paid, on simulated time."""
+    """Compares accepted with paid rates on simulated time."""
     titles = f"{'case':34} {'seed':>4} {'all':>6} {'1st s':>6} {'worst s':>7} {'refused':>8} {'longest wait':>12}"
     click.echo(titles + "  refused by second")
     for name, paid, load, fault in CASES:
@@ -169,7 +172,7 @@
 @main.command()
 @click.option("--asks", default=20_000, show_default=True)
 def cost(asks: int) -> None:
-    """Processor time per call and per ask, and bytes per ask, between two routers on loopback."""
+    """Measures processor time per call and per lease request, and bytes per request, of two routers on loopback."""
     asyncio.run(_cost(asks))
 
 
--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -2,9 +2,9 @@
 
     python -m bench.placement_bench --table policies --seeds 3 --seconds 300
 
-Routers run the real placement code; workers are modelled: batch slots, one prefill at a time by
-uncached tokens, decode slowed by the batch, a KV cache of bounded size with the least recently used
-going first. No sockets; the wires are calls with a delay. Shared prefixes and sessions arrive by seed.
+Routers run the real placement code; workers are modelled with batch slots, one prefill at a time that costs uncached
+tokens, a decode that slows with the batch, and a KV cache of limited size with least-recently-used eviction. There are
+no sockets; messages are calls with a delay. Shared prefixes and sessions are drawn by the seed.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
 
 
 class Shape(msgspec.Struct, frozen=True, kw_only=True):
-    """One run. Times in seconds, sizes in tokens."""
+    """Parameters of one run; times are in seconds, sizes in tokens."""
 
     policy: str = "award"
     session_map: str = "keeper"
@@ -78,19 +78,19 @@
     cache_tokens: int = 120_000
     turns_per_second: float = 16.0
     unhinted_share: float = 0.0
-    """Share of turns whose end the router does not take as a hint (nor as news of the session)."""
+    """Share of turns whose end the router does not use as a hint (nor as an update of the session)."""
     lost_routers: int = 0
-    """How many routers die half-way."""
+    """Number of routers that fail half-way through the run."""
     hot_share: float = 0.2
-    """Share of the summaries that use one and the same template."""
+    """Share of the summaries that use the same template."""
     summaries: float = 0.7
     """Share of sessions with a long shared prefix."""
     session_length: float = 1.0
     """Factor on the number of turns of a session."""
     late_workers: int = 0
-    """How many of the workers join only half-way."""
+    """Number of workers that join half-way through the run."""
     admission: bool = True
-    """Whether turns whose predicted first token is beyond the callers' patience are refused, as routers do."""
+    """Whether turns are refused, as by routers, whose predicted first token is later than callers wait."""
     wire_delay: float = 0.001
     settings: AwardSettings = AwardSettings()
 
@@ -122,7 +122,7 @@
         )
 
     async def run(self, parts: Sequence[PromptPart], generated: int) -> tuple[int, float]:
-        """Cached tokens and the time to the first token."""
+        """Runs a turn and returns its cached tokens and the seconds to its first token."""
         clock = asyncio.get_running_loop()
         started_at = clock.time()
         self.turn_count += 1
@@ -148,7 +148,7 @@
 
 
 class HintDroppingPlacement(AwardPlacement):
-    """Does not take a share of the ends of turns as hints."""
+    """Ignores a share of the hints that the ends of turns give."""
 
     dropped_share = 0.0
 
@@ -441,7 +441,7 @@
 
 
 def feed_figures(routers: int, workers: int, seconds: int = 10) -> dict[str, float]:
-    """What the registry's feed costs when every worker tells a new load each second; the simulator's wires."""
+    """Measures the registry's feed on the simulated network while every worker announces a new load each second."""
     with World(3) as world:
         fleet = Fleet(world, routers)
 
@@ -482,7 +482,7 @@
 
 
 def session_memory(sessions: int) -> float:
-    """Bytes that a keeper holds for each session: map entry, eviction sample, expected turn."""
+    """Returns the bytes that a map owner stores for each session: map entry, eviction sample, expected turn."""
     loop = VirtualTimeLoop(Random(1))
     asyncio.set_event_loop(loop)
     run = Run(Shape(routers=2, workers=2, cache_tokens=10**12), 1)
@@ -504,9 +504,10 @@
 
 
 def drain_seconds(fault: str, seed: int) -> float:
-    """From the worker's first announcement of its drain until no living router confirms it, checked each 10 ms.
+    """Returns the seconds from the first announcement of a drain until no living router confirms the worker.
 
-    The fault strikes zone b in the moment of the drain; the worker tells the next daemon after a refusal.
+    Routers are checked every 10 ms. The fault strikes zone b at the moment of the drain. A refused announcement is
+    repeated after 0.2 s.
     """
     with World(seed) as world:
         fleet = Fleet(world, 11)
@@ -566,14 +567,15 @@
 
 
 def print_costs() -> None:
-    click.echo("\nfeed: per daemon, loads told each second, processor time of the simulator included")
+    click.echo("\nfeed: per daemon, loads announced each second, processor time of the simulator included")
     click.echo(f"{'routers':>8}{'workers':>8}{'bytes/s':>10}{'cpu ms/s':>10}")
     for routers in (6, 11, 33):
         for workers in (12, 100, 300):
             figures = feed_figures(routers, workers)
             click.echo(f"{routers:>8}{workers:>8}{figures['bytes/s']:>10.0f}{figures['cpu ms/s']:>10.2f}")
     click.echo(
-        "\nmemory of a keeper: " + ", ".join(f"{n} sessions {session_memory(n):.0f} B each" for n in (5000, 20_000))
+        "\nmemory of a session map's owner: "
+        + ", ".join(f"{n} sessions {session_memory(n):.0f} B each" for n in (5000, 20_000))
     )
 
 
@@ -584,12 +586,12 @@
 @click.option("--table", "names", multiple=True, help="Which tables (also: costs, drains); else all comparisons.")
 @click.option("--seeds", default=3, show_default=True)
 @click.option(
-    "--seconds", default=300.0, show_default=True, help="Virtual seconds of each run; the first 60 not counted."
+    "--seconds", default=300.0, show_default=True, help="Virtual seconds of each run; the first 60 are not counted."
 )
 @click.option("--column", "more", multiple=True, help="Further columns, such as p95_paid.")
 @click.option("--json", "json_file", type=click.Path(path_type=Path), help="Writes all figures there.")
 def main(names: tuple[str, ...], seeds: int, seconds: float, more: tuple[str, ...], json_file: Path | None) -> None:
-    """Prints a table per comparison: means over the seeds."""
+    """Prints a table for each comparison with the means over the seeds."""
     found = tables(seconds)
     if "costs" in names:
         print_costs()
--- a/bench/placement_parts.py
+++ b/bench/placement_parts.py
@@ -1,4 +1,4 @@
-"""What the benches of placement have in common: routers without sockets on virtual time, and their one table."""
+"""Shared parts of the placement benches: routers without sockets on virtual time, and the table of results."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class BenchNetwork:
-    """All routers' messengers by address."""
+    """Connects the messengers of all routers by address, with a fixed delay, and counts messages and bytes."""
 
     def __init__(self, loop: VirtualTimeLoop, delay: float) -> None:
         self.loop = loop
@@ -120,10 +120,10 @@
 
 
 class BenchRegistry:
-    """Every router's feed: told loads a second old, the others' running turns a third of a second old."""
+    """The worker feed of one router; loads are up to 1 s old, the turns of other routers up to a third of a second."""
 
     def __init__(self, announced: Callable[[], tuple[Worker, ...]], counts: list[BenchRegistry]) -> None:
-        """``announced``: the workers that are up, as they announce themselves now."""
+        """``announced`` returns the current announcements of the available workers."""
         self._announced = announced
         self._registries = counts
         self.count: Callable[[PoolName], dict[WorkerInstance, Engagement]] = lambda pool: {}
@@ -160,7 +160,7 @@
 
 
 class NoSessionMap:
-    """No map at all: every router falls back to what all agree on without asking."""
+    """A session map without entries: routers fall back to the choice on which all agree without communication."""
 
     async def find(self, key: int) -> Entry | Unreachable | None:
         return Unreachable()
@@ -173,7 +173,7 @@
 
 
 def router_identities(count: int) -> list[Identity]:
-    """Routers spread over the zones."""
+    """Returns the identities of routers that are spread over the zones."""
     return [
         Identity(
             name=DaemonName(f"r{number}"),
@@ -187,7 +187,7 @@
 
 
 def plain_policy(name: str, context: Context, registry: BenchRegistry) -> Placement | None:
-    """None: no policy of that name knows nothing but workers and loads."""
+    """Returns the policy of that name that uses only workers and their loads, or None if there is none."""
     match name:
         case "round-robin":
             return RoundRobin(context, cast(Any, registry), registry)
@@ -199,7 +199,7 @@
 
 
 class VirtualRun:
-    """A run on virtual time; the first unhandled error ends it."""
+    """A run on virtual time; the first unhandled error ends it and is raised."""
 
     def __init__(self, seed: int) -> None:
         self.loop = VirtualTimeLoop(Random(seed))
@@ -214,7 +214,7 @@
         self.loop.limit = 0.0
 
     def context(self, random: Random) -> Context:
-        """Of one router, without network, disk and log."""
+        """Returns the context of one router, without network, disk and log."""
         return Context(
             clock=cast(Any, BenchClock(self.loop)),
             network=cast(Any, None),
@@ -226,7 +226,7 @@
         )
 
     def run_for(self, seconds: float) -> None:
-        """Runs what was begun until then, and drops the rest."""
+        """Runs the started tasks for ``seconds`` of virtual time and discards those that have not ended."""
         self.loop.limit = seconds
         self.loop.run_forever()
         if self._error is not None:
@@ -240,7 +240,7 @@
         self.loop.close()
 
     def award_figures(self, calls: int) -> dict[str, float]:
-        """Share of the calls that went by an award, and awards that were moved."""
+        """Returns the share of calls that were placed by an award, and the share of awards that were moved."""
         counts: Counter[str] = Counter()
         for placement in self.placements:
             counts.update(getattr(placement, "counts", {}))
@@ -251,7 +251,7 @@
 
 
 class Table:
-    """Means over the seeds, a row for each variant; keeps all figures of all tables printed."""
+    """Prints the means over the seeds, a row for each variant, and stores the figures of all printed tables."""
 
     def __init__(self, columns: Sequence[str], seeds: int) -> None:
         self._columns = columns
@@ -259,7 +259,7 @@
         self._results: dict[str, dict[str, Figures]] = {}
 
     def print(self, name: str, title: str, rows: Mapping[str, Callable[[int], Figures]]) -> None:
-        """``rows``: what gives a variant's figures for a seed."""
+        """``rows`` has a function for each variant that returns its figures for a seed."""
         label = max(len(row) for row in rows) + 2
         widths = [max(9, len(column) + 2) for column in self._columns]
         heads = (f"{column:>{width}}" for column, width in zip(self._columns, widths, strict=True))
--- a/bench/real_faults.py
+++ b/bench/real_faults.py
@@ -1,7 +1,7 @@
-"""A few faults against a real fleet of processes: ``python -m bench.real_faults`` (docs/DESIGN.md section 17).
+"""Runs some faults against a real fleet of processes: ``python -m bench.real_faults`` (docs/DESIGN.md section 17).
 
-Each case has a fleet of its own under light load, with an operator who changes the bundle all the time.
-What is checked rests on what callers, workers and the operator saw, not on the daemons' own state.
+Each case has a fleet of its own under light load, while an operator changes the bundle all the time. The checks rest
+on what callers, workers and the operator saw, not on the daemons' own state.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from .load.traffic import Callers, CallRecord, LoadOptions
 
 RECOVERY_LIMIT_SECONDS = 12.0
-"""Seconds after the last fault within which service must be back."""
+"""Service must be back within this time after the last fault."""
 RECOVERY_TIMEOUT_SECONDS = 40.0
 WARM_UP_SECONDS = 3.0
 FREEZE_SECONDS = 6.0
@@ -45,10 +45,10 @@
 
 
 class CaseNotPossible(Exception):
-    """This machine does not allow the case."""
+    """The case can't run because this machine does not allow its fault."""
 
 
-# The faults. Each returns when its last event has happened.
+# The faults. Each function returns when its last event has happened.
 
 
 async def _primary(fleet: Fleet) -> str:
@@ -102,7 +102,7 @@
 
 
 async def primary_replaced_then_another_killed(fleet: Fleet) -> None:
-    """An empty machine at a new address takes the primary's place; once it counts, a second loss."""
+    """Replaces the primary by an empty machine at a new address; once control is complete, kills the new primary."""
     fleet.replace(await _primary(fleet))
     await wait_until("control is complete with the replacement", fleet.control_complete)
     fleet.kill(await _primary(fleet))
@@ -143,7 +143,10 @@
 
 
 async def several_together(fleet: Fleet) -> None:
-    """The primary killed, a router frozen, a worker killed, in one moment; then the new primary too, back by then."""
+    """Kills the primary and a worker and freezes a router at the same time.
+
+    The first primary restarts; once control is complete again, the new primary is killed.
+    """
     first = await _primary(fleet)
     fleet.kill(first)
     fleet.kill(_model_worker(fleet))
@@ -154,7 +157,7 @@
 
 
 async def routers_rolled(fleet: Fleet) -> None:
-    """Each is asked to stop, ends its streams, and is started again before the next."""
+    """Stops each router gracefully, so that it ends its streams, and restarts it before the next."""
     for router in fleet.routers():
         await fleet.restart_gracefully(router.name)
         await fleet.wait_for_daemon(router.name, "/ready")
@@ -179,7 +182,7 @@
 
 
 async def sockets_of_primary_closed(fleet: Fleet) -> None:
-    """Every connection between daemons and the primary is closed again and again."""
+    """Closes every connection between the primary and other daemons again and again for 5 s."""
     await _close_sockets(fleet.daemons[await _primary(fleet)], 5.0)
 
 
@@ -192,7 +195,10 @@
 
 
 async def _close_sockets(daemon: DaemonPlan, seconds: float) -> None:
-    """Only those on this daemon's own ports."""
+    """Closes connections on this daemon's own ports only.
+
+    Raises CaseNotPossible when this machine does not allow it.
+    """
     ports = [daemon.first_port + offset for offset in range(3 if daemon.caller else 2)]
     condition = " or ".join(f"sport = :{port} or dport = :{port}" for port in ports)
     deadline = time.monotonic() + seconds
@@ -235,9 +241,9 @@
     calls_back_after: float | None = None
     """Seconds from the last fault until every live router had answered a chat and a call that runs once."""
     orders_back_after: float | None = None
-    """... until an order was acknowledged and in force on every live router."""
+    """Seconds from the last fault until an order was acknowledged and in force on every live router."""
     complete_after: float | None = None
-    """... until control could bear another loss."""
+    """Seconds from the last fault until control could tolerate another loss."""
     acknowledged: int = 0
     outcomes: dict[str, int] = msgspec.field(default_factory=dict)
     refusals: dict[str, int] = msgspec.field(default_factory=dict)
@@ -245,12 +251,12 @@
 
 
 class Operator:
-    """Changes one field of the bundle all the time and remembers what was acknowledged."""
+    """Changes one field of the bundle all the time and records what was acknowledged."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self.acknowledged: dict[int, str] = {}
-        """Order by version."""
+        """Identifiers of acknowledged orders by version."""
         self._weight = 1
 
     async def run(self) -> None:
@@ -259,7 +265,7 @@
             await asyncio.sleep(0.5)
 
     async def change(self, timeout: float = 3.0) -> int | None:
-        """The acknowledged version."""
+        """Makes one change and returns its acknowledged version, or None when the command failed."""
         self._weight += 1
         daemons = [*self._fleet.controls(), *self._fleet.routers()]
         to = [word for daemon in daemons for word in ("--to", daemon.operator)]
@@ -318,7 +324,7 @@
         self.curl.close()
         return self.report
 
-    # Service measure_recovery
+    # Recovery of service
 
     async def measure_recovery(self, since: float) -> None:
         async def after(what: Callable[[], Awaitable[bool]]) -> float | None:
@@ -342,7 +348,7 @@
         return [router for router in self.fleet.routers() if self.fleet.children[router.name].running()]
 
     async def calls_answered(self, answered: set[str]) -> bool:
-        """One whole chat and one whole call that runs once, through each live router."""
+        """Calls each service through the live routers not in ``answered``; returns whether all have answered in full."""
         pending = [router for router in self.live_routers() if router.name not in answered]
         results = await asyncio.gather(*(self.both_answered(router) for router in pending))
         answered.update(router.name for router, both in zip(pending, results, strict=True) if both)
@@ -377,7 +383,7 @@
     async def in_force(self, version: int) -> bool:
         return all([await self.fleet.version_on(router.name) >= version for router in self.live_routers()])
 
-    # What must never be
+    # Violations of guarantees
 
     def check_calls(self, result: dict[str, Any], records: Sequence[CallRecord], runs: list[dict[str, Any]]) -> None:
         violations = self.report.violations
@@ -387,11 +393,11 @@
         violations.extend(f"{name} ended by itself" for name in ended)
 
     async def check_bundles(self) -> None:
-        """Every acknowledged order stands in the history under its version, and the newest is in force."""
+        """Checks that every acknowledged order is in the history under its version, and that the latest is in force."""
         latest = max(self.operator.acknowledged, default=0)
         try:
             await wait_until(
-                "the newest acknowledged bundle is in force", lambda: self.in_force(latest), RECOVERY_TIMEOUT_SECONDS
+                "the latest acknowledged bundle is in force", lambda: self.in_force(latest), RECOVERY_TIMEOUT_SECONDS
             )
         except FleetError as problem:
             self.report.violations.append(str(problem))
@@ -418,7 +424,7 @@
 
 
 def find_violations(records: Sequence[CallRecord], runs: Sequence[dict[str, Any]]) -> list[str]:
-    """What must never be of calls that run at most once, from what their callers and the workers saw."""
+    """Returns violations of at-most-once calls, from what their callers and the workers saw."""
     run_counts = Counter(run["idempotency_key"] for run in runs if run["idempotency_key"])
     completed_keys = {run["idempotency_key"] for run in runs if run["outcome"] == "whole"}
     found = [f"run {count} times: {key}" for key, count in run_counts.items() if count > 1]
@@ -449,7 +455,7 @@
 
 
 def table(reports: Sequence[CaseReport]) -> str:
-    """Markdown."""
+    """Returns the reports as a Markdown table."""
     lines = [
         "| case | calls back after s | orders back after s | control complete after s | acknowledged | outcomes "
         "| refused | violations |",
@@ -472,13 +478,13 @@
 @click.command()
 @click.option("--shape", type=click.Path(path_type=Path), default=Path("demo"), show_default=True)
 @click.option("--only", multiple=True, help="Names of cases; all by default.")
-@click.option("--times", default=1, show_default=True, help="How often each.")
+@click.option("--times", default=1, show_default=True, help="Number of runs of each case.")
 @click.option("--results", type=click.Path(path_type=Path), default=Path("results"), show_default=True)
 @click.option("--logs", type=click.Path(path_type=Path), help="Keep each case's settings, logs and data there.")
 def main(shape: Path, only: tuple[str, ...], times: int, results: Path, logs: Path | None) -> None:
-    """Runs the faults one after the other and writes real-faults.md and .json.
+    """Runs the faults one after another and writes real-faults.md and real-faults.json.
 
-    Exit code 1 after a violation, 2 when a case could not be run.
+    The exit code is 1 after a violation, and 2 when a case could not be run.
     """
     try:
         chosen = open_shape(shape)
@@ -491,7 +497,7 @@
         reports.append(report)
         click.echo(
             f"{report.case:<40} calls back {report.calls_back_after} s, orders back {report.orders_back_after} s, "
-            f"complete {report.complete_after} s, {report.not_run or report.violations or 'nothing that must not be'}"
+            f"complete {report.complete_after} s, {report.not_run or report.violations or 'no violations'}"
         )
     results.mkdir(parents=True, exist_ok=True)
     (results / "real-faults.md").write_text(table(reports) + "\n")
--- a/bench/registry_bench.py
+++ b/bench/registry_bench.py
@@ -1,4 +1,4 @@
-"""How soon drains are acknowledged and heeded under faults, on the simulator (docs/DESIGN.md section 10.7).
+"""Measures how soon drains are acknowledged and followed under faults, on the simulator (docs/DESIGN.md section 10.7).
 
 ``python -m bench.registry_bench --seeds N``
 """
@@ -13,7 +13,7 @@
 @click.command()
 @click.option("--seeds", default=5, show_default=True)
 @click.option("--routers", default=11, show_default=True)
-@click.option("--fault", "only", help="Only this row.")
+@click.option("--fault", "only", help="Run only this fault.")
 def main(seeds: int, routers: int, only: str | None) -> None:
     """Prints the worst times of each fault."""
     click.echo(f"seconds, worst of seeds 1 to {seeds}, {routers} routers")
--- a/bench/roll_outs.py
+++ b/bench/roll_outs.py
@@ -1,8 +1,10 @@
-"""How soon a bundle is in force: ``python -m bench.roll_outs`` (docs/MEASUREMENTS.md; docs/DESIGN.md section 17).
+"""Measures how soon a bundle is in force (docs/MEASUREMENTS.md; docs/DESIGN.md section 17).
 
-A real fleet is brought up; changes are made one after another, then as a storm. Each router is asked
-``/control/v1/health`` again and again over a kept connection. Counted is the time from the acknowledgement that the
-operator got to the router's first answer that tells this version or a newer one, 0 where that answer came first.
+``python -m bench.roll_outs --help`` shows the options.
+
+A real fleet is started; changes are made one after another, then as a storm. Each router is polled for
+``/control/v1/health`` over one keep-alive connection. The measured time runs from the acknowledgement that the operator
+received to the router's first answer with this version or a newer one; it is 0 where that answer came first.
 """
 
 from __future__ import annotations
@@ -41,30 +43,30 @@
 
 
 class VersionObservation(msgspec.Struct, frozen=True):
-    """At ``at`` an answer told ``version``; between two sightings of a router the version may have changed."""
+    """The time ``at`` of the first answer that reported ``version``; the change itself may be older by one poll."""
 
     at: float
     version: int
 
 
 class RouterWatch:
-    """Asks one daemon for its version, one question after the other, and keeps each rise."""
+    """Polls one daemon for its version and records each increase."""
 
     def __init__(self, address: str) -> None:
         self._host, _, port = address.rpartition(":")
         self._port = int(port)
         self.observations: list[VersionObservation] = []
         self.regressions = 0
-        """Answers with an older version than the one before; must stay 0."""
+        """Number of answers with a version older than the highest seen; must stay 0."""
         self.poll_durations: list[float] = []
-        """How long each question took: the measure's own coarseness, beside ``POLL_INTERVAL_SECONDS``."""
+        """Duration of each poll; with ``POLL_INTERVAL_SECONDS`` it limits the resolution of the measured times."""
 
     @property
     def version(self) -> int:
         return self.observations[-1].version if self.observations else 0
 
     async def run(self) -> None:
-        """Until it is cancelled; raises FleetError when the daemon closes."""
+        """Polls until it is cancelled; raises FleetError when the daemon closes the connection."""
         reader, writer = await asyncio.open_connection(self._host, self._port)
         request = f"GET /control/v1/health HTTP/1.1\r\nHost: {self._host}\r\n\r\n".encode()
         try:
@@ -78,7 +80,7 @@
                 self.record_answer(now, int(json.loads(body)["version"]))
                 await asyncio.sleep(POLL_INTERVAL_SECONDS)
         except (OSError, asyncio.IncompleteReadError) as problem:
-            raise FleetError(f"{self._host}:{self._port} does not answer any more: {problem}") from None
+            raise FleetError(f"{self._host}:{self._port} no longer answers: {problem}") from None
         finally:
             writer.close()
 
@@ -95,7 +97,10 @@
 
 
 def in_force_after(acknowledged: Mapping[int, float], observations: Sequence[VersionObservation]) -> list[float | None]:
-    """Per acknowledged version, rising: seconds until one router told it or a newer one; None: never seen."""
+    """Returns for each acknowledged version, in rising order, the seconds until one router reported it or a newer one.
+
+    None stands for a version that was never reported.
+    """
     versions = [observation.version for observation in observations]
     found: list[float | None] = []
     for version in sorted(acknowledged):
@@ -105,7 +110,7 @@
 
 
 class Operator:
-    """Signs one change after another on the newest version and remembers when each was acknowledged."""
+    """Signs one change after another on the latest version and records when each was acknowledged."""
 
     def __init__(self, fleet: Fleet, http: JsonClient) -> None:
         self._http = http
@@ -140,7 +145,7 @@
                 break
             self.other_outcomes.append(f"{reply.status} {reply.body}")
         else:
-            raise FleetError(f"order on version {self.version} was not taken: {self.other_outcomes[-1]}")
+            raise FleetError(f"order on version {self.version} failed 5 times, last with {self.other_outcomes[-1]}")
         now = time.monotonic()
         self.latencies.append(now - started_at)
         self.version, self._slices = int(reply.body["version"]), after
@@ -148,7 +153,7 @@
 
 
 def percentiles_ms(values: Sequence[float]) -> dict[str, float]:
-    """Milliseconds."""
+    """Returns the count, percentiles and maximum of times in seconds, as milliseconds."""
     if not values:
         return {"count": 0}
     ordered = sorted(values)
@@ -180,7 +185,10 @@
         return False
 
     async def one_after_another(self, times: int, pause: float) -> dict[str, Any]:
-        """``pause`` begins when all routers have the change; a short one meets the daemons' own (section 9.2)."""
+        """Makes ``times`` changes, each ``pause`` seconds after all routers have the one before.
+
+        A short pause falls within the pause that daemons make between announcements (section 9.2).
+        """
         for _ in range(times):
             await self.operator.change()
             await self.settled()
@@ -188,7 +196,7 @@
         return self._report()
 
     async def storm(self, rate: float, seconds: float) -> dict[str, Any]:
-        """``rate`` changes a second; each builds on the one before, so a late answer delays the next."""
+        """Makes ``rate`` changes a second; each builds on the one before, so a late answer delays the next."""
         started_at = time.monotonic()
         for number in range(int(rate * seconds)):
             await asyncio.sleep(max(0.0, started_at + number / rate - time.monotonic()))
@@ -262,13 +270,20 @@
 
 @click.command()
 @click.option("--shape", type=click.Path(path_type=Path), default=Path("despensa"), show_default=True)
-@click.option("--times", default=200, show_default=True, help="Changes one after another.")
-@click.option("--pause", default=0.25, show_default=True, help="Seconds between all routers' having it and the next.")
+@click.option("--times", default=200, show_default=True, help="Number of changes made one after another.")
+@click.option(
+    "--pause", default=0.25, show_default=True, help="Seconds from the last router's activation to the next change."
+)
 @click.option("--rate", default=50.0, show_default=True, help="Changes a second in the storm.")
 @click.option("--seconds", default=10.0, show_default=True, help="Length of the storm.")
-@click.option("--scale", default=0.0, show_default=True, help="Callers' load beside it, times the shape's rates.")
+@click.option(
+    "--scale", default=0.0, show_default=True, help="Callers' load meanwhile, as a factor on the shape's rates."
+)
 def main(shape: Path, times: int, pause: float, rate: float, seconds: float, scale: float) -> None:
-    """Prints JSON; exit code 1 when a router went back or never had a version, 2 when the fleet failed."""
+    """Prints the results as JSON.
+
+    The exit code is 1 when a router went back or never had a version, and 2 when the fleet failed.
+    """
     try:
         with tempfile.TemporaryDirectory(prefix="wingwood-roll-outs-") as folder:
             found = asyncio.run(_run(open_shape(shape), Path(folder), times, pause, rate, seconds, scale))
--- a/bench/tests/test_engine_model.py
+++ b/bench/tests/test_engine_model.py
@@ -1,4 +1,8 @@
-"""The engine model that placement is measured on."""
+"""Tests the engine model of the placement benches: its cache, its slots, and the delay that prefills cause.
+
+A model that prefilled cached parts again, or ran more turns than it has slots, would make the compared policies look
+better or worse than they are.
+"""
 
 from __future__ import annotations
 
@@ -27,13 +31,13 @@
         self.worker = EngineWorker(0, ENGINE, Zone("a"))
 
     def run_one(self, parts: tuple[PromptPart, ...], prompt: int, generate: int = 34) -> tuple[float, Stream]:
-        """Seconds to its first event."""
+        """Runs one turn to its end and returns the seconds to its first event, and the stream."""
         started_at = self.loop.time()
         stream = self.worker.submit(parts, prompt, generate)
         self.loop.run_until_complete(stream.end)
         return stream.events[0] - started_at, stream
 
-    def test_kept_parts_are_not_prefilled_again(self) -> None:
+    def test_cached_parts_are_not_prefilled_again(self) -> None:
         cold, _ = self.run_one(SHARED, 8300)
         warm, stream = self.run_one(SHARED, 8300)
         self.assertEqual(stream.cached, 6300)
@@ -43,7 +47,7 @@
         _, elsewhere = self.run_one((PromptPart("form", 10), SHARED[1]), 3900)
         self.assertEqual(elsewhere.cached, 0)
 
-    def test_least_recently_used_parts_go_first(self) -> None:
+    def test_least_recently_used_parts_are_evicted_first(self) -> None:
         for number in range(3):
             self.run_one((PromptPart(f"p{number}", 9000),), 9000)
         self.run_one((PromptPart("p0", 9000),), 9000)
@@ -51,7 +55,7 @@
         self.assertEqual(self.worker.cached((PromptPart("p0", 9000),)), 9000)
         self.assertEqual(self.worker.cached((PromptPart("p1", 9000),)), 0)
 
-    def test_prefills_hold_up_running_streams(self) -> None:
+    def test_prefills_delay_running_streams(self) -> None:
         stream = self.worker.submit((), 10, 340)
         self.loop.run_until_complete(stream.first)
         self.loop.run_until_complete(self.worker.submit((), 10_000, 1).end)
@@ -61,13 +65,13 @@
         self.assertAlmostEqual(min(gaps), 0.034, delta=0.005)
         self.assertEqual(len(stream.events), 10)
 
-    def test_no_more_run_than_there_are_slots(self) -> None:
+    def test_no_more_streams_run_than_there_are_slots(self) -> None:
         streams = [self.worker.submit((), 100, 34) for _ in range(5)]
         self.assertEqual(self.worker.stream_count, 5)
         self.loop.run_until_complete(streams[-1].end)
         self.assertGreater(streams[4].events[0], streams[3].events[0] + 0.03)
 
-    def test_frozen_worker_goes_on_where_it_was(self) -> None:
+    def test_frozen_worker_continues_its_stream_after_resuming(self) -> None:
         self.worker.up = False
         stream = self.worker.submit((), 100, 34)
         self.loop.run_until_complete(asyncio.sleep(3.0))
--- a/bench/tests/test_fleet_growth.py
+++ b/bench/tests/test_fleet_growth.py
@@ -1,4 +1,7 @@
-"""The growth bench counts what daemons of both roles send."""
+"""Tests that the growth bench counts the traffic of daemons of both roles.
+
+A counter read from the wrong messenger would show no traffic, or the same traffic with and without calls.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class FleetGrowthTest(unittest.TestCase):
-    def test_an_idle_fleet_spends_little_and_traffic_adds_to_it(self) -> None:
+    def test_idle_fleet_sends_little_and_calls_add_traffic(self) -> None:
         idle = measure(routers=6, traffic=0.0, seconds=2.0, seed=1)
         busy = measure(routers=6, traffic=0.5, seconds=2.0, seed=1)
         for growth in (idle, busy):
--- a/bench/tests/test_placement_parts.py
+++ b/bench/tests/test_placement_parts.py
@@ -1,4 +1,7 @@
-"""The stand-ins that placement is measured with."""
+"""Tests the fakes that placement is measured with.
+
+A fake registry that drops a count of the other routers would let the benches place on too low loads.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class BenchRegistryTest(unittest.TestCase):
-    def test_every_count_of_the_other_routers_is_told(self) -> None:
+    def test_engagement_of_other_routers_is_summed_in_every_field(self) -> None:
         registries: list[BenchRegistry] = []
         for _ in range(3):
             BenchRegistry(lambda: (), registries)
--- a/bench/tests/test_real_faults.py
+++ b/bench/tests/test_real_faults.py
@@ -1,4 +1,7 @@
-"""The judgement of the real fleet's bench can speak (docs/DESIGN.md section 17)."""
+"""Tests the check of at-most-once calls in the real-fleet bench (docs/DESIGN.md section 17).
+
+A check that never reports a violation would let every fault case pass.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +20,8 @@
     return {"idempotency_key": key, "outcome": outcome}
 
 
-class Judgement(unittest.TestCase):
-    def test_what_may_be(self) -> None:
+class FindViolations(unittest.TestCase):
+    def test_permitted_outcomes_are_no_violations(self) -> None:
         records = [
             CallRecord("answered", (ANSWERED,)),
             CallRecord("refused", (REFUSED, REFUSED)),
@@ -28,7 +31,7 @@
         runs = [run("answered"), run("second-try"), run("lost-then-told", "caller-gone"), run("")]
         self.assertEqual(find_violations(records, runs), [])
 
-    def test_each_thing_that_must_never_be_is_told(self) -> None:
+    def test_each_kind_of_violation_is_reported(self) -> None:
         cases = {
             "run 2 times": (CallRecord("k", (ANSWERED,)), [run("k"), run("k")]),
             "told not-run, but ran": (CallRecord("k", (LOST, REFUSED)), [run("k")]),
--- a/bench/told_placement_bench.py
+++ b/bench/told_placement_bench.py
@@ -1,8 +1,8 @@
-"""Compares balancing policies where callers tell their prompts' parts (docs/DESIGN.md section 11.10).
+"""Compares balancing policies where callers declare the parts of their prompts (docs/DESIGN.md section 11.10).
 
     python -m bench.told_placement_bench --table normal --seeds 3
 
-Routers run the real placement code on virtual time; engines are those of bench/engine_model.py. Two kinds of
+Routers run the real placement code on virtual time; engines are those of bench/engine_model.py. There are two kinds of
 calls: summaries with long shared prefixes and short answers, and chat with short prompts and long streams.
 """
 
@@ -71,12 +71,12 @@
     urgency=4,
 )
 CALLER_ROUND_TRIP_SECONDS = 0.01
-"""Seconds between caller and router both ways, with the work of both."""
+"""Time between caller and router in both directions, including the work of both."""
 ZONE_DELAY_SECONDS = 0.0015
 FIRST_TOKEN_TIMEOUT_SECONDS = 0.8
-"""A router gives up a worker without a first token after so many seconds, and tries another once."""
+"""After this time without a first token a router abandons the worker and tries another one, once."""
 FREEZE_NOTICED_AFTER_SECONDS = 0.6
-"""Seconds after which the registry has a dark worker out."""
+"""Time after which the registry has removed a frozen worker."""
 
 
 SMALL_CACHE = Engine(tokens_per_event=32)
@@ -91,13 +91,16 @@
     chunk_tokens=1024,
     tokens_per_event=50,
 )
-"""Engines whose caches the subjects of one pool more than fill: 12 of them keep 3.7 of 6.5 million part tokens."""
+"""Engines whose caches are too small for all subjects of a pool: 12 of them store 3.7 of 6.5 million part tokens."""
 SKEW = 0.25
-"""The n-th most frequent subject or session comes in proportion to n to the power of minus this."""
+"""The frequency of the n-th most frequent subject or session is proportional to n to the power of ``-SKEW``."""
 
 
 class Shape(msgspec.Struct, frozen=True, kw_only=True):
-    """One run. Times in seconds; the trouble lasts from ``trouble_starts_at`` to the end, and only then is measured."""
+    """Parameters of one run; times are in seconds.
+
+    The trouble lasts from ``trouble_starts_at`` to the end, and only this time is measured.
+    """
 
     policy: str = "award"
     seconds: float = 40.0
@@ -109,26 +112,26 @@
     chats_per_second: float = 9.0
     subjects: int = 2000
     burst_factor: float = 1.0
-    """Factor on the summaries during the trouble."""
+    """Factor on the rate of summaries during the trouble."""
     hot_share: float = 0.0
     """Share of the summaries that have the same subject during the trouble."""
     frozen_workers: int = 0
-    """Workers that freeze when the trouble begins and thaw after 5 s, again and again."""
+    """Number of workers that are frozen at once during the trouble, for 5 s at a time with pauses of 3 s."""
     slow_workers: int = 0
-    """Workers that run 3 times slower during the trouble."""
+    """Number of workers that run 3 times slower during the trouble."""
     settings: AwardSettings = AwardSettings()
 
 
 class ServedCall(msgspec.Struct, frozen=True):
     service: str
     first: float
-    """Infinite when refused or lost."""
+    """Seconds to the first token; infinite when the call was refused or lost."""
     longest_pause: float
     predicted: float
 
 
 class Oracle:
-    """Sees every engine's queue and cache at the moment of the choice: a bound for all that can be known."""
+    """Sees every engine's queue and cache at the moment of the choice: a bound for policies with perfect knowledge."""
 
     def __init__(self, workers: Sequence[EngineWorker]) -> None:
         self._workers = workers
@@ -150,7 +153,7 @@
 
 
 class Prompts:
-    """Draws prompts: skewed subjects, sizes with long tails."""
+    """Draws prompts with skewed subject frequencies and long-tailed sizes."""
 
     def __init__(self, shape: Shape, random: Random) -> None:
         self._random = random
@@ -173,7 +176,7 @@
         ]
 
     def summary(self, hot_share: float, event: int) -> tuple[tuple[PromptPart, ...], int, int]:
-        """Parts, tokens of the whole prompt, and tokens to generate."""
+        """Returns the parts, the tokens of the full prompt, and the tokens to generate."""
         if self._random.random() < hot_share:
             parts = self._subjects[-1]
         else:
@@ -281,7 +284,10 @@
             registry.refresh_loads()
 
     async def _refresh(self) -> None:
-        """Each third of a second the counts of the others, at different instants; loads each second."""
+        """Refreshes each router's counts of the others every third of a second and the loads every second.
+
+        Routers are refreshed at different times.
+        """
         step = 0
         while True:
             await asyncio.sleep(0.03)
@@ -454,11 +460,11 @@
     "one worker drawn beside": ("award", {"extra_candidates": 1}),
     "other zones cost nothing": ("award", {"other_zone_cost": 0.0}),
 }
-"""Each mechanism switched off alone: the policy and the settings that do so."""
+"""For each mechanism the policy and the settings that switch off this mechanism alone."""
 
 
 def ablation_rows(shape: Shape) -> dict[str, Callable[[int], dict[str, float]]]:
-    """One row for each mechanism switched off, under the shape's trouble."""
+    """Returns one row for each mechanism that is switched off, under the trouble of the shape."""
     return {
         name: partial(
             figures_of,
@@ -469,7 +475,10 @@
 
 
 def processor_time(workers: int, turns: int = 3000) -> list[float]:
-    """Sorted seconds of choose, begun and finished together, of one router with a map of its own."""
+    """Returns the sorted processor seconds per turn of one router with a session map of its own.
+
+    A turn's time is that of choose, first_token_received and finished together.
+    """
     run = Run(Shape(policy="award-local", workers=workers), 1)
     placement = run.placements[0]
     times = []
@@ -531,7 +540,7 @@
     ablation: bool,
     json_file: Path | None,
 ) -> None:
-    """Prints a table per trouble: means over the seeds."""
+    """Prints a table for each trouble with the means over the seeds."""
     if "processor" in names:
         for workers in (9, 30):
             times = processor_time(workers)
