--- a/bench/real_faults.py
+++ b/bench/real_faults.py
@@ -348,7 +348,7 @@
         return [router for router in self.fleet.routers() if self.fleet.children[router.name].running()]
 
     async def calls_answered(self, answered: set[str]) -> bool:
-        """Calls each service through the live routers not in ``answered``; returns whether all have answered in full."""
+        """Calls each service through the live routers not in ``answered``; returns whether all answered in full."""
         pending = [router for router in self.live_routers() if router.name not in answered]
         results = await asyncio.gather(*(self.both_answered(router) for router in pending))
         answered.update(router.name for router, both in zip(pending, results, strict=True) if both)
