--- a/bench/placement_parts.py
+++ b/bench/placement_parts.py
@@ -122,14 +122,14 @@
 class BenchRegistry:
     """The worker feed of one router; loads are up to 1 s old, the turns of other routers up to a third of a second."""
 
-    def __init__(self, announced: Callable[[], tuple[Worker, ...]], counts: list[BenchRegistry]) -> None:
-        """``announced`` returns the current announcements of the available workers."""
+    def __init__(self, announced: Callable[[], tuple[Worker, ...]], registries: list[BenchRegistry]) -> None:
+        """``announced`` returns the current announcements of the available workers; ``registries`` are all routers'."""
         self._announced = announced
-        self._registries = counts
+        self._registries = registries
         self.count: Callable[[PoolName], dict[WorkerInstance, Engagement]] = lambda pool: {}
         self._engagement_of_others: dict[WorkerInstance, Engagement] = {}
         self._ready: tuple[Worker, ...] = ()
-        counts.append(self)
+        registries.append(self)
         self.refresh_loads()
 
     def refresh_loads(self) -> None:
--- a/bench/told_placement_bench.py
+++ b/bench/told_placement_bench.py
@@ -286,7 +286,7 @@
     async def _refresh(self) -> None:
         """Refreshes each router's counts of the others every third of a second and the loads every second.
 
-        Routers are refreshed at different times.
+        Routers are refreshed at different times. With frozen workers, loads are refreshed only when these change.
         """
         step = 0
         while True:
