--- a/bench/capacity/ledger.py
+++ b/bench/capacity/ledger.py
@@ -49,12 +49,12 @@
             state = LedgerState(RealClock(), ledger_bench.RETENTION)
             # Tracing slows the filling, and a quarter of the largest size is enough to give the memory of one entry.
             traced_entries = size if size <= 100_000 else size // 4
-            ledger_bench._fill(state, traced_entries, settled)
+            ledger_bench._fill_ledger(state, traced_entries, settled)
             gc.collect()
             weights.append(tracemalloc.get_traced_memory()[0] / traced_entries)
             tracemalloc.stop()
         state = LedgerState(RealClock(), ledger_bench.RETENTION)
-        fill_seconds = cpu_seconds(lambda: ledger_bench._fill(state, size, True))  # noqa: B023
+        fill_seconds = cpu_seconds(lambda: ledger_bench._fill_ledger(state, size, True))  # noqa: B023
         snapshot = b""
 
         def take_snapshot() -> None:
--- a/bench/placement_parts.py
+++ b/bench/placement_parts.py
@@ -1,4 +1,4 @@
-"""What the benches of placement have in common: routers without sockets on virtual time, and their one table."""
+"""Shared parts of the placement benches: routers without sockets on virtual time, and the table of results."""
 
 from __future__ import annotations
 
@@ -59,25 +59,25 @@
         return self._loop.create_task(coroutine, name=name)
 
 
-class Wires:
-    """All routers' messengers by address."""
+class BenchNetwork:
+    """Connects the messengers of all routers by address, with a fixed delay, and counts messages and bytes."""
 
     def __init__(self, loop: VirtualTimeLoop, delay: float) -> None:
         self.loop = loop
         self.delay = delay
         self.messengers: dict[Address, BenchMessenger] = {}
-        self.dead: set[Address] = set()
+        self.unreachable: set[Address] = set()
         self.messages = 0
         self.bytes = 0
 
 
 class BenchMessenger:
-    def __init__(self, wires: Wires, identity: Identity) -> None:
+    def __init__(self, network: BenchNetwork, identity: Identity) -> None:
         self.identity = identity
-        self._wires = wires
+        self._network = network
         self._calls: dict[type, Callable[[Identity, Any], Awaitable[msgspec.Struct]]] = {}
         self._posts: dict[type, Callable[[Identity, Any], None]] = {}
-        wires.messengers[identity.internal] = self
+        network.messengers[identity.internal] = self
 
     def on_call(self, message_type: type, handler: Any) -> None:
         self._calls[message_type] = handler
@@ -86,25 +86,25 @@
         self._posts[message_type] = handler
 
     def _count(self, message: msgspec.Struct) -> None:
-        self._wires.messages += 1
-        self._wires.bytes += len(msgspec.msgpack.encode(message)) + 30
+        self._network.messages += 1
+        self._network.bytes += len(msgspec.msgpack.encode(message)) + 30
 
     async def call(self, address: Address, message: msgspec.Struct, reply_type: type, timeout: Seconds) -> Any:
         self._count(message)
-        if address in self._wires.dead:
+        if address in self._network.unreachable:
             await asyncio.sleep(timeout)
             return Failure(TransportFault("timeout", True))
-        await asyncio.sleep(self._wires.delay)
-        reply = await self._wires.messengers[address]._calls[type(message)](self.identity, message)
+        await asyncio.sleep(self._network.delay)
+        reply = await self._network.messengers[address]._calls[type(message)](self.identity, message)
         self._count(reply)
-        await asyncio.sleep(self._wires.delay)
+        await asyncio.sleep(self._network.delay)
         return Success(reply)
 
     def post(self, address: Address, message: msgspec.Struct) -> None:
         self._count(message)
-        if address not in self._wires.dead:
-            handler = self._wires.messengers[address]._posts[type(message)]
-            self._wires.loop.call_later(self._wires.delay, handler, self.identity, message)
+        if address not in self._network.unreachable:
+            handler = self._network.messengers[address]._posts[type(message)]
+            self._network.loop.call_later(self._network.delay, handler, self.identity, message)
 
 
 class BenchMembership:
@@ -120,16 +120,16 @@
 
 
 class BenchRegistry:
-    """Every router's feed: told loads a second old, the others' running turns a third of a second old."""
+    """The worker feed of one router; loads are up to 1 s old, the turns of other routers up to a third of a second."""
 
-    def __init__(self, announced: Callable[[], tuple[Worker, ...]], counts: list[BenchRegistry]) -> None:
-        """``announced``: the workers that are up, as they announce themselves now."""
+    def __init__(self, announced: Callable[[], tuple[Worker, ...]], registries: list[BenchRegistry]) -> None:
+        """``announced`` returns the current announcements of the available workers; ``registries`` are all routers'."""
         self._announced = announced
-        self._all = counts
+        self._registries = registries
         self.count: Callable[[PoolName], dict[WorkerInstance, Engagement]] = lambda pool: {}
-        self._elsewhere: dict[WorkerInstance, Engagement] = {}
+        self._engagement_of_others: dict[WorkerInstance, Engagement] = {}
         self._ready: tuple[Worker, ...] = ()
-        counts.append(self)
+        registries.append(self)
         self.refresh_loads()
 
     def refresh_loads(self) -> None:
@@ -137,11 +137,11 @@
 
     def refresh_running(self) -> None:
         totals: dict[WorkerInstance, Engagement] = {}
-        for other in self._all:
+        for other in self._registries:
             if other is not self:
                 for instance, part in other.count(POOL).items():
                     totals[instance] = totals.get(instance, Engagement()).plus(part)
-        self._elsewhere = totals
+        self._engagement_of_others = totals
 
     def ready(self, pool: PoolName) -> Sequence[Worker]:
         return self._ready
@@ -156,11 +156,11 @@
         self.count = count
 
     def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
-        return self._elsewhere.get(instance, Engagement())
+        return self._engagement_of_others.get(instance, Engagement())
 
 
-class NoMap:
-    """No map at all: every router falls back to what all agree on without asking."""
+class NoSessionMap:
+    """A session map without entries: routers fall back to the choice on which all agree without communication."""
 
     async def find(self, key: int) -> Entry | Unreachable | None:
         return Unreachable()
@@ -173,7 +173,7 @@
 
 
 def router_identities(count: int) -> list[Identity]:
-    """Routers spread over the zones."""
+    """Returns the identities of routers that are spread over the zones."""
     return [
         Identity(
             name=DaemonName(f"r{number}"),
@@ -187,7 +187,7 @@
 
 
 def plain_policy(name: str, context: Context, registry: BenchRegistry) -> Placement | None:
-    """None: no policy of that name knows nothing but workers and loads."""
+    """Returns the policy of that name that uses only workers and their loads, or None if there is none."""
     match name:
         case "round-robin":
             return RoundRobin(context, cast(Any, registry), registry)
@@ -199,7 +199,7 @@
 
 
 class VirtualRun:
-    """A run on virtual time; the first unhandled error ends it."""
+    """A run on virtual time; the first unhandled error ends it and is raised."""
 
     def __init__(self, seed: int) -> None:
         self.loop = VirtualTimeLoop(Random(seed))
@@ -214,7 +214,7 @@
         self.loop.limit = 0.0
 
     def context(self, random: Random) -> Context:
-        """Of one router, without network, disk and log."""
+        """Returns the context of one router, without network, disk and log."""
         return Context(
             clock=cast(Any, BenchClock(self.loop)),
             network=cast(Any, None),
@@ -226,7 +226,7 @@
         )
 
     def run_for(self, seconds: float) -> None:
-        """Runs what was begun until then, and drops the rest."""
+        """Runs the started tasks for ``seconds`` of virtual time and discards those that have not ended."""
         self.loop.limit = seconds
         self.loop.run_forever()
         if self._error is not None:
@@ -240,7 +240,7 @@
         self.loop.close()
 
     def award_figures(self, calls: int) -> dict[str, float]:
-        """Share of the calls that went by an award, and awards that were moved."""
+        """Returns the share of calls that were placed by an award, and the share of awards that were moved."""
         counts: Counter[str] = Counter()
         for placement in self.placements:
             counts.update(getattr(placement, "counts", {}))
@@ -251,7 +251,7 @@
 
 
 class Table:
-    """Means over the seeds, a row for each variant; keeps all figures of all tables printed."""
+    """Prints the means over the seeds, a row for each variant, and stores the figures of all printed tables."""
 
     def __init__(self, columns: Sequence[str], seeds: int) -> None:
         self._columns = columns
@@ -259,7 +259,7 @@
         self._results: dict[str, dict[str, Figures]] = {}
 
     def print(self, name: str, title: str, rows: Mapping[str, Callable[[int], Figures]]) -> None:
-        """``rows``: what gives a variant's figures for a seed."""
+        """``rows`` has a function for each variant that returns its figures for a seed."""
         label = max(len(row) for row in rows) + 2
         widths = [max(9, len(column) + 2) for column in self._columns]
         heads = (f"{column:>{width}}" for column, width in zip(self._columns, widths, strict=True))
--- a/bench/real_faults.py
+++ b/bench/real_faults.py
@@ -1,7 +1,7 @@
-"""A few faults against a real fleet of processes: ``python -m bench.real_faults`` (docs/DESIGN.md section 17).
+"""Runs some faults against a real fleet of processes: ``python -m bench.real_faults`` (docs/DESIGN.md section 17).
 
-Each case has a fleet of its own under light load, with an operator who changes the bundle all the time.
-What is checked rests on what callers, workers and the operator saw, not on the daemons' own state.
+Each case has a fleet of its own under light load, while an operator changes the bundle all the time. The checks rest
+on what callers, workers and the operator saw, not on the daemons' own state.
 """
 
 from __future__ import annotations
@@ -33,22 +33,22 @@
 from .load.target import read_target
 from .load.traffic import Callers, CallRecord, LoadOptions
 
-BACK_WITHIN = 12.0
-"""Seconds after the last fault within which service must be back."""
-GIVE_UP = 40.0
-WARM_UP = 3.0
-FROZEN = 6.0
-FROZEN_LONG = 22.0
-PAUSE = 0.1
+RECOVERY_LIMIT_SECONDS = 12.0
+"""Service must be back within this time after the last fault."""
+RECOVERY_TIMEOUT_SECONDS = 40.0
+WARM_UP_SECONDS = 3.0
+FREEZE_SECONDS = 6.0
+LONG_FREEZE_SECONDS = 22.0
+POLL_INTERVAL_SECONDS = 0.1
 
 Action = Callable[[Fleet], Awaitable[None]]
 
 
-class NotRun(Exception):
-    """This machine does not allow the case."""
+class CaseNotPossible(Exception):
+    """The case can't run because this machine does not allow its fault."""
 
 
-# The faults. Each returns when its last event has happened.
+# The faults. Each function returns when its last event has happened.
 
 
 async def _primary(fleet: Fleet) -> str:
@@ -56,22 +56,22 @@
 
 
 async def _backup(fleet: Fleet) -> str:
-    async def look() -> str | None:
+    async def find() -> str | None:
         reports = await fleet.control_reports()
         return next((name for name, report in reports.items() if report["own_role"] == "backup"), None)
 
-    return await wait_until("there is a backup", look)
+    return await wait_until("there is a backup", find)
 
 
 async def _witness(fleet: Fleet) -> str:
-    async def look() -> str | None:
+    async def find() -> str | None:
         reports = await fleet.control_reports()
         return next((name for name, report in reports.items() if report["own_role"] == "witness"), None)
 
-    return await wait_until("there is a witness", look)
+    return await wait_until("there is a witness", find)
 
 
-async def _freeze(fleet: Fleet, name: str, seconds: float = FROZEN) -> None:
+async def _freeze(fleet: Fleet, name: str, seconds: float = FREEZE_SECONDS) -> None:
     fleet.freeze(name)
     await asyncio.sleep(seconds)
     fleet.resume(name)
@@ -90,7 +90,7 @@
 
 
 async def primary_frozen_long(fleet: Fleet) -> None:
-    await _freeze(fleet, await _primary(fleet), FROZEN_LONG)
+    await _freeze(fleet, await _primary(fleet), LONG_FREEZE_SECONDS)
 
 
 async def backup_wiped(fleet: Fleet) -> None:
@@ -102,7 +102,7 @@
 
 
 async def primary_replaced_then_another_killed(fleet: Fleet) -> None:
-    """An empty machine at a new address takes the primary's place; once it counts, a second loss."""
+    """Replaces the primary by an empty machine at a new address; once control is complete, kills the new primary."""
     fleet.replace(await _primary(fleet))
     await wait_until("control is complete with the replacement", fleet.control_complete)
     fleet.kill(await _primary(fleet))
@@ -143,7 +143,10 @@
 
 
 async def several_together(fleet: Fleet) -> None:
-    """The primary killed, a router frozen, a worker killed, in one moment; then the new primary too, back by then."""
+    """Kills the primary and a worker and freezes a router at the same time.
+
+    The first primary restarts; once control is complete again, the new primary is killed.
+    """
     first = await _primary(fleet)
     fleet.kill(first)
     fleet.kill(_model_worker(fleet))
@@ -154,7 +157,7 @@
 
 
 async def routers_rolled(fleet: Fleet) -> None:
-    """Each is asked to stop, ends its streams, and is started again before the next."""
+    """Stops each router gracefully, so that it ends its streams, and restarts it before the next."""
     for router in fleet.routers():
         await fleet.restart_gracefully(router.name)
         await fleet.wait_for_daemon(router.name, "/ready")
@@ -179,7 +182,7 @@
 
 
 async def sockets_of_primary_closed(fleet: Fleet) -> None:
-    """Every connection between daemons and the primary is closed again and again."""
+    """Closes every connection between the primary and other daemons again and again for 5 s."""
     await _close_sockets(fleet.daemons[await _primary(fleet)], 5.0)
 
 
@@ -192,16 +195,19 @@
 
 
 async def _close_sockets(daemon: DaemonPlan, seconds: float) -> None:
-    """Only those on this daemon's own ports."""
+    """Closes connections on this daemon's own ports only.
+
+    Raises CaseNotPossible when this machine does not allow it.
+    """
     ports = [daemon.first_port + offset for offset in range(3 if daemon.caller else 2)]
     condition = " or ".join(f"sport = :{port} or dport = :{port}" for port in ports)
-    give_up = time.monotonic() + seconds
-    while time.monotonic() < give_up:
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         done = await asyncio.to_thread(
             subprocess.run, ["ss", "-K", "-t", "state", "established", condition], capture_output=True, check=False
         )
         if done.returncode:
-            raise NotRun(f"sockets can't be closed here: {done.stderr.decode().strip()}")
+            raise CaseNotPossible(f"sockets can't be closed here: {done.stderr.decode().strip()}")
         await asyncio.sleep(0.3)
 
 
@@ -235,9 +241,9 @@
     calls_back_after: float | None = None
     """Seconds from the last fault until every live router had answered a chat and a call that runs once."""
     orders_back_after: float | None = None
-    """... until an order was acknowledged and in force on every live router."""
+    """Seconds from the last fault until an order was acknowledged and in force on every live router."""
     complete_after: float | None = None
-    """... until control could bear another loss."""
+    """Seconds from the last fault until control could tolerate another loss."""
     acknowledged: int = 0
     outcomes: dict[str, int] = msgspec.field(default_factory=dict)
     refusals: dict[str, int] = msgspec.field(default_factory=dict)
@@ -245,12 +251,12 @@
 
 
 class Operator:
-    """Changes one field of the bundle all the time and remembers what was acknowledged."""
+    """Changes one field of the bundle all the time and records what was acknowledged."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self.acknowledged: dict[int, str] = {}
-        """Order by version."""
+        """Identifiers of acknowledged orders by version."""
         self._weight = 1
 
     async def run(self) -> None:
@@ -258,15 +264,15 @@
             await self.change()
             await asyncio.sleep(0.5)
 
-    async def change(self, patience: float = 3.0) -> int | None:
-        """The acknowledged version."""
+    async def change(self, timeout: float = 3.0) -> int | None:
+        """Makes one change and returns its acknowledged version, or None when the command failed."""
         self._weight += 1
         daemons = [*self._fleet.controls(), *self._fleet.routers()]
         to = [word for daemon in daemons for word in ("--to", daemon.operator)]
         name = self._fleet.shape.classes[-1].name
         done = await self._fleet.run_command(
             "bundle", "change", "--set", f"class/{name}.weight={self._weight % 900 + 1}", "--rebase", "--json",
-            "--patience", str(patience), "--key", str(self._fleet.operator_key_file), *to,
+            "--patience", str(timeout), "--key", str(self._fleet.operator_key_file), *to,
         )  # fmt: skip
         if done.code:
             return None
@@ -301,10 +307,10 @@
         load = asyncio.create_task(run_load(target, options, quiet=True, on_start=started.append))
         changing = asyncio.create_task(self.operator.run())
         try:
-            await asyncio.sleep(WARM_UP)
+            await asyncio.sleep(WARM_UP_SECONDS)
             await self.action(self.fleet)
-            await self.back(time.monotonic())
-        except NotRun as reason:
+            await self.measure_recovery(time.monotonic())
+        except CaseNotPossible as reason:
             self.report.not_run = str(reason)
         finally:
             changing.cancel()
@@ -313,19 +319,19 @@
             result, callers = await load
         self.report.outcomes, self.report.refusals = result["outcomes"], result["refusals"]
         self.report.acknowledged = len(self.operator.acknowledged)
-        self.judge_calls(result, callers.records, await self.fleet.runs())
-        await self.judge_bundles()
+        self.check_calls(result, callers.records, await self.fleet.runs())
+        await self.check_bundles()
         self.curl.close()
         return self.report
 
-    # Service back
+    # Recovery of service
 
-    async def back(self, since: float) -> None:
+    async def measure_recovery(self, since: float) -> None:
         async def after(what: Callable[[], Awaitable[bool]]) -> float | None:
-            while time.monotonic() - since < GIVE_UP:
+            while time.monotonic() - since < RECOVERY_TIMEOUT_SECONDS:
                 if await what():
                     return round(time.monotonic() - since, 2)
-                await asyncio.sleep(PAUSE)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
             return None
 
         answered: set[str] = set()
@@ -335,17 +341,17 @@
         self.report.calls_back_after, self.report.orders_back_after = calls, orders
         self.report.complete_after = complete
         for name, seconds in (("calls", calls), ("orders", orders)):
-            if seconds is None or seconds > BACK_WITHIN:
+            if seconds is None or seconds > RECOVERY_LIMIT_SECONDS:
                 self.report.violations.append(f"{name} back after {seconds} s")
 
     def live_routers(self) -> list[DaemonPlan]:
         return [router for router in self.fleet.routers() if self.fleet.children[router.name].running()]
 
     async def calls_answered(self, answered: set[str]) -> bool:
-        """One whole chat and one whole call that runs once, through each live router."""
-        left = [router for router in self.live_routers() if router.name not in answered]
-        whole = await asyncio.gather(*(self.both_answered(router) for router in left))
-        answered.update(router.name for router, both in zip(left, whole, strict=True) if both)
+        """Calls each service through the live routers not in ``answered``; returns whether all answered in full."""
+        pending = [router for router in self.live_routers() if router.name not in answered]
+        results = await asyncio.gather(*(self.both_answered(router) for router in pending))
+        answered.update(router.name for router, both in zip(pending, results, strict=True) if both)
         return all(router.name in answered for router in self.live_routers())
 
     async def both_answered(self, router: DaemonPlan) -> bool:
@@ -368,7 +374,7 @@
         return True
 
     async def order_in_force(self) -> bool:
-        version = await self.operator.change(patience=1.0)
+        version = await self.operator.change(timeout=1.0)
         return version is not None and await self.in_force(version)
 
     async def complete(self) -> bool:
@@ -377,54 +383,59 @@
     async def in_force(self, version: int) -> bool:
         return all([await self.fleet.version_on(router.name) >= version for router in self.live_routers()])
 
-    # What must never be
+    # Violations of guarantees
 
-    def judge_calls(self, result: dict[str, Any], records: Sequence[CallRecord], runs: list[dict[str, Any]]) -> None:
+    def check_calls(self, result: dict[str, Any], records: Sequence[CallRecord], runs: list[dict[str, Any]]) -> None:
         violations = self.report.violations
         violations.extend(f"{problem}: {count} times" for problem, count in result["problems"].items())
-        violations.extend(judged(records, runs))
+        violations.extend(find_violations(records, runs))
         ended = [child.name for child in self.fleet.children.values() if child.expected_to_run and not child.running()]
         violations.extend(f"{name} ended by itself" for name in ended)
 
-    async def judge_bundles(self) -> None:
-        """Every acknowledged order stands in the history under its version, and the newest is in force."""
-        newest = max(self.operator.acknowledged, default=0)
+    async def check_bundles(self) -> None:
+        """Checks that every acknowledged order is in the history under its version, and that the latest is in force."""
+        latest = max(self.operator.acknowledged, default=0)
         try:
-            await wait_until("the newest acknowledged bundle is in force", lambda: self.in_force(newest), GIVE_UP)
+            await wait_until(
+                "the latest acknowledged bundle is in force", lambda: self.in_force(latest), RECOVERY_TIMEOUT_SECONDS
+            )
         except FleetError as problem:
             self.report.violations.append(str(problem))
         for control in self.fleet.controls():
             if self.fleet.children[control.name].running():
-                await self.judge_history(control)
+                await self.check_history(control)
 
-    async def judge_history(self, control: DaemonPlan) -> None:
+    async def check_history(self, control: DaemonPlan) -> None:
         answer = await self.fleet.run_command("bundle", "history", "--most", "1000", "--json", "--to", control.operator)
         if answer.code:
             self.report.violations.append(f"no history at {control.name}: {answer.errors.strip()}")
             return
-        kept = {entry["version"]: entry["order"] for entry in answer.json()["entries"]}
-        lost = [version for version, order in self.operator.acknowledged.items() if kept.get(version) != order]
+        recorded = {entry["version"]: entry["order"] for entry in answer.json()["entries"]}
+        lost = [version for version, order in self.operator.acknowledged.items() if recorded.get(version) != order]
         if lost:
-            told = [(version, self.operator.acknowledged[version], kept.get(version)) for version in sorted(lost)]
+            differences = [
+                (version, self.operator.acknowledged[version], recorded.get(version)) for version in sorted(lost)
+            ]
             self.report.violations.append(
-                f"acknowledged and not in the history of {control.name} (version, order, what stands there): {told}; "
-                f"its newest is {max(kept, default=0)}"
+                f"acknowledged and not in the history of {control.name} "
+                f"(version, order, order in the history): {differences}; "
+                f"its latest version is {max(recorded, default=0)}"
             )
 
 
-def judged(records: Sequence[CallRecord], runs: Sequence[dict[str, Any]]) -> list[str]:
-    """What must never be of calls that run at most once, from what their callers and the workers saw."""
-    times = Counter(run["idempotency_key"] for run in runs if run["idempotency_key"])
-    whole = {run["idempotency_key"] for run in runs if run["outcome"] == "whole"}
-    found = [f"run {count} times: {key}" for key, count in times.items() if count > 1]
+def find_violations(records: Sequence[CallRecord], runs: Sequence[dict[str, Any]]) -> list[str]:
+    """Returns violations of at-most-once calls, from what their callers and the workers saw."""
+    run_counts = Counter(run["idempotency_key"] for run in runs if run["idempotency_key"])
+    completed_keys = {run["idempotency_key"] for run in runs if run["outcome"] == "whole"}
+    found = [f"run {count} times: {key}" for key, count in run_counts.items() if count > 1]
     for record in records:
         key = record.idempotency_key
-        _, _, last_told, _ = record.attempts[-1]
-        if last_told == "not-run" and times[key]:
+        _, _, last_status, _ = record.attempts[-1]
+        if last_status == "not-run" and run_counts[key]:
             found.append(f"told not-run, but ran: {key}")
-        if last_told == "ran" and not times[key]:
+        if last_status == "ran" and not run_counts[key]:
             found.append(f"told that it ran, but did not: {key}")
-        if any(looks_complete for _, _, _, looks_complete in record.attempts) and key not in whole:
+        if any(looks_complete for _, _, _, looks_complete in record.attempts) and key not in completed_keys:
             found.append(f"a success that no worker gave: {key}")
     return found
 
@@ -434,8 +445,8 @@
     with tempfile.TemporaryDirectory(prefix="wingwood-faults-") as temporary:
         folder = Path(temporary)
         if logs is not None:
-            kept = len(list(logs.glob(f"{action.__name__}-*")))
-            folder = logs / f"{action.__name__}-{kept + 1}"
+            log_count = len(list(logs.glob(f"{action.__name__}-*")))
+            folder = logs / f"{action.__name__}-{log_count + 1}"
         async with Fleet(shape, folder) as fleet:
             try:
                 return await Case(fleet, action).run()
@@ -444,7 +455,7 @@
 
 
 def table(reports: Sequence[CaseReport]) -> str:
-    """Markdown."""
+    """Returns the reports as a Markdown table."""
     lines = [
         "| case | calls back after s | orders back after s | control complete after s | acknowledged | outcomes "
         "| refused | violations |",
@@ -467,13 +478,13 @@
 @click.command()
 @click.option("--shape", type=click.Path(path_type=Path), default=Path("demo"), show_default=True)
 @click.option("--only", multiple=True, help="Names of cases; all by default.")
-@click.option("--times", default=1, show_default=True, help="How often each.")
+@click.option("--times", default=1, show_default=True, help="Number of runs of each case.")
 @click.option("--results", type=click.Path(path_type=Path), default=Path("results"), show_default=True)
 @click.option("--logs", type=click.Path(path_type=Path), help="Keep each case's settings, logs and data there.")
 def main(shape: Path, only: tuple[str, ...], times: int, results: Path, logs: Path | None) -> None:
-    """Runs the faults one after the other and writes real-faults.md and .json.
+    """Runs the faults one after another and writes real-faults.md and real-faults.json.
 
-    Exit code 1 after a violation, 2 when a case could not be run.
+    The exit code is 1 after a violation, and 2 when a case could not be run.
     """
     try:
         chosen = open_shape(shape)
@@ -486,7 +497,7 @@
         reports.append(report)
         click.echo(
             f"{report.case:<40} calls back {report.calls_back_after} s, orders back {report.orders_back_after} s, "
-            f"complete {report.complete_after} s, {report.not_run or report.violations or 'nothing that must not be'}"
+            f"complete {report.complete_after} s, {report.not_run or report.violations or 'no violations'}"
         )
     results.mkdir(parents=True, exist_ok=True)
     (results / "real-faults.md").write_text(table(reports) + "\n")
