--- a/simulation/broken.py
+++ b/simulation/broken.py
@@ -29,7 +29,7 @@
 from wingwood.limits.protocols import ShareRefused
 from wingwood.settings.model import DaemonSettings
 
-from .fleet import Build, Builds, Daemon
+from .fleet import Daemon, DaemonFactories, DaemonFactory
 
 WORKER_PORT = 9000
 
@@ -80,37 +80,37 @@
         return False
 
 
-class _HoldsPieces(WrappedExchange):
+class _DelaysChunks(WrappedExchange):
     async def next_piece(self) -> Result[bytes | None, HttpFault]:
-        piece = await self.inner.next_piece()
+        chunk = await self.inner.next_piece()
         await asyncio.sleep(0.3)
-        return piece
+        return chunk
 
 
-class _ChangesStream(WrappedExchange):
+class _DropsThirdChunk(WrappedExchange):
     """Loses the third event of each stream."""
 
     _events = 0
 
     async def next_piece(self) -> Result[bytes | None, HttpFault]:
         while True:
-            piece = await self.inner.next_piece()
-            if not isinstance(piece, Success) or not piece.unwrap():
-                return piece
+            chunk = await self.inner.next_piece()
+            if not isinstance(chunk, Success) or not chunk.unwrap():
+                return chunk
             self._events += 1
-            if self._events != 3 or b"[DONE]" in piece.unwrap():
-                return piece
+            if self._events != 3 or b"[DONE]" in chunk.unwrap():
+                return chunk
 
 
 class _NamesAnotherCall(WrappedExchange):
     async def next_piece(self) -> Result[bytes | None, HttpFault]:
-        piece = await self.inner.next_piece()
-        if isinstance(piece, Success) and (data := piece.unwrap()):
+        chunk = await self.inner.next_piece()
+        if isinstance(chunk, Success) and (data := chunk.unwrap()):
             return Success(re.sub(rb'"call":"[^"]', b'"call":"~', data))  # of the same length
-        return piece
+        return chunk
 
 
-class _EndsCutStreams(WrappedExchange):
+class _CompletesTruncatedStreams(WrappedExchange):
     """Makes a broken stream look whole."""
 
     _ended = False
@@ -118,21 +118,21 @@
     async def next_piece(self) -> Result[bytes | None, HttpFault]:
         if self._ended:
             return Success(None)
-        piece = await self.inner.next_piece()
-        if isinstance(piece, Success):
-            return piece
+        chunk = await self.inner.next_piece()
+        if isinstance(chunk, Success):
+            return chunk
         self._ended = True
         return Success(b"\n\ndata: [DONE]\n\n")
 
 
-class _IgnoresLeaving(WrappedExchange):
+class _IgnoresCancellation(WrappedExchange):
     """Calls go on at their workers when nobody wants them any more."""
 
     def cancel(self) -> None:
         return None
 
 
-class _SentLate(WrappedExchange):
+class _SendsLate(WrappedExchange):
     """Sends each call a second late, and doesn't look whether its caller is still there."""
 
     def __init__(self, client: HttpClient, request: HttpRequest) -> None:
@@ -153,7 +153,7 @@
         return True
 
 
-class ForgetfulDisk:
+class DiscardingDisk:
     """Says yes and writes nothing after the first records."""
 
     def __init__(self, inner: Disk) -> None:
@@ -199,7 +199,7 @@
         self._inner = inner
         self._context = context
         self._started = context.clock.monotonic()
-        self._unsynced: ForgetfulDisk | None = None
+        self._unsynced: DiscardingDisk | None = None
 
     async def lock(self) -> Result[None, DiskFault]:
         return await self._inner.lock()
@@ -227,68 +227,68 @@
 
     async def _disk(self) -> Disk:
         if self._unsynced is None and self._context.clock.monotonic() - self._started > self.SYNCED_FOR:
-            unsynced = ForgetfulDisk(self._inner)
+            unsynced = DiscardingDisk(self._inner)
             for name in (await self._inner.names()).unwrap():
                 await unsynced.write_new(name, (await self._inner.read(name)).unwrap())
             self._unsynced = unsynced
         return self._unsynced or self._inner
 
 
-def _real(role: str) -> Build:
-    build: Build = importlib.import_module(f"wingwood.daemons.{role}").build
+def _real(role: str) -> DaemonFactory:
+    build: DaemonFactory = importlib.import_module(f"wingwood.daemons.{role}").build
     return build
 
 
-def _with_client(wrap: Callable[[HttpClient, HttpRequest], HttpExchange]) -> Builds:
+def _with_client(wrap: Callable[[HttpClient, HttpRequest], HttpExchange]) -> DaemonFactories:
     def build(context: Context, settings: DaemonSettings) -> Daemon:
         return _real("router")(msgspec.structs.replace(context, http=WrappedClient(context.http, wrap)), settings)
 
-    return Builds(router=build)
+    return DaemonFactories(router=build)
 
 
-def _wrapping(exchange: type[WrappedExchange]) -> Builds:
+def _wrapping(exchange: type[WrappedExchange]) -> DaemonFactories:
     return _with_client(lambda client, request: exchange(client.start(request)))
 
 
-def _forgetful_disks() -> Builds:
+def _discarding_disks() -> DaemonFactories:
     def build(context: Context, settings: DaemonSettings) -> Daemon:
-        return _real("control")(msgspec.structs.replace(context, disk=ForgetfulDisk(context.disk)), settings)
+        return _real("control")(msgspec.structs.replace(context, disk=DiscardingDisk(context.disk)), settings)
 
-    return Builds(control=build)
+    return DaemonFactories(control=build)
 
 
-def _unsynced_disks() -> Builds:
+def _unsynced_disks() -> DaemonFactories:
     def build(context: Context, settings: DaemonSettings) -> Daemon:
         return _real("control")(msgspec.structs.replace(context, disk=UnsyncedDisk(context.disk, context)), settings)
 
-    return Builds(control=build)
+    return DaemonFactories(control=build)
 
 
-def _keeps_removed_keys() -> Builds:
+def _keeps_removed_keys() -> DaemonFactories:
     def build(context: Context, settings: DaemonSettings) -> Daemon:
         return _real("router")(context, msgspec.structs.replace(settings, removed_key_bound=None))
 
-    return Builds(router=build)
+    return DaemonFactories(router=build)
 
 
-def _one_router_knows_one_operator() -> Builds:
+def _one_router_knows_one_operator() -> DaemonFactories:
     def build(context: Context, settings: DaemonSettings) -> Daemon:
         keys = settings.operator_keys[:1] if settings.name == "router-7" else settings.operator_keys
         return _real("router")(context, msgspec.structs.replace(settings, operator_keys=keys))
 
-    return Builds(router=build)
+    return DaemonFactories(router=build)
 
 
-class _Spoiled:
+class _BrokenDaemon:
     """A daemon with some object of it spoiled once it has started."""
 
-    def __init__(self, inner: Daemon, spoil: Callable[[Any], None]) -> None:
+    def __init__(self, inner: Daemon, break_parts: Callable[[Any], None]) -> None:
         self.inner = inner
-        self._spoil = spoil
+        self._break_parts = break_parts
 
     async def start(self) -> Any:
         started = await self.inner.start()
-        self._spoil(self.inner)
+        self._break_parts(self.inner)
         return started
 
     async def drain(self) -> None:
@@ -298,24 +298,26 @@
         self.inner.stop()
 
 
-def _spoiled(router: Callable[[Any], None] | None = None, control: Callable[[Any], None] | None = None) -> Builds:
-    def maker(role: str, spoil: Callable[[Any], None] | None) -> Build | None:
-        if spoil is None:
+def _breaking(
+    router: Callable[[Any], None] | None = None, control: Callable[[Any], None] | None = None
+) -> DaemonFactories:
+    def maker(role: str, break_parts: Callable[[Any], None] | None) -> DaemonFactory | None:
+        if break_parts is None:
             return None
-        return lambda context, settings: _Spoiled(_real(role)(context, settings), spoil)
+        return lambda context, settings: _BrokenDaemon(_real(role)(context, settings), break_parts)
 
-    return Builds(router=maker("router", router), control=maker("control", control))
+    return DaemonFactories(router=maker("router", router), control=maker("control", control))
 
 
 def _shows_older_versions(router: Any) -> None:
     """Now and then a router has the version before the one it had."""
-    version, looks = router.follower.version, 0
+    version, reads = router.follower.version, 0
 
     def older() -> int:
-        nonlocal looks
-        looks += 1
-        newest = int(version())
-        return newest - 1 if newest > 1 and looks % 5 == 0 else newest
+        nonlocal reads
+        reads += 1
+        latest = int(version())
+        return latest - 1 if latest > 1 and reads % 5 == 0 else latest
 
     router.follower.version = older
 
@@ -336,24 +338,24 @@
     router.registry.begin = lambda _: True
 
 
-def _tells_all_orders_accepted(client: Any) -> None:
+def _reports_all_orders_accepted(client: Any) -> None:
     decide = client.decide
 
-    async def lying(kind: str, command: Any, reply_type: Any, timeout: Any) -> Any:
+    async def decide_accepted(kind: str, command: Any, reply_type: Any, timeout: Any) -> Any:
         decided = await decide(kind, command, reply_type, timeout)
         if kind == "bundle" and isinstance(decided, Success) and decided.unwrap().outcome == "conflict":
             version = command.order.manifest.version
             return Success(msgspec.structs.replace(decided.unwrap(), outcome="accepted", version=version))
         return decided
 
-    client.decide = lying
+    client.decide = decide_accepted
 
 
 def _refuses_resent_orders(client: Any) -> None:
     """Each order's second answer is a conflict."""
     decide, seen = client.decide, _ORDERS_SEEN
 
-    async def forgetful(kind: str, command: Any, reply_type: Any, timeout: Any) -> Any:
+    async def decide_once(kind: str, command: Any, reply_type: Any, timeout: Any) -> Any:
         decided = await decide(kind, command, reply_type, timeout)
         if kind != "bundle" or not isinstance(decided, Success):
             return decided
@@ -363,24 +365,26 @@
         seen.add(order)
         return decided
 
-    client.decide = forgetful
+    client.decide = decide_once
 
 
 _ORDERS_SEEN: set[str] = set()
 
 
-def _always_leads(control: Any) -> None:
+def _always_reports_primary(control: Any) -> None:
     """Says for ever that it takes orders, once it was primary."""
     core = control._parts.core
-    report, led = core.report, False
+    report, was_primary = core.report, False
 
-    def boast() -> Any:
-        nonlocal led
-        told = report()
-        led = led or told.own_role == "primary"
-        return msgspec.structs.replace(told, own_role="primary", accepts_orders=True) if led else told
+    def report_primary() -> Any:
+        nonlocal was_primary
+        report_now = report()
+        was_primary = was_primary or report_now.own_role == "primary"
+        return (
+            msgspec.structs.replace(report_now, own_role="primary", accepts_orders=True) if was_primary else report_now
+        )
 
-    core.report = boast
+    core.report = report_primary
 
 
 def _says_ready_while_it_stops(router: Any) -> None:
@@ -398,37 +402,37 @@
     router.drain = endless
 
 
-def _lets_all_in(router: Any) -> None:
+def _admits_all_calls(router: Any) -> None:
     async def take(_: Any, cost: int = 1) -> None:
         return None
 
     router.shares.take = take
 
 
-def _stingy(router: Any) -> None:
+def _refuses_half(router: Any) -> None:
     """Refuses half of the calls as beyond the share."""
     take, calls = router.shares.take, 0
 
-    async def half(tenant: Any, cost: int = 1) -> Any:
+    async def refuse_every_other(tenant: Any, cost: int = 1) -> Any:
         nonlocal calls
         calls += 1
         return ShareRefused(Seconds(0.5)) if calls % 2 else await take(tenant, cost)
 
-    router.shares.take = half
+    router.shares.take = refuse_every_other
 
 
-def _never_starts_again() -> Builds:
+def _never_starts_again() -> DaemonFactories:
     lives: dict[str, int] = {}
 
     def build(context: Context, settings: DaemonSettings) -> Daemon:
         lives[settings.name] = lives.get(settings.name, 0) + 1
         daemon = _real("router")(context, settings)
-        return daemon if lives[settings.name] == 1 else _Asleep()
+        return daemon if lives[settings.name] == 1 else _NeverStarts()
 
-    return Builds(router=build)
+    return DaemonFactories(router=build)
 
 
-class _Asleep:
+class _NeverStarts:
     async def start(self) -> Any:
         await asyncio.sleep(1e6)
 
@@ -439,38 +443,38 @@
         return None
 
 
-VARIANTS: dict[str, Callable[[], Builds]] = {
+VARIANTS: dict[str, Callable[[], DaemonFactories]] = {
     "sends calls twice": lambda: _with_client(_sent_twice),
     "denies sending": lambda: _wrapping(_DeniesSending),
-    "holds pieces": lambda: _wrapping(_HoldsPieces),
-    "loses pieces": lambda: _wrapping(_ChangesStream),
+    "holds pieces": lambda: _wrapping(_DelaysChunks),
+    "loses pieces": lambda: _wrapping(_DropsThirdChunk),
     "names another call": lambda: _wrapping(_NamesAnotherCall),
-    "ends cut streams": lambda: _wrapping(_EndsCutStreams),
-    "ignores that callers leave": lambda: _wrapping(_IgnoresLeaving),
-    "sends calls late": lambda: _with_client(_SentLate),
-    "says ready while it stops": lambda: _spoiled(router=_says_ready_while_it_stops),
-    "never ends its drain": lambda: _spoiled(router=_never_ends_its_drain),
-    "forgetful disks": _forgetful_disks,
+    "ends cut streams": lambda: _wrapping(_CompletesTruncatedStreams),
+    "ignores that callers leave": lambda: _wrapping(_IgnoresCancellation),
+    "sends calls late": lambda: _with_client(_SendsLate),
+    "says ready while it stops": lambda: _breaking(router=_says_ready_while_it_stops),
+    "never ends its drain": lambda: _breaking(router=_never_ends_its_drain),
+    "forgetful disks": _discarding_disks,
     "unsynced disks": _unsynced_disks,
     "keeps removed keys": _keeps_removed_keys,
     "one router knows one operator": _one_router_knows_one_operator,
-    "shows older versions": lambda: _spoiled(router=_shows_older_versions),
-    "trusts drained workers": lambda: _spoiled(router=_trusts_drained_workers),
-    "tells all orders accepted": lambda: _spoiled(
-        router=lambda router: _tells_all_orders_accepted(router.control),
-        control=lambda control: _tells_all_orders_accepted(control._parts.client),
+    "shows older versions": lambda: _breaking(router=_shows_older_versions),
+    "trusts drained workers": lambda: _breaking(router=_trusts_drained_workers),
+    "tells all orders accepted": lambda: _breaking(
+        router=lambda router: _reports_all_orders_accepted(router.control),
+        control=lambda control: _reports_all_orders_accepted(control._parts.client),
     ),
-    "refuses resent orders": lambda: _spoiled(
+    "refuses resent orders": lambda: _breaking(
         router=lambda router: _refuses_resent_orders(router.control),
         control=lambda control: _refuses_resent_orders(control._parts.client),
     ),
-    "always leads": lambda: _spoiled(control=_always_leads),
-    "lets all in": lambda: _spoiled(router=_lets_all_in),
-    "refuses half": lambda: _spoiled(router=_stingy),
+    "always leads": lambda: _breaking(control=_always_reports_primary),
+    "lets all in": lambda: _breaking(router=_admits_all_calls),
+    "refuses half": lambda: _breaking(router=_refuses_half),
     "never starts again": _never_starts_again,
 }
 
 
-def broken_builds(name: str) -> Builds:
+def broken_factories(name: str) -> DaemonFactories:
     _ORDERS_SEEN.clear()
     return VARIANTS[name]()
--- a/simulation/call_checks.py
+++ b/simulation/call_checks.py
@@ -7,16 +7,16 @@
 
 from emulator.worker import word
 
-from .history import Attempt, SeenRun
-from .seen import Seen, Violation, at_attempt
+from .history import Attempt, ObservedRun
+from .indexed_history import IndexedHistory, Violation, at_attempt
 
 
-def call_runs_twice(seen: Seen) -> list[Violation]:
-    by_key: dict[str, list[SeenRun]] = defaultdict(list)
-    for run in seen.history.runs:
+def call_runs_twice(indexed: IndexedHistory) -> list[Violation]:
+    by_key: dict[str, list[ObservedRun]] = defaultdict(list)
+    for run in indexed.history.runs:
         if run.idempotency_key:
             by_key[run.idempotency_key].append(run)
-    seen.looked["call-runs-twice"] += len(by_key)
+    indexed.judged["call-runs-twice"] += len(by_key)
     return [
         Violation(
             runs[1].started_at,
@@ -29,17 +29,17 @@
     ]
 
 
-def told_not_run_but_ran(seen: Seen) -> list[Violation]:
+def reported_not_run_but_ran(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    for call in seen.history.calls:
+    for call in indexed.history.calls:
         for attempt in call.attempts:
-            if attempt.told_run != "not-run" or attempt.ended_at is None:
+            if attempt.reported_run != "not-run" or attempt.ended_at is None:
                 continue
-            seen.looked["told-not-run-but-ran"] += 1
+            indexed.judged["told-not-run-but-ran"] += 1
             for earlier in call.attempts[: attempt.number]:
                 if call.repeatable and earlier is not attempt:
                     continue
-                for run in seen.runs_by_mark.get(earlier.mark, ()):
+                for run in indexed.runs_by_mark.get(earlier.mark, ()):
                     found.append(
                         Violation(
                             attempt.ended_at,
@@ -51,10 +51,10 @@
     return found
 
 
-def answer_of_another_call(seen: Seen) -> list[Violation]:
+def answer_of_another_call(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    for attempt in seen.attempts:
-        seen.looked["answer-of-another-call"] += len(attempt.events) + bool(attempt.answer_call)
+    for attempt in indexed.attempts:
+        indexed.judged["answer-of-another-call"] += len(attempt.events) + bool(attempt.answer_call)
         strange = [event.call for event in attempt.events if event.call != attempt.mark]
         if strange or (attempt.from_worker and attempt.answer_call and attempt.answer_call != attempt.mark):
             other = strange[0] if strange else attempt.answer_call
@@ -64,13 +64,13 @@
     return found
 
 
-def success_never_given(seen: Seen) -> list[Violation]:
+def success_without_worker_run(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    for attempt in seen.attempts:
+    for attempt in indexed.attempts:
         if not attempt.succeeded:
             continue
-        seen.looked["success-never-given"] += 1
-        runs = seen.runs_by_mark.get(attempt.mark, [])
+        indexed.judged["success-never-given"] += 1
+        runs = indexed.runs_by_mark.get(attempt.mark, [])
         whole = [
             run
             for run in runs
@@ -82,12 +82,12 @@
     return found
 
 
-def cut_answer_looks_whole(seen: Seen) -> list[Violation]:
+def truncated_answer_looks_complete(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    for attempt in seen.attempts:
+    for attempt in indexed.attempts:
         if attempt.end != "whole" or attempt.status != 200 or attempt.code:
             continue
-        seen.looked["cut-answer-looks-whole"] += 1
+        indexed.judged["cut-answer-looks-whole"] += 1
         if attempt.tokens and not (attempt.done_marker and len(attempt.events) == attempt.tokens):
             text = f"{len(attempt.events)} of {attempt.tokens} events, end marker {attempt.done_marker}"
             found.append(at_attempt(attempt, "cut-answer-looks-whole", text))
@@ -96,11 +96,11 @@
     return found
 
 
-def stream_out_of_order(seen: Seen) -> list[Violation]:
+def stream_out_of_order(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    for attempt in seen.attempts:
+    for attempt in indexed.attempts:
         indexes = [event.index for event in attempt.events]
-        seen.looked["stream-out-of-order"] += len(indexes)
+        indexed.judged["stream-out-of-order"] += len(indexes)
         if indexes != list(range(len(indexes))):
             found.append(at_attempt(attempt, "stream-out-of-order", f"events came as {indexes[:40]}"))
         elif any(event.text != word(event.index) for event in attempt.events):
@@ -108,26 +108,26 @@
     return found
 
 
-def piece_held(seen: Seen) -> list[Violation]:
+def chunk_delayed(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    for attempt in seen.attempts:
+    for attempt in indexed.attempts:
         if not attempt.events:
             continue
-        runs = [run for run in seen.runs_by_mark.get(attempt.mark, []) if run.started_at <= attempt.events[0].at]
+        runs = [run for run in indexed.runs_by_mark.get(attempt.mark, []) if run.started_at <= attempt.events[0].at]
         if not runs:
             continue
         run = runs[-1]
         worst, index = 0.0, 0
-        seen.looked["piece-held"] += len(attempt.events)
+        indexed.judged["piece-held"] += len(attempt.events)
         for number, event in enumerate(attempt.events[: len(run.event_times)]):
             held = event.at - run.event_times[number]
             if held > worst:
                 worst, index = held, number
-        if worst <= seen.bounds.piece_held:
+        if worst <= indexed.bounds.chunk_delay:
             continue
-        names = seen.with_machines(attempt.router, run.worker, attempt.caller_machine)
+        names = indexed.with_machines(attempt.router, run.worker, attempt.caller_machine)
         start, end = run.event_times[index], attempt.events[index].at
-        if not seen.history.disturbed(names, start, end, after=seen.bounds.retransmission):
+        if not indexed.history.disturbed(names, start, end, after=indexed.bounds.retransmission):
             found.append(
                 Violation(
                     end, "piece-held", f"{attempt.mark} event {index} took {worst:.3f} s through {attempt.router}"
@@ -136,60 +136,60 @@
     return found
 
 
-def works_for_a_caller_that_left(seen: Seen) -> list[Violation]:
+def work_for_disconnected_caller(indexed: IndexedHistory) -> list[Violation]:
     """What was sent for a caller that left, or is worked on for it; calls that may not be repeated excepted."""
     found = []
-    for call in seen.history.calls:
+    for call in indexed.history.calls:
         for attempt in call.attempts if call.repeatable else ():
             if attempt.end != "gave-up" or attempt.ended_at is None:
                 continue
-            for at, worker, text in _work_after(seen, attempt, attempt.ended_at + seen.bounds.left):
-                names = seen.with_machines(attempt.router, worker, attempt.caller_machine)
-                if seen.history.disturbed(names, attempt.sent_at, at, after=seen.bounds.back_after):
+            for at, worker, text in _work_after(indexed, attempt, attempt.ended_at + indexed.bounds.caller_left):
+                names = indexed.with_machines(attempt.router, worker, attempt.caller_machine)
+                if indexed.history.disturbed(names, attempt.sent_at, at, after=indexed.bounds.recovery):
                     continue
                 found.append(at_attempt(attempt, "works-for-a-caller-that-left", f"{worker} {text}"))
     return found
 
 
-def _work_after(seen: Seen, attempt: Attempt, limit: float) -> list[tuple[float, str, str]]:
+def _work_after(indexed: IndexedHistory, attempt: Attempt, limit: float) -> list[tuple[float, str, str]]:
     """When, which worker, and what it still did; what ended in time counts as looked at."""
     assert attempt.ended_at is not None
     found = []
-    for arrival in seen.arrivals_by_mark.get(attempt.mark, ()):
-        seen.looked["works-for-a-caller-that-left"] += 1
+    for arrival in indexed.arrivals_by_mark.get(attempt.mark, ()):
+        indexed.judged["works-for-a-caller-that-left"] += 1
         if arrival.at > limit:
             late = arrival.at - attempt.ended_at
             found.append((arrival.at, arrival.worker, f"was sent the call {late:.2f} s after its caller left"))
-    for run in seen.runs_by_mark.get(attempt.mark, ()):
+    for run in indexed.runs_by_mark.get(attempt.mark, ()):
         if run.finished_at is None or run.finished_at > limit:
             until = "the end" if run.finished_at is None else f"{run.finished_at - attempt.ended_at:.2f} s later"
             found.append((limit, run.worker, f"worked on it until {until}"))
     return found
 
 
-def too_many_tries(seen: Seen) -> list[Violation]:
+def too_many_retries(indexed: IndexedHistory) -> list[Violation]:
     """Tries beyond the first, as workers saw them, against the calls that came to the routers."""
     calls: dict[str, list[float]] = defaultdict(list)
     tries: dict[str, list[float]] = defaultdict(list)
-    for attempt in seen.attempts:
+    for attempt in indexed.attempts:
         if attempt.sent_bytes:
             calls[attempt.service].append(attempt.sent_at)
-    for mark, arrivals in seen.arrivals_by_mark.items():
-        attempt_found = seen.attempt_of.get(mark)
+    for mark, arrivals in indexed.arrivals_by_mark.items():
+        attempt_found = indexed.attempt_of.get(mark)
         if attempt_found is not None:
             tries[attempt_found.service].extend(sorted(arrival.at for arrival in arrivals)[1:])
     found = []
-    window, share, slack = seen.bounds.retry_window, seen.bounds.retry_share, seen.bounds.retry_slack
+    window, share, slack = indexed.bounds.retry_window, indexed.bounds.retry_share, indexed.bounds.retry_slack
     for service, times in tries.items():
-        seen.looked["too-many-tries"] += len(times)
+        indexed.judged["too-many-tries"] += len(times)
         times.sort()
-        begun = sorted(calls[service])
-        if len(times) > share * len(begun) + slack:
-            text = f"{service}: {len(times)} tries beyond the first for {len(begun)} calls in all"
-            found.append(Violation(seen.end, "too-many-tries", text))
+        started = sorted(calls[service])
+        if len(times) > share * len(started) + slack:
+            text = f"{service}: {len(times)} tries beyond the first for {len(started)} calls in all"
+            found.append(Violation(indexed.end, "too-many-tries", text))
         for index, at in enumerate(times):
             count = index + 1 - bisect_left(times, at - window)
-            offered = bisect_left(begun, at) - bisect_left(begun, at - 2 * window)
+            offered = bisect_left(started, at) - bisect_left(started, at - 2 * window)
             if count > share * offered + slack:
                 text = f"{service}: {count} tries beyond the first within {window:.0f} s, {offered} calls in twice that"
                 found.append(Violation(at, "too-many-tries", text))
--- a/simulation/callers.py
+++ b/simulation/callers.py
@@ -19,19 +19,19 @@
 from wingwood.context.protocols import Context, HttpFault, HttpRequest
 from wingwood.identifiers import Address, Seconds
 
-from .history import Attempt, Call, History, SeenEvent
+from .history import Attempt, Call, History, ObservedEvent
 from .http_client import PlainExchange
 
-PATIENCE_MARGIN = 0.5
+FIRST_BYTE_TIMEOUT_MARGIN_S = 0.5
 """Callers wait a little longer for the first byte than the bundle says of them."""
-SILENCE_PATIENCE = 6.0
+STREAM_IDLE_TIMEOUT_S = 6.0
 """Longest silence between two pieces of a stream."""
-RETRY_PAUSE = 0.05
-LONGEST_RETRY_PAUSE = 1.0
+RETRY_PAUSE_S = 0.05
+MAX_RETRY_PAUSE_S = 1.0
 BYTES_PER_TOKEN = 4
 
 
-class Door(msgspec.Struct, frozen=True):
+class RouterEndpoint(msgspec.Struct, frozen=True):
     """A router as the platform knows it."""
 
     name: str
@@ -52,14 +52,14 @@
         context: Context,
         history: History,
         now: Callable[[], float],
-        doors: Callable[[], Sequence[Door]],
+        ready_routers: Callable[[], Sequence[RouterEndpoint]],
         shape: Shape,
         plan: CallerPlan,
     ) -> None:
         self.context = context
         self.history = history
         self.now = now
-        self.doors = doors
+        self.ready_routers = ready_routers
         self.shape = shape
         self.plan = plan
         self.key = plan.key
@@ -68,11 +68,11 @@
         self.stopped = False
         self.leave_after: float | None = None
         """They close their connection so long after sending a call, answered or not, when set."""
-        self.only_door: str | None = None
+        self.only_router: str | None = None
         """Sends all calls to this router when set."""
         self._services = {service.name: service for service in shape.services}
         self._number = 0
-        self._kept: dict[Address, list[BaseIOStream]] = {}
+        self._idle_connections: dict[Address, list[BaseIOStream]] = {}
 
     # -- traffic
 
@@ -143,36 +143,40 @@
             repeatable=service.repeatable,
             idempotency_key=f"key-{identifier}" if not service.repeatable else "",
             session=prefix,
-            begun_at=self.now(),
+            started_at=self.now(),
         )
         self.history.calls.append(call)
         tried: list[str] = []
         for number in range(1 + retries):
-            door = self._choose(tried)
-            if door is None:
-                await asyncio.sleep(RETRY_PAUSE)
+            endpoint = self._choose(tried)
+            if endpoint is None:
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
-            tried.append(door.name)
-            attempt = await self._attempt(call, service, door, prefix, messages, tokens, number + 1)
-            if attempt.succeeded or not _worth_another(attempt):
+            tried.append(endpoint.name)
+            attempt = await self._attempt(call, service, endpoint, prefix, messages, tokens, number + 1)
+            if attempt.succeeded or not _should_retry(attempt):
                 break
-            await asyncio.sleep(min(attempt.retry_after or RETRY_PAUSE, LONGEST_RETRY_PAUSE))
+            await asyncio.sleep(min(attempt.retry_after or RETRY_PAUSE_S, MAX_RETRY_PAUSE_S))
         call.ended_at = self.now()
         return call
 
-    def _choose(self, tried: Sequence[str]) -> Door | None:
-        doors = self.doors()
-        if self.only_door is not None:
-            return next((door for door in doors if door.name == self.only_door), None)
-        fresh = [door for door in doors if door.name not in tried] if self.context.random.random() < 0.8 else doors
-        candidates = fresh or doors
+    def _choose(self, tried: Sequence[str]) -> RouterEndpoint | None:
+        ready_routers = self.ready_routers()
+        if self.only_router is not None:
+            return next((endpoint for endpoint in ready_routers if endpoint.name == self.only_router), None)
+        fresh = (
+            [endpoint for endpoint in ready_routers if endpoint.name not in tried]
+            if self.context.random.random() < 0.8
+            else ready_routers
+        )
+        candidates = fresh or ready_routers
         return self.context.random.choice(candidates) if candidates else None
 
     async def _attempt(
         self,
         call: Call,
         service: ServiceShape,
-        door: Door,
+        endpoint: RouterEndpoint,
         prefix: str,
         messages: list[dict[str, str]],
         tokens: int,
@@ -182,7 +186,7 @@
             mark=f"{call.identifier}/{number}",
             call=call.identifier,
             number=number,
-            router=door.name,
+            router=endpoint.name,
             caller_machine=self.plan.machine,
             tenant=call.tenant,
             service=call.service,
@@ -198,11 +202,11 @@
         if call.idempotency_key:
             headers.append(("Idempotency-Key", call.idempotency_key))
         request = HttpRequest(
-            "POST", door.address, service.path, tuple(headers), msgspec.json.encode(body), Seconds(2.0)
+            "POST", endpoint.address, service.path, tuple(headers), msgspec.json.encode(body), Seconds(2.0)
         )
-        kept = self._kept_stream(door.address)
-        attempt.kept_connection = kept is not None
-        exchange = PlainExchange(self.context.network, request, kept, keep_open=True)
+        idle = self._take_idle_connection(endpoint.address)
+        attempt.reused_connection = idle is not None
+        exchange = PlainExchange(self.context.network, request, idle, keep_open=True)
         try:
             await self._read(exchange, attempt, service)
         finally:
@@ -213,15 +217,15 @@
                 # With a callback set the stream listens, so that one the router closed meanwhile is not used again.
                 stream.set_close_callback(lambda: None)
                 stream.set_close_callback(_nothing)  # so that it is noticed when the other side closes it
-                self._kept.setdefault(door.address, []).append(stream)
+                self._idle_connections.setdefault(endpoint.address, []).append(stream)
             else:
                 exchange.cancel()
         return attempt
 
-    def _kept_stream(self, address: Address) -> BaseIOStream | None:
-        kept = self._kept.get(address, [])
-        while kept:
-            stream = kept.pop()
+    def _take_idle_connection(self, address: Address) -> BaseIOStream | None:
+        idle = self._idle_connections.get(address, [])
+        while idle:
+            stream = idle.pop()
             if not stream.closed():
                 stream.set_close_callback(None)
                 return stream
@@ -230,35 +234,39 @@
     async def _read(self, exchange: PlainExchange, attempt: Attempt, service: ServiceShape) -> None:
         try:
             async with asyncio.timeout(self.leave_after):
-                await self._read_patiently(exchange, attempt, service.first_byte_patience + PATIENCE_MARGIN)
+                await self._read_with_timeouts(
+                    exchange, attempt, service.first_byte_patience + FIRST_BYTE_TIMEOUT_MARGIN_S
+                )
         except TimeoutError:
             attempt.end = "gave-up"
 
-    async def _read_patiently(self, exchange: PlainExchange, attempt: Attempt, patience: float) -> None:
+    async def _read_with_timeouts(self, exchange: PlainExchange, attempt: Attempt, first_byte_timeout: float) -> None:
         reader = _AnswerReader(attempt, self.now)
-        async with asyncio.timeout(patience):
-            headed = await exchange.head()
-        if not isinstance(headed, Success):
-            self._failed(attempt, headed.failure())
+        async with asyncio.timeout(first_byte_timeout):
+            head_result = await exchange.head()
+        if not isinstance(head_result, Success):
+            self._failed(attempt, head_result.failure())
             return
-        head = headed.unwrap()
+        head = head_result.unwrap()
         attempt.head_at, attempt.status = self.now(), head.status
         attempt.code = "router" if head.header("Wingwood-Answer") is not None else ""
         reader.streams = (head.header("Content-Type") or "").startswith("text/event-stream")
         retry_after = head.header("Retry-After")
         attempt.retry_after = float(retry_after) if retry_after else None
         while True:
-            async with asyncio.timeout(SILENCE_PATIENCE if attempt.events or not reader.streams else patience):
-                took = await exchange.next_piece()
-            if not isinstance(took, Success):
-                self._failed(attempt, took.failure())
+            async with asyncio.timeout(
+                STREAM_IDLE_TIMEOUT_S if attempt.events or not reader.streams else first_byte_timeout
+            ):
+                received = await exchange.next_piece()
+            if not isinstance(received, Success):
+                self._failed(attempt, received.failure())
                 return
-            piece = took.unwrap()
-            if piece is None:
+            chunk = received.unwrap()
+            if chunk is None:
                 attempt.end = "whole"
                 reader.finish()
                 return
-            reader.take(piece)
+            reader.take(chunk)
 
     def _failed(self, attempt: Attempt, fault: HttpFault) -> None:
         if fault.kind == "connect":
@@ -271,7 +279,7 @@
     return None
 
 
-def _worth_another(attempt: Attempt) -> bool:
+def _should_retry(attempt: Attempt) -> bool:
     """Clients try once more when it may help; not after a definite refusal of theirs."""
     if attempt.end != "whole":
         return True
@@ -285,8 +293,8 @@
         self._rest = b""
         self.streams = False
 
-    def take(self, piece: bytes) -> None:
-        self._rest += piece
+    def take(self, chunk: bytes) -> None:
+        self._rest += chunk
         if not self.streams:
             return
         while True:
@@ -304,7 +312,7 @@
             attempt.done_marker = True
         elif (read := _json(event.removeprefix(b"data: "))) is not None and event.startswith(b"data: "):
             attempt.events.append(
-                SeenEvent(self._now(), int(read.get("index", -1)), str(read.get("call")), str(read.get("text")))
+                ObservedEvent(self._now(), int(read.get("index", -1)), str(read.get("call")), str(read.get("text")))
             )
         else:
             attempt.stray += event[:80].decode("latin-1")
@@ -321,7 +329,7 @@
         attempt.answer_call = str(answer.get("call", ""))
         if attempt.code:
             attempt.code = str(answer.get("code", "router"))
-            attempt.told_run = str(answer.get("run", ""))
+            attempt.reported_run = str(answer.get("run", ""))
 
 
 def _json(data: bytes) -> dict[str, Any] | None:
--- a/simulation/configuration_checks.py
+++ b/simulation/configuration_checks.py
@@ -5,27 +5,27 @@
 from bisect import bisect_left
 from collections import defaultdict
 
-from .history import Attempt, SeenRun
-from .seen import Seen, Violation
+from .history import Attempt, ObservedRun
+from .indexed_history import IndexedHistory, Violation
 
-SEVERAL_LOOKS = 3.0
+SEVERAL_POLLS_S = 3.0
 """Seconds in which every daemon's version is looked at more than once."""
 
 
-def newest_not_back(seen: Seen) -> list[Violation]:
+def latest_bundle_not_restored(indexed: IndexedHistory) -> list[Violation]:
     """Some time after the last fault every router has the newest bundle acknowledged before that."""
-    since = seen.last_fault_ended() + seen.bounds.back_after
+    since = indexed.last_fault_ended() + indexed.bounds.recovery
     due = [
         order.accepted.version
-        for order in seen.history.orders
-        if order.accepted is not None and order.accepted.answered_at <= since - seen.bounds.in_force
+        for order in indexed.history.orders
+        if order.accepted is not None and order.accepted.answered_at <= since - indexed.bounds.in_force
     ]
-    if not due or since + SEVERAL_LOOKS > seen.end:
+    if not due or since + SEVERAL_POLLS_S > indexed.end:
         return []
     found = []
-    for router in sorted(seen.places.routers):
-        shown = [look.version for look in seen.history.versions if look.daemon == router and look.asked_at >= since]
-        seen.looked["newest-not-back"] += 1
+    for router in sorted(indexed.topology.routers):
+        shown = [look.version for look in indexed.history.versions if look.daemon == router and look.asked_at >= since]
+        indexed.judged["newest-not-back"] += 1
         if not shown or min(shown) < max(due):
             what = f"shows version {min(shown)}" if shown else "answers no question"
             text = f"{router} {what} later than {since:.1f}; {max(due)} was acknowledged"
@@ -33,26 +33,26 @@
     return found
 
 
-def bundle_not_in_force(seen: Seen) -> list[Violation]:
+def bundle_not_in_force(indexed: IndexedHistory) -> list[Violation]:
     """An acknowledged version, or a newer one, stands on every connected router about two seconds later."""
     found = []
     accepted = sorted(
-        (order.accepted.answered_at, order.accepted.version) for order in seen.history.orders if order.accepted
+        (order.accepted.answered_at, order.accepted.version) for order in indexed.history.orders if order.accepted
     )
-    newest: list[tuple[float, int]] = []
+    latest: list[tuple[float, int]] = []
     for at, version in accepted:
-        newest.append((at, max(version, newest[-1][1] if newest else 0)))
-    times = [at for at, _ in newest]
+        latest.append((at, max(version, latest[-1][1] if latest else 0)))
+    times = [at for at, _ in latest]
     reported: set[tuple[str, int]] = set()
-    for poll in seen.history.versions:
-        index = bisect_left(times, poll.asked_at - seen.bounds.in_force) - 1
+    for poll in indexed.history.versions:
+        index = bisect_left(times, poll.asked_at - indexed.bounds.in_force) - 1
         if index < 0:
             continue
-        due_at, due = newest[index]
-        names = seen.with_machines(poll.daemon) | seen.places.controls
-        if poll.asked_at < seen.quiet_since(names, poll.asked_at) + seen.bounds.back_after:
+        due_at, due = latest[index]
+        names = indexed.with_machines(poll.daemon) | indexed.topology.controls
+        if poll.asked_at < indexed.undisturbed_since(names, poll.asked_at) + indexed.bounds.recovery:
             continue
-        seen.looked["bundle-not-in-force"] += 1
+        indexed.judged["bundle-not-in-force"] += 1
         if poll.version >= due or (poll.daemon, due) in reported:
             continue
         reported.add((poll.daemon, due))
@@ -66,16 +66,18 @@
     return found
 
 
-def bundle_falls_back(seen: Seen) -> list[Violation]:
+def bundle_version_regresses(indexed: IndexedHistory) -> list[Violation]:
     found = []
     polls: dict[str, list[tuple[float, float, int]]] = defaultdict(list)
-    for poll in seen.history.versions:
+    for poll in indexed.history.versions:
         polls[poll.daemon].append((poll.asked_at, poll.answered_at, poll.version))
     for daemon, listed in polls.items():
         highest: list[tuple[float, int]] = []
-        seen.looked["bundle-falls-back"] += len(listed)
+        indexed.judged["bundle-falls-back"] += len(listed)
         for asked_at, answered_at, version in listed:
-            before = max((high for at, high in highest if at + seen.bounds.fall_back <= asked_at), default=0)
+            before = max(
+                (high for at, high in highest if at + indexed.bounds.regression_tolerance <= asked_at), default=0
+            )
             if 0 < version < before:
                 found.append(Violation(asked_at, "bundle-falls-back", f"{daemon} shows {version} after {before}"))
             if version > (highest[-1][1] if highest else 0):
@@ -83,56 +85,56 @@
     return found
 
 
-def removed_key_works(seen: Seen) -> list[Violation]:
-    bound = seen.bounds.removed_key
+def removed_key_accepted(indexed: IndexedHistory) -> list[Violation]:
+    bound = indexed.bounds.removed_key
     if bound is None:
         return []
     removed: dict[str, float] = {}
-    for order in seen.history.orders:
+    for order in indexed.history.orders:
         if order.accepted is not None:
             for key in order.removed_keys:
                 removed[key] = min(removed.get(key, float("inf")), order.accepted.answered_at)
     found = []
-    for run in seen.history.runs:
-        attempt = seen.attempt_of.get(run.mark)
+    for run in indexed.history.runs:
+        attempt = indexed.attempt_of.get(run.mark)
         if attempt is None or attempt.key not in removed:
             continue
-        seen.looked["removed-key-works"] += 1
+        indexed.judged["removed-key-works"] += 1
         late = run.started_at - removed[attempt.key]
-        if late > bound and not _lay_in_a_frozen_worker(seen, attempt, run, removed[attempt.key] + bound):
+        if late > bound and not _was_queued_at_frozen_worker(indexed, attempt, run, removed[attempt.key] + bound):
             text = f"{attempt.mark} ran through {attempt.router} {late:.2f} s after its key's removal was acknowledged"
             found.append(Violation(run.started_at, "removed-key-works", text))
     return found
 
 
-def _lay_in_a_frozen_worker(seen: Seen, attempt: Attempt, run: SeenRun, limit: float) -> bool:
+def _was_queued_at_frozen_worker(indexed: IndexedHistory, attempt: Attempt, run: ObservedRun, limit: float) -> bool:
     """Whether the call was sent by ``limit`` and the worker, frozen since before, read it when it woke.
 
     The caller had left by ``limit``, and a router that is not disturbed sends nothing for a caller that left.
     """
     if attempt.ended_at is None or attempt.ended_at > limit:
         return False
-    way = seen.with_machines(attempt.router, attempt.caller_machine)
-    if seen.history.disturbed(way, attempt.sent_at, attempt.ended_at + 1.0):
+    way = indexed.with_machines(attempt.router, attempt.caller_machine)
+    if indexed.history.disturbed(way, attempt.sent_at, attempt.ended_at + 1.0):
         return False
-    worker = seen.with_machines(run.worker)
+    worker = indexed.with_machines(run.worker)
     return any(
         fault.kind == "freeze"
         and worker.intersection(fault.targets)
-        and fault.begun_at <= attempt.ended_at
+        and fault.started_at <= attempt.ended_at
         and fault.ended_at is not None
         and fault.ended_at <= run.started_at <= fault.ended_at + 0.5
-        for fault in seen.history.faults
+        for fault in indexed.history.faults
     )
 
 
-def two_orders_win(seen: Seen) -> list[Violation]:
+def two_orders_accepted(indexed: IndexedHistory) -> list[Violation]:
     found = []
     by_version: dict[int, set[str]] = defaultdict(set)
-    for order in seen.history.orders:
+    for order in indexed.history.orders:
         for answer in order.answers:
             if answer.outcome == "accepted":
-                seen.looked["two-orders-win"] += 1
+                indexed.judged["two-orders-win"] += 1
                 by_version[answer.version].add(order.order)
                 if answer.version != order.base + 1:
                     text = f"{order.order} on base {order.base} was accepted as version {answer.version}"
@@ -140,16 +142,16 @@
     for version, orders in by_version.items():
         if len(orders) > 1:
             text = f"version {version} was given to {', '.join(sorted(orders))}"
-            found.append(Violation(seen.end, "two-orders-win", text))
+            found.append(Violation(indexed.end, "two-orders-win", text))
     return found
 
 
-def resent_order_refused(seen: Seen) -> list[Violation]:
+def resent_order_refused(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    listed = {entry.order: entry.version for entries in seen.history.final_history.values() for entry in entries}
-    for order in seen.history.orders:
+    listed = {entry.order: entry.version for entries in indexed.history.final_history.values() for entry in entries}
+    for order in indexed.history.orders:
         definite = [answer for answer in order.answers if answer.outcome in ("accepted", "conflict", "invalid")]
-        seen.looked["resent-order-refused"] += len(order.answers) > 1
+        indexed.judged["resent-order-refused"] += len(order.answers) > 1
         outcomes = {(answer.outcome, answer.version if answer.outcome == "accepted" else 0) for answer in definite}
         if len(outcomes) > 1:
             text = f"{order.order} was answered {sorted(outcomes)}"
@@ -161,23 +163,23 @@
     return found
 
 
-def acknowledged_bundle_vanishes(seen: Seen) -> list[Violation]:
+def acknowledged_bundle_lost(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    acknowledged = {order.accepted.version: order for order in seen.history.orders if order.accepted is not None}
+    acknowledged = {order.accepted.version: order for order in indexed.history.orders if order.accepted is not None}
     if not acknowledged:
         return []
-    newest = max(acknowledged)
+    latest = max(acknowledged)
     first = min(order.accepted.answered_at for order in acknowledged.values() if order.accepted is not None)
-    for read in seen.history.newest_read:
-        if read.version == 0 and read.asked_at > first + seen.bounds.in_force:
+    for read in indexed.history.latest_reads:
+        if read.version == 0 and read.asked_at > first + indexed.bounds.in_force:
             text = f"{read.daemon} said that there is no bundle yet; one was acknowledged at {first:.3f}"
             found.append(Violation(read.asked_at, "acknowledged-bundle-vanishes", text))
-    for daemon, version in seen.history.final_versions.items():
-        if version < newest:
-            text = f"{daemon} shows version {version} at the end; {newest} was acknowledged"
-            found.append(Violation(seen.end, "acknowledged-bundle-vanishes", text))
-    seen.looked["acknowledged-bundle-vanishes"] += len(acknowledged) * len(seen.history.final_history)
-    for daemon, entries in seen.history.final_history.items():
+    for daemon, version in indexed.history.final_versions.items():
+        if version < latest:
+            text = f"{daemon} shows version {version} at the end; {latest} was acknowledged"
+            found.append(Violation(indexed.end, "acknowledged-bundle-vanishes", text))
+    indexed.judged["acknowledged-bundle-vanishes"] += len(acknowledged) * len(indexed.history.final_history)
+    for daemon, entries in indexed.history.final_history.items():
         listed = {entry.version: entry.order for entry in entries}
         oldest = min(listed, default=0)
         for version, order in acknowledged.items():
@@ -186,30 +188,30 @@
                     f"version {version} was acknowledged for {order.order}; "
                     f"the history that {daemon} tells says {listed.get(version)}"
                 )
-                found.append(Violation(seen.end, "acknowledged-bundle-vanishes", text))
+                found.append(Violation(indexed.end, "acknowledged-bundle-vanishes", text))
     return found
 
 
-def cut_off_control_leads(seen: Seen) -> list[Violation]:
+def isolated_control_is_primary(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    for fault in seen.history.faults:
+    for fault in indexed.history.faults:
         if fault.kind not in ("cut-off", "isolate"):
             continue
-        until = fault.ended_at if fault.ended_at is not None else seen.end
-        since = fault.begun_at + seen.bounds.leads_alone
+        until = fault.ended_at if fault.ended_at is not None else indexed.end
+        since = fault.started_at + indexed.bounds.isolated_primary
         names = frozenset(fault.targets)
-        if not names & seen.places.controls:
+        if not names & indexed.topology.controls:
             continue
-        seen.looked["cut-off-control-leads"] += until > since
-        for order in seen.history.orders:
+        indexed.judged["cut-off-control-leads"] += until > since
+        for order in indexed.history.orders:
             for answer in order.answers:
                 alone = since <= answer.asked_at and answer.answered_at < until
                 if answer.outcome == "accepted" and answer.via in names and alone:
-                    text = f"{answer.via}, cut off since {fault.begun_at:.1f}, accepted {order.order}"
+                    text = f"{answer.via}, cut off since {fault.started_at:.1f}, accepted {order.order}"
                     found.append(Violation(answer.answered_at, "cut-off-control-leads", text))
-        for lead in seen.history.leads:
-            if lead.daemon in names and since <= lead.at < until:
-                text = f"{lead.daemon}, cut off since {fault.begun_at:.1f}, says that it takes orders"
-                found.append(Violation(lead.at, "cut-off-control-leads", text))
+        for primary in indexed.history.primaries:
+            if primary.daemon in names and since <= primary.at < until:
+                text = f"{primary.daemon}, cut off since {fault.started_at:.1f}, says that it takes orders"
+                found.append(Violation(primary.at, "cut-off-control-leads", text))
                 break
     return found
--- a/simulation/disk.py
+++ b/simulation/disk.py
@@ -18,7 +18,7 @@
 
 from wingwood.context.protocols import DiskFault
 
-from .virtual_time import LIFE, Life, VirtualTimeLoop
+from .virtual_time import INCARNATION, Incarnation, VirtualTimeLoop
 
 Mode = Literal["well", "slow", "stalled", "full", "failing"]
 
@@ -29,13 +29,13 @@
         work: Callable[[], Result[Any, DiskFault]],
         partial: Callable[[], None] | None,
         answer: asyncio.Future[Result[Any, DiskFault]],
-        life: Life | None,
+        incarnation: Incarnation | None,
         writes: bool,
     ) -> None:
         self.work = work
         self.partial = partial
         self.answer = answer
-        self.life = life
+        self.incarnation = incarnation
         self.writes = writes
 
 
@@ -52,18 +52,18 @@
         self.sync_latency = 0.0015
         self.slow_factor = 200.0
         self.capacity_bytes: int | None = None
-        self.locked_by: Life | None = None
+        self.locked_by: Incarnation | None = None
         self.operations_done = 0
         self._queue: deque[Operation] = deque()
         self._busy = False
-        self._waiting_for_heal = False
+        self._finish_pending = False
 
     # -- faults
 
     def set_mode(self, mode: Mode) -> None:
         self.mode = mode
-        if mode != "stalled" and self._waiting_for_heal:
-            self._waiting_for_heal = False
+        if mode != "stalled" and self._finish_pending:
+            self._finish_pending = False
             self._loop.kernel_at(self._loop.now + self._latency(), self._finish)
 
     def wipe(self) -> None:
@@ -71,13 +71,15 @@
         self.visible.clear()
         self.durable.clear()
 
-    def process_ended(self, life: Life) -> None:
+    def process_ended(self, incarnation: Incarnation) -> None:
         """A killed process: what was in the middle has any part of its effect; what waited never happens."""
-        if self.locked_by is life:
+        if self.locked_by is incarnation:
             self.locked_by = None
-        if self._queue and self._busy and self._queue[0].life is life:
+        if self._queue and self._busy and self._queue[0].incarnation is incarnation:
             running = self._queue[0]
-            self._queue = deque([running] + [operation for operation in self._queue if operation.life is not life])
+            self._queue = deque(
+                [running] + [operation for operation in self._queue if operation.incarnation is not incarnation]
+            )
             if running.writes and self.mode not in ("full", "failing"):
                 choice = self._random.random()
                 if choice < 0.4:
@@ -85,11 +87,11 @@
                 elif choice < 0.8 and running.partial is not None:
                     running.partial()
             running.work = lambda: Success(None)
-            if self._waiting_for_heal:
-                self._waiting_for_heal = False
+            if self._finish_pending:
+                self._finish_pending = False
                 self._loop.kernel_at(self._loop.now, self._finish)
         else:
-            self._queue = deque(operation for operation in self._queue if operation.life is not life)
+            self._queue = deque(operation for operation in self._queue if operation.incarnation is not incarnation)
 
     def power_lost(self) -> None:
         """Call after the machine's processes have ended. What was not durable may be lost, whole or in part."""
@@ -107,7 +109,7 @@
                     self.visible[name] = durable
         self.durable = dict(self.visible)
 
-    def tear_last_record(self, name: str, most: int = 12) -> None:
+    def truncate_last_record(self, name: str, most: int = 12) -> None:
         """Cuts a few bytes off a file's end (for tests of the reader)."""
         data = self.visible.get(name, b"")
         self.visible[name] = self.durable[name] = data[: max(0, len(data) - self._random.randint(1, most))]
@@ -118,7 +120,7 @@
         self, work: Callable[[], Result[Any, DiskFault]], partial: Callable[[], None] | None = None, writes: bool = True
     ) -> asyncio.Future[Result[Any, DiskFault]]:
         answer: asyncio.Future[Result[Any, DiskFault]] = self._loop.create_future()
-        self._queue.append(Operation(work, partial, answer, LIFE.get(), writes))
+        self._queue.append(Operation(work, partial, answer, INCARNATION.get(), writes))
         self._next()
         return answer
 
@@ -134,7 +136,7 @@
 
     def _finish(self) -> None:
         if self.mode == "stalled":
-            self._waiting_for_heal = True
+            self._finish_pending = True
             return
         operation = self._queue.popleft()
         self._busy = False
@@ -175,12 +177,12 @@
         self._machine = machine
 
     async def lock(self) -> Result[None, DiskFault]:
-        machine, life = self._machine, LIFE.get()
+        machine, incarnation = self._machine, INCARNATION.get()
 
         def work() -> Result[None, DiskFault]:
-            if machine.locked_by is not None and machine.locked_by is not life and not machine.locked_by.dead:
+            if machine.locked_by is not None and machine.locked_by is not incarnation and not machine.locked_by.dead:
                 return Failure(DiskFault("locked", "the folder is in use by another process"))
-            machine.locked_by = life
+            machine.locked_by = incarnation
             return Success(None)
 
         return await machine.submit(work, writes=False)
--- a/simulation/explore.py
+++ b/simulation/explore.py
@@ -21,13 +21,13 @@
 from .scenario import Report, Scenario, read_scenario, run_scenario
 from .world import seeded
 
-RUN_SECONDS = 75.0
-BETWEEN_LOSSES = 30.0
+RUN_S = 75.0
+MIN_BETWEEN_DISK_LOSSES_S = 30.0
 """Only after this long, with control left in peace before, may a second disk be lost for good."""
-PEACE_BEFORE_LOSS = 15.0
+UNDISTURBED_BEFORE_LOSS_S = 15.0
 
 
-class Found(msgspec.Struct, kw_only=True):
+class ExploredRun(msgspec.Struct, kw_only=True):
     seed: int
     deployment: str
     passed: bool
@@ -39,7 +39,7 @@
     calls: int = 0
     simulated_seconds: float = 0.0
     in_force_seconds: list[float] = []
-    looked: dict[str, int] = {}
+    judged: dict[str, int] = msgspec.field(default_factory=dict, name="looked")
 
 
 class Composer:
@@ -58,18 +58,18 @@
         random = self.random
         lines: list[tuple[float, str]] = []
         for _ in range(random.randint(2, 6)):
-            at = random.uniform(1.0, RUN_SECONDS - 15.0)
+            at = random.uniform(1.0, RUN_S - 15.0)
             for _ in range(random.choice((1, 1, 2, 3))):
                 near = at + random.choice((0.0, random.uniform(0.0, 0.5), random.uniform(0.0, 4.0)))
                 line = self.fault(near)
                 if line is not None:
                     lines.append((near, line))
         for _ in range(random.randint(2, 6)):
-            at = random.uniform(0.5, RUN_SECONDS - 5.0)
+            at = random.uniform(0.5, RUN_S - 5.0)
             lines.append((at, self.work()))
-        last = self.fault(RUN_SECONDS)
+        last = self.fault(RUN_S)
         if last is not None:
-            lines.append((RUN_SECONDS, last))
+            lines.append((RUN_S, last))
         return [f"at {at:.2f} {line}" for at, line in sorted(lines)]
 
     def work(self) -> str:
@@ -116,7 +116,7 @@
 
     def _a_control(self, at: float, lasts: float) -> str | None:
         left = [name for name in self.controls if name not in self.replaced]
-        if any(abs(loss - at) < BETWEEN_LOSSES for loss in self.losses) and self.random.random() < 0.7:
+        if any(abs(loss - at) < MIN_BETWEEN_DISK_LOSSES_S for loss in self.losses) and self.random.random() < 0.7:
             return None
         self.control_busy.append((at, at + lasts))
         return self.random.choice(left) if left else None
@@ -195,7 +195,7 @@
         return f"cut {one} {random.choice(('from', 'to'))} {other} for {lasts}"
 
     def _all(self, at: float) -> str | None:
-        if any(abs(loss - at) < BETWEEN_LOSSES for loss in self.losses):
+        if any(abs(loss - at) < MIN_BETWEEN_DISK_LOSSES_S for loss in self.losses):
             return None
         self.control_busy.append((at, at + 6.0))
         return self.random.choice(
@@ -213,9 +213,9 @@
 
     def _loss(self, at: float) -> str | None:
         """A disk is gone for good; what was on it must be on two others when the next one goes."""
-        if any(abs(loss - at) < BETWEEN_LOSSES for loss in self.losses):
+        if any(abs(loss - at) < MIN_BETWEEN_DISK_LOSSES_S for loss in self.losses):
             return None
-        if any(begun - 1.0 < at and end + PEACE_BEFORE_LOSS > at for begun, end in self.control_busy):
+        if any(started - 1.0 < at and end + UNDISTURBED_BEFORE_LOSS_S > at for started, end in self.control_busy):
             return None
         name = self._a_control(at, 3.0)
         if name is None:
@@ -233,14 +233,14 @@
     return read_scenario("\n".join([*head, *lines]), f"explored-{deployment}")
 
 
-def explore_one(seed: int, deployment: str, traffic: float) -> Found:
+def explore_one(seed: int, deployment: str, traffic: float) -> ExploredRun:
     lines = Composer(seed, deployment).schedule()
     report = run_scenario(scenario_of(seed, deployment, lines, traffic), seed)
     return _found(seed, deployment, lines, report)
 
 
-def _found(seed: int, deployment: str, lines: list[str], report: Report) -> Found:
-    return Found(
+def _found(seed: int, deployment: str, lines: list[str], report: Report) -> ExploredRun:
+    return ExploredRun(
         seed=seed,
         deployment=deployment,
         passed=report.passed,
@@ -254,11 +254,11 @@
         calls=report.calls,
         simulated_seconds=report.simulated_seconds,
         in_force_seconds=report.in_force_seconds,
-        looked=report.looked,
+        judged=report.judged,
     )
 
 
-def shrink(found: Found, traffic: float, most_runs: int = 20) -> Found:
+def shrink(found: ExploredRun, traffic: float, most_runs: int = 20) -> ExploredRun:
     """Leaves out lines as long as one of the same checks still fails."""
     best, runs = found, 0
     wanted = set(found.checks)
@@ -300,11 +300,11 @@
 ) -> None:
     """Tries random faults on simulated fleets; exit code 1 when a seed failed."""
     deployments = ["despensa", "sabarmati"] if deployment == "both" else [deployment]
-    begun = time.monotonic()
-    done: list[Found] = []
+    started = time.monotonic()
+    done: list[ExploredRun] = []
     seed = first_seed
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
-        running: set[concurrent.futures.Future[Found]] = set()
+        running: set[concurrent.futures.Future[ExploredRun]] = set()
         while True:
             enough = seed >= first_seed + seeds and sum(each.simulated_seconds for each in done) >= hours * 3600
             while not enough and len(running) < processes * 2:
@@ -328,13 +328,13 @@
                 )
             )
             print(shrunk.text, flush=True)
-    _sum_up(done, time.monotonic() - begun)
+    _sum_up(done, time.monotonic() - started)
     if report is not None:
         report.write_bytes(msgspec.json.format(msgspec.json.encode(done)))
     sys.exit(1 if any(not each.passed for each in done) else 0)
 
 
-def _sum_up(done: list[Found], real_seconds: float) -> None:
+def _sum_up(done: list[ExploredRun], real_seconds: float) -> None:
     simulated = sum(each.simulated_seconds for each in done)
     checks = Counter(check for each in done for check in each.checks)
     in_force = sorted(value for each in done for value in each.in_force_seconds)
@@ -344,10 +344,10 @@
         f"{simulated / max(real_seconds, 0.001):.1f} simulated s a second; "
         f"{sum(not each.passed for each in done)} seeds failed {json.dumps(dict(checks))}"
     )
-    looked: Counter[str] = Counter()
+    judged: Counter[str] = Counter()
     for each in done:
-        looked.update(each.looked)
-    print("judged: " + ", ".join(f"{count} {check}" for check, count in looked.items()))
+        judged.update(each.judged)
+    print("judged: " + ", ".join(f"{count} {check}" for check, count in judged.items()))
     if in_force:
         print(
             f"acknowledgement to first look in force: p50 {in_force[len(in_force) // 2]:.2f} s, "
--- a/simulation/fleet.py
+++ b/simulation/fleet.py
@@ -36,10 +36,10 @@
 from wingwood.membership import rendezvous
 from wingwood.settings.model import DaemonSettings
 
-from .callers import CallerPlan, Callers, Door
-from .history import Fault, History, PaidShare, SeenLead, SeenReady, SeenStop, SeenVersion
+from .callers import CallerPlan, Callers, RouterEndpoint
+from .history import Fault, History, ObservedPrimary, ObservedReady, ObservedStop, ObservedVersion, PaidShare
 from .network import Cut, NetworkShape
-from .operators import Desk, Operator, Slices, ask, digest_of_key
+from .operators import Operator, OperatorEndpoint, Slices, ask, digest_of_key
 from .workers import ObservedWorker
 from .world import Machine, Process, World, address_of, seeded
 
@@ -49,9 +49,9 @@
 ROUTER_PORTS = (7101, 7102, 8000)
 CONTROL_PORTS = (7001, 7002)
 WORKER_PORT = 9000
-WATCH_EVERY = 0.5
-READY_EVERY = 0.5
-START_AGAIN_AFTER = 1.0
+WATCH_INTERVAL_S = 0.5
+READY_INTERVAL_S = 0.5
+RESTART_DELAY_S = 1.0
 CLOCK_DRIFT = 0.0005
 """Each daemon's clock runs faster or slower by up to this share."""
 
@@ -66,7 +66,7 @@
     def stop(self) -> None: ...
 
 
-Build = Callable[[Context, DaemonSettings], Daemon]
+DaemonFactory = Callable[[Context, DaemonSettings], Daemon]
 
 
 def shape_named(name: str) -> Shape:
@@ -82,26 +82,28 @@
     return NetworkShape(same_zone=shape.hops.within_zone / 1000.0, between_zones=shape.hops.between_zones / 1000.0)
 
 
-class Builds:
+class DaemonFactories:
     """How daemons are made; broken variants of the fleet replace them (test harness only)."""
 
-    def __init__(self, router: Build | None = None, control: Build | None = None) -> None:
+    def __init__(self, router: DaemonFactory | None = None, control: DaemonFactory | None = None) -> None:
         self._router = router
         self._control = control
 
-    def of(self, role: str) -> Build:
+    def of(self, role: str) -> DaemonFactory:
         given = self._router if role == "router" else self._control
         if given is not None:
             return given
-        build: Build = importlib.import_module(f"wingwood.daemons.{role}").build
+        build: DaemonFactory = importlib.import_module(f"wingwood.daemons.{role}").build
         return build
 
 
 class Fleet:
-    def __init__(self, world: World, shape: Shape, builds: Builds | None = None, supervised: bool = True) -> None:
+    def __init__(
+        self, world: World, shape: Shape, factories: DaemonFactories | None = None, supervised: bool = True
+    ) -> None:
         self.world = world
         self.shape = shape
-        self.builds = builds or Builds()
+        self.factories = factories or DaemonFactories()
         self.history = History()
         self.supervised = supervised
         self.daemons: dict[str, Daemon] = {}
@@ -110,7 +112,7 @@
         self.callers: dict[str, Callers] = {}
         self.operators: dict[str, Operator] = {}
         self.caller_keys: dict[str, str] = {}
-        self.ready_doors: dict[str, bool] = {}
+        self.readiness: dict[str, bool] = {}
         self._fleet_key = seeded(world.seed, "fleet key").randbytes(16)
         self._operator_keys = {
             name: Ed25519PrivateKey.from_private_bytes(seeded(world.seed, name).randbytes(32))
@@ -198,7 +200,7 @@
         async def main(context: Context) -> None:
             if settings.role == "control" and settings.data_folder is None:
                 context = msgspec.structs.replace(context, disk=NoDisk())
-            daemon = self.builds.of(settings.role)(context, settings)
+            daemon = self.factories.of(settings.role)(context, settings)
             self.daemons[name] = daemon
             started = await daemon.start()
             if isinstance(started, Result) and not isinstance(started, Success):
@@ -241,30 +243,30 @@
     def _start_operator(self, name: str, zone: str) -> None:
         async def main(context: Context) -> None:
             self.operators[name] = Operator(
-                context, name, self._operator_keys[name], self.history, lambda: self.world.now, self.desks
+                context, name, self._operator_keys[name], self.history, lambda: self.world.now, self.operator_endpoints
             )
 
         self.world.start(name, main, zone=zone)
 
     def _start_callers(self, plan: CallerPlan, zone: str) -> None:
         async def main(context: Context) -> None:
-            callers = Callers(context, self.history, lambda: self.world.now, self.doors, self.shape, plan)
+            callers = Callers(context, self.history, lambda: self.world.now, self.ready_routers, self.shape, plan)
             callers.factor = 0.0
             self.callers[plan.tenant.name] = callers
             callers.start_traffic()
 
         self.world.start(plan.machine, main, zone=zone)
 
-    def desks(self) -> list[Desk]:
+    def operator_endpoints(self) -> list[OperatorEndpoint]:
         """Where operators may turn: every daemon that was ever started and not replaced."""
-        return [Desk(name, settings.operator) for name, settings in self.settings.items()]
+        return [OperatorEndpoint(name, settings.operator) for name, settings in self.settings.items()]
 
-    def doors(self) -> list[Door]:
+    def ready_routers(self) -> list[RouterEndpoint]:
         """The routers that the platform sends clients to now."""
         found = []
         for name, settings in self.settings.items():
-            if settings.caller is not None and self.ready_doors.get(name):
-                found.append(Door(name, settings.caller))
+            if settings.caller is not None and self.readiness.get(name):
+                found.append(RouterEndpoint(name, settings.caller))
         return found
 
     def names(self, role: str) -> list[str]:
@@ -276,17 +278,17 @@
         while True:
             for name in list(self.settings):
                 if self.settings[name].role == "router":
-                    context.tasks.spawn(f"ready {name}", self._ask_ready(context, name))
-            await asyncio.sleep(READY_EVERY)
+                    context.tasks.spawn(f"ready {name}", self._poll_ready(context, name))
+            await asyncio.sleep(READY_INTERVAL_S)
 
-    async def _ask_ready(self, context: Context, name: str) -> None:
+    async def _poll_ready(self, context: Context, name: str) -> None:
         asked_at = self.world.now
-        answer = await ask(context, "GET", self.settings[name].operator, "/ready", b"", READY_EVERY * 0.9)
+        answer = await ask(context, "GET", self.settings[name].operator, "/ready", b"", READY_INTERVAL_S * 0.9)
         ready = answer is not None and answer[0] == 200
-        self.history.ready.append(SeenReady(asked_at, name, ready))
-        if ready != self.ready_doors.get(name, False):
+        self.history.ready.append(ObservedReady(asked_at, name, ready))
+        if ready != self.readiness.get(name, False):
             context.log.event("door-ready" if ready else "door-not-ready", router=name)
-        self.ready_doors[name] = ready
+        self.readiness[name] = ready
 
     async def _watch(self, context: Context) -> None:
         watcher = Operator(
@@ -295,31 +297,31 @@
             self._operator_keys["operator-1"],
             self.history,
             lambda: self.world.now,
-            self.desks,
+            self.operator_endpoints,
         )
         while True:
             for name in list(self.settings):
                 if name not in self._watched:
                     self._watched.add(name)
                     context.tasks.spawn(f"watch {name}", self._watch_one(context, watcher, name))
-            await asyncio.sleep(WATCH_EVERY)
+            await asyncio.sleep(WATCH_INTERVAL_S)
 
     async def _watch_one(self, context: Context, watcher: Operator, name: str) -> None:
-        desk = Desk(name, self.settings[name].operator)
+        endpoint = OperatorEndpoint(name, self.settings[name].operator)
         while True:
             asked_at = self.world.now
-            life = self.world.processes[name].lives
-            health = await watcher.health_at(desk, 1.0)
+            incarnation = self.world.processes[name].incarnation_number
+            health = await watcher.health_at(endpoint, 1.0)
             if name not in self.settings:
                 return  # replaced meanwhile
             if health is not None:
-                seen = SeenVersion(asked_at, self.world.now, name, life, int(health.get("version", 0)))
+                seen = ObservedVersion(asked_at, self.world.now, name, incarnation, int(health.get("version", 0)))
                 if self.settings[name].role == "router":
                     self.history.versions.append(seen)
                 report = health.get("control") or {}
                 if report.get("own_role") == "primary" and report.get("accepts_orders"):
-                    self.history.leads.append(SeenLead(asked_at, name, int(report.get("epoch", 0))))
-            await asyncio.sleep(WATCH_EVERY)
+                    self.history.primaries.append(ObservedPrimary(asked_at, name, int(report.get("epoch", 0))))
+            await asyncio.sleep(WATCH_INTERVAL_S)
 
     # -- work
 
@@ -359,7 +361,7 @@
 
     def put_in_force(self, within: float = 12.0) -> float:
         """Pushes the first bundle and waits until every router shows it. Seconds that it took."""
-        begun = self.world.now
+        started = self.world.now
         self.world.run(1.0)
         operator = self.operators["operator-1"]
         slices = self.first_slices()
@@ -368,16 +370,16 @@
 
         def in_force() -> bool:
             seen = {version.daemon for version in self.history.versions if version.version >= 1}
-            return seen.issuperset(routers) and len(self.doors()) == len(routers)
+            return seen.issuperset(routers) and len(self.ready_routers()) == len(routers)
 
         if not self.world.wait_for(in_force, within):
             raise TimeoutError(
                 f"the first bundle is not in force everywhere after {within} s: doors "
-                f"{[door.name for door in self.doors()]}, orders {self.history.orders}"
+                f"{[endpoint.name for endpoint in self.ready_routers()]}, orders {self.history.orders}"
             )
         for tenant in self.shape.tenants:
             self.history.first_shares[tenant.name] = PaidShare(tenant.paid_rate)
-        return self.world.now - begun
+        return self.world.now - started
 
     def by_operator(self, name: str, work: Awaitable[Any]) -> None:
         async def run() -> None:
@@ -418,7 +420,7 @@
     def fault(self, kind: str, name: str, ended: bool = False, description: str = "") -> Fault:
         processes = self.processes_named(name)
         targets = {process.name for process in processes} | {process.machine.name for process in processes}
-        fault = Fault(kind=kind, targets=tuple(sorted(targets)), begun_at=self.world.now, description=description)
+        fault = Fault(kind=kind, targets=tuple(sorted(targets)), started_at=self.world.now, description=description)
         if ended:
             fault.ended_at = self.world.now
         self.history.faults.append(fault)
@@ -428,14 +430,14 @@
         if fault.ended_at is None:
             fault.ended_at = self.world.now
 
-    def kill(self, name: str, down_for: float = START_AGAIN_AFTER) -> None:
+    def kill(self, name: str, down_for: float = RESTART_DELAY_S) -> None:
         """SIGKILL; the supervisor starts it again after a while."""
         fault = self.fault("kill", name)
         for process in self.processes_named(name):
             self.world.kill(process)
-        self.world.at(self.world.now + down_for, lambda: self.start_again(name, fault))
+        self.world.at(self.world.now + down_for, lambda: self.restart_stopped(name, fault))
 
-    def start_again(self, name: str, fault: Fault | None = None) -> None:
+    def restart_stopped(self, name: str, fault: Fault | None = None) -> None:
         for process in self.processes_named(name):
             if not process.alive and process.machine.powered:
                 self.world.restart(process)
@@ -546,15 +548,15 @@
         for disk in disks:
             disk.set_mode(mode)
 
-        def mend() -> None:
+        def restore() -> None:
             for disk in disks:
                 disk.set_mode("well")
             self.world.note("world", "disk", target=name, mode="well")
             self.end_fault(fault)
 
-        self.world.at(self.world.now + seconds, mend)
+        self.world.at(self.world.now + seconds, restore)
 
-    def wipe(self, name: str, kill: bool = True, down_for: float = START_AGAIN_AFTER) -> None:
+    def wipe(self, name: str, kill: bool = True, down_for: float = RESTART_DELAY_S) -> None:
         """Empties the disk; with ``kill`` the process dies at once and starts on the empty disk."""
         if kill:
             self.kill(name, down_for)
@@ -581,47 +583,47 @@
             seeds = (*present[:2], seeds[0])
         machine = self._front_machine(old.machine.zone)
         new_name = self._next_name("control")
-        self._forget(name)
+        self._remove_daemon(name)
         self.start_control(new_name, machine.name, seeds)
         for router in routers:
-            self._forget(router)
+            self._remove_daemon(router)
             self.start_router(self._next_name("router"), machine.name, seeds)
         self.world.note("world", "replaced", old=name, new=new_name)
         return new_name
 
-    def _forget(self, name: str) -> None:
+    def _remove_daemon(self, name: str) -> None:
         self.settings.pop(name, None)
-        self.ready_doors.pop(name, None)
+        self.readiness.pop(name, None)
         self.daemons.pop(name, None)
 
     def _next_name(self, role: str) -> str:
         used = [int(name.rpartition("-")[2]) for name in self.world.processes if name.startswith(f"{role}-")]
         return f"{role}-{max(used) + 1}"
 
-    def terminate(self, name: str, down_for: float = START_AGAIN_AFTER) -> None:
+    def terminate(self, name: str, down_for: float = RESTART_DELAY_S) -> None:
         """SIGTERM: drains, stops, exits; then it is started again."""
         for process in self.processes_named(name):
             fault = self.fault("terminate", process.name)
             self.world.note("world", "terminate", process=process.name)
-            stop = self._note_stop(process)
+            stop = self._record_stop(process)
 
-            async def leave(process: Process = process, fault: Fault = fault, stop: SeenStop = stop) -> None:
+            async def leave(process: Process = process, fault: Fault = fault, stop: ObservedStop = stop) -> None:
                 daemon = self.daemons[process.name]
                 await daemon.drain()
                 daemon.stop()
                 stop.ended_at = self.world.now
                 self.world.kill(process)
-                self.world.at(self.world.now + down_for, lambda: self.start_again(process.name, fault))
+                self.world.at(self.world.now + down_for, lambda: self.restart_stopped(process.name, fault))
 
             if process.alive:
                 self.world.spawn(process, leave(), "terminate")
 
-    def _note_stop(self, process: Process) -> SeenStop:
+    def _record_stop(self, process: Process) -> ObservedStop:
         """A second SIGTERM to the same life changes nothing."""
         for stop in self.history.stops:
-            if stop.daemon == process.name and stop.life == process.lives and process.alive:
+            if stop.daemon == process.name and stop.incarnation == process.incarnation_number and process.alive:
                 return stop
-        stop = SeenStop(daemon=process.name, life=process.lives, asked_at=self.world.now)
+        stop = ObservedStop(daemon=process.name, incarnation=process.incarnation_number, asked_at=self.world.now)
         if process.alive:
             self.history.stops.append(stop)
         return stop
@@ -645,7 +647,7 @@
                     if not process.alive and process.machine.powered:
                         self.world.restart(process)
 
-                self.world.at(self.world.now + START_AGAIN_AFTER, again)
+                self.world.at(self.world.now + RESTART_DELAY_S, again)
 
     def run(self, seconds: float) -> None:
         """Lets virtual time pass, with the supervisor at work."""
@@ -661,15 +663,15 @@
         operator = self.operators["operator-1"]
 
         async def read() -> None:
-            for desk in self.desks():
-                version = await operator.version_at(desk)
+            for endpoint in self.operator_endpoints():
+                version = await operator.version_at(endpoint)
                 if version is not None:
-                    self.history.final_versions[desk.name] = version
-            for desk in self.desks():
-                if self.settings[desk.name].role == "control":
-                    entries = await operator.read_history(desk)
+                    self.history.final_versions[endpoint.name] = version
+            for endpoint in self.operator_endpoints():
+                if self.settings[endpoint.name].role == "control":
+                    entries = await operator.read_history(endpoint)
                     if entries is not None:
-                        self.history.final_history[desk.name] = entries
+                        self.history.final_history[endpoint.name] = entries
 
         self.by_operator("operator-1", read())
         self.world.run(8.0)
--- a/simulation/fleet_checks.py
+++ b/simulation/fleet_checks.py
@@ -6,24 +6,24 @@
 from collections import defaultdict
 
 from .history import Attempt, Call, History, PaidShare
-from .seen import Seen, Violation
+from .indexed_history import IndexedHistory, Violation
 
 SIGTERM = ("terminate",)
 SHARE_CODES = ("share-exceeded",)
 
 
-def stays_ready_when_stopped(seen: Seen) -> list[Violation]:
+def ready_while_stopping(indexed: IndexedHistory) -> list[Violation]:
     """Stricter than the users' rule, by which a quarter of the routers may count as ready for 4 s more."""
     found = []
-    for stop in seen.history.stops:
-        until = stop.ended_at if stop.ended_at is not None else seen.end
-        names = seen.with_machines(stop.daemon)
-        for look in seen.history.ready:
-            if look.router != stop.daemon or not stop.asked_at + seen.bounds.unready <= look.asked_at < until:
+    for stop in indexed.history.stops:
+        until = stop.ended_at if stop.ended_at is not None else indexed.end
+        names = indexed.with_machines(stop.daemon)
+        for look in indexed.history.ready:
+            if look.router != stop.daemon or not stop.asked_at + indexed.bounds.unready <= look.asked_at < until:
                 continue
-            if seen.history.disturbed(names, stop.asked_at, look.asked_at, but=SIGTERM):
+            if indexed.history.disturbed(names, stop.asked_at, look.asked_at, but=SIGTERM):
                 break
-            seen.looked["stays-ready-when-stopped"] += 1
+            indexed.judged["stays-ready-when-stopped"] += 1
             if look.ready:
                 text = f"{stop.daemon} says that it is ready {look.asked_at - stop.asked_at:.2f} s after SIGTERM"
                 found.append(Violation(look.asked_at, "stays-ready-when-stopped", text))
@@ -31,42 +31,42 @@
     return found
 
 
-def stop_takes_too_long(seen: Seen) -> list[Violation]:
+def stop_takes_too_long(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    for stop in seen.history.stops:
-        limit = stop.asked_at + seen.bounds.stop
-        if limit > seen.end:
+    for stop in indexed.history.stops:
+        limit = stop.asked_at + indexed.bounds.stop
+        if limit > indexed.end:
             continue
-        if seen.history.disturbed(seen.with_machines(stop.daemon), stop.asked_at, limit, but=SIGTERM):
+        if indexed.history.disturbed(indexed.with_machines(stop.daemon), stop.asked_at, limit, but=SIGTERM):
             continue
-        seen.looked["stop-takes-too-long"] += 1
+        indexed.judged["stop-takes-too-long"] += 1
         if stop.ended_at is None or stop.ended_at > limit:
-            text = f"{stop.daemon} still runs {seen.bounds.stop:.1f} s after SIGTERM"
+            text = f"{stop.daemon} still runs {indexed.bounds.stop:.1f} s after SIGTERM"
             found.append(Violation(limit, "stop-takes-too-long", text))
     return found
 
 
-def drained_worker_gets_turns(seen: Seen) -> list[Violation]:
+def drained_worker_receives_calls(indexed: IndexedHistory) -> list[Violation]:
     found = []
-    for drain in seen.history.drains:
+    for drain in indexed.history.drains:
         limits = []
         if drain.acknowledged_at is not None:
-            limits.append(drain.acknowledged_at + seen.bounds.drained)
-        calm = seen.last_fault_ended(before=drain.begun_at + seen.bounds.drained)
-        if calm + seen.bounds.back_after < drain.begun_at:
-            limits.append(drain.begun_at + seen.bounds.drained)
+            limits.append(drain.acknowledged_at + indexed.bounds.drained)
+        calm = indexed.last_fault_ended(before=drain.started_at + indexed.bounds.drained)
+        if calm + indexed.bounds.recovery < drain.started_at:
+            limits.append(drain.started_at + indexed.bounds.drained)
         if not limits:
             continue
-        seen.looked["drained-worker-gets-turns"] += 1
-        for arrival in seen.history.arrivals:
+        indexed.judged["drained-worker-gets-turns"] += 1
+        for arrival in indexed.history.arrivals:
             if arrival.instance == drain.instance and arrival.at > min(limits):
-                late = arrival.at - drain.begun_at
+                late = arrival.at - drain.started_at
                 text = f"{arrival.mark} came to {arrival.worker} {late:.2f} s after it began to drain"
                 found.append(Violation(arrival.at, "drained-worker-gets-turns", text))
     return found
 
 
-class _Shares:
+class _SharesInForce:
     """Which paid shares of a tenant may have been in force when; each until 2 s after the next was acknowledged."""
 
     def __init__(self, history: History, tenant: str, in_force: float) -> None:
@@ -75,50 +75,50 @@
         for order in sorted(history.orders, key=lambda order: order.answers[0].asked_at if order.answers else 0.0):
             if tenant not in order.paid_shares or not order.answers:
                 continue
-            begun = order.answers[0].asked_at
+            started = order.answers[0].asked_at
             if order.accepted is not None:
                 self._spans.append((since, order.accepted.answered_at + in_force, share))
-                since, share = begun, order.paid_shares[tenant]
+                since, share = started, order.paid_shares[tenant]
             elif order.answers[-1].outcome in ("unknown", "lost"):
-                self._spans.append((begun, float("inf"), order.paid_shares[tenant]))
+                self._spans.append((started, float("inf"), order.paid_shares[tenant]))
         self._spans.append((since, float("inf"), share))
 
     def between(self, start: float, end: float) -> list[PaidShare]:
         return [share for since, until, share in self._spans if since <= end and until >= start]
 
 
-def paid_share_missed(seen: Seen) -> list[Violation]:
+def paid_share_missed(indexed: IndexedHistory) -> list[Violation]:
     found = []
     sent: dict[str, list[float]] = defaultdict(list)
-    let_in: dict[str, list[float]] = defaultdict(list)
-    for attempt in seen.attempts:
+    admitted: dict[str, list[float]] = defaultdict(list)
+    for attempt in indexed.attempts:
         sent[attempt.tenant].append(attempt.sent_at)
-        if attempt.mark in seen.arrivals_by_mark:
-            let_in[attempt.tenant].append(attempt.sent_at)
-    bounds = seen.bounds
+        if attempt.mark in indexed.arrivals_by_mark:
+            admitted[attempt.tenant].append(attempt.sent_at)
+    bounds = indexed.bounds
     window = bounds.share_window
-    for tenant in seen.history.first_shares:
-        shares = _Shares(seen.history, tenant, bounds.in_force)
-        came = sorted(let_in[tenant])
+    for tenant in indexed.history.first_shares:
+        shares = _SharesInForce(indexed.history, tenant, bounds.in_force)
+        admitted_at = sorted(admitted[tenant])
         offered = sorted(sent[tenant])
-        seen.looked["paid-share-missed"] += len(came)
-        for index, at in enumerate(came):
+        indexed.judged["paid-share-missed"] += len(admitted_at)
+        for index, at in enumerate(admitted_at):
             in_force = shares.between(at - window, at)
             rate = max(share.paid_rate for share in in_force)
             saved = max(share.paid_rate * share.burst for share in in_force)
-            count = index + 1 - bisect_left(came, at - window)
-            if count > bounds.share_past * rate * window + saved + 3:
+            count = index + 1 - bisect_left(admitted_at, at - window)
+            if count > bounds.share_above * rate * window + saved + 3:
                 text = f"{tenant}: {count} calls let in within {window:.0f} s; its share is {rate:g} a second"
                 found.append(Violation(at, "paid-share-missed", text))
                 break
-        for attempt in seen.attempts:
+        for attempt in indexed.attempts:
             if attempt.tenant != tenant or attempt.status != 429 or attempt.code not in SHARE_CODES:
                 continue
             at = attempt.sent_at
             rate = min(share.paid_rate for share in shares.between(at - 3.0, at))
             counts = [bisect_left(offered, at) + 1 - bisect_left(offered, at - span) for span in (1.0, 3.0)]
             below = counts[0] < bounds.share_below * rate and counts[1] < bounds.share_below * rate * 3.0
-            if below and at > seen.last_fault_ended(at) + bounds.back_after:
+            if below and at > indexed.last_fault_ended(at) + bounds.recovery:
                 text = (
                     f"{attempt.mark} refused though {tenant} sent {counts} in 1 s, 3 s; its share is {rate:g} a second"
                 )
@@ -127,31 +127,33 @@
     return found
 
 
-def service_not_back(seen: Seen) -> list[Violation]:
+def service_not_restored(indexed: IndexedHistory) -> list[Violation]:
     """Calls begun later than 12 s after the last fault succeed again (refusals above a tenant's share excepted)."""
-    since = seen.last_fault_ended() + seen.bounds.back_after
+    since = indexed.last_fault_ended() + indexed.bounds.recovery
     calls = [
         call
-        for call in seen.history.calls
-        if call.begun_at >= since and call.ended_at is not None and not _over_share(call)
+        for call in indexed.history.calls
+        if call.started_at >= since and call.ended_at is not None and not _over_share(call)
     ]
-    seen.looked["service-not-back"] += len(calls)
+    indexed.judged["service-not-back"] += len(calls)
     failed = [call for call in calls if not call.succeeded]
-    found = _routers_not_back(seen, since)
-    if not calls or len(failed) <= max(seen.bounds.back_slack, (1.0 - seen.bounds.back_share) * len(calls)):
+    found = _routers_not_restored(indexed, since)
+    if not calls or len(failed) <= max(
+        indexed.bounds.recovery_failures_allowed, (1.0 - indexed.bounds.recovery_success_share) * len(calls)
+    ):
         return found
     first = failed[0]
     ends = ", ".join(f"{each.router}: {each.end} {each.status or ''} {each.code}" for each in first.attempts)
     ends = ends or "no ready router"
     text = f"{len(failed)} of {len(calls)} calls failed after {since:.1f}; the first, {first.identifier}, by {ends}"
-    return [*found, Violation(first.begun_at, "service-not-back", text)]
+    return [*found, Violation(first.started_at, "service-not-back", text)]
 
 
-def _routers_not_back(seen: Seen, since: float) -> list[Violation]:
+def _routers_not_restored(indexed: IndexedHistory, since: float) -> list[Violation]:
     """Callers' second tries hide a router that the platform holds for ready and that serves a service no more."""
     ends: dict[tuple[str, str], list[Attempt]] = defaultdict(list)
-    for attempt in seen.attempts:
-        stale = attempt.kept_connection and attempt.end == "broken" and attempt.status is None
+    for attempt in indexed.attempts:
+        stale = attempt.reused_connection and attempt.end == "broken" and attempt.status is None
         if attempt.sent_at < since or attempt.ended_at is None or stale:
             continue  # a kept connection to a machine that lost power breaks at its next use, whenever that is
         if attempt.status not in (401, 403, 409, 429):
@@ -159,7 +161,7 @@
     found = []
     for (router, service), attempts in sorted(ends.items()):
         failed = [attempt for attempt in attempts if not attempt.succeeded]
-        if len(failed) >= 2 and len(failed) > seen.bounds.router_failures * len(attempts):
+        if len(failed) >= 2 and len(failed) > indexed.bounds.router_failures * len(attempts):
             first = failed[0]
             text = (
                 f"{router} failed {len(failed)} of {len(attempts)} calls of {service} after {since:.1f}; "
--- a/simulation/history.py
+++ b/simulation/history.py
@@ -9,7 +9,7 @@
 AttemptEnd = Literal["whole", "broken", "gave-up", "no-connection", "malformed", "under-way"]
 
 
-class SeenEvent(msgspec.Struct, frozen=True):
+class ObservedEvent(msgspec.Struct, frozen=True):
     at: float
     index: int
     call: str
@@ -37,9 +37,9 @@
     status: int | None = None
     code: str = ""
     """Of an answer that a router made itself; empty for a worker's answer."""
-    told_run: str = ""
+    reported_run: str = ""
     """``not-run``, ``unknown`` or ``ran``, as a router-made answer said."""
-    events: list[SeenEvent] = []
+    events: list[ObservedEvent] = []
     done_marker: bool = False
     answer_call: str = ""
     """The mark in a plain answer."""
@@ -47,7 +47,7 @@
     """What came that belongs to no event or answer."""
     retry_after: float | None = None
     sent_bytes: bool = False
-    kept_connection: bool = False
+    reused_connection: bool = False
     """Went over a connection of an earlier call."""
 
     @property
@@ -66,7 +66,7 @@
     repeatable: bool
     idempotency_key: str
     session: str = ""
-    begun_at: float
+    started_at: float
     ended_at: float | None = None
     attempts: list[Attempt] = []
     """None at all when no router was ready."""
@@ -76,7 +76,7 @@
         return any(attempt.succeeded for attempt in self.attempts)
 
 
-class SeenArrival(msgspec.Struct, frozen=True, kw_only=True):
+class ObservedArrival(msgspec.Struct, frozen=True, kw_only=True):
     """A call that reached a worker, run or not."""
 
     at: float
@@ -89,7 +89,7 @@
     path: str
 
 
-class SeenRun(msgspec.Struct, kw_only=True):
+class ObservedRun(msgspec.Struct, kw_only=True):
     started_at: float
     worker: str
     instance: str
@@ -105,10 +105,10 @@
     prompt_tokens: int = 0
 
 
-class SeenDrain(msgspec.Struct, kw_only=True):
+class ObservedDrain(msgspec.Struct, kw_only=True):
     worker: str
     instance: str
-    begun_at: float
+    started_at: float
     acknowledged_at: float | None = None
 
 
@@ -129,7 +129,7 @@
     burst: float = 1.0
 
 
-class SeenNewest(msgspec.Struct, frozen=True):
+class ObservedLatest(msgspec.Struct, frozen=True):
     """A daemon's answer to the question for the newest bundle; 0: it said that there is none yet."""
 
     asked_at: float
@@ -137,7 +137,7 @@
     version: int
 
 
-class SeenOrder(msgspec.Struct, kw_only=True):
+class ObservedOrder(msgspec.Struct, kw_only=True):
     order: str
     operator: str
     base: int
@@ -155,15 +155,15 @@
         return next((answer for answer in self.answers if answer.outcome == "accepted"), None)
 
 
-class SeenVersion(msgspec.Struct, frozen=True):
+class ObservedVersion(msgspec.Struct, frozen=True):
     asked_at: float
     answered_at: float
     daemon: str
-    life: int
+    incarnation: int
     version: int
 
 
-class SeenReady(msgspec.Struct, frozen=True):
+class ObservedReady(msgspec.Struct, frozen=True):
     """A router's answer to the platform's question whether it is ready; no answer counts as not ready."""
 
     asked_at: float
@@ -171,16 +171,16 @@
     ready: bool
 
 
-class SeenStop(msgspec.Struct, kw_only=True):
+class ObservedStop(msgspec.Struct, kw_only=True):
     """A daemon was sent SIGTERM; ``ended_at`` is when its process ended by itself."""
 
     daemon: str
-    life: int
+    incarnation: int
     asked_at: float
     ended_at: float | None = None
 
 
-class SeenLead(msgspec.Struct, frozen=True):
+class ObservedPrimary(msgspec.Struct, frozen=True):
     """A control daemon said of itself that it takes orders as primary."""
 
     at: float
@@ -199,31 +199,31 @@
     kind: str
     targets: tuple[str, ...]
     """Machines and processes."""
-    begun_at: float
+    started_at: float
     ended_at: float | None = None
     description: str = ""
 
     def touches(self, names: frozenset[str], start: float, end: float, after: float = 0.0) -> bool:
         over = self.ended_at is None or self.ended_at + after >= start
-        return bool(names.intersection(self.targets)) and self.begun_at <= end and over
+        return bool(names.intersection(self.targets)) and self.started_at <= end and over
 
 
 class History(msgspec.Struct):
     calls: list[Call] = []
-    arrivals: list[SeenArrival] = []
-    runs: list[SeenRun] = []
-    drains: list[SeenDrain] = []
-    orders: list[SeenOrder] = []
-    versions: list[SeenVersion] = []
-    leads: list[SeenLead] = []
-    ready: list[SeenReady] = []
-    stops: list[SeenStop] = []
+    arrivals: list[ObservedArrival] = []
+    runs: list[ObservedRun] = []
+    drains: list[ObservedDrain] = []
+    orders: list[ObservedOrder] = []
+    versions: list[ObservedVersion] = []
+    primaries: list[ObservedPrimary] = []
+    ready: list[ObservedReady] = []
+    stops: list[ObservedStop] = []
     faults: list[Fault] = []
     final_versions: dict[str, int] = {}
     """Read back from each daemon at the end."""
     final_history: dict[str, list[HistoryEntry]] = {}
     """As each control daemon told it at the end."""
-    newest_read: list[SeenNewest] = []
+    latest_reads: list[ObservedLatest] = []
     first_shares: dict[str, PaidShare] = {}
     """Tenants' shares in the first bundle."""
 
--- a/simulation/http_client.py
+++ b/simulation/http_client.py
@@ -14,7 +14,7 @@
 
 from wingwood.context.protocols import HttpExchange, HttpFault, HttpHead, HttpRequest, Network
 
-HEAD_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 
 
 class PlainExchange:
@@ -29,7 +29,7 @@
         self._sent = False
         self._cancelled = False
         self._head: HttpHead | None = None
-        self._left = 0
+        self._remaining_bytes = 0
         self._ended = False
         self._opening = asyncio.get_running_loop().create_task(self._open(), name=f"http {request.address}")
 
@@ -84,7 +84,7 @@
 
     async def _read_head(self) -> HttpHead:
         assert self._stream is not None
-        raw = (await self._stream.read_until(b"\r\n\r\n", max_bytes=HEAD_BYTES)).decode("latin-1")
+        raw = (await self._stream.read_until(b"\r\n\r\n", max_bytes=MAX_HEAD_BYTES)).decode("latin-1")
         first, *lines = raw[:-4].split("\r\n")
         parts = first.split(" ", 2)
         if len(parts) < 2 or not parts[0].startswith("HTTP/1.") or not parts[1].isdigit():
@@ -95,7 +95,7 @@
         if lowered.get("transfer-encoding", "").lower() == "chunked":
             framing = "chunked"
         elif "content-length" in lowered:
-            framing, self._left = "length", int(lowered["content-length"])
+            framing, self._remaining_bytes = "length", int(lowered["content-length"])
         elif int(parts[1]) in (204, 304) or int(parts[1]) < 200:
             framing = "none"
         else:
@@ -109,39 +109,39 @@
         if self._ended:
             return Success(None)
         try:
-            piece = await self._piece(stream, head)
+            chunk = await self._read_chunk(stream, head)
         except StreamClosedError as closed:
             if head.framing == "close" and closed.real_error is None and not self._cancelled:
-                piece = None
+                chunk = None
             else:
                 return Failure(self._broken(str(closed.real_error or "closed within the body")))
         except (ValueError, UnsatisfiableReadError) as malformed:
             self.cancel()
             return Failure(HttpFault("malformed", True, str(malformed)))
-        if piece is None:
+        if chunk is None:
             self._ended = True
             if not self._keep_open or head.framing == "close":
                 stream.close()
-        return Success(piece)
+        return Success(chunk)
 
-    async def _piece(self, stream: BaseIOStream, head: HttpHead) -> bytes | None:
-        if head.framing == "none" or (head.framing == "length" and self._left == 0):
+    async def _read_chunk(self, stream: BaseIOStream, head: HttpHead) -> bytes | None:
+        if head.framing == "none" or (head.framing == "length" and self._remaining_bytes == 0):
             return None
         if head.framing == "close":
             return bytes(await stream.read_bytes(65536, partial=True))
         if head.framing == "length":
-            piece = bytes(await stream.read_bytes(min(self._left, 65536), partial=True))
-            self._left -= len(piece)
-            return piece
+            chunk = bytes(await stream.read_bytes(min(self._remaining_bytes, 65536), partial=True))
+            self._remaining_bytes -= len(chunk)
+            return chunk
         size = int((await stream.read_until(b"\r\n", max_bytes=64)).split(b";")[0].strip(), 16)
         if size == 0:
-            if await stream.read_until(b"\r\n", max_bytes=HEAD_BYTES) != b"\r\n":
+            if await stream.read_until(b"\r\n", max_bytes=MAX_HEAD_BYTES) != b"\r\n":
                 raise ValueError("trailers")
             return None
-        chunk = bytes(await stream.read_bytes(size + 2))
-        if chunk[-2:] != b"\r\n":
+        framed = bytes(await stream.read_bytes(size + 2))
+        if framed[-2:] != b"\r\n":
             raise ValueError("chunk without its end")
-        return chunk[:-2]
+        return framed[:-2]
 
     def reusable(self) -> BaseIOStream | None:
         """The connection, when the next call may go over it."""
--- a/simulation/network.py
+++ b/simulation/network.py
@@ -25,13 +25,13 @@
 from wingwood.context.protocols import Listener, NetworkFault, StreamHandler
 from wingwood.identifiers import Address, Seconds
 
-from .virtual_time import LIFE, Descriptor, Life, VirtualTimeLoop
+from .virtual_time import INCARNATION, Descriptor, Incarnation, VirtualTimeLoop
 
 BUFFER_BYTES = 256 * 1024
-LINK_PIECE_BYTES = 16 * 1024
+LINK_CHUNK_BYTES = 16 * 1024
 """A slow link hands bytes on in pieces of at most this size."""
-SYN_PAUSES = (1.0, 2.0, 4.0, 8.0, 16.0)
-ACCEPT_QUEUE = 1024
+SYN_RETRY_PAUSES_S = (1.0, 2.0, 4.0, 8.0, 16.0)
+ACCEPT_QUEUE_LENGTH = 1024
 
 
 class Host(Protocol):
@@ -53,7 +53,7 @@
     """Up to this share is added to each delay."""
     split_chance: float = 0.1
     reset_on_heal_chance: float = 0.25
-    give_up_after: float = 600.0
+    reset_after_s: float = 600.0
     """Traffic held longer than this finds its connection reset."""
 
 
@@ -67,7 +67,7 @@
         self.own = own
         self.other = other
         self.peer: Endpoint = self
-        self.life: Life | None = None
+        self.incarnation: Incarnation | None = None
         self.received = bytearray()
         self.ended = False
         self.error: OSError | None = None
@@ -75,10 +75,10 @@
         self.blocked_writer = False
         self.segments: deque[tuple[float, bytes | None, bool]] = deque()
         """Under way to the peer: (arrival, bytes or None for the end, whether the end is a reset)."""
-        self.under_way = 0
+        self.bytes_in_flight = 0
         self.last_arrival = 0.0
         self.timer_set = False
-        self.held_since: float | None = None
+        self.stalled_since: float | None = None
 
     def readable(self) -> bool:
         return bool(self.received) or self.ended or self.error is not None
@@ -87,7 +87,7 @@
         return self.error is not None or self.room() > 0
 
     def room(self) -> int:
-        return BUFFER_BYTES - self.under_way - len(self.peer.received)
+        return BUFFER_BYTES - self.bytes_in_flight - len(self.peer.received)
 
     def send(self, data: bytes | memoryview) -> int:
         if self.error is not None:
@@ -125,7 +125,7 @@
             return
         self.closed = True
         self.network.loop.unwatch(self)
-        self.network.forget(self)
+        self.network.remove_endpoint(self)
         if self.error is None:
             self.network.queue(self, None, reset=bool(self.received))
         self.received.clear()
@@ -134,7 +134,7 @@
         """Its machine lost power: nothing is sent."""
         self.closed = True
         self.network.loop.unwatch(self)
-        self.network.forget(self)
+        self.network.remove_endpoint(self)
         self.segments.clear()
         self.received.clear()
 
@@ -199,15 +199,20 @@
         return self.endpoint.error
 
 
-class _Accepting:
+class _SimulatedListener:
     def __init__(
-        self, network: SimulatedNetworkCore, machine: Host, address: Address, handler: StreamHandler, life: Life
+        self,
+        network: SimulatedNetworkCore,
+        machine: Host,
+        address: Address,
+        handler: StreamHandler,
+        incarnation: Incarnation,
     ) -> None:
         self.network = network
         self.machine = machine
         self.address = address
         self.handler = handler
-        self.life = life
+        self.incarnation = incarnation
         self.waiting = 0
         self.context = contextvars.copy_context()
 
@@ -246,7 +251,7 @@
         self.shape = shape
         self.machines: dict[str, Host] = {}
         """By IP number."""
-        self.listeners: dict[Address, _Accepting] = {}
+        self.listeners: dict[Address, _SimulatedListener] = {}
         self.endpoints: dict[int, Endpoint] = {}
         self.slowness: dict[tuple[str, str], float] = {}
         """Seconds added for a directed pair of machine names."""
@@ -288,16 +293,16 @@
                 self._resume(endpoint.peer)
 
     def _resume(self, endpoint: Endpoint) -> None:
-        if endpoint.held_since is None or self.blocked(endpoint.machine, endpoint.peer.machine):
+        if endpoint.stalled_since is None or self.blocked(endpoint.machine, endpoint.peer.machine):
             return
-        held = self.loop.now - endpoint.held_since
-        endpoint.held_since = None
-        if held > self.shape.give_up_after or (
-            held > 2.0 and self.random.random() < self.shape.reset_on_heal_chance and not endpoint.closed
+        stalled_for = self.loop.now - endpoint.stalled_since
+        endpoint.stalled_since = None
+        if stalled_for > self.shape.reset_after_s or (
+            stalled_for > 2.0 and self.random.random() < self.shape.reset_on_heal_chance and not endpoint.closed
         ):
             self.loop.kernel_at(self.loop.now + self.random.uniform(0.0, 0.2), self.break_connection, endpoint)
             return
-        again = self.loop.now + self.random.uniform(0.2, max(0.2, min(held, 20.0)))
+        again = self.loop.now + self.random.uniform(0.2, max(0.2, min(stalled_for, 20.0)))
         endpoint.segments = deque((max(arrival, again), data, reset) for arrival, data, reset in endpoint.segments)
         endpoint.last_arrival = max(endpoint.last_arrival, again)
         self._set_timer(endpoint)
@@ -331,9 +336,9 @@
             middle = self.random.randint(1, len(data) - 1)
             self.queue(endpoint, data[:middle], reset=False)
             data = data[middle:]
-        piece = LINK_PIECE_BYTES if self.bandwidth else max(1, len(data))
-        for start in range(0, len(data), piece):
-            self.queue(endpoint, data[start : start + piece], reset=False)
+        chunk_bytes = LINK_CHUNK_BYTES if self.bandwidth else max(1, len(data))
+        for start in range(0, len(data), chunk_bytes):
+            self.queue(endpoint, data[start : start + chunk_bytes], reset=False)
 
     def _link_passed(self, machine: Host, direction: str, start: float, count: int) -> float:
         """When ``count`` bytes that reach that machine's link at ``start`` have passed it."""
@@ -356,11 +361,11 @@
         endpoint.last_arrival = arrival
         endpoint.segments.append((arrival, data, reset))
         if data is not None:
-            endpoint.under_way += len(data)
+            endpoint.bytes_in_flight += len(data)
         self._set_timer(endpoint)
 
     def _set_timer(self, endpoint: Endpoint) -> None:
-        if not endpoint.timer_set and endpoint.held_since is None and endpoint.segments:
+        if not endpoint.timer_set and endpoint.stalled_since is None and endpoint.segments:
             endpoint.timer_set = True
             self.loop.kernel_at(endpoint.segments[0][0], self._arrive, endpoint)
 
@@ -370,7 +375,7 @@
         if not endpoint.segments:
             return
         if self.blocked(endpoint.machine, peer.machine):
-            endpoint.held_since = self.loop.now
+            endpoint.stalled_since = self.loop.now
             return
         now = self.loop.now
         while endpoint.segments and endpoint.segments[0][0] <= now:
@@ -381,10 +386,10 @@
                 else:
                     peer.ended = True
                 continue
-            endpoint.under_way -= len(data)
+            endpoint.bytes_in_flight -= len(data)
             if peer.closed:
                 endpoint.segments.clear()
-                endpoint.under_way = 0
+                endpoint.bytes_in_flight = 0
                 if endpoint.error is None and not endpoint.closed:
                     self.queue(peer, None, reset=True)
                 return
@@ -392,7 +397,7 @@
             self.bytes_delivered += len(data)
             if self.on_delivery is not None:
                 self.on_delivery(peer, len(data))
-        self.loop.input_came(peer)
+        self.loop.notify_readable(peer)
         self._set_timer(endpoint)
 
     def _reset(self, endpoint: Endpoint) -> None:
@@ -400,32 +405,32 @@
             return
         endpoint.error = ConnectionResetError(104, "Connection reset by peer")
         endpoint.segments.clear()
-        endpoint.under_way = 0
-        self.loop.input_came(endpoint)
-        self.loop.room_came(endpoint)
+        endpoint.bytes_in_flight = 0
+        self.loop.notify_readable(endpoint)
+        self.loop.notify_writable(endpoint)
 
     def consumed(self, endpoint: Endpoint) -> None:
         sender = endpoint.peer
         if sender.blocked_writer and not sender.closed:
             sender.blocked_writer = False
             self.loop.kernel_at(
-                self.loop.now + self.delay(endpoint.machine, sender.machine), self.loop.room_came, sender
+                self.loop.now + self.delay(endpoint.machine, sender.machine), self.loop.notify_writable, sender
             )
 
-    def forget(self, endpoint: Endpoint) -> None:
+    def remove_endpoint(self, endpoint: Endpoint) -> None:
         self.endpoints.pop(endpoint.number, None)
 
     # -- connections
 
     def listen(self, machine: Host, address: Address, handler: StreamHandler) -> Result[Listener, NetworkFault]:
-        life = LIFE.get()
-        if life is None:
+        incarnation = INCARNATION.get()
+        if incarnation is None:
             raise RuntimeError("listening belongs to a process")
         if address.host != machine.host:
             return Failure(NetworkFault("unreachable", f"{address} is not an address of {machine.name}"))
         if address in self.listeners:
             return Failure(NetworkFault("in-use", str(address)))
-        accepting = _Accepting(self, machine, address, handler, life)
+        accepting = _SimulatedListener(self, machine, address, handler, incarnation)
         self.listeners[address] = accepting
         return Success(accepting)
 
@@ -434,13 +439,13 @@
         own = Address(machine.host, next(self._ports))
         self.loop.kernel_at(
             self.loop.now + self.delay(machine, self.machines.get(address.host, machine)),
-            self._knock,
+            self._try_connect,
             machine,
             own,
             address,
             answer,
             0,
-            LIFE.get(),
+            INCARNATION.get(),
         )
         try:
             async with asyncio.timeout(timeout):
@@ -451,33 +456,33 @@
             return Failure(NetworkFault("refused", str(address)))
         return Success(SimulatedStream(endpoint))
 
-    def _knock(
+    def _try_connect(
         self,
         machine: Host,
         own: Address,
         address: Address,
         answer: asyncio.Future[Endpoint | None],
-        tries: int,
-        life: Life | None,
+        retries: int,
+        incarnation: Incarnation | None,
     ) -> None:
-        if answer.done() or (life is not None and life.dead):
+        if answer.done() or (incarnation is not None and incarnation.dead):
             return
         target = self.machines.get(address.host)
         if target is None or self.blocked(machine, target):
-            self._knock_later(machine, own, address, answer, tries, life)
+            self._retry_connect_later(machine, own, address, answer, retries, incarnation)
             return
         back = self.loop.now + self.delay(target, machine)
         listener = self.listeners.get(address)
         if listener is None:
             self.loop.kernel_at(back, self._refuse, target, machine, answer)
             return
-        if listener.waiting >= ACCEPT_QUEUE:
-            self._knock_later(machine, own, address, answer, tries, life)
+        if listener.waiting >= ACCEPT_QUEUE_LENGTH:
+            self._retry_connect_later(machine, own, address, answer, retries, incarnation)
             return
         near = Endpoint(self, machine, own, address)
         far = Endpoint(self, target, address, own)
         near.peer, far.peer = far, near
-        near.life, far.life = life, listener.life
+        near.incarnation, far.incarnation = incarnation, listener.incarnation
         for endpoint in (near, far):
             self.endpoints[endpoint.number] = endpoint
             self.loop.watch(endpoint)
@@ -486,18 +491,25 @@
         self.loop.call_soon(listener.accept, far, context=listener.context.copy())
         self.loop.kernel_at(back, self._established, near, answer)
 
-    def _knock_later(
+    def _retry_connect_later(
         self,
         machine: Host,
         own: Address,
         address: Address,
         answer: asyncio.Future[Endpoint | None],
-        tries: int,
-        life: Life | None,
+        retries: int,
+        incarnation: Incarnation | None,
     ) -> None:
-        if tries < len(SYN_PAUSES):
+        if retries < len(SYN_RETRY_PAUSES_S):
             self.loop.kernel_at(
-                self.loop.now + SYN_PAUSES[tries], self._knock, machine, own, address, answer, tries + 1, life
+                self.loop.now + SYN_RETRY_PAUSES_S[retries],
+                self._try_connect,
+                machine,
+                own,
+                address,
+                answer,
+                retries + 1,
+                incarnation,
             )
 
     def _refuse(self, target: Host, machine: Host, answer: asyncio.Future[Endpoint | None]) -> None:
@@ -510,22 +522,22 @@
         if self.blocked(near.peer.machine, near.machine):
             near.vanish()
             return
-        if answer.done() or (near.life is not None and near.life.dead):
+        if answer.done() or (near.incarnation is not None and near.incarnation.dead):
             near.close()
             return
         answer.set_result(near)
 
     # -- ends of processes and machines
 
-    def process_ended(self, life: Life) -> None:
+    def process_ended(self, incarnation: Incarnation) -> None:
         for address, listener in list(self.listeners.items()):
-            if listener.life is life:
+            if listener.incarnation is incarnation:
                 del self.listeners[address]
         for endpoint in list(self.endpoints.values()):
-            if endpoint.life is life:
+            if endpoint.incarnation is incarnation:
                 endpoint.close()
 
-    def machine_lost(self, machine: Host) -> None:
+    def machine_powered_off(self, machine: Host) -> None:
         for address, listener in list(self.listeners.items()):
             if listener.machine is machine:
                 del self.listeners[address]
--- a/simulation/operators.py
+++ b/simulation/operators.py
@@ -17,7 +17,7 @@
 from wingwood.context.protocols import Context, HttpRequest
 from wingwood.identifiers import Address, BundleVersion, OrderId, Seconds, SliceName, WallTime
 
-from .history import History, HistoryEntry, OrderAnswer, PaidShare, SeenNewest, SeenOrder
+from .history import History, HistoryEntry, ObservedLatest, ObservedOrder, OrderAnswer, PaidShare
 from .http_client import PlainExchange
 
 Slices = dict[SliceName, bytes]
@@ -29,7 +29,7 @@
 HEALTH_PATH = "/control/v1/health"
 
 
-class Desk(msgspec.Struct, frozen=True):
+class OperatorEndpoint(msgspec.Struct, frozen=True):
     """A daemon's operator address as operators know it."""
 
     name: str
@@ -41,18 +41,18 @@
     exchange = PlainExchange(context.network, HttpRequest(method, address, path, (), body, Seconds(within)))
     try:
         async with asyncio.timeout(within):
-            headed = await exchange.head()
-            if not isinstance(headed, Success):
+            head_result = await exchange.head()
+            if not isinstance(head_result, Success):
                 return None
             read = b""
             while True:
-                took = await exchange.next_piece()
-                if not isinstance(took, Success):
+                received = await exchange.next_piece()
+                if not isinstance(received, Success):
                     return None
-                piece = took.unwrap()
-                if piece is None:
-                    return headed.unwrap().status, read
-                read += piece
+                chunk = received.unwrap()
+                if chunk is None:
+                    return head_result.unwrap().status, read
+                read += chunk
     except TimeoutError:
         return None
     finally:
@@ -69,50 +69,50 @@
         key: Ed25519PrivateKey,
         history: History,
         now: Callable[[], float],
-        desks: Callable[[], Sequence[Desk]],
+        operator_endpoints: Callable[[], Sequence[OperatorEndpoint]],
     ) -> None:
         self.context = context
         self.name = name
         self.key = key
         self.history = history
         self.now = now
-        self.desks = desks
+        self.operator_endpoints = operator_endpoints
         self._number = 0
 
     # -- reading
 
-    async def newest(self, within: float = 10.0) -> tuple[BundleVersion, Slices]:
+    async def latest(self, within: float = 10.0) -> tuple[BundleVersion, Slices]:
         """Newest version and its slices; version 0 when there is none yet."""
         until = self.now() + within
         while True:
-            desk = self.context.random.choice(self.desks())
+            endpoint = self.context.random.choice(self.operator_endpoints())
             asked_at = self.now()
-            answer = await ask(self.context, "GET", desk.address, f"{BUNDLE_PATH}?newest=1", b"", 3.0)
+            answer = await ask(self.context, "GET", endpoint.address, f"{BUNDLE_PATH}?newest=1", b"", 3.0)
             if answer is not None and answer[0] == 200:
                 shown = msgspec.json.decode(answer[1], type=_Shown)
-                self.history.newest_read.append(SeenNewest(asked_at, desk.name, shown.version))
+                self.history.latest_reads.append(ObservedLatest(asked_at, endpoint.name, shown.version))
                 return shown.version, {name: bytes(raw) for name, raw in shown.slices.items()}
             if answer is not None and answer[0] == 404:
-                self.history.newest_read.append(SeenNewest(asked_at, desk.name, 0))
+                self.history.latest_reads.append(ObservedLatest(asked_at, endpoint.name, 0))
                 if self.history.orders == []:
                     return BundleVersion(0), {}
             if self.now() > until:
                 raise TimeoutError("no daemon shows the newest bundle")
             await asyncio.sleep(0.2)
 
-    async def version_at(self, desk: Desk, within: float = 1.0) -> int | None:
+    async def version_at(self, endpoint: OperatorEndpoint, within: float = 1.0) -> int | None:
         """Version in force at one daemon; 0 without a bundle; None when it does not answer."""
-        answer = await ask(self.context, "GET", desk.address, HEALTH_PATH, b"", within)
+        answer = await ask(self.context, "GET", endpoint.address, HEALTH_PATH, b"", within)
         if answer is None or answer[0] != 200:
             return None
         return int(msgspec.json.decode(answer[1])["version"])
 
-    async def health_at(self, desk: Desk, within: float = 1.0) -> dict[str, Any] | None:
-        answer = await ask(self.context, "GET", desk.address, HEALTH_PATH, b"", within)
+    async def health_at(self, endpoint: OperatorEndpoint, within: float = 1.0) -> dict[str, Any] | None:
+        answer = await ask(self.context, "GET", endpoint.address, HEALTH_PATH, b"", within)
         return msgspec.json.decode(answer[1]) if answer is not None and answer[0] == 200 else None
 
-    async def read_history(self, desk: Desk, most: int = 1000) -> list[HistoryEntry] | None:
-        answer = await ask(self.context, "GET", desk.address, f"{HISTORY_PATH}?most={most}", b"", 5.0)
+    async def read_history(self, endpoint: OperatorEndpoint, most: int = 1000) -> list[HistoryEntry] | None:
+        answer = await ask(self.context, "GET", endpoint.address, f"{HISTORY_PATH}?most={most}", b"", 5.0)
         if answer is None or answer[0] != 200:
             return None
         entries = msgspec.json.decode(answer[1])
@@ -132,10 +132,10 @@
         removed_keys: tuple[str, ...] = (),
         added_keys: tuple[str, ...] = (),
         on_conflict_again: bool = False,
-    ) -> SeenOrder:
+    ) -> ObservedOrder:
         """Reads the newest bundle, signs the changed one and sends it until a definite answer came."""
         while True:
-            base, before = await self.newest()
+            base, before = await self.latest()
             seen, order = self.prepare(base, before, change(dict(before)), what, removed_keys, added_keys)
             await self.send(seen, order, via=via, lose_answers=lose_answers, tries=tries)
             if not on_conflict_again or not seen.answers or seen.answers[-1].outcome != "conflict":
@@ -149,11 +149,11 @@
         what: str,
         removed_keys: tuple[str, ...] = (),
         added_keys: tuple[str, ...] = (),
-    ) -> tuple[SeenOrder, Order]:
+    ) -> tuple[ObservedOrder, Order]:
         self._number += 1
         identifier = f"{self.name}-{self._number}-{self.context.random.getrandbits(32):08x}"
         order = make_order(base, before, after, self.key, OrderId(identifier), WallTime(self.context.clock.wall()))
-        seen = SeenOrder(
+        seen = ObservedOrder(
             order=identifier,
             operator=self.name,
             base=base,
@@ -166,17 +166,17 @@
         return seen, order
 
     async def send(
-        self, seen: SeenOrder, order: Order, *, via: str | None = None, lose_answers: int = 0, tries: int = 40
+        self, seen: ObservedOrder, order: Order, *, via: str | None = None, lose_answers: int = 0, tries: int = 40
     ) -> None:
         """Sends the same order again, to any daemon, until it is accepted or refused for good."""
         body = msgspec.json.encode(order)
         for _ in range(tries):
-            desks = [desk for desk in self.desks() if via in (None, desk.name)]
-            if not desks:
+            operator_endpoints = [endpoint for endpoint in self.operator_endpoints() if via in (None, endpoint.name)]
+            if not operator_endpoints:
                 return
-            desk = self.context.random.choice(desks)
+            endpoint = self.context.random.choice(operator_endpoints)
             asked_at = self.now()
-            answer = await ask(self.context, "POST", desk.address, ORDERS_PATH, body, 6.5)
+            answer = await ask(self.context, "POST", endpoint.address, ORDERS_PATH, body, 6.5)
             if answer is not None and lose_answers > 0:
                 lose_answers -= 1
                 answer = None
@@ -185,7 +185,7 @@
                 OrderAnswer(
                     asked_at=asked_at,
                     answered_at=self.now(),
-                    via=desk.name,
+                    via=endpoint.name,
                     outcome=outcome.outcome if outcome is not None else "lost",
                     version=outcome.version if outcome is not None else 0,
                     reason=outcome.reason if outcome is not None else "",
@@ -198,7 +198,7 @@
                     what=seen.what,
                     outcome=outcome.outcome,
                     version=outcome.version,
-                    via=desk.name,
+                    via=endpoint.name,
                     reason=outcome.reason[:120],
                 )
                 return
--- a/simulation/scenario.py
+++ b/simulation/scenario.py
@@ -31,19 +31,19 @@
 from wingwood.bundle.canonical import canonical_json
 from wingwood.identifiers import SliceName
 
-from .fleet import Builds, Fleet, network_shape, shape_named
+from .fleet import DaemonFactories, Fleet, network_shape, shape_named
 from .history import Attempt
+from .indexed_history import Bounds, Topology, Violation
 from .observer import CHECKS, judge
 from .operators import Slices, put_slice, set_field
-from .seen import Bounds, Places, Violation
 from .world import World
 
-LONGEST_WAIT_FOR_FIRST_BUNDLE = 15.0
-DEFAULT_CALM = 20.0
-LAST_ANSWERS = 4.0
+FIRST_BUNDLE_TIMEOUT_S = 15.0
+DEFAULT_CALM_S = 20.0
+LAST_ANSWERS_S = 4.0
 
 
-class ScenarioProblem(Exception):
+class ScenarioError(Exception):
     """A line that can't be read; says which and what is expected."""
 
 
@@ -61,7 +61,7 @@
     deployment: str = "despensa"
     seeds: tuple[int, ...] = (1,)
     traffic: float = 0.25
-    calm: float = DEFAULT_CALM
+    calm: float = DEFAULT_CALM_S
     broken: str = ""
     """Name of a deliberately broken variant of the fleet (``simulation.broken``)."""
     steps: list[Step] = []
@@ -89,7 +89,7 @@
     timeline: str = ""
     ends: dict[str, int] = {}
     """How the attempts ended, counted."""
-    looked: dict[str, int] = {}
+    judged: dict[str, int] = {}
     """How many things each check of the observer judged."""
     in_force_seconds: list[float] = []
     """From each acknowledgement to the first look at each router that showed it."""
@@ -329,14 +329,14 @@
     def storm(fleet: Fleet) -> None:
         async def pushes(name: str) -> None:
             operator = fleet.operators[name]
-            begun = fleet.world.now
+            started = fleet.world.now
             for number in range(count // 2):
                 value: dict[str, object] = {"name": f"storm-{name}", "weight": 1.0 + number}
                 pushing = operator.push(
                     put_slice(f"class/storm-{name}", value), f"storm {number}", on_conflict_again=True
                 )
                 await pushing
-                await asyncio.sleep(max(0.0, begun + seconds * (number + 1) / (count // 2) - fleet.world.now))
+                await asyncio.sleep(max(0.0, started + seconds * (number + 1) / (count // 2) - fleet.world.now))
 
         for name in ("operator-1", "operator-2"):
             fleet.by_operator(name, pushes(name))
@@ -350,9 +350,9 @@
         operator = fleet.operators["operator-2"]
 
         async def work() -> None:
-            base, before = await operator.newest()
-            for spoiled in _spoiled(before):
-                seen, order = operator.prepare(base, before, spoiled, "invalid")
+            base, before = await operator.latest()
+            for invalid in _invalid_slices(before):
+                seen, order = operator.prepare(base, before, invalid, "invalid")
                 seen.intended = "invalid"
                 await operator.send(seen, order)
             seen, order = operator.prepare(base, before, dict(before), "wrong signature")
@@ -365,7 +365,7 @@
     return push, 2.0
 
 
-def _spoiled(before: Slices) -> list[Slices]:
+def _invalid_slices(before: Slices) -> list[Slices]:
     service = next(name for name in sorted(before) if name.startswith("service/"))
     tenant = next(name for name in sorted(before) if name.startswith("tenant/"))
     unknown = {**msgspec.json.decode(before[tenant]), "priority_class": "no-such-class"}
@@ -428,10 +428,10 @@
         process = fleet.world.processes[callers.plan.machine]
         work = callers.flood(match["service"], float(match["rate"]), _seconds(match))
         if match["door"]:
-            callers.only_door = match["door"]
+            callers.only_router = match["door"]
 
             def free() -> None:
-                callers.only_door = None
+                callers.only_router = None
 
             fleet.world.at(fleet.world.now + _seconds(match) + 1.0, free)
         fleet.world.spawn(process, work, "flood")
@@ -485,14 +485,14 @@
     """``at T WHAT``; raises ScenarioProblem."""
     match = re.fullmatch(r"at (\d+(?:\.\d+)?) (.+)", line)
     if match is None:
-        raise ScenarioProblem(f"{line!r}: expected `at SECONDS WHAT`")
+        raise ScenarioError(f"{line!r}: expected `at SECONDS WHAT`")
     at, what = float(match[1]), match[2]
     for pattern, maker, _ in _LINES:
         found = pattern.fullmatch(what)
         if found is not None:
             action, lasts = maker(found)
             return Step(at, line, action, lasts)
-    raise ScenarioProblem(f"{line!r}: not known; the lines are\n{help_text()}")
+    raise ScenarioError(f"{line!r}: not known; the lines are\n{help_text()}")
 
 
 def read_scenario(text: str, name: str) -> Scenario:
@@ -505,8 +505,8 @@
                 about.append(line.lstrip("# "))
             elif line:
                 _read_line(scenario, line)
-        except (ScenarioProblem, ValueError) as problem:
-            raise ScenarioProblem(f"{name}, line {number}: {problem}") from None
+        except (ScenarioError, ValueError) as problem:
+            raise ScenarioError(f"{name}, line {number}: {problem}") from None
     scenario.about = " ".join(about)
     scenario.steps.sort(key=lambda step: step.at)
     return scenario
@@ -531,7 +531,7 @@
         case "broken":
             scenario.broken = rest
         case _:
-            raise ScenarioProblem(f"{line!r}: expected at, expect, deployment, seeds, traffic, calm or broken")
+            raise ScenarioError(f"{line!r}: expected at, expect, deployment, seeds, traffic, calm or broken")
 
 
 # -- expectations beyond the observer's checks
@@ -561,7 +561,7 @@
     if match := re.fullmatch(r"at least (\d+)% of calls succeed", text):
         share = int(match[1])
         return lambda fleet, _: _enough(share, fleet)
-    raise ScenarioProblem(
+    raise ScenarioError(
         f"{text!r}: expected `violation CHECK`, `newest version N`, `N orders accepted|conflict|invalid` "
         "or `at least N% of calls succeed`"
     )
@@ -585,28 +585,28 @@
     return Bounds(removed_key=None if removed is None else removed + 0.3)
 
 
-def places_of(fleet: Fleet) -> Places:
+def topology_of(fleet: Fleet) -> Topology:
     controls = set()
     for process in fleet.world.processes.values():
         if process.tags.get("role") == "control":
             controls |= {process.name, process.machine.name}
-    return Places(
+    return Topology(
         machine_of={process.name: process.machine.name for process in fleet.world.processes.values()},
         controls=frozenset(controls),
         routers=frozenset(fleet.names("router")),
     )
 
 
-def run_scenario(scenario: Scenario, seed: int, builds: Builds | None = None) -> Report:
+def run_scenario(scenario: Scenario, seed: int, factories: DaemonFactories | None = None) -> Report:
     """One run; what it saw is judged and summed up."""
-    begun, processor_begun = time.perf_counter(), time.process_time()
+    started, processor_begun = time.perf_counter(), time.process_time()
     shape = shape_named(scenario.deployment)
     if scenario.broken:
-        from .broken import broken_builds  # noqa: PLC0415
+        from .broken import broken_factories  # noqa: PLC0415
 
-        builds = broken_builds(scenario.broken)
+        factories = broken_factories(scenario.broken)
     with World(seed, network_shape(shape)) as world:
-        fleet = Fleet(world, shape, builds)
+        fleet = Fleet(world, shape, factories)
         report = Report(scenario=scenario.name, seed=seed, violations=[], problems=[])
         try:
             _drive(scenario, fleet)
@@ -617,7 +617,7 @@
         report.digest = world.digest()
         report.simulated_seconds = world.now
         report.timeline = _timeline(fleet)
-    report.real_seconds = time.perf_counter() - begun
+    report.real_seconds = time.perf_counter() - started
     report.processor_seconds = time.process_time() - processor_begun
     return report
 
@@ -625,7 +625,7 @@
 def _drive(scenario: Scenario, fleet: Fleet) -> None:
     world = fleet.world
     fleet.start()
-    fleet.put_in_force(LONGEST_WAIT_FOR_FIRST_BUNDLE)
+    fleet.put_in_force(FIRST_BUNDLE_TIMEOUT_S)
     start = world.now
     world.note("world", "first-bundle-in-force")
     fleet.set_traffic(scenario.traffic)
@@ -644,14 +644,14 @@
     fleet.set_traffic(0.0)
     for callers in fleet.callers.values():
         callers.stopped = True
-    fleet.run(LAST_ANSWERS)
+    fleet.run(LAST_ANSWERS_S)
 
 
 def _judge(scenario: Scenario, fleet: Fleet, report: Report) -> None:
     history, world = fleet.history, fleet.world
-    looked: Counter[str] = Counter()
-    violations = judge(history, places_of(fleet), bounds_for(fleet), world.now, looked)
-    report.looked = {check: looked[check] for check in CHECKS}
+    judged: Counter[str] = Counter()
+    violations = judge(history, topology_of(fleet), bounds_for(fleet), world.now, judged)
+    report.judged = {check: judged[check] for check in CHECKS}
     for text in world.broken_invariants:
         first, _, trace = text.partition("\n")
         at, _, where = first.partition(" ")
@@ -677,7 +677,7 @@
     if attempt.succeeded:
         return "succeeded"
     if attempt.code:
-        return f"{attempt.status} {attempt.code} {attempt.told_run}"
+        return f"{attempt.status} {attempt.code} {attempt.reported_run}"
     return f"{attempt.end} {attempt.status or ''}".strip()
 
 
--- a/simulation/tests/test_observer.py
+++ b/simulation/tests/test_observer.py
@@ -13,23 +13,23 @@
     Fault,
     History,
     HistoryEntry,
+    ObservedArrival,
+    ObservedDrain,
+    ObservedEvent,
+    ObservedLatest,
+    ObservedOrder,
+    ObservedPrimary,
+    ObservedReady,
+    ObservedRun,
+    ObservedStop,
+    ObservedVersion,
     OrderAnswer,
     PaidShare,
-    SeenArrival,
-    SeenDrain,
-    SeenEvent,
-    SeenLead,
-    SeenNewest,
-    SeenOrder,
-    SeenReady,
-    SeenRun,
-    SeenStop,
-    SeenVersion,
 )
+from simulation.indexed_history import Bounds, Topology
 from simulation.observer import CHECKS, judge
-from simulation.seen import Bounds, Places
 
-PLACES = Places(
+TOPOLOGY = Topology(
     machine_of={"router-1": "front-1", "control-1": "front-1", "model-1": "model-1"},
     controls=frozenset({"control-1", "front-1"}),
     routers=frozenset({"router-1"}),
@@ -54,7 +54,7 @@
         ended_at=30.4,
         end="whole",
         status=200,
-        events=[SeenEvent(30.1 + 0.1 * index, index, mark, word(index)) for index in range(3)],
+        events=[ObservedEvent(30.1 + 0.1 * index, index, mark, word(index)) for index in range(3)],
         done_marker=True,
         sent_bytes=True,
     )
@@ -63,8 +63,8 @@
     return made
 
 
-def run_of(mark: str, **fields: object) -> SeenRun:
-    made = SeenRun(
+def run_of(mark: str, **fields: object) -> ObservedRun:
+    made = ObservedRun(
         started_at=30.05,
         worker="model-1",
         instance="model-1-a",
@@ -81,8 +81,8 @@
     return made
 
 
-def arrival_of(mark: str, at: float = 30.05) -> SeenArrival:
-    return SeenArrival(
+def arrival_of(mark: str, at: float = 30.05) -> ObservedArrival:
+    return ObservedArrival(
         at=at,
         worker="model-1",
         instance="model-1-a",
@@ -94,8 +94,8 @@
     )
 
 
-def order(name: str, base: int, *answers: tuple[float, str, int], via: str = "router-1") -> SeenOrder:
-    return SeenOrder(
+def order(name: str, base: int, *answers: tuple[float, str, int], via: str = "router-1") -> ObservedOrder:
+    return ObservedOrder(
         order=name,
         operator="operator-1",
         base=base,
@@ -107,8 +107,8 @@
     )
 
 
-def polls(*versions: tuple[float, int]) -> list[SeenVersion]:
-    return [SeenVersion(at, at + 0.01, "router-1", 1, version) for at, version in versions]
+def polls(*versions: tuple[float, int]) -> list[ObservedVersion]:
+    return [ObservedVersion(at, at + 0.01, "router-1", 1, version) for at, version in versions]
 
 
 def left_call() -> Call:
@@ -121,7 +121,7 @@
         service="chat",
         repeatable=True,
         idempotency_key="",
-        begun_at=5.0,
+        started_at=5.0,
         ended_at=5.4,
         attempts=[made],
     )
@@ -139,7 +139,7 @@
                 service="chat",
                 repeatable=False,
                 idempotency_key=made.call,
-                begun_at=30.0,
+                started_at=30.0,
                 ended_at=31.0,
                 attempts=[made],
             )
@@ -149,13 +149,13 @@
     history.calls.append(left_call())
     history.arrivals.append(arrival_of("left-1/1", at=5.05))
     history.runs.append(run_of("left-1/1", started_at=5.05, finished_at=5.5, outcome="caller-gone", event_times=[30.1]))
-    history.stops = [SeenStop(daemon="router-1", life=1, asked_at=50.0, ended_at=53.0)]
-    history.ready = [SeenReady(at, "router-1", not 50.0 < at < 56.0) for at in (49.5, 50.5, 52.5, 55.0, 56.5)]
+    history.stops = [ObservedStop(daemon="router-1", incarnation=1, asked_at=50.0, ended_at=53.0)]
+    history.ready = [ObservedReady(at, "router-1", not 50.0 < at < 56.0) for at in (49.5, 50.5, 52.5, 55.0, 56.5)]
     history.orders = [order("a", 0, (10.0, "accepted", 1)), order("b", 1, (20.0, "lost", 0), (21.0, "accepted", 2))]
     history.versions = polls((11.0, 1), (15.0, 1), (20.1, 2), (25.0, 2), (60.0, 2), (90.0, 2))
     history.final_versions = {"router-1": 2, "control-1": 2}
     history.final_history = {"control-1": [HistoryEntry(2, "b"), HistoryEntry(1, "a")]}
-    history.drains = [SeenDrain(worker="model-1", instance="model-1-a", begun_at=40.0, acknowledged_at=40.1)]
+    history.drains = [ObservedDrain(worker="model-1", instance="model-1-a", started_at=40.0, acknowledged_at=40.1)]
     history.first_shares = {"x": PaidShare(10.0)}
     return history
 
@@ -165,19 +165,19 @@
 
 
 def not_run(history: History) -> None:
-    history.calls[1].attempts[0] = attempt(call="x-1", status=503, code="no-worker", told_run="not-run", events=[])
+    history.calls[1].attempts[0] = attempt(call="x-1", status=503, code="no-worker", reported_run="not-run", events=[])
 
 
 def not_run_on_the_retry(history: History) -> None:
     history.calls[1].attempts[0].end = "gave-up"
     history.calls[1].attempts.append(
-        attempt(2, "x-1", status=503, code="ledger", told_run="not-run", events=[], tokens=0)
+        attempt(2, "x-1", status=503, code="ledger", reported_run="not-run", events=[], tokens=0)
     )
 
 
 def strange_event(history: History) -> None:
     event = history.calls[1].attempts[0].events[1]
-    history.calls[1].attempts[0].events[1] = SeenEvent(event.at, 1, "y-7/1", event.text)
+    history.calls[1].attempts[0].events[1] = ObservedEvent(event.at, 1, "y-7/1", event.text)
 
 
 def success_without_run(history: History) -> None:
@@ -195,7 +195,7 @@
 
 def held(history: History) -> None:
     event = history.calls[1].attempts[0].events[2]
-    history.calls[1].attempts[0].events[2] = SeenEvent(event.at + 0.5, 2, event.call, event.text)
+    history.calls[1].attempts[0].events[2] = ObservedEvent(event.at + 0.5, 2, event.call, event.text)
 
 
 def late_bundle(history: History) -> None:
@@ -213,7 +213,7 @@
 def run_of_removed_key_by_a_worker_that_woke(history: History) -> None:
     """Sent before the key's removal to a worker frozen until 30; the caller left at 23."""
     history.orders[1].removed_keys = ("removed",)
-    history.faults = [Fault(kind="freeze", targets=("model-1",), begun_at=20.0, ended_at=30.0)]
+    history.faults = [Fault(kind="freeze", targets=("model-1",), started_at=20.0, ended_at=30.0)]
     made = history.calls[1].attempts[0]
     made.key, made.sent_at, made.ended_at, made.end, made.events = "removed", 20.5, 23.0, "gave-up", []
     history.runs[1].outcome = "caller-gone"
@@ -221,7 +221,7 @@
 
 def removed_key_through_a_frozen_router(history: History) -> None:
     run_of_removed_key_by_a_worker_that_woke(history)
-    history.faults.append(Fault(kind="freeze", targets=("front-1",), begun_at=22.0, ended_at=30.0))
+    history.faults.append(Fault(kind="freeze", targets=("front-1",), started_at=22.0, ended_at=30.0))
 
 
 def removed_key_of_a_late_call_for_a_frozen_worker(history: History) -> None:
@@ -235,7 +235,7 @@
 
 
 def all_killed(history: History) -> None:
-    history.faults = [Fault(kind="kill", targets=("router-1", "control-1"), begun_at=28.0, ended_at=29.0)]
+    history.faults = [Fault(kind="kill", targets=("router-1", "control-1"), started_at=28.0, ended_at=29.0)]
 
 
 def older_after_all(history: History) -> None:
@@ -257,7 +257,7 @@
 
 
 def ready_after_sigterm(history: History) -> None:
-    history.ready[1] = SeenReady(50.5, "router-1", True)
+    history.ready[1] = ObservedReady(50.5, "router-1", True)
 
 
 def stops_late(history: History) -> None:
@@ -289,16 +289,16 @@
 
 
 def no_bundle_yet(history: History) -> None:
-    history.newest_read = [SeenNewest(30.0, "control-1", 0)]
+    history.latest_reads = [ObservedLatest(30.0, "control-1", 0)]
 
 
 def leads_alone(history: History) -> None:
-    history.faults = [Fault(kind="cut-off", targets=("control-1", "front-1"), begun_at=50.0, ended_at=80.0)]
-    history.leads = [SeenLead(75.0, "control-1", 3)]
+    history.faults = [Fault(kind="cut-off", targets=("control-1", "front-1"), started_at=50.0, ended_at=80.0)]
+    history.primaries = [ObservedPrimary(75.0, "control-1", 3)]
 
 
 def accepts_alone(history: History) -> None:
-    history.faults = [Fault(kind="cut-off", targets=("control-1", "front-1"), begun_at=50.0, ended_at=80.0)]
+    history.faults = [Fault(kind="cut-off", targets=("control-1", "front-1"), started_at=50.0, ended_at=80.0)]
     history.orders.append(order("d", 2, (75.0, "accepted", 3), via="control-1"))
 
 
@@ -312,20 +312,20 @@
 
 
 def below_share(history: History) -> None:
-    refused = attempt(call="x-1", status=429, code="share-exceeded", told_run="not-run", events=[], sent_at=60.0)
+    refused = attempt(call="x-1", status=429, code="share-exceeded", reported_run="not-run", events=[], sent_at=60.0)
     history.calls[1].attempts[0] = refused
     history.runs.pop(1)
 
 
 def not_back(history: History) -> None:
-    history.faults = [Fault(kind="kill", targets=("router-1",), begun_at=10.0, ended_at=11.0)]
+    history.faults = [Fault(kind="kill", targets=("router-1",), started_at=10.0, ended_at=11.0)]
     for call in history.calls[:3]:
         call.attempts[0].end = "gave-up"
 
 
 def one_router_not_back(history: History) -> None:
     """Each call succeeds on a second try elsewhere, but this router serves nothing."""
-    history.faults = [Fault(kind="kill", targets=("router-1",), begun_at=10.0, ended_at=11.0)]
+    history.faults = [Fault(kind="kill", targets=("router-1",), started_at=10.0, ended_at=11.0)]
     for call in history.calls[:3]:
         call.attempts[0].router = "router-2"
         call.attempts[0].status, call.attempts[0].code = 503, "workers-none-ready"
@@ -334,7 +334,7 @@
 
 
 def no_router_ready(history: History) -> None:
-    history.faults = [Fault(kind="kill", targets=("router-1",), begun_at=10.0, ended_at=11.0)]
+    history.faults = [Fault(kind="kill", targets=("router-1",), started_at=10.0, ended_at=11.0)]
     for call in history.calls[:3]:
         call.attempts = []
 
@@ -380,23 +380,23 @@
 
 class Checks(unittest.TestCase):
     def test_good_history_has_no_violation(self) -> None:
-        self.assertEqual(judge(good(), PLACES, Bounds(), END), [])
+        self.assertEqual(judge(good(), TOPOLOGY, Bounds(), END), [])
 
     def test_what_lay_in_a_frozen_worker_since_before_the_removal_is_no_work_of_a_removed_key(self) -> None:
         history = good()
         run_of_removed_key_by_a_worker_that_woke(history)
-        self.assertEqual(judge(history, PLACES, Bounds(), END), [])
+        self.assertEqual(judge(history, TOPOLOGY, Bounds(), END), [])
 
     def test_each_check_speaks_on_a_history_that_breaks_it(self) -> None:
-        for check, spoil in BAD:
-            with self.subTest(check=check, spoiled=spoil.__name__):
+        for check, break_parts in BAD:
+            with self.subTest(check=check, broken=break_parts.__name__):
                 history = good()
-                spoil(history)
-                self.assertIn(check, {violation.check for violation in judge(history, PLACES, Bounds(), END)})
+                break_parts(history)
+                self.assertIn(check, {violation.check for violation in judge(history, TOPOLOGY, Bounds(), END)})
 
     def test_good_history_is_judged_by_the_checks_that_it_has_matter_for(self) -> None:
-        looked: Counter[str] = Counter()
-        judge(good(), PLACES, Bounds(), END, looked)
+        judged: Counter[str] = Counter()
+        judge(good(), TOPOLOGY, Bounds(), END, judged)
         needs_a_fault_or_refusal = {
             "told-not-run-but-ran",
             "newest-not-back",
@@ -404,7 +404,7 @@
             "cut-off-control-leads",
             "too-many-tries",
         }
-        self.assertEqual({check for check in CHECKS if not looked[check]}, needs_a_fault_or_refusal)
+        self.assertEqual({check for check in CHECKS if not judged[check]}, needs_a_fault_or_refusal)
 
     def test_no_check_is_without_a_bad_history(self) -> None:
         self.assertEqual({check for check, _ in BAD}, set(CHECKS))
--- a/simulation/tests/test_scenario_reading.py
+++ b/simulation/tests/test_scenario_reading.py
@@ -7,18 +7,18 @@
 
 from simulation.broken import VARIANTS
 from simulation.explore import Composer, scenario_of
-from simulation.scenario import ScenarioProblem, find_scenarios, load, read_scenario
+from simulation.scenario import ScenarioError, find_scenarios, load, read_scenario
 
 ROOT = Path(__file__).resolve().parents[2]
 
 
 class Reading(unittest.TestCase):
     def test_unknown_line_names_the_line_and_what_could_stand_there(self) -> None:
-        with self.assertRaisesRegex(ScenarioProblem, "line 2.*at 3 explode.*\\n(.*\\n)*at T kill NAME"):
+        with self.assertRaisesRegex(ScenarioError, "line 2.*at 3 explode.*\\n(.*\\n)*at T kill NAME"):
             read_scenario("deployment despensa\nat 3 explode router-1\n", "x")
 
     def test_unknown_expectation_is_refused(self) -> None:
-        with self.assertRaisesRegex(ScenarioProblem, "line 1.*expected `violation CHECK`"):
+        with self.assertRaisesRegex(ScenarioError, "line 1.*expected `violation CHECK`"):
             read_scenario("expect wonders", "x")
 
     def test_all_files_can_be_read_and_say_what_they_show(self) -> None:
--- a/simulation/tests/test_world.py
+++ b/simulation/tests/test_world.py
@@ -56,7 +56,7 @@
         body += data
 
 
-WHOLE = b"".join(f"{number};".encode() * 100 for number in range(20))
+COMPLETE_BODY = b"".join(f"{number};".encode() * 100 for number in range(20))
 
 
 def sample_run(seed: int) -> str:
@@ -182,7 +182,7 @@
     def test_stream_comes_whole_in_spite_of_split_bytes(self) -> None:
         self.ask()
         self.world.run(1)
-        self.assertEqual(self.answers, [(WHOLE, "whole")])
+        self.assertEqual(self.answers, [(COMPLETE_BODY, "whole")])
 
     def test_kill_is_seen_as_a_broken_body_and_later_connects_are_refused(self) -> None:
         self.ask()
@@ -201,7 +201,7 @@
         self.assertEqual(self.answers, [])
         self.world.wake("server")
         self.world.run(1)
-        self.assertEqual(self.answers, [(WHOLE, "whole")])
+        self.assertEqual(self.answers, [(COMPLETE_BODY, "whole")])
 
     def test_one_way_cut_is_silent_and_its_bytes_come_late(self) -> None:
         self.ask()
@@ -211,7 +211,7 @@
         self.assertEqual(self.answers, [])
         self.world.heal(cut)
         self.world.run(10)
-        self.assertEqual(self.answers, [(WHOLE, "whole")])
+        self.assertEqual(self.answers, [(COMPLETE_BODY, "whole")])
 
     def test_lost_machine_is_silent_and_resets_what_is_sent_to_it_after_it_is_back(self) -> None:
         told: list[str] = []
--- a/simulation/virtual_time.py
+++ b/simulation/virtual_time.py
@@ -19,24 +19,24 @@
 from tornado.ioloop import IOLoop
 from tornado.platform.asyncio import BaseAsyncIOLoop
 
-MOST_CALLBACKS_AT_ONE_INSTANT = 5_000_000
+MAX_CALLBACKS_PER_INSTANT = 5_000_000
 
 
-class NoProgress(Exception):
+class NoProgressError(Exception):
     """Callbacks go on for ever at one virtual instant: some code spins."""
 
 
-class Life:
+class Incarnation:
     """The schedulable side of one life of a simulated process."""
 
     def __init__(self, name: str, offset: float = 0.0, rate: float = 1.0) -> None:
         self.name = name
         self.dead = False
         self.frozen = False
-        self.held = False
+        self.suspended = False
         """Dead or frozen."""
         self.parked: deque[VirtualHandle] = deque()
-        self.graveyard: deque[object] = deque()
+        self.retained_after_death: deque[object] = deque()
         self.offset = offset
         self.rate = rate
 
@@ -51,7 +51,7 @@
     pass
 
 
-LIFE: contextvars.ContextVar[Life | None] = contextvars.ContextVar("life", default=None)
+INCARNATION: contextvars.ContextVar[Incarnation | None] = contextvars.ContextVar("life", default=None)
 
 
 class VirtualHandle(asyncio.TimerHandle):
@@ -91,13 +91,13 @@
 class VirtualTask(asyncio.Task[Any]):
     """A task that knows its process, with a hash that is the same in every run."""
 
-    life: Life | None
+    incarnation: Incarnation | None
     number: int
 
     def __new__(cls, coroutine: Coroutine[Any, Any, Any], *, loop: VirtualTimeLoop, **_: Any) -> VirtualTask:
         task = super().__new__(cls)
         task.number = next(loop.task_numbers)
-        task.life = loop.running_life
+        task.incarnation = loop.running_incarnation
         return task
 
     def __hash__(self) -> int:
@@ -130,7 +130,7 @@
         super().__init__()
         self.now = 0.0
         """The world's time, in seconds since the start of the run."""
-        self.running_life: Life | None = None
+        self.running_incarnation: Incarnation | None = None
         self.callbacks_run = 0
         self.limit = float("inf")
         self.task_numbers = itertools.count(1)
@@ -140,14 +140,14 @@
         self._at_this_instant = 0
         self._descriptors: dict[int, Descriptor] = {}
         self._descriptor_numbers = itertools.count(1_000_000)
-        self.on_unhandled: Callable[[Life | None, dict[str, Any]], None] | None = None
+        self.on_unhandled: Callable[[Incarnation | None, dict[str, Any]], None] | None = None
         self.set_exception_handler(self._unhandled)
 
     # -- time and scheduling
 
     def time(self) -> float:
-        life = self.running_life
-        return self.now if life is None else life.local(self.now)
+        incarnation = self.running_incarnation
+        return self.now if incarnation is None else incarnation.local(self.now)
 
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: contextvars.Context | None = None
@@ -161,15 +161,15 @@
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Callable[..., object], *args: Any, context: contextvars.Context | None = None
     ) -> VirtualHandle:
-        life = self.running_life
-        at = self.now + (delay if life is None else delay / life.rate)
+        incarnation = self.running_incarnation
+        at = self.now + (delay if incarnation is None else delay / incarnation.rate)
         return self._schedule(at, self.time() + delay, callback, args, context)
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., object], *args: Any, context: contextvars.Context | None = None
     ) -> VirtualHandle:
-        life = self.running_life
-        return self._schedule(when if life is None else life.world(when), when, callback, args, context)
+        incarnation = self.running_incarnation
+        return self._schedule(when if incarnation is None else incarnation.world(when), when, callback, args, context)
 
     def _schedule(
         self,
@@ -199,7 +199,7 @@
                 heapq.heappop(heap)
             if not heap or heap[0][0] > self.limit:
                 if self.limit == float("inf"):
-                    raise NoProgress("nothing is scheduled any more")
+                    raise NoProgressError("nothing is scheduled any more")
                 self.now = max(self.now, self.limit)
                 self._stopping = True
                 return
@@ -211,8 +211,8 @@
                 ready.append(heapq.heappop(heap)[2])
         count = len(ready)
         self._at_this_instant += count
-        if self._at_this_instant > MOST_CALLBACKS_AT_ONE_INSTANT:
-            raise NoProgress(f"more than {MOST_CALLBACKS_AT_ONE_INSTANT} callbacks at {self.now}: {ready[0]}")
+        if self._at_this_instant > MAX_CALLBACKS_PER_INSTANT:
+            raise NoProgressError(f"more than {MAX_CALLBACKS_PER_INSTANT} callbacks at {self.now}: {ready[0]}")
         self.callbacks_run += count
         popleft = ready.popleft
         for _ in range(count):
@@ -222,28 +222,28 @@
             context = handle._context
             try:
                 if context is None:
-                    self.running_life = None
+                    self.running_incarnation = None
                     handle._callback(*handle._args)
                     continue
-                life = context.get(LIFE)
-                if life is not None and life.held:
-                    (life.graveyard if life.dead else life.parked).append(handle)
+                incarnation = context.get(INCARNATION)
+                if incarnation is not None and incarnation.suspended:
+                    (incarnation.retained_after_death if incarnation.dead else incarnation.parked).append(handle)
                     continue
-                self.running_life = life
+                self.running_incarnation = incarnation
                 context.run(handle._callback, *handle._args)
-            except (SystemExit, KeyboardInterrupt, NoProgress):
+            except (SystemExit, KeyboardInterrupt, NoProgressError):
                 raise
             except BaseException as problem:
                 self.call_exception_handler({"message": "exception in callback", "exception": problem})
-        self.running_life = None
+        self.running_incarnation = None
 
     def _unhandled(self, _: asyncio.AbstractEventLoop, details: dict[str, Any]) -> None:
-        life = self.running_life
-        if life is None:
+        incarnation = self.running_incarnation
+        if incarnation is None:
             task = details.get("task") or details.get("future")
-            life = getattr(task, "life", None)
-        if (life is None or not life.dead) and self.on_unhandled is not None:
-            self.on_unhandled(life, details)
+            incarnation = getattr(task, "incarnation", None)
+        if (incarnation is None or not incarnation.dead) and self.on_unhandled is not None:
+            self.on_unhandled(incarnation, details)
 
     # -- processes
 
@@ -253,30 +253,34 @@
         task = VirtualTask(coro, loop=self, context=context)
         task.set_name(str(name) if name is not None else f"task-{task.number}")
         if context is not None:
-            task.life = context.get(LIFE)
+            task.incarnation = context.get(INCARNATION)
         return task
 
-    def freeze(self, life: Life) -> None:
-        life.frozen = life.held = True
+    def freeze(self, incarnation: Incarnation) -> None:
+        incarnation.frozen = incarnation.suspended = True
 
-    def wake(self, life: Life) -> None:
+    def wake(self, incarnation: Incarnation) -> None:
         """Queues all that waited; half of the time input comes before due timers, as epoll gives it."""
-        life.frozen = life.held = False
-        parked, life.parked = life.parked, deque()
+        incarnation.frozen = incarnation.suspended = False
+        parked, incarnation.parked = incarnation.parked, deque()
         if self._random.random() < 0.5:
             self._ready.extend(handle for handle in parked if handle.is_input)
             self._ready.extend(handle for handle in parked if not handle.is_input)
         else:
             self._ready.extend(parked)
 
-    def kill(self, life: Life) -> None:
+    def kill(self, incarnation: Incarnation) -> None:
         """Nothing of it runs any more, not even what stands in ``finally``; all is kept from the garbage collector."""
-        life.dead = life.held = True
-        life.graveyard.extend(life.parked)
-        life.parked = deque()
-        tasks = [task for task in asyncio.all_tasks(self) if isinstance(task, VirtualTask) and task.life is life]
+        incarnation.dead = incarnation.suspended = True
+        incarnation.retained_after_death.extend(incarnation.parked)
+        incarnation.parked = deque()
+        tasks = [
+            task
+            for task in asyncio.all_tasks(self)
+            if isinstance(task, VirtualTask) and task.incarnation is incarnation
+        ]
         tasks.sort(key=lambda task: task.number)
-        life.graveyard.extend(tasks)
+        incarnation.retained_after_death.extend(tasks)
 
     # -- descriptors
 
@@ -297,7 +301,7 @@
     def known_descriptor(self, number: int) -> Descriptor | None:
         return self._descriptors.get(number)
 
-    def input_came(self, descriptor: Descriptor) -> None:
+    def notify_readable(self, descriptor: Descriptor) -> None:
         """Level-triggered: queues the handler when it wants to read and something can be read."""
         if descriptor.reads and not descriptor.reader_queued and descriptor.readable():
             handler = descriptor.handler
@@ -305,7 +309,7 @@
             descriptor.reader_queued = True
             self._ready.append(VirtualHandle(self._read, (descriptor,), handler._context, is_input=True))
 
-    def room_came(self, descriptor: Descriptor) -> None:
+    def notify_writable(self, descriptor: Descriptor) -> None:
         if descriptor.writes and not descriptor.writer_queued and descriptor.writable():
             handler = descriptor.handler
             assert handler is not None
@@ -320,7 +324,7 @@
             try:
                 handler._callback(*handler._args, IOLoop.READ)
             finally:
-                self.input_came(descriptor)
+                self.notify_readable(descriptor)
 
     def _write(self, descriptor: Descriptor) -> None:
         descriptor.writer_queued = False
@@ -330,7 +334,7 @@
             try:
                 handler._callback(*handler._args, IOLoop.WRITE)
             finally:
-                self.room_came(descriptor)
+                self.notify_writable(descriptor)
 
     # -- what simulated code may not use
 
@@ -366,9 +370,9 @@
         descriptor.reads = bool(events & IOLoop.READ)
         descriptor.writes = bool(events & IOLoop.WRITE)
         if descriptor.reads:
-            loop.input_came(descriptor)
+            loop.notify_readable(descriptor)
         if descriptor.writes:
-            loop.room_came(descriptor)
+            loop.notify_writable(descriptor)
 
     def remove_handler(self, fd: Any) -> None:
         descriptor: Descriptor | None = cast(Any, self.asyncio_loop).known_descriptor(fd)
@@ -387,9 +391,9 @@
 
 async def pause() -> None:
     """Lets all callbacks of this instant run."""
-    await _Bare()
+    await _YieldOnce()
 
 
-class _Bare:
+class _YieldOnce:
     def __await__(self) -> Generator[None, None, None]:
         yield
--- a/simulation/workers.py
+++ b/simulation/workers.py
@@ -12,28 +12,28 @@
 from emulator.worker import CallBody, EmulatedWorker, Run, WorkerOptions
 from wingwood.context.protocols import Context
 
-from .history import History, SeenArrival, SeenDrain, SeenRun
+from .history import History, ObservedArrival, ObservedDrain, ObservedRun
 
 
 class ObservedWorker(EmulatedWorker):
     def __init__(self, context: Context, options: WorkerOptions, history: History, now: Callable[[], float]) -> None:
-        super().__init__(context, options, self._noted)
+        super().__init__(context, options, self._record_run)
         self._history = history
         self._now = now
-        self._seen: dict[int, SeenRun] = {}
-        self._run_of_task: dict[Any, SeenRun] = {}
+        self._seen: dict[int, ObservedRun] = {}
+        self._run_of_task: dict[Any, ObservedRun] = {}
 
     def drain(self) -> None:
         if self.state == "ready":
-            drain = SeenDrain(worker=self.options.name, instance=self.instance, begun_at=self._now())
+            drain = ObservedDrain(worker=self.options.name, instance=self.instance, started_at=self._now())
             self._history.drains.append(drain)
             super().drain()
             self.context.tasks.spawn("drain acknowledged", self._watch(drain))
 
-    async def _watch(self, drain: SeenDrain) -> None:
+    async def _watch(self, drain: ObservedDrain) -> None:
         while self.instance == drain.instance:
-            told = self.announcer.acknowledged
-            if told is not None and told.instance == drain.instance and told.state != "ready":
+            acknowledged = self.announcer.acknowledged
+            if acknowledged is not None and acknowledged.instance == drain.instance and acknowledged.state != "ready":
                 drain.acknowledged_at = self._now()
                 return
             await asyncio.sleep(0.02)
@@ -44,7 +44,7 @@
         except msgspec.MsgspecError:
             mark = ""
         self._history.arrivals.append(
-            SeenArrival(
+            ObservedArrival(
                 at=self._now(),
                 worker=self.options.name,
                 instance=self.instance,
@@ -57,11 +57,11 @@
         )
         await super()._call(request, connection)
 
-    def _noted(self, run: Run) -> None:
+    def _record_run(self, run: Run) -> None:
         task = asyncio.current_task()
         seen = self._run_of_task.get(task)
         if seen is None:
-            seen = SeenRun(
+            seen = ObservedRun(
                 started_at=self._now(),
                 worker=self.options.name,
                 instance=run.instance,
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -25,7 +25,7 @@
 
 from .disk import MachineDisk, SimulatedDisk
 from .network import Cut, NetworkShape, SimulatedNetwork, SimulatedNetworkCore
-from .virtual_time import LIFE, Life, VirtualTask, VirtualTimeLoop, attach_tornado
+from .virtual_time import INCARNATION, Incarnation, VirtualTask, VirtualTimeLoop, attach_tornado
 
 Value = TypeVar("Value")
 Main = Callable[[Context], Awaitable[None]]
@@ -67,19 +67,19 @@
         self.machine = machine
         self.main = main
         self.tags = tags
-        self.lives = 0
-        self.life: Life | None = None
+        self.incarnation_number = 0
+        self.incarnation: Incarnation | None = None
         self.context: Context | None = None
         self.stopped_because: str | None = None
         self.clock_rate = 1.0
 
     @property
     def alive(self) -> bool:
-        return self.life is not None and not self.life.dead
+        return self.incarnation is not None and not self.incarnation.dead
 
     @property
     def frozen(self) -> bool:
-        return self.life is not None and self.life.frozen
+        return self.incarnation is not None and self.incarnation.frozen
 
 
 class SimulatedClock:
@@ -106,10 +106,10 @@
 
 
 class SimulatedTasks:
-    def __init__(self, world: World, process: Process, life: Life) -> None:
+    def __init__(self, world: World, process: Process, incarnation: Incarnation) -> None:
         self._world = world
         self._process = process
-        self._life = life
+        self._life = incarnation
 
     def spawn(self, name: str, coroutine: Coroutine[Any, Any, None]) -> VirtualTask:
         task = self._world.loop.create_task(coroutine, name=name)
@@ -149,11 +149,11 @@
         self._keep_events = keep_events
         self._hosts_of_zone: dict[str, int] = {}
         self._zones: list[str] = []
-        self._lives: list[Life] = []
+        self._incarnations: list[Incarnation] = []
         self._end: list[Callable[[], None]] = []
         self.loop.on_unhandled = self._unhandled
 
-    # -- life of the world
+    # -- incarnation of the world
 
     def __enter__(self) -> World:
         self.io_loop = attach_tornado(self.loop)
@@ -168,8 +168,8 @@
 
     def close(self) -> None:
         """Ends the run in silence: no finally block of simulated code may be seen to run."""
-        for life in self._lives:
-            self.loop.kill(life)
+        for incarnation in self._incarnations:
+            self.loop.kill(incarnation)
         for task in self.loop_tasks():
             task._log_destroy_pending = False  # type: ignore[attr-defined]
         self.loop.on_unhandled = None
@@ -180,8 +180,8 @@
             with warnings.catch_warnings():
                 warnings.simplefilter("ignore")
                 self.loop.close()
-                for life in self._lives:
-                    life.graveyard.clear()
+                for incarnation in self._incarnations:
+                    incarnation.retained_after_death.clear()
                 self.processes.clear()
                 gc.collect()
         finally:
@@ -262,14 +262,18 @@
     def _begin(self, process: Process) -> None:
         if not process.machine.powered:
             raise ValueError(f"{process.machine.name} is without power")
-        process.lives += 1
+        process.incarnation_number += 1
         process.stopped_because = None
-        random = seeded(self.seed, "process", process.name, process.lives)
-        life = Life(f"{process.name}#{process.lives}", offset=random.uniform(0.0, 50_000.0), rate=process.clock_rate)
-        process.life = life
-        self._lives.append(life)
+        random = seeded(self.seed, "process", process.name, process.incarnation_number)
+        incarnation = Incarnation(
+            f"{process.name}#{process.incarnation_number}",
+            offset=random.uniform(0.0, 50_000.0),
+            rate=process.clock_rate,
+        )
+        process.incarnation = incarnation
+        self._incarnations.append(incarnation)
         network = SimulatedNetwork(self.network, process.machine)
-        tasks = SimulatedTasks(self, process, life)
+        tasks = SimulatedTasks(self, process, incarnation)
         process.context = Context(
             clock=SimulatedClock(self),
             network=network,
@@ -283,9 +287,9 @@
 
     def spawn(self, process: Process, awaitable: Awaitable[None], name: str) -> None:
         """Runs a coroutine as a task of the process."""
-        assert process.life is not None and process.context is not None
+        assert process.incarnation is not None and process.context is not None
         process_context, tasks = contextvars.Context(), process.context.tasks
-        process_context.run(LIFE.set, process.life)
+        process_context.run(INCARNATION.set, process.incarnation)
 
         async def run() -> None:
             await awaitable
@@ -302,13 +306,13 @@
     def kill(self, process: Process | str) -> None:
         """As SIGKILL: nothing of it runs any more, its kernel closes its connections."""
         process = self._process(process)
-        life = process.life
-        if life is None or life.dead:
+        incarnation = process.incarnation
+        if incarnation is None or incarnation.dead:
             return
         self.note("world", "kill", process=process.name)
-        self.loop.kill(life)
-        self.network.process_ended(life)
-        process.machine.disk.process_ended(life)
+        self.loop.kill(incarnation)
+        self.network.process_ended(incarnation)
+        process.machine.disk.process_ended(incarnation)
 
     def restart(self, process: Process | str) -> None:
         process = self._process(process)
@@ -320,27 +324,27 @@
         process = self._process(process)
         if process.alive:
             self.note("world", "freeze", process=process.name)
-            assert process.life is not None
-            self.loop.freeze(process.life)
+            assert process.incarnation is not None
+            self.loop.freeze(process.incarnation)
 
     def wake(self, process: Process | str) -> None:
         process = self._process(process)
         if process.alive and process.frozen:
             self.note("world", "wake", process=process.name)
-            assert process.life is not None
-            self.loop.wake(process.life)
+            assert process.incarnation is not None
+            self.loop.wake(process.incarnation)
 
     def power_off(self, machine: Machine | str) -> None:
         """The machine is gone in silence; what was not synced is lost."""
         machine = self._machine(machine)
         self.note("world", "power-off", machine=machine.name)
         machine.powered = False
-        self.network.machine_lost(machine)
+        self.network.machine_powered_off(machine)
         for process in self.processes.values():
             if process.machine is machine and process.alive:
-                assert process.life is not None
-                self.loop.kill(process.life)
-                machine.disk.process_ended(process.life)
+                assert process.incarnation is not None
+                self.loop.kill(process.incarnation)
+                machine.disk.process_ended(process.incarnation)
         machine.disk.power_lost()
 
     def power_on(self, machine: Machine | str, start_processes: bool = True) -> None:
@@ -405,10 +409,10 @@
         self.broken_invariants.append(f"{self.loop.now:.4f} {process.name} {where}\n{trace}")
         self.note(process.name, "invariant-broken", where=where, trace=trace.strip().splitlines()[-1])
 
-    def _unhandled(self, life: Life | None, details: dict[str, Any]) -> None:
+    def _unhandled(self, incarnation: Incarnation | None, details: dict[str, Any]) -> None:
         problem = details.get("exception")
         trace = "".join(traceback.format_exception(problem)) if problem is not None else str(details.get("message"))
-        name = life.name if life is not None else "world"
+        name = incarnation.name if incarnation is not None else "world"
         self.broken_invariants.append(f"{self.loop.now:.4f} {name} unhandled: {details.get('message')}\n{trace}")
         with contextlib.suppress(IndexError):
             self.note(name, "unhandled-exception", trace=trace.strip().splitlines()[-1])
--- a/wingwood/control/tests/control_world.py
+++ b/wingwood/control/tests/control_world.py
@@ -198,11 +198,11 @@
         return self.run_in_process(name, self.cores[name].leads)
 
     def run_in_process(self, name: str, question: Callable[[], Value]) -> Value:
-        self.world.loop.running_life = self.world.processes[name].life
+        self.world.loop.running_incarnation = self.world.processes[name].incarnation
         try:
             return question()
         finally:
-            self.world.loop.running_life = None
+            self.world.loop.running_incarnation = None
 
     def leader(self) -> str | None:
         """Returns a live daemon that accepts orders now, or None."""
--- a/wingwood/daemons/tests/test_relay.py
+++ b/wingwood/daemons/tests/test_relay.py
@@ -12,7 +12,7 @@
 from returns.result import Success
 
 from simulation.fleet import Fleet, network_shape, shape_named
-from simulation.history import SeenOrder
+from simulation.history import ObservedOrder
 from simulation.operators import put_slice
 from simulation.world import World
 
@@ -113,7 +113,7 @@
 
     def push_through(self, relay: str, name: str) -> str:
         """Returns the outcome of an order that is sent only to the operator address of that daemon."""
-        operator, seen = self.fleet.operators["operator-1"], list[SeenOrder]()
+        operator, seen = self.fleet.operators["operator-1"], list[ObservedOrder]()
 
         async def push() -> None:
             change = put_slice(f"class/{name}", {"name": name, "weight": 2.0})
--- a/wingwood/daemons/tests/test_router_cut_off.py
+++ b/wingwood/daemons/tests/test_router_cut_off.py
@@ -26,9 +26,9 @@
             world.run(3.0)
             fleet.cut_off("router-4", 14.0, workers=workers)
             world.run(13.0)
-            during = fleet.ready_doors["router-4"]
+            during = fleet.readiness["router-4"]
             world.run(10.0)
-            return during, fleet.ready_doors["router-4"]
+            return during, fleet.readiness["router-4"]
 
     def test_router_without_control_and_workers_is_not_ready_until_reconnected(self) -> None:
         self.assertEqual(self.ready_during_and_after_cut(workers=True), (False, True))
--- a/wingwood/distribution/tests/small_fleet.py
+++ b/wingwood/distribution/tests/small_fleet.py
@@ -130,7 +130,7 @@
 
     def _in_force(self, name: str, version: BundleVersion) -> None:
         earlier = self.in_force_at.setdefault((name, version), self.world.now)
-        assert earlier == self.world.now or self.world.processes[name].lives > 1
+        assert earlier == self.world.now or self.world.processes[name].incarnation_number > 1
 
     # -- control core, steered by the test
 
@@ -169,11 +169,11 @@
     def inside(self, name: str, look: Callable[[], Part]) -> Part:
         """Returns the value that ``look`` has inside the process, on the clock of that process."""
         loop = self.world.loop
-        before, loop.running_life = loop.running_life, self.world.processes[name].life
+        before, loop.running_incarnation = loop.running_incarnation, self.world.processes[name].incarnation
         try:
             return look()
         finally:
-            loop.running_life = before
+            loop.running_incarnation = before
 
     def serving(self) -> list[str]:
         return [name for name in self.versions() if self.inside(name, self.routers[name].follower.may_serve)]
--- a/wingwood/distribution/tests/test_random_faults.py
+++ b/wingwood/distribution/tests/test_random_faults.py
@@ -111,7 +111,7 @@
         undisturbed = [name for name in fleet.versions() if now - self.connected_since[name] > RECOVERY_TIME_S]
         connected = [name for name in undisturbed if name not in self.repairs]
         for name, version in fleet.versions().items():
-            life = name, self.world.processes[name].lives
+            life = name, self.world.processes[name].incarnation_number
             if version < self.highest.get(life, 0):
                 self.report_violation(f"{name} went back to {version}")
             self.highest[life] = version
--- a/wingwood/forward/tests/test_forwarding.py
+++ b/wingwood/forward/tests/test_forwarding.py
@@ -442,11 +442,11 @@
             world.run(seconds)
             if disconnected:
                 next(iter(path.path._calls.values())).caller.disconnected.set()
-            world.loop.running_life = path.router.life
+            world.loop.running_incarnation = path.router.incarnation
             try:
                 return client.exchanges[0].may_write()
             finally:
-                world.loop.running_life = None
+                world.loop.running_incarnation = None
 
     def test_last_check_before_the_first_byte(self) -> None:
         self.assertTrue(self.may_write_after(0.05, stall=0.1))
--- a/wingwood/ledger/tests/test_client.py
+++ b/wingwood/ledger/tests/test_client.py
@@ -186,10 +186,10 @@
                 routers.kill_router(name)
             elif choice < 0.8 and not world.processes[name].frozen:
                 world.freeze(name)
-                life = world.processes[name].lives
+                life = world.processes[name].incarnation_number
 
                 def wake(name: str = name, life: int = life) -> None:
-                    if world.processes[name].lives == life:
+                    if world.processes[name].incarnation_number == life:
                         world.wake(name)
 
                 world.at(world.now + random.uniform(0.5, 5.0), wake)
--- a/wingwood/registry/tests/control_fleet.py
+++ b/wingwood/registry/tests/control_fleet.py
@@ -41,7 +41,7 @@
 
     def __init__(self, fleet: ControlFleet, context: Context, name: str, machine: Machine) -> None:
         role: Literal["router", "control"] = "control" if name.startswith("control") else "router"
-        lives = fleet.world.processes[name].lives
+        lives = fleet.world.processes[name].incarnation_number
         internal = address_of(machine, INTERNAL_PORTS[role])
         operator = address_of(machine, OPERATOR_PORT if role == "control" else OPERATOR_PORT + 100)
         self.context = context
@@ -93,7 +93,7 @@
         self.pool = pool
         self.zone = fleet.world.processes[name].machine.zone
         self.address = address
-        self.instance = WorkerInstance(f"{name}.{fleet.world.processes[name].lives}")
+        self.instance = WorkerInstance(f"{name}.{fleet.world.processes[name].incarnation_number}")
         self.state = "ready"
         self.silent = False
         self.acknowledged_at: dict[str, float] = {}
--- a/wingwood/registry/tests/fleet.py
+++ b/wingwood/registry/tests/fleet.py
@@ -79,7 +79,7 @@
         self.context = context
         self.identity = Identity(
             name=DaemonName(name),
-            incarnation=Incarnation(f"{name}.{process.lives}"),
+            incarnation=Incarnation(f"{name}.{process.incarnation_number}"),
             role="router",
             zone=Zone(zone),
             internal=Address(process.machine.host, 24000),
--- a/wingwood/rollout/tests/test_rollout_on_fleet.py
+++ b/wingwood/rollout/tests/test_rollout_on_fleet.py
@@ -13,7 +13,7 @@
 from simulation.fleet import Fleet, network_shape, shape_named
 from simulation.observer import judge
 from simulation.operators import Operator, ask, put_slice, set_field
-from simulation.scenario import bounds_for, places_of
+from simulation.scenario import bounds_for, topology_of
 
 from ...bundle.canonical import canonical_json
 from ...bundle.model import OrderOutcome, Rollout
@@ -36,7 +36,7 @@
 
     async def newest(self) -> Result[tuple[BundleVersion, Slices], Lost]:
         try:
-            version, slices = await self._operator.newest()
+            version, slices = await self._operator.latest()
             return Success((version, slices)) if version else Failure(Lost("that daemon knows of no bundle"))
         except TimeoutError as late:
             return Failure(Lost(str(late)))
@@ -58,8 +58,8 @@
 
     async def look(self) -> Result[Sight, Lost]:
         found: tuple[Identity, ...] = ()
-        for desk in self._operator.desks()[:5]:
-            answer = await self._get(desk.address, "/control/v1/members")
+        for endpoint in self._operator.operator_endpoints()[:5]:
+            answer = await self._get(endpoint.address, "/control/v1/members")
             members = () if answer is None else tuple(msgspec.json.decode(answer, type=list[Identity]))
             found = max(found, members, key=len)
         if not found:
@@ -155,7 +155,7 @@
         found: list[Rollout] = []
 
         async def work() -> None:
-            _, slices = await self.fleet.operators["operator-2"].newest()
+            _, slices = await self.fleet.operators["operator-2"].latest()
             found.append(read_rollouts(slices)["trial"])
 
         self.fleet.by_operator("operator-2", work())
@@ -169,7 +169,7 @@
             callers.stopped = True
         self.fleet.run(4.0)
         self.fleet.read_back()
-        violations = judge(self.fleet.history, places_of(self.fleet), bounds_for(self.fleet), self.world.now)
+        violations = judge(self.fleet.history, topology_of(self.fleet), bounds_for(self.fleet), self.world.now)
         self.assertEqual([str(each) for each in violations], [])
         self.assertEqual(self.world.broken_invariants, [])
         self.assertGreater(sum(call.succeeded for call in self.fleet.history.calls), 300)
