--- a/simulation/__init__.py
+++ b/simulation/__init__.py
@@ -1,30 +1,32 @@
-"""The simulator: whole fleets in one process on virtual time (docs/DESIGN.md section 16). Not shipped.
+"""The simulator runs whole fleets in one operating-system process on virtual time (docs/DESIGN.md section 16).
+
+It serves tests and is not shipped.
 
 Usage::
 
-    async def main(context: Context) -> None: ...      # runs as a process; may return while its tasks go on
+    async def main(context: Context) -> None: ...      # a simulated process; its tasks may outlive it
 
     with World(seed=1) as world:
-        first = world.start("c1", main, zone="a")      # process "c1" on a machine "c1" of its own
+        first = world.start("c1", main, zone="a")      # process "c1" on its own machine "c1"
         world.start("r1", other_main, zone="b", machine="m4")
-        address = address_of(first.machine, 7000)      # machines have IP numbers, listen on these only
-        world.run(seconds=5)                           # virtual; returns at once when little happens
+        address = address_of(first.machine, 7000)      # a machine listens on its own IP address only
+        world.run(seconds=5)                           # virtual seconds, usually much less real time
         world.freeze("c1"); world.run(2); world.wake("c1")
         cut = world.cut("c1", "m4", both_ways=False); world.run(1); world.heal(cut)
-        world.kill("c1"); world.restart("c1")          # SIGKILL; the disk keeps what was written
-        world.power_off("c1"); world.power_on("c1")    # silence, unsynced bytes lost; starts its processes again
-        world.machine("c1").disk.set_mode("stalled")   # well, slow, stalled, full, failing
+        world.kill("c1"); world.restart("c1")          # SIGKILL; written data stays on the disk
+        world.power_off("c1"); world.power_on("c1")    # unsynced bytes are lost; power_on restarts processes
+        world.machine("c1").disk.set_mode("stalled")   # or well, slow, full, failing
         world.wipe("c1")
-        value = world.complete(coroutine())            # a test's own coroutine, outside all processes
+        value = world.complete(coroutine())            # a coroutine of the test, outside all processes
         assert world.wait_for(lambda: condition, within=2.0)
-        assert not world.broken_invariants             # exceptions that escaped in simulated processes
+        assert not world.broken_invariants             # exceptions that no simulated process handled
         world.digest(); world.timeline()
 
-``Context`` is the daemons' own (wingwood/context/protocols.py). asyncio.sleep, asyncio.timeout, tasks,
-queues and tornado (HTTPServer.handle_stream, IOLoop.current(), tornado.queues) work as usual.
-Only code inside a process may listen; each process has its own clock offset, so instants of
-different processes can't be compared by mistake. Do not iterate over sets of futures or of
-strings in code whose order matters: the same seed must give the same run.
+``Context`` is the class that the daemons use (wingwood/context/protocols.py). asyncio.sleep, asyncio.timeout,
+tasks, queues and tornado (HTTPServer.handle_stream, IOLoop.current(), tornado.queues) work as usual.
+Only code inside a process may listen. Each process has its own clock offset, so that a comparison of instants of
+different processes fails visibly. Code whose order matters must not iterate over sets of futures or of strings,
+because the same seed must give the same run.
 """
 
 from .disk import MachineDisk, SimulatedDisk
--- a/simulation/call_checks.py
+++ b/simulation/call_checks.py
@@ -1,4 +1,4 @@
-"""Checks of calls: runs, answers, streams and tries (docs/DESIGN.md section 16.3)."""
+"""Checks of calls: their runs, answers, streams and retries (docs/DESIGN.md section 16.3)."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 
 
 def call_runs_twice(indexed: IndexedHistory) -> list[Violation]:
+    """Finds idempotency keys whose call ran more than once."""
     by_key: dict[str, list[ObservedRun]] = defaultdict(list)
     for run in indexed.history.runs:
         if run.idempotency_key:
@@ -30,6 +31,7 @@
 
 
 def reported_not_run_but_ran(indexed: IndexedHistory) -> list[Violation]:
+    """Finds calls that a worker ran although a router answered that they did not run."""
     found = []
     for call in indexed.history.calls:
         for attempt in call.attempts:
@@ -52,6 +54,7 @@
 
 
 def answer_of_another_call(indexed: IndexedHistory) -> list[Violation]:
+    """Finds answers with events, marks or bytes that do not belong to their call."""
     found = []
     for attempt in indexed.attempts:
         indexed.judged["answer-of-another-call"] += len(attempt.events) + bool(attempt.answer_call)
@@ -65,6 +68,7 @@
 
 
 def success_without_worker_run(indexed: IndexedHistory) -> list[Violation]:
+    """Finds answers that look successful to the caller although no worker completed the call."""
     found = []
     for attempt in indexed.attempts:
         if not attempt.succeeded:
@@ -83,6 +87,7 @@
 
 
 def truncated_answer_looks_complete(indexed: IndexedHistory) -> list[Violation]:
+    """Finds answers that ended like complete ones but lack events, the end marker or a readable body."""
     found = []
     for attempt in indexed.attempts:
         if attempt.end != "whole" or attempt.status != 200 or attempt.code:
@@ -97,6 +102,7 @@
 
 
 def stream_out_of_order(indexed: IndexedHistory) -> list[Violation]:
+    """Finds streams whose events arrived out of order, with gaps or with changed text."""
     found = []
     for attempt in indexed.attempts:
         indexes = [event.index for event in attempt.events]
@@ -109,6 +115,7 @@
 
 
 def chunk_delayed(indexed: IndexedHistory) -> list[Violation]:
+    """Finds streams with an event that took too long from the worker to the caller without a fault on its path."""
     found = []
     for attempt in indexed.attempts:
         if not attempt.events:
@@ -137,7 +144,10 @@
 
 
 def work_for_disconnected_caller(indexed: IndexedHistory) -> list[Violation]:
-    """What was sent for a caller that left, or is worked on for it; calls that may not be repeated excepted."""
+    """Finds calls that were sent to a worker, or worked on, after their caller disconnected.
+
+    Calls that must not be repeated are excepted.
+    """
     found = []
     for call in indexed.history.calls:
         for attempt in call.attempts if call.repeatable else ():
@@ -152,7 +162,7 @@
 
 
 def _work_after(indexed: IndexedHistory, attempt: Attempt, limit: float) -> list[tuple[float, str, str]]:
-    """When, which worker, and what it still did; what ended in time counts as looked at."""
+    """Returns time, worker and description of all late work; work that ended in time counts as judged, too."""
     assert attempt.ended_at is not None
     found = []
     for arrival in indexed.arrivals_by_mark.get(attempt.mark, ()):
@@ -168,7 +178,7 @@
 
 
 def too_many_retries(indexed: IndexedHistory) -> list[Violation]:
-    """Tries beyond the first, as workers saw them, against the calls that came to the routers."""
+    """Compares the retries that workers received with the calls that routers received."""
     calls: dict[str, list[float]] = defaultdict(list)
     tries: dict[str, list[float]] = defaultdict(list)
     for attempt in indexed.attempts:
--- a/simulation/configuration_checks.py
+++ b/simulation/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Checks of orders and bundles: in force, kept, never two at once (docs/DESIGN.md section 16.3)."""
+"""Checks of orders and bundles: in force in time, never lost, one order a version (docs/DESIGN.md section 16.3)."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from .indexed_history import IndexedHistory, Violation
 
 SEVERAL_POLLS_S = 3.0
-"""Seconds in which every daemon's version is looked at more than once."""
+"""A time in seconds within which the version of every daemon is polled more than once."""
 
 
 def latest_bundle_not_restored(indexed: IndexedHistory) -> list[Violation]:
-    """Some time after the last fault every router has the newest bundle acknowledged before that."""
+    """Finds routers that, after the recovery time, lack the latest bundle that was acknowledged before it."""
     since = indexed.last_fault_ended() + indexed.bounds.recovery
     due = [
         order.accepted.version
@@ -34,7 +34,7 @@
 
 
 def bundle_not_in_force(indexed: IndexedHistory) -> list[Violation]:
-    """An acknowledged version, or a newer one, stands on every connected router about two seconds later."""
+    """Finds connected routers without an acknowledged version, or a later one, about two seconds after it."""
     found = []
     accepted = sorted(
         (order.accepted.answered_at, order.accepted.version) for order in indexed.history.orders if order.accepted
@@ -67,6 +67,7 @@
 
 
 def bundle_version_regresses(indexed: IndexedHistory) -> list[Violation]:
+    """Finds daemons that show an older bundle version after a later one."""
     found = []
     polls: dict[str, list[tuple[float, float, int]]] = defaultdict(list)
     for poll in indexed.history.versions:
@@ -86,6 +87,7 @@
 
 
 def removed_key_accepted(indexed: IndexedHistory) -> list[Violation]:
+    """Finds calls that ran with a key whose removal had been acknowledged longer ago than the bound."""
     bound = indexed.bounds.removed_key
     if bound is None:
         return []
@@ -108,9 +110,9 @@
 
 
 def _was_queued_at_frozen_worker(indexed: IndexedHistory, attempt: Attempt, run: ObservedRun, limit: float) -> bool:
-    """Whether the call was sent by ``limit`` and the worker, frozen since before, read it when it woke.
+    """Returns whether the call was sent by ``limit`` and read by a worker, frozen since before, when it woke.
 
-    The caller had left by ``limit``, and a router that is not disturbed sends nothing for a caller that left.
+    The caller had disconnected by ``limit``, and an undisturbed router sends nothing for such a caller.
     """
     if attempt.ended_at is None or attempt.ended_at > limit:
         return False
@@ -129,6 +131,7 @@
 
 
 def two_orders_accepted(indexed: IndexedHistory) -> list[Violation]:
+    """Finds versions that were given to several orders, or that do not follow the base of their order."""
     found = []
     by_version: dict[int, set[str]] = defaultdict(set)
     for order in indexed.history.orders:
@@ -147,6 +150,7 @@
 
 
 def resent_order_refused(indexed: IndexedHistory) -> list[Violation]:
+    """Finds orders with contradictory answers, and refused orders that are in the bundle history."""
     found = []
     listed = {entry.order: entry.version for entries in indexed.history.final_history.values() for entry in entries}
     for order in indexed.history.orders:
@@ -164,6 +168,7 @@
 
 
 def acknowledged_bundle_lost(indexed: IndexedHistory) -> list[Violation]:
+    """Finds acknowledged bundle versions that daemons no longer show."""
     found = []
     acknowledged = {order.accepted.version: order for order in indexed.history.orders if order.accepted is not None}
     if not acknowledged:
@@ -193,6 +198,7 @@
 
 
 def isolated_control_is_primary(indexed: IndexedHistory) -> list[Violation]:
+    """Finds control daemons that accept orders, or report it, long after they were cut off."""
     found = []
     for fault in indexed.history.faults:
         if fault.kind not in ("cut-off", "isolate"):
--- a/simulation/disk.py
+++ b/simulation/disk.py
@@ -1,9 +1,9 @@
-"""Small disks of simulated machines (docs/DESIGN.md section 16).
+"""Simulated disks of machines (docs/DESIGN.md section 16).
 
-A method does its work part by part: the change becomes visible first and durable at its end, when
-the sync is through. A process killed in the middle leaves any part of the change visible; a machine
-that loses power keeps what was durable and any part of what was only visible (torn tails, renames
-undone). Operations of one process run one after another, as on the real disk's one thread.
+A change becomes visible first and durable at its end, when the sync is complete. A process that is killed during
+an operation leaves any part of the change visible. A machine that loses power keeps what was durable and any part
+of what was only visible (truncated file ends, undone renames). The operations of a disk run one after another, as on
+the single thread of the real disk.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class MachineDisk:
-    """One machine's data folder and its faults."""
+    """The data folder of one machine and its injected faults."""
 
     def __init__(self, loop: VirtualTimeLoop, random: Random) -> None:
         self._loop = loop
@@ -67,12 +67,12 @@
             self._loop.kernel_at(self._loop.now + self._latency(), self._finish)
 
     def wipe(self) -> None:
-        """Everything is gone, for good; the process that runs keeps what it has in memory."""
+        """Deletes all files, durable ones included; a running process keeps its memory."""
         self.visible.clear()
         self.durable.clear()
 
     def process_ended(self, incarnation: Incarnation) -> None:
-        """A killed process: what was in the middle has any part of its effect; what waited never happens."""
+        """Ends a killed process: its running operation takes effect in full, in part or not at all, queued ones never."""
         if self.locked_by is incarnation:
             self.locked_by = None
         if self._queue and self._busy and self._queue[0].incarnation is incarnation:
@@ -94,7 +94,7 @@
             self._queue = deque(operation for operation in self._queue if operation.incarnation is not incarnation)
 
     def power_lost(self) -> None:
-        """Call after the machine's processes have ended. What was not durable may be lost, whole or in part."""
+        """Loses all or part of what was not durable; to be called after the machine's processes have ended."""
         self.locked_by = None
         for name in sorted(set(self.visible) | set(self.durable)):
             visible, durable = self.visible.get(name), self.durable.get(name)
@@ -110,7 +110,7 @@
         self.durable = dict(self.visible)
 
     def truncate_last_record(self, name: str, most: int = 12) -> None:
-        """Cuts a few bytes off a file's end (for tests of the reader)."""
+        """Removes 1 to ``most`` bytes from the end of a file, for tests of its reader."""
         data = self.visible.get(name, b"")
         self.visible[name] = self.durable[name] = data[: max(0, len(data) - self._random.randint(1, most))]
 
@@ -152,7 +152,7 @@
             operation.answer.set_result(outcome)
         self._next()
 
-    # -- effects, each on what is visible, then durable
+    # -- effects of operations: on the visible content first, then on the durable content
 
     def sync(self, name: str) -> None:
         if name in self.visible:
@@ -171,7 +171,7 @@
 
 
 class SimulatedDisk:
-    """Context.disk of one process."""
+    """The disk of one process's context (``Context.disk``)."""
 
     def __init__(self, machine: MachineDisk) -> None:
         self._machine = machine
--- a/simulation/fleet_checks.py
+++ b/simulation/fleet_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the fleet: stops, drains, paid shares, service after faults (docs/DESIGN.md section 16.3)."""
+"""Checks of the fleet: stops, drains, paid shares and recovery after faults (docs/DESIGN.md section 16.3)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 def ready_while_stopping(indexed: IndexedHistory) -> list[Violation]:
-    """Stricter than the users' rule, by which a quarter of the routers may count as ready for 4 s more."""
+    """Finds routers that report ready after SIGTERM.
+
+    This is stricter than the users' rule, by which a quarter of the routers may count as ready for 4 s more.
+    """
     found = []
     for stop in indexed.history.stops:
         until = stop.ended_at if stop.ended_at is not None else indexed.end
@@ -32,6 +35,7 @@
 
 
 def stop_takes_too_long(indexed: IndexedHistory) -> list[Violation]:
+    """Finds daemons whose process still runs after the limit for a stop."""
     found = []
     for stop in indexed.history.stops:
         limit = stop.asked_at + indexed.bounds.stop
@@ -47,6 +51,7 @@
 
 
 def drained_worker_receives_calls(indexed: IndexedHistory) -> list[Violation]:
+    """Finds calls that reached a worker too long after it announced its drain."""
     found = []
     for drain in indexed.history.drains:
         limits = []
@@ -67,7 +72,10 @@
 
 
 class _SharesInForce:
-    """Which paid shares of a tenant may have been in force when; each until 2 s after the next was acknowledged."""
+    """The paid shares of a tenant with the times at which each may have been in force.
+
+    A share may be in force until 2 s after the next one was acknowledged.
+    """
 
     def __init__(self, history: History, tenant: str, in_force: float) -> None:
         self._spans: list[tuple[float, float, PaidShare]] = []
@@ -88,6 +96,7 @@
 
 
 def paid_share_missed(indexed: IndexedHistory) -> list[Violation]:
+    """Finds tenants that were admitted far above their paid share or refused well below it."""
     found = []
     sent: dict[str, list[float]] = defaultdict(list)
     admitted: dict[str, list[float]] = defaultdict(list)
@@ -128,7 +137,10 @@
 
 
 def service_not_restored(indexed: IndexedHistory) -> list[Violation]:
-    """Calls begun later than 12 s after the last fault succeed again (refusals above a tenant's share excepted)."""
+    """Finds services whose calls still fail when they start later than 12 s after the last fault.
+
+    Refusals above a tenant's share are excepted.
+    """
     since = indexed.last_fault_ended() + indexed.bounds.recovery
     calls = [
         call
@@ -150,12 +162,12 @@
 
 
 def _routers_not_restored(indexed: IndexedHistory, since: float) -> list[Violation]:
-    """Callers' second tries hide a router that the platform holds for ready and that serves a service no more."""
+    """Finds routers that are ready for the platform but fail a service; retries elsewhere hide them from callers."""
     ends: dict[tuple[str, str], list[Attempt]] = defaultdict(list)
     for attempt in indexed.attempts:
         stale = attempt.reused_connection and attempt.end == "broken" and attempt.status is None
         if attempt.sent_at < since or attempt.ended_at is None or stale:
-            continue  # a kept connection to a machine that lost power breaks at its next use, whenever that is
+            continue  # a reused connection to a machine that lost power breaks at its next use, whenever that is
         if attempt.status not in (401, 403, 409, 429):
             ends[attempt.router, attempt.service].append(attempt)
     found = []
--- a/simulation/history.py
+++ b/simulation/history.py
@@ -1,4 +1,6 @@
-"""What callers, workers and operators of a run saw; the observer judges nothing else (docs/DESIGN.md section 16)."""
+"""Records what callers, workers and operators of a run observed (docs/DESIGN.md section 16).
+
+The observer judges a run by these records only."""
 
 from __future__ import annotations
 
@@ -17,10 +19,10 @@
 
 
 class Attempt(msgspec.Struct, kw_only=True):
-    """One try of a caller at one router. Times are the world's."""
+    """One attempt of a caller at one router; its times are virtual times of the world."""
 
     mark: str
-    """Goes in the body; workers repeat it in every event and answer."""
+    """Identifies the attempt: the request body carries it, and workers repeat it in every event and answer."""
     call: str
     number: int
     router: str
@@ -30,25 +32,25 @@
     key: str
     sent_at: float
     tokens: int
-    """How many events a whole answer has; 0: a plain answer."""
+    """The number of events of a complete stream; 0 for a plain answer."""
     head_at: float | None = None
     ended_at: float | None = None
     end: AttemptEnd = "under-way"
     status: int | None = None
     code: str = ""
-    """Of an answer that a router made itself; empty for a worker's answer."""
+    """The error code of an answer that a router created itself; empty for a worker's answer."""
     reported_run: str = ""
-    """``not-run``, ``unknown`` or ``ran``, as a router-made answer said."""
+    """The ``run`` field of an answer that a router created itself: ``not-run``, ``unknown`` or ``ran``."""
     events: list[ObservedEvent] = []
     done_marker: bool = False
     answer_call: str = ""
-    """The mark in a plain answer."""
+    """The mark that a plain answer carried."""
     stray: str = ""
-    """What came that belongs to no event or answer."""
+    """Received bytes that belong to no event or answer, truncated."""
     retry_after: float | None = None
     sent_bytes: bool = False
     reused_connection: bool = False
-    """Went over a connection of an earlier call."""
+    """True when the attempt was sent over the connection of an earlier call."""
 
     @property
     def from_worker(self) -> bool:
@@ -69,7 +71,7 @@
     started_at: float
     ended_at: float | None = None
     attempts: list[Attempt] = []
-    """None at all when no router was ready."""
+    """Empty when no router was ready."""
 
     @property
     def succeeded(self) -> bool:
@@ -77,7 +79,7 @@
 
 
 class ObservedArrival(msgspec.Struct, frozen=True, kw_only=True):
-    """A call that reached a worker, run or not."""
+    """A call that reached a worker, whether the worker ran it or not."""
 
     at: float
     worker: str
@@ -100,7 +102,7 @@
     finished_at: float | None = None
     outcome: str = "running"
     event_times: list[float] = []
-    """When each event was handed to the connection."""
+    """The times at which the worker wrote each event to the connection."""
     cached_tokens: int = 0
     prompt_tokens: int = 0
 
@@ -117,20 +119,20 @@
     answered_at: float
     via: str
     outcome: str
-    """``accepted``, ``conflict``, ``invalid``, ``unknown``, or ``lost`` when no answer came."""
+    """``accepted``, ``conflict``, ``invalid``, ``unknown``, or ``lost`` when no answer was received."""
     version: int = 0
     reason: str = ""
 
 
 class PaidShare(msgspec.Struct, frozen=True):
-    """Calls a second over the fleet, and how many seconds' worth may be saved up."""
+    """A tenant's paid rate in calls a second over the whole fleet, and its burst in seconds of that rate."""
 
     paid_rate: float
     burst: float = 1.0
 
 
 class ObservedLatest(msgspec.Struct, frozen=True):
-    """A daemon's answer to the question for the newest bundle; 0: it said that there is none yet."""
+    """A daemon's answer to a request for the latest bundle; version 0 when it answered that there is none yet."""
 
     asked_at: float
     daemon: str
@@ -145,10 +147,10 @@
     intended: Literal["valid", "invalid"] = "valid"
     answers: list[OrderAnswer] = []
     removed_keys: tuple[str, ...] = ()
-    """Callers' keys that stop working with it."""
+    """Callers' keys that the order removes."""
     added_keys: tuple[str, ...] = ()
     paid_shares: dict[str, PaidShare] = {}
-    """Of the tenants that it changes."""
+    """The new paid shares of the tenants that the order changes."""
 
     @property
     def accepted(self) -> OrderAnswer | None:
@@ -164,7 +166,7 @@
 
 
 class ObservedReady(msgspec.Struct, frozen=True):
-    """A router's answer to the platform's question whether it is ready; no answer counts as not ready."""
+    """A router's answer to the platform's readiness check; a missing answer counts as not ready."""
 
     asked_at: float
     router: str
@@ -172,7 +174,7 @@
 
 
 class ObservedStop(msgspec.Struct, kw_only=True):
-    """A daemon was sent SIGTERM; ``ended_at`` is when its process ended by itself."""
+    """A SIGTERM that was sent to a daemon; ``ended_at`` is the time at which its process ended by itself."""
 
     daemon: str
     incarnation: int
@@ -181,7 +183,7 @@
 
 
 class ObservedPrimary(msgspec.Struct, frozen=True):
-    """A control daemon said of itself that it takes orders as primary."""
+    """A control daemon's report that it is primary and accepts orders."""
 
     at: float
     daemon: str
@@ -194,11 +196,11 @@
 
 
 class Fault(msgspec.Struct, kw_only=True):
-    """What the harness did to whom, and when it was over."""
+    """A fault that the harness injected, with its targets, start and end."""
 
     kind: str
     targets: tuple[str, ...]
-    """Machines and processes."""
+    """The names of the affected machines and processes."""
     started_at: float
     ended_at: float | None = None
     description: str = ""
@@ -220,12 +222,12 @@
     stops: list[ObservedStop] = []
     faults: list[Fault] = []
     final_versions: dict[str, int] = {}
-    """Read back from each daemon at the end."""
+    """The version in force at each daemon, read at the end of the run."""
     final_history: dict[str, list[HistoryEntry]] = {}
-    """As each control daemon told it at the end."""
+    """The bundle history that each control daemon returned at the end of the run."""
     latest_reads: list[ObservedLatest] = []
     first_shares: dict[str, PaidShare] = {}
-    """Tenants' shares in the first bundle."""
+    """The paid shares of the tenants in the first bundle."""
 
     def attempts(self) -> list[Attempt]:
         return [attempt for call in self.calls for attempt in call.attempts]
@@ -233,5 +235,5 @@
     def disturbed(
         self, names: frozenset[str], start: float, end: float, after: float = 0.0, but: tuple[str, ...] = ()
     ) -> bool:
-        """``but``: kinds of faults that don't count."""
+        """Returns whether a fault touched one of the names in the interval; the kinds in ``but`` are ignored."""
         return any(fault.touches(names, start, end, after) for fault in self.faults if fault.kind not in but)
--- a/simulation/http_client.py
+++ b/simulation/http_client.py
@@ -1,7 +1,7 @@
-"""A plain HTTP/1.1 client over a simulated (or any) network, for callers, operators and workers of a run.
+"""A plain HTTP/1.1 client over any ``Network``, for callers, operators and workers of a run.
 
-Written apart from the daemons' client on purpose: what callers saw is judged by code that shares
-nothing with the code under test (docs/DESIGN.md section 16).
+It is deliberately independent of the daemons' client: what callers observed is judged by code that shares nothing
+with the code under test (docs/DESIGN.md section 16).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     def __init__(
         self, network: Network, request: HttpRequest, stream: BaseIOStream | None = None, keep_open: bool = False
     ) -> None:
-        """With ``stream`` the call goes over a connection that is there already."""
+        """Starts the call, over the open connection ``stream`` when one is given."""
         self._network = network
         self._request = request
         self._stream = stream
@@ -144,7 +144,7 @@
         return framed[:-2]
 
     def reusable(self) -> BaseIOStream | None:
-        """The connection, when the next call may go over it."""
+        """Returns the connection when the next call may be sent over it, otherwise None."""
         head, stream = self._head, self._stream
         if not self._ended or not self._keep_open or head is None or stream is None or stream.closed():
             return None
--- a/simulation/indexed_history.py
+++ b/simulation/indexed_history.py
@@ -1,4 +1,4 @@
-"""What the checks of a run are given, and what they find (docs/DESIGN.md section 16.3)."""
+"""Defines the inputs of the checks of a run and the violations that they return (docs/DESIGN.md section 16.3)."""
 
 from __future__ import annotations
 
@@ -11,20 +11,23 @@
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Seconds and shares, from the users' brief ("about" is taken as a tenth or the harness's own delay more)."""
+    """Limits in seconds and shares, from the users' brief.
+
+    Where the brief says "about", the limit is a tenth larger, or larger by the harness's own delay.
+    """
 
     chunk_delay: float = 0.1 + 0.02
     in_force: float = 2.0 + 0.2
     regression_tolerance: float = 0.25
     removed_key: float | None = 5.0 + 0.3
-    """None: a deployment whose cut-off routers go on serving."""
+    """None in a deployment whose cut-off routers go on serving."""
     drained: float = 2.0 + 0.1
     caller_left: float = 0.5 + 0.02
-    """How long after its caller left a worker may still work on a call."""
+    """How long after its caller disconnected a worker may still work on a call."""
     unready: float = 0.1
-    """How long after SIGTERM a router may still say that it is ready."""
+    """How long after SIGTERM a router may still report that it is ready."""
     stop: float = 20.0 + 2.0 + 0.1
-    """From SIGTERM to the end of the process: the settings' ``stop_within``, and what it allows beside that."""
+    """The time from SIGTERM to the end of the process: ``stop_within`` of the settings plus its tolerance."""
     isolated_primary: float = 20.0
     retry_share: float = 0.2
     retry_window: float = 10.0
@@ -35,20 +38,20 @@
     recovery: float = 12.0
     recovery_success_share: float = 0.99
     recovery_failures_allowed: int = 2
-    """Calls that may fail of few: a long prompt that admission refuses at a busy moment is no fault."""
+    """The number of failed calls that are tolerated: admission may refuse a long prompt at a busy moment."""
     router_failures: float = 0.2
-    """Share of a service's calls that one router may fail after that."""
+    """The share of a service's calls that one router may fail after the recovery time."""
     retransmission: float = 25.0
-    """How long after a cut its traffic may still come late."""
+    """How long after the end of a network partition its traffic may still arrive late."""
 
 
 class Topology(msgspec.Struct, frozen=True, kw_only=True):
     machine_of: Mapping[str, str]
-    """Of each process."""
+    """The machine of each process."""
     controls: frozenset[str]
-    """Control processes and their machines, replaced ones too."""
+    """The names of control processes and their machines, replaced ones included."""
     routers: frozenset[str] = frozenset()
-    """Those that are there at the end."""
+    """The routers that exist at the end of the run."""
 
 
 class Violation(msgspec.Struct, frozen=True, order=True):
@@ -61,7 +64,7 @@
 
 
 class IndexedHistory:
-    """The history with the indexes that several checks use."""
+    """The history of a run with the indexes that several checks use."""
 
     def __init__(self, history: History, topology: Topology, bounds: Bounds, end: float) -> None:
         self.history = history
@@ -77,13 +80,13 @@
         self.attempts = history.attempts()
         self.attempt_of = {attempt.mark: attempt for attempt in self.attempts}
         self.judged: Counter[str] = Counter()
-        """How many things each check judged; one that judges nothing proves nothing."""
+        """The number of things that each check judged; a check that judged nothing proves nothing."""
 
     def with_machines(self, *names: str) -> frozenset[str]:
         return frozenset(names) | {self.topology.machine_of[name] for name in names if name in self.topology.machine_of}
 
     def undisturbed_since(self, names: frozenset[str], at: float) -> float:
-        """End of the last fault of any of them that began before ``at``; minus infinity without one."""
+        """Returns the end of the last fault of these names that started by ``at``; minus infinity without one."""
         latest = float("-inf")
         for fault in self.history.faults:
             if fault.started_at <= at and names.intersection(fault.targets):
--- a/simulation/network.py
+++ b/simulation/network.py
@@ -1,10 +1,10 @@
 """TCP between simulated machines (docs/DESIGN.md section 16).
 
-What is modelled: delay per pair of zones with jitter, bytes split and joined anywhere, bounded
-buffers, refused connects, accept queues that outlive a frozen process, resets on kill, silence on
-loss of a machine, cuts both ways or one way whose traffic comes late after healing (as
-retransmission does) or finds its connection reset, and for machines in ``bandwidth`` the time that bytes take on
-their link, first come first served. Not modelled: lost acknowledgements.
+The model covers delay per pair of zones with jitter, bytes split and joined anywhere, bounded buffers, refused
+connects, accept queues that keep accepting while a process is frozen, resets on kill, and silence when a machine
+loses power. Partitions work one way or both ways; after healing their traffic arrives late (as with retransmission)
+or finds its connection reset. For machines in ``bandwidth`` it covers the time that bytes take on their link, first
+come first served. Lost acknowledgements are not modelled.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 BUFFER_BYTES = 256 * 1024
 LINK_CHUNK_BYTES = 16 * 1024
-"""A slow link hands bytes on in pieces of at most this size."""
+"""A link of limited bandwidth delivers bytes in chunks of at most this size."""
 SYN_RETRY_PAUSES_S = (1.0, 2.0, 4.0, 8.0, 16.0)
 ACCEPT_QUEUE_LENGTH = 1024
 
 
 class Host(Protocol):
-    """What the network knows of a machine."""
+    """The part of a machine that the network uses."""
 
     name: str
     zone: str
@@ -44,21 +44,21 @@
 
 
 class NetworkShape(msgspec.Struct, frozen=True, kw_only=True):
-    """Delays in seconds, one way."""
+    """Delays in seconds, one way, and probabilities of faults."""
 
     same_machine: float = 0.00003
     same_zone: float = 0.00015
     between_zones: float = 0.0006
     jitter: float = 0.5
-    """Up to this share is added to each delay."""
+    """Each delay grows by a random share of itself, at most this one."""
     split_chance: float = 0.1
     reset_on_heal_chance: float = 0.25
     reset_after_s: float = 600.0
-    """Traffic held longer than this finds its connection reset."""
+    """A connection whose traffic was blocked for longer than this is reset when the partition heals."""
 
 
 class Endpoint(Descriptor):
-    """One end of a connection, as its machine's kernel keeps it."""
+    """One end of a connection, as the kernel of its machine holds it."""
 
     def __init__(self, network: SimulatedNetworkCore, machine: Host, own: Address, other: Address) -> None:
         super().__init__(network.loop.new_descriptor_number())
@@ -74,7 +74,7 @@
         self.closed = False
         self.blocked_writer = False
         self.segments: deque[tuple[float, bytes | None, bool]] = deque()
-        """Under way to the peer: (arrival, bytes or None for the end, whether the end is a reset)."""
+        """Segments in flight to the peer: (arrival, bytes or None for the end, whether the end is a reset)."""
         self.bytes_in_flight = 0
         self.last_arrival = 0.0
         self.timer_set = False
@@ -120,7 +120,7 @@
         return 0 if self.ended else None
 
     def close(self) -> None:
-        """As the kernel does: a reset when bytes were left unread, else the end after all that was sent."""
+        """Closes as the kernel does: sends a reset when unread bytes are left, otherwise the end of stream."""
         if self.closed:
             return
         self.closed = True
@@ -131,7 +131,7 @@
         self.received.clear()
 
     def vanish(self) -> None:
-        """Its machine lost power: nothing is sent."""
+        """Removes the endpoint of a machine that lost power; the peer is sent nothing."""
         self.closed = True
         self.network.loop.unwatch(self)
         self.network.remove_endpoint(self)
@@ -140,7 +140,7 @@
 
 
 class _SocketName:
-    """What tornado's HTTP server wants to know of a socket."""
+    """The part of a socket that tornado's HTTP server reads."""
 
     family = socket.AF_INET
 
@@ -170,7 +170,7 @@
         return self.endpoint.number
 
     def write(self, data: bytes | memoryview) -> asyncio.Future[None]:
-        """As the base class does, in one step when all of it fits at once."""
+        """Writes as the base class does, but sends the data at once when nothing is queued before it."""
         if self._closed or self._write_buffer or self._write_futures or not isinstance(data, bytes) or not data:
             return super().write(data)
         try:
@@ -286,7 +286,7 @@
         self.resume()
 
     def resume(self) -> None:
-        """Retransmits what was held, after the pause that a retransmission timer would have reached by now."""
+        """Retransmits blocked traffic after the pause that a retransmission timer would have reached by now."""
         for endpoint in list(self.endpoints.values()):
             self._resume(endpoint)
             if endpoint.peer.closed:
@@ -329,7 +329,7 @@
         base *= 1.0 + self.random.random() * shape.jitter
         return base + self.slowness.get((source.name, target.name), 0.0) if self.slowness else base
 
-    # -- bytes under way
+    # -- bytes in flight
 
     def transmit(self, endpoint: Endpoint, data: bytes) -> None:
         if len(data) > 1 and self.random.random() < self.shape.split_chance:
@@ -341,7 +341,7 @@
             self.queue(endpoint, data[start : start + chunk_bytes], reset=False)
 
     def _link_passed(self, machine: Host, direction: str, start: float, count: int) -> float:
-        """When ``count`` bytes that reach that machine's link at ``start`` have passed it."""
+        """Returns when ``count`` bytes that reach the machine's link at ``start`` have passed it."""
         rate = self.bandwidth.get(machine.name)
         if rate is None:
             return start
@@ -425,7 +425,7 @@
     def listen(self, machine: Host, address: Address, handler: StreamHandler) -> Result[Listener, NetworkFault]:
         incarnation = INCARNATION.get()
         if incarnation is None:
-            raise RuntimeError("listening belongs to a process")
+            raise RuntimeError("listen() was called outside a simulated process")
         if address.host != machine.host:
             return Failure(NetworkFault("unreachable", f"{address} is not an address of {machine.name}"))
         if address in self.listeners:
@@ -547,7 +547,7 @@
 
 
 class SimulatedNetwork:
-    """The network as one machine sees it."""
+    """The network as the processes of one machine use it (``Context.network``)."""
 
     def __init__(self, core: SimulatedNetworkCore, machine: Host) -> None:
         self._core = core
--- a/simulation/observer.py
+++ b/simulation/observer.py
@@ -1,8 +1,8 @@
-"""Judges a run by what callers, workers and operators saw (docs/DESIGN.md section 16.3).
+"""Judges a run by what callers, workers and operators observed (docs/DESIGN.md section 16.3).
 
-Each line under "What must never happen" of the users' brief is a check here; all are run over every
-scenario and every explored seed. A check gets the history, the faults that the harness caused, and
-the fleet's places; it never looks into a daemon.
+Each line under "What must never happen" of the users' brief is a check here, and all checks run over every
+scenario and every explored seed. A check gets the history, the faults that the harness injected, and the fleet's
+topology; it never reads the state of a daemon.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 def judge(
     history: History, topology: Topology, bounds: Bounds, end: float, judged: Counter[str] | None = None
 ) -> list[Violation]:
-    """All that went against the brief, in order of time; ``judged`` is told how many things each check judged."""
+    """Returns all violations of the brief, ordered by time; adds to ``judged`` how many things each check judged."""
     indexed = IndexedHistory(history, topology, bounds, end)
     violations = sorted(violation for check in CHECKS.values() for violation in check(indexed))
     if judged is not None:
--- a/simulation/run.py
+++ b/simulation/run.py
@@ -1,4 +1,4 @@
-"""Runs scenario files and prints what came of them: ``python -m simulation.run FILE`` (section 16.4)."""
+"""Runs scenario files and prints their reports: ``python -m simulation.run FILE`` (docs/DESIGN.md section 16.4)."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @click.command()
 @click.argument("files", nargs=-1, type=click.Path(exists=True, path_type=Path))
-@click.option("--seed", type=int, help="Instead of the file's own.")
-@click.option("--lines", is_flag=True, help="Shows the lines that a scenario may hold.")
-@click.option("--events", is_flag=True, help="Prints the time line of passed runs too.")
+@click.option("--seed", type=int, help="Runs this seed instead of the seeds in the file.")
+@click.option("--lines", is_flag=True, help="Lists the lines that a scenario may contain.")
+@click.option("--events", is_flag=True, help="Also prints the time line of runs that passed.")
 def main(files: tuple[Path, ...], seed: int | None, lines: bool, events: bool) -> None:
-    """Runs scenarios on a simulated fleet; exit code 1 when one failed."""
+    """Runs scenarios on a simulated fleet and exits with code 1 when one of them failed."""
     if lines:
         print(help_text())
     failed = False
--- a/simulation/virtual_time.py
+++ b/simulation/virtual_time.py
@@ -1,8 +1,8 @@
 """An asyncio event loop on virtual time, shared by many simulated processes (docs/DESIGN.md section 16).
 
-Time moves only when no callback is ready, straight to the next timer. Every callback belongs to the
-process whose contextvars.Context it carries: those of a frozen process are parked until it wakes,
-those of a killed one are dropped for ever. Work of the simulated kernel and wires carries no context.
+Virtual time advances only when no callback is ready, and then jumps to the next timer. Every callback belongs to
+the process whose contextvars.Context it carries: callbacks of a frozen process wait until it wakes, and those of a
+killed process never run. Callbacks of the simulated kernel and network carry no context.
 """
 
 from __future__ import annotations
@@ -23,20 +23,22 @@
 
 
 class NoProgressError(Exception):
-    """Callbacks go on for ever at one virtual instant: some code spins."""
+    """Virtual time can't advance: callbacks keep queuing callbacks at one instant, or nothing is scheduled."""
 
 
 class Incarnation:
-    """The schedulable side of one life of a simulated process."""
+    """One incarnation (start) of a simulated process, as the event loop schedules it."""
 
     def __init__(self, name: str, offset: float = 0.0, rate: float = 1.0) -> None:
         self.name = name
         self.dead = False
         self.frozen = False
         self.suspended = False
-        """Dead or frozen."""
+        """True when the incarnation is dead or frozen, so that its callbacks don't run."""
         self.parked: deque[VirtualHandle] = deque()
+        """Callbacks that became due while the process was frozen."""
         self.retained_after_death: deque[object] = deque()
+        """Callbacks and tasks of a killed process; garbage collection of a task would run its ``finally`` blocks."""
         self.offset = offset
         self.rate = rate
 
@@ -89,7 +91,7 @@
 
 
 class VirtualTask(asyncio.Task[Any]):
-    """A task that knows its process, with a hash that is the same in every run."""
+    """A task that knows the incarnation that created it and whose hash is the same in every run."""
 
     incarnation: Incarnation | None
     number: int
@@ -105,12 +107,12 @@
 
 
 class Descriptor:
-    """What the loop watches of one end of a connection."""
+    """The read and write readiness of one end of a connection, as the event loop watches it."""
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.handler: VirtualHandle | None = None
-        """Takes the events; set by tornado's loop."""
+        """The callback for read and write events, set by tornado's loop."""
         self.reads = False
         self.writes = False
         self.reader_queued = False
@@ -129,7 +131,7 @@
     def __init__(self, random: Random) -> None:
         super().__init__()
         self.now = 0.0
-        """The world's time, in seconds since the start of the run."""
+        """Virtual time of the world, in seconds since the start of the run."""
         self.running_incarnation: Incarnation | None = None
         self.callbacks_run = 0
         self.limit = float("inf")
@@ -186,7 +188,7 @@
         return handle
 
     def kernel_at(self, at: float, callback: Callable[..., object], *args: Any) -> VirtualHandle:
-        """Runs at a world time, outside all processes."""
+        """Schedules a callback at a time of the world, outside all processes."""
         handle = VirtualHandle(callback, args, None, when=at, at=at)
         heapq.heappush(self._heap, (at, next(self._sequence), handle))
         return handle
@@ -199,7 +201,7 @@
                 heapq.heappop(heap)
             if not heap or heap[0][0] > self.limit:
                 if self.limit == float("inf"):
-                    raise NoProgressError("nothing is scheduled any more")
+                    raise NoProgressError("no callback or timer is scheduled and the run has no time limit")
                 self.now = max(self.now, self.limit)
                 self._stopping = True
                 return
@@ -260,7 +262,7 @@
         incarnation.frozen = incarnation.suspended = True
 
     def wake(self, incarnation: Incarnation) -> None:
-        """Queues all that waited; half of the time input comes before due timers, as epoll gives it."""
+        """Queues the parked callbacks; in half of the cases input comes before due timers, as epoll may deliver it."""
         incarnation.frozen = incarnation.suspended = False
         parked, incarnation.parked = incarnation.parked, deque()
         if self._random.random() < 0.5:
@@ -270,7 +272,7 @@
             self._ready.extend(parked)
 
     def kill(self, incarnation: Incarnation) -> None:
-        """Nothing of it runs any more, not even what stands in ``finally``; all is kept from the garbage collector."""
+        """Stops the incarnation for ever; its tasks are retained, since collecting them would run ``finally`` blocks."""
         incarnation.dead = incarnation.suspended = True
         incarnation.retained_after_death.extend(incarnation.parked)
         incarnation.parked = deque()
@@ -302,7 +304,7 @@
         return self._descriptors.get(number)
 
     def notify_readable(self, descriptor: Descriptor) -> None:
-        """Level-triggered: queues the handler when it wants to read and something can be read."""
+        """Queues the read handler when it wants to read and data is available (level-triggered)."""
         if descriptor.reads and not descriptor.reader_queued and descriptor.readable():
             handler = descriptor.handler
             assert handler is not None
@@ -336,7 +338,7 @@
             finally:
                 self.notify_writable(descriptor)
 
-    # -- what simulated code may not use
+    # -- operations that simulated code must not use
 
     def run_in_executor(self, *_: Any, **__: Any) -> Any:  # type: ignore[override]
         raise RuntimeError("no threads in the simulator: go through Context.disk")
@@ -349,7 +351,7 @@
 
 
 class VirtualIOLoop(BaseAsyncIOLoop):
-    """tornado's loop on the virtual time loop, its clock included."""
+    """Tornado's event loop on top of the virtual time loop; it uses the virtual clock as well."""
 
     def initialize(self, **kwargs: Any) -> None:  # type: ignore[override]
         super().initialize(make_current=False, **kwargs)
@@ -390,7 +392,7 @@
 
 
 async def pause() -> None:
-    """Lets all callbacks of this instant run."""
+    """Yields once, so that all callbacks that are ready at this instant run."""
     await _YieldOnce()
 
 
--- a/simulation/workers.py
+++ b/simulation/workers.py
@@ -1,4 +1,4 @@
-"""The emulated workers of a run, with what they saw noted (docs/DESIGN.md section 16)."""
+"""The emulated workers of a run, which record what they observe in the history (docs/DESIGN.md section 16)."""
 
 from __future__ import annotations
 
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -1,4 +1,4 @@
-"""A world of machines and processes on virtual time (docs/DESIGN.md section 16)."""
+"""A simulated world of machines and processes on virtual time (docs/DESIGN.md section 16)."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def seeded(seed: int, *names: object) -> Random:
-    """A random source of its own for each name; the same in every run and interpreter."""
+    """Returns a random source derived from the seed and the names; it is the same in every run and interpreter."""
     text = "/".join([str(seed), *(str(name) for name in names)])
     return Random(int.from_bytes(hashlib.blake2b(text.encode(), digest_size=16).digest(), "big"))
 
@@ -59,7 +59,7 @@
 
 
 class Process:
-    """A program on a machine; each start is a new life."""
+    """A program on a machine; every start of it is a new incarnation."""
 
     def __init__(self, world: World, name: str, machine: Machine, main: Main, tags: dict[str, str]) -> None:
         self.world = world
@@ -130,7 +130,7 @@
 
 
 class World:
-    """Use as a context manager; everything of a run hangs on it, nothing outlives it."""
+    """A simulated world, used as a context manager: it owns all state of a run, and none of it outlives the world."""
 
     def __init__(self, seed: int, shape: NetworkShape | None = None, keep_events: int = 200_000) -> None:
         self.seed = seed
@@ -142,9 +142,9 @@
         self.processes: dict[str, Process] = {}
         self.events: list[WorldEvent] = []
         self.broken_invariants: list[str] = []
-        """Exceptions that escaped in simulated processes, with their traces."""
+        """Unhandled exceptions of simulated processes, with their tracebacks."""
         self.http_client: Callable[[Network, Tasks], HttpClient] = StreamHttpClient
-        """Makes Context.http: the daemons' own client, on the simulated network."""
+        """Creates Context.http: by default the HTTP client of the daemons, on the simulated network."""
         self._digest = hashlib.blake2b(digest_size=16)
         self._keep_events = keep_events
         self._hosts_of_zone: dict[str, int] = {}
@@ -153,7 +153,7 @@
         self._end: list[Callable[[], None]] = []
         self.loop.on_unhandled = self._unhandled
 
-    # -- incarnation of the world
+    # -- start and end of the world
 
     def __enter__(self) -> World:
         self.io_loop = attach_tornado(self.loop)
@@ -167,7 +167,7 @@
         self.close()
 
     def close(self) -> None:
-        """Ends the run in silence: no finally block of simulated code may be seen to run."""
+        """Ends the run without running simulated code: no ``finally`` block of it has a visible effect."""
         for incarnation in self._incarnations:
             self.loop.kill(incarnation)
         for task in self.loop_tasks():
@@ -194,7 +194,7 @@
         return sorted(tasks, key=lambda task: task.number)
 
     def run(self, seconds: float) -> None:
-        """Lets that much of virtual time pass."""
+        """Advances virtual time by this many seconds."""
         self.run_until(self.loop.now + seconds)
 
     def run_until(self, time: float) -> None:
@@ -202,7 +202,7 @@
         self.loop.run_forever()
 
     def wait_for(self, condition: Callable[[], bool], within: float, every: float = 0.05) -> bool:
-        """Runs until the condition holds; False when it did not within that many virtual seconds."""
+        """Runs until the condition holds; returns False when it does not hold within ``within`` virtual seconds."""
         until = self.loop.now + within
         while not condition():
             if self.loop.now >= until - 1e-9:
@@ -211,12 +211,14 @@
         return True
 
     def complete(self, coroutine: Coroutine[Any, Any, Value], within: float = 60.0) -> Value:
-        """Runs a coroutine of the test itself (outside all processes) to its end."""
+        """Runs a coroutine of the test, outside all processes, to its end and returns its result.
+
+        Raises TimeoutError when it is not done within ``within`` virtual seconds."""
         task = self.loop.create_task(coroutine, name="test")
         if not self.wait_for(task.done, within, every=0.01):
             task.cancel()
             self.run(0.001)
-            raise TimeoutError(f"not done within {within} virtual seconds")
+            raise TimeoutError(f"the coroutine was not done within {within} virtual seconds")
         result: Value = task.result()
         return result
 
@@ -230,7 +232,7 @@
     # -- machines and processes
 
     def machine(self, name: str, zone: str = "a") -> Machine:
-        """The machine of that name; made when there is none."""
+        """Returns the machine of this name and creates it when there is none."""
         found = self.machines.get(name)
         if found is None:
             if zone not in self._zones:
@@ -250,9 +252,9 @@
         tags: dict[str, str] | None = None,
         clock_rate: float = 1.0,
     ) -> Process:
-        """Starts ``main(context)`` as a process on a machine (of its own, unless named)."""
+        """Starts ``main(context)`` as a process on the named machine, by default one of the process's own name."""
         if name in self.processes:
-            raise ValueError(f"there is a process {name!r} already")
+            raise ValueError(f"a process named {name!r} exists already")
         process = Process(self, name, self.machine(machine or name, zone), main, tags or {})
         process.clock_rate = clock_rate
         self.processes[name] = process
@@ -261,7 +263,7 @@
 
     def _begin(self, process: Process) -> None:
         if not process.machine.powered:
-            raise ValueError(f"{process.machine.name} is without power")
+            raise ValueError(f"machine {process.machine.name} is powered off")
         process.incarnation_number += 1
         process.stopped_because = None
         random = seeded(self.seed, "process", process.name, process.incarnation_number)
@@ -286,7 +288,7 @@
         self.spawn(process, process.main(process.context), "main")
 
     def spawn(self, process: Process, awaitable: Awaitable[None], name: str) -> None:
-        """Runs a coroutine as a task of the process."""
+        """Runs an awaitable as a task of the process."""
         assert process.incarnation is not None and process.context is not None
         process_context, tasks = contextvars.Context(), process.context.tasks
         process_context.run(INCARNATION.set, process.incarnation)
@@ -304,7 +306,7 @@
         return process.context
 
     def kill(self, process: Process | str) -> None:
-        """As SIGKILL: nothing of it runs any more, its kernel closes its connections."""
+        """Ends the process as SIGKILL does: none of its code runs any more, and the kernel closes its connections."""
         process = self._process(process)
         incarnation = process.incarnation
         if incarnation is None or incarnation.dead:
@@ -335,7 +337,7 @@
             self.loop.wake(process.incarnation)
 
     def power_off(self, machine: Machine | str) -> None:
-        """The machine is gone in silence; what was not synced is lost."""
+        """Cuts the machine's power: its peers get no reset or end of stream, and unsynced data is lost."""
         machine = self._machine(machine)
         self.note("world", "power-off", machine=machine.name)
         machine.powered = False
@@ -360,20 +362,20 @@
                     self._begin(process)
 
     def wipe(self, machine: Machine | str) -> None:
-        """Empties its disk under whatever runs there."""
+        """Empties the machine's disk while its processes go on running."""
         machine = self._machine(machine)
         self.note("world", "wipe", machine=machine.name)
         machine.disk.wipe()
 
-    # -- wires
+    # -- network partitions
 
     def cut(self, one: str, other: str, both_ways: bool = True) -> Cut:
-        """Nothing passes from machine ``one`` to ``other`` (and back) until it is healed."""
+        """Blocks all traffic from machine ``one`` to ``other``, and back with ``both_ways``, until ``heal``."""
         self.note("world", "cut", one=one, other=other, both_ways=both_ways)
         return self.network.cut([(one, other), (other, one)] if both_ways else [(one, other)])
 
     def cut_off(self, machine: str, inward: bool = True, outward: bool = True) -> Cut:
-        """Nothing reaches the machine, or leaves it, or both."""
+        """Blocks traffic that enters the machine, traffic that leaves it, or both, until ``heal``."""
         self.note("world", "cut-off", machine=machine, inward=inward, outward=outward)
         others = [name for name in self.machines if name != machine]
         pairs = [(name, machine) for name in others if inward] + [(machine, name) for name in others if outward]
@@ -394,7 +396,7 @@
             del self.events[: self._keep_events // 2]
 
     def digest(self) -> str:
-        """Of all events so far, of every byte count that was delivered, and of every callback that ran."""
+        """Returns a digest of all events and the numbers of delivered bytes, connections and callbacks so far."""
         copy = self._digest.copy()
         copy.update(
             f"{self.network.bytes_delivered} {self.network.connections_made} {self.loop.callbacks_run}".encode()
