--- a/simulation/broken.py
+++ b/simulation/broken.py
@@ -1,7 +1,7 @@
-"""Deliberately broken variants of the fleet, to show that each check of the observer can fail.
+"""Deliberately broken variants of the fleet, which show that each check of the observer can fail.
 
-They exist in the test harness only: wrappers around what a daemon gets from its context, or other
-settings than the deployment's (docs/DESIGN.md section 16.3).
+They exist in the test harness only: they wrap parts of a daemon or of its context, or change its settings
+(docs/DESIGN.md section 16.3).
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class WrappedExchange:
-    """Passes everything on; variants override what they break."""
+    """Forwards all calls to the inner exchange; variants override what they break."""
 
     def __init__(self, inner: HttpExchange) -> None:
         self.inner = inner
@@ -54,7 +54,7 @@
 
 
 class WrappedClient:
-    """Breaks calls to workers (not health questions)."""
+    """Wraps the exchanges of calls to workers; health checks pass unchanged."""
 
     def __init__(self, inner: HttpClient, wrap: Callable[[HttpClient, HttpRequest], HttpExchange]) -> None:
         self._inner = inner
@@ -88,7 +88,7 @@
 
 
 class _DropsThirdChunk(WrappedExchange):
-    """Loses the third event of each stream."""
+    """Drops the third event of each stream."""
 
     _events = 0
 
@@ -111,7 +111,7 @@
 
 
 class _CompletesTruncatedStreams(WrappedExchange):
-    """Makes a broken stream look whole."""
+    """Ends a truncated stream with the end marker, so that it looks complete."""
 
     _ended = False
 
@@ -126,14 +126,14 @@
 
 
 class _IgnoresCancellation(WrappedExchange):
-    """Calls go on at their workers when nobody wants them any more."""
+    """Ignores cancellation, so that workers go on with calls whose callers disconnected."""
 
     def cancel(self) -> None:
         return None
 
 
 class _SendsLate(WrappedExchange):
-    """Sends each call a second late, and doesn't look whether its caller is still there."""
+    """Sends each call one second late without checking whether its caller is still connected."""
 
     def __init__(self, client: HttpClient, request: HttpRequest) -> None:
         self._ready: asyncio.Future[HttpExchange] = asyncio.get_running_loop().create_future()
@@ -154,7 +154,7 @@
 
 
 class DiscardingDisk:
-    """Says yes and writes nothing after the first records."""
+    """Acknowledges all writes but holds them in memory only."""
 
     def __init__(self, inner: Disk) -> None:
         self._inner = inner
@@ -191,7 +191,10 @@
 
 
 class UnsyncedDisk:
-    """After a while it says yes to what only lies in memory: the next life finds the files as they were."""
+    """Acknowledges writes that it holds in memory only, from ``SYNCED_FOR`` seconds on.
+
+    The next incarnation finds the files as they were before.
+    """
 
     SYNCED_FOR = 4.5
 
@@ -280,7 +283,7 @@
 
 
 class _BrokenDaemon:
-    """A daemon with some object of it spoiled once it has started."""
+    """A daemon in which ``break_parts`` replaces some parts after its start."""
 
     def __init__(self, inner: Daemon, break_parts: Callable[[Any], None]) -> None:
         self.inner = inner
@@ -310,7 +313,7 @@
 
 
 def _shows_older_versions(router: Any) -> None:
-    """Now and then a router has the version before the one it had."""
+    """Makes a router report the previous version on every fifth read."""
     version, reads = router.follower.version, 0
 
     def older() -> int:
@@ -323,7 +326,7 @@
 
 
 def _trusts_drained_workers(router: Any) -> None:
-    """Workers that were ready once stay so."""
+    """Makes a router treat workers that were ready once as ready for ever."""
     ready, known = router.registry.ready, {}
 
     def all_known(pool: str) -> list[Any]:
@@ -352,7 +355,7 @@
 
 
 def _refuses_resent_orders(client: Any) -> None:
-    """Each order's second answer is a conflict."""
+    """Answers each order that was sent before with a conflict."""
     decide, seen = client.decide, _ORDERS_SEEN
 
     async def decide_once(kind: str, command: Any, reply_type: Any, timeout: Any) -> Any:
@@ -372,7 +375,7 @@
 
 
 def _always_reports_primary(control: Any) -> None:
-    """Says for ever that it takes orders, once it was primary."""
+    """Makes a control daemon report for ever that it accepts orders once it was primary."""
     core = control._parts.core
     report, was_primary = core.report, False
 
@@ -410,7 +413,7 @@
 
 
 def _refuses_half(router: Any) -> None:
-    """Refuses half of the calls as beyond the share."""
+    """Refuses every other call as beyond the tenant's share."""
     take, calls = router.shares.take, 0
 
     async def refuse_every_other(tenant: Any, cost: int = 1) -> Any:
--- a/simulation/callers.py
+++ b/simulation/callers.py
@@ -1,6 +1,6 @@
-"""Callers of a run: tenants' clients that hold connections, lose patience and try once more elsewhere.
+"""Callers of a run: tenants' clients that reuse connections, time out and retry once at another router.
 
-They speak the callers' form (docs/DESIGN.md section 12) through code of their own, and note all they see.
+They use the callers' protocol (docs/DESIGN.md section 12) through code of their own and record all they observe.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from .http_client import PlainExchange
 
 FIRST_BYTE_TIMEOUT_MARGIN_S = 0.5
-"""Callers wait a little longer for the first byte than the bundle says of them."""
+"""Callers wait this much longer for the first byte than the bundle's ``first_byte_patience``."""
 STREAM_IDLE_TIMEOUT_S = 6.0
-"""Longest silence between two pieces of a stream."""
+"""The longest time between two chunks of a stream before the caller gives up."""
 RETRY_PAUSE_S = 0.05
 MAX_RETRY_PAUSE_S = 1.0
 BYTES_PER_TOKEN = 4
 
 
 class RouterEndpoint(msgspec.Struct, frozen=True):
-    """A router as the platform knows it."""
+    """The name of a router and the address at which callers reach it."""
 
     name: str
     address: Address
@@ -45,7 +45,7 @@
 
 
 class Callers:
-    """All callers of one tenant: one process."""
+    """All callers of one tenant; they run in one process."""
 
     def __init__(
         self,
@@ -64,12 +64,12 @@
         self.plan = plan
         self.key = plan.key
         self.factor = 1.0
-        """Traffic against the shape's."""
+        """The traffic as a multiple of the traffic of the deployment's shape."""
         self.stopped = False
         self.leave_after: float | None = None
-        """They close their connection so long after sending a call, answered or not, when set."""
+        """When set, callers close their connection this many seconds after sending a call, answered or not."""
         self.only_router: str | None = None
-        """Sends all calls to this router when set."""
+        """When set, callers send all calls to this router."""
         self._services = {service.name: service for service in shape.services}
         self._number = 0
         self._idle_connections: dict[Address, list[BaseIOStream]] = {}
@@ -94,7 +94,7 @@
                 self.context.tasks.spawn(f"session {traffic.name}", self.session(traffic))
 
     async def session(self, traffic: Traffic) -> None:
-        """All turns of one session; a plain call is a session of one turn without a name."""
+        """Makes the calls of all turns of a session; a plain call is a session of one turn without a name."""
         random = self.context.random
         service = self._services[traffic.service]
         shared = random.randrange(traffic.shared_prefixes) if traffic.shared_prefixes else None
@@ -117,7 +117,7 @@
         return {"role": "user", "content": "w" * (tokens * BYTES_PER_TOKEN)}
 
     async def flood(self, service: str, per_second: float, seconds: float) -> None:
-        """Calls of one service at a steady pace, without waiting for answers; no retries."""
+        """Calls one service at a constant rate, without waiting for answers and without retries."""
         until = self.now() + seconds
         while self.now() < until:
             await asyncio.sleep(1.0 / per_second)
@@ -214,9 +214,9 @@
             attempt.sent_bytes = exchange.request_sent()
             stream = exchange.reusable()
             if stream is not None and attempt.end == "whole":
-                # With a callback set the stream listens, so that one the router closed meanwhile is not used again.
+                # A stream with a callback watches its connection: one that the router closes is not reused.
                 stream.set_close_callback(lambda: None)
-                stream.set_close_callback(_nothing)  # so that it is noticed when the other side closes it
+                stream.set_close_callback(_nothing)  # see above; the router may close it at any time
                 self._idle_connections.setdefault(endpoint.address, []).append(stream)
             else:
                 exchange.cancel()
@@ -280,7 +280,7 @@
 
 
 def _should_retry(attempt: Attempt) -> bool:
-    """Clients try once more when it may help; not after a definite refusal of theirs."""
+    """Returns whether a retry may help; it does not after a definite refusal of the call."""
     if attempt.end != "whole":
         return True
     return attempt.status in (429, 500, 502, 503, 504)
@@ -341,7 +341,7 @@
 
 
 def share_of(values: Sequence[float], quantile: float) -> float:
-    """The value below which that share of all lies; NaN for none."""
+    """Returns the quantile of the values; NaN when there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))] if ordered else math.nan
 
--- a/simulation/disk.py
+++ b/simulation/disk.py
@@ -72,7 +72,7 @@
         self.durable.clear()
 
     def process_ended(self, incarnation: Incarnation) -> None:
-        """Ends a killed process: its running operation takes effect in full, in part or not at all, queued ones never."""
+        """Ends a killed process: its running operation takes effect fully, partly or not; queued ones never do."""
         if self.locked_by is incarnation:
             self.locked_by = None
         if self._queue and self._busy and self._queue[0].incarnation is incarnation:
--- a/simulation/explore.py
+++ b/simulation/explore.py
@@ -1,8 +1,10 @@
-"""Composes random faults over many seeds and shrinks what fails: ``python -m simulation.explore`` (section 16.5).
+"""Explores random schedules of faults and shrinks those that fail (docs/DESIGN.md section 16.5).
 
-Each seed is one day in small: traffic, orders and faults from the whole list of the users' brief,
-together and twice, one last fault at the end, and the service expected back 12 s after it.
-A failing seed is printed with the shortest schedule that still fails, as a scenario file.
+Run it by ``python -m simulation.explore``.
+
+Each seed is a schedule of traffic, orders and faults from the complete list of the users' brief. Faults may overlap
+and repeat; one last fault comes at the end, and the service must recover within 12 s of it. A failing seed is printed
+with the shortest schedule found that still fails, as a scenario file.
 """
 
 from __future__ import annotations
@@ -23,8 +25,9 @@
 
 RUN_S = 75.0
 MIN_BETWEEN_DISK_LOSSES_S = 30.0
-"""Only after this long, with control left in peace before, may a second disk be lost for good."""
+"""The shortest time between two permanent losses of disks."""
 UNDISTURBED_BEFORE_LOSS_S = 15.0
+"""Before a permanent loss of a disk the control daemons have no faults for this long."""
 
 
 class ExploredRun(msgspec.Struct, kw_only=True):
@@ -43,7 +46,7 @@
 
 
 class Composer:
-    """Makes one seed's schedule."""
+    """Composes the schedule of one seed."""
 
     def __init__(self, seed: int, deployment: str) -> None:
         self.random = seeded(seed, "explore", deployment)
@@ -73,7 +76,7 @@
         return [f"at {at:.2f} {line}" for at, line in sorted(lines)]
 
     def work(self) -> str:
-        """Orders and crowds."""
+        """Returns a line with an order, a flood of calls or more traffic."""
         random = self.random
         tenant = random.choice(self.shape.tenants)
         rate = tenant.paid_rate + random.randint(0, 9)
@@ -212,7 +215,10 @@
         )
 
     def _loss(self, at: float) -> str | None:
-        """A disk is gone for good; what was on it must be on two others when the next one goes."""
+        """Returns a permanent loss of a disk, or None when it would be too soon.
+
+        What was on the disk must be on two others before the next one is lost.
+        """
         if any(abs(loss - at) < MIN_BETWEEN_DISK_LOSSES_S for loss in self.losses):
             return None
         if any(started - 1.0 < at and end + UNDISTURBED_BEFORE_LOSS_S > at for started, end in self.control_busy):
@@ -259,7 +265,7 @@
 
 
 def shrink(found: ExploredRun, traffic: float, most_runs: int = 20) -> ExploredRun:
-    """Leaves out lines as long as one of the same checks still fails."""
+    """Removes lines of a failing schedule while at least one of the same checks still fails."""
     best, runs = found, 0
     wanted = set(found.checks)
     size = max(1, len(best.lines) // 2)
@@ -280,14 +286,14 @@
 
 
 @click.command()
-@click.option("--seeds", default=20, show_default=True, help="How many seeds.")
+@click.option("--seeds", default=20, show_default=True, help="Number of seeds to run.")
 @click.option("--first-seed", default=1, show_default=True)
-@click.option("--hours", default=0.0, help="Goes on with further seeds until so many simulated hours are done.")
+@click.option("--hours", default=0.0, help="Continues with further seeds until this many simulated hours are done.")
 @click.option("--deployment", type=click.Choice(["despensa", "sabarmati", "both"]), default="both", show_default=True)
-@click.option("--traffic", default=0.25, show_default=True, help="Of the deployment's own.")
+@click.option("--traffic", default=0.25, show_default=True, help="Traffic as a multiple of the deployment's own.")
 @click.option("--processes", default=2, show_default=True)
-@click.option("--shrinks", default=3, show_default=True, help="How many failing seeds are shrunk.")
-@click.option("--report", type=click.Path(path_type=Path), help="JSON file with all results.")
+@click.option("--shrinks", default=3, show_default=True, help="Number of failing seeds to shrink.")
+@click.option("--report", type=click.Path(path_type=Path), help="Writes all results to this JSON file.")
 def main(
     seeds: int,
     first_seed: int,
@@ -298,7 +304,7 @@
     shrinks: int,
     report: Path | None,
 ) -> None:
-    """Tries random faults on simulated fleets; exit code 1 when a seed failed."""
+    """Runs random schedules on simulated fleets and exits with code 1 when a seed failed."""
     deployments = ["despensa", "sabarmati"] if deployment == "both" else [deployment]
     started = time.monotonic()
     done: list[ExploredRun] = []
@@ -350,7 +356,7 @@
     print("judged: " + ", ".join(f"{count} {check}" for check, count in judged.items()))
     if in_force:
         print(
-            f"acknowledgement to first look in force: p50 {in_force[len(in_force) // 2]:.2f} s, "
+            f"acknowledgement to first poll that shows the version: p50 {in_force[len(in_force) // 2]:.2f} s, "
             f"p99 {in_force[int(len(in_force) * 0.99)]:.2f} s, longest {in_force[-1]:.2f} s"
         )
 
--- a/simulation/fleet.py
+++ b/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet of a deployment's shape, with its callers, operators and platform (docs/DESIGN.md section 16)."""
+"""A simulated fleet of a deployment's shape, with its callers, operators and platform (docs/DESIGN.md section 16)."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 from .workers import ObservedWorker
 from .world import Machine, Process, World, address_of, seeded
 
-# A pure function that fourteen daemons in one process ask for the same pairs.
+# Cached because it is a pure function that fourteen daemons in one process call with the same pairs.
 rendezvous.weight = functools.lru_cache(maxsize=1_000_000)(rendezvous.weight)
 
 ROUTER_PORTS = (7101, 7102, 8000)
@@ -53,11 +53,11 @@
 READY_INTERVAL_S = 0.5
 RESTART_DELAY_S = 1.0
 CLOCK_DRIFT = 0.0005
-"""Each daemon's clock runs faster or slower by up to this share."""
+"""The clock of each daemon runs faster or slower by up to this share."""
 
 
 class Daemon(Protocol):
-    """What ``wingwood.daemons.*.build`` gives."""
+    """The interface of the daemons that ``wingwood.daemons.*.build`` returns."""
 
     async def start(self) -> Any: ...
 
@@ -70,7 +70,7 @@
 
 
 def shape_named(name: str) -> Shape:
-    """``despensa`` or ``sabarmati``."""
+    """Returns the shape of the deployment ``despensa`` or ``sabarmati``; raises ValueError when it can't be read."""
     read = read_shape(Path(__file__).parent.parent / "fleet" / f"{name}.toml")
     if not isinstance(read, Success):
         raise ValueError(str(read.failure()))
@@ -83,7 +83,7 @@
 
 
 class DaemonFactories:
-    """How daemons are made; broken variants of the fleet replace them (test harness only)."""
+    """The functions that create daemons; broken variants of the fleet replace them (test harness only)."""
 
     def __init__(self, router: DaemonFactory | None = None, control: DaemonFactory | None = None) -> None:
         self._router = router
@@ -123,10 +123,10 @@
         self._stopping: set[str] = set()
         self._watched: set[str] = set()
 
-    # -- building
+    # -- starting daemons, workers, callers and operators
 
     def start(self) -> None:
-        """Starts everything; the first bundle is pushed by ``put_in_force``."""
+        """Starts all processes; ``put_in_force`` then pushes the first bundle."""
         zones, shape = self.shape.zones, self.shape
         for number in range(max(shape.routers, shape.controls)):
             self._front_machine(zones[number % len(zones)])
@@ -258,11 +258,11 @@
         self.world.start(plan.machine, main, zone=zone)
 
     def operator_endpoints(self) -> list[OperatorEndpoint]:
-        """Where operators may turn: every daemon that was ever started and not replaced."""
+        """Returns the operator endpoints of all daemons that were started and not replaced."""
         return [OperatorEndpoint(name, settings.operator) for name, settings in self.settings.items()]
 
     def ready_routers(self) -> list[RouterEndpoint]:
-        """The routers that the platform sends clients to now."""
+        """Returns the routers to which the platform sends clients now."""
         found = []
         for name, settings in self.settings.items():
             if settings.caller is not None and self.readiness.get(name):
@@ -272,7 +272,7 @@
     def names(self, role: str) -> list[str]:
         return [name for name, settings in self.settings.items() if settings.role == role]
 
-    # -- the platform and the operators' watch
+    # -- the platform's readiness checks and the polls of versions
 
     async def _platform(self, context: Context) -> None:
         while True:
@@ -313,7 +313,7 @@
             incarnation = self.world.processes[name].incarnation_number
             health = await watcher.health_at(endpoint, 1.0)
             if name not in self.settings:
-                return  # replaced meanwhile
+                return  # the daemon was replaced in the meantime
             if health is not None:
                 seen = ObservedVersion(asked_at, self.world.now, name, incarnation, int(health.get("version", 0)))
                 if self.settings[name].role == "router":
@@ -323,10 +323,10 @@
                     self.history.primaries.append(ObservedPrimary(asked_at, name, int(report.get("epoch", 0))))
             await asyncio.sleep(WATCH_INTERVAL_S)
 
-    # -- work
+    # -- orders and traffic
 
     def first_slices(self) -> Slices:
-        """The deployment's bundle."""
+        """Returns the slices of the deployment's first bundle."""
         slices: Slices = {}
         for service in self.shape.services:
             slices[SliceName(f"service/{service.name}")] = canonical_json(
@@ -360,7 +360,10 @@
         return slices
 
     def put_in_force(self, within: float = 12.0) -> float:
-        """Pushes the first bundle and waits until every router shows it. Seconds that it took."""
+        """Pushes the first bundle, waits until every router shows it, and returns the seconds that this took.
+
+        Raises TimeoutError when a router does not show it, or is not ready, within ``within`` seconds.
+        """
         started = self.world.now
         self.world.run(1.0)
         operator = self.operators["operator-1"]
@@ -374,7 +377,7 @@
 
         if not self.world.wait_for(in_force, within):
             raise TimeoutError(
-                f"the first bundle is not in force everywhere after {within} s: doors "
+                f"the first bundle is not in force everywhere after {within} s: ready routers "
                 f"{[endpoint.name for endpoint in self.ready_routers()]}, orders {self.history.orders}"
             )
         for tenant in self.shape.tenants:
@@ -395,10 +398,14 @@
         for callers in self.callers.values():
             callers.factor = factor
 
-    # -- faults, by name; each is noted in the history
+    # -- faults by name of a process, machine or group; each is recorded in the history
 
     def processes_named(self, name: str) -> list[Process]:
-        """A process, a machine's processes, or ``all daemons``, ``all controls``, ``all routers``, ``all workers``."""
+        """Returns the processes of a process name, a machine name or a group.
+
+        The groups are ``all daemons``, ``all controls``, ``all routers`` and ``all workers``. Raises ValueError for
+        an unknown name.
+        """
         world = self.world
         if name in world.processes:
             return [world.processes[name]]
@@ -431,7 +438,7 @@
             fault.ended_at = self.world.now
 
     def kill(self, name: str, down_for: float = RESTART_DELAY_S) -> None:
-        """SIGKILL; the supervisor starts it again after a while."""
+        """Kills the processes with SIGKILL; the supervisor restarts them after ``down_for`` seconds."""
         fault = self.fault("kill", name)
         for process in self.processes_named(name):
             self.world.kill(process)
@@ -483,7 +490,10 @@
         self._heal_later(cut, fault, seconds)
 
     def cut_off(self, name: str, seconds: float, direction: str = "both", workers: bool = True) -> None:
-        """From all other daemons (and workers); callers, operators and the platform still reach it."""
+        """Cuts machines off from all other daemons and, with ``workers``, from workers.
+
+        Callers, operators and the platform still reach them.
+        """
         own = set(self.machines_named(name))
         roles = ("router", "control", "worker") if workers else ("router", "control")
         inside = sorted(
@@ -502,7 +512,7 @@
         self._heal_later(self.world.network.cut(pairs), fault, seconds)
 
     def isolate(self, name: str, seconds: float) -> None:
-        """From everything, callers and operators too."""
+        """Cuts machines off from all others, callers and operators included."""
         own = set(self.machines_named(name))
         others = sorted(set(self.world.machines) - own)
         pairs = [(machine, other) for machine in sorted(own) for other in others]
@@ -511,7 +521,7 @@
         self._heal_later(self.world.network.cut(pairs + [(b, a) for a, b in pairs]), fault, seconds)
 
     def slow(self, name: str, by: float, seconds: float) -> None:
-        """All traffic of its machines takes longer; this is no cut."""
+        """Delays all traffic of the machines by ``by`` seconds without blocking it."""
         own = self.machines_named(name)
         pairs = [(near, far) for near in own for far in self.world.machines if far != near]
         pairs += [(far, near) for near, far in pairs]
@@ -557,7 +567,7 @@
         self.world.at(self.world.now + seconds, restore)
 
     def wipe(self, name: str, kill: bool = True, down_for: float = RESTART_DELAY_S) -> None:
-        """Empties the disk; with ``kill`` the process dies at once and starts on the empty disk."""
+        """Empties the disks; with ``kill`` the processes are killed as well and restart on empty disks."""
         if kill:
             self.kill(name, down_for)
         else:
@@ -566,7 +576,7 @@
             self.world.wipe(machine)
 
     def replace_control(self, name: str) -> str:
-        """The machine of a control daemon is gone for good; an empty one at a new address takes its place."""
+        """Replaces the machine of a control daemon by an empty one at a new address; returns the new daemon's name."""
         old = self.world.processes[name]
         self.fault("replace", old.machine.name, ended=False)
         if old.machine.powered:
@@ -579,7 +589,7 @@
         seeds = self.settings[name].seeds
         present = [each.internal for other, each in self.settings.items() if each.role == "control" and other != name]
         if not set(seeds) & set(present):
-            # Whoever sets up a new machine names daemons that are there; all other settings stay as they are.
+            # An operator who sets up a new machine names running daemons as seeds and keeps all other settings.
             seeds = (*present[:2], seeds[0])
         machine = self._front_machine(old.machine.zone)
         new_name = self._next_name("control")
@@ -601,7 +611,7 @@
         return f"{role}-{max(used) + 1}"
 
     def terminate(self, name: str, down_for: float = RESTART_DELAY_S) -> None:
-        """SIGTERM: drains, stops, exits; then it is started again."""
+        """Sends SIGTERM: the daemons drain, stop and exit, and are restarted after ``down_for`` seconds."""
         for process in self.processes_named(name):
             fault = self.fault("terminate", process.name)
             self.world.note("world", "terminate", process=process.name)
@@ -619,7 +629,7 @@
                 self.world.spawn(process, leave(), "terminate")
 
     def _record_stop(self, process: Process) -> ObservedStop:
-        """A second SIGTERM to the same life changes nothing."""
+        """Records a SIGTERM; a second one to the same incarnation returns the record of the first."""
         for stop in self.history.stops:
             if stop.daemon == process.name and stop.incarnation == process.incarnation_number and process.alive:
                 return stop
@@ -629,7 +639,7 @@
         return stop
 
     def supervise(self) -> None:
-        """Starts again what stopped by itself."""
+        """Restarts daemons and workers that stopped by themselves, after a delay."""
         if not self.supervised:
             return
         for process in self.world.processes.values():
@@ -650,7 +660,7 @@
                 self.world.at(self.world.now + RESTART_DELAY_S, again)
 
     def run(self, seconds: float) -> None:
-        """Lets virtual time pass, with the supervisor at work."""
+        """Advances virtual time while the supervisor runs every 0.5 s."""
         until = self.world.now + seconds
         while self.world.now < until - 1e-9:
             self.world.run_until(min(until, self.world.now + 0.5))
@@ -659,7 +669,7 @@
     # -- the end of a run
 
     def read_back(self) -> None:
-        """What operators read at the end: the version in force at each daemon, and the history."""
+        """Reads the version in force at each daemon and the bundle histories, as operators do at the end."""
         operator = self.operators["operator-1"]
 
         async def read() -> None:
--- a/simulation/operators.py
+++ b/simulation/operators.py
@@ -1,4 +1,6 @@
-"""Operators of a run: they sign orders, race, lose answers and send again to any daemon (docs/DESIGN.md section 16)."""
+"""Operators of a run (docs/DESIGN.md section 16).
+
+They sign orders, race each other, lose answers and resend orders to any daemon."""
 
 from __future__ import annotations
 
@@ -30,14 +32,14 @@
 
 
 class OperatorEndpoint(msgspec.Struct, frozen=True):
-    """A daemon's operator address as operators know it."""
+    """The name of a daemon and the address of its operator API."""
 
     name: str
     address: Address
 
 
 async def ask(context: Context, method: str, address: Address, path: str, body: bytes, within: float) -> Any:
-    """Status and body of an answer, or None when none came in time."""
+    """Sends a request and returns status and body of its answer, or None when no complete one arrived in time."""
     exchange = PlainExchange(context.network, HttpRequest(method, address, path, (), body, Seconds(within)))
     try:
         async with asyncio.timeout(within):
@@ -60,7 +62,7 @@
 
 
 class Operator:
-    """One operator: one process. All orders and answers go into the history."""
+    """One operator, in a process of its own; it records all its orders and answers in the history."""
 
     def __init__(
         self,
@@ -82,7 +84,10 @@
     # -- reading
 
     async def latest(self, within: float = 10.0) -> tuple[BundleVersion, Slices]:
-        """Newest version and its slices; version 0 when there is none yet."""
+        """Returns the latest bundle version and its slices; version 0 when there is none yet.
+
+        Raises TimeoutError when no daemon shows the latest bundle within ``within`` seconds.
+        """
         until = self.now() + within
         while True:
             endpoint = self.context.random.choice(self.operator_endpoints())
@@ -101,7 +106,7 @@
             await asyncio.sleep(0.2)
 
     async def version_at(self, endpoint: OperatorEndpoint, within: float = 1.0) -> int | None:
-        """Version in force at one daemon; 0 without a bundle; None when it does not answer."""
+        """Returns the version in force at one daemon: 0 without a bundle, None when it does not answer."""
         answer = await ask(self.context, "GET", endpoint.address, HEALTH_PATH, b"", within)
         if answer is None or answer[0] != 200:
             return None
@@ -133,7 +138,7 @@
         added_keys: tuple[str, ...] = (),
         on_conflict_again: bool = False,
     ) -> ObservedOrder:
-        """Reads the newest bundle, signs the changed one and sends it until a definite answer came."""
+        """Reads the latest bundle, signs a changed one and sends the order until it gets a definite answer."""
         while True:
             base, before = await self.latest()
             seen, order = self.prepare(base, before, change(dict(before)), what, removed_keys, added_keys)
@@ -168,7 +173,7 @@
     async def send(
         self, seen: ObservedOrder, order: Order, *, via: str | None = None, lose_answers: int = 0, tries: int = 40
     ) -> None:
-        """Sends the same order again, to any daemon, until it is accepted or refused for good."""
+        """Sends an order, to any daemon unless ``via`` names one, until it is accepted or definitely refused."""
         body = msgspec.json.encode(order)
         for _ in range(tries):
             operator_endpoints = [endpoint for endpoint in self.operator_endpoints() if via in (None, endpoint.name)]
@@ -220,7 +225,7 @@
 
 
 def _changed_shares(before: Slices, after: Slices) -> dict[str, PaidShare]:
-    """Tenants whose slice differs, with their new share."""
+    """Returns the new paid shares of the tenants whose slices differ."""
     found = {}
     for name, data in after.items():
         if name.startswith("tenant/") and before.get(name) != data:
@@ -246,7 +251,7 @@
 
 
 def set_field(path: str, value: object) -> Change:
-    """``tenant/x.paid_rate`` = value."""
+    """Returns a change that sets one field of a slice; ``path`` is such as ``tenant/x.paid_rate``."""
     name, _, field = path.rpartition(".")
 
     def change(slices: Slices) -> Slices:
--- a/simulation/scenario.py
+++ b/simulation/scenario.py
@@ -1,8 +1,8 @@
-"""Scenarios: small text files of what happens when, run on a whole fleet and judged by the observer.
+"""Scenarios: small text files of timed events that run on a whole fleet and are judged by the observer.
 
 A file reads like this (docs/DESIGN.md section 16.4)::
 
-    # What it shows, for the person on call.
+    # What the scenario shows, for the person on call.
     deployment despensa
     seeds 1 2
     traffic 0.3
@@ -11,8 +11,9 @@
     at 6 push set tenant/riders.paid_rate=5
     expect order 1 accepted
 
-Times are seconds after the first bundle is in force everywhere. When the last fault is over, the run
-goes on for ``calm`` seconds, then everything is read back and judged. ``help_text()`` lists all lines.
+Times are seconds after the first bundle is in force everywhere. After the end of the last fault the run goes on for
+``calm`` seconds; then the versions and histories are read back and the run is judged. ``help_text()`` lists all
+lines.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 
 
 class ScenarioError(Exception):
-    """A line that can't be read; says which and what is expected."""
+    """Raised for a line that can't be parsed; the text gives the line and what was expected."""
 
 
 class Step(msgspec.Struct, frozen=True):
@@ -52,7 +53,7 @@
     line: str
     action: Callable[[Fleet], None]
     lasts: float = 0.0
-    """Until when after ``at`` it disturbs by itself."""
+    """The seconds after ``at`` during which the step itself disturbs the fleet."""
 
 
 class Scenario(msgspec.Struct, kw_only=True):
@@ -63,7 +64,7 @@
     traffic: float = 0.25
     calm: float = DEFAULT_CALM_S
     broken: str = ""
-    """Name of a deliberately broken variant of the fleet (``simulation.broken``)."""
+    """The name of a deliberately broken variant of the fleet (``simulation.broken``), or empty."""
     steps: list[Step] = []
     expects: list[str] = []
 
@@ -76,7 +77,7 @@
     seed: int
     violations: list[Violation]
     problems: list[str]
-    """Expectations of the scenario that did not hold."""
+    """Expectations of the scenario that did not hold, and time-outs that ended the run."""
     digest: str = ""
     simulated_seconds: float = 0.0
     real_seconds: float = 0.0
@@ -88,11 +89,11 @@
     faults: int = 0
     timeline: str = ""
     ends: dict[str, int] = {}
-    """How the attempts ended, counted."""
+    """The number of attempts for each kind of end."""
     judged: dict[str, int] = {}
-    """How many things each check of the observer judged."""
+    """The number of things that each check of the observer judged."""
     in_force_seconds: list[float] = []
-    """From each acknowledgement to the first look at each router that showed it."""
+    """The times from each acknowledgement of a version to the first poll of each router that showed it."""
 
     @property
     def passed(self) -> bool:
@@ -118,7 +119,7 @@
         return "\n".join(lines)
 
 
-# -- the lines
+# -- the lines of a scenario
 
 Maker = Callable[[re.Match[str]], tuple[Callable[[Fleet], None], float]]
 NAME = r"(?P<name>all [a-z]+|[a-z0-9][a-z0-9-]*)"
@@ -143,7 +144,9 @@
     return float(found) if found else default
 
 
-@_line(rf"kill {NAME}(?: for {SECONDS})?", "kill NAME [for S]          SIGKILL; started again after S (1) seconds")
+@_line(
+    rf"kill {NAME}(?: for {SECONDS})?", "kill NAME [for S]          SIGKILL; restarted after S seconds (1 by default)"
+)
 def _kill(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     seconds = _seconds(match, 1.0)
     return lambda fleet: fleet.kill(match["name"], seconds), seconds
@@ -154,7 +157,7 @@
     return lambda fleet: fleet.freeze(match["name"], _seconds(match)), _seconds(match)
 
 
-@_line(rf"terminate {NAME}", "terminate NAME             SIGTERM; started again when it has left")
+@_line(rf"terminate {NAME}", "terminate NAME             SIGTERM; restarted after its process ended")
 def _terminate(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     return lambda fleet: fleet.terminate(match["name"]), 25.0
 
@@ -170,7 +173,9 @@
     return roll, every * 14 + 25.0
 
 
-@_line(rf"power off {NAME} for {SECONDS}", "power off NAME for S       the machine is gone in silence, then boots")
+@_line(
+    rf"power off {NAME} for {SECONDS}", "power off NAME for S       the machine loses power without a reset, then boots"
+)
 def _power_off(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     return lambda fleet: fleet.power_off(match["name"], _seconds(match)), _seconds(match)
 
@@ -186,7 +191,7 @@
 
 @_line(
     rf"cut off {NAME}(?P<way> inward| outward)?(?P<daemons> from daemons)? for {SECONDS}",
-    "cut off NAME [inward|outward] [from daemons] for S   from all daemons (and workers), not from callers",
+    "cut off NAME [inward|outward] [from daemons] for S   from all daemons and workers, not from callers",
 )
 def _cut_off(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     direction = {" inward": "in", " outward": "out", None: "both"}[match["way"]]
@@ -229,9 +234,7 @@
     return lambda fleet: fleet.slow(match["name"], float(match["by"]), _seconds(match)), _seconds(match)
 
 
-@_line(
-    rf"worker {NAME} drains", "worker NAME drains         says that it leaves, then ends; a new life starts 10 s later"
-)
+@_line(rf"worker {NAME} drains", "worker NAME drains         announces its drain; a new incarnation starts 10 s later")
 def _worker_drains(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def drain(fleet: Fleet) -> None:
         fleet.world.note("world", "drain", worker=match["name"])
@@ -246,7 +249,8 @@
 
 
 @_line(
-    rf"worker {NAME} restarts empty", "worker NAME restarts empty a new life at the same address, without its KV cache"
+    rf"worker {NAME} restarts empty",
+    "worker NAME restarts empty a new incarnation at the same address without its KV cache",
 )
 def _worker_restarts(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def restart(fleet: Fleet) -> None:
@@ -406,7 +410,7 @@
     return push, 2.0
 
 
-@_line(rf"remove key of {NAME}", "remove key of TENANT       its callers go on with it; a new one is not given")
+@_line(rf"remove key of {NAME}", "remove key of TENANT       its callers continue to use it and get no new one")
 def _remove_key(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def remove(fleet: Fleet) -> None:
         operator = fleet.operators["operator-2"]
@@ -456,7 +460,9 @@
     return leave, _seconds(match)
 
 
-@_line(rf"crowd (?P<factor>\d+(?:\.\d+)?) for {SECONDS}", "crowd F for S              F times the scenario's traffic")
+@_line(
+    rf"crowd (?P<factor>\d+(?:\.\d+)?) for {SECONDS}", "crowd F for S              F times the traffic of the scenario"
+)
 def _crowd(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def crowd(fleet: Fleet) -> None:
         usual = {name: callers.factor for name, callers in fleet.callers.items()}
@@ -478,11 +484,11 @@
     return None
 
 
-# -- reading
+# -- parsing
 
 
 def read_step(line: str) -> Step:
-    """``at T WHAT``; raises ScenarioProblem."""
+    """Parses a line ``at T WHAT``; raises ScenarioError."""
     match = re.fullmatch(r"at (\d+(?:\.\d+)?) (.+)", line)
     if match is None:
         raise ScenarioError(f"{line!r}: expected `at SECONDS WHAT`")
@@ -492,7 +498,7 @@
         if found is not None:
             action, lasts = maker(found)
             return Step(at, line, action, lasts)
-    raise ScenarioError(f"{line!r}: not known; the lines are\n{help_text()}")
+    raise ScenarioError(f"{line!r}: unknown line; the lines are\n{help_text()}")
 
 
 def read_scenario(text: str, name: str) -> Scenario:
@@ -537,7 +543,7 @@
 # -- expectations beyond the observer's checks
 
 Expectation = Callable[[Fleet, Sequence[Violation]], str]
-"""Empty when it holds; else what was found."""
+"""Returns an empty text when the expectation holds, otherwise what was found instead."""
 
 
 def _expectation(text: str) -> Expectation:
@@ -598,7 +604,7 @@
 
 
 def run_scenario(scenario: Scenario, seed: int, factories: DaemonFactories | None = None) -> Report:
-    """One run; what it saw is judged and summed up."""
+    """Runs a scenario with one seed, judges the run and returns its report."""
     started, processor_begun = time.perf_counter(), time.process_time()
     shape = shape_named(scenario.deployment)
     if scenario.broken:
--- a/simulation/virtual_time.py
+++ b/simulation/virtual_time.py
@@ -272,7 +272,7 @@
             self._ready.extend(parked)
 
     def kill(self, incarnation: Incarnation) -> None:
-        """Stops the incarnation for ever; its tasks are retained, since collecting them would run ``finally`` blocks."""
+        """Stops the incarnation for ever; its tasks are retained, as collecting them would run ``finally`` blocks."""
         incarnation.dead = incarnation.suspended = True
         incarnation.retained_after_death.extend(incarnation.parked)
         incarnation.parked = deque()
--- a/simulation/workers.py
+++ b/simulation/workers.py
@@ -16,6 +16,8 @@
 
 
 class ObservedWorker(EmulatedWorker):
+    """An emulated worker that records arrivals, runs, events and drains in the history."""
+
     def __init__(self, context: Context, options: WorkerOptions, history: History, now: Callable[[], float]) -> None:
         super().__init__(context, options, self._record_run)
         self._history = history
