--- a/simulation/broken.py
+++ b/simulation/broken.py
@@ -425,12 +425,12 @@
 
 
 def _never_starts_again() -> DaemonFactories:
-    lives: dict[str, int] = {}
+    starts: dict[str, int] = {}
 
     def build(context: Context, settings: DaemonSettings) -> Daemon:
-        lives[settings.name] = lives.get(settings.name, 0) + 1
+        starts[settings.name] = starts.get(settings.name, 0) + 1
         daemon = _real("router")(context, settings)
-        return daemon if lives[settings.name] == 1 else _NeverStarts()
+        return daemon if starts[settings.name] == 1 else _NeverStarts()
 
     return DaemonFactories(router=build)
 
--- a/simulation/call_checks.py
+++ b/simulation/call_checks.py
@@ -46,7 +46,7 @@
                         Violation(
                             attempt.ended_at,
                             "told-not-run-but-ran",
-                            f"{attempt.mark} at {attempt.router} was told not-run ({attempt.code}) at "
+                            f"{attempt.mark} at {attempt.router} was answered not-run ({attempt.code}) at "
                             f"{attempt.ended_at:.3f}, but {run.mark} ran at {run.worker} from {run.started_at:.3f}",
                         )
                     )
@@ -61,9 +61,9 @@
         strange = [event.call for event in attempt.events if event.call != attempt.mark]
         if strange or (attempt.from_worker and attempt.answer_call and attempt.answer_call != attempt.mark):
             other = strange[0] if strange else attempt.answer_call
-            found.append(at_attempt(attempt, "answer-of-another-call", f"got pieces of {other}"))
+            found.append(at_attempt(attempt, "answer-of-another-call", f"received chunks of {other}"))
         if attempt.stray:
-            found.append(at_attempt(attempt, "answer-of-another-call", f"got stray bytes {attempt.stray[:60]!r}"))
+            found.append(at_attempt(attempt, "answer-of-another-call", f"received stray bytes {attempt.stray[:60]!r}"))
     return found
 
 
@@ -75,14 +75,16 @@
             continue
         indexed.judged["success-never-given"] += 1
         runs = indexed.runs_by_mark.get(attempt.mark, [])
-        whole = [
+        completed = [
             run
             for run in runs
             if run.outcome == "whole" or (run.outcome == "running" and len(run.event_times) >= attempt.tokens)
         ]
-        if not whole:
+        if not completed:
             ends = ", ".join(f"{run.worker} {run.outcome}" for run in runs) or "no run"
-            found.append(at_attempt(attempt, "success-never-given", f"looks whole to the caller, but: {ends}"))
+            found.append(
+                at_attempt(attempt, "success-never-given", f"looks complete to the caller, but at workers: {ends}")
+            )
     return found
 
 
@@ -97,7 +99,7 @@
             text = f"{len(attempt.events)} of {attempt.tokens} events, end marker {attempt.done_marker}"
             found.append(at_attempt(attempt, "cut-answer-looks-whole", text))
         if not attempt.tokens and not attempt.answer_call:
-            found.append(at_attempt(attempt, "cut-answer-looks-whole", "a plain answer that can't be read"))
+            found.append(at_attempt(attempt, "cut-answer-looks-whole", "the plain answer can't be parsed"))
     return found
 
 
@@ -108,7 +110,7 @@
         indexes = [event.index for event in attempt.events]
         indexed.judged["stream-out-of-order"] += len(indexes)
         if indexes != list(range(len(indexes))):
-            found.append(at_attempt(attempt, "stream-out-of-order", f"events came as {indexes[:40]}"))
+            found.append(at_attempt(attempt, "stream-out-of-order", f"events arrived in the order {indexes[:40]}"))
         elif any(event.text != word(event.index) for event in attempt.events):
             found.append(at_attempt(attempt, "stream-out-of-order", "an event's text was changed"))
     return found
@@ -124,20 +126,20 @@
         if not runs:
             continue
         run = runs[-1]
-        worst, index = 0.0, 0
+        longest_s, index = 0.0, 0
         indexed.judged["piece-held"] += len(attempt.events)
         for number, event in enumerate(attempt.events[: len(run.event_times)]):
-            held = event.at - run.event_times[number]
-            if held > worst:
-                worst, index = held, number
-        if worst <= indexed.bounds.chunk_delay:
+            delay_s = event.at - run.event_times[number]
+            if delay_s > longest_s:
+                longest_s, index = delay_s, number
+        if longest_s <= indexed.bounds.chunk_delay:
             continue
         names = indexed.with_machines(attempt.router, run.worker, attempt.caller_machine)
         start, end = run.event_times[index], attempt.events[index].at
         if not indexed.history.disturbed(names, start, end, after=indexed.bounds.retransmission):
             found.append(
                 Violation(
-                    end, "piece-held", f"{attempt.mark} event {index} took {worst:.3f} s through {attempt.router}"
+                    end, "piece-held", f"{attempt.mark} event {index} took {longest_s:.3f} s through {attempt.router}"
                 )
             )
     return found
@@ -199,9 +201,11 @@
             found.append(Violation(indexed.end, "too-many-tries", text))
         for index, at in enumerate(times):
             count = index + 1 - bisect_left(times, at - window)
-            offered = bisect_left(started, at) - bisect_left(started, at - 2 * window)
-            if count > share * offered + slack:
-                text = f"{service}: {count} tries beyond the first within {window:.0f} s, {offered} calls in twice that"
+            calls_sent = bisect_left(started, at) - bisect_left(started, at - 2 * window)
+            if count > share * calls_sent + slack:
+                text = (
+                    f"{service}: {count} tries beyond the first within {window:.0f} s, {calls_sent} calls in twice that"
+                )
                 found.append(Violation(at, "too-many-tries", text))
                 break
     return found
--- a/simulation/callers.py
+++ b/simulation/callers.py
@@ -63,10 +63,10 @@
         self.shape = shape
         self.plan = plan
         self.key = plan.key
-        self.factor = 1.0
+        self.traffic_factor = 1.0
         """The traffic as a multiple of the traffic of the deployment's shape."""
         self.stopped = False
-        self.leave_after: float | None = None
+        self.disconnect_after_s: float | None = None
         """When set, callers close their connection this many seconds after sending a call, answered or not."""
         self.only_router: str | None = None
         """When set, callers send all calls to this router."""
@@ -85,7 +85,7 @@
     async def _traffic(self, traffic: Traffic, share: float) -> None:
         random = self.context.random
         while True:
-            rate = traffic.per_second * share * self.factor
+            rate = traffic.per_second * share * self.traffic_factor
             if rate <= 0.0 or self.stopped:
                 await asyncio.sleep(0.25)
                 continue
@@ -233,7 +233,7 @@
 
     async def _read(self, exchange: PlainExchange, attempt: Attempt, service: ServiceShape) -> None:
         try:
-            async with asyncio.timeout(self.leave_after):
+            async with asyncio.timeout(self.disconnect_after_s):
                 await self._read_with_timeouts(
                     exchange, attempt, service.first_byte_patience + FIRST_BYTE_TIMEOUT_MARGIN_S
                 )
--- a/simulation/configuration_checks.py
+++ b/simulation/configuration_checks.py
@@ -24,7 +24,7 @@
         return []
     found = []
     for router in sorted(indexed.topology.routers):
-        shown = [look.version for look in indexed.history.versions if look.daemon == router and look.asked_at >= since]
+        shown = [poll.version for poll in indexed.history.versions if poll.daemon == router and poll.asked_at >= since]
         indexed.judged["newest-not-back"] += 1
         if not shown or min(shown) < max(due):
             what = f"shows version {min(shown)}" if shown else "answers no question"
@@ -116,8 +116,8 @@
     """
     if attempt.ended_at is None or attempt.ended_at > limit:
         return False
-    way = indexed.with_machines(attempt.router, attempt.caller_machine)
-    if indexed.history.disturbed(way, attempt.sent_at, attempt.ended_at + 1.0):
+    path = indexed.with_machines(attempt.router, attempt.caller_machine)
+    if indexed.history.disturbed(path, attempt.sent_at, attempt.ended_at + 1.0):
         return False
     worker = indexed.with_machines(run.worker)
     return any(
@@ -162,7 +162,9 @@
             found.append(Violation(definite[-1].answered_at, "resent-order-refused", text))
         refused = next((answer for answer in definite if answer.outcome != "accepted"), None)
         if refused is not None and order.order in listed:
-            text = f"{order.order} was told {refused.outcome} ({refused.reason}) but is version {listed[order.order]}"
+            text = (
+                f"{order.order} was answered {refused.outcome} ({refused.reason}) but is version {listed[order.order]}"
+            )
             found.append(Violation(refused.answered_at, "resent-order-refused", text))
     return found
 
@@ -191,7 +193,7 @@
             if version >= oldest and listed.get(version) != order.order:
                 text = (
                     f"version {version} was acknowledged for {order.order}; "
-                    f"the history that {daemon} tells says {listed.get(version)}"
+                    f"the history at {daemon} lists {listed.get(version)}"
                 )
                 found.append(Violation(indexed.end, "acknowledged-bundle-vanishes", text))
     return found
--- a/simulation/explore.py
+++ b/simulation/explore.py
@@ -23,7 +23,7 @@
 from .scenario import Report, Scenario, read_scenario, run_scenario
 from .world import seeded
 
-RUN_S = 75.0
+SCHEDULE_S = 75.0
 MIN_BETWEEN_DISK_LOSSES_S = 30.0
 """The shortest time between two permanent losses of disks."""
 UNDISTURBED_BEFORE_LOSS_S = 15.0
@@ -61,18 +61,18 @@
         random = self.random
         lines: list[tuple[float, str]] = []
         for _ in range(random.randint(2, 6)):
-            at = random.uniform(1.0, RUN_S - 15.0)
+            at = random.uniform(1.0, SCHEDULE_S - 15.0)
             for _ in range(random.choice((1, 1, 2, 3))):
                 near = at + random.choice((0.0, random.uniform(0.0, 0.5), random.uniform(0.0, 4.0)))
                 line = self.fault(near)
                 if line is not None:
                     lines.append((near, line))
         for _ in range(random.randint(2, 6)):
-            at = random.uniform(0.5, RUN_S - 5.0)
+            at = random.uniform(0.5, SCHEDULE_S - 5.0)
             lines.append((at, self.work()))
-        last = self.fault(RUN_S)
+        last = self.fault(SCHEDULE_S)
         if last is not None:
-            lines.append((RUN_S, last))
+            lines.append((SCHEDULE_S, last))
         return [f"at {at:.2f} {line}" for at, line in sorted(lines)]
 
     def work(self) -> str:
--- a/simulation/fleet.py
+++ b/simulation/fleet.py
@@ -251,7 +251,7 @@
     def _start_callers(self, plan: CallerPlan, zone: str) -> None:
         async def main(context: Context) -> None:
             callers = Callers(context, self.history, lambda: self.world.now, self.ready_routers, self.shape, plan)
-            callers.factor = 0.0
+            callers.traffic_factor = 0.0
             self.callers[plan.tenant.name] = callers
             callers.start_traffic()
 
@@ -396,7 +396,7 @@
     def set_traffic(self, factor: float) -> None:
         self.world.note("world", "traffic", factor=factor)
         for callers in self.callers.values():
-            callers.factor = factor
+            callers.traffic_factor = factor
 
     # -- faults by name of a process, machine or group; each is recorded in the history
 
--- a/simulation/fleet_checks.py
+++ b/simulation/fleet_checks.py
@@ -21,15 +21,15 @@
     for stop in indexed.history.stops:
         until = stop.ended_at if stop.ended_at is not None else indexed.end
         names = indexed.with_machines(stop.daemon)
-        for look in indexed.history.ready:
-            if look.router != stop.daemon or not stop.asked_at + indexed.bounds.unready <= look.asked_at < until:
+        for poll in indexed.history.ready:
+            if poll.router != stop.daemon or not stop.asked_at + indexed.bounds.unready <= poll.asked_at < until:
                 continue
-            if indexed.history.disturbed(names, stop.asked_at, look.asked_at, but=SIGTERM):
+            if indexed.history.disturbed(names, stop.asked_at, poll.asked_at, but=SIGTERM):
                 break
             indexed.judged["stays-ready-when-stopped"] += 1
-            if look.ready:
-                text = f"{stop.daemon} says that it is ready {look.asked_at - stop.asked_at:.2f} s after SIGTERM"
-                found.append(Violation(look.asked_at, "stays-ready-when-stopped", text))
+            if poll.ready:
+                text = f"{stop.daemon} says that it is ready {poll.asked_at - stop.asked_at:.2f} s after SIGTERM"
+                found.append(Violation(poll.asked_at, "stays-ready-when-stopped", text))
                 break
     return found
 
@@ -57,8 +57,8 @@
         limits = []
         if drain.acknowledged_at is not None:
             limits.append(drain.acknowledged_at + indexed.bounds.drained)
-        calm = indexed.last_fault_ended(before=drain.started_at + indexed.bounds.drained)
-        if calm + indexed.bounds.recovery < drain.started_at:
+        recovered_at = indexed.last_fault_ended(before=drain.started_at + indexed.bounds.drained)
+        if recovered_at + indexed.bounds.recovery < drain.started_at:
             limits.append(drain.started_at + indexed.bounds.drained)
         if not limits:
             continue
--- a/simulation/history.py
+++ b/simulation/history.py
@@ -12,6 +12,8 @@
 
 
 class ObservedEvent(msgspec.Struct, frozen=True):
+    """One event of a stream as its caller received it."""
+
     at: float
     index: int
     call: str
@@ -62,6 +64,8 @@
 
 
 class Call(msgspec.Struct, kw_only=True):
+    """One call of a caller with all its attempts."""
+
     identifier: str
     tenant: str
     service: str
@@ -92,6 +96,8 @@
 
 
 class ObservedRun(msgspec.Struct, kw_only=True):
+    """One run of a call at a worker."""
+
     started_at: float
     worker: str
     instance: str
@@ -108,6 +114,8 @@
 
 
 class ObservedDrain(msgspec.Struct, kw_only=True):
+    """A drain that a worker announced, with the time at which the fleet acknowledged it."""
+
     worker: str
     instance: str
     started_at: float
@@ -115,6 +123,8 @@
 
 
 class OrderAnswer(msgspec.Struct, frozen=True, kw_only=True):
+    """One answer, or lost answer, of a daemon to an order."""
+
     asked_at: float
     answered_at: float
     via: str
@@ -125,7 +135,7 @@
 
 
 class PaidShare(msgspec.Struct, frozen=True):
-    """A tenant's paid rate in calls a second over the whole fleet, and its burst in seconds of that rate."""
+    """A tenant's paid rate in calls a second over all routers together, and its burst in seconds of that rate."""
 
     paid_rate: float
     burst: float = 1.0
@@ -140,6 +150,8 @@
 
 
 class ObservedOrder(msgspec.Struct, kw_only=True):
+    """An order that an operator sent, with all answers to it."""
+
     order: str
     operator: str
     base: int
@@ -158,6 +170,8 @@
 
 
 class ObservedVersion(msgspec.Struct, frozen=True):
+    """The bundle version in force that a daemon answered to a poll."""
+
     asked_at: float
     answered_at: float
     daemon: str
@@ -191,6 +205,8 @@
 
 
 class HistoryEntry(msgspec.Struct, frozen=True):
+    """One version of the bundle history and the order that made it."""
+
     version: int
     order: str
 
@@ -206,11 +222,14 @@
     description: str = ""
 
     def touches(self, names: frozenset[str], start: float, end: float, after: float = 0.0) -> bool:
+        """Returns whether the fault, or the ``after`` seconds that follow it, touch a name in the interval."""
         over = self.ended_at is None or self.ended_at + after >= start
         return bool(names.intersection(self.targets)) and self.started_at <= end and over
 
 
 class History(msgspec.Struct):
+    """All records of one run."""
+
     calls: list[Call] = []
     arrivals: list[ObservedArrival] = []
     runs: list[ObservedRun] = []
--- a/simulation/http_client.py
+++ b/simulation/http_client.py
@@ -18,6 +18,8 @@
 
 
 class PlainExchange:
+    """One HTTP request and its answer."""
+
     def __init__(
         self, network: Network, request: HttpRequest, stream: BaseIOStream | None = None, keep_open: bool = False
     ) -> None:
@@ -160,6 +162,8 @@
 
 
 class PlainHttpClient:
+    """Starts exchanges that each use a connection of their own."""
+
     def __init__(self, network: Network) -> None:
         self._network = network
 
--- a/simulation/indexed_history.py
+++ b/simulation/indexed_history.py
@@ -46,6 +46,8 @@
 
 
 class Topology(msgspec.Struct, frozen=True, kw_only=True):
+    """The processes and machines of a fleet."""
+
     machine_of: Mapping[str, str]
     """The machine of each process."""
     controls: frozenset[str]
@@ -55,6 +57,8 @@
 
 
 class Violation(msgspec.Struct, frozen=True, order=True):
+    """Something that a check found against the brief, with its time."""
+
     at: float
     check: str
     text: str
@@ -83,6 +87,7 @@
         """The number of things that each check judged; a check that judged nothing proves nothing."""
 
     def with_machines(self, *names: str) -> frozenset[str]:
+        """Returns the names of the processes together with the names of their machines."""
         return frozenset(names) | {self.topology.machine_of[name] for name in names if name in self.topology.machine_of}
 
     def undisturbed_since(self, names: frozenset[str], at: float) -> float:
@@ -94,6 +99,7 @@
         return latest
 
     def last_fault_ended(self, before: float = float("inf")) -> float:
+        """Returns the end of the last fault that started before ``before``; 0 without one."""
         latest = 0.0
         for fault in self.history.faults:
             if fault.started_at < before:
@@ -105,4 +111,5 @@
 
 
 def at_attempt(attempt: Attempt, check: str, text: str) -> Violation:
+    """Returns a violation at the end of an attempt, or at its start while it has no end."""
     return Violation(attempt.ended_at or attempt.sent_at, check, f"{attempt.mark} through {attempt.router}: {text}")
--- a/simulation/network.py
+++ b/simulation/network.py
@@ -31,6 +31,7 @@
 LINK_CHUNK_BYTES = 16 * 1024
 """A link of limited bandwidth delivers bytes in chunks of at most this size."""
 SYN_RETRY_PAUSES_S = (1.0, 2.0, 4.0, 8.0, 16.0)
+"""Pauses before a connect that got no answer is tried again; after the last one it is not tried any more."""
 ACCEPT_QUEUE_LENGTH = 1024
 
 
@@ -79,6 +80,7 @@
         self.last_arrival = 0.0
         self.timer_set = False
         self.stalled_since: float | None = None
+        """When a partition or a machine without power first blocked the segments; None while they flow."""
 
     def readable(self) -> bool:
         return bool(self.received) or self.ended or self.error is not None
@@ -87,6 +89,7 @@
         return self.error is not None or self.room() > 0
 
     def room(self) -> int:
+        """Returns how many bytes fit between this end and the peer's reader."""
         return BUFFER_BYTES - self.bytes_in_flight - len(self.peer.received)
 
     def send(self, data: bytes | memoryview) -> int:
@@ -155,6 +158,8 @@
 
 
 class SimulatedStream(BaseIOStream):
+    """Tornado's stream over one end of a simulated connection."""
+
     def __init__(self, endpoint: Endpoint) -> None:
         super().__init__(max_buffer_size=96 * 1024 * 1024, read_chunk_size=65536)
         self.endpoint = endpoint
@@ -200,6 +205,8 @@
 
 
 class _SimulatedListener:
+    """A listening address of a process with its queue of connections that wait to be accepted."""
+
     def __init__(
         self,
         network: SimulatedNetworkCore,
--- a/simulation/operators.py
+++ b/simulation/operators.py
@@ -94,9 +94,9 @@
             asked_at = self.now()
             answer = await ask(self.context, "GET", endpoint.address, f"{BUNDLE_PATH}?newest=1", b"", 3.0)
             if answer is not None and answer[0] == 200:
-                shown = msgspec.json.decode(answer[1], type=_Shown)
-                self.history.latest_reads.append(ObservedLatest(asked_at, endpoint.name, shown.version))
-                return shown.version, {name: bytes(raw) for name, raw in shown.slices.items()}
+                bundle_answer = msgspec.json.decode(answer[1], type=_BundleAnswer)
+                self.history.latest_reads.append(ObservedLatest(asked_at, endpoint.name, bundle_answer.version))
+                return bundle_answer.version, {name: bytes(raw) for name, raw in bundle_answer.slices.items()}
             if answer is not None and answer[0] == 404:
                 self.history.latest_reads.append(ObservedLatest(asked_at, endpoint.name, 0))
                 if self.history.orders == []:
@@ -236,7 +236,7 @@
     return found
 
 
-class _Shown(msgspec.Struct):
+class _BundleAnswer(msgspec.Struct):
     version: BundleVersion
     slices: dict[SliceName, msgspec.Raw]
 
--- a/simulation/scenario.py
+++ b/simulation/scenario.py
@@ -422,7 +422,7 @@
 
 
 @_line(
-    rf"flood {NAME} (?P<service>[a-z-]+) (?P<rate>\d+)/s for {SECONDS}(?: through (?P<door>\S+))?",
+    rf"flood {NAME} (?P<service>[a-z-]+) (?P<rate>\d+)/s for {SECONDS}(?: through (?P<router>\S+))?",
     "flood TENANT SERVICE N/s for S [through ROUTER]",
 )
 def _flood(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
@@ -431,8 +431,8 @@
         fleet.world.note("world", "flood", tenant=match["name"], rate=match["rate"])
         process = fleet.world.processes[callers.plan.machine]
         work = callers.flood(match["service"], float(match["rate"]), _seconds(match))
-        if match["door"]:
-            callers.only_router = match["door"]
+        if match["router"]:
+            callers.only_router = match["router"]
 
             def free() -> None:
                 callers.only_router = None
@@ -450,10 +450,10 @@
 def _leave(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def leave(fleet: Fleet) -> None:
         callers = fleet.callers[match["name"]]
-        callers.leave_after = float(match["after"])
+        callers.disconnect_after_s = float(match["after"])
 
         def stay() -> None:
-            callers.leave_after = None
+            callers.disconnect_after_s = None
 
         fleet.world.at(fleet.world.now + _seconds(match), stay)
 
@@ -465,14 +465,14 @@
 )
 def _crowd(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def crowd(fleet: Fleet) -> None:
-        usual = {name: callers.factor for name, callers in fleet.callers.items()}
+        usual = {name: callers.traffic_factor for name, callers in fleet.callers.items()}
         fault = fleet.fault("crowd", "all routers")
         for callers in fleet.callers.values():
-            callers.factor *= float(match["factor"])
+            callers.traffic_factor *= float(match["factor"])
 
         def leave() -> None:
             for name, callers in fleet.callers.items():
-                callers.factor = usual[name]
+                callers.traffic_factor = usual[name]
             fleet.end_fault(fault)
 
         fleet.world.at(fleet.world.now + _seconds(match), leave)
@@ -550,7 +550,9 @@
     if match := re.fullmatch(r"violation ([a-z-]+)", text):
         wanted = match[1]
         return lambda _, violations: (
-            "" if any(each.check == wanted for each in violations) else f"the broken variant was not caught by {wanted}"
+            ""
+            if any(each.check == wanted for each in violations)
+            else f"the check {wanted} did not detect the broken variant"
         )
     if match := re.fullmatch(r"newest version (\d+)", text):
         version = int(match[1])
@@ -693,13 +695,13 @@
         if order.accepted is None:
             continue
         for router in fleet.names("router"):
-            looks = [
-                look.answered_at
-                for look in fleet.history.versions
-                if look.daemon == router and look.version >= order.accepted.version
+            poll_times = [
+                poll.answered_at
+                for poll in fleet.history.versions
+                if poll.daemon == router and poll.version >= order.accepted.version
             ]
-            if looks:
-                found.append(max(0.0, looks[0] - order.accepted.answered_at))
+            if poll_times:
+                found.append(max(0.0, poll_times[0] - order.accepted.answered_at))
     return found
 
 
--- a/simulation/tests/test_exploration.py
+++ b/simulation/tests/test_exploration.py
@@ -1,4 +1,7 @@
-"""A fixed set of random days in small; long runs are for ``python -m simulation.explore``."""
+"""Runs a fixed set of random fault schedules; ``python -m simulation.explore`` does long explorations.
+
+A test fails when one of the observer's checks finds a violation, or when a fleet does not recover.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +12,10 @@
 RUN_EACH_ALONE = True
 
 
-class Explored(unittest.TestCase):
+class RandomSchedules(unittest.TestCase):
     def explore(self, seed: int, deployment: str) -> None:
-        found = explore_one(seed, deployment, 0.25)
-        self.assertTrue(found.passed, "\n".join([*found.lines, found.text]))
+        explored = explore_one(seed, deployment, 0.25)
+        self.assertTrue(explored.passed, "\n".join([*explored.lines, explored.text]))
 
     def test_despensa_seed_4(self) -> None:
         self.explore(4, "despensa")
--- a/simulation/tests/test_fleet.py
+++ b/simulation/tests/test_fleet.py
@@ -1,4 +1,8 @@
-"""The whole fleet is the same run again for the same seed, whatever the interpreter's hashes are."""
+"""A simulated fleet gives the same run for the same seed, whatever hash seed the interpreter has.
+
+The tests guard against iteration over sets or unseeded randomness in daemons or simulator, which would make failing
+seeds impossible to reproduce.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
 RUN_EACH_ALONE = True
 ROOT = Path(__file__).resolve().parents[2]
-LINES = """# A little of everything.
+SCENARIO_TEXT = """# A little of everything.
 deployment despensa
 calm 4
 at 1 push set tenant/riders.burst=2
@@ -28,7 +32,7 @@
 
 
 def digest_of(seed: int) -> str:
-    return run_scenario(read_scenario(LINES, "everything"), seed).digest
+    return run_scenario(read_scenario(SCENARIO_TEXT, "everything"), seed).digest
 
 
 class SameSeedSameRun(unittest.TestCase):
--- a/simulation/tests/test_observer.py
+++ b/simulation/tests/test_observer.py
@@ -1,4 +1,7 @@
-"""Each check of the observer, on a history made by hand: it stays silent on a good one and speaks on a bad one."""
+"""Each check of the observer accepts a handmade history without violations and reports one that violates it.
+
+The tests guard against checks that can't fail, which would let broken fleets pass.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +42,7 @@
 
 def attempt(number: int = 1, call: str = "x-1", **fields: object) -> Attempt:
     mark = f"{call}/{number}"
-    made = Attempt(
+    record = Attempt(
         mark=mark,
         call=call,
         number=number,
@@ -59,12 +62,12 @@
         sent_bytes=True,
     )
     for name, value in fields.items():
-        setattr(made, name, value)
-    return made
+        setattr(record, name, value)
+    return record
 
 
 def run_of(mark: str, **fields: object) -> ObservedRun:
-    made = ObservedRun(
+    record = ObservedRun(
         started_at=30.05,
         worker="model-1",
         instance="model-1-a",
@@ -77,8 +80,8 @@
         event_times=[30.1 + 0.1 * index for index in range(3)],
     )
     for name, value in fields.items():
-        setattr(made, name, value)
-    return made
+        setattr(record, name, value)
+    return record
 
 
 def arrival_of(mark: str, at: float = 30.05) -> ObservedArrival:
@@ -107,52 +110,52 @@
     )
 
 
-def polls(*versions: tuple[float, int]) -> list[ObservedVersion]:
+def version_polls(*versions: tuple[float, int]) -> list[ObservedVersion]:
     return [ObservedVersion(at, at + 0.01, "router-1", 1, version) for at, version in versions]
 
 
-def left_call() -> Call:
-    """The first piece came, then the caller left."""
-    made = attempt(call="left-1", sent_at=5.0, head_at=5.1, ended_at=5.4, end="gave-up", done_marker=False)
-    made.events = made.events[:1]
+def call_of_disconnected_caller() -> Call:
+    """Returns a call whose caller received the first event and then disconnected."""
+    record = attempt(call="left-1", sent_at=5.0, head_at=5.1, ended_at=5.4, end="gave-up", done_marker=False)
+    record.events = record.events[:1]
     return Call(
-        identifier=made.call,
+        identifier=record.call,
         tenant="x",
         service="chat",
         repeatable=True,
         idempotency_key="",
         started_at=5.0,
         ended_at=5.4,
-        attempts=[made],
+        attempts=[record],
     )
 
 
-def good() -> History:
-    """Calls, one of a caller that left, orders, a drain, a stop and polls as they should be."""
+def history_without_violations() -> History:
+    """Returns calls (one of a disconnected caller), orders, a drain, a stop and polls as they should be."""
     history = History()
     for number in range(20):
-        made = attempt(call=f"x-{number}")
+        record = attempt(call=f"x-{number}")
         history.calls.append(
             Call(
-                identifier=made.call,
+                identifier=record.call,
                 tenant="x",
                 service="chat",
                 repeatable=False,
-                idempotency_key=made.call,
+                idempotency_key=record.call,
                 started_at=30.0,
                 ended_at=31.0,
-                attempts=[made],
+                attempts=[record],
             )
         )
-        history.arrivals.append(arrival_of(made.mark))
-        history.runs.append(run_of(made.mark, idempotency_key=made.call))
-    history.calls.append(left_call())
+        history.arrivals.append(arrival_of(record.mark))
+        history.runs.append(run_of(record.mark, idempotency_key=record.call))
+    history.calls.append(call_of_disconnected_caller())
     history.arrivals.append(arrival_of("left-1/1", at=5.05))
     history.runs.append(run_of("left-1/1", started_at=5.05, finished_at=5.5, outcome="caller-gone", event_times=[30.1]))
     history.stops = [ObservedStop(daemon="router-1", incarnation=1, asked_at=50.0, ended_at=53.0)]
     history.ready = [ObservedReady(at, "router-1", not 50.0 < at < 56.0) for at in (49.5, 50.5, 52.5, 55.0, 56.5)]
     history.orders = [order("a", 0, (10.0, "accepted", 1)), order("b", 1, (20.0, "lost", 0), (21.0, "accepted", 2))]
-    history.versions = polls((11.0, 1), (15.0, 1), (20.1, 2), (25.0, 2), (60.0, 2), (90.0, 2))
+    history.versions = version_polls((11.0, 1), (15.0, 1), (20.1, 2), (25.0, 2), (60.0, 2), (90.0, 2))
     history.final_versions = {"router-1": 2, "control-1": 2}
     history.final_history = {"control-1": [HistoryEntry(2, "b"), HistoryEntry(1, "a")]}
     history.drains = [ObservedDrain(worker="model-1", instance="model-1-a", started_at=40.0, acknowledged_at=40.1)]
@@ -160,22 +163,22 @@
     return history
 
 
-def twice(history: History) -> None:
+def run_twice(history: History) -> None:
     history.runs.append(run_of("x-1/2", idempotency_key="x-1"))
 
 
-def not_run(history: History) -> None:
+def reported_not_run(history: History) -> None:
     history.calls[1].attempts[0] = attempt(call="x-1", status=503, code="no-worker", reported_run="not-run", events=[])
 
 
-def not_run_on_the_retry(history: History) -> None:
+def retry_reported_not_run(history: History) -> None:
     history.calls[1].attempts[0].end = "gave-up"
     history.calls[1].attempts.append(
         attempt(2, "x-1", status=503, code="ledger", reported_run="not-run", events=[], tokens=0)
     )
 
 
-def strange_event(history: History) -> None:
+def event_of_another_call(history: History) -> None:
     event = history.calls[1].attempts[0].events[1]
     history.calls[1].attempts[0].events[1] = ObservedEvent(event.at, 1, "y-7/1", event.text)
 
@@ -184,53 +187,53 @@
     history.runs[1].outcome = "broken"
 
 
-def cut_short(history: History) -> None:
+def event_missing(history: History) -> None:
     history.calls[1].attempts[0].events.pop()
 
 
-def swapped(history: History) -> None:
+def events_swapped(history: History) -> None:
     events = history.calls[1].attempts[0].events
     events[0], events[1] = events[1], events[0]
 
 
-def held(history: History) -> None:
+def event_delayed(history: History) -> None:
     event = history.calls[1].attempts[0].events[2]
     history.calls[1].attempts[0].events[2] = ObservedEvent(event.at + 0.5, 2, event.call, event.text)
 
 
-def late_bundle(history: History) -> None:
-    history.versions = polls((11.0, 1), (15.0, 1), (24.0, 1), (30.0, 2))
+def bundle_late(history: History) -> None:
+    history.versions = version_polls((11.0, 1), (15.0, 1), (24.0, 1), (30.0, 2))
 
 
-def fallen_back(history: History) -> None:
-    history.versions = polls((20.1, 2), (20.9, 1), (25.0, 2))
+def older_version_shown(history: History) -> None:
+    history.versions = version_polls((20.1, 2), (20.9, 1), (25.0, 2))
 
 
 def removed_key(history: History) -> None:
     history.orders[1].removed_keys = ("k",)
 
 
-def run_of_removed_key_by_a_worker_that_woke(history: History) -> None:
-    """Sent before the key's removal to a worker frozen until 30; the caller left at 23."""
+def removed_key_queued_at_frozen_worker(history: History) -> None:
+    """The call was sent before the key's removal to a worker frozen until 30; its caller disconnected at 23."""
     history.orders[1].removed_keys = ("removed",)
     history.faults = [Fault(kind="freeze", targets=("model-1",), started_at=20.0, ended_at=30.0)]
-    made = history.calls[1].attempts[0]
-    made.key, made.sent_at, made.ended_at, made.end, made.events = "removed", 20.5, 23.0, "gave-up", []
+    record = history.calls[1].attempts[0]
+    record.key, record.sent_at, record.ended_at, record.end, record.events = "removed", 20.5, 23.0, "gave-up", []
     history.runs[1].outcome = "caller-gone"
 
 
-def removed_key_through_a_frozen_router(history: History) -> None:
-    run_of_removed_key_by_a_worker_that_woke(history)
+def removed_key_through_frozen_router(history: History) -> None:
+    removed_key_queued_at_frozen_worker(history)
     history.faults.append(Fault(kind="freeze", targets=("front-1",), started_at=22.0, ended_at=30.0))
 
 
-def removed_key_of_a_late_call_for_a_frozen_worker(history: History) -> None:
-    run_of_removed_key_by_a_worker_that_woke(history)
+def removed_key_sent_late_to_frozen_worker(history: History) -> None:
+    removed_key_queued_at_frozen_worker(history)
     history.calls[1].attempts[0].sent_at, history.calls[1].attempts[0].ended_at = 26.0, 29.0
 
 
-def removed_key_long_after_the_worker_woke(history: History) -> None:
-    run_of_removed_key_by_a_worker_that_woke(history)
+def removed_key_long_after_worker_woke(history: History) -> None:
+    removed_key_queued_at_frozen_worker(history)
     history.faults[0].ended_at = 29.0
 
 
@@ -238,21 +241,21 @@
     history.faults = [Fault(kind="kill", targets=("router-1", "control-1"), started_at=28.0, ended_at=29.0)]
 
 
-def older_after_all(history: History) -> None:
+def older_version_after_recovery(history: History) -> None:
     all_killed(history)
-    history.versions[-1] = polls((90.0, 1))[0]
+    history.versions[-1] = version_polls((90.0, 1))[0]
 
 
-def silent_router(history: History) -> None:
+def router_without_answer(history: History) -> None:
     all_killed(history)
-    history.versions = polls((20.1, 2), (25.0, 2))
+    history.versions = version_polls((20.1, 2), (25.0, 2))
 
 
-def worked_on_for_nobody(history: History) -> None:
+def run_outlasts_disconnected_caller(history: History) -> None:
     history.runs[-1].finished_at = 6.0
 
 
-def sent_for_nobody(history: History) -> None:
+def sent_after_caller_disconnected(history: History) -> None:
     history.arrivals.append(arrival_of("left-1/1", at=6.0))
 
 
@@ -260,7 +263,7 @@
     history.ready[1] = ObservedReady(50.5, "router-1", True)
 
 
-def stops_late(history: History) -> None:
+def stop_late(history: History) -> None:
     history.stops[0].ended_at = 75.0
 
 
@@ -268,11 +271,11 @@
     history.stops[0].ended_at = None
 
 
-def drained_turn(history: History) -> None:
+def call_to_drained_worker(history: History) -> None:
     history.arrivals.append(arrival_of("x-1/1", at=43.0))
 
 
-def both_win(history: History) -> None:
+def two_orders_for_one_version(history: History) -> None:
     history.orders.append(order("c", 1, (22.0, "accepted", 2)))
 
 
@@ -280,51 +283,51 @@
     history.orders[1] = order("b", 1, (20.0, "lost", 0), (21.0, "conflict", 2))
 
 
-def vanished(history: History) -> None:
+def version_lost(history: History) -> None:
     history.final_versions["control-1"] = 1
 
 
-def vanished_from_history(history: History) -> None:
+def history_rewritten(history: History) -> None:
     history.final_history = {"control-1": [HistoryEntry(2, "z"), HistoryEntry(1, "a")]}
 
 
-def no_bundle_yet(history: History) -> None:
+def bundle_denied(history: History) -> None:
     history.latest_reads = [ObservedLatest(30.0, "control-1", 0)]
 
 
-def leads_alone(history: History) -> None:
+def isolated_control_reports_primary(history: History) -> None:
     history.faults = [Fault(kind="cut-off", targets=("control-1", "front-1"), started_at=50.0, ended_at=80.0)]
     history.primaries = [ObservedPrimary(75.0, "control-1", 3)]
 
 
-def accepts_alone(history: History) -> None:
+def isolated_control_accepts_order(history: History) -> None:
     history.faults = [Fault(kind="cut-off", targets=("control-1", "front-1"), started_at=50.0, ended_at=80.0)]
     history.orders.append(order("d", 2, (75.0, "accepted", 3), via="control-1"))
 
 
-def many_tries(history: History) -> None:
+def many_retries(history: History) -> None:
     for number in range(8):
         history.arrivals.append(arrival_of(f"x-{number}/1", at=30.2))
 
 
-def past_share(history: History) -> None:
+def admitted_above_share(history: History) -> None:
     history.first_shares = {"x": PaidShare(2.0)}
 
 
-def below_share(history: History) -> None:
+def refused_below_share(history: History) -> None:
     refused = attempt(call="x-1", status=429, code="share-exceeded", reported_run="not-run", events=[], sent_at=60.0)
     history.calls[1].attempts[0] = refused
     history.runs.pop(1)
 
 
-def not_back(history: History) -> None:
+def service_not_recovered(history: History) -> None:
     history.faults = [Fault(kind="kill", targets=("router-1",), started_at=10.0, ended_at=11.0)]
     for call in history.calls[:3]:
         call.attempts[0].end = "gave-up"
 
 
-def one_router_not_back(history: History) -> None:
-    """Each call succeeds on a second try elsewhere, but this router serves nothing."""
+def one_router_not_recovered(history: History) -> None:
+    """Each call succeeds on its retry at another router, but this router serves nothing."""
     history.faults = [Fault(kind="kill", targets=("router-1",), started_at=10.0, ended_at=11.0)]
     for call in history.calls[:3]:
         call.attempts[0].router = "router-2"
@@ -339,64 +342,64 @@
         call.attempts = []
 
 
-BAD: list[tuple[str, Callable[[History], None]]] = [
-    ("call-runs-twice", twice),
-    ("told-not-run-but-ran", not_run),
-    ("told-not-run-but-ran", not_run_on_the_retry),
-    ("answer-of-another-call", strange_event),
+VIOLATING_HISTORIES: list[tuple[str, Callable[[History], None]]] = [
+    ("call-runs-twice", run_twice),
+    ("told-not-run-but-ran", reported_not_run),
+    ("told-not-run-but-ran", retry_reported_not_run),
+    ("answer-of-another-call", event_of_another_call),
     ("success-never-given", success_without_run),
-    ("cut-answer-looks-whole", cut_short),
-    ("stream-out-of-order", swapped),
-    ("piece-held", held),
-    ("bundle-not-in-force", late_bundle),
-    ("bundle-falls-back", fallen_back),
+    ("cut-answer-looks-whole", event_missing),
+    ("stream-out-of-order", events_swapped),
+    ("piece-held", event_delayed),
+    ("bundle-not-in-force", bundle_late),
+    ("bundle-falls-back", older_version_shown),
     ("removed-key-works", removed_key),
-    ("removed-key-works", removed_key_through_a_frozen_router),
-    ("removed-key-works", removed_key_of_a_late_call_for_a_frozen_worker),
-    ("removed-key-works", removed_key_long_after_the_worker_woke),
-    ("newest-not-back", older_after_all),
-    ("newest-not-back", silent_router),
-    ("drained-worker-gets-turns", drained_turn),
-    ("works-for-a-caller-that-left", worked_on_for_nobody),
-    ("works-for-a-caller-that-left", sent_for_nobody),
+    ("removed-key-works", removed_key_through_frozen_router),
+    ("removed-key-works", removed_key_sent_late_to_frozen_worker),
+    ("removed-key-works", removed_key_long_after_worker_woke),
+    ("newest-not-back", older_version_after_recovery),
+    ("newest-not-back", router_without_answer),
+    ("drained-worker-gets-turns", call_to_drained_worker),
+    ("works-for-a-caller-that-left", run_outlasts_disconnected_caller),
+    ("works-for-a-caller-that-left", sent_after_caller_disconnected),
     ("stays-ready-when-stopped", ready_after_sigterm),
-    ("stop-takes-too-long", stops_late),
+    ("stop-takes-too-long", stop_late),
     ("stop-takes-too-long", never_stops),
-    ("two-orders-win", both_win),
+    ("two-orders-win", two_orders_for_one_version),
     ("resent-order-refused", resent_refused),
-    ("acknowledged-bundle-vanishes", vanished),
-    ("acknowledged-bundle-vanishes", vanished_from_history),
-    ("acknowledged-bundle-vanishes", no_bundle_yet),
-    ("cut-off-control-leads", leads_alone),
-    ("cut-off-control-leads", accepts_alone),
-    ("too-many-tries", many_tries),
-    ("paid-share-missed", past_share),
-    ("paid-share-missed", below_share),
-    ("service-not-back", not_back),
+    ("acknowledged-bundle-vanishes", version_lost),
+    ("acknowledged-bundle-vanishes", history_rewritten),
+    ("acknowledged-bundle-vanishes", bundle_denied),
+    ("cut-off-control-leads", isolated_control_reports_primary),
+    ("cut-off-control-leads", isolated_control_accepts_order),
+    ("too-many-tries", many_retries),
+    ("paid-share-missed", admitted_above_share),
+    ("paid-share-missed", refused_below_share),
+    ("service-not-back", service_not_recovered),
     ("service-not-back", no_router_ready),
-    ("service-not-back", one_router_not_back),
+    ("service-not-back", one_router_not_recovered),
 ]
 
 
 class Checks(unittest.TestCase):
-    def test_good_history_has_no_violation(self) -> None:
-        self.assertEqual(judge(good(), TOPOLOGY, Bounds(), END), [])
+    def test_history_without_violations_is_accepted(self) -> None:
+        self.assertEqual(judge(history_without_violations(), TOPOLOGY, Bounds(), END), [])
 
-    def test_what_lay_in_a_frozen_worker_since_before_the_removal_is_no_work_of_a_removed_key(self) -> None:
-        history = good()
-        run_of_removed_key_by_a_worker_that_woke(history)
+    def test_call_queued_at_a_frozen_worker_before_the_removal_is_not_reported(self) -> None:
+        history = history_without_violations()
+        removed_key_queued_at_frozen_worker(history)
         self.assertEqual(judge(history, TOPOLOGY, Bounds(), END), [])
 
-    def test_each_check_speaks_on_a_history_that_breaks_it(self) -> None:
-        for check, break_parts in BAD:
+    def test_each_check_reports_a_history_that_violates_it(self) -> None:
+        for check, break_parts in VIOLATING_HISTORIES:
             with self.subTest(check=check, broken=break_parts.__name__):
-                history = good()
+                history = history_without_violations()
                 break_parts(history)
                 self.assertIn(check, {violation.check for violation in judge(history, TOPOLOGY, Bounds(), END)})
 
-    def test_good_history_is_judged_by_the_checks_that_it_has_matter_for(self) -> None:
+    def test_history_without_violations_is_judged_by_all_checks_that_apply_to_it(self) -> None:
         judged: Counter[str] = Counter()
-        judge(good(), TOPOLOGY, Bounds(), END, judged)
+        judge(history_without_violations(), TOPOLOGY, Bounds(), END, judged)
         needs_a_fault_or_refusal = {
             "told-not-run-but-ran",
             "newest-not-back",
@@ -406,5 +409,5 @@
         }
         self.assertEqual({check for check in CHECKS if not judged[check]}, needs_a_fault_or_refusal)
 
-    def test_no_check_is_without_a_bad_history(self) -> None:
-        self.assertEqual({check for check, _ in BAD}, set(CHECKS))
+    def test_each_check_has_a_violating_history(self) -> None:
+        self.assertEqual({check for check, _ in VIOLATING_HISTORIES}, set(CHECKS))
--- a/simulation/tests/test_scenario_reading.py
+++ b/simulation/tests/test_scenario_reading.py
@@ -1,4 +1,4 @@
-"""Scenario files can be read, and what can't be read is named."""
+"""Scenario files of the tree can be parsed, and errors name the line that can't be parsed."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-class Reading(unittest.TestCase):
-    def test_unknown_line_names_the_line_and_what_could_stand_there(self) -> None:
+class ScenarioReading(unittest.TestCase):
+    def test_unknown_line_is_reported_with_the_known_lines(self) -> None:
         with self.assertRaisesRegex(ScenarioError, "line 2.*at 3 explode.*\\n(.*\\n)*at T kill NAME"):
             read_scenario("deployment despensa\nat 3 explode router-1\n", "x")
 
@@ -21,7 +21,7 @@
         with self.assertRaisesRegex(ScenarioError, "line 1.*expected `violation CHECK`"):
             read_scenario("expect wonders", "x")
 
-    def test_all_files_can_be_read_and_say_what_they_show(self) -> None:
+    def test_all_scenario_files_can_be_read_and_have_a_description(self) -> None:
         found = [load(path) for path in find_scenarios(ROOT)]
         self.assertGreater(len(found), 20)
         self.assertEqual([scenario.name for scenario in found if not scenario.about], [])
--- a/simulation/tests/test_scenarios.py
+++ b/simulation/tests/test_scenarios.py
@@ -1,4 +1,7 @@
-"""One test for each *.scenario file of the tree and each of its seeds."""
+"""Runs each *.scenario file of the tree with each of its seeds, one test for each.
+
+A test fails when a check of the observer finds a violation or an expectation of the file does not hold.
+"""
 
 from __future__ import annotations
 
@@ -9,13 +12,13 @@
 from simulation.scenario import find_scenarios, load, run_scenario
 
 RUN_EACH_ALONE = True
-"""The test runner gives each test a process of its own."""
+"""Makes the test runner give each test a process of its own."""
 
 ROOT = Path(__file__).resolve().parents[2]
 
 
 class Scenarios(unittest.TestCase):
-    """Filled below."""
+    """The test case to which the loop below adds one test method for each file and seed."""
 
 
 def _test(path: Path, seed: int, name: str) -> Callable[[unittest.TestCase], None]:
@@ -23,7 +26,7 @@
         report = run_scenario(load(path), seed)
         self.assertTrue(report.passed, report.full())
 
-    test.__name__ = name  # nose2 finds a test that is named on its command line by this
+    test.__name__ = name  # nose2 finds a test named on its command line by ``__name__``
     test.__doc__ = str(path.relative_to(ROOT))
     return test
 
--- a/simulation/tests/test_slow_links.py
+++ b/simulation/tests/test_slow_links.py
@@ -1,4 +1,7 @@
-"""A fleet whose routers have slow links forms in time (docs/DESIGN.md section 10.4)."""
+"""A fleet whose routers have slow links becomes ready in time (docs/DESIGN.md section 10.4).
+
+The test guards against reports of workers that are repeated so often that they fill a slow link.
+"""
 
 from __future__ import annotations
 
@@ -13,9 +16,9 @@
 ROUTERS, CONTROLS, WORKERS = 100, 10, 24
 FAST_MACHINES = 5
 FAST_LINK, SLOW_LINK = 12_500_000.0, 450_000.0
-"""Bytes a second; routers that share a zone's list of workers had needed more than the slow one for its repeats."""
+"""Bytes a second; repeated worker lists between the routers of a zone once needed more than the slow link has."""
 FORMED_WITHIN = 16.0
-"""Seconds from the start of the machines; traffic begins then."""
+"""Seconds from the start of the machines until the fleet must be ready for traffic."""
 
 
 class SlowLinksTest(unittest.TestCase):
--- a/simulation/tests/test_world.py
+++ b/simulation/tests/test_world.py
@@ -1,4 +1,7 @@
-"""The simulator itself: a test that fails here puts every scenario in doubt."""
+"""Tests of the simulator itself.
+
+When one of them fails, the results of all scenarios are in doubt.
+"""
 
 from __future__ import annotations
 
@@ -47,10 +50,10 @@
         return b"", head.failure().kind
     body = b""
     while True:
-        piece = await exchange.next_piece()
-        if not isinstance(piece, Success):
-            return body, piece.failure().kind
-        data = piece.unwrap()
+        chunk = await exchange.next_piece()
+        if not isinstance(chunk, Success):
+            return body, chunk.failure().kind
+        data = chunk.unwrap()
         if data is None:
             return body, "whole"
         body += data
@@ -60,7 +63,7 @@
 
 
 def sample_run(seed: int) -> str:
-    """A few processes, a freeze, a cut, a kill and a restart, with everything in the digest."""
+    """Runs a few processes through a freeze, a partition, a kill and a restart; returns the digest of the run."""
     with World(seed) as world:
         world.start("server", http_server(world, "server"), zone="a")
         address = address_of(world.machines["server"], PORT)
@@ -122,7 +125,7 @@
             world.run(200)
         self.assertEqual(ran, [])
 
-    def test_frozen_process_does_nothing_then_catches_up_on_a_clock_that_went_on(self) -> None:
+    def test_frozen_process_does_nothing_and_its_clock_advances_meanwhile(self) -> None:
         ticks: list[tuple[float, float]] = []
 
         async def main(context: Context) -> None:
@@ -164,7 +167,7 @@
         self.assertAlmostEqual(woken[0], 8.0, places=6)
 
 
-class Wires(unittest.TestCase):
+class Connections(unittest.TestCase):
     def setUp(self) -> None:
         self.world = World(3, NetworkShape(reset_on_heal_chance=0.0)).__enter__()
         self.addCleanup(self.world.close)
@@ -179,7 +182,7 @@
 
         self.world.start(name, main, zone="b")
 
-    def test_stream_comes_whole_in_spite_of_split_bytes(self) -> None:
+    def test_stream_arrives_complete_although_bytes_are_split(self) -> None:
         self.ask()
         self.world.run(1)
         self.assertEqual(self.answers, [(COMPLETE_BODY, "whole")])
@@ -194,7 +197,7 @@
         self.world.run(0.1)
         self.assertEqual(self.answers[1], (b"", "connect"))
 
-    def test_connecting_to_a_frozen_process_succeeds_in_silence_until_it_wakes(self) -> None:
+    def test_connection_to_a_frozen_process_opens_but_answers_only_after_wake(self) -> None:
         self.world.freeze("server")
         self.ask()
         self.world.run(5)
@@ -203,7 +206,7 @@
         self.world.run(1)
         self.assertEqual(self.answers, [(COMPLETE_BODY, "whole")])
 
-    def test_one_way_cut_is_silent_and_its_bytes_come_late(self) -> None:
+    def test_one_way_partition_delays_bytes_until_it_heals(self) -> None:
         self.ask()
         self.world.run(0.05)
         cut = self.world.cut("server", "client", both_ways=False)
@@ -213,8 +216,8 @@
         self.world.run(10)
         self.assertEqual(self.answers, [(COMPLETE_BODY, "whole")])
 
-    def test_lost_machine_is_silent_and_resets_what_is_sent_to_it_after_it_is_back(self) -> None:
-        told: list[str] = []
+    def test_powered_off_machine_is_silent_and_resets_connections_after_power_on(self) -> None:
+        errors: list[str] = []
 
         async def main(context: Context) -> None:
             stream = (await context.network.connect(self.address, Seconds(1.0))).unwrap()
@@ -223,18 +226,18 @@
                     await stream.write(b"GET / HTTP/1.1\r\n")
                     await asyncio.sleep(0.5)
             except StreamClosedError as closed:
-                told.append(type(closed.real_error).__name__)
+                errors.append(type(closed.real_error).__name__)
 
         self.world.start("client", main)
         self.world.run(0.3)
         self.world.power_off("server")
         self.world.run(10)
-        self.assertEqual(told, [])
+        self.assertEqual(errors, [])
         self.world.power_on("server")
         self.world.run(20)
-        self.assertEqual(told, ["ConnectionResetError"])
+        self.assertEqual(errors, ["ConnectionResetError"])
 
-    def test_connect_to_a_cut_off_machine_times_out(self) -> None:
+    def test_connect_to_an_isolated_machine_times_out(self) -> None:
         outcomes: list[object] = []
 
         async def main(context: Context) -> None:
@@ -247,7 +250,7 @@
         self.world.run(1)
         self.assertEqual(outcomes, [Failure(NetworkFault("timeout", str(self.address)))])
 
-    def test_writer_waits_when_nobody_reads(self) -> None:
+    def test_writer_waits_when_the_peer_does_not_read(self) -> None:
         written: list[int] = []
 
         async def main(context: Context) -> None:
@@ -263,7 +266,7 @@
 
 
 class Disks(unittest.TestCase):
-    def test_killed_in_the_middle_of_an_append_leaves_any_part_and_never_touches_what_was_synced(self) -> None:
+    def test_kill_during_an_append_leaves_any_part_of_it_and_all_synced_data(self) -> None:
         seen: set[int] = set()
         for seed in range(60):
 
@@ -282,7 +285,7 @@
                 seen.add(len(content))
         self.assertTrue({5, 11} < seen, seen)
 
-    def test_power_loss_undoes_what_was_not_synced(self) -> None:
+    def test_power_loss_may_undo_unsynced_writes(self) -> None:
         outcomes: list[object] = []
 
         async def main(context: Context) -> None:
@@ -301,7 +304,7 @@
         self.assertGreater(len(sizes), 1)
         self.assertEqual(min(sizes), 5)
 
-    def test_stalled_disk_answers_after_it_is_well(self) -> None:
+    def test_stalled_disk_answers_after_it_recovers(self) -> None:
         times: list[float] = []
 
         async def main(context: Context) -> None:
@@ -317,7 +320,7 @@
             world.run(1)
             self.assertEqual(len(times), 1)
 
-    def test_folder_is_held_by_one_living_process(self) -> None:
+    def test_data_folder_is_locked_by_one_living_process(self) -> None:
         outcomes: list[object] = []
 
         async def main(context: Context) -> None:
--- a/simulation/virtual_time.py
+++ b/simulation/virtual_time.py
@@ -43,9 +43,11 @@
         self.rate = rate
 
     def local(self, now: float) -> float:
+        """Converts virtual time to the clock of the process."""
         return now * self.rate + self.offset
 
     def world(self, when: float) -> float:
+        """Converts a time on the clock of the process to virtual time."""
         return (when - self.offset) / self.rate
 
 
@@ -53,10 +55,12 @@
     pass
 
 
-INCARNATION: contextvars.ContextVar[Incarnation | None] = contextvars.ContextVar("life", default=None)
+INCARNATION: contextvars.ContextVar[Incarnation | None] = contextvars.ContextVar("incarnation", default=None)
 
 
 class VirtualHandle(asyncio.TimerHandle):
+    """A scheduled callback; ``at`` is its virtual time, ``_when`` the same instant on the clock of its process."""
+
     __slots__ = ("at", "is_input")
 
     def __init__(
@@ -119,13 +123,17 @@
         self.writer_queued = False
 
     def readable(self) -> bool:
+        """Returns whether a read would give bytes, the end or an error."""
         raise NotImplementedError
 
     def writable(self) -> bool:
+        """Returns whether a write would be accepted or give an error."""
         raise NotImplementedError
 
 
 class VirtualTimeLoop(asyncio.BaseEventLoop):
+    """The event loop; all simulated processes of a world share it."""
+
     _ready: deque[VirtualHandle]
 
     def __init__(self, random: Random) -> None:
@@ -135,6 +143,7 @@
         self.running_incarnation: Incarnation | None = None
         self.callbacks_run = 0
         self.limit = float("inf")
+        """The virtual time at which ``run_forever`` returns."""
         self.task_numbers = itertools.count(1)
         self._random = random
         self._sequence = itertools.count()
@@ -259,6 +268,7 @@
         return task
 
     def freeze(self, incarnation: Incarnation) -> None:
+        """Parks all callbacks of the incarnation from now on, as SIGSTOP does."""
         incarnation.frozen = incarnation.suspended = True
 
     def wake(self, incarnation: Incarnation) -> None:
@@ -312,6 +322,7 @@
             self._ready.append(VirtualHandle(self._read, (descriptor,), handler._context, is_input=True))
 
     def notify_writable(self, descriptor: Descriptor) -> None:
+        """Queues the write handler when it wants to write and there is room (level-triggered)."""
         if descriptor.writes and not descriptor.writer_queued and descriptor.writable():
             handler = descriptor.handler
             assert handler is not None
@@ -387,6 +398,7 @@
 
 
 def attach_tornado(loop: VirtualTimeLoop) -> IOLoop:
+    """Creates tornado's event loop for the virtual time loop."""
     attached: IOLoop = VirtualIOLoop(asyncio_loop=loop)
     return attached
 
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -39,6 +39,8 @@
 
 
 class WorldEvent(msgspec.Struct, frozen=True):
+    """A log event of a process, or an action of the harness (source ``world``)."""
+
     at: float
     source: str
     name: str
@@ -49,6 +51,8 @@
 
 
 class Machine:
+    """A machine with an IP address, a zone and a disk."""
+
     def __init__(self, world: World, name: str, zone: str, host: str) -> None:
         self.world = world
         self.name = name
@@ -83,6 +87,8 @@
 
 
 class SimulatedClock:
+    """The clock of the running process (``Context.clock``), with its own offset and rate."""
+
     def __init__(self, world: World) -> None:
         self._loop = world.loop
 
@@ -97,6 +103,8 @@
 
 
 class SimulatedLog:
+    """The log of one process (``Context.log``); its events become events of the world."""
+
     def __init__(self, world: World, source: str) -> None:
         self._world = world
         self._source = source
@@ -106,6 +114,8 @@
 
 
 class SimulatedTasks:
+    """The tasks of one incarnation (``Context.tasks``); an unhandled exception in a task stops the process."""
+
     def __init__(self, world: World, process: Process, incarnation: Incarnation) -> None:
         self._world = world
         self._process = process
@@ -227,6 +237,7 @@
         return self.loop.now
 
     def at(self, time: float, action: Callable[[], object]) -> None:
+        """Runs an action of the harness at a virtual time."""
         self.loop.kernel_at(time, action)
 
     # -- machines and processes
@@ -317,12 +328,14 @@
         process.machine.disk.process_ended(incarnation)
 
     def restart(self, process: Process | str) -> None:
+        """Kills the process when it runs, and starts a new incarnation."""
         process = self._process(process)
         self.kill(process)
         self.note("world", "start", process=process.name)
         self._begin(process)
 
     def freeze(self, process: Process | str) -> None:
+        """Stops the process as SIGSTOP does, until ``wake``; its connections stay open."""
         process = self._process(process)
         if process.alive:
             self.note("world", "freeze", process=process.name)
@@ -350,6 +363,7 @@
         machine.disk.power_lost()
 
     def power_on(self, machine: Machine | str, start_processes: bool = True) -> None:
+        """Boots a machine that was powered off and, by default, starts its processes."""
         machine = self._machine(machine)
         if machine.powered:
             return
@@ -389,6 +403,7 @@
     # -- events
 
     def note(self, source: str, name: str, **fields: object) -> None:
+        """Records an event and adds it to the digest of the run."""
         event = WorldEvent(round(self.loop.now, 6), source, name, fields)
         self._digest.update(event.line().encode())
         self.events.append(event)
@@ -404,6 +419,7 @@
         return copy.hexdigest()
 
     def timeline(self, last: int = 200, names: set[str] | None = None) -> str:
+        """Returns the last events, one a line, of all names or of the given ones."""
         chosen = [event for event in self.events if names is None or event.name in names]
         return "\n".join(event.line() for event in chosen[-last:])
 
@@ -427,4 +443,5 @@
 
 
 def address_of(machine: Machine, port: int) -> Address:
+    """Returns the address of a port on a machine."""
     return Address(machine.host, port)
