--- a/simulation/broken.py
+++ b/simulation/broken.py
@@ -72,6 +72,8 @@
 
 
 class _DeniesSending(WrappedExchange):
+    """Reports that a call could not be sent although the worker answered it."""
+
     async def head(self) -> Result[HttpHead, HttpFault]:
         await self.inner.head()
         return Failure(HttpFault("connect", False, "broken variant"))
@@ -81,6 +83,8 @@
 
 
 class _DelaysChunks(WrappedExchange):
+    """Delays each chunk by 0.3 s."""
+
     async def next_piece(self) -> Result[bytes | None, HttpFault]:
         chunk = await self.inner.next_piece()
         await asyncio.sleep(0.3)
@@ -103,10 +107,12 @@
 
 
 class _NamesAnotherCall(WrappedExchange):
+    """Replaces the mark of the call in each chunk."""
+
     async def next_piece(self) -> Result[bytes | None, HttpFault]:
         chunk = await self.inner.next_piece()
         if isinstance(chunk, Success) and (data := chunk.unwrap()):
-            return Success(re.sub(rb'"call":"[^"]', b'"call":"~', data))  # of the same length
+            return Success(re.sub(rb'"call":"[^"]', b'"call":"~', data))  # keeps the length of the chunk
         return chunk
 
 
@@ -436,6 +442,8 @@
 
 
 class _NeverStarts:
+    """A daemon whose start never ends."""
+
     async def start(self) -> Any:
         await asyncio.sleep(1e6)
 
@@ -479,5 +487,6 @@
 
 
 def broken_factories(name: str) -> DaemonFactories:
+    """Returns the daemon factories of a broken variant; raises KeyError for an unknown name."""
     _ORDERS_SEEN.clear()
     return VARIANTS[name]()
--- a/simulation/callers.py
+++ b/simulation/callers.py
@@ -39,6 +39,8 @@
 
 
 class CallerPlan(msgspec.Struct, frozen=True, kw_only=True):
+    """The tenant of a process of callers, its key and its machine."""
+
     tenant: TenantShape
     key: str
     machine: str
@@ -287,6 +289,8 @@
 
 
 class _AnswerReader:
+    """Parses the body of an answer and records its events or its mark in the attempt."""
+
     def __init__(self, attempt: Attempt, now: Callable[[], float]) -> None:
         self._attempt = attempt
         self._now = now
@@ -347,4 +351,5 @@
 
 
 def pick(random: Random, names: Sequence[str]) -> str:
+    """Returns a random name."""
     return names[random.randrange(len(names))]
--- a/simulation/disk.py
+++ b/simulation/disk.py
@@ -24,6 +24,8 @@
 
 
 class Operation:
+    """A queued operation: ``work`` applies it in full, ``partial`` applies any part of it."""
+
     def __init__(
         self,
         work: Callable[[], Result[Any, DiskFault]],
--- a/simulation/explore.py
+++ b/simulation/explore.py
@@ -31,6 +31,8 @@
 
 
 class ExploredRun(msgspec.Struct, kw_only=True):
+    """The result of one seed, as the JSON report lists it."""
+
     seed: int
     deployment: str
     passed: bool
@@ -235,11 +237,13 @@
 
 
 def scenario_of(seed: int, deployment: str, lines: list[str], traffic: float) -> Scenario:
+    """Returns the scenario that runs a schedule with one seed."""
     head = [f"deployment {deployment}", f"seeds {seed}", f"traffic {traffic}"]
     return read_scenario("\n".join([*head, *lines]), f"explored-{deployment}")
 
 
 def explore_one(seed: int, deployment: str, traffic: float) -> ExploredRun:
+    """Composes and runs the schedule of one seed."""
     lines = Composer(seed, deployment).schedule()
     report = run_scenario(scenario_of(seed, deployment, lines, traffic), seed)
     return _found(seed, deployment, lines, report)
--- a/simulation/fleet.py
+++ b/simulation/fleet.py
@@ -79,6 +79,7 @@
 
 
 def network_shape(shape: Shape) -> NetworkShape:
+    """Returns the network delays of a deployment, whose shape gives them in milliseconds."""
     return NetworkShape(same_zone=shape.hops.within_zone / 1000.0, between_zones=shape.hops.between_zones / 1000.0)
 
 
@@ -98,6 +99,8 @@
 
 
 class Fleet:
+    """A fleet of simulated daemons and workers, with the history of its run and the faults that tests inject."""
+
     def __init__(
         self, world: World, shape: Shape, factories: DaemonFactories | None = None, supervised: bool = True
     ) -> None:
@@ -113,6 +116,7 @@
         self.operators: dict[str, Operator] = {}
         self.caller_keys: dict[str, str] = {}
         self.readiness: dict[str, bool] = {}
+        """The last answer of each router to the platform's readiness check."""
         self._fleet_key = seeded(world.seed, "fleet key").randbytes(16)
         self._operator_keys = {
             name: Ed25519PrivateKey.from_private_bytes(seeded(world.seed, name).randbytes(32))
@@ -385,6 +389,8 @@
         return self.world.now - started
 
     def by_operator(self, name: str, work: Awaitable[Any]) -> None:
+        """Runs work as a task of an operator's process; a time-out is recorded as an event."""
+
         async def run() -> None:
             try:
                 await work
@@ -394,6 +400,7 @@
         self.world.spawn(self.world.processes[name], run(), "operator's work")
 
     def set_traffic(self, factor: float) -> None:
+        """Sets the traffic of all callers as a multiple of the shape's traffic."""
         self.world.note("world", "traffic", factor=factor)
         for callers in self.callers.values():
             callers.traffic_factor = factor
@@ -425,6 +432,7 @@
         return sorted({process.machine.name for process in self.processes_named(name)})
 
     def fault(self, kind: str, name: str, ended: bool = False, description: str = "") -> Fault:
+        """Records a fault of the named processes and their machines in the history."""
         processes = self.processes_named(name)
         targets = {process.name for process in processes} | {process.machine.name for process in processes}
         fault = Fault(kind=kind, targets=tuple(sorted(targets)), started_at=self.world.now, description=description)
--- a/simulation/indexed_history.py
+++ b/simulation/indexed_history.py
@@ -17,11 +17,18 @@
     """
 
     chunk_delay: float = 0.1 + 0.02
+    """Seconds that an event may take from its worker to its caller."""
     in_force: float = 2.0 + 0.2
+    """Seconds from the acknowledgement of a version until every connected router has it in force."""
     regression_tolerance: float = 0.25
+    """Seconds after a daemon showed a version in which an older one is not yet reported."""
     removed_key: float | None = 5.0 + 0.3
-    """None in a deployment whose cut-off routers go on serving."""
+    """Seconds after the acknowledged removal of a key in which calls with it may still run.
+
+    None in a deployment whose cut-off routers go on serving.
+    """
     drained: float = 2.0 + 0.1
+    """Seconds after the start of a drain, or its acknowledgement, in which calls may still reach the worker."""
     caller_left: float = 0.5 + 0.02
     """How long after its caller disconnected a worker may still work on a call."""
     unready: float = 0.1
@@ -29,16 +36,25 @@
     stop: float = 20.0 + 2.0 + 0.1
     """The time from SIGTERM to the end of the process: ``stop_within`` of the settings plus its tolerance."""
     isolated_primary: float = 20.0
+    """Seconds after which a control daemon that is cut off must no longer be primary."""
     retry_share: float = 0.2
+    """Retries allowed for each call that the routers received."""
     retry_window: float = 10.0
+    """Seconds over which retries are counted."""
     retry_slack: int = 2
+    """Retries that are allowed beyond the share."""
     share_window: float = 5.0
+    """Seconds over which a tenant's admitted calls are counted."""
     share_above: float = 1.3
+    """Multiple of its paid rate up to which a tenant may be admitted."""
     share_below: float = 0.8
+    """Multiple of its paid rate below which a tenant must not be refused."""
     recovery: float = 12.0
+    """Seconds after the last fault in which the service must recover."""
     recovery_success_share: float = 0.99
+    """The share of calls that must succeed after the recovery time."""
     recovery_failures_allowed: int = 2
-    """The number of failed calls that are tolerated: admission may refuse a long prompt at a busy moment."""
+    """The number of failed calls that are tolerated: a long prompt refused at a busy moment is no fault."""
     router_failures: float = 0.2
     """The share of a service's calls that one router may fail after the recovery time."""
     retransmission: float = 25.0
--- a/simulation/operators.py
+++ b/simulation/operators.py
@@ -237,6 +237,8 @@
 
 
 class _BundleAnswer(msgspec.Struct):
+    """A daemon's answer to a request for the latest bundle."""
+
     version: BundleVersion
     slices: dict[SliceName, msgspec.Raw]
 
@@ -247,6 +249,7 @@
 
 
 def digest_of_key(key: str) -> str:
+    """Returns the SHA-256 digest by which the bundle lists a caller's key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -263,4 +266,5 @@
 
 
 def put_slice(name: str, value: dict[str, object]) -> Change:
+    """Returns a change that adds or replaces a slice."""
     return lambda slices: {**slices, SliceName(name): canonical_json(value)}
--- a/simulation/scenario.py
+++ b/simulation/scenario.py
@@ -42,6 +42,7 @@
 FIRST_BUNDLE_TIMEOUT_S = 15.0
 DEFAULT_CALM_S = 20.0
 LAST_ANSWERS_S = 4.0
+"""Time at the end of a run, after traffic has stopped, in which open calls may end."""
 
 
 class ScenarioError(Exception):
@@ -49,6 +50,8 @@
 
 
 class Step(msgspec.Struct, frozen=True):
+    """One ``at`` line of a scenario with the action that it stands for."""
+
     at: float
     line: str
     action: Callable[[Fleet], None]
@@ -57,6 +60,8 @@
 
 
 class Scenario(msgspec.Struct, kw_only=True):
+    """A parsed scenario file."""
+
     name: str
     about: str = ""
     deployment: str = "despensa"
@@ -73,6 +78,8 @@
 
 
 class Report(msgspec.Struct, kw_only=True):
+    """The result of a run of a scenario with one seed."""
+
     scenario: str
     seed: int
     violations: list[Violation]
@@ -136,6 +143,7 @@
 
 
 def help_text() -> str:
+    """Returns the lines that a scenario may contain, with explanations."""
     return "\n".join(f"at T {shown}" for _, _, shown in _LINES)
 
 
@@ -502,6 +510,7 @@
 
 
 def read_scenario(text: str, name: str) -> Scenario:
+    """Parses the text of a scenario file; raises ScenarioError with the number of the faulty line."""
     scenario = Scenario(name=name)
     about = []
     for number, raw in enumerate(text.splitlines(), 1):
@@ -589,11 +598,13 @@
 
 
 def bounds_for(fleet: Fleet) -> Bounds:
+    """Returns the observer's limits for the deployment of a fleet."""
     removed = fleet.shape.removed_key_bound
     return Bounds(removed_key=None if removed is None else removed + 0.3)
 
 
 def topology_of(fleet: Fleet) -> Topology:
+    """Returns the processes and machines of a fleet at the end of its run."""
     controls = set()
     for process in fleet.world.processes.values():
         if process.tags.get("role") == "control":
@@ -741,8 +752,10 @@
 
 
 def find_scenarios(root: Path) -> list[Path]:
+    """Returns all scenario files below a folder, sorted by path."""
     return sorted(path for path in root.rglob("*.scenario") if ".venv" not in path.parts)
 
 
 def load(path: Path) -> Scenario:
+    """Reads and parses a scenario file."""
     return read_scenario(path.read_text(), path.stem.removeprefix("scenario_"))
--- a/simulation/virtual_time.py
+++ b/simulation/virtual_time.py
@@ -20,6 +20,7 @@
 from tornado.platform.asyncio import BaseAsyncIOLoop
 
 MAX_CALLBACKS_PER_INSTANT = 5_000_000
+"""More callbacks than this without progress of virtual time count as an endless loop."""
 
 
 class NoProgressError(Exception):
@@ -409,5 +410,7 @@
 
 
 class _YieldOnce:
+    """An awaitable that yields to the event loop once."""
+
     def __await__(self) -> Generator[None, None, None]:
         yield
