--- a/simulation/broken.py
+++ b/simulation/broken.py
@@ -67,6 +67,7 @@
 
 
 def _sent_twice(client: HttpClient, request: HttpRequest) -> HttpExchange:
+    """Sends each call to its worker twice."""
     client.start(request)
     return client.start(request)
 
@@ -274,6 +275,8 @@
 
 
 def _keeps_removed_keys() -> DaemonFactories:
+    """Lets routers that are cut off go on serving without a bound."""
+
     def build(context: Context, settings: DaemonSettings) -> Daemon:
         return _real("router")(context, msgspec.structs.replace(settings, removed_key_bound=None))
 
@@ -281,6 +284,8 @@
 
 
 def _one_router_knows_one_operator() -> DaemonFactories:
+    """Removes one operator key from router-7, so that it rejects bundles signed with this key."""
+
     def build(context: Context, settings: DaemonSettings) -> Daemon:
         keys = settings.operator_keys[:1] if settings.name == "router-7" else settings.operator_keys
         return _real("router")(context, msgspec.structs.replace(settings, operator_keys=keys))
@@ -348,6 +353,7 @@
 
 
 def _reports_all_orders_accepted(client: Any) -> None:
+    """Answers conflicting orders as accepted."""
     decide = client.decide
 
     async def decide_accepted(kind: str, command: Any, reply_type: Any, timeout: Any) -> Any:
@@ -397,11 +403,13 @@
 
 
 def _says_ready_while_it_stops(router: Any) -> None:
+    """Makes a router report ready while it drains."""
     path, bundle = router.path, router.follower
     path.ready = lambda: path._started and bundle.may_serve()
 
 
 def _never_ends_its_drain(router: Any) -> None:
+    """Makes the drain of a router last for ever."""
     drain = router.drain
 
     async def endless() -> None:
@@ -412,6 +420,8 @@
 
 
 def _admits_all_calls(router: Any) -> None:
+    """Disables the shares of tenants at a router."""
+
     async def take(_: Any, cost: int = 1) -> None:
         return None
 
@@ -431,6 +441,7 @@
 
 
 def _never_starts_again() -> DaemonFactories:
+    """Makes every router hang in its second and later starts."""
     starts: dict[str, int] = {}
 
     def build(context: Context, settings: DaemonSettings) -> Daemon:
--- a/simulation/callers.py
+++ b/simulation/callers.py
@@ -79,6 +79,7 @@
     # -- traffic
 
     def start_traffic(self) -> None:
+        """Starts one task for each kind of traffic of the shape."""
         total = sum(tenant.traffic_share for tenant in self.shape.tenants)
         share = self.plan.tenant.traffic_share / total
         for traffic in self.shape.traffic:
@@ -136,6 +137,7 @@
     async def call(
         self, service: ServiceShape, prefix: str, messages: list[dict[str, str]], tokens: int, retries: int = 1
     ) -> Call:
+        """Makes one call with up to ``retries`` retries and records it in the history."""
         self._number += 1
         identifier = f"{self.plan.tenant.name}-{self._number}"
         call = Call(
@@ -298,6 +300,7 @@
         self.streams = False
 
     def take(self, chunk: bytes) -> None:
+        """Parses a received chunk of the body."""
         self._rest += chunk
         if not self.streams:
             return
@@ -322,6 +325,7 @@
             attempt.stray += event[:80].decode("latin-1")
 
     def finish(self) -> None:
+        """Handles the end of a complete body."""
         attempt = self._attempt
         if self.streams:
             attempt.stray += self._rest[:80].decode("latin-1")
--- a/simulation/explore.py
+++ b/simulation/explore.py
@@ -60,6 +60,7 @@
         self.keys_removed: set[str] = set()
 
     def schedule(self) -> list[str]:
+        """Returns the ``at`` lines of the schedule in order of time."""
         random = self.random
         lines: list[tuple[float, str]] = []
         for _ in range(random.randint(2, 6)):
@@ -105,6 +106,7 @@
         return f"push set tenant/{tenant.name}.burst={random.randint(1, 5)} by operator-{random.randint(1, 2)}"
 
     def fault(self, at: float) -> str | None:
+        """Returns a random fault, or None when the chosen kind does not fit at this time."""
         random = self.random
         kinds = (
             ("router", 4),
--- a/simulation/operators.py
+++ b/simulation/operators.py
@@ -113,10 +113,12 @@
         return int(msgspec.json.decode(answer[1])["version"])
 
     async def health_at(self, endpoint: OperatorEndpoint, within: float = 1.0) -> dict[str, Any] | None:
+        """Returns the health report of one daemon; None when it does not answer."""
         answer = await ask(self.context, "GET", endpoint.address, HEALTH_PATH, b"", within)
         return msgspec.json.decode(answer[1]) if answer is not None and answer[0] == 200 else None
 
     async def read_history(self, endpoint: OperatorEndpoint, most: int = 1000) -> list[HistoryEntry] | None:
+        """Returns the latest versions of the bundle history at one daemon; None when it does not answer."""
         answer = await ask(self.context, "GET", endpoint.address, f"{HISTORY_PATH}?most={most}", b"", 5.0)
         if answer is None or answer[0] != 200:
             return None
@@ -155,6 +157,7 @@
         removed_keys: tuple[str, ...] = (),
         added_keys: tuple[str, ...] = (),
     ) -> tuple[ObservedOrder, Order]:
+        """Signs an order for a change and records it in the history without sending it."""
         self._number += 1
         identifier = f"{self.name}-{self._number}-{self.context.random.getrandbits(32):08x}"
         order = make_order(base, before, after, self.key, OrderId(identifier), WallTime(self.context.clock.wall()))
--- a/simulation/virtual_time.py
+++ b/simulation/virtual_time.py
@@ -224,7 +224,9 @@
         count = len(ready)
         self._at_this_instant += count
         if self._at_this_instant > MAX_CALLBACKS_PER_INSTANT:
-            raise NoProgressError(f"more than {MAX_CALLBACKS_PER_INSTANT} callbacks at {self.now}: {ready[0]}")
+            raise NoProgressError(
+                f"more than {MAX_CALLBACKS_PER_INSTANT} callbacks at virtual time {self.now}; next is {ready[0]}"
+            )
         self.callbacks_run += count
         popleft = ready.popleft
         for _ in range(count):
