--- a/simulation/callers.py
+++ b/simulation/callers.py
@@ -220,7 +220,7 @@
             if stream is not None and attempt.end == "whole":
                 # A stream with a callback watches its connection: one that the router closes is not reused.
                 stream.set_close_callback(lambda: None)
-                stream.set_close_callback(_nothing)  # see above; the router may close it at any time
+                stream.set_close_callback(_nothing)  # detects that the router closes the connection
                 self._idle_connections.setdefault(endpoint.address, []).append(stream)
             else:
                 exchange.cancel()
