--- a/simulation/explore.py
+++ b/simulation/explore.py
@@ -1,8 +1,10 @@
-"""Composes random faults over many seeds and shrinks what fails: ``python -m simulation.explore`` (section 16.5).
+"""Explores random schedules of faults and shrinks those that fail (docs/DESIGN.md section 16.5).
 
-Each seed is one day in small: traffic, orders and faults from the whole list of the users' brief,
-together and twice, one last fault at the end, and the service expected back 12 s after it.
-A failing seed is printed with the shortest schedule that still fails, as a scenario file.
+Run it by ``python -m simulation.explore``.
+
+Each seed is a schedule of traffic, orders and faults from the complete list of the users' brief. Faults may overlap
+and repeat; one last fault comes at the end, and the service must recover within 12 s of it. A failing seed is printed
+with the shortest schedule found that still fails, as a scenario file.
 """
 
 from __future__ import annotations
@@ -21,13 +23,16 @@
 from .scenario import Report, Scenario, read_scenario, run_scenario
 from .world import seeded
 
-RUN_SECONDS = 75.0
-BETWEEN_LOSSES = 30.0
-"""Only after this long, with control left in peace before, may a second disk be lost for good."""
-PEACE_BEFORE_LOSS = 15.0
+SCHEDULE_S = 75.0
+MIN_BETWEEN_DISK_LOSSES_S = 30.0
+"""The shortest time between two permanent losses of disks."""
+UNDISTURBED_BEFORE_LOSS_S = 15.0
+"""Before a permanent loss of a disk the control daemons have no faults for this long."""
+
 
+class ExploredRun(msgspec.Struct, kw_only=True):
+    """The result of one seed, as the JSON report lists it."""
 
-class Found(msgspec.Struct, kw_only=True):
     seed: int
     deployment: str
     passed: bool
@@ -39,11 +44,11 @@
     calls: int = 0
     simulated_seconds: float = 0.0
     in_force_seconds: list[float] = []
-    looked: dict[str, int] = {}
+    judged: dict[str, int] = msgspec.field(default_factory=dict, name="looked")
 
 
 class Composer:
-    """Makes one seed's schedule."""
+    """Composes the schedule of one seed."""
 
     def __init__(self, seed: int, deployment: str) -> None:
         self.random = seeded(seed, "explore", deployment)
@@ -55,25 +60,26 @@
         self.keys_removed: set[str] = set()
 
     def schedule(self) -> list[str]:
+        """Returns the ``at`` lines of the schedule in order of time."""
         random = self.random
         lines: list[tuple[float, str]] = []
         for _ in range(random.randint(2, 6)):
-            at = random.uniform(1.0, RUN_SECONDS - 15.0)
+            at = random.uniform(1.0, SCHEDULE_S - 15.0)
             for _ in range(random.choice((1, 1, 2, 3))):
                 near = at + random.choice((0.0, random.uniform(0.0, 0.5), random.uniform(0.0, 4.0)))
                 line = self.fault(near)
                 if line is not None:
                     lines.append((near, line))
         for _ in range(random.randint(2, 6)):
-            at = random.uniform(0.5, RUN_SECONDS - 5.0)
+            at = random.uniform(0.5, SCHEDULE_S - 5.0)
             lines.append((at, self.work()))
-        last = self.fault(RUN_SECONDS)
+        last = self.fault(SCHEDULE_S)
         if last is not None:
-            lines.append((RUN_SECONDS, last))
+            lines.append((SCHEDULE_S, last))
         return [f"at {at:.2f} {line}" for at, line in sorted(lines)]
 
     def work(self) -> str:
-        """Orders and crowds."""
+        """Returns a line with an order, a flood of calls or more traffic."""
         random = self.random
         tenant = random.choice(self.shape.tenants)
         rate = tenant.paid_rate + random.randint(0, 9)
@@ -100,6 +106,7 @@
         return f"push set tenant/{tenant.name}.burst={random.randint(1, 5)} by operator-{random.randint(1, 2)}"
 
     def fault(self, at: float) -> str | None:
+        """Returns a random fault, or None when the chosen kind does not fit at this time."""
         random = self.random
         kinds = (
             ("router", 4),
@@ -116,7 +123,7 @@
 
     def _a_control(self, at: float, lasts: float) -> str | None:
         left = [name for name in self.controls if name not in self.replaced]
-        if any(abs(loss - at) < BETWEEN_LOSSES for loss in self.losses) and self.random.random() < 0.7:
+        if any(abs(loss - at) < MIN_BETWEEN_DISK_LOSSES_S for loss in self.losses) and self.random.random() < 0.7:
             return None
         self.control_busy.append((at, at + lasts))
         return self.random.choice(left) if left else None
@@ -195,7 +202,7 @@
         return f"cut {one} {random.choice(('from', 'to'))} {other} for {lasts}"
 
     def _all(self, at: float) -> str | None:
-        if any(abs(loss - at) < BETWEEN_LOSSES for loss in self.losses):
+        if any(abs(loss - at) < MIN_BETWEEN_DISK_LOSSES_S for loss in self.losses):
             return None
         self.control_busy.append((at, at + 6.0))
         return self.random.choice(
@@ -212,10 +219,13 @@
         )
 
     def _loss(self, at: float) -> str | None:
-        """A disk is gone for good; what was on it must be on two others when the next one goes."""
-        if any(abs(loss - at) < BETWEEN_LOSSES for loss in self.losses):
+        """Returns a permanent loss of a disk, or None when it would be too soon.
+
+        What was on the disk must be on two others before the next one is lost.
+        """
+        if any(abs(loss - at) < MIN_BETWEEN_DISK_LOSSES_S for loss in self.losses):
             return None
-        if any(begun - 1.0 < at and end + PEACE_BEFORE_LOSS > at for begun, end in self.control_busy):
+        if any(started - 1.0 < at and end + UNDISTURBED_BEFORE_LOSS_S > at for started, end in self.control_busy):
             return None
         name = self._a_control(at, 3.0)
         if name is None:
@@ -229,18 +239,20 @@
 
 
 def scenario_of(seed: int, deployment: str, lines: list[str], traffic: float) -> Scenario:
+    """Returns the scenario that runs a schedule with one seed."""
     head = [f"deployment {deployment}", f"seeds {seed}", f"traffic {traffic}"]
     return read_scenario("\n".join([*head, *lines]), f"explored-{deployment}")
 
 
-def explore_one(seed: int, deployment: str, traffic: float) -> Found:
+def explore_one(seed: int, deployment: str, traffic: float) -> ExploredRun:
+    """Composes and runs the schedule of one seed."""
     lines = Composer(seed, deployment).schedule()
     report = run_scenario(scenario_of(seed, deployment, lines, traffic), seed)
     return _found(seed, deployment, lines, report)
 
 
-def _found(seed: int, deployment: str, lines: list[str], report: Report) -> Found:
-    return Found(
+def _found(seed: int, deployment: str, lines: list[str], report: Report) -> ExploredRun:
+    return ExploredRun(
         seed=seed,
         deployment=deployment,
         passed=report.passed,
@@ -254,12 +266,12 @@
         calls=report.calls,
         simulated_seconds=report.simulated_seconds,
         in_force_seconds=report.in_force_seconds,
-        looked=report.looked,
+        judged=report.judged,
     )
 
 
-def shrink(found: Found, traffic: float, most_runs: int = 20) -> Found:
-    """Leaves out lines as long as one of the same checks still fails."""
+def shrink(found: ExploredRun, traffic: float, most_runs: int = 20) -> ExploredRun:
+    """Removes lines of a failing schedule while at least one of the same checks still fails."""
     best, runs = found, 0
     wanted = set(found.checks)
     size = max(1, len(best.lines) // 2)
@@ -280,14 +292,14 @@
 
 
 @click.command()
-@click.option("--seeds", default=20, show_default=True, help="How many seeds.")
+@click.option("--seeds", default=20, show_default=True, help="Number of seeds to run.")
 @click.option("--first-seed", default=1, show_default=True)
-@click.option("--hours", default=0.0, help="Goes on with further seeds until so many simulated hours are done.")
+@click.option("--hours", default=0.0, help="Continues with further seeds until this many simulated hours are done.")
 @click.option("--deployment", type=click.Choice(["despensa", "sabarmati", "both"]), default="both", show_default=True)
-@click.option("--traffic", default=0.25, show_default=True, help="Of the deployment's own.")
+@click.option("--traffic", default=0.25, show_default=True, help="Traffic as a multiple of the deployment's own.")
 @click.option("--processes", default=2, show_default=True)
-@click.option("--shrinks", default=3, show_default=True, help="How many failing seeds are shrunk.")
-@click.option("--report", type=click.Path(path_type=Path), help="JSON file with all results.")
+@click.option("--shrinks", default=3, show_default=True, help="Number of failing seeds to shrink.")
+@click.option("--report", type=click.Path(path_type=Path), help="Writes all results to this JSON file.")
 def main(
     seeds: int,
     first_seed: int,
@@ -298,13 +310,13 @@
     shrinks: int,
     report: Path | None,
 ) -> None:
-    """Tries random faults on simulated fleets; exit code 1 when a seed failed."""
+    """Runs random schedules on simulated fleets and exits with code 1 when a seed failed."""
     deployments = ["despensa", "sabarmati"] if deployment == "both" else [deployment]
-    begun = time.monotonic()
-    done: list[Found] = []
+    started = time.monotonic()
+    done: list[ExploredRun] = []
     seed = first_seed
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
-        running: set[concurrent.futures.Future[Found]] = set()
+        running: set[concurrent.futures.Future[ExploredRun]] = set()
         while True:
             enough = seed >= first_seed + seeds and sum(each.simulated_seconds for each in done) >= hours * 3600
             while not enough and len(running) < processes * 2:
@@ -328,13 +340,13 @@
                 )
             )
             print(shrunk.text, flush=True)
-    _sum_up(done, time.monotonic() - begun)
+    _sum_up(done, time.monotonic() - started)
     if report is not None:
         report.write_bytes(msgspec.json.format(msgspec.json.encode(done)))
     sys.exit(1 if any(not each.passed for each in done) else 0)
 
 
-def _sum_up(done: list[Found], real_seconds: float) -> None:
+def _sum_up(done: list[ExploredRun], real_seconds: float) -> None:
     simulated = sum(each.simulated_seconds for each in done)
     checks = Counter(check for each in done for check in each.checks)
     in_force = sorted(value for each in done for value in each.in_force_seconds)
@@ -344,13 +356,13 @@
         f"{simulated / max(real_seconds, 0.001):.1f} simulated s a second; "
         f"{sum(not each.passed for each in done)} seeds failed {json.dumps(dict(checks))}"
     )
-    looked: Counter[str] = Counter()
+    judged: Counter[str] = Counter()
     for each in done:
-        looked.update(each.looked)
-    print("judged: " + ", ".join(f"{count} {check}" for check, count in looked.items()))
+        judged.update(each.judged)
+    print("judged: " + ", ".join(f"{count} {check}" for check, count in judged.items()))
     if in_force:
         print(
-            f"acknowledgement to first look in force: p50 {in_force[len(in_force) // 2]:.2f} s, "
+            f"acknowledgement to first poll that shows the version: p50 {in_force[len(in_force) // 2]:.2f} s, "
             f"p99 {in_force[int(len(in_force) * 0.99)]:.2f} s, longest {in_force[-1]:.2f} s"
         )
 
--- a/simulation/fleet.py
+++ b/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet of a deployment's shape, with its callers, operators and platform (docs/DESIGN.md section 16)."""
+"""A simulated fleet of a deployment's shape, with its callers, operators and platform (docs/DESIGN.md section 16)."""
 
 from __future__ import annotations
 
@@ -36,28 +36,28 @@
 from wingwood.membership import rendezvous
 from wingwood.settings.model import DaemonSettings
 
-from .callers import CallerPlan, Callers, Door
-from .history import Fault, History, PaidShare, SeenLead, SeenReady, SeenStop, SeenVersion
+from .callers import CallerPlan, Callers, RouterEndpoint
+from .history import Fault, History, ObservedPrimary, ObservedReady, ObservedStop, ObservedVersion, PaidShare
 from .network import Cut, NetworkShape
-from .operators import Desk, Operator, Slices, ask, digest_of_key
+from .operators import Operator, OperatorEndpoint, Slices, ask, digest_of_key
 from .workers import ObservedWorker
 from .world import Machine, Process, World, address_of, seeded
 
-# A pure function that fourteen daemons in one process ask for the same pairs.
+# Cached because it is a pure function that fourteen daemons in one process call with the same pairs.
 rendezvous.weight = functools.lru_cache(maxsize=1_000_000)(rendezvous.weight)
 
 ROUTER_PORTS = (7101, 7102, 8000)
 CONTROL_PORTS = (7001, 7002)
 WORKER_PORT = 9000
-WATCH_EVERY = 0.5
-READY_EVERY = 0.5
-START_AGAIN_AFTER = 1.0
+WATCH_INTERVAL_S = 0.5
+READY_INTERVAL_S = 0.5
+RESTART_DELAY_S = 1.0
 CLOCK_DRIFT = 0.0005
-"""Each daemon's clock runs faster or slower by up to this share."""
+"""The clock of each daemon runs faster or slower by up to this share."""
 
 
 class Daemon(Protocol):
-    """What ``wingwood.daemons.*.build`` gives."""
+    """The interface of the daemons that ``wingwood.daemons.*.build`` returns."""
 
     async def start(self) -> Any: ...
 
@@ -66,11 +66,11 @@
     def stop(self) -> None: ...
 
 
-Build = Callable[[Context, DaemonSettings], Daemon]
+DaemonFactory = Callable[[Context, DaemonSettings], Daemon]
 
 
 def shape_named(name: str) -> Shape:
-    """``despensa`` or ``sabarmati``."""
+    """Returns the shape of the deployment ``despensa`` or ``sabarmati``; raises ValueError when it can't be read."""
     read = read_shape(Path(__file__).parent.parent / "fleet" / f"{name}.toml")
     if not isinstance(read, Success):
         raise ValueError(str(read.failure()))
@@ -79,29 +79,34 @@
 
 
 def network_shape(shape: Shape) -> NetworkShape:
+    """Returns the network delays of a deployment, whose shape gives them in milliseconds."""
     return NetworkShape(same_zone=shape.hops.within_zone / 1000.0, between_zones=shape.hops.between_zones / 1000.0)
 
 
-class Builds:
-    """How daemons are made; broken variants of the fleet replace them (test harness only)."""
+class DaemonFactories:
+    """The functions that create daemons; broken variants of the fleet replace them (test harness only)."""
 
-    def __init__(self, router: Build | None = None, control: Build | None = None) -> None:
+    def __init__(self, router: DaemonFactory | None = None, control: DaemonFactory | None = None) -> None:
         self._router = router
         self._control = control
 
-    def of(self, role: str) -> Build:
+    def of(self, role: str) -> DaemonFactory:
         given = self._router if role == "router" else self._control
         if given is not None:
             return given
-        build: Build = importlib.import_module(f"wingwood.daemons.{role}").build
+        build: DaemonFactory = importlib.import_module(f"wingwood.daemons.{role}").build
         return build
 
 
 class Fleet:
-    def __init__(self, world: World, shape: Shape, builds: Builds | None = None, supervised: bool = True) -> None:
+    """A fleet of simulated daemons and workers, with the history of its run and the faults that tests inject."""
+
+    def __init__(
+        self, world: World, shape: Shape, factories: DaemonFactories | None = None, supervised: bool = True
+    ) -> None:
         self.world = world
         self.shape = shape
-        self.builds = builds or Builds()
+        self.factories = factories or DaemonFactories()
         self.history = History()
         self.supervised = supervised
         self.daemons: dict[str, Daemon] = {}
@@ -110,7 +115,8 @@
         self.callers: dict[str, Callers] = {}
         self.operators: dict[str, Operator] = {}
         self.caller_keys: dict[str, str] = {}
-        self.ready_doors: dict[str, bool] = {}
+        self.readiness: dict[str, bool] = {}
+        """The last answer of each router to the platform's readiness check."""
         self._fleet_key = seeded(world.seed, "fleet key").randbytes(16)
         self._operator_keys = {
             name: Ed25519PrivateKey.from_private_bytes(seeded(world.seed, name).randbytes(32))
@@ -121,10 +127,10 @@
         self._stopping: set[str] = set()
         self._watched: set[str] = set()
 
-    # -- building
+    # -- starting daemons, workers, callers and operators
 
     def start(self) -> None:
-        """Starts everything; the first bundle is pushed by ``put_in_force``."""
+        """Starts all processes; ``put_in_force`` then pushes the first bundle."""
         zones, shape = self.shape.zones, self.shape
         for number in range(max(shape.routers, shape.controls)):
             self._front_machine(zones[number % len(zones)])
@@ -198,7 +204,7 @@
         async def main(context: Context) -> None:
             if settings.role == "control" and settings.data_folder is None:
                 context = msgspec.structs.replace(context, disk=NoDisk())
-            daemon = self.builds.of(settings.role)(context, settings)
+            daemon = self.factories.of(settings.role)(context, settings)
             self.daemons[name] = daemon
             started = await daemon.start()
             if isinstance(started, Result) and not isinstance(started, Success):
@@ -241,52 +247,52 @@
     def _start_operator(self, name: str, zone: str) -> None:
         async def main(context: Context) -> None:
             self.operators[name] = Operator(
-                context, name, self._operator_keys[name], self.history, lambda: self.world.now, self.desks
+                context, name, self._operator_keys[name], self.history, lambda: self.world.now, self.operator_endpoints
             )
 
         self.world.start(name, main, zone=zone)
 
     def _start_callers(self, plan: CallerPlan, zone: str) -> None:
         async def main(context: Context) -> None:
-            callers = Callers(context, self.history, lambda: self.world.now, self.doors, self.shape, plan)
-            callers.factor = 0.0
+            callers = Callers(context, self.history, lambda: self.world.now, self.ready_routers, self.shape, plan)
+            callers.traffic_factor = 0.0
             self.callers[plan.tenant.name] = callers
             callers.start_traffic()
 
         self.world.start(plan.machine, main, zone=zone)
 
-    def desks(self) -> list[Desk]:
-        """Where operators may turn: every daemon that was ever started and not replaced."""
-        return [Desk(name, settings.operator) for name, settings in self.settings.items()]
+    def operator_endpoints(self) -> list[OperatorEndpoint]:
+        """Returns the operator endpoints of all daemons that were started and not replaced."""
+        return [OperatorEndpoint(name, settings.operator) for name, settings in self.settings.items()]
 
-    def doors(self) -> list[Door]:
-        """The routers that the platform sends clients to now."""
+    def ready_routers(self) -> list[RouterEndpoint]:
+        """Returns the routers to which the platform sends clients now."""
         found = []
         for name, settings in self.settings.items():
-            if settings.caller is not None and self.ready_doors.get(name):
-                found.append(Door(name, settings.caller))
+            if settings.caller is not None and self.readiness.get(name):
+                found.append(RouterEndpoint(name, settings.caller))
         return found
 
     def names(self, role: str) -> list[str]:
         return [name for name, settings in self.settings.items() if settings.role == role]
 
-    # -- the platform and the operators' watch
+    # -- the platform's readiness checks and the polls of versions
 
     async def _platform(self, context: Context) -> None:
         while True:
             for name in list(self.settings):
                 if self.settings[name].role == "router":
-                    context.tasks.spawn(f"ready {name}", self._ask_ready(context, name))
-            await asyncio.sleep(READY_EVERY)
+                    context.tasks.spawn(f"ready {name}", self._poll_ready(context, name))
+            await asyncio.sleep(READY_INTERVAL_S)
 
-    async def _ask_ready(self, context: Context, name: str) -> None:
+    async def _poll_ready(self, context: Context, name: str) -> None:
         asked_at = self.world.now
-        answer = await ask(context, "GET", self.settings[name].operator, "/ready", b"", READY_EVERY * 0.9)
+        answer = await ask(context, "GET", self.settings[name].operator, "/ready", b"", READY_INTERVAL_S * 0.9)
         ready = answer is not None and answer[0] == 200
-        self.history.ready.append(SeenReady(asked_at, name, ready))
-        if ready != self.ready_doors.get(name, False):
+        self.history.ready.append(ObservedReady(asked_at, name, ready))
+        if ready != self.readiness.get(name, False):
             context.log.event("door-ready" if ready else "door-not-ready", router=name)
-        self.ready_doors[name] = ready
+        self.readiness[name] = ready
 
     async def _watch(self, context: Context) -> None:
         watcher = Operator(
@@ -295,36 +301,36 @@
             self._operator_keys["operator-1"],
             self.history,
             lambda: self.world.now,
-            self.desks,
+            self.operator_endpoints,
         )
         while True:
             for name in list(self.settings):
                 if name not in self._watched:
                     self._watched.add(name)
                     context.tasks.spawn(f"watch {name}", self._watch_one(context, watcher, name))
-            await asyncio.sleep(WATCH_EVERY)
+            await asyncio.sleep(WATCH_INTERVAL_S)
 
     async def _watch_one(self, context: Context, watcher: Operator, name: str) -> None:
-        desk = Desk(name, self.settings[name].operator)
+        endpoint = OperatorEndpoint(name, self.settings[name].operator)
         while True:
             asked_at = self.world.now
-            life = self.world.processes[name].lives
-            health = await watcher.health_at(desk, 1.0)
+            incarnation = self.world.processes[name].incarnation_number
+            health = await watcher.health_at(endpoint, 1.0)
             if name not in self.settings:
-                return  # replaced meanwhile
+                return  # the daemon was replaced in the meantime
             if health is not None:
-                seen = SeenVersion(asked_at, self.world.now, name, life, int(health.get("version", 0)))
+                seen = ObservedVersion(asked_at, self.world.now, name, incarnation, int(health.get("version", 0)))
                 if self.settings[name].role == "router":
                     self.history.versions.append(seen)
                 report = health.get("control") or {}
                 if report.get("own_role") == "primary" and report.get("accepts_orders"):
-                    self.history.leads.append(SeenLead(asked_at, name, int(report.get("epoch", 0))))
-            await asyncio.sleep(WATCH_EVERY)
+                    self.history.primaries.append(ObservedPrimary(asked_at, name, int(report.get("epoch", 0))))
+            await asyncio.sleep(WATCH_INTERVAL_S)
 
-    # -- work
+    # -- orders and traffic
 
     def first_slices(self) -> Slices:
-        """The deployment's bundle."""
+        """Returns the slices of the deployment's first bundle."""
         slices: Slices = {}
         for service in self.shape.services:
             slices[SliceName(f"service/{service.name}")] = canonical_json(
@@ -358,8 +364,11 @@
         return slices
 
     def put_in_force(self, within: float = 12.0) -> float:
-        """Pushes the first bundle and waits until every router shows it. Seconds that it took."""
-        begun = self.world.now
+        """Pushes the first bundle, waits until every router shows it, and returns the seconds that this took.
+
+        Raises TimeoutError when a router does not show it, or is not ready, within ``within`` seconds.
+        """
+        started = self.world.now
         self.world.run(1.0)
         operator = self.operators["operator-1"]
         slices = self.first_slices()
@@ -368,18 +377,20 @@
 
         def in_force() -> bool:
             seen = {version.daemon for version in self.history.versions if version.version >= 1}
-            return seen.issuperset(routers) and len(self.doors()) == len(routers)
+            return seen.issuperset(routers) and len(self.ready_routers()) == len(routers)
 
         if not self.world.wait_for(in_force, within):
             raise TimeoutError(
-                f"the first bundle is not in force everywhere after {within} s: doors "
-                f"{[door.name for door in self.doors()]}, orders {self.history.orders}"
+                f"the first bundle is not in force everywhere after {within} s: ready routers "
+                f"{[endpoint.name for endpoint in self.ready_routers()]}, orders {self.history.orders}"
             )
         for tenant in self.shape.tenants:
             self.history.first_shares[tenant.name] = PaidShare(tenant.paid_rate)
-        return self.world.now - begun
+        return self.world.now - started
 
     def by_operator(self, name: str, work: Awaitable[Any]) -> None:
+        """Runs work as a task of an operator's process; a time-out is recorded as an event."""
+
         async def run() -> None:
             try:
                 await work
@@ -389,14 +400,19 @@
         self.world.spawn(self.world.processes[name], run(), "operator's work")
 
     def set_traffic(self, factor: float) -> None:
+        """Sets the traffic of all callers as a multiple of the shape's traffic."""
         self.world.note("world", "traffic", factor=factor)
         for callers in self.callers.values():
-            callers.factor = factor
+            callers.traffic_factor = factor
 
-    # -- faults, by name; each is noted in the history
+    # -- faults by name of a process, machine or group; each is recorded in the history
 
     def processes_named(self, name: str) -> list[Process]:
-        """A process, a machine's processes, or ``all daemons``, ``all controls``, ``all routers``, ``all workers``."""
+        """Returns the processes of a process name, a machine name or a group.
+
+        The groups are ``all daemons``, ``all controls``, ``all routers`` and ``all workers``. Raises ValueError for
+        an unknown name.
+        """
         world = self.world
         if name in world.processes:
             return [world.processes[name]]
@@ -416,9 +432,10 @@
         return sorted({process.machine.name for process in self.processes_named(name)})
 
     def fault(self, kind: str, name: str, ended: bool = False, description: str = "") -> Fault:
+        """Records a fault of the named processes and their machines in the history."""
         processes = self.processes_named(name)
         targets = {process.name for process in processes} | {process.machine.name for process in processes}
-        fault = Fault(kind=kind, targets=tuple(sorted(targets)), begun_at=self.world.now, description=description)
+        fault = Fault(kind=kind, targets=tuple(sorted(targets)), started_at=self.world.now, description=description)
         if ended:
             fault.ended_at = self.world.now
         self.history.faults.append(fault)
@@ -428,14 +445,14 @@
         if fault.ended_at is None:
             fault.ended_at = self.world.now
 
-    def kill(self, name: str, down_for: float = START_AGAIN_AFTER) -> None:
-        """SIGKILL; the supervisor starts it again after a while."""
+    def kill(self, name: str, down_for: float = RESTART_DELAY_S) -> None:
+        """Kills the processes with SIGKILL; the supervisor restarts them after ``down_for`` seconds."""
         fault = self.fault("kill", name)
         for process in self.processes_named(name):
             self.world.kill(process)
-        self.world.at(self.world.now + down_for, lambda: self.start_again(name, fault))
+        self.world.at(self.world.now + down_for, lambda: self.restart_stopped(name, fault))
 
-    def start_again(self, name: str, fault: Fault | None = None) -> None:
+    def restart_stopped(self, name: str, fault: Fault | None = None) -> None:
         for process in self.processes_named(name):
             if not process.alive and process.machine.powered:
                 self.world.restart(process)
@@ -481,7 +498,10 @@
         self._heal_later(cut, fault, seconds)
 
     def cut_off(self, name: str, seconds: float, direction: str = "both", workers: bool = True) -> None:
-        """From all other daemons (and workers); callers, operators and the platform still reach it."""
+        """Cuts machines off from all other daemons and, with ``workers``, from workers.
+
+        Callers, operators and the platform still reach them.
+        """
         own = set(self.machines_named(name))
         roles = ("router", "control", "worker") if workers else ("router", "control")
         inside = sorted(
@@ -500,7 +520,7 @@
         self._heal_later(self.world.network.cut(pairs), fault, seconds)
 
     def isolate(self, name: str, seconds: float) -> None:
-        """From everything, callers and operators too."""
+        """Cuts machines off from all others, callers and operators included."""
         own = set(self.machines_named(name))
         others = sorted(set(self.world.machines) - own)
         pairs = [(machine, other) for machine in sorted(own) for other in others]
@@ -509,7 +529,7 @@
         self._heal_later(self.world.network.cut(pairs + [(b, a) for a, b in pairs]), fault, seconds)
 
     def slow(self, name: str, by: float, seconds: float) -> None:
-        """All traffic of its machines takes longer; this is no cut."""
+        """Delays all traffic of the machines by ``by`` seconds without blocking it."""
         own = self.machines_named(name)
         pairs = [(near, far) for near in own for far in self.world.machines if far != near]
         pairs += [(far, near) for near, far in pairs]
@@ -546,16 +566,16 @@
         for disk in disks:
             disk.set_mode(mode)
 
-        def mend() -> None:
+        def restore() -> None:
             for disk in disks:
                 disk.set_mode("well")
             self.world.note("world", "disk", target=name, mode="well")
             self.end_fault(fault)
 
-        self.world.at(self.world.now + seconds, mend)
+        self.world.at(self.world.now + seconds, restore)
 
-    def wipe(self, name: str, kill: bool = True, down_for: float = START_AGAIN_AFTER) -> None:
-        """Empties the disk; with ``kill`` the process dies at once and starts on the empty disk."""
+    def wipe(self, name: str, kill: bool = True, down_for: float = RESTART_DELAY_S) -> None:
+        """Empties the disks; with ``kill`` the processes are killed as well and restart on empty disks."""
         if kill:
             self.kill(name, down_for)
         else:
@@ -564,7 +584,7 @@
             self.world.wipe(machine)
 
     def replace_control(self, name: str) -> str:
-        """The machine of a control daemon is gone for good; an empty one at a new address takes its place."""
+        """Replaces the machine of a control daemon by an empty one at a new address; returns the new daemon's name."""
         old = self.world.processes[name]
         self.fault("replace", old.machine.name, ended=False)
         if old.machine.powered:
@@ -577,57 +597,57 @@
         seeds = self.settings[name].seeds
         present = [each.internal for other, each in self.settings.items() if each.role == "control" and other != name]
         if not set(seeds) & set(present):
-            # Whoever sets up a new machine names daemons that are there; all other settings stay as they are.
+            # An operator who sets up a new machine names running daemons as seeds and keeps all other settings.
             seeds = (*present[:2], seeds[0])
         machine = self._front_machine(old.machine.zone)
         new_name = self._next_name("control")
-        self._forget(name)
+        self._remove_daemon(name)
         self.start_control(new_name, machine.name, seeds)
         for router in routers:
-            self._forget(router)
+            self._remove_daemon(router)
             self.start_router(self._next_name("router"), machine.name, seeds)
         self.world.note("world", "replaced", old=name, new=new_name)
         return new_name
 
-    def _forget(self, name: str) -> None:
+    def _remove_daemon(self, name: str) -> None:
         self.settings.pop(name, None)
-        self.ready_doors.pop(name, None)
+        self.readiness.pop(name, None)
         self.daemons.pop(name, None)
 
     def _next_name(self, role: str) -> str:
         used = [int(name.rpartition("-")[2]) for name in self.world.processes if name.startswith(f"{role}-")]
         return f"{role}-{max(used) + 1}"
 
-    def terminate(self, name: str, down_for: float = START_AGAIN_AFTER) -> None:
-        """SIGTERM: drains, stops, exits; then it is started again."""
+    def terminate(self, name: str, down_for: float = RESTART_DELAY_S) -> None:
+        """Sends SIGTERM: the daemons drain, stop and exit, and are restarted after ``down_for`` seconds."""
         for process in self.processes_named(name):
             fault = self.fault("terminate", process.name)
             self.world.note("world", "terminate", process=process.name)
-            stop = self._note_stop(process)
+            stop = self._record_stop(process)
 
-            async def leave(process: Process = process, fault: Fault = fault, stop: SeenStop = stop) -> None:
+            async def leave(process: Process = process, fault: Fault = fault, stop: ObservedStop = stop) -> None:
                 daemon = self.daemons[process.name]
                 await daemon.drain()
                 daemon.stop()
                 stop.ended_at = self.world.now
                 self.world.kill(process)
-                self.world.at(self.world.now + down_for, lambda: self.start_again(process.name, fault))
+                self.world.at(self.world.now + down_for, lambda: self.restart_stopped(process.name, fault))
 
             if process.alive:
                 self.world.spawn(process, leave(), "terminate")
 
-    def _note_stop(self, process: Process) -> SeenStop:
-        """A second SIGTERM to the same life changes nothing."""
+    def _record_stop(self, process: Process) -> ObservedStop:
+        """Records a SIGTERM; a second one to the same incarnation returns the record of the first."""
         for stop in self.history.stops:
-            if stop.daemon == process.name and stop.life == process.lives and process.alive:
+            if stop.daemon == process.name and stop.incarnation == process.incarnation_number and process.alive:
                 return stop
-        stop = SeenStop(daemon=process.name, life=process.lives, asked_at=self.world.now)
+        stop = ObservedStop(daemon=process.name, incarnation=process.incarnation_number, asked_at=self.world.now)
         if process.alive:
             self.history.stops.append(stop)
         return stop
 
     def supervise(self) -> None:
-        """Starts again what stopped by itself."""
+        """Restarts daemons and workers that stopped by themselves, after a delay."""
         if not self.supervised:
             return
         for process in self.world.processes.values():
@@ -645,10 +665,10 @@
                     if not process.alive and process.machine.powered:
                         self.world.restart(process)
 
-                self.world.at(self.world.now + START_AGAIN_AFTER, again)
+                self.world.at(self.world.now + RESTART_DELAY_S, again)
 
     def run(self, seconds: float) -> None:
-        """Lets virtual time pass, with the supervisor at work."""
+        """Advances virtual time while the supervisor runs every 0.5 s."""
         until = self.world.now + seconds
         while self.world.now < until - 1e-9:
             self.world.run_until(min(until, self.world.now + 0.5))
@@ -657,19 +677,19 @@
     # -- the end of a run
 
     def read_back(self) -> None:
-        """What operators read at the end: the version in force at each daemon, and the history."""
+        """Reads the version in force at each daemon and the bundle histories, as operators do at the end."""
         operator = self.operators["operator-1"]
 
         async def read() -> None:
-            for desk in self.desks():
-                version = await operator.version_at(desk)
+            for endpoint in self.operator_endpoints():
+                version = await operator.version_at(endpoint)
                 if version is not None:
-                    self.history.final_versions[desk.name] = version
-            for desk in self.desks():
-                if self.settings[desk.name].role == "control":
-                    entries = await operator.read_history(desk)
+                    self.history.final_versions[endpoint.name] = version
+            for endpoint in self.operator_endpoints():
+                if self.settings[endpoint.name].role == "control":
+                    entries = await operator.read_history(endpoint)
                     if entries is not None:
-                        self.history.final_history[desk.name] = entries
+                        self.history.final_history[endpoint.name] = entries
 
         self.by_operator("operator-1", read())
         self.world.run(8.0)
--- a/simulation/history.py
+++ b/simulation/history.py
@@ -1,4 +1,6 @@
-"""What callers, workers and operators of a run saw; the observer judges nothing else (docs/DESIGN.md section 16)."""
+"""Records what callers, workers and operators of a run observed (docs/DESIGN.md section 16).
+
+The observer judges a run by these records only."""
 
 from __future__ import annotations
 
@@ -9,7 +11,9 @@
 AttemptEnd = Literal["whole", "broken", "gave-up", "no-connection", "malformed", "under-way"]
 
 
-class SeenEvent(msgspec.Struct, frozen=True):
+class ObservedEvent(msgspec.Struct, frozen=True):
+    """One event of a stream as its caller received it."""
+
     at: float
     index: int
     call: str
@@ -17,10 +21,10 @@
 
 
 class Attempt(msgspec.Struct, kw_only=True):
-    """One try of a caller at one router. Times are the world's."""
+    """One attempt of a caller at one router; its times are virtual times of the world."""
 
     mark: str
-    """Goes in the body; workers repeat it in every event and answer."""
+    """Identifies the attempt: the request body carries it, and workers repeat it in every event and answer."""
     call: str
     number: int
     router: str
@@ -30,25 +34,25 @@
     key: str
     sent_at: float
     tokens: int
-    """How many events a whole answer has; 0: a plain answer."""
+    """The number of events of a complete stream; 0 for a plain answer."""
     head_at: float | None = None
     ended_at: float | None = None
     end: AttemptEnd = "under-way"
     status: int | None = None
     code: str = ""
-    """Of an answer that a router made itself; empty for a worker's answer."""
-    told_run: str = ""
-    """``not-run``, ``unknown`` or ``ran``, as a router-made answer said."""
-    events: list[SeenEvent] = []
+    """The error code of an answer that a router created itself; empty for a worker's answer."""
+    reported_run: str = ""
+    """The ``run`` field of an answer that a router created itself: ``not-run``, ``unknown`` or ``ran``."""
+    events: list[ObservedEvent] = []
     done_marker: bool = False
     answer_call: str = ""
-    """The mark in a plain answer."""
+    """The mark that a plain answer carried."""
     stray: str = ""
-    """What came that belongs to no event or answer."""
+    """Received bytes that belong to no event or answer, truncated."""
     retry_after: float | None = None
     sent_bytes: bool = False
-    kept_connection: bool = False
-    """Went over a connection of an earlier call."""
+    reused_connection: bool = False
+    """True when the attempt was sent over the connection of an earlier call."""
 
     @property
     def from_worker(self) -> bool:
@@ -60,24 +64,26 @@
 
 
 class Call(msgspec.Struct, kw_only=True):
+    """One call of a caller with all its attempts."""
+
     identifier: str
     tenant: str
     service: str
     repeatable: bool
     idempotency_key: str
     session: str = ""
-    begun_at: float
+    started_at: float
     ended_at: float | None = None
     attempts: list[Attempt] = []
-    """None at all when no router was ready."""
+    """Empty when no router was ready."""
 
     @property
     def succeeded(self) -> bool:
         return any(attempt.succeeded for attempt in self.attempts)
 
 
-class SeenArrival(msgspec.Struct, frozen=True, kw_only=True):
-    """A call that reached a worker, run or not."""
+class ObservedArrival(msgspec.Struct, frozen=True, kw_only=True):
+    """A call that reached a worker, whether the worker ran it or not."""
 
     at: float
     worker: str
@@ -89,7 +95,9 @@
     path: str
 
 
-class SeenRun(msgspec.Struct, kw_only=True):
+class ObservedRun(msgspec.Struct, kw_only=True):
+    """One run of a call at a worker."""
+
     started_at: float
     worker: str
     instance: str
@@ -100,44 +108,50 @@
     finished_at: float | None = None
     outcome: str = "running"
     event_times: list[float] = []
-    """When each event was handed to the connection."""
+    """The times at which the worker wrote each event to the connection."""
     cached_tokens: int = 0
     prompt_tokens: int = 0
 
 
-class SeenDrain(msgspec.Struct, kw_only=True):
+class ObservedDrain(msgspec.Struct, kw_only=True):
+    """A drain that a worker announced, with the time at which the fleet acknowledged it."""
+
     worker: str
     instance: str
-    begun_at: float
+    started_at: float
     acknowledged_at: float | None = None
 
 
 class OrderAnswer(msgspec.Struct, frozen=True, kw_only=True):
+    """One answer, or lost answer, of a daemon to an order."""
+
     asked_at: float
     answered_at: float
     via: str
     outcome: str
-    """``accepted``, ``conflict``, ``invalid``, ``unknown``, or ``lost`` when no answer came."""
+    """``accepted``, ``conflict``, ``invalid``, ``unknown``, or ``lost`` when no answer was received."""
     version: int = 0
     reason: str = ""
 
 
 class PaidShare(msgspec.Struct, frozen=True):
-    """Calls a second over the fleet, and how many seconds' worth may be saved up."""
+    """A tenant's paid rate in calls a second over all routers together, and its burst in seconds of that rate."""
 
     paid_rate: float
     burst: float = 1.0
 
 
-class SeenNewest(msgspec.Struct, frozen=True):
-    """A daemon's answer to the question for the newest bundle; 0: it said that there is none yet."""
+class ObservedLatest(msgspec.Struct, frozen=True):
+    """A daemon's answer to a request for the latest bundle; version 0 when it answered that there is none yet."""
 
     asked_at: float
     daemon: str
     version: int
 
 
-class SeenOrder(msgspec.Struct, kw_only=True):
+class ObservedOrder(msgspec.Struct, kw_only=True):
+    """An order that an operator sent, with all answers to it."""
+
     order: str
     operator: str
     base: int
@@ -145,43 +159,45 @@
     intended: Literal["valid", "invalid"] = "valid"
     answers: list[OrderAnswer] = []
     removed_keys: tuple[str, ...] = ()
-    """Callers' keys that stop working with it."""
+    """Callers' keys that the order removes."""
     added_keys: tuple[str, ...] = ()
     paid_shares: dict[str, PaidShare] = {}
-    """Of the tenants that it changes."""
+    """The new paid shares of the tenants that the order changes."""
 
     @property
     def accepted(self) -> OrderAnswer | None:
         return next((answer for answer in self.answers if answer.outcome == "accepted"), None)
 
 
-class SeenVersion(msgspec.Struct, frozen=True):
+class ObservedVersion(msgspec.Struct, frozen=True):
+    """The bundle version in force that a daemon answered to a poll."""
+
     asked_at: float
     answered_at: float
     daemon: str
-    life: int
+    incarnation: int
     version: int
 
 
-class SeenReady(msgspec.Struct, frozen=True):
-    """A router's answer to the platform's question whether it is ready; no answer counts as not ready."""
+class ObservedReady(msgspec.Struct, frozen=True):
+    """A router's answer to the platform's readiness check; a missing answer counts as not ready."""
 
     asked_at: float
     router: str
     ready: bool
 
 
-class SeenStop(msgspec.Struct, kw_only=True):
-    """A daemon was sent SIGTERM; ``ended_at`` is when its process ended by itself."""
+class ObservedStop(msgspec.Struct, kw_only=True):
+    """A SIGTERM that was sent to a daemon; ``ended_at`` is the time at which its process ended by itself."""
 
     daemon: str
-    life: int
+    incarnation: int
     asked_at: float
     ended_at: float | None = None
 
 
-class SeenLead(msgspec.Struct, frozen=True):
-    """A control daemon said of itself that it takes orders as primary."""
+class ObservedPrimary(msgspec.Struct, frozen=True):
+    """A control daemon's report that it is primary and accepts orders."""
 
     at: float
     daemon: str
@@ -189,43 +205,48 @@
 
 
 class HistoryEntry(msgspec.Struct, frozen=True):
+    """One version of the bundle history and the order that made it."""
+
     version: int
     order: str
 
 
 class Fault(msgspec.Struct, kw_only=True):
-    """What the harness did to whom, and when it was over."""
+    """A fault that the harness injected, with its targets, start and end."""
 
     kind: str
     targets: tuple[str, ...]
-    """Machines and processes."""
-    begun_at: float
+    """The names of the affected machines and processes."""
+    started_at: float
     ended_at: float | None = None
     description: str = ""
 
     def touches(self, names: frozenset[str], start: float, end: float, after: float = 0.0) -> bool:
+        """Returns whether the fault, or the ``after`` seconds that follow it, touch a name in the interval."""
         over = self.ended_at is None or self.ended_at + after >= start
-        return bool(names.intersection(self.targets)) and self.begun_at <= end and over
+        return bool(names.intersection(self.targets)) and self.started_at <= end and over
 
 
 class History(msgspec.Struct):
+    """All records of one run."""
+
     calls: list[Call] = []
-    arrivals: list[SeenArrival] = []
-    runs: list[SeenRun] = []
-    drains: list[SeenDrain] = []
-    orders: list[SeenOrder] = []
-    versions: list[SeenVersion] = []
-    leads: list[SeenLead] = []
-    ready: list[SeenReady] = []
-    stops: list[SeenStop] = []
+    arrivals: list[ObservedArrival] = []
+    runs: list[ObservedRun] = []
+    drains: list[ObservedDrain] = []
+    orders: list[ObservedOrder] = []
+    versions: list[ObservedVersion] = []
+    primaries: list[ObservedPrimary] = []
+    ready: list[ObservedReady] = []
+    stops: list[ObservedStop] = []
     faults: list[Fault] = []
     final_versions: dict[str, int] = {}
-    """Read back from each daemon at the end."""
+    """The version in force at each daemon, read at the end of the run."""
     final_history: dict[str, list[HistoryEntry]] = {}
-    """As each control daemon told it at the end."""
-    newest_read: list[SeenNewest] = []
+    """The bundle history that each control daemon returned at the end of the run."""
+    latest_reads: list[ObservedLatest] = []
     first_shares: dict[str, PaidShare] = {}
-    """Tenants' shares in the first bundle."""
+    """The paid shares of the tenants in the first bundle."""
 
     def attempts(self) -> list[Attempt]:
         return [attempt for call in self.calls for attempt in call.attempts]
@@ -233,5 +254,5 @@
     def disturbed(
         self, names: frozenset[str], start: float, end: float, after: float = 0.0, but: tuple[str, ...] = ()
     ) -> bool:
-        """``but``: kinds of faults that don't count."""
+        """Returns whether a fault touched one of the names in the interval; the kinds in ``but`` are ignored."""
         return any(fault.touches(names, start, end, after) for fault in self.faults if fault.kind not in but)
--- a/simulation/scenario.py
+++ b/simulation/scenario.py
@@ -1,8 +1,8 @@
-"""Scenarios: small text files of what happens when, run on a whole fleet and judged by the observer.
+"""Scenarios: small text files of timed events that run on a whole fleet and are judged by the observer.
 
 A file reads like this (docs/DESIGN.md section 16.4)::
 
-    # What it shows, for the person on call.
+    # What the scenario shows, for the person on call.
     deployment despensa
     seeds 1 2
     traffic 0.3
@@ -11,8 +11,9 @@
     at 6 push set tenant/riders.paid_rate=5
     expect order 1 accepted
 
-Times are seconds after the first bundle is in force everywhere. When the last fault is over, the run
-goes on for ``calm`` seconds, then everything is read back and judged. ``help_text()`` lists all lines.
+Times are seconds after the first bundle is in force everywhere. After the end of the last fault the run goes on for
+``calm`` seconds; then the versions and histories are read back and the run is judged. ``help_text()`` lists all
+lines.
 """
 
 from __future__ import annotations
@@ -31,39 +32,44 @@
 from wingwood.bundle.canonical import canonical_json
 from wingwood.identifiers import SliceName
 
-from .fleet import Builds, Fleet, network_shape, shape_named
+from .fleet import DaemonFactories, Fleet, network_shape, shape_named
 from .history import Attempt
+from .indexed_history import Bounds, Topology, Violation
 from .observer import CHECKS, judge
 from .operators import Slices, put_slice, set_field
-from .seen import Bounds, Places, Violation
 from .world import World
 
-LONGEST_WAIT_FOR_FIRST_BUNDLE = 15.0
-DEFAULT_CALM = 20.0
-LAST_ANSWERS = 4.0
+FIRST_BUNDLE_TIMEOUT_S = 15.0
+DEFAULT_CALM_S = 20.0
+LAST_ANSWERS_S = 4.0
+"""Time at the end of a run, after traffic has stopped, in which open calls may end."""
 
 
-class ScenarioProblem(Exception):
-    """A line that can't be read; says which and what is expected."""
+class ScenarioError(Exception):
+    """Raised for a line that can't be parsed; the text gives the line and what was expected."""
 
 
 class Step(msgspec.Struct, frozen=True):
+    """One ``at`` line of a scenario with the action that it stands for."""
+
     at: float
     line: str
     action: Callable[[Fleet], None]
     lasts: float = 0.0
-    """Until when after ``at`` it disturbs by itself."""
+    """The seconds after ``at`` during which the step itself disturbs the fleet."""
 
 
 class Scenario(msgspec.Struct, kw_only=True):
+    """A parsed scenario file."""
+
     name: str
     about: str = ""
     deployment: str = "despensa"
     seeds: tuple[int, ...] = (1,)
     traffic: float = 0.25
-    calm: float = DEFAULT_CALM
+    calm: float = DEFAULT_CALM_S
     broken: str = ""
-    """Name of a deliberately broken variant of the fleet (``simulation.broken``)."""
+    """The name of a deliberately broken variant of the fleet (``simulation.broken``), or empty."""
     steps: list[Step] = []
     expects: list[str] = []
 
@@ -72,11 +78,13 @@
 
 
 class Report(msgspec.Struct, kw_only=True):
+    """The result of a run of a scenario with one seed."""
+
     scenario: str
     seed: int
     violations: list[Violation]
     problems: list[str]
-    """Expectations of the scenario that did not hold."""
+    """Expectations of the scenario that did not hold, and time-outs that ended the run."""
     digest: str = ""
     simulated_seconds: float = 0.0
     real_seconds: float = 0.0
@@ -88,11 +96,11 @@
     faults: int = 0
     timeline: str = ""
     ends: dict[str, int] = {}
-    """How the attempts ended, counted."""
-    looked: dict[str, int] = {}
-    """How many things each check of the observer judged."""
+    """The number of attempts for each kind of end."""
+    judged: dict[str, int] = {}
+    """The number of things that each check of the observer judged."""
     in_force_seconds: list[float] = []
-    """From each acknowledgement to the first look at each router that showed it."""
+    """The times from each acknowledgement of a version to the first poll of each router that showed it."""
 
     @property
     def passed(self) -> bool:
@@ -118,7 +126,7 @@
         return "\n".join(lines)
 
 
-# -- the lines
+# -- the lines of a scenario
 
 Maker = Callable[[re.Match[str]], tuple[Callable[[Fleet], None], float]]
 NAME = r"(?P<name>all [a-z]+|[a-z0-9][a-z0-9-]*)"
@@ -135,6 +143,7 @@
 
 
 def help_text() -> str:
+    """Returns the lines that a scenario may contain, with explanations."""
     return "\n".join(f"at T {shown}" for _, _, shown in _LINES)
 
 
@@ -143,7 +152,9 @@
     return float(found) if found else default
 
 
-@_line(rf"kill {NAME}(?: for {SECONDS})?", "kill NAME [for S]          SIGKILL; started again after S (1) seconds")
+@_line(
+    rf"kill {NAME}(?: for {SECONDS})?", "kill NAME [for S]          SIGKILL; restarted after S seconds (1 by default)"
+)
 def _kill(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     seconds = _seconds(match, 1.0)
     return lambda fleet: fleet.kill(match["name"], seconds), seconds
@@ -154,7 +165,7 @@
     return lambda fleet: fleet.freeze(match["name"], _seconds(match)), _seconds(match)
 
 
-@_line(rf"terminate {NAME}", "terminate NAME             SIGTERM; started again when it has left")
+@_line(rf"terminate {NAME}", "terminate NAME             SIGTERM; restarted after its process ended")
 def _terminate(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     return lambda fleet: fleet.terminate(match["name"]), 25.0
 
@@ -170,7 +181,9 @@
     return roll, every * 14 + 25.0
 
 
-@_line(rf"power off {NAME} for {SECONDS}", "power off NAME for S       the machine is gone in silence, then boots")
+@_line(
+    rf"power off {NAME} for {SECONDS}", "power off NAME for S       the machine loses power without a reset, then boots"
+)
 def _power_off(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     return lambda fleet: fleet.power_off(match["name"], _seconds(match)), _seconds(match)
 
@@ -186,7 +199,7 @@
 
 @_line(
     rf"cut off {NAME}(?P<way> inward| outward)?(?P<daemons> from daemons)? for {SECONDS}",
-    "cut off NAME [inward|outward] [from daemons] for S   from all daemons (and workers), not from callers",
+    "cut off NAME [inward|outward] [from daemons] for S   from all daemons and workers, not from callers",
 )
 def _cut_off(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     direction = {" inward": "in", " outward": "out", None: "both"}[match["way"]]
@@ -229,9 +242,7 @@
     return lambda fleet: fleet.slow(match["name"], float(match["by"]), _seconds(match)), _seconds(match)
 
 
-@_line(
-    rf"worker {NAME} drains", "worker NAME drains         says that it leaves, then ends; a new life starts 10 s later"
-)
+@_line(rf"worker {NAME} drains", "worker NAME drains         announces its drain; a new incarnation starts 10 s later")
 def _worker_drains(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def drain(fleet: Fleet) -> None:
         fleet.world.note("world", "drain", worker=match["name"])
@@ -246,7 +257,8 @@
 
 
 @_line(
-    rf"worker {NAME} restarts empty", "worker NAME restarts empty a new life at the same address, without its KV cache"
+    rf"worker {NAME} restarts empty",
+    "worker NAME restarts empty a new incarnation at the same address without its KV cache",
 )
 def _worker_restarts(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def restart(fleet: Fleet) -> None:
@@ -329,14 +341,14 @@
     def storm(fleet: Fleet) -> None:
         async def pushes(name: str) -> None:
             operator = fleet.operators[name]
-            begun = fleet.world.now
+            started = fleet.world.now
             for number in range(count // 2):
                 value: dict[str, object] = {"name": f"storm-{name}", "weight": 1.0 + number}
                 pushing = operator.push(
                     put_slice(f"class/storm-{name}", value), f"storm {number}", on_conflict_again=True
                 )
                 await pushing
-                await asyncio.sleep(max(0.0, begun + seconds * (number + 1) / (count // 2) - fleet.world.now))
+                await asyncio.sleep(max(0.0, started + seconds * (number + 1) / (count // 2) - fleet.world.now))
 
         for name in ("operator-1", "operator-2"):
             fleet.by_operator(name, pushes(name))
@@ -350,9 +362,9 @@
         operator = fleet.operators["operator-2"]
 
         async def work() -> None:
-            base, before = await operator.newest()
-            for spoiled in _spoiled(before):
-                seen, order = operator.prepare(base, before, spoiled, "invalid")
+            base, before = await operator.latest()
+            for invalid in _invalid_slices(before):
+                seen, order = operator.prepare(base, before, invalid, "invalid")
                 seen.intended = "invalid"
                 await operator.send(seen, order)
             seen, order = operator.prepare(base, before, dict(before), "wrong signature")
@@ -365,7 +377,7 @@
     return push, 2.0
 
 
-def _spoiled(before: Slices) -> list[Slices]:
+def _invalid_slices(before: Slices) -> list[Slices]:
     service = next(name for name in sorted(before) if name.startswith("service/"))
     tenant = next(name for name in sorted(before) if name.startswith("tenant/"))
     unknown = {**msgspec.json.decode(before[tenant]), "priority_class": "no-such-class"}
@@ -406,7 +418,7 @@
     return push, 2.0
 
 
-@_line(rf"remove key of {NAME}", "remove key of TENANT       its callers go on with it; a new one is not given")
+@_line(rf"remove key of {NAME}", "remove key of TENANT       its callers continue to use it and get no new one")
 def _remove_key(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def remove(fleet: Fleet) -> None:
         operator = fleet.operators["operator-2"]
@@ -418,7 +430,7 @@
 
 
 @_line(
-    rf"flood {NAME} (?P<service>[a-z-]+) (?P<rate>\d+)/s for {SECONDS}(?: through (?P<door>\S+))?",
+    rf"flood {NAME} (?P<service>[a-z-]+) (?P<rate>\d+)/s for {SECONDS}(?: through (?P<router>\S+))?",
     "flood TENANT SERVICE N/s for S [through ROUTER]",
 )
 def _flood(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
@@ -427,11 +439,11 @@
         fleet.world.note("world", "flood", tenant=match["name"], rate=match["rate"])
         process = fleet.world.processes[callers.plan.machine]
         work = callers.flood(match["service"], float(match["rate"]), _seconds(match))
-        if match["door"]:
-            callers.only_door = match["door"]
+        if match["router"]:
+            callers.only_router = match["router"]
 
             def free() -> None:
-                callers.only_door = None
+                callers.only_router = None
 
             fleet.world.at(fleet.world.now + _seconds(match) + 1.0, free)
         fleet.world.spawn(process, work, "flood")
@@ -446,27 +458,29 @@
 def _leave(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def leave(fleet: Fleet) -> None:
         callers = fleet.callers[match["name"]]
-        callers.leave_after = float(match["after"])
+        callers.disconnect_after_s = float(match["after"])
 
         def stay() -> None:
-            callers.leave_after = None
+            callers.disconnect_after_s = None
 
         fleet.world.at(fleet.world.now + _seconds(match), stay)
 
     return leave, _seconds(match)
 
 
-@_line(rf"crowd (?P<factor>\d+(?:\.\d+)?) for {SECONDS}", "crowd F for S              F times the scenario's traffic")
+@_line(
+    rf"crowd (?P<factor>\d+(?:\.\d+)?) for {SECONDS}", "crowd F for S              F times the traffic of the scenario"
+)
 def _crowd(match: re.Match[str]) -> tuple[Callable[[Fleet], None], float]:
     def crowd(fleet: Fleet) -> None:
-        usual = {name: callers.factor for name, callers in fleet.callers.items()}
+        usual = {name: callers.traffic_factor for name, callers in fleet.callers.items()}
         fault = fleet.fault("crowd", "all routers")
         for callers in fleet.callers.values():
-            callers.factor *= float(match["factor"])
+            callers.traffic_factor *= float(match["factor"])
 
         def leave() -> None:
             for name, callers in fleet.callers.items():
-                callers.factor = usual[name]
+                callers.traffic_factor = usual[name]
             fleet.end_fault(fault)
 
         fleet.world.at(fleet.world.now + _seconds(match), leave)
@@ -478,24 +492,25 @@
     return None
 
 
-# -- reading
+# -- parsing
 
 
 def read_step(line: str) -> Step:
-    """``at T WHAT``; raises ScenarioProblem."""
+    """Parses a line ``at T WHAT``; raises ScenarioError."""
     match = re.fullmatch(r"at (\d+(?:\.\d+)?) (.+)", line)
     if match is None:
-        raise ScenarioProblem(f"{line!r}: expected `at SECONDS WHAT`")
+        raise ScenarioError(f"{line!r}: expected `at SECONDS WHAT`")
     at, what = float(match[1]), match[2]
     for pattern, maker, _ in _LINES:
         found = pattern.fullmatch(what)
         if found is not None:
             action, lasts = maker(found)
             return Step(at, line, action, lasts)
-    raise ScenarioProblem(f"{line!r}: not known; the lines are\n{help_text()}")
+    raise ScenarioError(f"{line!r}: unknown line; the lines are\n{help_text()}")
 
 
 def read_scenario(text: str, name: str) -> Scenario:
+    """Parses the text of a scenario file; raises ScenarioError with the number of the faulty line."""
     scenario = Scenario(name=name)
     about = []
     for number, raw in enumerate(text.splitlines(), 1):
@@ -505,8 +520,8 @@
                 about.append(line.lstrip("# "))
             elif line:
                 _read_line(scenario, line)
-        except (ScenarioProblem, ValueError) as problem:
-            raise ScenarioProblem(f"{name}, line {number}: {problem}") from None
+        except (ScenarioError, ValueError) as problem:
+            raise ScenarioError(f"{name}, line {number}: {problem}") from None
     scenario.about = " ".join(about)
     scenario.steps.sort(key=lambda step: step.at)
     return scenario
@@ -531,20 +546,22 @@
         case "broken":
             scenario.broken = rest
         case _:
-            raise ScenarioProblem(f"{line!r}: expected at, expect, deployment, seeds, traffic, calm or broken")
+            raise ScenarioError(f"{line!r}: expected at, expect, deployment, seeds, traffic, calm or broken")
 
 
 # -- expectations beyond the observer's checks
 
 Expectation = Callable[[Fleet, Sequence[Violation]], str]
-"""Empty when it holds; else what was found."""
+"""Returns an empty text when the expectation holds, otherwise what was found instead."""
 
 
 def _expectation(text: str) -> Expectation:
     if match := re.fullmatch(r"violation ([a-z-]+)", text):
         wanted = match[1]
         return lambda _, violations: (
-            "" if any(each.check == wanted for each in violations) else f"the broken variant was not caught by {wanted}"
+            ""
+            if any(each.check == wanted for each in violations)
+            else f"the check {wanted} did not detect the broken variant"
         )
     if match := re.fullmatch(r"newest version (\d+)", text):
         version = int(match[1])
@@ -561,7 +578,7 @@
     if match := re.fullmatch(r"at least (\d+)% of calls succeed", text):
         share = int(match[1])
         return lambda fleet, _: _enough(share, fleet)
-    raise ScenarioProblem(
+    raise ScenarioError(
         f"{text!r}: expected `violation CHECK`, `newest version N`, `N orders accepted|conflict|invalid` "
         "or `at least N% of calls succeed`"
     )
@@ -581,32 +598,34 @@
 
 
 def bounds_for(fleet: Fleet) -> Bounds:
+    """Returns the observer's limits for the deployment of a fleet."""
     removed = fleet.shape.removed_key_bound
     return Bounds(removed_key=None if removed is None else removed + 0.3)
 
 
-def places_of(fleet: Fleet) -> Places:
+def topology_of(fleet: Fleet) -> Topology:
+    """Returns the processes and machines of a fleet at the end of its run."""
     controls = set()
     for process in fleet.world.processes.values():
         if process.tags.get("role") == "control":
             controls |= {process.name, process.machine.name}
-    return Places(
+    return Topology(
         machine_of={process.name: process.machine.name for process in fleet.world.processes.values()},
         controls=frozenset(controls),
         routers=frozenset(fleet.names("router")),
     )
 
 
-def run_scenario(scenario: Scenario, seed: int, builds: Builds | None = None) -> Report:
-    """One run; what it saw is judged and summed up."""
-    begun, processor_begun = time.perf_counter(), time.process_time()
+def run_scenario(scenario: Scenario, seed: int, factories: DaemonFactories | None = None) -> Report:
+    """Runs a scenario with one seed, judges the run and returns its report."""
+    started, processor_begun = time.perf_counter(), time.process_time()
     shape = shape_named(scenario.deployment)
     if scenario.broken:
-        from .broken import broken_builds  # noqa: PLC0415
+        from .broken import broken_factories  # noqa: PLC0415
 
-        builds = broken_builds(scenario.broken)
+        factories = broken_factories(scenario.broken)
     with World(seed, network_shape(shape)) as world:
-        fleet = Fleet(world, shape, builds)
+        fleet = Fleet(world, shape, factories)
         report = Report(scenario=scenario.name, seed=seed, violations=[], problems=[])
         try:
             _drive(scenario, fleet)
@@ -617,7 +636,7 @@
         report.digest = world.digest()
         report.simulated_seconds = world.now
         report.timeline = _timeline(fleet)
-    report.real_seconds = time.perf_counter() - begun
+    report.real_seconds = time.perf_counter() - started
     report.processor_seconds = time.process_time() - processor_begun
     return report
 
@@ -625,7 +644,7 @@
 def _drive(scenario: Scenario, fleet: Fleet) -> None:
     world = fleet.world
     fleet.start()
-    fleet.put_in_force(LONGEST_WAIT_FOR_FIRST_BUNDLE)
+    fleet.put_in_force(FIRST_BUNDLE_TIMEOUT_S)
     start = world.now
     world.note("world", "first-bundle-in-force")
     fleet.set_traffic(scenario.traffic)
@@ -644,14 +663,14 @@
     fleet.set_traffic(0.0)
     for callers in fleet.callers.values():
         callers.stopped = True
-    fleet.run(LAST_ANSWERS)
+    fleet.run(LAST_ANSWERS_S)
 
 
 def _judge(scenario: Scenario, fleet: Fleet, report: Report) -> None:
     history, world = fleet.history, fleet.world
-    looked: Counter[str] = Counter()
-    violations = judge(history, places_of(fleet), bounds_for(fleet), world.now, looked)
-    report.looked = {check: looked[check] for check in CHECKS}
+    judged: Counter[str] = Counter()
+    violations = judge(history, topology_of(fleet), bounds_for(fleet), world.now, judged)
+    report.judged = {check: judged[check] for check in CHECKS}
     for text in world.broken_invariants:
         first, _, trace = text.partition("\n")
         at, _, where = first.partition(" ")
@@ -677,7 +696,7 @@
     if attempt.succeeded:
         return "succeeded"
     if attempt.code:
-        return f"{attempt.status} {attempt.code} {attempt.told_run}"
+        return f"{attempt.status} {attempt.code} {attempt.reported_run}"
     return f"{attempt.end} {attempt.status or ''}".strip()
 
 
@@ -687,13 +706,13 @@
         if order.accepted is None:
             continue
         for router in fleet.names("router"):
-            looks = [
-                look.answered_at
-                for look in fleet.history.versions
-                if look.daemon == router and look.version >= order.accepted.version
+            poll_times = [
+                poll.answered_at
+                for poll in fleet.history.versions
+                if poll.daemon == router and poll.version >= order.accepted.version
             ]
-            if looks:
-                found.append(max(0.0, looks[0] - order.accepted.answered_at))
+            if poll_times:
+                found.append(max(0.0, poll_times[0] - order.accepted.answered_at))
     return found
 
 
@@ -733,8 +752,10 @@
 
 
 def find_scenarios(root: Path) -> list[Path]:
+    """Returns all scenario files below a folder, sorted by path."""
     return sorted(path for path in root.rglob("*.scenario") if ".venv" not in path.parts)
 
 
 def load(path: Path) -> Scenario:
+    """Reads and parses a scenario file."""
     return read_scenario(path.read_text(), path.stem.removeprefix("scenario_"))
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -1,4 +1,4 @@
-"""A world of machines and processes on virtual time (docs/DESIGN.md section 16)."""
+"""A simulated world of machines and processes on virtual time (docs/DESIGN.md section 16)."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 from .disk import MachineDisk, SimulatedDisk
 from .network import Cut, NetworkShape, SimulatedNetwork, SimulatedNetworkCore
-from .virtual_time import LIFE, Life, VirtualTask, VirtualTimeLoop, attach_tornado
+from .virtual_time import INCARNATION, Incarnation, VirtualTask, VirtualTimeLoop, attach_tornado
 
 Value = TypeVar("Value")
 Main = Callable[[Context], Awaitable[None]]
@@ -33,12 +33,14 @@
 
 
 def seeded(seed: int, *names: object) -> Random:
-    """A random source of its own for each name; the same in every run and interpreter."""
+    """Returns a random source derived from the seed and the names; it is the same in every run and interpreter."""
     text = "/".join([str(seed), *(str(name) for name in names)])
     return Random(int.from_bytes(hashlib.blake2b(text.encode(), digest_size=16).digest(), "big"))
 
 
 class WorldEvent(msgspec.Struct, frozen=True):
+    """A log event of a process, or an action of the harness (source ``world``)."""
+
     at: float
     source: str
     name: str
@@ -49,6 +51,8 @@
 
 
 class Machine:
+    """A machine with an IP address, a zone and a disk."""
+
     def __init__(self, world: World, name: str, zone: str, host: str) -> None:
         self.world = world
         self.name = name
@@ -59,7 +63,7 @@
 
 
 class Process:
-    """A program on a machine; each start is a new life."""
+    """A program on a machine; every start of it is a new incarnation."""
 
     def __init__(self, world: World, name: str, machine: Machine, main: Main, tags: dict[str, str]) -> None:
         self.world = world
@@ -67,22 +71,24 @@
         self.machine = machine
         self.main = main
         self.tags = tags
-        self.lives = 0
-        self.life: Life | None = None
+        self.incarnation_number = 0
+        self.incarnation: Incarnation | None = None
         self.context: Context | None = None
         self.stopped_because: str | None = None
         self.clock_rate = 1.0
 
     @property
     def alive(self) -> bool:
-        return self.life is not None and not self.life.dead
+        return self.incarnation is not None and not self.incarnation.dead
 
     @property
     def frozen(self) -> bool:
-        return self.life is not None and self.life.frozen
+        return self.incarnation is not None and self.incarnation.frozen
 
 
 class SimulatedClock:
+    """The clock of the running process (``Context.clock``), with its own offset and rate."""
+
     def __init__(self, world: World) -> None:
         self._loop = world.loop
 
@@ -97,6 +103,8 @@
 
 
 class SimulatedLog:
+    """The log of one process (``Context.log``); its events become events of the world."""
+
     def __init__(self, world: World, source: str) -> None:
         self._world = world
         self._source = source
@@ -106,10 +114,12 @@
 
 
 class SimulatedTasks:
-    def __init__(self, world: World, process: Process, life: Life) -> None:
+    """The tasks of one incarnation (``Context.tasks``); an unhandled exception in a task stops the process."""
+
+    def __init__(self, world: World, process: Process, incarnation: Incarnation) -> None:
         self._world = world
         self._process = process
-        self._life = life
+        self._life = incarnation
 
     def spawn(self, name: str, coroutine: Coroutine[Any, Any, None]) -> VirtualTask:
         task = self._world.loop.create_task(coroutine, name=name)
@@ -130,7 +140,7 @@
 
 
 class World:
-    """Use as a context manager; everything of a run hangs on it, nothing outlives it."""
+    """A simulated world, used as a context manager: it owns all state of a run, and none of it outlives the world."""
 
     def __init__(self, seed: int, shape: NetworkShape | None = None, keep_events: int = 200_000) -> None:
         self.seed = seed
@@ -142,18 +152,18 @@
         self.processes: dict[str, Process] = {}
         self.events: list[WorldEvent] = []
         self.broken_invariants: list[str] = []
-        """Exceptions that escaped in simulated processes, with their traces."""
+        """Unhandled exceptions of simulated processes, with their tracebacks."""
         self.http_client: Callable[[Network, Tasks], HttpClient] = StreamHttpClient
-        """Makes Context.http: the daemons' own client, on the simulated network."""
+        """Creates Context.http: by default the HTTP client of the daemons, on the simulated network."""
         self._digest = hashlib.blake2b(digest_size=16)
         self._keep_events = keep_events
         self._hosts_of_zone: dict[str, int] = {}
         self._zones: list[str] = []
-        self._lives: list[Life] = []
+        self._incarnations: list[Incarnation] = []
         self._end: list[Callable[[], None]] = []
         self.loop.on_unhandled = self._unhandled
 
-    # -- life of the world
+    # -- start and end of the world
 
     def __enter__(self) -> World:
         self.io_loop = attach_tornado(self.loop)
@@ -167,9 +177,9 @@
         self.close()
 
     def close(self) -> None:
-        """Ends the run in silence: no finally block of simulated code may be seen to run."""
-        for life in self._lives:
-            self.loop.kill(life)
+        """Ends the run without running simulated code: no ``finally`` block of it has a visible effect."""
+        for incarnation in self._incarnations:
+            self.loop.kill(incarnation)
         for task in self.loop_tasks():
             task._log_destroy_pending = False  # type: ignore[attr-defined]
         self.loop.on_unhandled = None
@@ -180,8 +190,8 @@
             with warnings.catch_warnings():
                 warnings.simplefilter("ignore")
                 self.loop.close()
-                for life in self._lives:
-                    life.graveyard.clear()
+                for incarnation in self._incarnations:
+                    incarnation.retained_after_death.clear()
                 self.processes.clear()
                 gc.collect()
         finally:
@@ -194,7 +204,7 @@
         return sorted(tasks, key=lambda task: task.number)
 
     def run(self, seconds: float) -> None:
-        """Lets that much of virtual time pass."""
+        """Advances virtual time by this many seconds."""
         self.run_until(self.loop.now + seconds)
 
     def run_until(self, time: float) -> None:
@@ -202,7 +212,7 @@
         self.loop.run_forever()
 
     def wait_for(self, condition: Callable[[], bool], within: float, every: float = 0.05) -> bool:
-        """Runs until the condition holds; False when it did not within that many virtual seconds."""
+        """Runs until the condition holds; returns False when it does not hold within ``within`` virtual seconds."""
         until = self.loop.now + within
         while not condition():
             if self.loop.now >= until - 1e-9:
@@ -211,12 +221,14 @@
         return True
 
     def complete(self, coroutine: Coroutine[Any, Any, Value], within: float = 60.0) -> Value:
-        """Runs a coroutine of the test itself (outside all processes) to its end."""
+        """Runs a coroutine of the test, outside all processes, to its end and returns its result.
+
+        Raises TimeoutError when it is not done within ``within`` virtual seconds."""
         task = self.loop.create_task(coroutine, name="test")
         if not self.wait_for(task.done, within, every=0.01):
             task.cancel()
             self.run(0.001)
-            raise TimeoutError(f"not done within {within} virtual seconds")
+            raise TimeoutError(f"the coroutine was not done within {within} virtual seconds")
         result: Value = task.result()
         return result
 
@@ -225,12 +237,13 @@
         return self.loop.now
 
     def at(self, time: float, action: Callable[[], object]) -> None:
+        """Runs an action of the harness at a virtual time."""
         self.loop.kernel_at(time, action)
 
     # -- machines and processes
 
     def machine(self, name: str, zone: str = "a") -> Machine:
-        """The machine of that name; made when there is none."""
+        """Returns the machine of this name and creates it when there is none."""
         found = self.machines.get(name)
         if found is None:
             if zone not in self._zones:
@@ -250,9 +263,9 @@
         tags: dict[str, str] | None = None,
         clock_rate: float = 1.0,
     ) -> Process:
-        """Starts ``main(context)`` as a process on a machine (of its own, unless named)."""
+        """Starts ``main(context)`` as a process on the named machine, by default one of the process's own name."""
         if name in self.processes:
-            raise ValueError(f"there is a process {name!r} already")
+            raise ValueError(f"a process named {name!r} exists already")
         process = Process(self, name, self.machine(machine or name, zone), main, tags or {})
         process.clock_rate = clock_rate
         self.processes[name] = process
@@ -261,15 +274,19 @@
 
     def _begin(self, process: Process) -> None:
         if not process.machine.powered:
-            raise ValueError(f"{process.machine.name} is without power")
-        process.lives += 1
+            raise ValueError(f"machine {process.machine.name} is powered off")
+        process.incarnation_number += 1
         process.stopped_because = None
-        random = seeded(self.seed, "process", process.name, process.lives)
-        life = Life(f"{process.name}#{process.lives}", offset=random.uniform(0.0, 50_000.0), rate=process.clock_rate)
-        process.life = life
-        self._lives.append(life)
+        random = seeded(self.seed, "process", process.name, process.incarnation_number)
+        incarnation = Incarnation(
+            f"{process.name}#{process.incarnation_number}",
+            offset=random.uniform(0.0, 50_000.0),
+            rate=process.clock_rate,
+        )
+        process.incarnation = incarnation
+        self._incarnations.append(incarnation)
         network = SimulatedNetwork(self.network, process.machine)
-        tasks = SimulatedTasks(self, process, life)
+        tasks = SimulatedTasks(self, process, incarnation)
         process.context = Context(
             clock=SimulatedClock(self),
             network=network,
@@ -282,10 +299,10 @@
         self.spawn(process, process.main(process.context), "main")
 
     def spawn(self, process: Process, awaitable: Awaitable[None], name: str) -> None:
-        """Runs a coroutine as a task of the process."""
-        assert process.life is not None and process.context is not None
+        """Runs an awaitable as a task of the process."""
+        assert process.incarnation is not None and process.context is not None
         process_context, tasks = contextvars.Context(), process.context.tasks
-        process_context.run(LIFE.set, process.life)
+        process_context.run(INCARNATION.set, process.incarnation)
 
         async def run() -> None:
             await awaitable
@@ -300,50 +317,53 @@
         return process.context
 
     def kill(self, process: Process | str) -> None:
-        """As SIGKILL: nothing of it runs any more, its kernel closes its connections."""
+        """Ends the process as SIGKILL does: none of its code runs any more, and the kernel closes its connections."""
         process = self._process(process)
-        life = process.life
-        if life is None or life.dead:
+        incarnation = process.incarnation
+        if incarnation is None or incarnation.dead:
             return
         self.note("world", "kill", process=process.name)
-        self.loop.kill(life)
-        self.network.process_ended(life)
-        process.machine.disk.process_ended(life)
+        self.loop.kill(incarnation)
+        self.network.process_ended(incarnation)
+        process.machine.disk.process_ended(incarnation)
 
     def restart(self, process: Process | str) -> None:
+        """Kills the process when it runs, and starts a new incarnation."""
         process = self._process(process)
         self.kill(process)
         self.note("world", "start", process=process.name)
         self._begin(process)
 
     def freeze(self, process: Process | str) -> None:
+        """Stops the process as SIGSTOP does, until ``wake``; its connections stay open."""
         process = self._process(process)
         if process.alive:
             self.note("world", "freeze", process=process.name)
-            assert process.life is not None
-            self.loop.freeze(process.life)
+            assert process.incarnation is not None
+            self.loop.freeze(process.incarnation)
 
     def wake(self, process: Process | str) -> None:
         process = self._process(process)
         if process.alive and process.frozen:
             self.note("world", "wake", process=process.name)
-            assert process.life is not None
-            self.loop.wake(process.life)
+            assert process.incarnation is not None
+            self.loop.wake(process.incarnation)
 
     def power_off(self, machine: Machine | str) -> None:
-        """The machine is gone in silence; what was not synced is lost."""
+        """Cuts the machine's power: its peers get no reset or end of stream, and unsynced data is lost."""
         machine = self._machine(machine)
         self.note("world", "power-off", machine=machine.name)
         machine.powered = False
-        self.network.machine_lost(machine)
+        self.network.machine_powered_off(machine)
         for process in self.processes.values():
             if process.machine is machine and process.alive:
-                assert process.life is not None
-                self.loop.kill(process.life)
-                machine.disk.process_ended(process.life)
+                assert process.incarnation is not None
+                self.loop.kill(process.incarnation)
+                machine.disk.process_ended(process.incarnation)
         machine.disk.power_lost()
 
     def power_on(self, machine: Machine | str, start_processes: bool = True) -> None:
+        """Boots a machine that was powered off and, by default, starts its processes."""
         machine = self._machine(machine)
         if machine.powered:
             return
@@ -356,20 +376,20 @@
                     self._begin(process)
 
     def wipe(self, machine: Machine | str) -> None:
-        """Empties its disk under whatever runs there."""
+        """Empties the machine's disk while its processes go on running."""
         machine = self._machine(machine)
         self.note("world", "wipe", machine=machine.name)
         machine.disk.wipe()
 
-    # -- wires
+    # -- network partitions
 
     def cut(self, one: str, other: str, both_ways: bool = True) -> Cut:
-        """Nothing passes from machine ``one`` to ``other`` (and back) until it is healed."""
+        """Blocks all traffic from machine ``one`` to ``other``, and back with ``both_ways``, until ``heal``."""
         self.note("world", "cut", one=one, other=other, both_ways=both_ways)
         return self.network.cut([(one, other), (other, one)] if both_ways else [(one, other)])
 
     def cut_off(self, machine: str, inward: bool = True, outward: bool = True) -> Cut:
-        """Nothing reaches the machine, or leaves it, or both."""
+        """Blocks traffic that enters the machine, traffic that leaves it, or both, until ``heal``."""
         self.note("world", "cut-off", machine=machine, inward=inward, outward=outward)
         others = [name for name in self.machines if name != machine]
         pairs = [(name, machine) for name in others if inward] + [(machine, name) for name in others if outward]
@@ -383,6 +403,7 @@
     # -- events
 
     def note(self, source: str, name: str, **fields: object) -> None:
+        """Records an event and adds it to the digest of the run."""
         event = WorldEvent(round(self.loop.now, 6), source, name, fields)
         self._digest.update(event.line().encode())
         self.events.append(event)
@@ -390,7 +411,7 @@
             del self.events[: self._keep_events // 2]
 
     def digest(self) -> str:
-        """Of all events so far, of every byte count that was delivered, and of every callback that ran."""
+        """Returns a digest of all events and the numbers of delivered bytes, connections and callbacks so far."""
         copy = self._digest.copy()
         copy.update(
             f"{self.network.bytes_delivered} {self.network.connections_made} {self.loop.callbacks_run}".encode()
@@ -398,6 +419,7 @@
         return copy.hexdigest()
 
     def timeline(self, last: int = 200, names: set[str] | None = None) -> str:
+        """Returns the last events, one a line, of all names or of the given ones."""
         chosen = [event for event in self.events if names is None or event.name in names]
         return "\n".join(event.line() for event in chosen[-last:])
 
@@ -405,10 +427,10 @@
         self.broken_invariants.append(f"{self.loop.now:.4f} {process.name} {where}\n{trace}")
         self.note(process.name, "invariant-broken", where=where, trace=trace.strip().splitlines()[-1])
 
-    def _unhandled(self, life: Life | None, details: dict[str, Any]) -> None:
+    def _unhandled(self, incarnation: Incarnation | None, details: dict[str, Any]) -> None:
         problem = details.get("exception")
         trace = "".join(traceback.format_exception(problem)) if problem is not None else str(details.get("message"))
-        name = life.name if life is not None else "world"
+        name = incarnation.name if incarnation is not None else "world"
         self.broken_invariants.append(f"{self.loop.now:.4f} {name} unhandled: {details.get('message')}\n{trace}")
         with contextlib.suppress(IndexError):
             self.note(name, "unhandled-exception", trace=trace.strip().splitlines()[-1])
@@ -421,4 +443,5 @@
 
 
 def address_of(machine: Machine, port: int) -> Address:
+    """Returns the address of a port on a machine."""
     return Address(machine.host, port)
