--- a/wingwood/bundle/edition_decisions.py
+++ b/wingwood/bundle/edition_decisions.py
@@ -72,7 +72,7 @@
             return None, msgspec.structs.replace(known.as_outcome(), edition=change.number)
         current = self._edition_number()
         if known is None and change.base != current:
-            reason = f"base is {change.base}, but the latest edition is {current}: read it and base the order on it"
+            reason = f"base is {change.base}, but edition {current} is the newest: read it and build on it"
             return None, self._edition_refusal(change, "conflict", reason)
         refusal = self._precheck_refusal(change, known, current)
         if refusal is not None:
@@ -109,14 +109,14 @@
     def _precheck_refusal(self, change: EditionChange, known: RememberedOrder | None, current: int) -> str | None:
         """Returns the reason for refusing an order without looking into its slices; None when there is none."""
         if self._signing_key is None:
-            return "this fleet accepts signed orders only: the settings of control daemons have no signing_key"
+            return "this fleet takes signed orders only: control has no signing_key in its settings"
         if known is not None:
             return f"order {change.order} was used before with other content; make a new order id"
         refusal = order_id_refusal(change.order)
         if refusal is not None:
             return refusal
         if change.number <= current:
-            return f"number is {change.number}: it must be above {current}, the latest edition"
+            return f"number is {change.number}: it must be above {current}, the newest edition"
         return self._size_refusal("order", sum(len(data) for data in change.changed.values()))
 
     def _edition_refusal(self, change: EditionChange, outcome: RecordedOutcome, reason: str) -> OrderOutcome:
--- a/wingwood/bundle/order_decisions.py
+++ b/wingwood/bundle/order_decisions.py
@@ -72,7 +72,7 @@
         current = self._edition_number()
         if (bundle.edition.number if bundle.edition is not None else 0) >= current:
             return None
-        return f"{EDITION_SLICE}: the operator's number is {current} and must not decrease"
+        return f"{EDITION_SLICE}: the operator's number is {current} and never goes back"
 
     def _unrecorded_refusal(self, order: Order, known: RememberedOrder | None) -> str | None:
         """Returns the reason for a refusal that is not recorded, since the order is not authentic or malformed."""
@@ -92,14 +92,10 @@
     def _conflict_reason(self, manifest: Manifest) -> str:
         """Returns the text of a conflict: which order made the version that this one claims, if it is remembered."""
         if manifest.base > self._version:
-            return (
-                f"base is {manifest.base}, but the latest version is {self._version}: read it and base the order on it"
-            )
+            return f"base is {manifest.base}, but version {self._version} is the newest: read it and build on it"
         winner = self._history.get(BundleVersion(manifest.base + 1))
         by = f", made by order {winner.order} of signer {winner.signer[:16]}" if winner is not None else ""
-        return (
-            f"version {manifest.version} is taken{by}; the newest is {self._version}: read it and base the order on it"
-        )
+        return f"version {manifest.version} is taken{by}; the newest is {self._version}: read it and build on it"
 
     def _refusal_outcome(self, manifest: Manifest, outcome: RecordedOutcome, reason: str) -> OrderOutcome:
         return OrderOutcome(order=manifest.order, outcome=outcome, version=self._version, reason=reason)
--- a/wingwood/bundle/parse.py
+++ b/wingwood/bundle/parse.py
@@ -136,7 +136,8 @@
                 code="root",
                 field="root",
                 value=manifest.root[:64],
-                remedy=f"the slices give {root}; a slice was altered, omitted or added in transit; send them all again",
+                remedy=f"the slices give {root}; "
+                "a slice was altered, left out or added on the way, send it again whole",
             )
         )
 
--- a/wingwood/bundle/reading.py
+++ b/wingwood/bundle/reading.py
@@ -167,7 +167,7 @@
                 case Success(answer) if answer.authoritative:
                     return Success(answer)
                 case Success():
-                    reasons.append(f"{address} does not store the bundles")
+                    reasons.append(f"{address} does not keep them")
                 case Failure(fault):
                     reasons.append(f"{address} {fault.kind}")
         return Failure(NotReadable("no control daemon answered: " + (", ".join(reasons) or "none is known")))
--- a/wingwood/bundle/rollouts.py
+++ b/wingwood/bundle/rollouts.py
@@ -63,7 +63,9 @@
 
 
 def _disagreement(rollout: Rollout, name: SliceName, required: Mapping[SliceName, bytes]) -> BundleProblemError:
-    requirement = "must be in the bundle as the roll-out states" if name in required else "must not be in the bundle"
+    requirement = (
+        "must stand in the bundle as the roll-out says" if name in required else "must not stand in the bundle"
+    )
     return BundleProblemError(
         BundleProblem(
             code="field",
--- a/wingwood/bundle/signing.py
+++ b/wingwood/bundle/signing.py
@@ -43,5 +43,5 @@
     except ValueError as malformed:
         return f"signer is not an Ed25519 public key: {malformed}"
     except InvalidSignature:
-        return "the signature does not match the manifest"
+        return "the signature does not fit the manifest"
     return None
--- a/wingwood/bundle/tests/test_editions.py
+++ b/wingwood/bundle/tests/test_editions.py
@@ -191,7 +191,7 @@
         for number, after in enumerate((self.slices, {**held, **dict([slice_of(Edition(number=6))])})):
             outcome = submit(self.state, order_between(1, held, after, f"back-{number}"))
             self.assertEqual(outcome.outcome, "invalid")
-            self.assertIn("must not decrease", outcome.reason)
+            self.assertIn("never goes back", outcome.reason)
         self.assertEqual(
             submit(self.state, order_between(1, held, {**held, **CHANGED_CLASS}, "on")).outcome, "accepted"
         )
--- a/wingwood/bundle/tests/test_parse.py
+++ b/wingwood/bundle/tests/test_parse.py
@@ -69,7 +69,7 @@
         altered = {"version": 2, "base": 1, "root": "0" * 64, "order": "other", "signed_at": 5.0}
         for field, value in altered.items():
             forged = msgspec.structs.replace(manifest, **{field: value})
-            self.assertIn("does not match the manifest", verify_manifest(forged, OPERATOR_KEYS) or "", field)
+            self.assertIn("does not fit", verify_manifest(forged, OPERATOR_KEYS) or "", field)
 
     def test_unknown_and_malformed_signers_are_refused(self) -> None:
         manifest = order_between(0, {}, sample_slices(), key=STRANGER).manifest
--- a/wingwood/bundle/tests/test_reading.py
+++ b/wingwood/bundle/tests/test_reading.py
@@ -114,4 +114,4 @@
             world.run(5.0)
             self.assertEqual(world.broken_invariants, [])
         self.assertEqual(found[:2], [2, 2])
-        self.assertIn("does not store the bundles", str(found[2]))
+        self.assertIn("does not keep them", str(found[2]))
--- a/wingwood/bundle/tests/test_variants.py
+++ b/wingwood/bundle/tests/test_variants.py
@@ -104,7 +104,7 @@
     def test_invalid_variants_are_refused_with_the_reason(self) -> None:
         tenant, cards = SliceName("tenant/tenant-1"), SliceName("service/cards")
         for name, data, expected_text in (
-            (f"{tenant}@zone=a", changed(tenant, paid_rate=1.0), "a tenant applies to the whole fleet"),
+            (f"{tenant}@zone=a", changed(tenant, paid_rate=1.0), "a tenant counts for the whole fleet"),
             ("rollout/x@zone=a", b"{}", "only services, routes and classes"),
             (f"{CHAT}@region=a", changed(CHAT), "zone=ZONE or share=PERCENT"),
             (f"{CHAT}@share=0", changed(CHAT), "from 1 to 99"),
@@ -170,8 +170,8 @@
         for altered, expected_text in (
             ({**slices, CHAT: changed(CHAT, deadline=9.0)}, "wingwood rollout roll-back bigger"),
             ({**slices, variant: changed(CHAT, pool="other")}, "at stage zone=a"),
-            ({**slices, SliceName(f"{CHAT}@zone=b"): changed(CHAT)}, "must not be in the bundle"),
-            ({name: data for name, data in slices.items() if name != variant}, "must be in the bundle"),
+            ({**slices, SliceName(f"{CHAT}@zone=b"): changed(CHAT)}, "must not stand"),
+            ({name: data for name, data in slices.items() if name != variant}, "must stand"),
         ):
             self.assertIn(expected_text, str(problem_of(altered)))
         # After the roll-back any order may change the slices.
--- a/wingwood/bundle/variants.py
+++ b/wingwood/bundle/variants.py
@@ -66,14 +66,12 @@
             BundleProblem(
                 code="slice",
                 slice=variant,
-                remedy=f"only services, routes and classes have variants; a {kind} applies to the whole fleet",
+                remedy=f"only services, routes and classes have variants; a {kind} counts for the whole fleet",
             )
         )
     if not is_selector(selector):
         raise BundleProblemError(
-            BundleProblem(
-                code="slice", slice=variant, remedy="expected zone=ZONE or share=PERCENT from 1 to 99 after @"
-            )
+            BundleProblem(code="slice", slice=variant, remedy="after @ stands zone=ZONE or share=PERCENT from 1 to 99")
         )
     return SliceName(name)
 
@@ -181,7 +179,7 @@
                 slice=name,
                 field="service",
                 value=route.service,
-                remedy="a variant may not redirect calls to or from a service that is not repeatable: "
+                remedy="a variant may not lead calls to or from a service that is not repeatable: "
                 "a retry at another router would run again",
             )
         )
--- a/wingwood/control/backup.py
+++ b/wingwood/control/backup.py
@@ -77,7 +77,7 @@
             match await self._store.append_batch(message.entry, message.before + 1):
                 case Failure(fault):
                     self._mark_disk_faulty(fault)
-                    return f"disk fault: {fault.kind}"
+                    return f"sick: {fault.kind}"
             self._last_received = received
             self._replica.receive(decode_batch(message.entry))
         return None
@@ -86,7 +86,7 @@
         """Returns why batches under that epoch are refused, or None when they are accepted."""
         view = self._store.view
         if self._disk_fault is not None or self._stale:
-            return f"disk fault: {self._disk_fault}"
+            return f"sick: {self._disk_fault}"
         if epoch < self._store.promise.epoch:
             return "promised a higher epoch"
         if view is None or view.epoch != epoch or self._own_incarnation not in view.backups:
@@ -127,7 +127,7 @@
         """Returns why this state is refused, or None when it may be installed."""
         held = self._store.promise
         if self._disk_fault is not None:
-            return f"disk fault: {self._disk_fault}"
+            return f"sick: {self._disk_fault}"
         if self._state_receiver.is_outdated(transfer):
             return NEWER_STATE_INSTALLED
         if transfer.epoch < held.epoch or (transfer.epoch == held.epoch and transfer.sender != held.candidate):
@@ -143,7 +143,7 @@
         match await self._store.rewrite(lambda: contents, self._limits.rewrite_timeout(len(data)), promise):
             case Failure(fault):
                 self._mark_disk_faulty(fault)
-                return f"disk fault: {fault.kind}"
+                return f"sick: {fault.kind}"
         self._state_receiver.note_installed(transfer)
         self._replica.load(contents)
         self._stale = False
--- a/wingwood/control/command_intake.py
+++ b/wingwood/control/command_intake.py
@@ -118,7 +118,7 @@
     def _without_expired(self, batch: Sequence[PendingCommand], now: Instant) -> list[PendingCommand]:
         for command in batch:
             if now > command.deadline:
-                command.resolve(command.undecided("too few backups in sync before its deadline"))
+                command.resolve(command.undecided("too few backups in time"))
         return [command for command in batch if not command.answer.done()]
 
     async def _wait_for_change(self, timeout: float) -> None:
@@ -160,7 +160,7 @@
         records: list[StateRecord] = []
         for command in batch:
             if command.answer.done() or now > command.deadline:
-                command.resolve(command.undecided("its deadline passed before it was decided"))
+                command.resolve(command.undecided("its time was over before its turn"))
                 continue
             applier = self._replica.appliers[command.kind]
             command.decided = True
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -196,10 +196,10 @@
         reasons = [report.detail] if report.detail else []
         if not in_view:
             relay = report.own_role == "relay"
-            problem = "knows no view yet" if relay else "not a member of the view yet"
+            problem = "knows no view yet" if relay else "no seat in the view yet"
             reasons.append(f"{problem}: waits for the fleet to form" + ("" if relay else ", or as a spare"))
         elif not primary_proven:
-            reasons.append("no primary has proven to this daemon within the last 3 s that it is primary")
+            reasons.append("no primary has proven its lead to this daemon of late")
         return HealthReport(
             name=self._settings.name,
             role="control",
@@ -234,13 +234,11 @@
     def _add_gauges(self, registry: CollectorRegistry) -> None:
         leads = Gauge("wingwood_control_leads", "1 while this daemon is primary", registry=registry)
         leads.set_function(lambda: float(self.core.leads()))
-        complete = Gauge("wingwood_control_complete", "1 while the fleet could survive another loss", registry=registry)
+        complete = Gauge("wingwood_control_complete", "1 while another loss could be borne", registry=registry)
         complete.set_function(lambda: float(self.core.report().complete))
-        epoch = Gauge("wingwood_control_epoch", "Latest epoch known", registry=registry)
+        epoch = Gauge("wingwood_control_epoch", "Newest epoch known", registry=registry)
         epoch.set_function(lambda: float(self.core.epoch()))
-        version = Gauge(
-            "wingwood_control_version", "Latest durable bundle version known to this daemon", registry=registry
-        )
+        version = Gauge("wingwood_control_version", "Newest durable bundle version known here", registry=registry)
         version.set_function(lambda: float(self.source.version))
 
 
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -167,11 +167,11 @@
         if bundle is None:
             reasons.append("no bundle yet")
         elif not self.follower.may_serve():
-            reasons.append("the bundle in force is not proven to be the latest")
+            reasons.append("the bundle in force cannot be proven to be the newest")
         if self.membership.session_proven_at() is None:
             reasons.append("no session with a control daemon yet")
         if not (worker_lists_received := self._has_received_worker_lists()):
-            reasons.append("worker lists of the pools not received yet")
+            reasons.append("not heard of the workers yet")
         if isolated := self._is_isolated():
             reasons.append("neither a control daemon nor a worker can be reached")
         now = self._context.clock.monotonic()
--- a/wingwood/daemons/router_metrics.py
+++ b/wingwood/daemons/router_metrics.py
@@ -37,20 +37,20 @@
         report = self._health()
         gauges = {
             "ready": ("1 while callers should be sent here", float(report.ready)),
-            "bundle_version": ("Bundle version in force", float(report.version)),
+            "bundle_version": ("Version in force", float(report.version)),
             "bundle_proof_age_seconds": (
-                "Seconds since the bundle version was last proven to be the latest",
+                "Since it was proven the newest",
                 report.bundle_proven_age,
             ),
-            "session_age_seconds": ("Seconds since control last confirmed the session", report.session_age),
-            "members": ("Daemons that are members of the fleet", float(report.members)),
+            "session_age_seconds": ("Since control confirmed the session", report.session_age),
+            "members": ("Daemons that are members", float(report.members)),
             "workers_ready": ("Workers announced as ready", float(report.workers_ready)),
             "ledger_unsettled": ("Outcomes not yet durable in the ledger", float(self._unsettled())),
         }
         for name, (description, value) in gauges.items():
             if value is not None:
                 yield GaugeMetricFamily(f"wingwood_{name}", description, value=value)
-        decisions = CounterMetricFamily("wingwood_placement", "Decisions of the award policy", labels=("what",))
+        decisions = CounterMetricFamily("wingwood_placement", "What the award policy did", labels=("what",))
         for decision, count in sorted(self._placement_counts().items()):
             decisions.add_metric((decision,), count)
         yield decisions
--- a/wingwood/operator_api/editions.py
+++ b/wingwood/operator_api/editions.py
@@ -82,9 +82,7 @@
         """
         match await self.status():
             case Failure(fault):
-                return Failure(
-                    NotReadable(f"no primary proves which version is the latest: {fault.kind} {fault.detail}".rstrip())
-                )
+                return Failure(NotReadable(f"no primary proves what is newest: {fault.kind} {fault.detail}".rstrip()))
             case Success(status) if status.version == 0:
                 return Success(None)
             case Success(status):
@@ -99,7 +97,7 @@
         """
         deadline = Instant(self._clock.monotonic() + self._within)
         while True:
-            reason = "no reader is configured"
+            reason = "there is no reader"
             for reader in self._readers:
                 match await reader.bundle(version):
                     case Success(answer) if answer.view is not None:
--- a/wingwood/operator_api/orders.py
+++ b/wingwood/operator_api/orders.py
@@ -56,12 +56,12 @@
     def _unknown(self, order: Order, fault: NotDecided) -> OrderOutcome:
         """Returns the outcome ``unknown`` with the reason why control gave no decision."""
         cause = {
-            "not-leading": "no control daemon is primary at the moment",
+            "not-leading": "no control daemon leads at the moment",
             "busy": "control has too many orders waiting",
-            "unknown": "control did not answer in time; the order may or may not come into force",
+            "unknown": "control did not answer in time; the order may or may not come in force",
         }[fault.kind]
         detail = f" ({fault.detail})" if fault.detail else ""
-        reason = f"{cause}{detail}. Send the same order again to any daemon; resending is safe"
+        reason = f"{cause}{detail}. Send the same order again, to any daemon: resending is safe"
         return OrderOutcome(order=order.manifest.order, outcome="unknown", version=BundleVersion(0), reason=reason)
 
     def _reply(self, outcome: OrderOutcome) -> OperatorReply:
--- a/wingwood/operator_api/reading.py
+++ b/wingwood/operator_api/reading.py
@@ -124,8 +124,8 @@
         """
         if self._reader is None:
             if version:
-                return error_reply(404, "not-kept", "this daemon stores no older versions; ask a control daemon")
-            return _unreachable("no bundle is in force on this daemon, and it cannot ask control") if required else None
+                return error_reply(404, "not-kept", "older versions are asked of control daemons")
+            return _unreachable("no bundle is in force here, and control is not asked from here") if required else None
         match await self._reader.bundle(version):
             case Success(answer):
                 if answer.view is not None:
@@ -135,7 +135,7 @@
                 return error_reply(
                     404,
                     "not-kept",
-                    f"version {version} is not stored; the latest is {answer.latest}, see history_versions",
+                    f"version {version} is not kept; the newest is {answer.latest}, see history_versions",
                 )
             case Failure(NotReadable(reason)):
                 return _unreachable(reason) if version or required else None
@@ -147,7 +147,7 @@
         if most is None or not 0 < most <= MAX_HISTORY_ENTRIES:
             return error_reply(400, "malformed", f"most must be a whole number from 1 to {MAX_HISTORY_ENTRIES}")
         if self._reader is None:
-            return error_reply(404, "not-kept", "this daemon stores no history; ask a control daemon")
+            return error_reply(404, "not-kept", "the history is asked of control daemons")
         match await self._reader.history(most):
             case Success(HistoryAnswer() as answer):
                 return OperatorReply(body=answer)
@@ -175,7 +175,7 @@
 
     async def metrics(self, _request: OperatorRequest) -> OperatorReply:
         if self._metrics is None:
-            return error_reply(404, "no-metrics", "this daemon has no metrics")
+            return error_reply(404, "no-metrics", "this daemon counts nothing")
         return OperatorReply(body=generate_latest(self._metrics), headers=(("Content-Type", METRICS_TYPE),))
 
 
--- a/wingwood/operator_api/server.py
+++ b/wingwood/operator_api/server.py
@@ -115,7 +115,7 @@
             prefixes = [prefix for prefix in self._prefix_routes if path.startswith(prefix)]
             methods = self._prefix_routes[max(prefixes, key=len)] if prefixes else None
         if methods is None:
-            return error_reply(404, "no-such-path", f"this daemon has no path {path[:200]}; see docs/COMMANDS.md")
+            return error_reply(404, "no-such-path", f"there is no {path[:200]} here; see docs/COMMANDS.md")
         if method not in methods:
             allowed = ", ".join(sorted(methods))
             return error_reply(405, "wrong-method", f"{path} takes {allowed}", (("Allow", allowed),))
@@ -168,21 +168,19 @@
         limits = self._server.limits
         size = sum(len(name) + len(value) + 4 for name, value in self._headers.get_all()) + len(self._start_line.path)
         if size > limits.header_bytes:
-            return error_reply(
-                431, "headers-too-large", f"the request head has {size} bytes; the limit is {limits.header_bytes}"
-            )
+            return error_reply(431, "headers-too-large", f"the head has {size} bytes, {limits.header_bytes} are taken")
         try:
             parts = urlsplit(self._start_line.path)
             self._path = unquote(parts.path, errors="strict")
             self._query = dict(parse_qsl(parts.query, keep_blank_values=True, errors="strict", max_num_fields=50))
         except (ValueError, UnicodeDecodeError):
-            return error_reply(400, "malformed", "the path or the query of the request cannot be decoded")
+            return error_reply(400, "malformed", "the request's path can't be read")
         found = self._server.find(self._start_line.method, self._path)
         if isinstance(found, OperatorReply):
             return found
         announced = self._headers.get("Content-Length", "0")
         if not (announced.isascii() and announced.isdigit() and len(announced) < 19):
-            return error_reply(400, "malformed", f"Content-Length is {announced[:40]!r}; expected one number")
+            return error_reply(400, "malformed", f"Content-Length is {announced[:40]!r}: one number is expected")
         if int(announced) > found.body_bytes:
             return self._too_large(found)
         if self._server.pending_body_bytes + int(announced) > limits.total_body_bytes:
@@ -192,7 +190,7 @@
         return None
 
     def _too_large(self, route: _Route) -> OperatorReply:
-        return error_reply(413, "body-too-large", f"{self._path} accepts bodies of up to {route.body_bytes} bytes")
+        return error_reply(413, "body-too-large", f"{self._path} takes bodies up to {route.body_bytes} bytes")
 
     def _reserve_body_bytes(self, length: int) -> None:
         """Sets the number of bytes that this request counts towards ``pending_body_bytes``."""
@@ -243,7 +241,7 @@
         except (msgspec.MsgspecError, UnicodeError) as malformed:
             reply = error_reply(400, "malformed", str(malformed))
         except Exception:
-            self._answer(error_reply(500, "broken", "this daemon failed while it handled the request; see its log"))
+            self._answer(error_reply(500, "broken", "an error in this daemon; its log says more"))
             raise
         self._answer(reply)
 
