--- a/bench/load/processes.py
+++ b/bench/load/processes.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of the fleet's processes over a run, from ``/proc``."""
+"""Measures processor time and memory of the fleet's processes during a run, from ``/proc``."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def usage_of(process_id: int, proc: Path = Path("/proc")) -> Usage | None:
-    """None when there is no such process."""
+    """Returns the usage of a process so far, or None when there is no such process."""
     try:
         fields = (proc / str(process_id) / "stat").read_text().rpartition(")")[2].split()
         status = (proc / str(process_id) / "status").read_text()
@@ -29,14 +29,17 @@
 
 
 class ProcessMonitor:
-    """``processes``: ids by name, such as ``router-1``."""
+    """Measures the usage of ``processes`` (process ids by names such as ``router-1``) since its creation."""
 
     def __init__(self, processes: Mapping[str, int]) -> None:
         self._processes = dict(processes)
         self._before = {name: usage_of(process_id) for name, process_id in self._processes.items()}
 
     def report(self, elapsed: float) -> dict[str, Any]:
-        """By name: share of one processor in percent, and resident memory in MB."""
+        """Returns by process name the share of one processor in percent, and the resident memory in MB.
+
+        Processes that have ended or did not exist at the start are omitted.
+        """
         usage: dict[str, Any] = {}
         for name, process_id in self._processes.items():
             before, after = self._before[name], usage_of(process_id)
@@ -51,7 +54,7 @@
 
 
 def usage_by_kind(processes: Mapping[str, Any]) -> dict[str, Any]:
-    """By kind of process (the name up to its number)."""
+    """Summarises usage by kind of process, which is the process name without its number."""
     kinds: dict[str, list[Any]] = {}
     for name, usage in processes.items():
         kinds.setdefault(name.rpartition("-")[0], []).append(usage)
--- a/bench/load/run.py
+++ b/bench/load/run.py
@@ -1,4 +1,4 @@
-"""One run of load against a fleet that is up."""
+"""Runs load once against a running fleet."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ReadinessPoller:
-    """Spreads callers over the routers that say they are ready, as the platform does."""
+    """Polls which routers report that they are ready; callers use only these, as behind the platform."""
 
     def __init__(self, target: Target, http: JsonClient) -> None:
         self._target = target
@@ -51,9 +51,10 @@
     on_start: Callable[[Callers], None] | None = None,
     processes: Mapping[str, int] | None = None,
 ) -> tuple[dict[str, Any], Callers]:
-    """The result and the callers with their records. ``on_start`` gets the callers as they begin.
+    """Runs the load and returns the result and the callers with their records.
 
-    ``processes``: ids by name of those whose processor time and memory are to be told.
+    ``on_start`` is called with the callers when they start. ``processes`` lists by name the ids of the processes whose
+    processor time and memory are to be reported.
     """
     clock = RealClock()
     http = JsonClient()
@@ -106,5 +107,6 @@
 
 
 def result_files(folder: Path, name: str) -> tuple[Path, Path]:
+    """Creates the folder, and returns the paths of the JSON document and of the picture."""
     folder.mkdir(parents=True, exist_ok=True)
     return folder / f"{name}.json", folder / f"{name}.png"
--- a/bench/load/target.py
+++ b/bench/load/target.py
@@ -1,4 +1,4 @@
-"""The fleet under load, as far as the tool needs to know it: ``fleet.json`` of the launcher."""
+"""Reads what the load tool has to know about the fleet under load: ``fleet.json``, which the launcher writes."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
     routers: tuple[RouterAddresses, ...]
     workers: Mapping[str, WorkerAddress]
     keys: Mapping[str, str]
-    """Callers' keys by tenant."""
+    """Keys of callers by tenant."""
 
 
 def read_target(file: Path) -> Target:
-    """Raises OSError or msgspec.MsgspecError."""
+    """Reads ``fleet.json``. Raises OSError or msgspec.MsgspecError."""
     return msgspec.json.decode(file.read_bytes(), type=Target)
--- a/bench/losses/__main__.py
+++ b/bench/losses/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bench.losses REPORT... [--json] [--least SHARE]``: the table of lost worth of each report."""
+"""Prints a table of lost worth for each report: ``python -m bench.losses REPORT... [--json] [--least SHARE]``."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @click.command()
 @click.argument("reports", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="One JSON document a report, one a line.")
-@click.option("--least", default=0.01, show_default=True, help="Rows below this share are summed up in one line.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON document per report, one per line.")
+@click.option("--least", default=0.01, show_default=True, help="Rows below this share are combined in one line.")
 def main(reports: tuple[Path, ...], as_json: bool, least: float) -> None:
-    """Where the worth of played days went; the rows of a report add up to 1."""
+    """Prints where the days of the reports lost worth; the rows of a report add up to 1."""
     for file in reports:
         read = read_report(file)
         if isinstance(read, Failure):
--- a/fleet/__init__.py
+++ b/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""Puts a whole fleet on one machine: daemons and emulated workers as child processes (docs/DESIGN.md section 17).
+"""Runs a complete fleet on one machine: daemons and emulated workers as child processes (docs/DESIGN.md section 17).
 
-Not part of the shipped package, whose daemons start no process. Everything listens on loopback only.
+This package is not shipped, because the daemons of the shipped package start no processes. All processes listen on
+loopback addresses only.
 """
--- a/fleet/caller.py
+++ b/fleet/caller.py
@@ -1,6 +1,7 @@
-"""One caller's call, and what the caller could see of its answer; for the demo, the bench and the observers.
+"""Makes one HTTP call as a caller and records what the caller could see of the answer.
 
-It judges the answer by itself: whether each event is its own and in order, and whether it looks whole.
+The demo, the benchmarks and the observers use it. It checks the answer independently of the routers: each event has to
+belong to this call and to be in order, and the answer has to look complete to a client.
 """
 
 from __future__ import annotations
@@ -25,37 +26,40 @@
     key: str
     call_id: str
     messages: tuple[str, ...]
-    """Contents: one per shared part of the prefix, then the session's own."""
+    """Message contents: one for each shared part of the prefix, then the one that only this session has."""
     max_tokens: int = 16
     stream: bool = True
     prefix: str | None = None
     idempotency_key: str | None = None
     first_byte_timeout: float = 4.0
+    """Seconds to wait for the head of the answer, and then for the first event."""
     idle_timeout: float = 10.0
+    """Seconds to wait for each chunk after the first event."""
     disconnect_after_events: int | None = None
-    """Goes away after that many events."""
+    """The caller closes the connection after this number of events; ``None`` means that it reads to the end."""
 
 
 class CallOutcome(msgspec.Struct, kw_only=True):
-    """What the caller saw. Times in seconds on the tool's clock."""
+    """What the caller observed during one call. Times are seconds on the clock of the calling process."""
 
     call_id: str
     status: int = 0
-    """0: no head came."""
+    """HTTP status; 0 when no response head arrived."""
     headers: dict[str, str] = msgspec.field(default_factory=dict)
-    """Lower-case names."""
+    """Response headers by lower-case name."""
     router_made: bool = False
+    """The router itself wrote the answer instead of passing on the answer of a worker."""
     code: str = ""
-    """Of a router-made answer, such as why it refused."""
+    """Error code in the answer of a router, for example the reason of a refusal."""
     run: str = ""
-    """Of a router-made answer: not-run, unknown or ran."""
+    """What an answer written by a router says about execution: ``not-run``, ``unknown`` or ``ran``."""
     looks_complete: bool = False
-    """A caller takes this for a whole success: status 2xx and a clean end."""
+    """A client would treat the answer as a complete success: status 2xx and a clean end of the body."""
     disconnected: bool = False
     fault: str = ""
-    """Why there was no clean end."""
+    """Why the answer had no clean end; empty when it had one."""
     problem: str = ""
-    """What must never be: another call's piece, a piece lost or twice."""
+    """The first violation of what must never happen: an event of another call, or an event lost or repeated."""
     events: int = 0
     text: str = ""
     started_at: float = 0.0
@@ -63,13 +67,15 @@
     duration: float = 0.0
     gaps: list[float] = msgspec.field(default_factory=list)
     transit_times: list[float] = msgspec.field(default_factory=list)
-    """From the worker's making of each event to its coming here; only of use on one machine."""
+    """Seconds from the creation of each event by the worker to its arrival here; valid only on one machine, since the
+    clocks of two machines differ."""
     worker_duration: float | None = None
-    """From the call's coming to the worker to its first event or its answer, as the worker tells."""
+    """Seconds from the arrival of the call at the worker to its first event or its answer, as the worker reports."""
     body: Any = None
-    """Of an answer that is no stream."""
+    """Decoded body of an answer that is not a stream."""
 
     def integer_header(self, header: str) -> int | None:
+        """Returns the value of a response header, or None when it is missing or is not a number."""
         value = self.headers.get(header, "")
         return int(value) if value.isdigit() else None
 
@@ -104,7 +110,7 @@
     async def call(
         self, plan: CallPlan, address: Address, on_event: Callable[[dict[str, Any]], None] | None = None
     ) -> CallOutcome:
-        """One try at one router (or, in direct mode, at one worker)."""
+        """Makes one attempt at one router, or directly at one worker. ``on_event`` receives each decoded event."""
         outcome = CallOutcome(call_id=plan.call_id, started_at=self._clock.monotonic())
         exchange = self._http.start(build_http_request(plan, address))
         try:
@@ -181,6 +187,8 @@
 
 
 class _EventReader:
+    """Splits a stream into events and checks each of them against the plan of the call."""
+
     def __init__(
         self,
         plan: CallPlan,
@@ -246,5 +254,5 @@
 
 
 def prompt_text(tokens: int, seed: str) -> str:
-    """A prompt part of that many tokens (four bytes each)."""
+    """Returns a text of ``tokens`` tokens of four bytes each, which repeats ``seed``."""
     return (f"{seed} " * (tokens * 4 // (len(seed) + 1) + 1))[: tokens * 4]
--- a/fleet/children.py
+++ b/fleet/children.py
@@ -1,4 +1,4 @@
-"""Child processes: started, frozen, killed and ended by their own id, each with its log file."""
+"""Child processes that are started, suspended, killed and stopped by their own process id, each with a log file."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from pathlib import Path
 
 PR_SET_PDEATHSIG = 1
-"""``PR_SET_PDEATHSIG`` of prctl(2): a child ends with the launcher even when that is killed."""
+"""Option of prctl(2): the kernel kills a child when the launcher ends, even if the launcher was killed."""
 
 
 class Child:
-    """One child; may be started again after its end. Signals go to its own id only."""
+    """One child process, which may be started again after its end. Signals are sent to its own process id only."""
 
     def __init__(self, name: str, command: Sequence[str], log_file: Path, folder: Path) -> None:
         self.name = name
@@ -25,6 +25,7 @@
         self.folder = folder
         self.frozen = False
         self.expected_to_run = False
+        """Whether the process was started and not asked to end since; if it has ended then, this was unexpected."""
         self._process: subprocess.Popen[bytes] | None = None
 
     @property
@@ -32,6 +33,7 @@
         return self._process.pid if self._process is not None else None
 
     def start(self) -> None:
+        """Starts the process unless it is running; its output is appended to the log file."""
         if self.running():
             return
         with self.log_file.open("ab") as log:
@@ -55,12 +57,14 @@
         return None if self._process is None else self._process.poll()
 
     def kill(self) -> None:
+        """Sends SIGKILL and waits for the end; the end does not count as unexpected."""
         self.expected_to_run = False
         if self.running():
             self._signal(signal.SIGKILL)
             self._wait(None)
 
     def freeze(self) -> None:
+        """Suspends the process with SIGSTOP until ``resume``."""
         self._signal(signal.SIGSTOP)
         self.frozen = True
 
@@ -69,7 +73,7 @@
         self.frozen = False
 
     def terminate(self) -> None:
-        """SIGTERM; a frozen one is woken for it."""
+        """Sends SIGTERM, and resumes a suspended child, which could not handle the signal otherwise."""
         self.expected_to_run = False
         if self.running():
             self._signal(signal.SIGTERM)
@@ -77,7 +81,7 @@
                 self.resume()
 
     def wait_or_kill(self, timeout: float) -> None:
-        """Asked to stop before; killed when it has not ended within ``timeout`` seconds."""
+        """Waits for a child that was asked to terminate; kills it when it has not ended within ``timeout`` seconds."""
         if not self._wait(timeout):
             self.kill()
 
@@ -103,7 +107,7 @@
 
 
 def stop_all(children: Sequence[Child], timeout: float) -> None:
-    """Asks all to stop, then ends those that have not within ``timeout`` seconds in all."""
+    """Asks all children to terminate, and kills those that have not ended within ``timeout`` seconds in total."""
     for child in children:
         child.terminate()
     deadline = time.monotonic() + timeout
--- a/fleet/demo.py
+++ b/fleet/demo.py
@@ -1,4 +1,4 @@
-"""The main job on one machine: ``python -m fleet.demo``; exit code 0 only when each step was verified."""
+"""Demonstrates a fleet on one machine: ``python -m fleet.demo``. The exit code is 0 only if each step was verified."""
 
 from __future__ import annotations
 
@@ -24,13 +24,15 @@
 from .waiting import FleetError, wait_until
 
 DRAIN_BOUND_S = 2.0
-"""Seconds after which a draining worker gets no new turn."""
+"""Time after the start of a drain from which the worker must not get new turns."""
 KEY_REMOVAL_BOUND_S = 5.0
-"""Seconds after which a removed key works nowhere."""
+"""Time within which all routers have to refuse a removed key."""
 THINK_TIME_S = 1.0
 
 
 class Demo:
+    """The steps of the demonstration, in the order in which ``run`` takes them."""
+
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.clock = RealClock()
@@ -42,7 +44,7 @@
         self.plain = next(service for service in shape.services if not service.repeatable)
         self.tenants = [tenant.name for tenant in shape.tenants]
 
-    # Telling
+    # Output
 
     def step(self, title: str) -> None:
         self.steps += 1
@@ -52,12 +54,13 @@
         click.echo(f"   ok  {text}")
 
     def verify(self, condition: bool, text: str, observed: object) -> None:
+        """Prints ``text`` when the condition holds; otherwise raises FleetError with what was observed."""
         if not condition:
-            raise FleetError(f"not so: {text}; seen: {observed}")
+            raise FleetError(f"not verified: {text}; observed: {observed}")
         self.verified(text)
 
     async def command(self, *arguments: str, show: bool = True) -> CommandResult:
-        """One call of the operators' command line, shown as it would be typed."""
+        """Runs the operators' command line once and prints the command as it would be typed."""
         result = await self.fleet.run_command(*arguments)
         if show:
             shown = " ".join(argument.replace(f"{self.fleet.folder}/", "") for argument in arguments)
@@ -215,6 +218,7 @@
         self.verified(f"{victim.name} finished its calls and said that it is gone")
 
     async def find_busy_worker(self) -> WorkerPlan | None:
+        """Returns a worker of the chat pool that is running at least one call, or None."""
         for worker in self.fleet.workers.values():
             if worker.pool.name == self.chat.pool:
                 health = await self.fleet.http.get(worker.address, "/health")
@@ -223,6 +227,7 @@
         return None
 
     async def run_chats(self, rate: float, seconds: float) -> list[CallOutcome]:
+        """Starts ``rate`` single-turn chats per second, spread over routers and tenants, and returns all outcomes."""
         routers = self.fleet.routers()
         calls = []
         for number in range(int(rate * seconds)):
@@ -272,7 +277,7 @@
         codes = {name: child.exit_code() for name, child in self.fleet.children.items()}
         self.verify(all(code == 0 for code in codes.values()), f"all {len(codes)} processes ended in order", codes)
 
-    # Helps
+    # Helpers
 
     def to_options(self, daemons: Sequence[DaemonPlan]) -> list[str]:
         return [word for daemon in daemons for word in ("--to", daemon.operator)]
@@ -301,15 +306,16 @@
         )
 
     def expect_complete(self, outcome: CallOutcome) -> None:
+        """Raises FleetError unless the call got a complete answer without a violation."""
         if not outcome.looks_complete or outcome.problem:
             seen: Any = outcome.body if outcome.status else outcome.fault
             raise FleetError(
-                f"call {outcome.call_id} was not answered whole: {outcome.status} {seen} {outcome.problem}"
+                f"call {outcome.call_id} was not answered completely: status {outcome.status} {seen} {outcome.problem}"
             )
 
 
 async def run_demo(shape: Shape, folder: Path) -> None:
-    """Raises FleetError at the first step that can't be verified."""
+    """Runs all steps. Raises FleetError at the first step that can't be verified."""
     async with Fleet(shape, folder) as fleet:
         await Demo(fleet).run()
 
@@ -318,7 +324,7 @@
 @click.option("--shape", default="demo", show_default=True, help="demo, despensa, sabarmati, or a shape file.")
 @click.option("--folder", type=click.Path(path_type=Path), help="Keep settings, logs and data there.")
 def main(shape: str, folder: Path | None) -> None:
-    """Shows the whole path on this machine and verifies each step."""
+    """Starts a fleet on this machine, uses all its main functions and verifies each step."""
     try:
         with tempfile.TemporaryDirectory(prefix="wingwood-demo-") as temporary:
             asyncio.run(run_demo(open_shape(Path(shape)), folder or Path(temporary)))
--- a/fleet/http.py
+++ b/fleet/http.py
@@ -1,4 +1,4 @@
-"""HTTP with JSON from tools to daemons and workers on this machine."""
+"""JSON over HTTP, by which tools query daemons and workers on this machine."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 
 class JsonReply(msgspec.Struct, frozen=True):
     status: int
-    """0 when there was no answer."""
+    """HTTP status; 0 when no answer arrived."""
     body: Any
+    """Decoded JSON, or the text of an answer that is not JSON, or the reason why no answer arrived."""
 
     @property
     def succeeded(self) -> bool:
@@ -20,6 +21,8 @@
 
 
 class JsonClient:
+    """Sends requests with a total timeout in seconds. Failures are returned as replies with status 0, never raised."""
+
     def __init__(self) -> None:
         self._client: AsyncHTTPClient = SimpleAsyncHTTPClient(force_instance=True, max_clients=200)
 
--- a/fleet/launcher.py
+++ b/fleet/launcher.py
@@ -1,6 +1,6 @@
-"""A fleet on this machine: ``python -m fleet.launcher SHAPE.toml [--folder F]`` and the class that tools use.
+"""Runs a fleet on this machine: ``python -m fleet.launcher SHAPE.toml [--folder F]`` and the class that tools use.
 
-It owns its children and ends only them, by their ids. All ports are on loopback.
+The launcher ends only the child processes that it started, by their process ids. All ports are on loopback.
 """
 
 from __future__ import annotations
@@ -39,10 +39,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 STOP_TIMEOUT_S = 25.0
-"""Seconds for daemons to finish streams after SIGTERM; above their own ``stop_within``."""
+"""Time that daemons get to finish their streams after SIGTERM. It exceeds the daemons' own limit ``stop_within``, so
+that a daemon is killed only if it fails to stop by itself."""
 
 
 class CommandResult(msgspec.Struct, frozen=True):
+    """Exit code, standard output and standard error of a command."""
+
     code: int
     output: str
     errors: str
@@ -52,7 +55,10 @@
 
 
 class Fleet:
-    """Daemons and workers by name. Files go below ``folder``: settings, keys, data, logs, runs, bundle.toml."""
+    """The daemons and workers of one fleet by name.
+
+    Its files are written below ``folder``: settings, keys, data, logs, runs and bundle.toml.
+    """
 
     def __init__(self, shape: Shape, folder: Path) -> None:
         self.shape = shape
@@ -77,7 +83,7 @@
     # Files
 
     def prepare(self) -> None:
-        """Writes keys, settings and the bundle file; nothing is started."""
+        """Writes the keys, settings and the bundle file, without starting a process."""
         for name in ("settings", "keys", "data", "logs", "runs"):
             (self.folder / name).mkdir(parents=True, exist_ok=True)
         self._check_ports()
@@ -116,7 +122,7 @@
         return self.folder / "settings" / f"{daemon.name}.toml"
 
     def _write_addresses(self) -> None:
-        """For tools that were started apart, such as the load tool."""
+        """Writes fleet.json for tools that are started separately, such as the load tool."""
         document = {
             "shape": msgspec.to_builtins(self.shape),
             "routers": [
@@ -167,7 +173,7 @@
         }
         options = [text for name, value in arguments.items() for text in (name, str(value))]
         options.append("--tells-load" if pool.tells_load else "--hides-load")
-        # Each worker knows three daemons, as on the real machines; it begins with one of its zone.
+        # Each worker announces itself to three daemons, as in the real deployments; the first is in its own zone.
         near = [daemon for daemon in self.daemons.values() if daemon.zone == worker.zone]
         others = [daemon for daemon in self.daemons.values() if daemon.zone != worker.zone]
         for daemon in (near + others)[:1] + near[-1:] + others[-1:]:
@@ -185,7 +191,7 @@
         return self.folder / "runs" / f"{worker}.jsonl"
 
     async def start(self) -> None:
-        """Starts all and returns when all daemons are live and all workers answer."""
+        """Starts all processes, and returns when all daemons are live and all workers answer."""
         self.prepare()
         self.start_daemons()
         self.start_workers()
@@ -193,21 +199,24 @@
         await self.wait_for_workers()
 
     async def stop(self) -> None:
+        """Stops all processes; kills those that do not end within ``STOP_TIMEOUT_S``."""
         await asyncio.to_thread(stop_all, list(self.children.values()), STOP_TIMEOUT_S)
         self.http.close()
 
     # Conditions
 
     async def wait_until_live(self) -> None:
+        """Waits until all daemons answer /live."""
         for daemon in self.daemons.values():
             await self.wait_for_daemon(daemon.name, "/live")
 
     async def wait_until_ready(self) -> None:
-        """All daemons say that they are ready; routers only are once a bundle is in force."""
+        """Waits until all daemons report that they are ready. Routers do so only once a bundle is in force."""
         for daemon in self.daemons.values():
             await self.wait_for_daemon(daemon.name, "/ready")
 
     async def wait_for_daemon(self, name: str, path: str, timeout: float = 60.0) -> None:
+        """Waits until a daemon answers a path with status 2xx; raises FleetError after ``timeout`` seconds."""
         daemon = self.daemons[name]
 
         async def condition() -> bool:
@@ -217,6 +226,7 @@
         await wait_until(f"{name} answers {path} with 200", condition, timeout)
 
     async def wait_for_workers(self) -> None:
+        """Waits until all workers answer /health."""
         for worker in self.workers.values():
 
             async def condition(worker: WorkerPlan = worker) -> bool:
@@ -226,12 +236,12 @@
             await wait_until(f"worker {worker.name} answers /health", condition)
 
     def check_children(self) -> None:
-        """Raises FleetError with the log's end when a child has ended by itself."""
+        """Raises FleetError with the last lines of the log when a child has ended without being asked to."""
         for child in self.children.values():
             if child.expected_to_run and not child.running():
                 child.expected_to_run = False
                 raise FleetError(
-                    f"{child.name} ended by itself with code {child.exit_code()}; its log ends:\n{child.log_tail()}"
+                    f"{child.name} ended unexpectedly with code {child.exit_code()}; its log ends:\n{child.log_tail()}"
                 )
 
     # Faults, by name
@@ -246,27 +256,27 @@
         self.children[name].resume()
 
     def restart(self, name: str) -> None:
-        """Starts what was killed or stopped again, with the same settings and data."""
+        """Kills the process if it still runs, and starts it again with the same settings and data."""
         self.kill(name)
         self.children[name].start()
 
     async def restart_gracefully(self, name: str) -> None:
-        """SIGTERM, wait for its end, start again."""
+        """Sends SIGTERM, waits for the process to end, and starts it again."""
         child = self.children[name]
         child.terminate()
         await asyncio.to_thread(child.wait_or_kill, STOP_TIMEOUT_S)
         child.start()
 
     def wipe(self, name: str) -> None:
-        """Kills a control daemon, empties its data folder and starts it at the same address."""
+        """Kills a control daemon, deletes its data folder and starts it again at the same address."""
         self.kill(name)
         shutil.rmtree(self.folder / "data" / name, ignore_errors=True)
         self.children[name].start()
 
     def replace(self, name: str) -> str:
-        """Kills a daemon for good; an empty one at a new address takes its place. Gives the new one's name.
+        """Kills a daemon permanently and starts a new one without data at a new address. Returns the new daemon's name.
 
-        All settings go on naming the three old seeds.
+        The settings of all daemons still list the three original seeds.
         """
         old = self.daemons.pop(name)
         self.kill(name)
@@ -282,6 +292,7 @@
         return new.name
 
     def replace_worker(self, name: str) -> str:
+        """Kills a worker permanently and starts a new one at a new address. Returns the new worker's name."""
         old = self.workers.pop(name)
         self.kill(name)
         self._replacements += 1
@@ -294,10 +305,10 @@
         self._start_worker(new)
         return new.name
 
-    # Looking
+    # State
 
     def process_ids(self) -> dict[str, int]:
-        """Of the children that run now."""
+        """Returns the process ids of the running children by name."""
         ids = {name: child.process_id for name, child in self.children.items() if child.running()}
         return {name: number for name, number in ids.items() if number is not None}
 
@@ -308,12 +319,12 @@
         return [daemon for daemon in self.daemons.values() if daemon.role == "control"]
 
     async def version_on(self, name: str) -> int:
-        """The bundle version in force on a daemon; 0 without one."""
+        """Returns the bundle version that is in force on a daemon, or 0 when there is none."""
         reply = await self.http.get(self.daemons[name].operator, "/control/v1/bundle")
         return int(reply.body["version"]) if reply.succeeded else 0
 
     async def control_reports(self) -> dict[str, Any]:
-        """What each control daemon that answers says of the control core, with its own incarnation."""
+        """Returns the control status that each answering control daemon reports, with the daemon's own incarnation."""
         reports = {}
         for daemon in self.controls():
             reply = await self.http.get(daemon.operator, "/control/v1/health")
@@ -322,7 +333,10 @@
         return reports
 
     async def control_complete(self) -> bool:
-        """Whether the primary says that any one control daemon may be lost, and all that it counts on answer here."""
+        """Tells whether the control daemons could tolerate the loss of any one of them.
+
+        The primary has to report this, and all members that it counts on have to answer this process.
+        """
         reports = (await self.control_reports()).values()
         answering = {report["incarnation"] for report in reports}
         return any(
@@ -331,14 +345,14 @@
         )
 
     async def primary(self) -> str | None:
-        """The control daemon that says it leads and takes orders."""
+        """Returns the name of the control daemon that reports to be primary and to accept orders, if there is one."""
         for name, report in (await self.control_reports()).items():
             if report["own_role"] == "primary" and report["accepts_orders"]:
                 return name
         return None
 
     async def runs(self) -> list[dict[str, Any]]:
-        """All runs of all workers so far, as their files of runs tell; killed ones' too."""
+        """Returns all runs of all workers so far from their run files, including the runs of killed workers."""
         return await asyncio.to_thread(self._read_runs)
 
     def _read_runs(self) -> list[dict[str, Any]]:
@@ -350,7 +364,7 @@
         return list(latest.values())
 
     def command(self, *arguments: str) -> CommandResult:
-        """One call of the operators' command line."""
+        """Runs the operators' command line once."""
         done = subprocess.run(
             python_module_command("wingwood", *arguments),
             cwd=ROOT,
@@ -366,7 +380,7 @@
 
 
 def first_port_in_use(ports: Iterable[int]) -> int | None:
-    """The first of the loopback ports on which another program listens."""
+    """Returns the first of the loopback ports on which another program listens."""
     for port in ports:
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -378,7 +392,11 @@
 
 
 def free_first_port(shape: Shape, lowest: int = 28000, highest: int = 29900) -> int:
-    """Where a fleet of this shape finds all its ports free, with room for replacements; for tests beside others."""
+    """Finds a first port for a fleet of this shape, for tests that run while other fleets are up.
+
+    All ports of the fleet and 20 more for replacements are free from there on. Raises FleetError when there is no such
+    port.
+    """
     span = plan_fleet(shape).next_port - shape.first_port + 20
     for first in range(lowest, highest - span, span):
         if first_port_in_use(range(first, first + span)) is None:
@@ -387,7 +405,7 @@
 
 
 def open_shape(file: Path) -> Shape:
-    """Reads it or raises FleetError; a bare name is looked for beside this file."""
+    """Reads a shape file or raises FleetError. A name such as ``demo`` means the shape in the folder of this module."""
     if not file.exists() and (ROOT / "fleet" / f"{file.name}.toml").exists():
         file = ROOT / "fleet" / f"{file.name}.toml"
     match read_shape(file):
@@ -428,7 +446,7 @@
 
 
 async def push_bundle(fleet: Fleet) -> int:
-    """Signs ``bundle.toml`` and pushes it with the command line; gives the acknowledged version."""
+    """Signs ``bundle.toml`` and pushes it with the command line. Returns the acknowledged version."""
     signed = fleet.folder / "bundle.signed"
     result = await fleet.run_command(
         "bundle", "sign", str(fleet.bundle_file), "--key", str(fleet.operator_key_file), "--output", str(signed)
@@ -444,7 +462,7 @@
 
 @click.command()
 @click.argument("shape", type=click.Path(path_type=Path))
-@click.option("--folder", type=click.Path(path_type=Path), help="Where its files go; a new temporary one by default.")
+@click.option("--folder", type=click.Path(path_type=Path), help="Folder for its files; a new temporary one by default.")
 @click.option("--push/--no-push", default=True, show_default=True, help="Sign the shape's bundle and push it.")
 def main(shape: Path, folder: Path | None, push: bool) -> None:
     """Starts the fleet of the file SHAPE (despensa, sabarmati, demo or a path) and keeps it up until Ctrl-C."""
--- a/fleet/plan.py
+++ b/fleet/plan.py
@@ -1,4 +1,4 @@
-"""From a shape to named daemons and workers with their addresses, and to the files that they are started with."""
+"""Derives from a shape the daemons and workers with names and addresses, and the files that they are started with."""
 
 from __future__ import annotations
 
@@ -17,6 +17,8 @@
 
 
 class DaemonPlan(msgspec.Struct, frozen=True, kw_only=True):
+    """A daemon with its listeners: internal, for operators and, on routers only, for callers."""
+
     name: str
     role: Literal["router", "control"]
     zone: str
@@ -36,6 +38,8 @@
 
 
 class WorkerPlan(msgspec.Struct, frozen=True, kw_only=True):
+    """An emulated worker with its address."""
+
     name: str
     pool: Pool
     zone: str
@@ -47,15 +51,19 @@
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """Daemons and workers take turns over the zones; ports follow each other from the shape's first."""
+    """All daemons and workers of a fleet.
+
+    They are distributed over the zones in turn, and use consecutive ports that begin with the shape's ``first_port``.
+    """
 
     daemons: tuple[DaemonPlan, ...]
     workers: tuple[WorkerPlan, ...]
     next_port: int
-    """The first port that is left, for replacements."""
+    """The first unused port; replacements of daemons and workers use the ports from here on."""
 
     @property
     def seeds(self) -> tuple[str, ...]:
+        """Internal addresses of the first three control daemons, through which a daemon joins the fleet."""
         return tuple(daemon.internal for daemon in self.daemons if daemon.role == "control")[:3]
 
 
@@ -80,7 +88,7 @@
 def settings_text(
     plan: DaemonPlan, shape: Shape, seeds: tuple[str, ...], fleet_key: str, operator_key: str, folder: Path
 ) -> str:
-    """The settings file of one daemon (``wingwood settings check`` reads it)."""
+    """Returns the text of the settings file of one daemon, which ``wingwood settings check`` accepts."""
     lines: dict[str, object] = {
         "name": plan.name,
         "role": plan.role,
@@ -99,23 +107,27 @@
 
 
 def toml_lines(values: Mapping[str, object]) -> str:
-    """Flat TOML; None is left out. JSON's strings, numbers, truth values and lists are TOML's too."""
+    """Returns TOML without tables; entries whose value is None are omitted.
+
+    Strings, numbers, Booleans and lists are written as JSON, which has the same form in TOML.
+    """
     return "".join(f"{name} = {json.dumps(value)}\n" for name, value in values.items() if value is not None)
 
 
 class CallerKeys(msgspec.Struct, frozen=True):
-    """Each tenant's own key, as its callers hold it."""
+    """The secret key of each tenant, as its callers use it."""
 
     by_tenant: Mapping[str, str]
 
 
 def new_caller_keys(shape: Shape) -> CallerKeys:
+    """Returns a random key of 160 bits for each tenant."""
     source = random.SystemRandom()
     return CallerKeys({tenant.name: f"{source.getrandbits(160):040x}" for tenant in shape.tenants})
 
 
 def bundle_text(shape: Shape, keys: CallerKeys) -> str:
-    """The operator's bundle file of the shape, with the digests of the callers' keys."""
+    """Returns the operator's bundle file for the shape; it contains the digests of the callers' keys, not the keys."""
     parts: list[str] = []
     for service in shape.services:
         parts.append(
--- a/fleet/shape.py
+++ b/fleet/shape.py
@@ -1,4 +1,4 @@
-"""What a fleet on one machine looks like, read from a file such as ``fleet/despensa.toml``."""
+"""Describes a fleet on one machine. The description (shape) is read from a file such as ``fleet/despensa.toml``."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class Hops(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One-way delays in milliseconds: for the simulator and for people; loopback has none."""
+    """One-way network delays in milliseconds. Only the simulator applies them, as loopback has no such delays."""
 
     within_zone: float = 0.2
     between_zones: float = 1.0
 
 
 class Pool(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Emulated workers that are alike; see ``emulator.worker.WorkerOptions`` for the paces (seconds)."""
+    """Emulated workers with the same options. ``emulator.worker.WorkerOptions`` explains the durations (in seconds)."""
 
     name: str
     kind: Literal["model", "plain"] = "model"
@@ -34,7 +34,7 @@
 
 
 class ServiceShape(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A service and its route."""
+    """A service and the path of its route."""
 
     name: str
     pool: str
@@ -48,46 +48,53 @@
 
 
 class PriorityClassShape(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """A priority class of tenants."""
+
     name: str
     weight: float = 1.0
 
 
 class TenantShape(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """A tenant with its quota and its share of the traffic."""
+
     name: str
     priority_class: str
     paid_rate: float
-    """Calls a second over the whole fleet."""
+    """Calls per second that the tenant pays for, over the whole fleet."""
     traffic_share: float = 1.0
-    """Its part of the traffic, against the other tenants'."""
+    """Weight of this tenant when the traffic is divided among the tenants."""
 
 
 class Traffic(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One kind of traffic. ``per_second`` counts sessions (chats), or calls (all else)."""
+    """One kind of traffic. ``per_second`` is a rate of sessions for chats, and a rate of calls for everything else."""
 
     name: str
     service: str
     per_second: float
     turns: int = 1
     think_seconds: float = 8.0
-    """Mean pause between the end of a turn and the session's next."""
+    """Mean pause between the end of a turn and the next turn of the session."""
     shared_prefixes: int = 0
-    """How many different long starts there are; 0: none."""
+    """Number of different prompt prefixes that sessions share; 0 means that prompts share no prefix."""
     shared_tokens: int = 0
     own_tokens: int = 200
     answer_tokens: int = 60
 
 
 class Shape(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """A fleet with its zones, daemons, workers, services, tenants and traffic."""
+
     name: str
     zones: tuple[str, ...]
     hops: Hops = Hops()
     routers: int
     controls: int = 3
     removed_key_bound: float | None = None
-    """Seconds within which a removed key stops working even on a cut-off router; none: it serves on."""
+    """Seconds within which a removed key stops working even on a router that is cut off from the control daemons. With
+    ``None`` such a router continues to accept the key."""
     balancing: Literal["award", "round-robin", "least-loaded", "sticky"] = "award"
     first_port: int = 27200
-    """The daemons and workers take the ports from here on."""
+    """Daemons and workers use consecutive ports that begin with this one."""
     pools: tuple[Pool, ...]
     services: tuple[ServiceShape, ...]
     classes: tuple[PriorityClassShape, ...]
@@ -96,6 +103,8 @@
 
 
 class InvalidShape(msgspec.Struct, frozen=True):
+    """Says why a shape file was rejected."""
+
     file: str
     detail: str
 
@@ -104,6 +113,7 @@
 
 
 def read_shape(file: Path) -> Result[Shape, InvalidShape]:
+    """Reads and checks a shape file. Unknown keys are errors."""
     try:
         shape = msgspec.toml.decode(file.read_bytes(), type=Shape)
     except OSError as problem:
@@ -115,7 +125,7 @@
 
 
 def check_shape(shape: Shape) -> str:
-    """Empty when all names meet; else what to mend."""
+    """Returns the first error, such as a reference to an undefined name, or an empty text for a valid shape."""
     pools = {pool.name for pool in shape.pools}
     services = {service.name for service in shape.services}
     classes = {each.name for each in shape.classes}
--- a/tests_runner.py
+++ b/tests_runner.py
@@ -1,6 +1,6 @@
-"""Runs every test of the tree with nose2, several processes side by side, and gives one verdict.
+"""Runs all tests of the tree with nose2 in several parallel processes, and prints one result.
 
-``python -m tests_runner [--processes N] [--only TEXT]``. A module is one unit of work; a module that
+Usage: ``python -m tests_runner [--processes N] [--only TEXT]``. A module is one unit of work; a module that
 sets ``RUN_EACH_ALONE = True`` (long simulated scenarios) is split into its single tests. Tests named
 in KNOWN-RED.txt (``test.id: cause, issue``; three at most) are run, printed, and not counted as failed.
 """
@@ -26,7 +26,7 @@
 
 
 def find_units(only: str | None) -> list[list[str]]:
-    """Test ids that are run by one process each, the longest kinds first."""
+    """Returns the units of work, each a list of test ids for one process; single long tests come before modules."""
     single: list[list[str]] = []
     modules: list[list[str]] = []
     for path in sorted(ROOT.glob("*/**/tests/test_*.py")):
@@ -46,7 +46,7 @@
 
 
 def module_name(path: Path) -> str:
-    """The folder platform/ is imported under another name (docs/PLATFORM.md section 2)."""
+    """Returns the dotted name of a module; platform/ is imported under another name (docs/PLATFORM.md section 2)."""
     folder, *rest = path.relative_to(ROOT).with_suffix("").parts
     return ".".join(["wingwood_platform" if folder == "platform" else folder, *rest])
 
@@ -62,6 +62,7 @@
 
 
 def run_unit(unit: list[str]) -> tuple[list[str], float, int, str, int]:
+    """Runs one unit and returns the unit, seconds, number of tests that ran, output and exit code."""
     started = time.monotonic()
     try:
         done = subprocess.run(
@@ -86,6 +87,7 @@
 
 
 def read_known_failures() -> dict[str, str]:
+    """Returns the causes in KNOWN-RED.txt by test id. Raises SystemExit when it lists more than three tests."""
     path = ROOT / "KNOWN-RED.txt"
     lines = path.read_text().splitlines() if path.exists() else []
     entries = dict(line.split(":", 1) for line in lines if ":" in line and not line.startswith("#"))
