--- a/bench/hollow_daemons.py
+++ b/bench/hollow_daemons.py
@@ -37,6 +37,7 @@
 from wingwood.bundle.model import Bundle, OrderOutcome, Tenant
 from wingwood.bundle.state import BundleState
 from wingwood.bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices, slice_of
+from wingwood.bundle.variants import VariantTarget
 from wingwood.context.protocols import Context
 from wingwood.context.real import RealClock, RealDisk, RealNetwork, RealTasks
 from wingwood.control.bundle_source import CommittedBundles
@@ -44,7 +45,9 @@
 from wingwood.control.core import ReplicatedCore
 from wingwood.control.protocols import SubmitOrder
 from wingwood.control.store import open_store
+from wingwood.distribution.applied_bundle import AppliedBundle
 from wingwood.distribution.follower import BundleFollower
+from wingwood.distribution.freshness_confirmation import FreshnessConfirmer
 from wingwood.distribution.publisher import BundlePublisher
 from wingwood.identifiers import (
     Address,
@@ -166,11 +169,14 @@
             knows_of_history=coordinator.knows_of_history,
             other_controls=coordinator.known_controls,
         )
-        publisher = BundlePublisher(context, messenger, core, CommittedBundles(core, state), coordinator)
-        coordinator.set_update_source(publisher.membership_update)
+        source = CommittedBundles(core, state)
+        freshness = FreshnessConfirmer(context, messenger, core, source, coordinator)
+        publisher = BundlePublisher(context, messenger, core, source, coordinator)
+        coordinator.set_update_source(freshness.membership_update)
         assert isinstance(messenger.start(), Success)
         core.start()
         coordinator.start()
+        freshness.start()
         publisher.start()
         await answer_parent(
             lambda: (
@@ -199,7 +205,7 @@
         empty = own_report([])["memory"]
         messengers: list[TcpMessenger] = []
         clients: list[MembershipClient] = []
-        followers: list[BundleFollower] = []
+        bundles: list[AppliedBundle] = []
         in_force: dict[int, list[float]] = {}
 
         def record_activation(bundle: Bundle) -> None:
@@ -215,25 +221,26 @@
             )
             messenger = TcpMessenger(context, identity, KEY)
             client = MembershipClient(context, messenger, SEEDS)
-            follower = BundleFollower(context, messenger, client, OPERATOR_KEYS, Seconds(5.0))
-            follower.on_change(record_activation)
+            bundle = AppliedBundle(context, VariantTarget(identity.zone, identity.name), OPERATOR_KEYS, Seconds(5.0))
+            follower = BundleFollower(context, messenger, client, bundle)
+            bundle.on_change(record_activation)
             assert isinstance(messenger.start(), Success)
             client.start()
             follower.start()
             messengers.append(messenger)
             clients.append(client)
-            followers.append(follower)
+            bundles.append(bundle)
             if number % 10 == 9:
                 await asyncio.sleep(0.1)
 
         def report() -> dict[str, Any]:
-            activations, in_force_now = dict(in_force), sorted(follower.version() for follower in followers)
+            activations, in_force_now = dict(in_force), sorted(bundle.version() for bundle in bundles)
             in_force.clear()
             return own_report(messengers) | {
                 "empty_memory": empty,
                 "fewest_members": min(len(client.members()) for client in clients),
                 "lowest_version": in_force_now[0],
-                "serving": sum(follower.may_serve() for follower in followers),
+                "serving": sum(bundle.may_serve() for bundle in bundles),
                 "in_force": activations,
             }
 
--- a/emulator/router_fakes.py
+++ b/emulator/router_fakes.py
@@ -71,7 +71,7 @@
     def current(self) -> Bundle | None:
         return self.bundle
 
-    def proven_latest_at(self) -> Instant | None:
+    def confirmed_latest_at(self) -> Instant | None:
         return None
 
     def may_serve(self) -> bool:
--- a/simulation/broken.py
+++ b/simulation/broken.py
@@ -325,7 +325,7 @@
 
 def _shows_older_versions(router: Any) -> None:
     """Makes a router report the previous version on every fifth read."""
-    version, reads = router.follower.version, 0
+    version, reads = router.bundle.version, 0
 
     def older() -> int:
         nonlocal reads
@@ -333,7 +333,7 @@
         latest = int(version())
         return latest - 1 if latest > 1 and reads % 5 == 0 else latest
 
-    router.follower.version = older
+    router.bundle.version = older
 
 
 def _trusts_drained_workers(router: Any) -> None:
@@ -404,7 +404,7 @@
 
 def _says_ready_while_it_stops(router: Any) -> None:
     """Makes a router report ready while it drains."""
-    path, bundle = router.path, router.follower
+    path, bundle = router.path, router.bundle
     path.ready = lambda: path._started and bundle.may_serve()
 
 
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -18,6 +18,7 @@
 from ..control.protocols import NotDecided, SubmitOrder
 from ..control.relay import RelayCore
 from ..control.store import Contents, ControlStore, open_store
+from ..distribution.freshness_confirmation import FreshnessConfirmer
 from ..distribution.publisher import BundlePublisher
 from ..identifiers import Address, BundleVersion, Incarnation, Seconds
 from ..ledger.state import LedgerState
@@ -111,8 +112,9 @@
         self.ledger = LedgerState(context.clock, settings.ledger_retention, self.coordinator.is_member)
         self.core = self._make_core(opened)
         self.source = CommittedBundles(self.core, self.state)
+        self.freshness = FreshnessConfirmer(context, self.messenger, self.core, self.source, self.coordinator)
         self.publisher = BundlePublisher(context, self.messenger, self.core, self.source, self.coordinator)
-        self.coordinator.set_update_source(self.publisher.membership_update)
+        self.coordinator.set_update_source(self.freshness.membership_update)
         self.address_book = AddressBook(context, self.messenger, self.coordinator)
         self.registry = WorkerRegistry(context, self.messenger, self.coordinator, settings, dialect.announcements)
         self.client = ControlClient(context, self.messenger, self.core.control_addresses)
@@ -161,11 +163,13 @@
         self.coordinator.start()
         self.address_book.start()
         self.core.start()
+        self.freshness.start()
         self.publisher.start()
         self.registry.start()
         return Success(None)
 
     def stop(self) -> None:
+        self.freshness.stop()
         self.publisher.stop()
         self.address_book.stop()
         self.coordinator.stop()
@@ -190,7 +194,7 @@
         now = self._context.clock.monotonic()
         report = self.core.report()
         session = self.coordinator.session_proven_at()
-        update = self.publisher.membership_update()
+        update = self.freshness.membership_update()
         in_view = report.own_role in ("primary", "backup", "witness", "relay") and report.primary is not None
         primary_proven = update.proof_age is not None and update.proof_age <= MAX_PRIMARY_PROOF_AGE_S
         reasons = [report.detail] if report.detail else []
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -10,8 +10,10 @@
 
 from ..bundle.model import Bundle, Service, Tenant
 from ..bundle.reading import RemoteBundleReader
+from ..bundle.variants import VariantTarget
 from ..context.protocols import Context
 from ..control.client import ControlClient
+from ..distribution.applied_bundle import AppliedBundle
 from ..distribution.follower import BundleFollower
 from ..forward.limits import path_limits
 from ..forward.metrics import RequestMetrics
@@ -67,9 +69,13 @@
         )
         self.messenger = TcpMessenger(context, self._identity, settings.fleet_key)
         self.membership = MembershipClient(context, self.messenger, settings.seeds)
-        self.follower = BundleFollower(
-            context, self.messenger, self.membership, settings.bundle_signers, settings.removed_key_bound
+        self.bundle = AppliedBundle(
+            context,
+            VariantTarget(settings.zone, settings.name),
+            settings.bundle_signers,
+            settings.removed_key_bound,
         )
+        self.follower = BundleFollower(context, self.messenger, self.membership, self.bundle)
         self.control = ControlClient(context, self.messenger, self._control_addresses)
         self.registry = WorkerRegistry(context, self.messenger, self.membership, settings)
         self.placement = create_placement(context, self.messenger, self.membership, self.registry, settings)
@@ -89,7 +95,7 @@
         self.path = RequestPath(
             context,
             settings,
-            self.follower,
+            self.bundle,
             self.shares,
             ServiceRetryBudget(context.clock, self._router_count, retries),
             self.ledger,
@@ -108,7 +114,7 @@
         self.registry.add_routes(self.operator_server)
         OrderRoutes(self.control.submit, settings.bundle_bytes).add_to(self.operator_server)
         ReadRoutes(
-            current=self.follower.current,
+            current=self.bundle.current,
             reader=RemoteBundleReader(self.messenger, self._control_addresses),
             members=self.membership.members,
             workers=self._workers,
@@ -121,7 +127,7 @@
         self._worker_lists_received = False
         """Once True it stays True, so that a pool added by a later bundle does not make the router not ready."""
         self._first_bundle_at: Instant | None = None
-        self.follower.on_change(self._watch_pools)
+        self.bundle.on_change(self._watch_pools)
 
     async def start(self) -> Result[None, StartFailure]:
         if isinstance(listening := self.messenger.start(), Failure):
@@ -163,10 +169,10 @@
         reasons = []
         if self._stopping:
             reasons.append("stopping")
-        bundle = self.follower.current()
+        bundle = self.bundle.current()
         if bundle is None:
             reasons.append("no bundle yet")
-        elif not self.follower.may_serve():
+        elif not self.bundle.may_serve():
             reasons.append("the bundle in force cannot be proven to be the newest")
         if self.membership.session_proven_at() is None:
             reasons.append("no session with a control daemon yet")
@@ -175,7 +181,7 @@
         if isolated := self._is_isolated():
             reasons.append("neither a control daemon nor a worker can be reached")
         now = self._context.clock.monotonic()
-        proven, session = self.follower.proven_latest_at(), self.membership.session_proven_at()
+        confirmed, session = self.bundle.confirmed_latest_at(), self.membership.session_proven_at()
         return HealthReport(
             name=self._settings.name,
             role="router",
@@ -183,8 +189,8 @@
             incarnation=self._identity.incarnation,
             ready=self.path.ready() and worker_lists_received and not isolated,
             reasons=tuple(reasons),
-            version=self.follower.version(),
-            bundle_proven_age=None if proven is None else Seconds(now - proven),
+            version=self.bundle.version(),
+            bundle_proven_age=None if confirmed is None else Seconds(now - confirmed),
             session_age=None if session is None else Seconds(now - session),
             members=len(self.membership.members()),
             workers_ready=sum(worker.state == "ready" for worker in self._workers()),
@@ -205,7 +211,7 @@
 
         Also True once ``WORKER_LISTS_TIMEOUT_S`` has passed since the first bundle came in force.
         """
-        bundle = self.follower.current()
+        bundle = self.bundle.current()
         if not self._worker_lists_received and bundle is not None and self._first_bundle_at is not None:
             waited = self._context.clock.monotonic() - self._first_bundle_at
             self._worker_lists_received = waited > WORKER_LISTS_TIMEOUT_S or all(
@@ -215,7 +221,7 @@
 
     def _has_workers(self) -> bool:
         """Whether each pool of the bundle in force has a ready worker."""
-        bundle = self.follower.current()
+        bundle = self.bundle.current()
         return bundle is not None and all(self.registry.ready(pool) for pool in pools_of(bundle.services.values()))
 
     def _is_isolated(self) -> bool:
@@ -231,7 +237,7 @@
         return session is not None and self._context.clock.monotonic() - session > CONTROL_SILENCE_LIMIT_S
 
     def _ready_workers(self) -> list[Worker]:
-        bundle = self.follower.current()
+        bundle = self.bundle.current()
         pools = () if bundle is None else pools_of(bundle.services.values())
         ready = [worker for pool in pools for worker in self.registry.ready(pool)]
         return [worker for worker in ready if not self.registry.is_suspected(worker.instance)]
@@ -249,7 +255,7 @@
                 await asyncio.gather(*(self.registry.confirm(worker) for worker in chosen))
 
     def _tenant(self, name: TenantName) -> Tenant | None:
-        bundle = self.follower.current()
+        bundle = self.bundle.current()
         return None if bundle is None else bundle.tenants.get(name)
 
     def _control_addresses(self) -> Sequence[Address]:
--- a/wingwood/distribution/chunk_relay.py
+++ b/wingwood/distribution/chunk_relay.py
@@ -18,6 +18,7 @@
         self.chunks: dict[int, BundleChunk] = {}
 
     def answers(self, request: FetchBundle) -> bool:
+        """Whether the requested chunk belongs to this delta."""
         return request.since == self.since and request.to in (0, self.to)
 
 
@@ -36,16 +37,18 @@
         """Set and replaced at each step of the fetch, so that every waiting request checks again."""
 
     def start(self, since: BundleVersion, to: BundleVersion) -> IncomingDelta:
+        """Starts relaying the delta from ``since`` to ``to``, in place of an earlier one."""
         self._incoming = IncomingDelta(since, to)
         self._notify_step()
         return self._incoming
 
     def add(self, incoming: IncomingDelta, chunk: BundleChunk) -> None:
+        """Adds a received chunk, and answers requests that wait for it."""
         incoming.chunks[chunk.offset] = chunk
         self._notify_step()
 
     def end(self, incoming: IncomingDelta) -> None:
-        """Ends relaying ``incoming``, because its delta is in force on this daemon or the fetch has failed.
+        """Ends relaying ``incoming``, because its delta is applied on this daemon or the fetch has failed.
 
         An earlier fetch that was replaced by another one changes nothing.
         """
--- a/wingwood/distribution/limits.py
+++ b/wingwood/distribution/distribution_options.py
@@ -1,4 +1,4 @@
-"""Time-outs, intervals and sizes of bundle distribution (docs/DESIGN.md sections 9.2 to 9.4)."""
+"""Timeouts, intervals and sizes of bundle distribution (docs/DESIGN.md sections 9.2 to 9.4)."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from ..identifiers import Seconds
 
 
-class DistributionLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """The limits that daemons use when they distribute bundles, in seconds and bytes."""
+class DistributionOptions(msgspec.Struct, frozen=True, kw_only=True):
+    """Times and sizes that daemons use when they distribute bundles, in seconds and bytes."""
 
     push_wait: Seconds = Seconds(0.3)
-    """The time that a router waits for its upstream router to post a newer version before it fetches it."""
+    """The time that a router waits for its upstream router to post a newer version before it fetches it itself."""
     first_chunk_timeout: Seconds = Seconds(0.4)
     """The timeout for the first chunk of a fetch from one source, and for a subscription call."""
     next_chunk_timeout: Seconds = Seconds(1.5)
@@ -35,15 +35,15 @@
     upstream_check_interval: Seconds = Seconds(0.25)
     """The interval at which a router checks whether its upstream router has changed."""
     min_publish_interval: Seconds = Seconds(0.1)
-    """The least time between two versions put in force, and between two posts to one tree root."""
-    proof_interval: Seconds = Seconds(0.4)
+    """The least time between two applied versions, and between two posts to one tree root."""
+    confirmation_interval: Seconds = Seconds(0.4)
     """The interval at which a control daemon asks the primary for the latest version."""
-    proof_timeout: Seconds = Seconds(0.4)
-    """The timeout of one such question, and of one round in which the primary proves that it is primary."""
-    proof_retry_interval: Seconds = Seconds(0.15)
-    """The interval at which a control daemon asks again after it got no proof."""
-    proof_age_margin: Seconds = Seconds(0.5)
-    """The margin between the oldest proof on which a router serves calls and the bound on removed keys.
+    confirmation_timeout: Seconds = Seconds(0.4)
+    """The timeout of one such request, and of one poll in which the primary confirms that it still leads."""
+    confirmation_retry_interval: Seconds = Seconds(0.15)
+    """The interval at which a control daemon asks again after it got no confirmation."""
+    confirmation_age_margin: Seconds = Seconds(0.5)
+    """The margin between the oldest confirmation on which a router serves calls and the bound on removed keys.
 
     Clocks whose rates differ by 1 in 100 use 0.05 s of it; the time of a call between its last check and its
     worker uses the rest.
--- a/wingwood/distribution/distribution_tree.py
+++ b/wingwood/distribution/distribution_tree.py
@@ -7,6 +7,7 @@
 from collections.abc import Sequence
 
 from ..identifiers import Incarnation, Zone
+from ..membership.protocols import Membership
 from ..membership.rendezvous import ranked
 from ..transport.frames import Identity
 
@@ -47,3 +48,39 @@
 def zones_of(routers: Sequence[Identity]) -> list[Zone]:
     """Returns the zones that have routers, sorted."""
     return sorted({router.zone for router in routers})
+
+
+class TreePosition:
+    """The place of one router in the distribution tree of its zone, recomputed only when the members have changed."""
+
+    def __init__(self, own: Identity, membership: Membership) -> None:
+        self._own = own
+        self._membership = membership
+        self._routers: Sequence[Identity] | None = None
+        """All routers, from which the ranking was computed."""
+        self._ranking: Sequence[Identity] = ()
+        self._upstream: Identity | None = None
+
+    def upstream(self) -> Identity | None:
+        """Returns the router that forwards changes to this one.
+
+        None while this is the first tree root of its zone, or knows no router.
+        """
+        self._update()
+        return self._upstream
+
+    def tree_roots(self) -> Sequence[Identity]:
+        """Returns the tree roots of the own zone, the first one first."""
+        self._update()
+        return self._ranking[:TREE_ROOTS]
+
+    def is_tree_root(self) -> bool:
+        """Whether this router is a tree root of its zone."""
+        return any(tree_root.incarnation == self._own.incarnation for tree_root in self.tree_roots())
+
+    def _update(self) -> None:
+        routers = self._membership.routers()
+        if self._routers is not routers:
+            self._routers = routers
+            self._ranking = ranked_routers(BUNDLE_SERVICE, self._own.zone, routers)
+            self._upstream = upstream_in(self._ranking, self._own.incarnation)
--- a/wingwood/distribution/messages.py
+++ b/wingwood/distribution/messages.py
@@ -1,4 +1,4 @@
-"""Messages that carry bundles and the proof of which version is the latest (docs/DESIGN.md section 9)."""
+"""Messages that carry bundles, and requests for the latest version (docs/DESIGN.md section 9)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BundlePosted(msgspec.Struct, frozen=True, array_like=True):
-    """A post that carries a change to be put in force.
+    """A post that carries a change to be applied.
 
     The primary sends it to the tree roots of each zone, and a router sends it to its subscribers.
     """
@@ -34,18 +34,18 @@
 class Subscribe(msgspec.Struct, frozen=True, array_like=True):
     """A call by which a router subscribes at its upstream router, or renews its subscription.
 
-    The reply is ``Subscribed``. ``DistributionLimits.renewal_interval`` sets how often it is sent.
+    The reply is ``Subscribed``. ``DistributionOptions.renewal_interval`` sets how often it is sent.
     """
 
-    held: BundleVersion
-    """The version in force on the subscriber."""
+    version: BundleVersion = msgspec.field(name="held")
+    """The version applied on the subscriber."""
 
 
 class Subscribed(msgspec.Struct, frozen=True, array_like=True):
     """The reply to ``Subscribe``."""
 
-    held: BundleVersion
-    """The version in force on the upstream router."""
+    version: BundleVersion = msgspec.field(name="held")
+    """The version applied on the upstream router."""
 
 
 class FetchBundle(msgspec.Struct, frozen=True, array_like=True):
@@ -87,19 +87,19 @@
     """A call that asks which version is the latest acknowledged one.
 
     A control daemon sends it to the primary, or to another control daemon that can reach the primary.
-    The reply is ``LatestVersionProof``.
+    The reply is ``LatestVersionReply``.
     """
 
     WIRE_NAME: ClassVar[str] = "AskNewest"
 
 
-class LatestVersionProof(msgspec.Struct, frozen=True, array_like=True):
+class LatestVersionReply(msgspec.Struct, frozen=True, array_like=True):
     """The reply to ``LatestVersionRequest``."""
 
     WIRE_NAME: ClassVar[str] = "NewestProven"
 
-    proven: bool
-    """False when the answering daemon has no proof; ``version`` and ``age`` then mean nothing."""
+    confirmed: bool = msgspec.field(name="proven")
+    """False when the answering daemon has no confirmation; ``version`` and ``age`` then mean nothing."""
     version: BundleVersion
     age: Seconds
     """How many seconds before the answer ``version`` was the latest.
@@ -108,3 +108,4 @@
     daemon was primary at that instant.
     """
     primary: Address | None = None
+    """The presumed primary of the answering daemon."""
--- a/wingwood/distribution/tests/fakes.py
+++ b/wingwood/distribution/tests/fakes.py
@@ -31,7 +31,7 @@
 
 
 class FakeControlCore:
-    """Has the epoch and the primary that the test sets; ``prove_lead`` really asks the other control daemons."""
+    """Has the epoch and the primary that the test sets; ``prove_leadership`` really asks the other control daemons."""
 
     def __init__(self, messenger: Messenger, others: tuple[Address, ...]) -> None:
         self._messenger = messenger
--- a/wingwood/distribution/tests/small_fleet.py
+++ b/wingwood/distribution/tests/small_fleet.py
@@ -11,6 +11,7 @@
 
 from ...bundle.state import BundleState
 from ...bundle.tests.samples import OPERATOR_KEYS
+from ...bundle.variants import VariantTarget
 from ...context.protocols import Context
 from ...control.protocols import SubmitOrder
 from ...identifiers import Address, BundleVersion, DaemonName, Incarnation, Seconds, SliceName, Zone
@@ -19,8 +20,10 @@
 from ...membership.limits import SessionTimes
 from ...transport.frames import Identity
 from ...transport.messenger import TcpMessenger
+from ..applied_bundle import AppliedBundle
+from ..distribution_options import DistributionOptions
 from ..follower import BundleFollower
-from ..limits import DistributionLimits
+from ..freshness_confirmation import FreshnessConfirmer
 from ..publisher import BundlePublisher
 from .fakes import FakeBundleSource, FakeControlCore, Orders, empty_disk
 
@@ -33,33 +36,39 @@
     """The parts of one incarnation of a control daemon; faulty variants of the fleet replace some class here."""
 
     coordinator_class = MembershipCoordinator
-    publisher_class = BundlePublisher
+    confirmer_class = FreshnessConfirmer
     times = SessionTimes()
-    limits = DistributionLimits()
+    options = DistributionOptions()
 
     def __init__(self, context: Context, identity: Identity, seeds: Sequence[Address], disk: BundleState) -> None:
         self.messenger = TcpMessenger(context, identity, KEY)
         self.core = FakeControlCore(self.messenger, tuple(seeds))
         self.source = FakeBundleSource(disk)
         self.coordinator = self.coordinator_class(context, self.messenger, seeds, self.times)
-        self.publisher = self.publisher_class(
-            context, self.messenger, self.core, self.source, self.coordinator, self.limits
+        self.freshness = self.confirmer_class(
+            context, self.messenger, self.core, self.source, self.coordinator, self.options
         )
-        self.coordinator.set_update_source(self.publisher.membership_update)
+        self.publisher = BundlePublisher(
+            context, self.messenger, self.core, self.source, self.coordinator, self.options
+        )
+        self.coordinator.set_update_source(self.freshness.membership_update)
 
 
 class RouterParts:
     """The parts of one incarnation of a router; faulty variants of the fleet replace some class here."""
 
     client_class = MembershipClient
+    bundle_class = AppliedBundle
     follower_class = BundleFollower
     times = SessionTimes()
-    limits = DistributionLimits()
+    options = DistributionOptions()
 
     def __init__(self, context: Context, identity: Identity, seeds: Sequence[Address], bound: Seconds | None) -> None:
         self.messenger = TcpMessenger(context, identity, KEY)
         self.client = self.client_class(context, self.messenger, seeds, self.times)
-        self.follower = self.follower_class(context, self.messenger, self.client, OPERATOR_KEYS, bound, self.limits)
+        place = VariantTarget(identity.zone, identity.name)
+        self.bundle = self.bundle_class(context, place, OPERATOR_KEYS, bound, self.options)
+        self.follower = self.follower_class(context, self.messenger, self.client, self.bundle, self.options)
 
 
 class SmallFleet:
@@ -110,6 +119,7 @@
             assert isinstance(parts.messenger.start(), Success)
             parts.core.set_primary(self.epoch, address_of(self.world.machine(self.primary), PORT))
             parts.coordinator.start()
+            parts.freshness.start()
             parts.publisher.start()
 
         return self.world.start(name, main)
@@ -121,7 +131,7 @@
             identity = self._identity(name, "router", f"{name}-{context.random.getrandbits(32):08x}")
             parts = self.router_parts(context, identity, self.seeds, self.bound)
             self.routers[name] = parts
-            parts.follower.on_change(lambda bundle: self._in_force(name, bundle.version))
+            parts.bundle.on_change(lambda bundle: self._in_force(name, bundle.version))
             assert isinstance(parts.messenger.start(), Success)
             parts.client.start()
             parts.follower.start()
@@ -152,14 +162,14 @@
     async def _committed(self, name: str) -> None:
         self.controls[name].source.committed()
 
-    def take_over(self, primary: str, backup: str, informed: Sequence[str]) -> None:
+    def fail_over(self, primary: str, backup: str, informed: Sequence[str]) -> None:
         """Installs a new view, which only the control daemons in ``informed`` learn of."""
         self.epoch += 1
         self.primary, self.backup = primary, backup
         if self.disks[primary].version > self.disks[backup].version:
             self.disks[backup].restore(self.disks[primary].snapshot())
         for name in informed:
-            self.world.spawn(self.world.processes[name], self._inform_control(name, self.epoch), "told")
+            self.world.spawn(self.world.processes[name], self._inform_control(name, self.epoch), "inform")
 
     async def _inform_control(self, name: str, epoch: int) -> None:
         self.controls[name].core.set_primary(epoch, address_of(self.world.machine(self.primary), PORT))
@@ -176,26 +186,26 @@
             loop.running_incarnation = before
 
     def serving(self) -> list[str]:
-        return [name for name in self.versions() if self.inside(name, self.routers[name].follower.may_serve)]
+        return [name for name in self.versions() if self.inside(name, self.routers[name].bundle.may_serve)]
 
-    def proof_age(self, name: str) -> float | None:
-        context, follower = self.world.processes[name].context, self.routers[name].follower
-        proven = follower.proven_latest_at()
+    def confirmation_age(self, name: str) -> float | None:
+        context, bundle = self.world.processes[name].context, self.routers[name].bundle
+        confirmed_at = bundle.confirmed_latest_at()
         assert context is not None
-        return None if proven is None else self.inside(name, context.clock.monotonic) - proven
+        return None if confirmed_at is None else self.inside(name, context.clock.monotonic) - confirmed_at
 
     def router_address(self, name: str) -> Address:
         return address_of(self.world.machine(name), PORT)
 
     def versions(self) -> dict[str, BundleVersion]:
-        return {name: parts.follower.version() for name, parts in sorted(self.routers.items()) if self._runs(name)}
+        return {name: parts.bundle.version() for name, parts in sorted(self.routers.items()) if self._runs(name)}
 
     def _runs(self, name: str) -> bool:
         process = self.world.processes[name]
         return process.alive and not process.frozen
 
     def all_in_force(self, version: BundleVersion, apart_from: Sequence[str] = ()) -> bool:
-        return all(held >= version for name, held in self.versions().items() if name not in apart_from)
+        return all(applied >= version for name, applied in self.versions().items() if name not in apart_from)
 
     def view_of(self, router: str) -> list[str]:
         return [member.name for member in self.routers[router].client.members()]
--- a/wingwood/distribution/tests/test_broken_variants.py
+++ b/wingwood/distribution/tests/test_broken_variants.py
@@ -18,55 +18,55 @@
 from ...membership.messages import ClusterUpdate, Heartbeat, SessionsReport, UnreachableCoordinator
 from ...membership.tests import test_sessions as sessions
 from ...transport.frames import Identity
+from ..applied_bundle import AppliedBundle
+from ..distribution_options import DistributionOptions
 from ..follower import BundleFollower
-from ..freshness import FreshnessProver
-from ..limits import DistributionLimits
-from ..publisher import BundlePublisher
+from ..freshness_confirmation import FreshnessConfirmer
 from . import test_distribution as distribution
 from .small_fleet import ControlParts, RouterParts, SmallFleet
 
 
-class TrustingProver(FreshnessProver):
+class TrustingConfirmer(FreshnessConfirmer):
     """Claims to be primary without asking the other control daemons."""
 
-    async def prove(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         return self._core.leads()
 
 
-class AgelessProver(FreshnessProver):
-    """Reports each proof with age 0."""
+class AgelessConfirmer(FreshnessConfirmer):
+    """Reports each confirmation with age 0."""
 
     def membership_update(self) -> ClusterUpdate:
         return msgspec.structs.replace(super().membership_update(), proof_age=Seconds(0.0))
 
 
-class PrimaryOnlyProver(FreshnessProver):
-    """Asks only the primary for a proof, never other control daemons."""
+class PrimaryOnlyConfirmer(FreshnessConfirmer):
+    """Asks only the primary for a confirmation, never other control daemons."""
 
     def _sources(self) -> list[Address]:
         return super()._sources()[:1]
 
 
-class LateProofFollower(BundleFollower):
-    """Counts the age of a proof from the answer instead of from before the request."""
+class LateConfirmationFollower(BundleFollower):
+    """Counts the age of a confirmation from the answer instead of from before the request."""
 
-    def _on_membership_update(self, membership_update: ClusterUpdate, asked: Instant) -> None:
+    def _on_membership_update(self, membership_update: ClusterUpdate, asked_at: Instant) -> None:
         super()._on_membership_update(membership_update, self._context.clock.monotonic())
 
 
-class UncheckedProofFollower(BundleFollower):
-    """Accepts a proof of a version that is not in force on it."""
+class UncheckedConfirmationBundle(AppliedBundle):
+    """Accepts a confirmation of a version that is not applied."""
 
-    def _record_proof(self, version: BundleVersion, proven: Instant) -> None:
-        super()._record_proof(BundleVersion(0), proven)
+    def record_confirmation(self, version: BundleVersion, confirmed_at: Instant) -> None:
+        super().record_confirmation(BundleVersion(0), confirmed_at)
 
 
-class LateStoppingFollower(BundleFollower):
+class LateStoppingBundle(AppliedBundle):
     """Serves for a second longer than the bound allows."""
 
     def may_serve(self) -> bool:
-        proven = self.proven_latest_at()
-        return proven is not None and self._context.clock.monotonic() - proven <= 6.0
+        confirmed_at = self.confirmed_latest_at()
+        return confirmed_at is not None and self._context.clock.monotonic() - confirmed_at <= 6.0
 
 
 class UnconditionalRenewalCoordinator(MembershipCoordinator):
@@ -99,23 +99,22 @@
 
 def fleet_of(
     coordinator: type[MembershipCoordinator] = MembershipCoordinator,
-    prover: type[FreshnessProver] = FreshnessProver,
+    confirmer: type[FreshnessConfirmer] = FreshnessConfirmer,
+    bundle: type[AppliedBundle] = AppliedBundle,
     follower: type[BundleFollower] = BundleFollower,
     times: SessionTimes | None = None,
-    limits: DistributionLimits | None = None,
+    options: DistributionOptions | None = None,
 ) -> type[SmallFleet]:
-    class Publisher(BundlePublisher):
-        prover_class = prover
-
     class Control(ControlParts):
         coordinator_class = coordinator
-        publisher_class = Publisher
+        confirmer_class = confirmer
 
     class Router(RouterParts):
+        bundle_class = bundle
         follower_class = follower
 
     Control.times = Router.times = times or SessionTimes()
-    Control.limits = Router.limits = limits or DistributionLimits()
+    Control.options = Router.options = options or DistributionOptions()
 
     class Fleet(SmallFleet):
         control_parts = Control
@@ -133,14 +132,16 @@
         with self.assertRaises(AssertionError):
             broken(f"test_{test}").debug()
 
-    def test_proofs(self) -> None:
+    def test_confirmations(self) -> None:
         self.assert_rejected(
-            fleet_of(prover=TrustingProver), distribution.FreshnessTest, "cut_off_former_primary_proves_nothing"
+            fleet_of(confirmer=TrustingConfirmer),
+            distribution.FreshnessTest,
+            "partitioned_former_primary_confirms_nothing",
         )
-        frozen_control = "woken_control_daemon_does_not_forward_an_old_proof"
-        self.assert_rejected(fleet_of(prover=AgelessProver), distribution.FreshnessTest, frozen_control)
-        relay = "coordinator_without_the_primary_forwards_the_proof_of_another"
-        self.assert_rejected(fleet_of(prover=PrimaryOnlyProver), distribution.FreshnessTest, relay)
+        frozen_control = "resumed_control_daemon_does_not_forward_an_old_confirmation"
+        self.assert_rejected(fleet_of(confirmer=AgelessConfirmer), distribution.FreshnessTest, frozen_control)
+        relay = "coordinator_without_the_primary_forwards_the_confirmation_of_another"
+        self.assert_rejected(fleet_of(confirmer=PrimaryOnlyConfirmer), distribution.FreshnessTest, relay)
 
     def test_counting(self) -> None:
         """The short timeout for an answer hides a wrong age, so it is made long here."""
@@ -149,18 +150,20 @@
             SessionTimes(answer_timeout=Seconds(30.0)),
         )
         type("Patient", (distribution.FreshnessTest,), {"fleet": fleet_of(times=patient)})(f"test_{buffered}").debug()
-        self.assert_rejected(fleet_of(follower=LateProofFollower, times=patient), distribution.FreshnessTest, buffered)
+        self.assert_rejected(
+            fleet_of(follower=LateConfirmationFollower, times=patient), distribution.FreshnessTest, buffered
+        )
         unable = "router_that_cannot_fetch_an_announced_version_stops_serving"
-        self.assert_rejected(fleet_of(follower=UncheckedProofFollower), distribution.FreshnessTest, unable)
+        self.assert_rejected(fleet_of(bundle=UncheckedConfirmationBundle), distribution.FreshnessTest, unable)
         clocks = "slow_and_fast_clocks_stay_within_the_margin"
-        self.assert_rejected(fleet_of(follower=LateStoppingFollower), distribution.FreshnessTest, clocks)
+        self.assert_rejected(fleet_of(bundle=LateStoppingBundle), distribution.FreshnessTest, clocks)
 
     def test_propagation(self) -> None:
-        patient = DistributionLimits(push_wait=Seconds(30.0))
+        patient = DistributionOptions(push_wait=Seconds(30.0))
         at_home = "faulty_tree_root_does_not_delay_a_change"
-        self.assert_rejected(fleet_of(limits=patient), distribution.PropagationTest, at_home)
-        hasty = DistributionLimits(min_publish_interval=Seconds(0.0))
-        self.assert_rejected(fleet_of(limits=hasty), distribution.PropagationTest, "fifty_changes_per_second")
+        self.assert_rejected(fleet_of(options=patient), distribution.PropagationTest, at_home)
+        hasty = DistributionOptions(min_publish_interval=Seconds(0.0))
+        self.assert_rejected(fleet_of(options=hasty), distribution.PropagationTest, "fifty_changes_per_second")
 
     def test_sessions(self) -> None:
         deaf = "router_partitioned_in_one_direction_leaves_and_rejoins"
--- a/wingwood/distribution/tests/test_distribution.py
+++ b/wingwood/distribution/tests/test_distribution.py
@@ -17,7 +17,7 @@
 from ...bundle.tests.samples import slice_of
 from ...identifiers import BundleVersion, Seconds, ServiceName, SliceName
 from ...membership.rendezvous import ranked
-from ..deltas import decompress_chunk
+from ..chunk_server import decompress_chunk
 from ..distribution_tree import TREE_ROOTS
 from ..messages import BundleChunk
 from ..publisher import BundlePublisher
@@ -142,21 +142,21 @@
             fleet = self.fleet(world)
             fleet.settle()
             world.power_off("c1")
-            fleet.take_over("c2", "c3", ["c2", "c3"])
+            fleet.fail_over("c2", "c3", ["c2", "c3"])
             self.in_force(fleet, fleet.commit())
             fleet.start_control("c4", "a")
             world.run(3.0)
             world.power_off("c2")
-            fleet.take_over("c3", "c4", ["c3", "c4"])
+            fleet.fail_over("c3", "c4", ["c3", "c4"])
             self.in_force(fleet, fleet.commit())
             world.power_off("c3")
             fleet.start_control("c5", "b")
             world.run(0.1)
-            fleet.take_over("c4", "c5", ["c4", "c5"])
+            fleet.fail_over("c4", "c5", ["c4", "c5"])
             self.in_force(fleet, fleet.commit())
 
     def test_restarted_router_fetches_the_latest_bundle_from_peers_without_control(self) -> None:
-        """It does so also with a bound on removed keys, but then it does not serve, because it has no proof."""
+        """It does so also with a bound on removed keys, but then it does not serve, because it has no confirmation."""
         for bound in (None, Seconds(5.0)):
             with self.subTest(bound=bound), World(seed=6) as world:
                 fleet = self.fleet(world, bound=bound)
@@ -167,7 +167,7 @@
                 world.restart("r05")
                 self.assertTrue(world.wait_for(lambda: fleet.versions()["r05"] == fleet.orders.version, 6.0))
                 world.run(6.0)
-                self.assertEqual(fleet.routers["r05"].follower.may_serve(), bound is None)
+                self.assertEqual(fleet.routers["r05"].bundle.may_serve(), bound is None)
 
 
 class SlowLinksTest(unittest.TestCase):
@@ -187,8 +187,8 @@
 
     def wait_in_force(self, fleet: SmallFleet, version: BundleVersion, within: float) -> None:
         done = fleet.world.wait_for(lambda: fleet.all_in_force(version), within, every=0.01)
-        held = sorted(fleet.versions().values())
-        self.assertTrue(done, f"version {version} expected, in force {held}\n{fleet.world.timeline(20)}")
+        applied = sorted(fleet.versions().values())
+        self.assertTrue(done, f"version {version} expected, in force {applied}\n{fleet.world.timeline(20)}")
 
     def test_new_routers_get_a_bundle_of_400_routes(self) -> None:
         with World(seed=11) as world:
@@ -267,12 +267,12 @@
         while fleet.world.now < until:
             fleet.world.run(0.02)
             for name in fleet.serving():
-                held = fleet.routers[name].follower.version()
-                missed = fleet.committed_at.get(held + 1)  # type: ignore[call-overload]
+                version = fleet.routers[name].bundle.version()
+                missed = fleet.committed_at.get(version + 1)  # type: ignore[call-overload]
                 if missed is not None:
-                    self.assertLess(fleet.world.now - missed, 5.0, f"{name} serves on version {held}")
+                    self.assertLess(fleet.world.now - missed, 5.0, f"{name} serves on version {version}")
 
-    def test_all_routers_serve_and_proofs_stay_young_without_faults(self) -> None:
+    def test_all_routers_serve_and_confirmations_stay_recent_without_faults(self) -> None:
         with World(seed=1) as world:
             fleet = self.fleet(world, bound=Seconds(5.0))
             fleet.settle()
@@ -281,7 +281,7 @@
                 world.run(0.05)
                 self.assertEqual(len(fleet.serving()), 11)
                 for name in fleet.routers:
-                    age = fleet.proof_age(name)
+                    age = fleet.confirmation_age(name)
                     assert age is not None
                     ages.append(age)
             self.assertLess(max(ages), 1.4)
@@ -320,7 +320,7 @@
                 self.assertNotIn("r02", fleet.serving())
 
     def test_router_that_cannot_fetch_an_announced_version_stops_serving(self) -> None:
-        """The router reaches only its coordinator, which has no bundles but sends fresh proofs."""
+        """The router reaches only its coordinator, which has no bundles but sends recent confirmations."""
         with World(seed=5) as world:
             fleet = self.fleet(world, bound=Seconds(5.0))
             fleet.settle()
@@ -334,7 +334,7 @@
                 world.heal(cut)
             self.assertTrue(world.wait_for(lambda: len(fleet.serving()) == 11, 4.0))
 
-    def test_coordinator_without_the_primary_forwards_the_proof_of_another(self) -> None:
+    def test_coordinator_without_the_primary_forwards_the_confirmation_of_another(self) -> None:
         for seed in range(3):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world, bound=Seconds(5.0))
@@ -357,8 +357,8 @@
             self.no_stale_service(fleet, 7.0)
             self.assertEqual(len(fleet.serving()), 7)
 
-    def test_cut_off_former_primary_proves_nothing(self) -> None:
-        """c1 and some routers are cut off together and c2 takes over, while c1 still considers itself primary."""
+    def test_partitioned_former_primary_confirms_nothing(self) -> None:
+        """c1 is partitioned with some routers; control fails over to c2, while c1 still believes it is primary."""
         for seed in range(3):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world, bound=Seconds(5.0))
@@ -367,16 +367,16 @@
                 outside = [name for name in fleet.everybody() if name not in inside]
                 cuts = [world.cut(one, other) for one in inside for other in outside]
                 world.run(1.0)
-                fleet.take_over("c2", "c3", ["c2", "c3"])
+                fleet.fail_over("c2", "c3", ["c2", "c3"])
                 fleet.commit()
                 self.no_stale_service(fleet, 12.0)
                 self.assertEqual(fleet.serving(), [name for name in outside if name.startswith("r")])
                 for cut in cuts:
                     world.heal(cut)
-                world.spawn(world.processes["c1"], fleet._inform_control("c1", fleet.epoch), "told")
+                world.spawn(world.processes["c1"], fleet._inform_control("c1", fleet.epoch), "inform")
                 self.assertTrue(world.wait_for(lambda: len(fleet.serving()) == 11, 5.0))
 
-    def test_woken_control_daemon_does_not_forward_an_old_proof(self) -> None:
+    def test_resumed_control_daemon_does_not_forward_an_old_confirmation(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world, bound=Seconds(5.0))
@@ -391,14 +391,14 @@
                 self.no_stale_service(fleet, 4.0)
                 self.assertEqual(fleet.serving(), [])
 
-    def test_take_over_within_two_and_a_half_seconds_interrupts_no_router(self) -> None:
+    def test_failover_within_two_and_a_half_seconds_interrupts_no_router(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed), World(seed) as world:
                 fleet = self.fleet(world, bound=Seconds(5.0))
                 fleet.settle()
                 world.kill("c1")
                 world.run(2.5)
-                fleet.take_over("c2", "c3", ["c2", "c3"])
+                fleet.fail_over("c2", "c3", ["c2", "c3"])
                 for _ in range(40):
                     world.run(0.05)
                     self.assertEqual(len(fleet.serving()), 11)
--- a/wingwood/rollout/tests/test_rollout_on_fleet.py
+++ b/wingwood/rollout/tests/test_rollout_on_fleet.py
@@ -144,7 +144,7 @@
         """Returns the running routers whose bundle in force has this value for a field of the service."""
         found = set()
         for name in self.fleet.names("router"):
-            bundle = cast(Any, self.fleet.daemons[name]).follower.current()
+            bundle = cast(Any, self.fleet.daemons[name]).bundle.current()
             if self.world.processes[name].alive and bundle is not None:
                 service = bundle.services["order-summary"]
                 found |= {name} if getattr(service, field) == value else set()
--- a/wingwood/tests/outer_names.py
+++ b/wingwood/tests/outer_names.py
@@ -51,7 +51,7 @@
     "FetchBundle": "wingwood.distribution.messages:FetchBundle",
     "BundleChunk": "wingwood.distribution.messages:BundleChunk",
     "AskNewest": "wingwood.distribution.messages:LatestVersionRequest",
-    "NewestProven": "wingwood.distribution.messages:LatestVersionProof",
+    "NewestProven": "wingwood.distribution.messages:LatestVersionReply",
     "LeaseAsk": "wingwood.limits.messages:LeaseRequest",
     "KeeperView": "wingwood.limits.messages:AllocatorView",
     "LeaseGrant": "wingwood.limits.messages:LeaseGrant",
