--- a/wingwood/distribution/applied_bundle.py
+++ b/wingwood/distribution/applied_bundle.py
@@ -109,10 +109,10 @@
             problem = outcome.failure()
             if problem.code != "stale":
                 self._context.log.event(
-                    "bundle-refused",
+                    "bundle-rejected",
                     version=delta.manifest.version,
                     since=delta.since,
-                    held=replaced_version,
+                    applied=replaced_version,
                     reason=str(problem),
                 )
             return False
@@ -130,6 +130,6 @@
         self._pending_confirmations = [
             pending for pending in self._pending_confirmations if pending[0] > bundle.version
         ]
-        self._context.log.event("bundle-in-force", version=bundle.version, since=replaced_version)
+        self._context.log.event("bundle-applied", version=bundle.version, since=replaced_version)
         for callback in self._callbacks:
             callback(bundle)
--- a/wingwood/distribution/follower.py
+++ b/wingwood/distribution/follower.py
@@ -111,7 +111,9 @@
         """
         deposed = peer.role == "control" and not self._gate.admit(epoch)
         if deposed:
-            self._context.log.event("deposed-primary-refused", peer=peer.name, epoch=epoch, newest=self._gate.highest)
+            self._context.log.event(
+                "deposed-primary-rejected", peer=peer.name, epoch=epoch, latest_epoch=self._gate.highest
+            )
         return deposed
 
     async def _follow_forever(self) -> None:
--- a/wingwood/distribution/freshness_confirmation.py
+++ b/wingwood/distribution/freshness_confirmation.py
@@ -115,7 +115,9 @@
         if self._confirmed_at is not None and confirmation.confirmed_at <= self._confirmed_at:
             return
         if confirmation.version < self._confirmed_version:
-            self._context.log.event("newest-went-back", told=confirmation.version, known=self._confirmed_version)
+            self._context.log.event(
+                "latest-version-regressed", reported=confirmation.version, confirmed=self._confirmed_version
+            )
             return
         self._confirmed_at, self._confirmed_version = confirmation.confirmed_at, confirmation.version
 
--- a/wingwood/distribution/publisher.py
+++ b/wingwood/distribution/publisher.py
@@ -110,7 +110,7 @@
         self._posted = dict.fromkeys((*tree_roots, *other_controls), posted_now)
         if new_posts:
             self._context.log.event(
-                "bundle-published", version=announcement.version, epoch=announcement.epoch, homes=new_posts
+                "bundle-published", version=announcement.version, epoch=announcement.epoch, tree_roots=new_posts
             )
 
     def _post_to_tree_roots(self, tree_roots: Sequence[Address], announcement: BundleAnnounced) -> None:
