--- a/wingwood/distribution/catch_up.py
+++ b/wingwood/distribution/catch_up.py
@@ -19,7 +19,7 @@
 """The number of randomly chosen peers that are among the sources of a fetch."""
 CONTROLS_ASKED = 8
 """The number of control daemons, besides the primary, that are among the sources of a fetch."""
-DISCOVERY_DELAY = Seconds(1.0)
+DISCOVERY_DELAY_S = Seconds(1.0)
 """The time after its start at which a router to which no version has been announced asks other daemons for one."""
 
 
@@ -70,7 +70,7 @@
 
     def _is_discovery_due(self, now: Instant) -> bool:
         if (
-            now - self._started_at <= DISCOVERY_DELAY
+            now - self._started_at <= DISCOVERY_DELAY_S
             or now - self._last_discovery_at < self._options.discovery_interval
         ):
             return False
--- a/wingwood/distribution/follower.py
+++ b/wingwood/distribution/follower.py
@@ -25,9 +25,9 @@
 
 MAX_PENDING_POSTS = 64
 """The number of earlier posted deltas that are stored until they are applied."""
-BEHIND_CHECK_INTERVAL = Seconds(0.05)
+BEHIND_CHECK_INTERVAL_S = Seconds(0.05)
 """The interval at which a router behind its target checks whether to fetch."""
-IDLE_CHECK_INTERVAL = Seconds(0.5)
+IDLE_CHECK_INTERVAL_S = Seconds(0.5)
 """The same for a router that has reached its target."""
 
 
@@ -131,7 +131,7 @@
                 )
             else:
                 is_behind = self._target.behind_for(clock.monotonic()) is not None
-                await self._target.wait_for_change(BEHIND_CHECK_INTERVAL if is_behind else IDLE_CHECK_INTERVAL)
+                await self._target.wait_for_change(BEHIND_CHECK_INTERVAL_S if is_behind else IDLE_CHECK_INTERVAL_S)
 
     async def _apply_posted(self) -> bool:
         """Applies all posted deltas that continue the applied version, in one step.
--- a/wingwood/distribution/freshness_confirmation.py
+++ b/wingwood/distribution/freshness_confirmation.py
@@ -21,7 +21,7 @@
 """The number of other control daemons that are asked for a confirmation, besides the primary."""
 
 
-MIN_REQUEST_INTERVAL = Seconds(0.05)
+MIN_REQUEST_INTERVAL_S = Seconds(0.05)
 """The least time between the end of one request for a confirmation and the start of the next."""
 
 
@@ -109,7 +109,7 @@
                 self._record(confirmation)
                 interval = self._options.confirmation_interval
             remaining = asked_at + interval * (0.9 + 0.2 * self._context.random.random()) - clock.monotonic()
-            await clock.sleep(Seconds(max(MIN_REQUEST_INTERVAL, remaining)))
+            await clock.sleep(Seconds(max(MIN_REQUEST_INTERVAL_S, remaining)))
 
     def _record(self, confirmation: _Confirmation) -> None:
         if self._confirmed_at is not None and confirmation.confirmed_at <= self._confirmed_at:
