--- a/wingwood/command_line/bundle.py
+++ b/wingwood/command_line/bundle.py
@@ -2,9 +2,6 @@
 
 from __future__ import annotations
 
-import math
-import time
-import uuid
 from collections.abc import Sequence
 from datetime import UTC, datetime
 from pathlib import Path
@@ -14,22 +11,22 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from ..bundle.model import Order, OrderOutcome
-from ..bundle.orders import make_order
 from ..bundle.reading import HistoryAnswer
-from ..identifiers import Address, BundleVersion, OrderId, Seconds, WallTime
+from ..identifiers import Address, BundleVersion
 from ..operator_api.reading import BundleDocument
 from ..rollout.plan import preserve_rollouts, read_rollouts
 from .change import changed_slices, differences, rebase
-from .client import NoBundle, OperatorClient
-from .keys import read_key
-from .options import json_option, key_option, to_option
-from .output import CommandError, ExitCode, OutcomeUnknown, print_json, print_table
+from .client import OperatorClient
+from .errors import CommandError, ExitCode
+from .options import json_option, key_option, retry_timeout_option, to_option
+from .orders import latest_slices, operator_client, print_message, private_key, sign_order, slices_of, submit
+from .output import print_json, print_table
 from .rollout_table import print_rollouts
 from .source import Slices, check_bundle, read_source, write_source
 
 EXIT_CODE_BY_OUTCOME = {"accepted": ExitCode.DONE, "conflict": ExitCode.CONFLICT, "invalid": ExitCode.REFUSED}
 MAX_REBASES = 10
-LATEST_BUNDLE_PATH = "/control/v1/bundle?newest=1"
+"""Number of times that a change is made again after a conflict."""
 
 
 @click.group()
@@ -37,47 +34,6 @@
     """The signed configuration: check, sign, push, change, show, history, diff."""
 
 
-def _print_message(message: str) -> None:
-    click.echo(message, err=True)
-
-
-def operator_client(addresses: Sequence[Address], patience: float = 30.0) -> OperatorClient:
-    """Creates a client that is closed when the command ends; ``patience`` is its retry timeout in seconds."""
-    client = OperatorClient(addresses, _print_message, Seconds(patience))
-    click.get_current_context().call_on_close(client.close)
-    return client
-
-
-def latest_slices(client: OperatorClient) -> tuple[BundleVersion, Slices]:
-    """Reads the latest version and its slices; returns version 0 and no slices if there is no bundle yet."""
-    try:
-        shown = client.read_highest(
-            LATEST_BUNDLE_PATH, BundleDocument, lambda shown: math.inf if shown.is_latest else shown.version
-        )
-    except NoBundle:
-        return BundleVersion(0), {}
-    return shown.version, _slices(shown)
-
-
-def _slices(shown: BundleDocument) -> Slices:
-    return {name: bytes(raw) for name, raw in shown.slices.items()}
-
-
-def sign_order(
-    base: BundleVersion, before: Slices, after: Slices, private: Ed25519PrivateKey, order: str | None
-) -> Order:
-    """Signs an order that changes ``before`` to ``after``; without ``order`` it gets a random id."""
-    order_id = OrderId(order or uuid.uuid4().hex)
-    return make_order(base, before, after, private, order_id, WallTime(time.time()))
-
-
-def private_key(key_file: Path | None) -> Ed25519PrivateKey:
-    """Reads the operator's private key; raises CommandError if no file is named or it holds no key."""
-    if key_file is None:
-        raise CommandError("an order must be signed: name the operator's key with --key FILE or in WINGWOOD_KEY")
-    return read_key(key_file)
-
-
 @bundle.command()
 @click.argument("source", type=click.Path(path_type=Path))
 @json_option
@@ -150,7 +106,7 @@
 @click.option(
     "--rebase", "may_rebase", is_flag=True, help="After a conflict, make the same change to the version that won."
 )
-@click.option("--patience", type=click.FloatRange(0, 3600), default=30.0, show_default=True, help="Seconds of trying.")
+@retry_timeout_option("Seconds of trying.")
 @to_option
 @json_option
 def push(
@@ -158,7 +114,7 @@
     key_file: Path | None,
     order: str | None,
     may_rebase: bool,
-    patience: float,
+    retry_timeout: float,
     addresses: tuple[Address, ...],
     as_json: bool,
 ) -> None:
@@ -166,7 +122,7 @@
 
     After a lost answer the same order goes to the next daemon; run again with the saved order, it is safe.
     """
-    client = operator_client(addresses, patience)
+    client = operator_client(addresses, retry_timeout)
     if file.is_dir() or file.suffix == ".toml":
         wanted = read_source(file)
         check_bundle(wanted)
@@ -189,7 +145,7 @@
 @click.option(
     "--rebase", "may_rebase", is_flag=True, help="After a conflict, make the same change to the version that won."
 )
-@click.option("--patience", type=click.FloatRange(0, 3600), default=30.0, show_default=True, help="Seconds of trying.")
+@retry_timeout_option("Seconds of trying.")
 @click.option("--dry-run", is_flag=True, help="Show the difference, send nothing.")
 @to_option
 @json_option
@@ -202,7 +158,7 @@
     key_file: Path | None,
     order: str | None,
     may_rebase: bool,
-    patience: float,
+    retry_timeout: float,
     dry_run: bool,
     addresses: tuple[Address, ...],
     as_json: bool,
@@ -210,7 +166,7 @@
     """Makes a small change to the newest version: files are put in first, then fields and keys, then removals."""
     if not any((sets, removes, add_keys, remove_keys, files)):
         raise CommandError("nothing to change: use --set, --remove, --add-key, --remove-key or --file")
-    client = operator_client(addresses, patience)
+    client = operator_client(addresses, retry_timeout)
     version, before = latest_slices(client)
     wanted = changed_slices(before, files=files, sets=sets, add_keys=add_keys, remove_keys=remove_keys, removes=removes)
     check_bundle(wanted)
@@ -241,7 +197,7 @@
         outcome = submit(client, sign_order(version, before, wanted, private, order), None)
         if outcome.outcome != "conflict" or not may_rebase:
             break
-        _print_message(f"{outcome.reason}; making the same change to the newest version")
+        print_message(f"{outcome.reason}; making the same change to the newest version")
         base = before
         version, before = latest_slices(client)
         wanted = rebase(base, wanted, before)
@@ -250,25 +206,6 @@
     _report(outcome, as_json, "" if may_rebase else "; --rebase makes the same change to the newest version")
 
 
-def submit(client: OperatorClient, order: Order, file: Path | None) -> OrderOutcome:
-    """Sends an order and returns its outcome.
-
-    If the outcome stays unknown, saves the order to a file unless it was read from ``file``, and raises
-    OutcomeUnknown with the command that sends the same order again.
-    """
-    outcome = client.submit(order)
-    if outcome is not None:
-        return outcome
-    if file is None:
-        file = Path(f"order-{order.manifest.order}.json")
-        file.write_bytes(msgspec.json.encode(order) + b"\n")
-    again = f"wingwood bundle push {file} --to {client.addresses[0]}"
-    raise OutcomeUnknown(
-        f"no daemon said what became of order {order.manifest.order}: it may or may not come in force. "
-        f"Sending the same order again is safe: {again}"
-    )
-
-
 def _read_order(file: Path) -> Order:
     try:
         return msgspec.json.decode(file.read_bytes(), type=Order)
@@ -286,9 +223,9 @@
     elif outcome.outcome == "accepted":
         click.echo(f"accepted: version {outcome.version} (order {outcome.order})")
     elif outcome.outcome == "conflict":
-        _print_message(f"conflict: {outcome.reason}{hint}")
+        print_message(f"conflict: {outcome.reason}{hint}")
     else:
-        _print_message(f"{outcome.outcome}: {outcome.reason}")
+        print_message(f"{outcome.outcome}: {outcome.reason}")
     if outcome.outcome != "accepted":
         raise click.exceptions.Exit(int(EXIT_CODE_BY_OUTCOME[outcome.outcome]))
 
@@ -305,7 +242,7 @@
     if as_json:
         print_json(shown)
     elif as_toml:
-        slices = _slices(shown)
+        slices = slices_of(shown)
         owned = preserve_rollouts(slices, {})
         click.echo(write_source({name: data for name, data in slices.items() if name not in owned}), nl=False)
     else:
@@ -334,7 +271,7 @@
         if rows:
             click.echo()
             print_table((kind, *titles), rows)
-    rollouts = read_rollouts(_slices(shown))
+    rollouts = read_rollouts(slices_of(shown))
     if rollouts:
         click.echo()
         print_rollouts(rollouts.values())
@@ -389,8 +326,8 @@
 def diff(old: int, new: int | None, addresses: tuple[Address, ...], as_json: bool) -> None:
     """Shows what differs from version OLD to NEW (the newest when left out)."""
     client = operator_client(addresses)
-    before = _slices(_read_version(client, old)) if old else {}
-    after = _slices(_read_version(client, new, newest=True))
+    before = slices_of(_read_version(client, old)) if old else {}
+    after = slices_of(_read_version(client, new, newest=True))
     _print_differences(differences(before, after), as_json)
 
 
--- a/wingwood/command_line/change.py
+++ b/wingwood/command_line/change.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..identifiers import SliceName
-from .output import CommandError, Conflict
+from .errors import CommandError, ConflictError
 from .source import FIELDS, KINDS, Slices, read_source, slice_from
 
 _FIELD_SET = re.compile(r"([^=@]+(?:@[a-z]+=[^=]+)?)\.([^.=]+)=(.*)", re.DOTALL)
@@ -118,14 +118,19 @@
 
 
 def rebase(old_base: Mapping[SliceName, bytes], wanted: Slices, new_base: Mapping[SliceName, bytes]) -> Slices:
-    """Applies the changes from ``old_base`` to ``wanted`` to ``new_base``; raises Conflict if both changed a slice."""
+    """Applies the changes from ``old_base`` to ``wanted`` to ``new_base``.
+
+    Raises ConflictError if both changed a slice.
+    """
     after = dict(new_base)
     for name in sorted({*old_base, *wanted}):
         before, mine, theirs = old_base.get(name), wanted.get(name), new_base.get(name)
         if mine in (before, theirs):
             continue
         if theirs != before:
-            raise Conflict(f"{name} was changed by the other order too; look at `wingwood bundle diff` and decide anew")
+            raise ConflictError(
+                f"{name} was changed by the other order too; look at `wingwood bundle diff` and decide anew"
+            )
         if mine is None:
             del after[name]
         else:
--- a/wingwood/command_line/client.py
+++ b/wingwood/command_line/client.py
@@ -5,7 +5,7 @@
 import math
 import time
 from collections.abc import Callable, Sequence
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -15,7 +15,7 @@
 from ..bundle.model import Order, OrderOutcome
 from ..identifiers import Address, Seconds
 from ..operator_api.protocols import OperatorError
-from .output import CommandError, Unreachable
+from .errors import BundleMissingError, CommandError, UnreachableError
 
 Value = TypeVar("Value")
 
@@ -24,12 +24,8 @@
 FAILOVER_READ_TIMEOUT_S = Seconds(5.0)
 """Timeout of a read while other daemons are named that can answer it as well."""
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
-RETRY_PAUSE_S = Seconds(0.5)
-"""Pause between two attempts to send an order to all daemons."""
-
-
-class NoBundle(CommandError):
-    """The daemon has no bundle yet."""
+RETRY_BACKOFF_S = Seconds(0.5)
+"""Time between two attempts to send an order to all daemons."""
 
 
 class NoAnswer(msgspec.Struct, frozen=True):
@@ -52,7 +48,7 @@
         addresses: Sequence[Address],
         report_progress: Callable[[str], None],
         retry_timeout: Seconds = Seconds(30.0),  # noqa: B008 - a number
-        pause: Callable[[float], None] = time.sleep,
+        sleep: Callable[[float], None] = time.sleep,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         if not addresses:
@@ -62,13 +58,14 @@
         """Daemons that did not answer move to the end: a frozen machine in the list must not delay an order."""
         self._report_progress = report_progress
         self._retry_timeout = retry_timeout
-        self._pause = pause
+        self._sleep = sleep
         self._clock = clock
         self._http = HTTPClient(
             SimpleAsyncHTTPClient, max_body_size=MAX_RESPONSE_BYTES, max_buffer_size=MAX_RESPONSE_BYTES
         )
 
     def close(self) -> None:
+        """Closes all connections."""
         self._http.close()
 
     def ask(self, address: Address, path: str, body: bytes | None = None) -> Result[HTTPResponse, NoAnswer]:
@@ -100,7 +97,7 @@
     def read(self, path: str, type_: type[Value]) -> Value:
         """Returns the first answer of any daemon, decoded; a daemon that is unreachable or answers 503 is skipped.
 
-        Raises NoBundle, CommandError for any other status, and Unreachable if no daemon answered.
+        Raises BundleMissingError, CommandError for any other status, and UnreachableError if no daemon answered.
         """
         reasons: list[str] = []
         for address in list(self._request_order):
@@ -110,21 +107,21 @@
                 case Success(HTTPResponse() as response):
                     error = error_of(response)
                     if error.code == "no-bundle":
-                        raise NoBundle(f"{address}: {error.reason}")
+                        raise BundleMissingError(f"{address}: {error.reason}")
                     if response.code != 503:
                         raise CommandError(f"{address}: {error.reason}")
                     reasons.append(f"{address}: {error.reason}")
                 case Failure(NoAnswer() as lost):
                     reasons.append(f"{lost.address}: {lost.reason}")
-        raise Unreachable("no daemon answered: " + "; ".join(reasons))
+        raise UnreachableError("no daemon answered: " + "; ".join(reasons))
 
     def read_highest(
         self, path: str, type_: type[Value], rank: Callable[[Value], float], sufficient_rank: float = math.inf
     ) -> Value:
         """Asks all daemons and returns the answer with the highest rank; stops at one of ``sufficient_rank``.
 
-        A partitioned daemon answers with outdated state, so one answer alone is not trusted. Raises NoBundle or
-        Unreachable if no daemon gave an answer.
+        A partitioned daemon answers with outdated state, so one answer alone is not trusted. Raises BundleMissingError
+        or UnreachableError if no daemon gave an answer.
         """
         best: Value | None = None
         problems: list[CommandError] = []
@@ -140,9 +137,9 @@
                 break
         if best is not None:
             return best
-        raise next((problem for problem in problems if isinstance(problem, NoBundle)), None) or Unreachable(
-            "no daemon answered: " + "; ".join(problem.message for problem in problems)
-        )
+        raise next(
+            (problem for problem in problems if isinstance(problem, BundleMissingError)), None
+        ) or UnreachableError("no daemon answered: " + "; ".join(problem.message for problem in problems))
 
     def _read_from(self, address: Address, path: str, type_: type[Value]) -> Value:
         match self._ask(address, path):
@@ -150,17 +147,17 @@
                 return decode(response.body, type_, address)
             case Success(HTTPResponse() as response):
                 error = error_of(response)
-                kind = NoBundle if error.code == "no-bundle" else CommandError
+                kind = BundleMissingError if error.code == "no-bundle" else CommandError
                 raise kind(f"{address}: {error.reason}")
             case Failure(NoAnswer() as lost):
-                raise Unreachable(f"{address}: {lost.reason}")
+                raise UnreachableError(f"{address}: {lost.reason}")
         raise AssertionError("a result is a success or a failure")
 
     def submit(self, order: Order) -> OrderOutcome | None:
         """Sends an order and returns its outcome; None if a daemon may have received it but none reported an outcome.
 
         The same bytes go to each daemon in turn until one reports a definite outcome; resending is safe because
-        an order takes effect once only. Raises Unreachable if nothing was sent.
+        an order takes effect once only. Raises UnreachableError if nothing was sent.
         """
         body = msgspec.json.encode(order)
         until = self._clock() + self._retry_timeout
@@ -183,11 +180,11 @@
                 )
             if self._clock() >= until:
                 break
-            self._pause(RETRY_PAUSE_S)
+            self._sleep(RETRY_BACKOFF_S)
         if sent:
             return None
         failures = "; ".join(f"{address}: {reason}" for address, reason in reasons.items())
-        raise Unreachable(f"no daemon could be reached, nothing was sent: {failures}")
+        raise UnreachableError(f"no daemon could be reached, nothing was sent: {failures}")
 
 
 def decode(body: bytes, type_: type[Value], address: Address) -> Value:
@@ -212,7 +209,7 @@
     Raises CommandError for any other answer without an outcome.
     """
     try:
-        fields: Any = msgspec.json.decode(response.body or b"null")
+        fields: object = msgspec.json.decode(response.body or b"null")
     except (msgspec.MsgspecError, UnicodeError):
         fields = None
     if isinstance(fields, dict) and "outcome" in fields:
--- a/wingwood/command_line/daemon_status.py
+++ b/wingwood/command_line/daemon_status.py
@@ -12,8 +12,9 @@
 from ..registry.protocols import Worker
 from ..transport.frames import Identity
 from .client import NoAnswer, OperatorClient, decode, error_of
+from .errors import ExitCode
 from .options import json_option, to_option
-from .output import ExitCode, print_json, print_table
+from .output import print_json, print_table
 
 
 def _client(addresses: tuple[Address, ...]) -> OperatorClient:
--- a/wingwood/command_line/daemons.py
+++ b/wingwood/command_line/daemons.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import importlib
+from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Any
 
 import click
 import msgspec
@@ -12,8 +12,9 @@
 
 from ..settings.load import FLAG_FOR_KEY, SECRET_KEYS, expectation, read_settings
 from ..settings.model import DaemonSettings
+from .errors import CommandError
 from .options import json_option
-from .output import CommandError, print_json
+from .output import print_json
 
 LIST_SETTINGS = ("seeds", "operator_keys")
 """Settings that are lists; their flag is given once for each entry."""
@@ -54,7 +55,11 @@
 }
 
 
-def _flags(command: Any) -> Any:
+FlagValue = str | tuple[str, ...] | None
+"""The text of a flag; a tuple for a flag that may be given several times; None for one that was not given."""
+
+
+def _flags(command: Callable[..., None]) -> Callable[..., None]:
     """Adds one option to a daemon's command for each setting that may be given as a flag."""
     for field in reversed(msgspec.structs.fields(DaemonSettings)):
         if field.name in SETTINGS_WITHOUT_FLAG:
@@ -90,10 +95,10 @@
             return text
 
 
-def _settings_from_flags(flags: dict[str, Any]) -> dict[str, object]:
+def _settings_from_flags(flags: Mapping[str, FlagValue]) -> dict[str, object]:
     found: dict[str, object] = {}
     for name, value in flags.items():
-        if name in LIST_SETTINGS:
+        if isinstance(value, tuple):
             if value:
                 found[name] = list(value)
         elif value is not None:
@@ -109,7 +114,7 @@
     return read.unwrap()
 
 
-def _run_daemon(role: str, file: Path | None, fleet_key_file: Path | None, flags: dict[str, Any]) -> None:
+def _run_daemon(role: str, file: Path | None, fleet_key_file: Path | None, flags: Mapping[str, FlagValue]) -> None:
     given = {"role": role, **_settings_from_flags(flags)}
     if fleet_key_file is not None:
         given["fleet_key_file"] = str(fleet_key_file)
@@ -131,7 +136,7 @@
 @settings_option
 @fleet_key_option
 @_flags
-def router(file: Path | None, fleet_key_file: Path | None, **flags: Any) -> None:
+def router(file: Path | None, fleet_key_file: Path | None, **flags: FlagValue) -> None:
     """Runs a router daemon: takes callers' calls and chooses a worker for each turn."""
     _run_daemon("router", file, fleet_key_file, flags)
 
@@ -140,7 +145,7 @@
 @settings_option
 @fleet_key_option
 @_flags
-def control(file: Path | None, fleet_key_file: Path | None, **flags: Any) -> None:
+def control(file: Path | None, fleet_key_file: Path | None, **flags: FlagValue) -> None:
     """Runs a control daemon: keeps, checks and delivers the bundles."""
     _run_daemon("control", file, fleet_key_file, flags)
 
--- a/wingwood/command_line/keys.py
+++ b/wingwood/command_line/keys.py
@@ -18,7 +18,8 @@
 )
 
 from ..bundle.signing import public_hex
-from .output import CommandError, print_json
+from .errors import CommandError
+from .output import print_json
 
 
 @click.group()
--- a/wingwood/command_line/options.py
+++ b/wingwood/command_line/options.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import click
 
 from ..identifiers import Address, parse_address
 
-Command = TypeVar("Command", bound=Callable[..., Any])
+Command = TypeVar("Command", bound=Callable[..., object])
 
 
 class AddressType(click.ParamType[Address]):
@@ -18,7 +18,8 @@
 
     name = "address"
 
-    def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Address:
+    def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> Address:
+        """Parses an address; ends the command with a usage error for other text."""
         if isinstance(value, Address):
             return value
         try:
@@ -55,3 +56,15 @@
         metavar="FILE",
         help="The operator's private key. Or WINGWOOD_KEY.",
     )(command)
+
+
+def retry_timeout_option(description: str) -> Callable[[Command], Command]:
+    """Adds ``--patience``, the seconds for which an order is sent again, as the argument ``retry_timeout``."""
+    return click.option(
+        "--patience",
+        "retry_timeout",
+        type=click.FloatRange(0, 3600),
+        default=30.0,
+        show_default=True,
+        help=description,
+    )
--- a/wingwood/command_line/replay.py
+++ b/wingwood/command_line/replay.py
@@ -20,8 +20,9 @@
 from ..replay.day import DayReader, sort_by_time
 from ..replay.player import Player, PlayerOptions
 from ..replay.report import ReplayReport, comparison_table, read_report, report_table, write_report
+from .errors import CommandError, UnreachableError
 from .options import AddressType
-from .output import CommandError, Unreachable, print_json
+from .output import print_json
 
 PROGRESS_INTERVAL_S = 1.0
 
@@ -104,7 +105,7 @@
     if not report.calls:
         raise CommandError(f"no call was sent; left out: {report.skipped or 'none'}, bad lines: {report.bad_lines}")
     if all(set(service.outcomes) <= {"no-connection", "silent"} for service in report.services.values()):
-        raise Unreachable("no call got an answer; is --to the routers' caller address?")
+        raise UnreachableError("no call got an answer; is --to the routers' caller address?")
 
 
 async def _replay(
--- a/wingwood/command_line/rollout.py
+++ b/wingwood/command_line/rollout.py
@@ -10,12 +10,9 @@
 import msgspec
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from returns.result import Failure, Result, Success
-from tornado.httpclient import AsyncHTTPClient, HTTPError, HTTPRequest
-from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
 from ..bundle.model import OrderOutcome, Rollout
-from ..identifiers import Address, BundleVersion, DaemonName, Seconds
-from ..operator_api.reading import HealthReport
+from ..identifiers import Address, DaemonName, Seconds
 from ..rollout.plan import (
     Slices,
     Step,
@@ -28,18 +25,16 @@
     roll_back,
 )
 from ..rollout.runner import RolloutRunner, Unavailable, take_step
-from ..rollout.watch import FleetStatus, RouterStatus, count_stage_routers, in_stage, read_counts
+from ..rollout.watch import count_stage_routers, in_stage
 from ..transport.frames import Identity
-from .bundle import latest_slices, operator_client, private_key, sign_order, submit
 from .change import changed_slices
 from .client import OperatorClient
-from .options import json_option, key_option, to_option
-from .output import CommandError, Conflict, ExitCode, OutcomeUnknown, print_json, print_table
+from .errors import CommandError, ConflictError, ExitCode, OutcomeUnknownError
+from .fleet_access import HttpFleetAccess, members_of
+from .options import json_option, key_option, retry_timeout_option, to_option
+from .orders import latest_slices, operator_client, private_key
+from .output import print_json, print_table
 from .rollout_table import print_rollouts
-from .source import check_bundle
-
-STATUS_TIMEOUT_S = Seconds(2.0)
-MAX_CONCURRENT_STATUS_CALLS = 50
 
 
 @click.group()
@@ -47,87 +42,16 @@
     """A change in stages: to one zone or share of the routers first, watched, then to the next, or back."""
 
 
-def _print_message(message: str) -> None:
-    click.echo(message, err=True)
-
-
-class ClientAccess:
-    """Implements ``FleetAccess`` over HTTP to operator addresses."""
-
-    def __init__(self, client: OperatorClient, private: Ed25519PrivateKey | None) -> None:
-        self._client = client
-        self._private = private
-
-    async def latest(self) -> Result[tuple[BundleVersion, Slices], Unavailable]:
-        try:
-            return Success(await asyncio.to_thread(latest_slices, self._client))
-        except CommandError as problem:
-            return Failure(Unavailable(problem.message))
-
-    async def submit(self, base: BundleVersion, before: Slices, after: Slices) -> Result[OrderOutcome, Unavailable]:
-        assert self._private is not None
-        check_bundle(after)
-        order = sign_order(base, before, after, self._private, None)
-        try:
-            return Success(await asyncio.to_thread(submit, self._client, order, None))
-        except CommandError as problem:
-            return Failure(Unavailable(problem.message))
-
-    async def observe(self) -> Result[FleetStatus, Unavailable]:
-        try:
-            members = await asyncio.to_thread(_members, self._client)
-        except CommandError as problem:
-            return Failure(Unavailable(problem.message))
-        client = SimpleAsyncHTTPClient(force_instance=True, max_clients=MAX_CONCURRENT_STATUS_CALLS)
-        try:
-            routers = [member for member in members if member.role == "router"]
-            router_statuses = await asyncio.gather(*(_router_status(client, member.operator) for member in routers))
-        finally:
-            client.close()
-        found: dict[DaemonName, RouterStatus | None] = dict(
-            zip([each.name for each in routers], router_statuses, strict=True)
-        )
-        return Success(FleetStatus(members=tuple(members), router_statuses=found))
-
-
-def _members(client: OperatorClient) -> list[Identity]:
-    """Reads the member lists of all daemons and returns the longest: a partitioned daemon has dropped the others."""
-    return client.read_highest("/control/v1/members", list[Identity], len)
-
-
-async def _router_status(client: AsyncHTTPClient, address: Address | None) -> RouterStatus | None:
-    if address is None:
-        return None
-    try:
-        answers = [
-            await client.fetch(
-                HTTPRequest(
-                    f"http://{address}{path}",
-                    connect_timeout=STATUS_TIMEOUT_S,
-                    request_timeout=STATUS_TIMEOUT_S,
-                    follow_redirects=False,
-                    decompress_response=False,
-                )
-            )
-            for path in ("/control/v1/health", "/metrics")
-        ]
-        health = msgspec.json.decode(answers[0].body, type=HealthReport)
-        counts = read_counts(answers[1].body.decode())
-    except (HTTPError, OSError, msgspec.MsgspecError, ValueError):
-        return None
-    return RouterStatus(incarnation=health.incarnation, ready=health.ready, version=health.version, counts=counts)
-
-
 def _take_step(client: OperatorClient, private: Ed25519PrivateKey, step: Step) -> OrderOutcome:
-    match asyncio.run(take_step(ClientAccess(client, private), step)):
+    match asyncio.run(take_step(HttpFleetAccess(client, private), step)):
         case Success(OrderOutcome() as outcome):
             return outcome
         case Failure(StepRefused(kind="conflict", reason=reason)):
-            raise Conflict(reason)
+            raise ConflictError(reason)
         case Failure(StepRefused(reason=reason)):
             raise CommandError(reason)
         case Failure(Unavailable(reason=reason)):
-            raise OutcomeUnknown(f"{reason}. `wingwood rollout status` says where it stands")
+            raise OutcomeUnknownError(f"{reason}. `wingwood rollout status` says where it stands")
     raise AssertionError("a result is a success or a failure")
 
 
@@ -138,10 +62,8 @@
         click.echo(f"accepted: version {outcome.version} (order {outcome.order}); {message}")
 
 
-patience_option = click.option(
-    "--patience", type=click.FloatRange(0, 3600), default=30.0, show_default=True, help="Seconds of trying to be heard."
-)
-share = click.FloatRange(0, 1)
+_retry_timeout_option = retry_timeout_option("Seconds of trying to be heard.")
+_SHARE = click.FloatRange(0, 1)
 
 
 @rollout.command()
@@ -152,15 +74,15 @@
 @click.option(
     "--watch", type=click.FloatRange(0, 86400), default=60.0, show_default=True, help="Seconds to watch each stage."
 )
-@click.option("--highest-failures", type=share, default=0.02, show_default=True, help="Share of calls that may fail.")
+@click.option("--highest-failures", type=_SHARE, default=0.02, show_default=True, help="Share of calls that may fail.")
 @click.option(
     "--highest-refusals",
-    type=share,
+    type=_SHARE,
     default=0.05,
     show_default=True,
     help="Share that may be refused for want of room.",
 )
-@patience_option
+@_retry_timeout_option
 @key_option
 @to_option
 @json_option
@@ -172,7 +94,7 @@
     watch: float,
     highest_failures: float,
     highest_refusals: float,
-    patience: float,
+    retry_timeout: float,
     key_file: Path | None,
     addresses: tuple[Address, ...],
     as_json: bool,
@@ -185,7 +107,7 @@
             pass
         case Failure(StepRefused(reason=reason)):
             raise CommandError(f"--stages: {reason}")
-    client = operator_client(addresses, patience)
+    client = operator_client(addresses, retry_timeout)
     private = private_key(key_file)
     reached = _check_stages(client, read)
 
@@ -218,7 +140,7 @@
 
 
 def _routers(client: OperatorClient) -> list[Identity]:
-    return [each for each in _members(client) if each.role == "router"]
+    return [each for each in members_of(client) if each.role == "router"]
 
 
 _EMPTY = Rollout(
@@ -260,7 +182,7 @@
             click.echo("no roll-outs")
         return
     found = _existing(client, name)
-    match asyncio.run(ClientAccess(client, None).observe()):
+    match asyncio.run(HttpFleetAccess(client, None).observe()):
         case Success(fleet_status):
             pass
         case Failure(lost):
@@ -283,24 +205,24 @@
 @rollout.command("go-on")
 @click.argument("name")
 @click.option("--from-stage", "from_stage", metavar="STAGE", help="Only if it stands at this stage.")
-@patience_option
+@_retry_timeout_option
 @key_option
 @to_option
 @json_option
 def advance_command(
     name: str,
     from_stage: str | None,
-    patience: float,
+    retry_timeout: float,
     key_file: Path | None,
     addresses: tuple[Address, ...],
     as_json: bool,
 ) -> None:
     """Takes roll-out NAME to its next stage now; after the last one it is finished."""
-    client = operator_client(addresses, patience)
+    client = operator_client(addresses, retry_timeout)
     found = _existing(client, name)
     stage = found.stages[found.stage]
     if from_stage is not None and from_stage != stage:
-        raise Conflict(f"rollout/{name} stands at {stage}")
+        raise ConflictError(f"rollout/{name} stands at {stage}")
     reached = count_stage_routers(found, found.stage + 1, _routers(client))
     outcome = _take_step(client, private_key(key_file), advance(name, found.stage, reached))
     last = found.stage + 1 == len(found.stages)
@@ -310,35 +232,35 @@
 @rollout.command("roll-back")
 @click.argument("name")
 @click.option("--reason", default="by hand", show_default=True, help="Kept in the bundle.")
-@patience_option
+@_retry_timeout_option
 @key_option
 @to_option
 @json_option
 def roll_back_command(
     name: str,
     reason: str,
-    patience: float,
+    retry_timeout: float,
     key_file: Path | None,
     addresses: tuple[Address, ...],
     as_json: bool,
 ) -> None:
     """Puts everything of roll-out NAME back as it was, as a new version."""
-    client = operator_client(addresses, patience)
+    client = operator_client(addresses, retry_timeout)
     _existing(client, name)
     _report(_take_step(client, private_key(key_file), roll_back(name, reason)), as_json, "rolled back")
 
 
 @rollout.command("forget")
 @click.argument("name")
-@patience_option
+@_retry_timeout_option
 @key_option
 @to_option
 @json_option
 def forget_command(
-    name: str, patience: float, key_file: Path | None, addresses: tuple[Address, ...], as_json: bool
+    name: str, retry_timeout: float, key_file: Path | None, addresses: tuple[Address, ...], as_json: bool
 ) -> None:
     """Takes the record of a finished or rolled back roll-out out of the bundle; the history keeps it."""
-    client = operator_client(addresses, patience)
+    client = operator_client(addresses, retry_timeout)
     _existing(client, name)
     _report(_take_step(client, private_key(key_file), forget(name)), as_json, "forgotten")
 
@@ -354,7 +276,7 @@
     show_default=True,
     help="Seconds beyond the watch after which a stage that shows nothing ends the command.",
 )
-@patience_option
+@_retry_timeout_option
 @key_option
 @to_option
 def run(
@@ -362,7 +284,7 @@
     fewest_calls: int,
     every: float,
     give_up: float,
-    patience: float,
+    retry_timeout: float,
     key_file: Path | None,
     addresses: tuple[Address, ...],
 ) -> None:
@@ -370,11 +292,11 @@
 
     Ends with 0 when finished and 6 when rolled back or given up (it then stays at its stage).
     """
-    client = operator_client(addresses, patience)
+    client = operator_client(addresses, retry_timeout)
     private = private_key(key_file)
     _existing(client, name)
     runner = RolloutRunner(
-        ClientAccess(client, private), name, click.echo, fewest_calls, Seconds(every), Seconds(give_up)
+        HttpFleetAccess(client, private), name, click.echo, fewest_calls, Seconds(every), Seconds(give_up)
     )
     ended = asyncio.run(runner.run())
     click.echo(f"{ended.result}: {ended.reason}")
--- a/wingwood/command_line/source.py
+++ b/wingwood/command_line/source.py
@@ -5,7 +5,7 @@
 import tomllib
 from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Any, get_args
+from typing import get_args
 
 import msgspec
 import voluptuous
@@ -16,9 +16,13 @@
 from ..bundle.parse import empty_bundle, parse_bundle
 from ..bundle.route import Route
 from ..identifiers import SliceName
-from .output import CommandError
+from .errors import CommandError
 
 Slices = dict[SliceName, bytes]
+"""Slices as canonical JSON, by name."""
+
+Check = Callable[[object], object]
+"""Returns the checked value of a field, or raises ``voluptuous.Invalid``."""
 
 KINDS: Mapping[str, type[Service | Route | PriorityClass | Tenant | Pool | CallerLimits]] = {
     "service": Service,
@@ -30,40 +34,40 @@
 }
 
 
-def _number(value: Any) -> float:
-    if type(value) not in (int, float):
+def _number(value: object) -> float:
+    if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise voluptuous.Invalid("expected a number")
     return float(value)
 
 
-def _integer(value: Any) -> int:
-    if type(value) is not int:
+def _integer(value: object) -> int:
+    if isinstance(value, bool) or not isinstance(value, int):
         raise voluptuous.Invalid("expected a whole number")
     return value
 
 
-def _boolean(value: Any) -> bool:
+def _boolean(value: object) -> bool:
     if not isinstance(value, bool):
         raise voluptuous.Invalid("expected true or false")
     return value
 
 
-def _text(value: Any) -> str:
+def _text(value: object) -> str:
     if not isinstance(value, str):
         raise voluptuous.Invalid("expected text")
     return value
 
 
-def _texts(value: Any) -> tuple[str, ...]:
+def _texts(value: object) -> tuple[str, ...]:
     if not isinstance(value, (list, tuple)) or not all(isinstance(each, str) for each in value):
         raise voluptuous.Invalid("expected a list of texts")
     return tuple(value)
 
 
-def _one_of(part: type[Service | Tenant], field: str) -> Callable[[Any], str]:
+def _one_of(part: type[Service | Tenant], field: str) -> Callable[[object], str]:
     allowed = get_args(next(each.type for each in msgspec.structs.fields(part) if each.name == field))
 
-    def check(value: Any) -> str:
+    def check(value: object) -> str:
         if value not in allowed:
             raise voluptuous.Invalid(f"expected one of {', '.join(allowed)}")
         return str(value)
@@ -71,14 +75,14 @@
     return check
 
 
-def _optional(check: Callable[[Any], Any]) -> Callable[[Any], Any]:
+def _optional(check: Check) -> Check:
     return lambda value: None if value is None else check(value)
 
 
-def _struct(part: Any) -> Callable[[Any], Any]:
+def _struct(part: object) -> Check:
     """Returns a check that converts a table to the type ``part``, or a list of tables if ``part`` is a tuple type."""
 
-    def check(value: Any) -> Any:
+    def check(value: object) -> object:
         try:
             return msgspec.convert(value, type=part)
         except msgspec.ValidationError as problem:
@@ -87,10 +91,10 @@
     return check
 
 
-_ANNOTATIONS = _struct(dict[str, Any])
+_ANNOTATIONS = _struct(dict[str, object])
 
 
-FIELDS: Mapping[str, Mapping[str, Callable[[Any], Any]]] = {
+FIELDS: Mapping[str, Mapping[str, Check]] = {
     "service": {
         "name": _text,
         "pool": _text,
--- a/wingwood/command_line/tests/test_command_line.py
+++ b/wingwood/command_line/tests/test_command_line.py
@@ -21,9 +21,9 @@
 from ...identifiers import Address, BundleVersion, Seconds, SliceName
 from ..change import rebase
 from ..client import NoAnswer, OperatorClient
+from ..errors import ConflictError
 from ..keys import read_key
 from ..main import main
-from ..output import Conflict
 from ..source import read_source, write_source
 from .fake_daemons import FakeDaemons
 
@@ -276,7 +276,7 @@
         base = {one: b"1", two: b"2", three: b"3"}
         self.assertEqual(rebase(base, {one: b"9", two: b"2"}, {**base, two: b"8"}), {one: b"9", two: b"8"})
         self.assertEqual(rebase(base, {**base, one: b"9"}, {**base, one: b"9"}), {**base, one: b"9"})
-        with self.assertRaises(Conflict):
+        with self.assertRaises(ConflictError):
             rebase(base, {one: b"1", two: b"2"}, {**base, three: b"7"})
 
 
