--- a/simulation/fleet.py
+++ b/simulation/fleet.py
@@ -208,7 +208,7 @@
             self.daemons[name] = daemon
             started = await daemon.start()
             if isinstance(started, Result) and not isinstance(started, Success):
-                context.log.event("not-started", reason=str(started.failure()))
+                context.log.event("start-failed", reason=str(started.failure()))
                 context.tasks.stop_process(f"not started: {started.failure()}")
 
         drift = 1.0 + self._random.uniform(-CLOCK_DRIFT, CLOCK_DRIFT)
--- a/simulation/scenario.py
+++ b/simulation/scenario.py
@@ -742,7 +742,7 @@
     "invariant-broken",
     "unhandled-exception",
     "process-stopped",
-    "not-started",
+    "start-failed",
     "first-bundle-in-force",
 }
 
--- a/wingwood/daemons/dialect.py
+++ b/wingwood/daemons/adapter.py
@@ -1,4 +1,4 @@
-"""Dialects: interfaces of a deployment's surroundings that replace or extend the product's own HTTP interface
+"""Adapters: interfaces of a deployment's surroundings that replace or extend the product's own HTTP interface
 (docs/DESIGN.md section 15.5).
 """
 
@@ -19,7 +19,7 @@
 
 
 class RouterState(Protocol):
-    """The state of a router that the HTTP routes of a dialect may read."""
+    """The state of a router that the HTTP routes of a adapter may read."""
 
     def health(self) -> HealthReport:
         """Returns the current health of the router."""
@@ -27,7 +27,7 @@
 
 
 class ControlState(Protocol):
-    """The state of a control daemon that the HTTP routes of a dialect may read."""
+    """The state of a control daemon that the HTTP routes of a adapter may read."""
 
     @property
     def editions(self) -> EditionClient:
@@ -35,17 +35,21 @@
         ...
 
 
-class RouterDialect(msgspec.Struct, frozen=True, kw_only=True):
+def _add_no_routes(_state: object, _routes: OperatorRoutes) -> None:
+    """Adds nothing: the product's own routes suffice."""
+
+
+class RouterAdapter(msgspec.Struct, frozen=True, kw_only=True):
     """The formats and additional HTTP routes of a router."""
 
-    add_routes: Callable[[RouterState, OperatorRoutes], None] = lambda router, routes: None
+    add_routes: Callable[[RouterState, OperatorRoutes], None] = _add_no_routes
     formats: Formats = DEFAULT_FORMATS
     """The formats of calls from callers and of calls to workers."""
 
 
-class ControlDialect(msgspec.Struct, frozen=True, kw_only=True):
+class ControlAdapter(msgspec.Struct, frozen=True, kw_only=True):
     """The formats and additional HTTP routes of a control daemon."""
 
-    add_routes: Callable[[ControlState, OperatorRoutes], None] = lambda control, routes: None
+    add_routes: Callable[[ControlState, OperatorRoutes], None] = _add_no_routes
     announcements: AnnouncementFormat = msgspec.field(default_factory=DefaultAnnouncementFormat)
     """The format in which workers announce themselves."""
--- a/wingwood/daemons/call_record_file.py
+++ b/wingwood/daemons/call_record_file.py
@@ -9,14 +9,14 @@
 from ..identifiers import Seconds
 
 BATCH_INTERVAL_S = Seconds(1.0)
-MAX_WAITING_BYTES = 8 * 1024 * 1024
+MAX_PENDING_BYTES = 8 * 1024 * 1024
 """The size of the lines waiting in memory above which further lines are dropped."""
 
 
 class CallRecordFile:
     """Appends lines to the record file in batches.
 
-    Lines wait in memory for up to ``BATCH_INTERVAL_S``. Above ``MAX_WAITING_BYTES`` they are dropped and counted, so
+    Lines wait in memory for up to ``BATCH_INTERVAL_S``. Above ``MAX_PENDING_BYTES`` they are dropped and counted, so
     that a caller never waits for the disk.
     """
 
@@ -24,32 +24,33 @@
         self._context = context
         self._name = name
         start_line = msgspec.json.encode({"began": round(context.clock.wall(), 3)}) + b"\n"
-        self._waiting: list[bytes] = [start_line]
+        self._pending: list[bytes] = [start_line]
         """The first line states the start time for the replay tool, which merges the files of several routers."""
         self._bytes = len(start_line)
         self._open = False
         self.dropped = 0
 
     def start(self) -> None:
+        """Starts the task that appends a batch every ``BATCH_INTERVAL_S`` seconds."""
         self._context.tasks.spawn("day file", self._write_forever())
 
     def write(self, line: bytes) -> None:
         """Adds ``line`` to the next batch, or drops it when too many bytes are waiting."""
-        if self._bytes + len(line) > MAX_WAITING_BYTES:
+        if self._bytes + len(line) > MAX_PENDING_BYTES:
             self.dropped += 1
             return
-        self._waiting.append(line)
+        self._pending.append(line)
         self._bytes += len(line)
 
     async def flush(self) -> None:
         """Appends the waiting lines to the file; a batch that cannot be written is logged and lost."""
-        if not self._waiting or not await self._ensure_open():
+        if not self._pending or not await self._ensure_open():
             return
-        batch, self._waiting, self._bytes = b"".join(self._waiting), [], 0
+        batch, self._pending, self._bytes = b"".join(self._pending), [], 0
         written = await self._context.disk.append(self._name, batch)
         fault = written.swap().value_or(None)
         if isinstance(fault, DiskFault):
-            self._context.log.event("day-file-not-written", fault=fault.kind, detail=fault.detail, bytes=len(batch))
+            self._context.log.event("record-file-write-failed", fault=fault.kind, detail=fault.detail, bytes=len(batch))
 
     async def _ensure_open(self) -> bool:
         """Creates and locks the data folder; returns whether it is open.
@@ -60,7 +61,7 @@
             locked = await self._context.disk.lock()
             if isinstance(locked, Failure):
                 fault = locked.failure()
-                self._context.log.event("day-file-not-opened", fault=fault.kind, detail=fault.detail)
+                self._context.log.event("record-file-not-opened", fault=fault.kind, detail=fault.detail)
                 return False
             self._open = True
         return True
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -31,46 +31,56 @@
 from ..settings.model import DaemonSettings
 from ..transport.frames import Identity
 from ..transport.messenger import TcpMessenger
-from .dialect import ControlDialect
+from .adapter import ControlAdapter
 from .process import ReadSettings, StartFailure, run_daemon
 
-DISK_RETRY_PAUSE_S = Seconds(1.0)
-"""The pause between attempts to open the data folder at the start, when the disk is full or failing."""
+DISK_RETRY_BACKOFF_S = Seconds(1.0)
+"""The time between attempts to open the data folder at the start, when the disk is full or failing."""
 MAX_PRIMARY_PROOF_AGE_S = Seconds(3.0)
 """The age above which the last proof from a primary counts as no primary; a take-over takes less time than this."""
 
 
+RELEASE_WAIT_S = Seconds(0.3)
+"""Time between the release of leadership and the end of the process, in which the other members are notified."""
+
+
 class ControlDaemon:
     """A control daemon, whose parts are created in ``start`` because the data folder states its incarnation."""
 
-    def __init__(self, context: Context, settings: DaemonSettings, dialect: ControlDialect | None = None) -> None:
+    def __init__(self, context: Context, settings: DaemonSettings, adapter: ControlAdapter | None = None) -> None:
         self._context = context
         self._settings = settings
-        self._dialect = dialect or ControlDialect()
+        self._adapter = adapter or ControlAdapter()
         self._parts: ControlParts | None = None
 
     async def start(self) -> Result[None, StartFailure]:
+        """Opens the data folder, if the settings name one, then builds and starts the parts."""
         if self._settings.data_folder is None:
-            self._parts = ControlParts(self._context, self._settings, None, self._dialect)
+            self._parts = ControlParts(self._context, self._settings, None, self._adapter)
             return self._parts.start()
-        match await open_store(self._context, self._settings.begin_empty_when_damaged, retry_pause=DISK_RETRY_PAUSE_S):
+        match await open_store(
+            self._context, self._settings.begin_empty_when_damaged, retry_pause=DISK_RETRY_BACKOFF_S
+        ):
             case Success(opened):
-                self._parts = ControlParts(self._context, self._settings, opened, self._dialect)
+                self._parts = ControlParts(self._context, self._settings, opened, self._adapter)
                 return self._parts.start()
             case Failure(fault):
                 return Failure(StartFailure(fault.detail))
         raise AssertionError("a result is a success or a failure")
 
     async def drain(self) -> None:
+        """Releases the leadership and leaves the other members time to take over."""
         if self._parts is not None:
             self._parts.core.release_leadership()
-            await self._context.clock.sleep(Seconds(0.3))
+            await self._context.clock.sleep(RELEASE_WAIT_S)
 
     def stop(self) -> None:
+        """Closes all connections and listeners at once."""
         if self._parts is not None:
             self._parts.stop()
 
     def settings_changed(self, settings: DaemonSettings) -> None:
+        """Uses the seeds of the changed settings; everything else takes effect at the next start."""
         if self._parts is not None:
             self._parts.coordinator.use_seeds(settings.seeds)
 
@@ -86,7 +96,7 @@
         context: Context,
         settings: DaemonSettings,
         opened: tuple[ControlStore, Contents] | None,
-        dialect: ControlDialect,
+        adapter: ControlAdapter,
     ) -> None:
         self._context = context
         self._settings = settings
@@ -114,7 +124,7 @@
         self.publisher = BundlePublisher(context, self.messenger, self.core, self.source, self.coordinator)
         self.coordinator.set_update_source(self.publisher.membership_update)
         self.address_book = AddressBook(context, self.messenger, self.coordinator)
-        self.registry = WorkerRegistry(context, self.messenger, self.coordinator, settings, dialect.announcements)
+        self.registry = WorkerRegistry(context, self.messenger, self.coordinator, settings, adapter.announcements)
         self.client = ControlClient(context, self.messenger, self.core.control_addresses)
         self.local_reader = LocalBundleReader(self.state, lambda: self.source.version, self._stores_bundles)
         self.local_reader.serve(self.messenger)
@@ -134,7 +144,7 @@
             health=self.health,
             metrics=self.metrics,
         ).add_to(self.operator_server)
-        dialect.add_routes(self, self.operator_server)
+        adapter.add_routes(self, self.operator_server)
 
     def _make_core(self, opened: tuple[ControlStore, Contents] | None) -> ReplicatedCore | RelayCore:
         context, seeds = self._context, self._settings.seeds
@@ -154,6 +164,7 @@
         )
 
     def start(self) -> Result[None, StartFailure]:
+        """Listens on all addresses, then starts the parts; a failure names the address that can't be used."""
         if isinstance(listening := self.messenger.start(), Failure):
             return Failure(StartFailure(f"internal address: {listening.failure().detail}"))
         if isinstance(listening := self.operator_server.start(self._settings.operator), Failure):
@@ -166,6 +177,7 @@
         return Success(None)
 
     def stop(self) -> None:
+        """Stops all parts and closes all connections and listeners at once."""
         self.publisher.stop()
         self.address_book.stop()
         self.coordinator.stop()
@@ -187,6 +199,7 @@
         return self._parsed
 
     def health(self) -> HealthReport:
+        """Returns the status of this control daemon, with the reasons why it is not ready."""
         now = self._context.clock.monotonic()
         report = self.core.report()
         session = self.coordinator.session_proven_at()
@@ -218,10 +231,15 @@
     # -- BundleReader: reads the own state where bundles are stored, and asks the primary elsewhere
 
     async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-        return await (self.local_reader if self.local_reader.is_authoritative() else self.remote_reader).bundle(version)
+        """Returns a version of the bundle; 0 stands for the latest one."""
+        return await self._reader().bundle(version)
 
     async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
-        return await (self.local_reader if self.local_reader.is_authoritative() else self.remote_reader).history(limit)
+        """Returns the latest ``limit`` entries of the history."""
+        return await self._reader().history(limit)
+
+    def _reader(self) -> LocalBundleReader | RemoteBundleReader:
+        return self.local_reader if self.local_reader.is_authoritative() else self.remote_reader
 
     def _stores_bundles(self) -> bool:
         """Whether this daemon is the primary, or a backup that knows which versions are durable."""
@@ -247,13 +265,14 @@
 
 
 def build(context: Context, settings: DaemonSettings) -> ControlDaemon:
+    """Returns the daemon with the product's own formats."""
     return ControlDaemon(context, settings)
 
 
 def run(
-    settings: DaemonSettings, dialect: ControlDialect | None = None, read_settings: ReadSettings | None = None
+    settings: DaemonSettings, adapter: ControlAdapter | None = None, read_settings: ReadSettings | None = None
 ) -> int:
     """Runs the process ``wingwood control`` and returns its exit code."""
     return run_daemon(
-        settings, lambda context, daemon_settings: ControlDaemon(context, daemon_settings, dialect), read_settings
+        settings, lambda context, daemon_settings: ControlDaemon(context, daemon_settings, adapter), read_settings
     )
--- a/wingwood/daemons/process.py
+++ b/wingwood/daemons/process.py
@@ -28,6 +28,9 @@
 EXIT_NOT_STARTED = 3
 EXIT_INVARIANT_BROKEN = 4
 SETTINGS_POLL_INTERVAL_S = Seconds(2.0)
+"""Interval at which the settings are read again, for changes that no SIGHUP announces."""
+DRAIN_GRACE_S = Seconds(2.0)
+"""Time beyond ``stop_within`` after which a drain is ended."""
 
 
 class StartFailure(msgspec.Struct, frozen=True):
@@ -42,7 +45,9 @@
 class Daemon(Protocol):
     """What ``run_daemon`` needs of a daemon."""
 
-    async def start(self) -> Result[None, StartFailure]: ...
+    async def start(self) -> Result[None, StartFailure]:
+        """Starts to listen and to work; a failure says why the daemon cannot run."""
+        ...
 
     async def drain(self) -> None:
         """Finishes work in progress and takes no new work; bounded by ``settings.stop_within`` seconds."""
@@ -112,7 +117,7 @@
     daemon = build(context, settings)
     started = await daemon.start()
     if isinstance(started, Failure):
-        context.log.event("not-started", role=settings.role, reason=started.failure())
+        context.log.event("start-failed", role=settings.role, reason=started.failure())
         print(f"wingwood {settings.role} {settings.name}: {started.failure()}", file=sys.stderr)
         daemon.stop()
         return EXIT_NOT_STARTED
@@ -131,10 +136,10 @@
         return EXIT_INVARIANT_BROKEN
     context.log.event("stopping", role=settings.role)
     try:
-        async with asyncio.timeout(Seconds(settings.stop_within + 2.0)):
+        async with asyncio.timeout(Seconds(settings.stop_within + DRAIN_GRACE_S)):
             await daemon.drain()
     except TimeoutError:
-        context.log.event("stopped-late", role=settings.role)
+        context.log.event("drain-timed-out", role=settings.role)
     daemon.stop()
     context.log.event("stopped", reason="asked to")
     return EXIT_STOPPED
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -34,8 +34,8 @@
 from ..settings.model import DaemonSettings
 from ..transport.frames import Identity
 from ..transport.messenger import TcpMessenger
+from .adapter import RouterAdapter
 from .call_record_file import CallRecordFile
-from .dialect import RouterDialect
 from .process import ReadSettings, StartFailure, run_daemon
 from .router_metrics import RouterStateCollector
 
@@ -52,8 +52,8 @@
 class RouterDaemon:
     """A router with all its parts: it serves callers, places their calls on workers and follows the bundle."""
 
-    def __init__(self, context: Context, settings: DaemonSettings, dialect: RouterDialect | None = None) -> None:
-        dialect = dialect or RouterDialect()
+    def __init__(self, context: Context, settings: DaemonSettings, adapter: RouterAdapter | None = None) -> None:
+        adapter = adapter or RouterAdapter()
         self._context = context
         self._settings = settings
         self._identity = Identity(
@@ -99,7 +99,7 @@
             RequestMetrics(self.metrics),
             limits=path_limits(settings),
             recorder=None if self._record_file is None else CallRecorder(context.clock, self._record_file.write),
-            formats=dialect.formats,
+            formats=adapter.formats,
             outcomes=self.registry,
             router_count=self._router_count,
             has_workers=self._has_workers,
@@ -115,7 +115,7 @@
             health=self.health,
             metrics=self.metrics,
         ).add_to(self.operator_server)
-        dialect.add_routes(self, self.operator_server)
+        adapter.add_routes(self, self.operator_server)
         RouterStateCollector(self.health, self._placement_counts, self.ledger.unsettled).add_to(self.metrics)
         self._stopping = False
         self._worker_lists_received = False
@@ -124,6 +124,7 @@
         self.follower.on_change(self._watch_pools)
 
     async def start(self) -> Result[None, StartFailure]:
+        """Listens on all addresses, then starts the parts; a failure names the address that can't be used."""
         if isinstance(listening := self.messenger.start(), Failure):
             return Failure(StartFailure(f"internal address: {listening.failure().detail}"))
         if isinstance(listening := self.operator_server.start(self._settings.operator), Failure):
@@ -141,6 +142,7 @@
         return Success(None)
 
     async def drain(self) -> None:
+        """Ends the calls in flight, returns the allowances, makes outcomes durable and ends the session."""
         self._stopping = True
         await self.path.drain()
         self.shares.return_allowances()
@@ -150,6 +152,7 @@
         self.membership.stop()
 
     def stop(self) -> None:
+        """Closes all connections and listeners at once."""
         self._stopping = True
         self.path.stop()
         self.follower.stop()
@@ -157,9 +160,11 @@
         self.messenger.stop()
 
     def settings_changed(self, settings: DaemonSettings) -> None:
+        """Uses the seeds of the changed settings; everything else takes effect at the next start."""
         self.membership.use_seeds(settings.seeds)
 
     def health(self) -> HealthReport:
+        """Returns the status of this router, with the reasons why it is not ready."""
         reasons = []
         if self._stopping:
             reasons.append("stopping")
@@ -275,13 +280,14 @@
 
 
 def build(context: Context, settings: DaemonSettings) -> RouterDaemon:
+    """Returns the daemon with the product's own formats."""
     return RouterDaemon(context, settings)
 
 
 def run(
-    settings: DaemonSettings, dialect: RouterDialect | None = None, read_settings: ReadSettings | None = None
+    settings: DaemonSettings, adapter: RouterAdapter | None = None, read_settings: ReadSettings | None = None
 ) -> int:
     """Runs the process ``wingwood router`` and returns its exit code."""
     return run_daemon(
-        settings, lambda context, daemon_settings: RouterDaemon(context, daemon_settings, dialect), read_settings
+        settings, lambda context, daemon_settings: RouterDaemon(context, daemon_settings, adapter), read_settings
     )
--- a/wingwood/daemons/router_metrics.py
+++ b/wingwood/daemons/router_metrics.py
@@ -27,6 +27,7 @@
         self._unsettled = unsettled
 
     def add_to(self, registry: CollectorRegistry) -> None:
+        """Registers this collector."""
         registry.register(self)
 
     def describe(self) -> Iterable[Metric]:
@@ -34,6 +35,7 @@
         return ()
 
     def collect(self) -> Iterable[Metric]:
+        """Returns the metrics of the present state."""
         report = self._health()
         gauges = {
             "ready": ("1 while callers should be sent here", float(report.ready)),
--- a/wingwood/operator_api/editions.py
+++ b/wingwood/operator_api/editions.py
@@ -1,7 +1,7 @@
 """Submits editions, which carry the operator's own numbers, and reads the latest content back with proof
 (docs/DESIGN.md section 15.6).
 
-The product has no HTTP format of its own for editions; a deployment's dialect provides one.
+The product has no HTTP format of its own for editions; a deployment's adapter provides one.
 """
 
 from __future__ import annotations
--- a/wingwood/operator_api/server.py
+++ b/wingwood/operator_api/server.py
@@ -276,4 +276,4 @@
             written.add_done_callback(lambda future: future.cancelled() or future.exception())
             self._connection.finish()
         except StreamClosedError:
-            self._server.context.log.event("operator-gone", path=self._start_line.path[:200])
+            self._server.context.log.event("operator-disconnected", path=self._start_line.path[:200])
