--- a/wingwood/operator_api/editions.py
+++ b/wingwood/operator_api/editions.py
@@ -1,7 +1,7 @@
 """Submits editions, which carry the operator's own numbers, and reads the latest content back with proof
 (docs/DESIGN.md section 15.6).
 
-The product has no HTTP format of its own for editions; a deployment's dialect provides one.
+The product has no HTTP format of its own for editions; a deployment's adapter provides one.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
         """
         return await self._control.decide("bundle", FindEdition(order), EditionStatus, self._within)
 
-    async def newest(self) -> Result[LatestEdition | None, NotReadable]:
+    async def latest(self) -> Result[LatestEdition | None, NotReadable]:
         """Returns the latest edition, which is never older than one acknowledged before the call.
 
         None means that there is proof that nothing had been acknowledged.
