--- a/bench/capacity/workers.py
+++ b/bench/capacity/workers.py
@@ -128,7 +128,7 @@
         for step in range(done, due):
             pool, number = workers[step % len(workers)]
             load = WorkerLoad(step // len(workers) % 8, number % 3, 1000 * (step // len(workers)))
-            await registry.accept_announcement(fake_worker(pool, number, load))
+            await registry.announcements.accept_announcement(fake_worker(pool, number, load))
         done = max(done, due)
         await asyncio.sleep(0.01)
 
@@ -147,7 +147,7 @@
         workers = [(pool, number) for number in range(pool_workers) for pool in pools]
         started = time.monotonic()
         for pool, number in workers:
-            await registry.accept_announcement(fake_worker(pool, number, None))
+            await registry.announcements.accept_announcement(fake_worker(pool, number, None))
         while follower_process.report()["ready"] < len(workers):
             if time.monotonic() - started > 60:
                 raise TimeoutError(
--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -458,7 +458,7 @@
             )
 
             async def announce_once() -> None:
-                await fleet.routers[name].registry.accept_announcement(worker)
+                await fleet.routers[name].registry.announcements.accept_announcement(worker)
 
             world.spawn(world.processes[name], announce_once(), "announce")
 
@@ -538,7 +538,7 @@
 
         async def announce(at: str) -> None:
             request = fleet.request(worker)
-            while (await fleet.routers[at].registry.handle_announcement(request)).status != 200:
+            while (await fleet.routers[at].registry.announcements.handle_announcement(request)).status != 200:
                 await asyncio.sleep(0.2)
 
         world.spawn(world.processes[receiver], announce(receiver), "announce")
--- a/bench/placement_parts.py
+++ b/bench/placement_parts.py
@@ -30,7 +30,7 @@
 from wingwood.placement.plain_policies import LeastLoaded, RoundRobin, StickyByHash
 from wingwood.placement.protocols import Placement
 from wingwood.placement.session_map import Entry, Unreachable
-from wingwood.registry.protocols import Engagement, Worker
+from wingwood.registry.protocols import ObservedLoad, Worker
 from wingwood.transport.frames import Identity
 from wingwood.transport.messenger import TransportFault
 
@@ -126,8 +126,8 @@
         """``announced`` returns the current announcements of the available workers; ``registries`` are all routers'."""
         self._announced = announced
         self._registries = registries
-        self.count: Callable[[PoolName], dict[WorkerInstance, Engagement]] = lambda pool: {}
-        self._engagement_of_others: dict[WorkerInstance, Engagement] = {}
+        self.count: Callable[[PoolName], dict[WorkerInstance, ObservedLoad]] = lambda pool: {}
+        self._observed_load_of_others: dict[WorkerInstance, ObservedLoad] = {}
         self._ready: tuple[Worker, ...] = ()
         registries.append(self)
         self.refresh_loads()
@@ -136,12 +136,12 @@
         self._ready = self._announced()
 
     def refresh_running(self) -> None:
-        totals: dict[WorkerInstance, Engagement] = {}
+        totals: dict[WorkerInstance, ObservedLoad] = {}
         for other in self._registries:
             if other is not self:
                 for instance, part in other.count(POOL).items():
-                    totals[instance] = totals.get(instance, Engagement()).plus(part)
-        self._engagement_of_others = totals
+                    totals[instance] = totals.get(instance, ObservedLoad()).plus(part)
+        self._observed_load_of_others = totals
 
     def ready(self, pool: PoolName) -> Sequence[Worker]:
         return self._ready
@@ -152,11 +152,11 @@
     def on_change(self, callback: Any) -> None:
         pass
 
-    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
+    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, ObservedLoad]]) -> None:
         self.count = count
 
-    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
-        return self._engagement_of_others.get(instance, Engagement())
+    def observed_load_of_others(self, instance: WorkerInstance) -> ObservedLoad:
+        return self._observed_load_of_others.get(instance, ObservedLoad())
 
 
 class NoSessionMap:
--- a/bench/tests/test_placement_parts.py
+++ b/bench/tests/test_placement_parts.py
@@ -8,7 +8,7 @@
 import unittest
 
 from wingwood.identifiers import WorkerInstance
-from wingwood.registry.protocols import Engagement
+from wingwood.registry.protocols import ObservedLoad
 
 from ..placement_parts import BenchRegistry
 
@@ -16,15 +16,15 @@
 
 
 class BenchRegistryTest(unittest.TestCase):
-    def test_engagement_of_other_routers_is_summed_in_every_field(self) -> None:
+    def test_observed_load_of_other_routers_is_summed_in_every_field(self) -> None:
         registries: list[BenchRegistry] = []
         for _ in range(3):
             BenchRegistry(lambda: (), registries)
         for number, registry in enumerate(registries):
-            part = Engagement(running=1.0, expected=2.0, prefill=3.0, streams=float(number))
+            part = ObservedLoad(running=1.0, expected=2.0, prefill=3.0, streams=float(number))
             registry.register_counter(lambda pool, part=part: {WORKER: part})  # type: ignore[misc]
         registries[0].refresh_running()
-        self.assertEqual(registries[0].engagement_of_others(WORKER), Engagement(2.0, 4.0, 6.0, 3.0))
+        self.assertEqual(registries[0].observed_load_of_others(WORKER), ObservedLoad(2.0, 4.0, 6.0, 3.0))
 
 
 if __name__ == "__main__":
--- a/wingwood/forward/tests/fakes.py
+++ b/wingwood/forward/tests/fakes.py
@@ -215,7 +215,7 @@
     def abandoned(self, instance: WorkerInstance) -> None:
         self.reported.append(("abandoned", instance))
 
-    def cold_left(self, instance: WorkerInstance) -> Seconds:
+    def slow_start_remaining(self, instance: WorkerInstance) -> Seconds:
         return Seconds(0.0)
 
 
--- a/wingwood/placement/award_placement.py
+++ b/wingwood/placement/award_placement.py
@@ -17,7 +17,7 @@
 from ..identifiers import Instant, PoolName, RequestId, Seconds, WorkerInstance, Zone
 from ..membership.protocols import Membership
 from ..membership.rendezvous import ranked
-from ..registry.protocols import EngagementExchange, Registry, Worker
+from ..registry.protocols import ObservedLoadExchange, Registry, Worker
 from .bids import Bidder, Forecast, Pressure
 from .estimated_size_bids import EstimatedSizeBids
 from .long_streams import LongStreams
@@ -64,7 +64,7 @@
         context: Context,
         membership: Membership,
         registry: Registry,
-        exchange: EngagementExchange,
+        exchange: ObservedLoadExchange,
         session_map: SessionMap,
         settings: AwardSettings | None = None,
         zone: Zone | None = None,
--- a/wingwood/placement/long_streams.py
+++ b/wingwood/placement/long_streams.py
@@ -16,7 +16,7 @@
 
 from ..context.protocols import Clock
 from ..identifiers import Instant, PoolName, RequestId, Seconds, WorkerInstance
-from ..registry.protocols import EngagementExchange, Worker
+from ..registry.protocols import ObservedLoadExchange, Worker
 from .prefill_estimates import PrefillQueues
 from .prefix_order import PrefixOrders
 from .protocols import Turn
@@ -44,7 +44,7 @@
         self,
         clock: Clock,
         random: Random,
-        exchange: EngagementExchange,
+        exchange: ObservedLoadExchange,
         orders: PrefixOrders,
         queues: PrefillQueues,
         max_reserved_share: float,
@@ -91,7 +91,7 @@
 
     def stream_count(self, worker: Worker) -> float:
         """Returns the number of long streams of all routers at the worker."""
-        return self._own[worker.instance] + self._exchange.engagement_of_others(worker.instance).streams
+        return self._own[worker.instance] + self._exchange.observed_load_of_others(worker.instance).streams
 
     def candidates(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         """Returns the workers of ``ready`` that should be compared for the turn, at least one."""
--- a/wingwood/placement/plain_policies.py
+++ b/wingwood/placement/plain_policies.py
@@ -9,7 +9,7 @@
 from ..context.protocols import Context
 from ..identifiers import Instant, PoolName, RequestId, Seconds, WorkerInstance
 from ..membership.rendezvous import ranked
-from ..registry.protocols import EngagementExchange, Registry, Worker
+from ..registry.protocols import ObservedLoadExchange, Registry, Worker
 from .award_placement import Outcome
 from .pool_choice import pool_order
 from .protocols import Choice, NoWorker, Turn
@@ -19,7 +19,7 @@
 class _PlainPlacement:
     """Counts turns and learns their durations; a subclass decides the order of workers."""
 
-    def __init__(self, context: Context, registry: Registry, exchange: EngagementExchange) -> None:
+    def __init__(self, context: Context, registry: Registry, exchange: ObservedLoadExchange) -> None:
         self._context = context
         self._registry = registry
         self._workload = Workload(registry, exchange, context.clock, Seconds(20.0))
@@ -83,7 +83,7 @@
 class RoundRobin(_PlainPlacement):
     """Tries the ready workers of a pool in turn, from a random start."""
 
-    def __init__(self, context: Context, registry: Registry, exchange: EngagementExchange) -> None:
+    def __init__(self, context: Context, registry: Registry, exchange: ObservedLoadExchange) -> None:
         super().__init__(context, registry, exchange)
         self._turns: dict[PoolName, int] = {}
 
--- a/wingwood/placement/prefill_estimates.py
+++ b/wingwood/placement/prefill_estimates.py
@@ -13,7 +13,7 @@
 
 from ..context.protocols import Clock
 from ..identifiers import Instant, PoolName, RequestId, Seconds, WorkerInstance
-from ..registry.protocols import EngagementExchange, Worker
+from ..registry.protocols import ObservedLoadExchange, Worker
 from .bids import Forecast
 from .decaying_rate import DecayingRate
 from .worker_estimates import MAX_WORKER_ESTIMATES
@@ -95,7 +95,7 @@
 class PrefillQueues:
     """Pending prompts of this router, flows of all routers, and the speeds learned from first tokens."""
 
-    def __init__(self, clock: Clock, exchange: EngagementExchange) -> None:
+    def __init__(self, clock: Clock, exchange: ObservedLoadExchange) -> None:
         self._clock = clock
         self._exchange = exchange
         self._workers: OrderedDict[WorkerInstance, _WorkerPrefill] = OrderedDict()
@@ -166,7 +166,7 @@
         """Returns the seconds until the prompts sent to the worker are prefilled."""
         pool = self._pool(worker.pool)
         prefill = self._workers.get(worker.instance)
-        others = self.queue_wait(worker, self._exchange.engagement_of_others(worker.instance).prefill)
+        others = self.queue_wait(worker, self._exchange.observed_load_of_others(worker.instance).prefill)
         if prefill is None or not prefill.pending:
             return others
         own = prefill.pending_tokens * pool.seconds_per_token * self._slowness(worker)
@@ -179,7 +179,7 @@
 
     def mean_wait(self, worker: Worker) -> float:
         """Returns the mean wait in seconds by the flow of all routers, regardless of the prompts pending now."""
-        flow = self._exchange.engagement_of_others(worker.instance).prefill + self.flow(worker.instance)
+        flow = self._exchange.observed_load_of_others(worker.instance).prefill + self.flow(worker.instance)
         return self.queue_wait(worker, flow)
 
     def queue_wait(self, worker: Worker, flow: float) -> float:
@@ -204,7 +204,7 @@
         now = self._clock.monotonic()
         if now - prefill.cache_retention_at >= CACHE_RETENTION_UPDATE_S:
             pool = self._pool(worker.pool)
-            elsewhere = self._exchange.engagement_of_others(worker.instance)
+            elsewhere = self._exchange.observed_load_of_others(worker.instance)
             free = worker.cache_tokens - (elsewhere.running + len(prefill.pending)) * pool.held_tokens
             flow = (elsewhere.prefill + self.flow(worker.instance)) * pool.parts_share
             prefill.cache_retention = Seconds(max(MIN_FREE_CACHE_SHARE * worker.cache_tokens, free) / max(1.0, flow))
--- a/wingwood/placement/tests/one_router.py
+++ b/wingwood/placement/tests/one_router.py
@@ -27,7 +27,7 @@
 from wingwood.placement.protocols import Choice, NoWorker, PromptPart, Turn
 from wingwood.placement.session_map import LocalMap, SessionMap
 from wingwood.placement.settings import AwardSettings
-from wingwood.registry.protocols import Engagement, Worker
+from wingwood.registry.protocols import ObservedLoad, Worker
 from wingwood.transport.frames import Identity
 
 POOL, OTHER_POOL = PoolName("model"), PoolName("canary")
@@ -101,7 +101,7 @@
             )
             for number in range(workers)
         ]
-        self.reported: dict[WorkerInstance, Engagement] = {}
+        self.reported: dict[WorkerInstance, ObservedLoad] = {}
         self.unconfirmed: set[WorkerInstance] = set()
         context = Context(
             clock=cast(Any, self.clock),
@@ -128,11 +128,11 @@
     def on_change(self, callback: Callable[[Worker], None]) -> None:
         self.changed = callback
 
-    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
+    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, ObservedLoad]]) -> None:
         self.count = count
 
-    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
-        return self.reported.get(instance, Engagement())
+    def observed_load_of_others(self, instance: WorkerInstance) -> ObservedLoad:
+        return self.reported.get(instance, ObservedLoad())
 
     def routers(self) -> Sequence[Identity]:
         return cast(Sequence[Identity], (None,) * 11)
@@ -161,8 +161,8 @@
         return choice
 
     def engage(self, instance: WorkerInstance, running: float = 0.0, prefill: float = 0.0) -> None:
-        """Sets the engagement that the other routers announce for the worker."""
-        self.reported[instance] = Engagement(running, 0.0, prefill)
+        """Sets the load that the other routers observe for the worker."""
+        self.reported[instance] = ObservedLoad(running, 0.0, prefill)
 
     def engage_all(self, running: float = 0.0, prefill: float = 0.0) -> None:
         for worker in self.workers:
--- a/wingwood/placement/tests/test_award_placement.py
+++ b/wingwood/placement/tests/test_award_placement.py
@@ -19,7 +19,7 @@
 from wingwood.placement.protocols import Choice, NoWorker, Turn
 from wingwood.placement.session_map import DistributedMap, Entry, session_key
 from wingwood.placement.settings import AwardSettings
-from wingwood.registry.protocols import Engagement
+from wingwood.registry.protocols import ObservedLoad
 from wingwood.registry.tests.fleet import POOL, Fleet
 
 SERVICE = Service(name=ServiceName("chat"), pool=POOL)
@@ -111,8 +111,8 @@
 
         self.inside(router, expect)
 
-    async def elsewhere(self, router: str, instance: WorkerInstance) -> Engagement:
-        return self.routers[router].registry.engagement_of_others(instance)
+    async def elsewhere(self, router: str, instance: WorkerInstance) -> ObservedLoad:
+        return self.routers[router].registry.observed_load_of_others(instance)
 
     def others_than(self, *names: str) -> list[str]:
         return [name for name in sorted(self.roster.identities) if name not in names]
--- a/wingwood/placement/tests/test_long_streams.py
+++ b/wingwood/placement/tests/test_long_streams.py
@@ -9,7 +9,7 @@
 from wingwood.placement.long_streams import MAX_STREAM_SLOT_SHARE, RESERVATION_PERIOD_S, TARGET_STREAM_SLOT_SHARE
 from wingwood.placement.protocols import Choice, Turn
 from wingwood.placement.settings import AwardSettings
-from wingwood.registry.protocols import Engagement
+from wingwood.registry.protocols import ObservedLoad
 
 from .one_router import POOL, OneRouter, sized_turn
 
@@ -59,19 +59,19 @@
         streams = Counter({worker.instance: 20 for worker in order[:5]})
         for router in routers:
             for instance, count in streams.items():
-                router.reported[instance] = Engagement(count, 0.0, 0.0, count)
+                router.reported[instance] = ObservedLoad(count, 0.0, 0.0, count)
         streams.update([router.choose(chat(number)).worker.instance for number, router in enumerate(routers)])
         self.assertEqual(len(streams), 5)
         self.assertLessEqual(max(streams.values()), SLOTS)
 
     def test_award_of_a_long_stream_holds_while_its_winner_has_room(self) -> None:
         for worker in self.router.workers:
-            self.router.reported[worker.instance] = Engagement(9.0, 0.0, 0.0, 9.0)
+            self.router.reported[worker.instance] = ObservedLoad(9.0, 0.0, 0.0, 9.0)
         first = chat(1)
         self.router.end(first, self.router.choose(first))
         winner = self.router.choose(chat(1))
         self.assertEqual(winner.method, "award")
-        self.router.reported[winner.worker.instance] = Engagement(24.0, 0.0, 0.0, 24.0)
+        self.router.reported[winner.worker.instance] = ObservedLoad(24.0, 0.0, 0.0, 24.0)
         self.assertNotEqual(self.router.choose(chat(1)).worker, winner.worker)
 
     def test_all_routers_fill_the_same_worker_first(self) -> None:
@@ -91,7 +91,7 @@
 
     def test_streams_announced_by_other_routers_count(self) -> None:
         first = self.router.choose(chat(1)).worker.instance
-        self.router.reported[first] = Engagement(24.0, 0.0, 0.0, 24.0)
+        self.router.reported[first] = ObservedLoad(24.0, 0.0, 0.0, 24.0)
         self.assertNotEqual(self.router.choose(chat(2)).worker.instance, first)
 
     def test_long_prompts_return_some_time_after_the_last_long_stream(self) -> None:
@@ -113,7 +113,7 @@
     def test_most_workers_stay_open_to_other_turns(self) -> None:
         """A few long streams at every worker must not reserve the full pool."""
         for worker in self.router.workers:
-            self.router.reported[worker.instance] = Engagement(2.0, 0.0, 0.0, 2.0)
+            self.router.reported[worker.instance] = ObservedLoad(2.0, 0.0, 0.0, 2.0)
         self.start(1)
         taken = {self.router.take(summary(number)).worker.instance for number in range(200)}
         self.assertGreaterEqual(len(taken), 9 - int(AwardSettings().max_reserved_share * 9))
@@ -132,7 +132,7 @@
 
     def test_counts_are_announced_and_end_with_the_stream(self) -> None:
         (turn, choice), *_ = self.start(1)
-        reported: dict[WorkerInstance, Engagement] = self.router.count(choice.worker.pool)
+        reported: dict[WorkerInstance, ObservedLoad] = self.router.count(choice.worker.pool)
         self.assertEqual(reported[choice.worker.instance].streams, 1.0)
         self.router.placement.finished(turn, choice, "broken", 0, None)
-        self.assertEqual(self.router.count(choice.worker.pool).get(choice.worker.instance, Engagement()).streams, 0.0)
+        self.assertEqual(self.router.count(choice.worker.pool).get(choice.worker.instance, ObservedLoad()).streams, 0.0)
--- a/wingwood/placement/tests/test_prefill_estimates.py
+++ b/wingwood/placement/tests/test_prefill_estimates.py
@@ -9,7 +9,7 @@
 from wingwood.identifiers import Address, PoolName, RequestId, Seconds, WorkerInstance, Zone
 from wingwood.placement.bids import Forecast
 from wingwood.placement.prefill_estimates import PrefillQueues
-from wingwood.registry.protocols import Engagement, Worker
+from wingwood.registry.protocols import ObservedLoad, Worker
 
 from .one_router import ManualClock
 
@@ -33,11 +33,11 @@
 class PrefillQueuesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock()
-        self.reported = Engagement()
+        self.reported = ObservedLoad()
         self.queues = PrefillQueues(cast(Any, self.clock), cast(Any, self))
         self.sent = 0
 
-    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
+    def observed_load_of_others(self, instance: WorkerInstance) -> ObservedLoad:
         return self.reported
 
     def send(self, uncached: int, worker: Worker = WORKER) -> RequestId:
@@ -84,7 +84,7 @@
         self.learn()
         waits = []
         for use in (0.0, 0.3, 0.6, 0.9, 1.5):
-            self.reported = Engagement(0.0, 0.0, use / PER_TOKEN)
+            self.reported = ObservedLoad(0.0, 0.0, use / PER_TOKEN)
             waits.append(self.queues.wait(WORKER))
         self.assertEqual(waits[0], 0.0)
         for before, after in itertools.pairwise(waits[1:]):
@@ -119,13 +119,13 @@
     def test_parts_stay_cached_until_the_inflow_has_filled_the_cache(self) -> None:
         """The retention halves where the inflow doubles, and running turns reduce the space for cached parts."""
         self.learn()
-        self.reported = Engagement(4.0, 0.0, 100_000.0)
+        self.reported = ObservedLoad(4.0, 0.0, 100_000.0)
         self.clock.now += 60.0
         slow = self.queues.cache_retention(WORKER)
-        self.reported = Engagement(4.0, 0.0, 200_000.0)
+        self.reported = ObservedLoad(4.0, 0.0, 200_000.0)
         self.clock.now += 1.0
         self.assertAlmostEqual(self.queues.cache_retention(WORKER), slow / 2, delta=0.1 * slow)
-        self.reported = Engagement(30.0, 0.0, 200_000.0)
+        self.reported = ObservedLoad(30.0, 0.0, 200_000.0)
         self.clock.now += 1.0
         self.assertLess(self.queues.cache_retention(WORKER), 0.4 * slow, "running turns hold memory too")
 
--- a/wingwood/placement/tests/test_worker_estimates.py
+++ b/wingwood/placement/tests/test_worker_estimates.py
@@ -10,7 +10,7 @@
 from wingwood.context.real import RealClock
 from wingwood.identifiers import Address, PoolName, Seconds, WorkerInstance, Zone
 from wingwood.placement.worker_estimates import Workload
-from wingwood.registry.protocols import Engagement, Worker, WorkerLoad
+from wingwood.registry.protocols import ObservedLoad, Worker, WorkerLoad
 
 WORKER = Worker(
     instance=WorkerInstance("w"), address=Address("127.0.0.1", 1), pool=PoolName("p"), zone=Zone("a"), slots=4
@@ -35,10 +35,10 @@
 
     def on_change(self, callback: Callable[[Worker], None]) -> None: ...
 
-    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None: ...
+    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, ObservedLoad]]) -> None: ...
 
-    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
-        return Engagement(self.running, 0.0)
+    def observed_load_of_others(self, instance: WorkerInstance) -> ObservedLoad:
+        return ObservedLoad(self.running, 0.0)
 
 
 class WorkloadTest(unittest.TestCase):
--- a/wingwood/placement/worker_estimates.py
+++ b/wingwood/placement/worker_estimates.py
@@ -10,7 +10,7 @@
 
 from ..context.protocols import Clock
 from ..identifiers import Instant, PoolName, Seconds, WorkerInstance
-from ..registry.protocols import Engagement, EngagementExchange, Registry, Worker
+from ..registry.protocols import ObservedLoad, ObservedLoadExchange, Registry, Worker
 
 ACTIVE_SHARE_UPDATE_S = Seconds(0.2)
 """Interval at which the active share of a pool is updated."""
@@ -64,7 +64,7 @@
     """Running turns, sessions whose next turn is awarded, and the estimates learned per worker."""
 
     def __init__(
-        self, registry: Registry, exchange: EngagementExchange, clock: Clock, expected_turn_lifetime: Seconds
+        self, registry: Registry, exchange: ObservedLoadExchange, clock: Clock, expected_turn_lifetime: Seconds
     ) -> None:
         self._clock = clock
         self._registry = registry
@@ -127,24 +127,24 @@
             if self._expected_at[expected.instance] <= 0:
                 del self._expected_at[expected.instance]
 
-    def own(self, instance: WorkerInstance) -> Engagement:
+    def own(self, instance: WorkerInstance) -> ObservedLoad:
         """Returns what this router counts at the worker, which it announces to the other routers."""
         self._drop_old()
         running, expected = self._running[instance], self._expected_at[instance]
-        return Engagement(
+        return ObservedLoad(
             float(running), float(expected), self.prefill_flow(instance), float(self.long_streams(instance))
         )
 
-    def _count(self, pool: PoolName) -> dict[WorkerInstance, Engagement]:
+    def _count(self, pool: PoolName) -> dict[WorkerInstance, ObservedLoad]:
         return {
             worker.instance: own
             for worker in self._registry.ready(pool)
-            if (own := self.own(worker.instance)) != Engagement()
+            if (own := self.own(worker.instance)) != ObservedLoad()
         }
 
     def load(self, worker: Worker) -> float:
         """Returns the number of turns of all routers that run or wait at the worker now."""
-        counted = self._running[worker.instance] + self._exchange.engagement_of_others(worker.instance).running
+        counted = self._running[worker.instance] + self._exchange.observed_load_of_others(worker.instance).running
         reported = 0 if worker.load is None else worker.load.running + worker.load.waiting
         return max(counted, REPORTED_LOAD_WEIGHT * reported)
 
@@ -154,7 +154,7 @@
         The turns that run now say little about that time.
         """
         return active_share * (
-            self._expected_at[worker.instance] + self._exchange.engagement_of_others(worker.instance).expected
+            self._expected_at[worker.instance] + self._exchange.observed_load_of_others(worker.instance).expected
         )
 
     def active_share(self, ready: Sequence[Worker]) -> float:
--- a/wingwood/registry/announcements.py
+++ b/wingwood/registry/announcements.py
@@ -39,7 +39,9 @@
     """HTTP format between workers and daemons: names, paths, bodies and status codes. It makes no decisions."""
 
     @property
-    def routes(self) -> Sequence[AnnouncementRoute]: ...
+    def routes(self) -> Sequence[AnnouncementRoute]:
+        """The routes on which workers announce themselves."""
+        ...
 
     def read(self, request: OperatorRequest) -> Result[Announcement | Departure, str]:
         """Returns the parsed announcement, or a text that says what is wrong with the request."""
@@ -57,7 +59,7 @@
         """Returns the acknowledgement of a departure when no daemon knows the worker, so none sends it turns."""
         ...
 
-    def instance_over(self, worker: Worker) -> OperatorReply:
+    def instance_ended(self, worker: Worker) -> OperatorReply:
         """Returns the refusal of a state that is earlier than the final state in ``worker``."""
         ...
 
--- a/wingwood/registry/circuit_breakers.py
+++ b/wingwood/registry/circuit_breakers.py
@@ -6,22 +6,22 @@
 
 from ..identifiers import Instant, Seconds, WorkerInstance
 
-FIRST_PAUSE_S = Seconds(0.3)
-"""How long a worker is excluded the first time; each further time in a row doubles it."""
-MAX_PAUSE_S = Seconds(4.0)
+FIRST_BACKOFF_S = Seconds(0.3)
+"""For how long a worker is excluded the first time; each further time in a row doubles it."""
+MAX_BACKOFF_S = Seconds(4.0)
 MAX_TRIAL_S = Seconds(5.0)
 """A trial call that was not reported as ended by then no longer blocks the next one."""
 BREAKER_RETENTION_S = Seconds(30.0)
-"""A breaker that last opened longer ago starts over with the first pause."""
+"""A breaker that last opened longer ago starts over with the first backoff."""
 SUCCESSES_TO_RESET = 5
-"""Number of successes in a row after which the next pause is a first one again."""
+"""Number of successes in a row after which the next backoff is a first one again."""
 
 
 class _Breaker(msgspec.Struct):
     """Open while the worker is excluded, half open while the next call is a trial, closed after a trial succeeded."""
 
     times: int
-    """How often the breaker opened in a row; the pause doubles each time."""
+    """How often the breaker opened in a row; the backoff doubles each time."""
     opened_at: Instant
     open_until: Instant
     closed: bool = False
@@ -29,16 +29,18 @@
     trial_until: Instant | None = None
 
     def admits(self, now: Instant) -> bool:
+        """Whether the worker may get a call now."""
         return self.closed or (now >= self.open_until and not self.on_trial(now))
 
     def on_trial(self, now: Instant) -> bool:
+        """Whether a trial call is in flight."""
         return self.trial_until is not None and now < self.trial_until
 
 
 class CircuitBreakers:
     """One breaker for each worker that failed recently.
 
-    The worker gets no calls during a pause, which grows up to a limit; then one call at a time until one succeeds.
+    The worker gets no calls during a backoff, which grows up to a limit; then one call at a time until one succeeds.
     """
 
     def __init__(self) -> None:
@@ -54,10 +56,12 @@
         return breaker is None or breaker.admits(now)
 
     def is_closed(self, instance: WorkerInstance) -> bool:
+        """Returns whether the worker gets calls normally, neither excluded nor on trial."""
         breaker = self._breakers.get(instance)
         return breaker is None or breaker.closed
 
     def on_trial(self, instance: WorkerInstance, now: Instant) -> bool:
+        """Returns whether a trial call of the worker is in flight."""
         breaker = self._breakers.get(instance)
         return breaker is not None and not breaker.closed and breaker.on_trial(now)
 
@@ -73,9 +77,9 @@
             breaker.trial_until = Instant(now + MAX_TRIAL_S)
 
     def open(self, instance: WorkerInstance, now: Instant, longest: bool = False) -> bool:
-        """Excludes the worker for a pause. Returns False if it is excluded already, so the failure changes nothing.
+        """Excludes the worker for a backoff. Returns False if it is excluded already, so the failure changes nothing.
 
-        ``longest``: start with the longest pause.
+        ``longest``: start with the longest backoff.
         """
         breaker = self._breakers.get(instance)
         if breaker is None or now - breaker.opened_at > BREAKER_RETENTION_S:
@@ -83,9 +87,9 @@
         elif not breaker.closed and now < breaker.open_until:
             return False
         breaker.times += 1
-        pause = MAX_PAUSE_S if longest else min(MAX_PAUSE_S, FIRST_PAUSE_S * 2 ** (breaker.times - 1))
+        backoff = MAX_BACKOFF_S if longest else min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** (breaker.times - 1))
         breaker.opened_at = now
-        breaker.open_until = Instant(now + pause)
+        breaker.open_until = Instant(now + backoff)
         breaker.closed = False
         breaker.successes = 0
         breaker.trial_until = None
@@ -109,5 +113,6 @@
         if breaker is not None:
             breaker.trial_until = None
 
-    def forget(self, instance: WorkerInstance) -> None:
+    def evict(self, instance: WorkerInstance) -> None:
+        """Removes the worker's breaker."""
         self._breakers.pop(instance, None)
--- a/wingwood/registry/ejections.py
+++ b/wingwood/registry/ejections.py
@@ -7,17 +7,20 @@
 import msgspec
 
 from ..context.protocols import Context
-from ..identifiers import Instant, PoolName, WorkerInstance
-from .feed_limits import EJECTION_MAX_AGE_S
-from .outliers import Outcomes, OutlierDetector
+from ..identifiers import Instant, PoolName, Seconds, WorkerInstance
+from .call_outcomes import Outcomes
+from .outliers import OutlierDetector
 from .pool_table import PoolTable
 from .worker_directory import WorkerDirectory
 
+EJECTION_MAX_AGE_S = Seconds(2.0)
+"""For how long the owner's list of ejected workers is used."""
+
 
 class _Ejected(msgspec.Struct, frozen=True):
     """The ejected workers of one pool and when this was decided or reported."""
 
-    at: Instant
+    decided_at: Instant
     instances: frozenset[WorkerInstance]
 
 
@@ -34,7 +37,9 @@
         """Returns whether the worker is ejected by a decision that is recent enough to be used."""
         pool = self._directory.pool_of(instance)
         ejected = None if pool is None else self._ejected.get(pool)
-        return ejected is not None and instance in ejected.instances and self._now() - ejected.at <= EJECTION_MAX_AGE_S
+        if ejected is None or self._now() - ejected.decided_at > EJECTION_MAX_AGE_S:
+            return False
+        return instance in ejected.instances
 
     def numbers(self, table: PoolTable) -> tuple[int, ...]:
         """Returns the ejected workers by their numbers in this table."""
@@ -59,11 +64,11 @@
         for instance, counted in outcomes.items():
             detector.record(instance, counted, self._now())
 
-    def judge(self, table: PoolTable, own_outcomes: Mapping[WorkerInstance, Outcomes]) -> None:
+    def evaluate(self, table: PoolTable, own_outcomes: Mapping[WorkerInstance, Outcomes]) -> None:
         """Decides from the recorded outcomes and this daemon's own who is ejected. Only the owner calls this."""
         self.record(table.pool, own_outcomes)
         ready: Sequence[WorkerInstance] = [worker.instance for worker in table.ready()]
-        self.set_ejected(table.pool, self._detectors[table.pool].judge(ready, self._now()))
+        self.set_ejected(table.pool, self._detectors[table.pool].evaluate(ready, self._now()))
 
     def _now(self) -> Instant:
         return self._context.clock.monotonic()
--- a/wingwood/registry/messages.py
+++ b/wingwood/registry/messages.py
@@ -10,9 +10,9 @@
 from .protocols import Worker
 
 LoadFigures = tuple[int, int, int]
-"""Calls running, calls waiting, and tokens used in the KV cache of one worker."""
-Counts = dict[int, tuple[int, int, int, int]]
-"""Running turns, expected turns, prompt tokens per second and long streams (see ``Engagement``) per worker.
+"""Calls running, calls waiting, and tokens used in the KV cache of one worker, as the worker reports them."""
+ObservedLoadFigures = dict[int, tuple[int, int, int, int]]
+"""Running turns, expected turns, prompt tokens per second and long streams (see ``ObservedLoad``) by worker.
 
 The key is the number that the owner gave to the worker.
 """
@@ -56,7 +56,7 @@
 
 
 class Renewal(msgspec.Struct, frozen=True, array_like=True):
-    """A worker repeated an announcement that changes nothing but its load."""
+    """A worker repeated an announcement in which nothing but its load has changed."""
 
     pool: PoolName
     instance: WorkerInstance
@@ -82,23 +82,23 @@
     """Workers that the owner does not know; they must be announced in full again."""
 
 
-class WorkerQuestion(msgspec.Struct, frozen=True):
-    """Call to any router: asks for the worker with this instance id. Reply: ``WorkerAnswer``."""
+class WorkerQuery(msgspec.Struct, frozen=True):
+    """Call to any router: asks for the worker with this instance id. Reply: ``WorkerQueryReply``."""
 
     WIRE_NAME: ClassVar[str] = "AskWorker"
 
     instance: WorkerInstance
 
 
-class WorkerAnswer(msgspec.Struct, frozen=True):
-    """Reply to ``WorkerQuestion``."""
+class WorkerQueryReply(msgspec.Struct, frozen=True):
+    """Reply to ``WorkerQuery``."""
 
     WIRE_NAME: ClassVar[str] = "WorkerTold"
 
     worker: Worker | None
-    """None if the answering router does not know the worker."""
+    """None if the replying router does not know the worker."""
     age: Seconds
-    """Age of the answering router's knowledge of its most outdated pool; infinite if it knows no pool."""
+    """Age of the replying router's knowledge of its most outdated pool; infinite if it knows no pool."""
 
 
 class ObservedState(msgspec.Struct, frozen=True, array_like=True):
@@ -112,51 +112,57 @@
     worker: Worker
 
 
-class PoolQuestion(msgspec.Struct, frozen=True, array_like=True):
-    """Part of a ``FeedQuestion``: asks for the changes of one pool."""
+class PoolRequest(msgspec.Struct, frozen=True, array_like=True):
+    """Part of a ``FeedRequest``: asks for the changes of one pool."""
+
+    WIRE_NAME: ClassVar[str] = "PoolQuestion"
 
     pool: PoolName
     owner: Incarnation = msgspec.field(name="home")
-    """Owner whose sequence numbers ``sequence`` and ``load_sequence`` are; empty if the asker has no feed yet."""
+    """Owner whose sequence numbers ``sequence`` and ``load_sequence`` are; empty if the requester has no feed yet."""
     sequence: int
-    """Latest change that the asker has; -1 for none."""
+    """Latest change that the requester has; -1 for none."""
     load_sequence: int | None
-    """Latest load change that the asker has; None if it wants no loads and counts this time."""
-    engaged: Counts | None
-    """What the asker contributes: a router its own counts, an owner the counts of its zone."""
+    """Latest load change that the requester has; None if it asks for no loads this time."""
+    observed_loads: ObservedLoadFigures | None = msgspec.field(name="engaged")
+    """What the requester contributes: a router its own counts, an owner the counts of its zone."""
     offered: tuple[WorkerEntry, ...] = ()
-    """Workers that the asker knows and that were missing from the owner's first answer (repair)."""
+    """Workers that the requester knows and that were missing from the owner's first reply (repair)."""
     outcomes: CallCounts | None = None
-    """Outcomes of the asker's calls since its last report."""
+    """Outcomes of the requester's calls since its last report."""
     accepts_packed: bool = msgspec.field(name="unpacks", default=False)
-    """Whether the asker accepts packed entries; daemons older than packing do not send this field."""
+    """Whether the requester accepts packed entries; daemons older than packing do not send this field."""
 
 
-class FeedQuestion(msgspec.Struct, frozen=True, array_like=True):
+class FeedRequest(msgspec.Struct, frozen=True, array_like=True):
     """Call from a router to the owners in its zone, or from an owner to the owners in other zones.
 
-    Reply: ``FeedAnswer``.
+    Reply: ``FeedReply``.
     """
 
-    pools: tuple[PoolQuestion, ...]
+    WIRE_NAME: ClassVar[str] = "FeedQuestion"
+
+    pools: tuple[PoolRequest, ...]
 
 
-class PoolAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """Part of a ``FeedAnswer``: the changes of one pool."""
+class PoolReply(msgspec.Struct, frozen=True, array_like=True):
+    """Part of a ``FeedReply``: the changes of one pool."""
+
+    WIRE_NAME: ClassVar[str] = "PoolAnswer"
 
     pool: PoolName
     synced: bool = msgspec.field(name="settled")
     """Whether the sender considers itself the owner and has pulled the records of the other owners."""
     age: Seconds
-    """Age of the sender's own knowledge, proven by answers of the other zones' owners; infinite if unproven."""
+    """Age of the sender's own knowledge, confirmed by replies of the other zones' owners; infinite if unconfirmed."""
     sequence: int
     """Latest change in the sender's table."""
     entries: tuple[WorkerEntry, ...]
-    """Workers that changed after the asked sequence, or all workers if the asker named another owner."""
+    """Workers that changed after the requested sequence, or all workers if the requester named another owner."""
     load_sequence: int
     loads: dict[int, LoadFigures]
-    """Loads that changed after the asked load sequence, by the sender's number of the worker."""
-    engaged: Counts | None
+    """Loads that changed after the requested load sequence, by the sender's number of the worker."""
+    observed_loads: ObservedLoadFigures | None = msgspec.field(name="engaged")
     """Sent to a router: the counts of all other routers. Sent to another zone's owner: those of the sender's zone."""
     ejected: tuple[int, ...] = ()
     """Workers that the zone's owner has ejected for now because too many calls to them failed."""
@@ -164,16 +170,18 @@
     """A long list of entries, sent in place of ``entries``; see ``packed_entries``."""
 
 
-class FeedAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """Reply to ``FeedQuestion``."""
+class FeedReply(msgspec.Struct, frozen=True, array_like=True):
+    """Reply to ``FeedRequest``."""
+
+    WIRE_NAME: ClassVar[str] = "FeedAnswer"
 
     owner: Incarnation = msgspec.field(name="home")
-    """The daemon that answers."""
+    """The daemon that replies."""
     session_age: Seconds
-    """Time since the sender's membership was last proven."""
-    pools: tuple[PoolAnswer, ...]
+    """Time since the sender's membership was last confirmed."""
+    pools: tuple[PoolReply, ...]
     known_pools: tuple[PoolName, ...] = ()
-    """All pools that the sender knows; only sent if the question named no pool."""
+    """All pools that the sender knows; only sent if the request named no pool."""
 
 
 class FeedPush(msgspec.Struct, frozen=True, array_like=True):
--- a/wingwood/registry/outliers.py
+++ b/wingwood/registry/outliers.py
@@ -10,13 +10,16 @@
 import msgspec
 
 from ..identifiers import Instant, Seconds, WorkerInstance
+from .call_outcomes import Outcomes
 
 WINDOW_S = Seconds(10.0)
 """Outcomes of this period count."""
 BUCKET_S = Seconds(1.0)
 """Outcomes are summed per period of this length."""
 MIN_FAILURES = 3
+"""A worker with fewer failed calls within ``WINDOW_S`` is not ejected."""
 MIN_CALLS = 6
+"""A worker with fewer calls within ``WINDOW_S`` is not ejected, unless all recent ones failed."""
 MIN_FAILURE_RATE = 0.2
 """A worker with a lower share of failed calls is never ejected."""
 MIN_RATE_RATIO = 3.0
@@ -33,24 +36,6 @@
 """After so long since the end of its last ejection, a worker counts as never ejected."""
 
 
-class Outcomes(msgspec.Struct, frozen=True):
-    """Numbers of calls to one worker that succeeded and failed."""
-
-    succeeded: int = 0
-    failed: int = 0
-
-    def __add__(self, other: Outcomes) -> Outcomes:
-        return Outcomes(self.succeeded + other.succeeded, self.failed + other.failed)
-
-    @property
-    def calls(self) -> int:
-        return self.succeeded + self.failed
-
-    @property
-    def failure_rate(self) -> float:
-        return self.failed / self.calls if self.calls else 0.0
-
-
 class _Ejection(msgspec.Struct):
     """How often a worker was ejected in a row, and until when it is ejected."""
 
@@ -76,7 +61,7 @@
         bucket = int(now // BUCKET_S)
         buckets[bucket] = buckets.get(bucket, Outcomes()) + outcomes
 
-    def judge(self, ready: Sequence[WorkerInstance], now: Instant) -> frozenset[WorkerInstance]:
+    def evaluate(self, ready: Sequence[WorkerInstance], now: Instant) -> frozenset[WorkerInstance]:
         """Returns the workers that are ejected now: at most half of ``ready``, those with the most failures first."""
         self._evict_old(now)
         if not self._buckets and not self._ejections:
--- a/wingwood/registry/pool_ownership.py
+++ b/wingwood/registry/pool_ownership.py
@@ -1,20 +1,30 @@
-"""Duties of a router as owner of a pool: it records states and renewals and marks silent workers.
+"""What a router does as owner of a pool: it records states and renewals and expires renewals.
 
 See docs/DESIGN.md section 10.2.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 
 import msgspec
 
 from ..context.protocols import Context
 from ..identifiers import Incarnation, Instant, PoolName, Seconds, WorkerInstance
 from ..membership.protocols import Membership
+from ..transport.frames import Identity
 from ..transport.messenger import Messenger
-from .feed_limits import ALL_SILENT_AFTER_S, SESSION_PROOF_MAX_AGE_S
-from .messages import ObservedState, Renewal, WorkerEntry, WorkerStateReceipt
+from .feed_publisher import FeedPublisher
+from .feed_timing import NO_RENEWALS_AFTER_S, SESSION_CONFIRMATION_MAX_AGE_S
+from .messages import (
+    ObservedState,
+    Renewal,
+    RenewalBatch,
+    RenewalBatchReceipt,
+    WorkerEntry,
+    WorkerStateReceipt,
+    WorkerStateReport,
+)
 from .pool_owners import PoolOwners
 from .protocols import Worker, WorkerLoad
 from .worker_directory import WorkerDirectory
@@ -22,27 +32,18 @@
 NEVER = Instant(float("-inf"))
 UNKNOWN_AGE = Seconds(float("inf"))
 
-NotifyZone = Callable[[PoolName, Sequence[Worker], int], None]
-"""Notifies the zone's routers of changed workers; the last argument is the table's sequence before the change."""
-OwnerAge = Callable[[PoolName], Seconds]
-"""Returns the age of the owner's knowledge; see ``PoolOwnership.age``."""
-
 
 class _OwnedPool(msgspec.Struct):
     """State of this daemon's ownership of one pool."""
 
     synced: bool = False
-    """Whether the owners of all other zones have answered since this ownership started or was interrupted."""
-    answered: dict[Incarnation, Instant] = msgspec.field(default_factory=dict)
-    """The other zones' owners that have answered, and when the last answered question was asked."""
+    """Whether the owners of all other zones have replied since this ownership started or was interrupted."""
+    replied: dict[Incarnation, Instant] = msgspec.field(default_factory=dict)
+    """The other zones' owners that have replied, and when the last request that got a reply was sent."""
 
 
 class PoolOwnership:
-    """The pools that this daemon owns, and what workers or other daemons report to it directly.
-
-    ``uses_trial_calls``: workers are checked by trial calls (``worker_check``). Then, if no worker at all sends
-    renewals, the cause is assumed to be elsewhere and no worker is marked.
-    """
+    """The pools that this daemon owns, and what workers or other daemons report to it directly."""
 
     def __init__(
         self,
@@ -51,27 +52,46 @@
         membership: Membership,
         directory: WorkerDirectory,
         pool_owners: PoolOwners,
-        notify_zone: NotifyZone,
+        feed_publisher: FeedPublisher,
         uses_trial_calls: bool,
         unrenewed_after: Seconds,
     ) -> None:
+        """Workers without a renewal for ``unrenewed_after`` count as unrenewed.
+
+        ``uses_trial_calls``: workers are checked by trial calls (``worker_check``). Then, if no worker at all sends
+        renewals, the cause is assumed to be elsewhere and no renewal expires.
+        """
         self._context = context
         self._messenger = messenger
         self._membership = membership
         self._directory = directory
         self._pool_owners = pool_owners
-        self._notify_zone = notify_zone
+        self._feed_publisher = feed_publisher
         self._uses_trial_calls = uses_trial_calls
         self._unrenewed_after = unrenewed_after
         self._owned: dict[PoolName, _OwnedPool] = {}
         self._last_renewal_at = context.clock.monotonic()
+        messenger.on_call(WorkerStateReport, self._on_state_report)
+        messenger.on_call(RenewalBatch, self._on_renewal_batch)
+        messenger.on_post(ObservedState, self._on_observed_state)
+
+    async def _on_state_report(self, _peer: Identity, message: WorkerStateReport) -> WorkerStateReceipt:
+        return self.accept_from_worker(message.worker, message.sequence)
+
+    async def _on_renewal_batch(self, _peer: Identity, message: RenewalBatch) -> RenewalBatchReceipt:
+        return RenewalBatchReceipt(self.renew(message.renewals))
+
+    def _on_observed_state(self, _peer: Identity, message: ObservedState) -> None:
+        self.merge_reported(WorkerEntry(message.worker, True))
 
     # --- owned pools --------------------------------------------------------------------------
 
     def pools(self) -> list[PoolName]:
+        """Returns the names of the owned pools, sorted."""
         return sorted(self._owned)
 
     def owns(self, pool: PoolName) -> bool:
+        """Whether this daemon has begun to own the pool."""
         return pool in self._owned
 
     def begin(self, pool: PoolName) -> None:
@@ -91,60 +111,62 @@
         owned = self._owned.get(pool)
         return owned is not None and owned.synced
 
-    def record_answer(self, pool: PoolName, other: Incarnation, asked_at: Instant) -> None:
-        """Records that another zone's owner has answered the question that was asked at ``asked_at``."""
-        self._owned[pool].answered[other] = asked_at
+    def record_reply(self, pool: PoolName, other: Incarnation, asked_at: Instant) -> None:
+        """Records that another zone's owner has replied to the request that was sent at ``asked_at``."""
+        self._owned[pool].replied[other] = asked_at
         self.update_synced(pool)
 
     def update_synced(self, pool: PoolName) -> None:
-        """Marks an owner as synced once every other zone's owner has answered.
+        """Records an owner as synced once every other zone's owner has replied.
 
-        Until then its answers prove nothing to its followers.
+        Until then its replies confirm nothing to its followers.
         """
         owned = self._owned.get(pool)
         if owned is None or owned.synced:
             return
-        owned.synced = self._other_owners(pool) <= owned.answered.keys()
+        owned.synced = self._other_owners(pool) <= owned.replied.keys()
 
-    def mark_unsynced(self) -> None:
-        """Marks all owned pools as not synced after this daemon was frozen or cut off.
+    def reset_sync(self) -> None:
+        """Records all owned pools as not synced after this process was paused or partitioned.
 
         It may have missed renewals and must pull the records of the other owners again.
         """
         for pool, owned in self._owned.items():
             owned.synced = False
-            owned.answered.clear()
+            owned.replied.clear()
             self._directory.table(pool).restart_renewal_timers(self._now())
 
     def age(self, pool: PoolName) -> Seconds:
-        """Returns the age of this owner's knowledge; infinite if the daemon is no owner or cannot prove its knowledge.
+        """Returns the age of this owner's knowledge; infinite if it owns nothing or cannot confirm it.
 
-        It is the age of the oldest answer in the freshest majority of the zones' owners, this one included. An
+        It is the age of the oldest reply in the freshest majority of the zones' owners, this one included. An
         acknowledged state is stored at a majority of them, so at least one owner in this majority has it.
         """
         owned = self._owned.get(pool)
         now = self._now()
-        session = self._membership.session_proven_at()
-        if owned is None or not owned.synced or session is None or now - session > SESSION_PROOF_MAX_AGE_S:
+        confirmed_at = self._membership.session_proven_at()
+        if confirmed_at is None or now - confirmed_at > SESSION_CONFIRMATION_MAX_AGE_S:
+            return UNKNOWN_AGE
+        if owned is None or not owned.synced:
             return UNKNOWN_AGE
         others = self._other_owners(pool)
-        answered = sorted((owned.answered.get(other, NEVER) for other in others), reverse=True)
+        replied = sorted((owned.replied.get(other, NEVER) for other in others), reverse=True)
         needed = (len(others) + 1) // 2
-        return Seconds(0.0 if needed == 0 else now - answered[needed - 1])
+        return Seconds(0.0 if needed == 0 else now - replied[needed - 1])
 
     def _other_owners(self, pool: PoolName) -> set[Incarnation]:
         return {owner.incarnation for owner in self._pool_owners.in_other_zones(pool)}
 
     # --- states -------------------------------------------------------------------------------
 
-    def accept_first_hand(self, worker: Worker, sequence: int) -> WorkerStateReceipt:
+    def accept_from_worker(self, worker: Worker, sequence: int) -> WorkerStateReceipt:
         """Records an announcement that came from the worker itself."""
         table = self._directory.table(worker.pool)
         previous, is_new = table.sequence, worker.instance not in table.records
         changed = table.apply_announcement(worker, self._now(), sequence)
         self._directory.record_changes(changed)
-        self._notify_zone(worker.pool, changed, previous)
-        self._note_renewal_received()
+        self._feed_publisher.publish(worker.pool, changed, previous)
+        self._record_renewal_received()
         if is_new and worker.state == "ready":
             self._end_workers_of_other_pools(worker)
         is_owner = self._pool_owners.is_own(worker.pool)
@@ -163,7 +185,7 @@
         worker = entry.worker
         previous = self._directory.table(worker.pool).sequence
         if self._directory.merge(entry, trust_renewal=False):
-            self._notify_zone(worker.pool, [worker], previous)
+            self._feed_publisher.publish(worker.pool, [worker], previous)
 
     def report_state(self, observed: Worker) -> None:
         """Records a state that did not come from the owner and reports it to the owners of all zones."""
@@ -176,12 +198,8 @@
 
     def renew(self, renewals: Sequence[Renewal]) -> tuple[WorkerInstance, ...]:
         """Applies renewals and returns the workers that are not known here."""
-        self._note_renewal_received()
-        unknown = []
-        for renewal in renewals:
-            if not self._renew_one(renewal):
-                unknown.append(renewal.instance)
-        return tuple(unknown)
+        self._record_renewal_received()
+        return tuple(renewal.instance for renewal in renewals if not self._renew_one(renewal))
 
     def _renew_one(self, renewal: Renewal) -> bool:
         """Returns False if the worker is not known here."""
@@ -194,35 +212,35 @@
         worker = table.records[renewal.instance].worker
         if renewed_again:
             self._directory.record_changes([worker])
-            self._notify_zone(renewal.pool, [worker], previous)
+            self._feed_publisher.publish(renewal.pool, [worker], previous)
         elif load is not None:
             self._directory.notify([worker])
         return True
 
-    def _note_renewal_received(self) -> None:
+    def _record_renewal_received(self) -> None:
         """Records that a renewal arrived.
 
         After a time without renewals of any worker, each worker's own time without a renewal counts from now.
         """
         now = self._now()
-        if self._all_are_silent(now):
+        if self._receives_no_renewals(now):
             for pool in self._owned:
                 self._directory.table(pool).restart_renewal_timers(now)
         self._last_renewal_at = now
 
-    def _all_are_silent(self, now: Instant) -> bool:
-        return self._uses_trial_calls and now - self._last_renewal_at > ALL_SILENT_AFTER_S
+    def _receives_no_renewals(self, now: Instant) -> bool:
+        return self._uses_trial_calls and now - self._last_renewal_at > NO_RENEWALS_AFTER_S
 
-    def mark_unrenewed(self, pool: PoolName) -> None:
-        """Marks workers without a recent renewal, unless this owner is not synced or all workers are silent."""
+    def expire_renewals(self, pool: PoolName) -> None:
+        """Expires the renewals of workers, unless this owner is not synced or receives no renewals at all."""
         now = self._now()
-        if not self.is_synced(pool) or self._all_are_silent(now):
+        if not self.is_synced(pool) or self._receives_no_renewals(now):
             return
         table = self._directory.table(pool)
         previous = table.sequence
-        marked = table.mark_unrenewed(now, self._unrenewed_after)
-        self._directory.record_changes(marked)
-        self._notify_zone(pool, marked, previous)
+        expired = table.expire_renewals(now, self._unrenewed_after)
+        self._directory.record_changes(expired)
+        self._feed_publisher.publish(pool, expired, previous)
 
     def _now(self) -> Instant:
         return self._context.clock.monotonic()
--- a/wingwood/registry/pool_table.py
+++ b/wingwood/registry/pool_table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 
 import msgspec
 
@@ -29,7 +29,7 @@
     number: int
     changed_at: Instant
     first_known_at: Instant
-    """Time from which ``worker.cold_left`` counts down."""
+    """Time from which ``worker.slow_start_remaining`` counts down."""
     attributes_sequence: int = 0
     """Sequence number of the announcement that the worker's attributes come from."""
     highest_sequence: int = 0
@@ -57,11 +57,7 @@
     def ready(self) -> tuple[Worker, ...]:
         """Returns the renewed workers in state ready, sorted by instance."""
         if self._ready is None:
-            self._ready = tuple(
-                self._with_default_cache_tokens(record.worker)
-                for _, record in sorted(self.records.items())
-                if record.renewed and record.worker.state == "ready"
-            )
+            self._ready = self._listed(lambda record: record.renewed and record.worker.state == "ready")
         return self._ready
 
     def set_default_cache_tokens(self, cache_tokens: int) -> None:
@@ -78,13 +74,16 @@
     def active(self) -> tuple[Worker, ...]:
         """Returns the workers that did not announce that they leave, renewed or not, sorted by instance."""
         if self._active is None:
-            self._active = tuple(
-                self._with_default_cache_tokens(record.worker)
-                for _, record in sorted(self.records.items())
-                if record.worker.state == "ready"
-            )
+            self._active = self._listed(lambda record: record.worker.state == "ready")
         return self._active
 
+    def _listed(self, is_listed: Callable[[WorkerRecord], bool]) -> tuple[Worker, ...]:
+        return tuple(
+            self._with_default_cache_tokens(record.worker)
+            for _, record in sorted(self.records.items())
+            if is_listed(record)
+        )
+
     def at_address(self, address: Address) -> list[Worker]:
         """Returns the workers at this address that are not gone."""
         return [
@@ -93,12 +92,12 @@
             if record.worker.address == address and record.worker.state != "gone"
         ]
 
-    def cold_left(self, instance: WorkerInstance, now: Instant) -> Seconds:
+    def slow_start_remaining(self, instance: WorkerInstance, now: Instant) -> Seconds:
         """Returns for how many more seconds the worker runs slower after its start; 0 if it is unknown."""
         record = self.records.get(instance)
-        return (
-            Seconds(0.0) if record is None else Seconds(max(0.0, record.worker.cold_left - now + record.first_known_at))
-        )
+        if record is None:
+            return Seconds(0.0)
+        return Seconds(max(0.0, record.worker.slow_start_remaining - now + record.first_known_at))
 
     def apply_announcement(self, worker: Worker, now: Instant, sequence: int = 0) -> list[Worker]:
         """Applies an announcement that came from the worker itself and returns the workers that changed.
@@ -131,22 +130,7 @@
         worker = entry.worker
         record = self.records.get(worker.instance)
         if record is None:
-            record = WorkerRecord(
-                worker=worker,
-                renewed=entry.renewed,
-                renewed_at=now,
-                sequence=0,
-                load_sequence=0,
-                number=self._next_number,
-                changed_at=now,
-                first_known_at=now,
-                attributes_sequence=entry.announcement,
-                highest_sequence=entry.announcement,
-            )
-            self.numbers[self._next_number] = worker.instance
-            self._next_number += 1
-            self.records[worker.instance] = record
-            self._set(record, worker, entry.renewed, now)
+            self._add(entry, now)
             return True
         state = max(worker.state, record.worker.state, key=STATE_ORDER.__getitem__)
         load = worker.load or record.worker.load
@@ -154,17 +138,33 @@
         attributes = record.worker
         if entry.announcement > record.attributes_sequence:
             record.attributes_sequence = entry.announcement
-            attributes = msgspec.structs.replace(worker, cold_left=record.worker.cold_left)
+            attributes = msgspec.structs.replace(worker, slow_start_remaining=record.worker.slow_start_remaining)
         merged = msgspec.structs.replace(attributes, state=state, load=load)
-        differs = renewed != record.renewed or msgspec.structs.replace(merged, load=None) != msgspec.structs.replace(
-            record.worker, load=None
-        )
+        differs = renewed != record.renewed or _without_load(merged) != _without_load(record.worker)
         if differs:
             self._set(record, merged, renewed, now)
         elif load != record.worker.load and load is not None:
             self.set_load(worker.instance, load)
         return differs
 
+    def _add(self, entry: WorkerEntry, now: Instant) -> None:
+        record = WorkerRecord(
+            worker=entry.worker,
+            renewed=entry.renewed,
+            renewed_at=now,
+            sequence=0,
+            load_sequence=0,
+            number=self._next_number,
+            changed_at=now,
+            first_known_at=now,
+            attributes_sequence=entry.announcement,
+            highest_sequence=entry.announcement,
+        )
+        self.numbers[self._next_number] = entry.worker.instance
+        self._next_number += 1
+        self.records[entry.worker.instance] = record
+        self._set(record, entry.worker, entry.renewed, now)
+
     def set_load(self, instance: WorkerInstance, load: WorkerLoad) -> bool:
         """Stores the load and returns whether it changed; False as well if the worker is unknown."""
         record = self.records.get(instance)
@@ -198,19 +198,19 @@
         return True
 
     def restart_renewal_timers(self, now: Instant) -> None:
-        """Counts every worker's time without a renewal from now.
+        """ObservedLoadFigures every worker's time without a renewal from now.
 
         An owner that has only started to receive renewals calls this.
         """
         for record in self.records.values():
             record.renewed_at = now
 
-    def mark_unrenewed(self, now: Instant, unrenewed_after: Seconds) -> list[Worker]:
-        """Marks workers without a renewal for ``unrenewed_after`` and returns those marked now. For owners only."""
+    def expire_renewals(self, now: Instant, unrenewed_after: Seconds) -> list[Worker]:
+        """Records workers without a renewal for ``unrenewed_after`` as unrenewed and returns them; for owners."""
         changed = []
         for _, record in sorted(self.records.items()):
-            silent = now - record.renewed_at
-            if record.renewed and silent > unrenewed_after and record.worker.state != "gone":
+            unrenewed_for = now - record.renewed_at
+            if record.renewed and unrenewed_for > unrenewed_after and record.worker.state != "gone":
                 self._set(record, record.worker, False, now)
                 changed.append(record.worker)
         return changed
@@ -226,20 +226,24 @@
 
     def entries(self, now: Instant, instances: Iterable[WorkerInstance] | None = None) -> tuple[WorkerEntry, ...]:
         """Returns the entries of these workers, or of all, sorted by instance."""
-        wanted = sorted(self.records if instances is None else instances)
-        return tuple(self._entry(self.records[instance], now) for instance in wanted if instance in self.records)
+        requested = sorted(self.records if instances is None else instances)
+        return tuple(self._entry(self.records[instance], now) for instance in requested if instance in self.records)
 
     def _entry(self, record: WorkerRecord, now: Instant) -> WorkerEntry:
-        """Sets ``cold_left`` as of now, because the receiver counts it down from the arrival of the entry."""
+        """Gives the slow start that remains now, because the receiver counts it down from the arrival of the entry."""
         worker = record.worker
-        if worker.cold_left:
-            worker = msgspec.structs.replace(worker, cold_left=self.cold_left(worker.instance, now))
+        if worker.slow_start_remaining:
+            worker = msgspec.structs.replace(
+                worker, slow_start_remaining=self.slow_start_remaining(worker.instance, now)
+            )
         return WorkerEntry(worker, record.renewed, record.number, record.attributes_sequence)
 
     def changed_since(self, sequence: int, now: Instant) -> tuple[WorkerEntry, ...]:
+        """Returns the entries of the workers that changed after ``sequence``, other than in their load."""
         return self.entries(now, [instance for instance, record in self.records.items() if record.sequence > sequence])
 
     def loads_since(self, load_sequence: int) -> dict[int, LoadFigures]:
+        """Returns the loads that changed after ``load_sequence``, by the numbers of the workers."""
         return {
             record.number: (load.running, load.waiting, load.cache_tokens_used)
             for _, record in sorted(self.records.items())
@@ -253,3 +257,7 @@
         record.worker = worker
         record.renewed = renewed
         self._ready = self._active = None
+
+
+def _without_load(worker: Worker) -> Worker:
+    return msgspec.structs.replace(worker, load=None)
--- a/wingwood/registry/protocols.py
+++ b/wingwood/registry/protocols.py
@@ -1,4 +1,4 @@
-"""Interface of the registry to the other slices: the workers that a router may use (docs/DESIGN.md section 10)."""
+"""Interface of the registry to the other packages: the workers that a router may use (docs/DESIGN.md section 10)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Worker(msgspec.Struct, frozen=True, kw_only=True):
-    """One life of a worker process, as it was announced."""
+    """One instance of a worker process, as it was announced; a restarted process is another instance."""
 
     instance: WorkerInstance
     address: Address
@@ -36,10 +36,10 @@
     """Version of the worker's software."""
     weights: int | None = None
     """Version of the model weights that the worker serves; None if it announces none."""
-    cold_left: Seconds = Seconds(0.0)
+    slow_start_remaining: Seconds = msgspec.field(name="cold_left", default=Seconds(0.0))
     """For how much longer the worker ran slower after its start, as of the time when it became known here.
 
-    ``CallOutcomes.cold_left`` counts it down.
+    ``CallOutcomes.slow_start_remaining`` counts it down.
     """
 
 
@@ -74,7 +74,7 @@
 
 
 class CallOutcomes(Protocol):
-    """Receives the outcomes of calls to workers (section 10.6). Implemented by the same object as ``Registry``."""
+    """Receives the outcomes of calls to workers (section 10.6); implemented by the same object as ``Registry``."""
 
     def begin(self, instance: WorkerInstance) -> bool:
         """Called right before a turn is sent; if it returns False, the turn must go to another worker.
@@ -104,13 +104,13 @@
         """Records that a turn ended with no information about the worker, for example because its caller left."""
         ...
 
-    def cold_left(self, instance: WorkerInstance) -> Seconds:
+    def slow_start_remaining(self, instance: WorkerInstance) -> Seconds:
         """Returns for how much longer the worker runs slower after its start."""
         ...
 
 
-class Engagement(msgspec.Struct, frozen=True, array_like=True):
-    """How occupied a worker is, as counted by routers."""
+class ObservedLoad(msgspec.Struct, frozen=True, array_like=True):
+    """The load of a worker as routers count it, in contrast to ``WorkerLoad``, which the worker reports."""
 
     running: float = 0.0
     """Turns that run or wait at the worker now."""
@@ -118,20 +118,21 @@
     """Sessions whose next turn is awarded to the worker and whose last turn was recent."""
     prefill: float = 0.0
     """Prompt tokens per second that the worker has to prefill."""
-
     streams: float = 0.0
     """Long streams that run at the worker."""
 
-    def plus(self, other: Engagement) -> Engagement:
-        return Engagement(
+    def plus(self, other: ObservedLoad) -> ObservedLoad:
+        """Returns the sum of both, field by field."""
+        return ObservedLoad(
             self.running + other.running,
             self.expected + other.expected,
             self.prefill + other.prefill,
             self.streams + other.streams,
         )
 
-    def minus(self, other: Engagement) -> Engagement:
-        return Engagement(
+    def minus(self, other: ObservedLoad) -> ObservedLoad:
+        """Returns the difference of both, field by field."""
+        return ObservedLoad(
             self.running - other.running,
             self.expected - other.expected,
             self.prefill - other.prefill,
@@ -139,13 +140,13 @@
         )
 
 
-class EngagementExchange(Protocol):
-    """Exchanges engagement counts with the whole fleet, together with the feed (section 10.4)."""
+class ObservedLoadExchange(Protocol):
+    """Exchanges observed loads with the whole fleet, together with the feed (section 10.4)."""
 
-    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, Engagement]]) -> None:
+    def register_counter(self, count: Callable[[PoolName], dict[WorkerInstance, ObservedLoad]]) -> None:
         """Sets the function that returns this router's own counts of a pool, by worker, without workers with none."""
         ...
 
-    def engagement_of_others(self, instance: WorkerInstance) -> Engagement:
+    def observed_load_of_others(self, instance: WorkerInstance) -> ObservedLoad:
         """Returns the sum of all other routers' counts, about a third of a second old; zeros if unknown."""
         ...
--- a/wingwood/registry/tests/control_fleet.py
+++ b/wingwood/registry/tests/control_fleet.py
@@ -225,7 +225,7 @@
         return {worker.instance for pool in (MODEL, WEB) for worker in registry.ready(pool)}
 
     def owner(self, zone: str, pool: PoolName = MODEL) -> str:
-        return str(self.daemons["router-0"].registry.pool_owners(pool)[Zone(zone)].name)
+        return str(self.daemons["router-0"].registry.pool_owners.by_zone(pool)[Zone(zone)].name)
 
     def inside(self, daemon: str, work: Callable[[WorkerRegistry], Awaitable[OperatorReply]]) -> int:
         """Runs a call in the daemon's process and returns the status of the reply; raises TimeoutError after 2 s."""
--- a/wingwood/registry/tests/fleet.py
+++ b/wingwood/registry/tests/fleet.py
@@ -165,7 +165,9 @@
 
     def announce(self, worker: EmulatedWorker, router: str = "r0", **changes: object) -> OperatorReply:
         request = self.request(worker, **changes)
-        reply: OperatorReply = self.inside(router, lambda: self.routers[router].registry.handle_announcement(request))
+        reply: OperatorReply = self.inside(
+            router, lambda: self.routers[router].registry.announcements.handle_announcement(request)
+        )
         return reply
 
     def inside(self, router: str, work: Callable[[], Any], within: float = 5.0) -> Any:
@@ -195,5 +197,5 @@
         return worker is not None and bool(self.inside(router, lambda: registry.confirm(worker)))
 
     def owner(self, zone: str) -> str:
-        found = self.routers["r0"].registry.pool_owners(POOL)[Zone(zone)]
+        found = self.routers["r0"].registry.pool_owners.by_zone(POOL)[Zone(zone)]
         return str(found.name)
--- a/wingwood/registry/tests/test_circuit_breakers.py
+++ b/wingwood/registry/tests/test_circuit_breakers.py
@@ -11,8 +11,8 @@
 from wingwood.identifiers import Instant, WorkerInstance
 from wingwood.registry.circuit_breakers import (
     BREAKER_RETENTION_S,
-    FIRST_PAUSE_S,
-    MAX_PAUSE_S,
+    FIRST_BACKOFF_S,
+    MAX_BACKOFF_S,
     MAX_TRIAL_S,
     SUCCESSES_TO_RESET,
     CircuitBreakers,
@@ -38,14 +38,14 @@
             self.after(0.01)
         return self.now - started_at
 
-    def test_pauses_grow_up_to_a_limit(self) -> None:
+    def test_backoffs_grow_up_to_a_limit(self) -> None:
         pauses = [self.pause() for _ in range(6)]
-        self.assertAlmostEqual(pauses[0], FIRST_PAUSE_S, delta=0.02)
+        self.assertAlmostEqual(pauses[0], FIRST_BACKOFF_S, delta=0.02)
         for shorter, longer in itertools.pairwise(pauses):
-            self.assertAlmostEqual(longer, min(MAX_PAUSE_S, 2 * shorter), delta=0.05)
-        self.assertAlmostEqual(pauses[-1], MAX_PAUSE_S, delta=0.02)
+            self.assertAlmostEqual(longer, min(MAX_BACKOFF_S, 2 * shorter), delta=0.05)
+        self.assertAlmostEqual(pauses[-1], MAX_BACKOFF_S, delta=0.02)
 
-    def test_after_the_pause_one_call_at_a_time_is_admitted(self) -> None:
+    def test_after_the_backoff_one_call_at_a_time_is_admitted(self) -> None:
         self.pause()
         self.breakers.begin(W0, self.now)
         self.assertFalse(self.breakers.admits(W0, self.now))
@@ -67,26 +67,26 @@
         self.breakers.begin(W0, self.now)
         self.assertTrue(self.breakers.admits(W0, self.after(MAX_TRIAL_S)))
 
-    def test_failures_of_calls_started_before_do_not_lengthen_the_pause(self) -> None:
+    def test_failures_of_calls_started_before_do_not_lengthen_the_backoff(self) -> None:
         self.assertTrue(self.breakers.open(W0, self.now))
         self.assertFalse(self.breakers.open(W0, self.after(0.1)))
-        self.assertTrue(self.breakers.admits(W0, self.after(FIRST_PAUSE_S)))
+        self.assertTrue(self.breakers.admits(W0, self.after(FIRST_BACKOFF_S)))
 
-    def test_successes_in_a_row_or_elapsed_time_reset_the_pause(self) -> None:
+    def test_successes_in_a_row_or_elapsed_time_reset_the_backoff(self) -> None:
         for _ in range(3):
             self.pause()
         for _ in range(SUCCESSES_TO_RESET):
             self.breakers.close(W0)
         self.assertFalse(self.breakers)
-        self.assertAlmostEqual(self.pause(), FIRST_PAUSE_S, delta=0.02)
+        self.assertAlmostEqual(self.pause(), FIRST_BACKOFF_S, delta=0.02)
         self.pause()
         self.after(BREAKER_RETENTION_S + 1.0)
-        self.assertAlmostEqual(self.pause(), FIRST_PAUSE_S, delta=0.02)
+        self.assertAlmostEqual(self.pause(), FIRST_BACKOFF_S, delta=0.02)
 
-    def test_one_success_between_failures_does_not_shorten_the_pause(self) -> None:
+    def test_one_success_between_failures_does_not_shorten_the_backoff(self) -> None:
         self.pause()
         self.breakers.close(W0)
-        self.assertAlmostEqual(self.pause(), 2 * FIRST_PAUSE_S, delta=0.02)
+        self.assertAlmostEqual(self.pause(), 2 * FIRST_BACKOFF_S, delta=0.02)
 
 
 if __name__ == "__main__":
--- a/wingwood/registry/tests/test_counts_when_owners_change.py
+++ b/wingwood/registry/tests/test_counts_when_owners_change.py
@@ -1,4 +1,4 @@
-"""Counts of turns must reach every router again after owners changed (docs/DESIGN.md section 10.4).
+"""ObservedLoadFigures of turns must reach every router again after owners changed (docs/DESIGN.md section 10.4).
 
 If an owner leaves and returns while a question to it is in flight, the answer continues a feed that was discarded. A
 follower that applied it would lack workers' numbers and drop their counts.
@@ -10,7 +10,7 @@
 
 from simulation import NetworkShape, World
 from wingwood.identifiers import PoolName, WorkerInstance
-from wingwood.registry.protocols import Engagement
+from wingwood.registry.protocols import ObservedLoad
 
 from .fleet import Fleet
 
@@ -21,8 +21,8 @@
 
 class CountsWhenOwnersChangeTest(unittest.TestCase):
     def count_one_turn_everywhere(self, fleet: Fleet, instance: WorkerInstance) -> None:
-        def counted(pool: PoolName) -> dict[WorkerInstance, Engagement]:
-            return {instance: Engagement(streams=1.0)}
+        def counted(pool: PoolName) -> dict[WorkerInstance, ObservedLoad]:
+            return {instance: ObservedLoad(streams=1.0)}
 
         for router in fleet.routers.values():
             router.registry.register_counter(counted)
@@ -30,7 +30,7 @@
     def assert_all_counted(self, fleet: Fleet, instance: WorkerInstance) -> None:
         expected = float(len(fleet.routers) - 1)
         counted_elsewhere = {
-            name: router.registry.engagement_of_others(instance).streams
+            name: router.registry.observed_load_of_others(instance).streams
             for name, router in sorted(fleet.routers.items())
         }
         self.assertEqual(counted_elsewhere, dict.fromkeys(counted_elsewhere, expected))
--- a/wingwood/registry/tests/test_drains_at_control.py
+++ b/wingwood/registry/tests/test_drains_at_control.py
@@ -12,9 +12,9 @@
 
 from simulation.world import World
 from wingwood.identifiers import WorkerInstance
-from wingwood.registry import announcement_handler
+from wingwood.registry import state_delivery
 from wingwood.registry.messages import ObservedState
-from wingwood.registry.worker_registry import WorkerRegistry
+from wingwood.registry.pool_ownership import PoolOwnership
 
 from .control_fleet import MODEL, ControlFleet
 from .drain_faults import FAULTS, DrainTimes, drain_times
@@ -48,7 +48,7 @@
                 self.assertLess(drain_times(fault, seed=5).acknowledged, 0.3)
 
     def test_broken_variant_that_acknowledges_with_a_single_owner_is_detected(self) -> None:
-        with mock.patch.object(announcement_handler._Delivery, "has_majority", lambda self: bool(self.receipts())):
+        with mock.patch.object(state_delivery.Delivery, "has_majority", lambda self: bool(self.receipts())):
             times = drain_times("contacted zone cut off 0.1 s before", seed=5)
         self.assertEqual([breach.split()[0] for breach in breaches(times)], ["used"])
 
@@ -74,7 +74,7 @@
             self.world.run(0.1)
             self.assertEqual({name: self.fleet.ready_at(name) for name in before}, before)
 
-    def test_single_silent_worker_is_excluded_and_returns(self) -> None:
+    def test_single_unrenewed_worker_is_excluded_and_returns(self) -> None:
         worker = self.fleet.workers["model-3"]
         worker.silent = True
         self.world.run(3.0)
@@ -88,7 +88,7 @@
         for name in self.fleet.routers():
             self.assertIn(worker.instance, self.fleet.ready_at(name))
 
-    def test_pool_of_only_silent_workers_stays_in_use(self) -> None:
+    def test_pool_of_only_unrenewed_workers_stays_in_use(self) -> None:
         silent = [worker for worker in self.fleet.workers.values() if worker.pool != MODEL]
         for worker in silent:
             worker.silent = True
@@ -115,7 +115,7 @@
         self.world.run(5.0)
         self.assertLess(max(worker.slowest for worker in self.fleet.workers.values()), 0.5)
 
-    def test_cut_off_daemon_redirects_its_workers_before_they_count_as_silent(self) -> None:
+    def test_isolated_daemon_redirects_its_workers_before_they_count_as_unrenewed(self) -> None:
         self.fleet.cut(["front-1"], self.fleet.fronts())
         for _ in range(100):
             self.world.run(0.1)
@@ -128,12 +128,15 @@
         worker.silent = True
         return worker.instance
 
+    def announce_departure(self, daemon: str, instance: WorkerInstance) -> int:
+        return self.fleet.inside(daemon, lambda registry: registry.announcements.accept_departure(instance))
+
     def routers_using(self, instance: WorkerInstance) -> list[str]:
         return [name for name in self.fleet.routers() if instance in self.fleet.ready_at(name)]
 
     def test_departure_by_instance_only_reaches_every_router(self) -> None:
         instance = self.silence("model-2")
-        self.assertEqual(self.fleet.inside("control-1", lambda registry: registry.accept_departure(instance)), 200)
+        self.assertEqual(self.announce_departure("control-1", instance), 200)
         self.world.run(0.05)
         self.assertEqual(self.routers_using(instance), [])
 
@@ -143,7 +146,7 @@
                 instance = self.silence(f"model-{int(10 * pause) % 9}")
                 self.world.restart("control-1")
                 self.world.run(pause)
-                status = self.fleet.inside("control-1", lambda registry: registry.accept_departure(instance))  # noqa: B023
+                status = self.announce_departure("control-1", instance)
                 if status == 200:
                     self.world.run(0.3)
                     self.assertEqual(self.routers_using(instance), [])
@@ -154,29 +157,29 @@
     def test_departure_of_an_unknown_worker_is_acknowledged(self) -> None:
         unknown = WorkerInstance("never-seen")
         began = self.world.now
-        self.assertEqual(self.fleet.inside("control-2", lambda registry: registry.accept_departure(unknown)), 200)
+        self.assertEqual(self.announce_departure("control-2", unknown), 200)
         self.assertLess(self.world.now - began, 0.5)
 
-    def test_cut_off_daemon_acknowledges_no_departure(self) -> None:
+    def test_isolated_daemon_acknowledges_no_departure(self) -> None:
         instance = self.silence("model-2")
         self.fleet.cut(["front-1"], self.fleet.fronts())
         for _ in range(16):
             began = self.world.now
             for gone in (instance, WorkerInstance("never-seen")):
-                self.assertEqual(self.fleet.inside("control-1", lambda registry: registry.accept_departure(gone)), 503)  # noqa: B023
+                self.assertEqual(self.announce_departure("control-1", gone), 503)
             self.assertLess(self.world.now - began, 1.0)
             self.world.run(1.0)
 
-    def test_broken_variant_where_a_cut_off_owner_trusts_itself_is_detected(self) -> None:
+    def test_broken_variant_where_a_partitioned_owner_trusts_itself_is_detected(self) -> None:
         """Zone b's owner is cut off from the other zones; its followers must learn of the drain nevertheless.
 
         The followers ignore states that are sent to them directly, so only feeds can inform them.
         """
-        self.assertEqual(self._followers_of_cut_off_owner_using_worker(), [])
-        with mock.patch.object(WorkerRegistry, "_owner_age", lambda self, pool: 0.0):
-            self.assertNotEqual(self._followers_of_cut_off_owner_using_worker(), [])
+        self.assertEqual(self._followers_of_partitioned_owner_using_worker(), [])
+        with mock.patch.object(PoolOwnership, "age", lambda self, pool: 0.0):
+            self.assertNotEqual(self._followers_of_partitioned_owner_using_worker(), [])
 
-    def _followers_of_cut_off_owner_using_worker(self) -> list[str]:
+    def _followers_of_partitioned_owner_using_worker(self) -> list[str]:
         with World(12) as world:
             fleet = ControlFleet(world)
             fleet.settle()
--- a/wingwood/registry/tests/test_outliers.py
+++ b/wingwood/registry/tests/test_outliers.py
@@ -6,7 +6,8 @@
 import unittest
 
 from wingwood.identifiers import Instant, WorkerInstance
-from wingwood.registry.outliers import FIRST_EJECTION_S, MAX_EJECTION_S, Outcomes, OutlierDetector
+from wingwood.registry.call_outcomes import Outcomes
+from wingwood.registry.outliers import FIRST_EJECTION_S, MAX_EJECTION_S, OutlierDetector
 
 WORKERS = [WorkerInstance(f"w{number}") for number in range(9)]
 STEP_S = 0.3
@@ -20,13 +21,13 @@
 
     def step(self, failing: dict[WorkerInstance, float], calls: float = 1.0, otherwise: float = 0.0) -> set[str]:
         """Runs one step with ``calls`` per second to each worker in use; returns who is ejected after it."""
-        out = self.detector.judge(WORKERS, self.now)
+        out = self.detector.evaluate(WORKERS, self.now)
         for worker in WORKERS:
             if worker not in out and self.random.random() < calls * STEP_S:
                 failed = int(self.random.random() < failing.get(worker, otherwise))
                 self.detector.record(worker, Outcomes(1 - failed, failed), self.now)
         self.now = Instant(self.now + STEP_S)
-        return set(self.detector.judge(WORKERS, self.now))
+        return set(self.detector.evaluate(WORKERS, self.now))
 
     def ejected_share(
         self, failing: dict[WorkerInstance, float], seconds: float, otherwise: float = 0.0
@@ -62,15 +63,15 @@
         most = max(len(self.step(failing)) for _ in range(300))
         self.assertLessEqual(most, 4)
 
-    def test_pauses_grow_up_to_a_limit(self) -> None:
+    def test_ejections_grow_up_to_a_limit(self) -> None:
         pauses = []
         for _ in range(6):
             self.detector.record(WORKERS[0], Outcomes(0, 6), self.now)
             for worker in WORKERS[1:]:
                 self.detector.record(worker, Outcomes(6, 0), self.now)
-            self.assertEqual(self.detector.judge(WORKERS, self.now), {WORKERS[0]})
+            self.assertEqual(self.detector.evaluate(WORKERS, self.now), {WORKERS[0]})
             started_at = self.now
-            while self.detector.judge(WORKERS, self.now):
+            while self.detector.evaluate(WORKERS, self.now):
                 self.now = Instant(self.now + 0.05)
             pauses.append(self.now - started_at)
         self.assertAlmostEqual(pauses[0], FIRST_EJECTION_S, delta=0.06)
@@ -79,7 +80,7 @@
 
     def test_only_worker_of_a_pool_is_never_ejected(self) -> None:
         self.detector.record(WORKERS[0], Outcomes(0, 50), self.now)
-        self.assertEqual(self.detector.judge(WORKERS[:1], self.now), frozenset())
+        self.assertEqual(self.detector.evaluate(WORKERS[:1], self.now), frozenset())
 
 
 if __name__ == "__main__":
--- a/wingwood/registry/tests/test_packed_entries.py
+++ b/wingwood/registry/tests/test_packed_entries.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from wingwood.identifiers import Address, PoolName, Seconds, WorkerInstance, Zone
-from wingwood.registry.messages import PoolAnswer, WorkerEntry
+from wingwood.registry.messages import PoolReply, WorkerEntry
 from wingwood.registry.packed_entries import PACK_ABOVE_ENTRIES, pack_entries, unpack_entries
 from wingwood.registry.protocols import Worker
 
 
-def answer_of(count: int) -> PoolAnswer:
+def answer_of(count: int) -> PoolReply:
     entries = tuple(
         WorkerEntry(
             Worker(
@@ -28,7 +28,7 @@
         )
         for number in range(count)
     )
-    return PoolAnswer(PoolName("model"), True, Seconds(0.2), 7, entries, 3, {}, None)
+    return PoolReply(PoolName("model"), True, Seconds(0.2), 7, entries, 3, {}, None)
 
 
 class PackedEntriesTest(unittest.TestCase):
--- a/wingwood/registry/tests/test_returning_owner.py
+++ b/wingwood/registry/tests/test_returning_owner.py
@@ -52,11 +52,11 @@
         )
         registry = self.fleet.routers[follower].registry
         received_pushes: list[FeedPush] = []
-        take = registry._handle_push
+        apply_push = registry._receiver._on_push
 
         def record_push(peer: Identity, push: FeedPush) -> None:
             received_pushes.append(push)
-            take(peer, push)
+            apply_push(peer, push)
 
         self.fleet.routers[follower].messenger.on_post(FeedPush, record_push)
         self.announce_for(2, owner)
@@ -65,5 +65,5 @@
         delayed = next(push for push in received_pushes if not all(entry.renewed for entry in push.entries))
         self.announce_for(2, owner)
         self.assertEqual(self.fleet.ready_at(follower), [self.worker.instance])
-        take(self.fleet.routers[owner].identity, delayed)
+        apply_push(self.fleet.routers[owner].identity, delayed)
         self.assertEqual(self.fleet.ready_at(follower), [self.worker.instance])
--- a/wingwood/registry/tests/test_trial_calls.py
+++ b/wingwood/registry/tests/test_trial_calls.py
@@ -15,7 +15,7 @@
 
 from simulation.world import World
 from wingwood.identifiers import Address, PoolName, Seconds, WorkerInstance, Zone
-from wingwood.registry.circuit_breakers import MAX_PAUSE_S, CircuitBreakers
+from wingwood.registry.circuit_breakers import MAX_BACKOFF_S, CircuitBreakers
 from wingwood.registry.protocols import Worker
 from wingwood.registry.worker_registry import WorkerRegistry
 
@@ -44,7 +44,7 @@
 
     def announce(self, worker: Worker, sequence: int = 0, at: str = "r0") -> int:
         registry = self.fleet.routers[at].registry
-        return int(self.fleet.inside(at, lambda: registry.accept_announcement(worker, sequence)).status)
+        return int(self.fleet.inside(at, lambda: registry.announcements.accept_announcement(worker, sequence)).status)
 
     def renew_workers(self, workers: list[Worker], seconds: float = 1.2) -> None:
         for worker in workers:
@@ -74,7 +74,7 @@
     def begin(self, number: int, router: str = "r1") -> bool:
         return bool(self.at(router, lambda registry: registry.begin(self.workers[number].instance)))
 
-    def test_suspected_worker_gets_one_call_at_a_time_after_a_pause_until_one_succeeds(self) -> None:
+    def test_suspected_worker_gets_one_call_at_a_time_after_a_backoff_until_one_succeeds(self) -> None:
         self.suspect(2)
         self.assertEqual(self.ready(), [0, 1, 3])
         self.assertEqual(self.ready("r2"), [0, 1, 2, 3])
@@ -89,7 +89,7 @@
 
     def test_no_health_check_is_sent(self) -> None:
         """This also holds while the feed is too old: a cut-off router continues to use the workers it knows."""
-        with mock.patch("wingwood.registry.worker_checks.ask_health") as asked:
+        with mock.patch("wingwood.registry.health_checks.ask_health") as asked:
             self.suspect(1)
             for name in self.fleet.routers:
                 if name != "r1":
@@ -124,7 +124,7 @@
         self.assertEqual(self.ready(), [1, 2, 3])
         self.assertFalse(self.begin(0))
 
-    def test_silent_worker_that_answers_calls_of_a_router_stays_ready_there(self) -> None:
+    def test_unrenewed_worker_that_answers_calls_of_a_router_stays_ready_there(self) -> None:
         for _ in range(5):
             self.renew_workers(self.workers[:3])
             self.at("r1", lambda registry: registry.succeeded(self.workers[3].instance))
@@ -162,15 +162,15 @@
             found = self.fleet.routers[name].registry.find(worker.instance)
             self.assertEqual(found and found.weights, 2, name)
 
-    def test_cold_time_counts_down_for_routers_that_learn_later_of_the_worker(self) -> None:
-        worker = msgspec.structs.replace(worker_of(7), cold_left=Seconds(10.0))
+    def test_slow_start_counts_down_for_routers_that_learn_later_of_the_worker(self) -> None:
+        worker = msgspec.structs.replace(worker_of(7), slow_start_remaining=Seconds(10.0))
         self.announce(worker, 1)
         self.world.run(4.0)
         self.world.restart("r5")
         self.at("r5", lambda registry: registry.watch(POOL))
         self.world.run(2.0)
         for name in ("r1", "r5"):
-            left = self.at(name, lambda registry: registry.cold_left(worker.instance))
+            left = self.at(name, lambda registry: registry.slow_start_remaining(worker.instance))
             self.assertAlmostEqual(left, 4.0, delta=0.7, msg=name)
 
     def test_new_instance_ends_another_pools_worker_at_its_address(self) -> None:
@@ -190,7 +190,7 @@
         for _ in range(3):
             self.assertEqual(self.ready(), [0, 2, 3])
             self.renew_workers(self.workers)
-        self.world.run(MAX_PAUSE_S)
+        self.world.run(MAX_BACKOFF_S)
         self.renew_workers(self.workers)
         self.assertEqual(self.ready(), [0, 1, 2, 3])
 
@@ -221,12 +221,12 @@
         for name in zone:
             self.assertEqual(self.ready(name), [0, 1, 2, 3], name)
 
-    def test_broken_variant_that_admits_every_call_after_the_pause_is_detected(self) -> None:
+    def test_broken_variant_that_admits_every_call_after_the_backoff_is_detected(self) -> None:
         with (
             mock.patch.object(CircuitBreakers, "begin", lambda *_: None),
             self.assertRaises(AssertionError),
         ):
-            self.test_suspected_worker_gets_one_call_at_a_time_after_a_pause_until_one_succeeds()
+            self.test_suspected_worker_gets_one_call_at_a_time_after_a_backoff_until_one_succeeds()
 
 
 if __name__ == "__main__":
--- a/wingwood/registry/tests/test_worker_registry.py
+++ b/wingwood/registry/tests/test_worker_registry.py
@@ -13,9 +13,9 @@
 
 from simulation.world import World
 from wingwood.identifiers import PoolName, WorkerInstance
-from wingwood.registry.feed_limits import FEED_INTERVAL_S
+from wingwood.registry.feed_timing import FEED_INTERVAL_S
 from wingwood.registry.messages import ObservedState, WorkerStateReport
-from wingwood.registry.protocols import Engagement
+from wingwood.registry.protocols import ObservedLoad
 from wingwood.registry.worker_announcements import read_announcement
 
 from .fleet import POOL, Fleet, Roster
@@ -148,7 +148,7 @@
         request = self.fleet.request(self.worker, state="draining")
 
         async def announce() -> None:
-            await registry.handle_announcement(request)
+            await registry.announcements.handle_announcement(request)
 
         self.world.spawn(self.world.processes[announced_to], announce(), "announce")
         self.world.run(0.15)
@@ -162,7 +162,7 @@
         """The other routers of the zone must learn of the drain although the owner never sent its push."""
         instance = self.announce_worker()
         owner = self.fleet.owner("b")
-        self.fleet.routers[owner].registry._push = lambda *_: None  # type: ignore[method-assign]
+        self.fleet.routers[owner].registry._feed_publisher.publish = lambda *_: None  # type: ignore[method-assign]
         reply = self.fleet.announce(self.worker, self.other_routers(owner)[0], state="draining")
         self.assertEqual(reply.status, 200)
         self.world.kill(owner)
@@ -171,7 +171,7 @@
         self.world.run(1.05)
         self.assertFalse(self.fleet.confirmed(other, instance))
 
-    def test_cut_off_router_asks_the_worker_itself(self) -> None:
+    def test_partitioned_router_asks_the_worker_itself(self) -> None:
         instance = self.announce_worker()
         owner = self.fleet.owner("b")
         follower = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
@@ -183,7 +183,7 @@
         self.world.run(0.5)
         self.assertFalse(self.fleet.confirmed(follower, instance))
 
-    def test_owner_without_proven_membership_proves_nothing_to_followers(self) -> None:
+    def test_owner_without_confirmed_membership_confirms_nothing_to_followers(self) -> None:
         """Such an owner may have been replaced and miss announcements without noticing."""
         self.announce_worker()
         owner = self.fleet.owner("b")
@@ -196,7 +196,7 @@
         self.assertGreater(self.fleet.feed_age(follower), 1.0)
         self.assertGreater(self.fleet.feed_age(owner), 1.0)
 
-    def test_owner_cut_off_from_other_zones_does_not_trust_itself_despite_its_membership(self) -> None:
+    def test_owner_partitioned_from_other_zones_does_not_trust_itself_despite_its_membership(self) -> None:
         """It may lack states that the other zones' owners have acknowledged as a majority."""
         instance = self.announce_worker()
         self.world.run(0.5)
@@ -212,7 +212,7 @@
         self.assertFalse(self.fleet.confirmed(owner, instance))
         self.assertGreater(self.fleet.feed_age(follower), 1.0, "a follower's knowledge is no newer than its owner's")
 
-    def test_follower_of_a_cut_off_owner_gets_updates_from_another_zones_owner(self) -> None:
+    def test_follower_of_a_partitioned_owner_gets_updates_from_another_zones_owner(self) -> None:
         instance = self.announce_worker()
         self.world.run(0.5)
         owner = self.fleet.owner("b")
@@ -279,7 +279,7 @@
         self.world.wake(owner)
         self.assertFalse(self.fleet.confirmed(owner, instance))
 
-    def test_new_owner_proves_nothing_before_the_other_zones_owners_have_answered(self) -> None:
+    def test_new_owner_confirms_nothing_before_the_other_zones_owners_have_replied(self) -> None:
         self.announce_worker()
         owner_a, owner = self.fleet.owner("a"), self.fleet.owner("b")
         follower = next(name for name in self.other_routers(owner) if self.fleet.routers[name].identity.zone == "b")
@@ -292,7 +292,7 @@
         self.world.run(2.0)
         self.assertLess(self.fleet.feed_age(follower), FEED_INTERVAL_S + 0.05)
 
-    def test_router_that_was_owner_while_cut_off_learns_of_renewals_in_between(self) -> None:
+    def test_router_that_was_owner_while_partitioned_learns_of_renewals_in_between(self) -> None:
         """Alone it considered itself the owner and marked the worker, whose renewals it could not receive."""
         instance = self.announce_worker()
         owner = self.fleet.owner("b")
@@ -338,16 +338,16 @@
         removed = [self.fleet.roster.identities[name] for name in ("r1", "r4", "r5")]
         for step, identity in enumerate(removed):
             for pool in pools[: 4 * step]:
-                registry.pool_owners(pool)
+                registry.pool_owners.by_zone(pool)
             self.fleet.roster.remove(identity.name)
         for step, identity in enumerate(removed):
             for pool in pools[8 - 4 * step :]:
-                registry.pool_owners(pool)
+                registry.pool_owners.by_zone(pool)
             self.fleet.roster.put(identity)
         late = Fleet(self.enterContext(World(9))).routers["r0"].registry
         for pool in pools:
-            names = {zone: owner.name for zone, owner in registry.pool_owners(pool).items()}
-            self.assertEqual(names, {zone: owner.name for zone, owner in late.pool_owners(pool).items()})
+            names = {zone: owner.name for zone, owner in registry.pool_owners.by_zone(pool).items()}
+            self.assertEqual(names, {zone: owner.name for zone, owner in late.pool_owners.by_zone(pool).items()})
 
     def test_restarted_owner_learns_final_states_from_its_followers(self) -> None:
         """Its new incarnation starts with empty tables, and in a single zone no other owner has the state."""
@@ -390,7 +390,7 @@
         messenger = self.fleet.routers["r0"].messenger
         self.fleet.inside(
             owner_a,
-            lambda: self.fleet.routers[owner_a].registry._handle_state_report(
+            lambda: self.fleet.routers[owner_a].registry._ownership._on_state_report(
                 messenger.identity, WorkerStateReport(drained)
             ),
         )
@@ -413,11 +413,11 @@
     def test_loads_and_running_turns_are_reported(self) -> None:
         instance = WorkerInstance(self.worker.instance)
 
-        def engaged(turns: float, pool: PoolName) -> dict[WorkerInstance, Engagement]:
-            return {instance: Engagement(turns, 2 * turns, 1000 * turns)}
+        def observed_loads(turns: float, pool: PoolName) -> dict[WorkerInstance, ObservedLoad]:
+            return {instance: ObservedLoad(turns, 2 * turns, 1000 * turns)}
 
         for number, name in enumerate(sorted(self.fleet.routers)):
-            count = partial(engaged, 1.0 + number)
+            count = partial(observed_loads, 1.0 + number)
             self.fleet.routers[name].registry.register_counter(count)
         self.announce_worker()
         self.fleet.announce(self.worker, load={"running": 5, "waiting": 2})
@@ -425,7 +425,9 @@
         for number, name in enumerate(sorted(self.fleet.routers)):
             registry = self.fleet.routers[name].registry
             others = 21.0 - (1.0 + number)
-            self.assertEqual(registry.engagement_of_others(instance), Engagement(others, 2 * others, 1000 * others))
+            self.assertEqual(
+                registry.observed_load_of_others(instance), ObservedLoad(others, 2 * others, 1000 * others)
+            )
             load = registry.ready(POOL)[0].load
             self.assertEqual(load and (load.running, load.waiting), (5, 2))
 
--- a/wingwood/registry/worker_announcements.py
+++ b/wingwood/registry/worker_announcements.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Sequence
 from typing import Literal
 
 import msgspec
@@ -24,7 +25,7 @@
 MAX_FIGURE = 10**12
 """Largest number accepted in an announcement."""
 MAX_HEALTH_BYTES = 16 * 1024
-"""Limit on the body of a health answer."""
+"""Limit on the body of a health reply."""
 
 
 class _LoadBody(msgspec.Struct):
@@ -48,8 +49,8 @@
     load: _LoadBody | None = None
 
 
-class HealthAnswer(msgspec.Struct, frozen=True):
-    """A worker's answer to its health check."""
+class HealthReply(msgspec.Struct, frozen=True):
+    """A worker's reply to its health check."""
 
     instance: WorkerInstance
     state: Literal["ready", "draining", "gone"] = "ready"
@@ -93,47 +94,60 @@
     routes = (AnnouncementRoute("POST", ANNOUNCE_PATH),)
 
     def read(self, request: OperatorRequest) -> Result[Announcement | Departure, str]:
+        """Returns the announcement; this format has no departures that name only the instance."""
         return read_announcement(request.body).map(Announcement)
 
     def malformed(self, problem: str) -> OperatorReply:
+        """Returns a 400; ``problem`` names the field."""
         return OperatorReply(status=400, body={"code": "malformed", "reason": problem})
 
     def acknowledged(self, worker: Worker) -> OperatorReply:
+        """Returns a 200."""
         return OperatorReply(body={"code": "taken", "instance": worker.instance, "state": worker.state})
 
     def departure_acknowledged(self, instance: WorkerInstance) -> OperatorReply:
+        """Returns a 200."""
         return OperatorReply(body={"code": "taken", "instance": instance, "state": "gone"})
 
-    def instance_over(self, worker: Worker) -> OperatorReply:
+    def instance_ended(self, worker: Worker) -> OperatorReply:
         """Returns a 409: a worker that starts again needs a new instance id."""
         body: dict[str, object] = {"code": "instance-over", "instance": worker.instance, "state": worker.state}
         return OperatorReply(status=409, body=body)
 
     def try_another_daemon(self, reason: str) -> OperatorReply:
+        """Returns a 503; the worker should announce to another daemon."""
         return OperatorReply(status=503, body={"code": "tell-another", "reason": reason})
 
 
-def worker_list_reply(workers: list[tuple[Worker, bool, bool]]) -> OperatorReply:
-    """Returns the list of workers; each comes with whether it is renewed and whether it is suspected here."""
-    listed: list[object] = [
+class ListedWorker(msgspec.Struct, frozen=True):
+    """A worker of the list for operators, with what this daemon thinks of it."""
+
+    worker: Worker
+    renewed: bool
+    suspected: bool
+
+
+def worker_list_reply(workers: Sequence[ListedWorker]) -> OperatorReply:
+    """Returns the list of workers for operators."""
+    entries: list[object] = [
         {
-            "instance": worker.instance,
-            "address": str(worker.address),
-            "pool": worker.pool,
-            "zone": worker.zone,
-            "slots": worker.slots,
-            "cache_tokens": worker.cache_tokens,
-            "state": worker.state,
-            "renewed": renewed,
-            "suspected": suspected,
-            "load": None if worker.load is None else msgspec.to_builtins(worker.load),
+            "instance": listed.worker.instance,
+            "address": str(listed.worker.address),
+            "pool": listed.worker.pool,
+            "zone": listed.worker.zone,
+            "slots": listed.worker.slots,
+            "cache_tokens": listed.worker.cache_tokens,
+            "state": listed.worker.state,
+            "renewed": listed.renewed,
+            "suspected": listed.suspected,
+            "load": None if listed.worker.load is None else msgspec.to_builtins(listed.worker.load),
         }
-        for worker, renewed, suspected in workers
+        for listed in workers
     ]
-    return OperatorReply(body={"workers": listed})
+    return OperatorReply(body={"workers": entries})
 
 
-async def ask_health(http: HttpClient, address: Address, timeout: Seconds) -> HealthAnswer | None:
+async def ask_health(http: HttpClient, address: Address, timeout: Seconds) -> HealthReply | None:
     """Asks the worker for its health; returns None if it does not answer properly within the timeout."""
     exchange = http.start(HttpRequest("GET", address, HEALTH_PATH, connect_timeout=timeout))
     try:
@@ -148,7 +162,7 @@
                     return None
                 data = chunk.unwrap()
                 if data is None:
-                    return msgspec.json.decode(body, type=HealthAnswer)
+                    return msgspec.json.decode(body, type=HealthReply)
                 body += data
             return None
     except (TimeoutError, msgspec.MsgspecError, RecursionError):
--- a/wingwood/registry/worker_directory.py
+++ b/wingwood/registry/worker_directory.py
@@ -6,16 +6,17 @@
 
 from ..context.protocols import Context
 from ..identifiers import Instant, PoolName, Seconds, WorkerInstance
-from .feed_limits import engagement_max_age_s, load_interval_s
+from .feed_timing import load_interval_s, observed_load_max_age_s
 from .messages import WorkerEntry
 from .pool_table import PoolTable, WorkerRecord
 from .protocols import Worker
 
 
 class WorkerDirectory:
-    """Tables of all pools. ``on_new_pool`` is called when a pool is requested for the first time."""
+    """Owns the tables of all pools, and the listeners to changes of their workers."""
 
     def __init__(self, context: Context, on_new_pool: Callable[[PoolName], None]) -> None:
+        """``on_new_pool`` is called when a pool is requested for the first time."""
         self._context = context
         self._on_new_pool = on_new_pool
         self._tables: dict[PoolName, PoolTable] = {}
@@ -25,9 +26,11 @@
     # --- pools --------------------------------------------------------------------------------
 
     def pools(self) -> list[PoolName]:
+        """Returns the names of all known pools, sorted."""
         return sorted(self._tables)
 
     def tables(self) -> list[PoolTable]:
+        """Returns the tables of all known pools, sorted by name."""
         return [table for _, table in sorted(self._tables.items())]
 
     def table(self, pool: PoolName) -> PoolTable:
@@ -39,12 +42,12 @@
         return table
 
     def load_interval_s(self, pool: PoolName) -> float:
-        """Returns the seconds between two questions for the loads of this pool."""
+        """Returns the seconds between two requests for the loads of this pool."""
         return load_interval_s(len(self._tables[pool].records))
 
-    def engagement_max_age_s(self, pool: PoolName) -> float:
-        """Returns for how many seconds reported counts of this pool are used."""
-        return engagement_max_age_s(len(self._tables[pool].records))
+    def observed_load_max_age_s(self, pool: PoolName) -> float:
+        """Returns for how many seconds observed loads of this pool are used."""
+        return observed_load_max_age_s(len(self._tables[pool].records))
 
     # --- workers ------------------------------------------------------------------------------
 
@@ -57,16 +60,24 @@
         return self._pool_of.get(instance)
 
     def record(self, instance: WorkerInstance) -> WorkerRecord | None:
+        """Returns the worker's record; None if it is unknown here."""
         pool = self._pool_of.get(instance)
         return None if pool is None else self._tables[pool].records.get(instance)
 
     def find(self, instance: WorkerInstance) -> Worker | None:
+        """Returns the worker, in whatever state; None if it is unknown here."""
         record = self.record(instance)
         return None if record is None else record.worker
 
-    def cold_left(self, instance: WorkerInstance) -> Seconds:
+    def is_renewed(self, instance: WorkerInstance) -> bool:
+        """Whether the worker is known here and counts as renewed."""
+        record = self.record(instance)
+        return record is not None and record.renewed
+
+    def slow_start_remaining(self, instance: WorkerInstance) -> Seconds:
+        """Returns for how much longer the worker runs slower after its start; 0 if it is unknown."""
         pool = self._pool_of.get(instance)
-        return Seconds(0.0) if pool is None else self._tables[pool].cold_left(instance, self._now())
+        return Seconds(0.0) if pool is None else self._tables[pool].slow_start_remaining(instance, self._now())
 
     def merge(self, entry: WorkerEntry, trust_renewal: bool) -> bool:
         """Merges an entry of another daemon like ``PoolTable.merge``; logs a change and notifies the listeners."""
@@ -82,16 +93,17 @@
         now = self._now()
         for table in self.tables():
             table.evict_old(now)
-        forgotten = [
+        evicted = [
             instance for instance, pool in sorted(self._pool_of.items()) if instance not in self._tables[pool].records
         ]
-        for instance in forgotten:
+        for instance in evicted:
             del self._pool_of[instance]
-        return forgotten
+        return evicted
 
     # --- changes ------------------------------------------------------------------------------
 
     def on_change(self, callback: Callable[[Worker], None]) -> None:
+        """Registers a callback that is called with each worker whose state or load changed."""
         self._listeners.append(callback)
 
     def notify(self, workers: Sequence[Worker]) -> None:
