--- a/wingwood/registry/ejections.py
+++ b/wingwood/registry/ejections.py
@@ -55,7 +55,7 @@
         for instance in sorted(instances ^ (before.instances if before is not None else frozenset())):
             worker = self._directory.find(instance)
             if worker is not None:
-                self._context.log.event("worker-ejected", worker=instance, out=instance in instances)
+                self._context.log.event("worker-ejection-changed", worker=instance, ejected=instance in instances)
                 self._directory.notify([worker])
 
     def record(self, pool: PoolName, outcomes: Mapping[WorkerInstance, Outcomes]) -> None:
--- a/wingwood/registry/health_checks.py
+++ b/wingwood/registry/health_checks.py
@@ -183,7 +183,7 @@
             ):
                 suspicion.excluded = False
                 suspicion.last_at = self._now()
-                self._context.log.event("worker-trusted-again", worker=worker.instance)
+                self._context.log.event("worker-recovered", worker=worker.instance)
                 self._directory.notify([current])
                 return
             backoff = min(MAX_RECHECK_INTERVAL_S, max(backoff, FIRST_BACKOFF_S) * RECHECK_BACKOFF_FACTOR)
--- a/wingwood/registry/trial_calls.py
+++ b/wingwood/registry/trial_calls.py
@@ -73,7 +73,7 @@
         self._succeeded_at[instance] = self._now()
         self._outcomes.add(instance, Outcomes(succeeded=1))
         if self._breakers.close(instance):
-            self._context.log.event("worker-trusted-again", worker=instance)
+            self._context.log.event("worker-recovered", worker=instance)
             worker = self._directory.find(instance)
             if worker is not None:
                 self._directory.notify([worker])
--- a/wingwood/registry/worker_directory.py
+++ b/wingwood/registry/worker_directory.py
@@ -119,7 +119,7 @@
             if record.renewed or worker.instance not in self._pool_of:
                 self._pool_of[worker.instance] = worker.pool
             self._context.log.event(
-                "worker-state",
+                "worker-state-changed",
                 worker=worker.instance,
                 address=worker.address,
                 pool=worker.pool,
