--- a/bench/fleet_growth.py
+++ b/bench/fleet_growth.py
@@ -64,7 +64,7 @@
 def traffic_counters(messengers: dict[str, TcpMessenger]) -> dict[str, tuple[int, int]]:
     """Returns for each daemon the bytes received and sent, and the messages sent, so far."""
     return {
-        name: (messenger.bytes_in + messenger.bytes_out, messenger.messages_out)
+        name: (messenger.traffic.bytes_in + messenger.traffic.bytes_out, messenger.traffic.messages_out)
         for name, messenger in messengers.items()
     }
 
--- a/bench/hollow_daemons.py
+++ b/bench/hollow_daemons.py
@@ -123,7 +123,7 @@
         "at": time.monotonic(),
         "processor": usage.ru_utime + usage.ru_stime,
         "memory": pages * resource.getpagesize(),
-        "messenger_bytes": sum(messenger.bytes_in + messenger.bytes_out for messenger in messengers),
+        "messenger_bytes": sum(messenger.traffic.bytes_in + messenger.traffic.bytes_out for messenger in messengers),
         "wire_bytes": wire_bytes + SEGMENT_HEADER_BYTES * wire_segments,
     }
 
--- a/bench/limits_bench.py
+++ b/bench/limits_bench.py
@@ -224,12 +224,12 @@
             await asyncio.sleep(0.01)
 
     async def timed(name: str, count: int, work: Callable[[int], Awaitable[object]]) -> None:
-        before = sum(messenger.bytes_in + messenger.bytes_out for messenger in messengers)
+        before = sum(messenger.traffic.bytes_in + messenger.traffic.bytes_out for messenger in messengers)
         started_at = time.process_time()
         for number in range(count):
             await work(number)
         cpu_seconds = time.process_time() - started_at
-        bytes_moved = sum(messenger.bytes_in + messenger.bytes_out for messenger in messengers) - before
+        bytes_moved = sum(messenger.traffic.bytes_in + messenger.traffic.bytes_out for messenger in messengers) - before
         click.echo(
             f"{name:44} {cpu_seconds / count * 1e6:8.1f} µs  {bytes_moved / count:7.1f} bytes counted by the messengers"
         )
--- a/bench/placement_parts.py
+++ b/bench/placement_parts.py
@@ -31,8 +31,8 @@
 from wingwood.placement.protocols import Placement
 from wingwood.placement.session_map import Entry, Unreachable
 from wingwood.registry.protocols import ObservedLoad, Worker
+from wingwood.transport.errors import TransportFailure
 from wingwood.transport.frames import Identity
-from wingwood.transport.messenger import TransportFault
 
 POOL = PoolName("model")
 ZONES = (Zone("a"), Zone("b"), Zone("c"))
@@ -93,7 +93,7 @@
         self._count(message)
         if address in self._network.unreachable:
             await asyncio.sleep(timeout)
-            return Failure(TransportFault("timeout", True))
+            return Failure(TransportFailure("timeout", True))
         await asyncio.sleep(self._network.delay)
         reply = await self._network.messengers[address]._calls[type(message)](self.identity, message)
         self._count(reply)
--- a/wingwood/control/tests/test_client.py
+++ b/wingwood/control/tests/test_client.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from ...identifiers import Address, Epoch, Seconds
-from ...transport.messenger import TransportFault
+from ...transport.errors import TransportFailure
 from ..messages import ControlLeader, ControlLeaderQuery
 from ..protocols import NotDecided
 from .control_world import ControlWorld, Put, PutOutcome
@@ -75,10 +75,12 @@
         client, seed = self.control.clients["operator"], self.control.seeds[0]
         sent = [True]
 
-        async def call(address: Address, message: msgspec.Struct, *_: object) -> Result[msgspec.Struct, TransportFault]:
+        async def call(
+            address: Address, message: msgspec.Struct, *_: object
+        ) -> Result[msgspec.Struct, TransportFailure]:
             if isinstance(message, ControlLeaderQuery):
                 return Success(ControlLeader(seed, (), Epoch(1)))
-            return Failure(TransportFault("unreachable", sent.pop() if sent else False))
+            return Failure(TransportFailure("unreachable", sent.pop() if sent else False))
 
         client._messenger.call = call  # type: ignore[method-assign, assignment]
         self.assertEqual(self.decide(1).failure().kind, "unknown")
--- a/wingwood/distribution/tests/test_distribution.py
+++ b/wingwood/distribution/tests/test_distribution.py
@@ -309,7 +309,7 @@
                 links = fleet.routers["r02"].messenger._links
                 coordinator = fleet.routers["r02"].client.coordinator()
                 assert coordinator is not None
-                self.assertTrue(world.wait_for(lambda: bool(links[coordinator].waiting), 2.0, every=0.01))
+                self.assertTrue(world.wait_for(lambda: bool(links[coordinator].pending_calls), 2.0, every=0.01))
                 world.freeze("r02")
                 world.run(0.3)
                 world.cut_off("r02")
--- a/wingwood/limits/router_probes.py
+++ b/wingwood/limits/router_probes.py
@@ -10,8 +10,9 @@
 
 from ..context.protocols import Context
 from ..identifiers import Incarnation, Instant, Seconds, TenantName
+from ..transport.errors import TransportFailure
 from ..transport.frames import Identity
-from ..transport.messenger import Messenger, TransportFault
+from ..transport.messenger import Messenger
 from .allocator_selector import AllocatorSelector
 from .messages import MembershipReply, MembershipRequest, ReachabilityReply, ReachabilityRequest
 from .share_account import AUTONOMY_S
@@ -55,7 +56,7 @@
     def has_ended(self, router: Identity) -> bool:
         return router.incarnation in self._ended
 
-    def check_ended(self, router: Identity, outcome: Result[Any, TransportFault]) -> None:
+    def check_ended(self, router: Identity, outcome: Result[Any, TransportFailure]) -> None:
         """Starts to confirm that a router has ended if ``outcome`` is a refused connection.
 
         Either the machine no longer runs the process, or a network partition resets connections to it.
--- a/wingwood/limits/share_client.py
+++ b/wingwood/limits/share_client.py
@@ -11,8 +11,9 @@
 from ..bundle.model import Tenant
 from ..context.protocols import Context
 from ..identifiers import Instant, Seconds, TenantName
+from ..transport.errors import TransportFailure
 from ..transport.frames import Identity
-from ..transport.messenger import Messenger, TransportFault
+from ..transport.messenger import Messenger
 from .allocator_selector import AllocatorSelector
 from .messages import LeaseGrant, LeaseRequest, UsageReport, UsageRequest
 from .protocols import ShareRefused
@@ -241,7 +242,7 @@
             share.unsettled += sent.request.used
         self._resolve_waiters(sent, grant, now)
 
-    def _handle_late_grant(self, sent: SentRequest, call: asyncio.Task[Result[LeaseGrant, TransportFault]]) -> None:
+    def _handle_late_grant(self, sent: SentRequest, call: asyncio.Task[Result[LeaseGrant, TransportFailure]]) -> None:
         if call.cancelled() or not isinstance(outcome := call.result(), Success):
             return
         grant: LeaseGrant = outcome.unwrap()
--- a/wingwood/limits/tests/token_quota.py
+++ b/wingwood/limits/tests/token_quota.py
@@ -13,7 +13,7 @@
 from wingwood.bundle.model import Tenant
 from wingwood.identifiers import Address, ClassName, Seconds, TenantName
 from wingwood.limits.tolerance import QuotaTolerance
-from wingwood.transport.messenger import TransportFault
+from wingwood.transport.errors import TransportFailure
 
 from .share_fleet import Load, ShareFleet
 
@@ -230,7 +230,7 @@
 
         async def call(to: Address, *asked: Any, usual: Any = usual) -> Any:
             if to == address and world.now < until:
-                return Failure(TransportFault("unreachable", False, "refused by a cut"))
+                return Failure(TransportFailure("unreachable", False, "refused by a cut"))
             return await usual(to, *asked)
 
         messenger.call = call
--- a/wingwood/membership/peer_polling.py
+++ b/wingwood/membership/peer_polling.py
@@ -8,7 +8,8 @@
 
 from ..context.protocols import Context
 from ..identifiers import Address, Incarnation, Instant, Seconds
-from ..transport.messenger import Messenger, TransportFault
+from ..transport.errors import TransportFailure
+from ..transport.messenger import Messenger
 from .coordinator_peer import CoordinatorPeer
 from .coordinator_state import CoordinatorState, checksum
 from .limits import SessionTimes
@@ -90,7 +91,7 @@
         for relayed in report.relayed:
             self._apply_relayed(relayed, asked_at)
 
-    def _handle_no_answer(self, peer: CoordinatorPeer, fault: TransportFault, asked_at: Instant) -> Seconds | None:
+    def _handle_no_answer(self, peer: CoordinatorPeer, fault: TransportFailure, asked_at: Instant) -> Seconds | None:
         """Returns the pause until the next request, or None if the peer was forgotten.
 
         Seeds that are not coordinators are forgotten, as are other peers that have been silent for very long.
--- a/wingwood/tests/outer_names.py
+++ b/wingwood/tests/outer_names.py
@@ -178,7 +178,7 @@
     "transport Identity": "wingwood.transport.frames:Identity",
     "transport Hello": "wingwood.transport.frames:Hello",
     "transport Envelope": "wingwood.transport.frames:Envelope",
-    "transport fault": "wingwood.transport.messenger:TransportFault",
+    "transport fault": "wingwood.transport.errors:TransportFailure",
     "placement choice": "wingwood.placement.protocols:Choice",
     "placement none": "wingwood.placement.protocols:NoWorker",
     "network address": "wingwood.identifiers:Address",
--- a/wingwood/transport/tests/test_fuzzed_frames.py
+++ b/wingwood/transport/tests/test_fuzzed_frames.py
@@ -9,7 +9,7 @@
 import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tornado.iostream import BaseIOStream
+from tornado.iostream import BaseIOStream, StreamClosedError
 
 from simulation import World
 from wingwood.context.protocols import Context
@@ -19,18 +19,17 @@
     Envelope,
     Hello,
     Identity,
-    StreamClosedError,
-    compute_proof,
-    frame,
+    encode_frame,
     read_frame,
 )
+from wingwood.transport.handshake import compute_proof
 from wingwood.transport.messenger import TcpMessenger
 
 from .test_messenger import KEY, Answer, Peers, Question
 
-STRANGER = Identity(DaemonName("stranger"), Incarnation("1"), "router", Zone("a"), Address("10.0.0.9", 1))
+UNKNOWN_PEER = Identity(DaemonName("unknown"), Incarnation("1"), "router", Zone("a"), Address("10.0.0.9", 1))
 NONCE = b"n" * 16
-HELLO = msgspec.msgpack.encode(Hello(PROTOCOL_VERSION, STRANGER, NONCE, b""))
+HELLO = msgspec.msgpack.encode(Hello(PROTOCOL_VERSION, UNKNOWN_PEER, NONCE, b""))
 """A well-formed first hello; whatever follows it fails the proof."""
 
 odd_values = st.recursive(
@@ -53,7 +52,7 @@
     st.one_of(questions, packed),
 )
 payloads = st.one_of(envelopes, envelopes, packed, st.binary(max_size=12))
-complete_frames = st.lists(payloads.map(frame), max_size=5).map(b"".join)
+complete_frames = st.lists(payloads.map(encode_frame), max_size=5).map(b"".join)
 sent_data = st.one_of(
     complete_frames,
     st.tuples(complete_frames, st.binary(max_size=12)).map(b"".join),
@@ -92,15 +91,15 @@
                 pass
             closed.append(True)
 
-        self.world.start("stranger", run)
+        self.world.start("unknown", run)
         self.world.run(4.0)
         return list(self.peers.posts), sorted(self.peers.answered), bool(closed)
 
     async def _authenticate(self, stream: BaseIOStream) -> None:
-        await stream.write(frame(HELLO))
+        await stream.write(encode_frame(HELLO))
         answer = msgspec.msgpack.decode(await read_frame(stream, 4096), type=Hello)
-        proof = compute_proof(KEY, STRANGER, NONCE, answer.nonce)
-        await stream.write(frame(msgspec.msgpack.encode(Hello(PROTOCOL_VERSION, STRANGER, NONCE, proof))))
+        proof = compute_proof(KEY, UNKNOWN_PEER, NONCE, answer.nonce)
+        await stream.write(encode_frame(msgspec.msgpack.encode(Hello(PROTOCOL_VERSION, UNKNOWN_PEER, NONCE, proof))))
 
     def still_answers(self) -> bool:
         return self.peers.ask(Question(1000)).value_or(None) == Answer(1000)
@@ -127,7 +126,7 @@
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(
-        st.one_of(sent_data, st.binary(max_size=40), st.tuples(st.just(frame(HELLO)), sent_data).map(b"".join)),
+        st.one_of(sent_data, st.binary(max_size=40), st.tuples(st.just(encode_frame(HELLO)), sent_data).map(b"".join)),
         split_positions,
     )
     def test_unauthenticated_peers_reach_no_handler(self, data: bytes, positions: list[int]) -> None:
@@ -141,7 +140,7 @@
         def trusting(self: TcpMessenger, peer: Identity, envelope: Envelope) -> None:
             self._post_handlers[envelope.name]
 
-        unknown = frame(msgspec.msgpack.encode(Envelope("post", 1, "Nothing", msgspec.Raw(b"\xc0"))))
+        unknown = encode_frame(msgspec.msgpack.encode(Envelope("post", 1, "Nothing", msgspec.Raw(b"\xc0"))))
         self.exchange_result(unknown, [], knows_key=True)
         with mock.patch.object(TcpMessenger, "_handle_post", trusting), self.assertRaises(AssertionError):
             self.exchange_result(unknown, [], knows_key=True)
--- a/wingwood/transport/tests/test_messenger.py
+++ b/wingwood/transport/tests/test_messenger.py
@@ -7,12 +7,15 @@
 
 import msgspec
 from returns.result import Failure, Result, Success
+from tornado.iostream import StreamClosedError
 
 from simulation import World, address_of
 from wingwood.context.protocols import Context
 from wingwood.identifiers import Address, DaemonName, Incarnation, Seconds, Zone
-from wingwood.transport.frames import Identity, StreamClosedError
-from wingwood.transport.messenger import TcpMessenger, TransportFault, TransportLimits
+from wingwood.transport.errors import TransportFailure
+from wingwood.transport.frames import Identity
+from wingwood.transport.messenger import TcpMessenger
+from wingwood.transport.transport_options import TransportOptions
 
 KEY = b"the fleet's own"
 PORT = 7000
@@ -37,7 +40,7 @@
     """Two daemons, ``near`` and ``far``; ``far`` answers questions and records posts."""
 
     def __init__(
-        self, seed: int = 1, far_key: bytes = KEY, limits: TransportLimits | None = None, answer_bytes: int = 0
+        self, seed: int = 1, far_key: bytes = KEY, options: TransportOptions | None = None, answer_bytes: int = 0
     ) -> None:
         """``answer_bytes`` is the size of the filler in the answer to question 2."""
         self.answer_bytes = answer_bytes
@@ -45,17 +48,17 @@
         self.posts: list[int] = []
         self.answered: list[int] = []
         self.messengers: dict[str, TcpMessenger] = {}
-        self.far = self._start("far", far_key, limits)
-        self.near = self._start("near", KEY, limits)
+        self.far = self._start("far", far_key, options)
+        self.near = self._start("near", KEY, options)
         self.world.run(0.01)
 
-    def _start(self, name: str, key: bytes, limits: TransportLimits | None) -> Address:
+    def _start(self, name: str, key: bytes, options: TransportOptions | None) -> Address:
         machine = self.world.machine(name)
         address = address_of(machine, PORT)
         identity = Identity(DaemonName(name), Incarnation("1"), "router", Zone("a"), address)
 
         async def main(context: Context) -> None:
-            messenger = self.messengers[name] = TcpMessenger(context, identity, key, limits)
+            messenger = self.messengers[name] = TcpMessenger(context, identity, key, options)
             messenger.on_call(Question, self._answer)
             messenger.on_post(Question, lambda _, question: self.posts.append(question.number))
             assert isinstance(messenger.start(), Success)
@@ -70,9 +73,9 @@
 
     def ask(
         self, question: msgspec.Struct, timeout: float = 1.0, within: float = 30.0
-    ) -> Result[Answer, TransportFault]:
+    ) -> Result[Answer, TransportFailure]:
         """Calls ``far`` from within the process ``near`` and returns the outcome."""
-        outcomes: list[Result[Answer, TransportFault]] = []
+        outcomes: list[Result[Answer, TransportFailure]] = []
 
         async def call() -> None:
             outcomes.append(await self.messengers["near"].call(self.far, question, Answer, Seconds(timeout)))
@@ -115,7 +118,7 @@
     def test_unknown_message_is_rejected(self) -> None:
         """A call without a handler must fail at once instead of running into its timeout."""
         outcome = self.peers().ask(Unknown())
-        self.assertEqual(outcome, Failure(TransportFault("rejected", True, "no handler for Unknown")))
+        self.assertEqual(outcome, Failure(TransportFailure("rejected", True, "no handler for Unknown")))
 
     def test_unreachable_peer_is_reported_as_not_sent(self) -> None:
         """If no process listens at the address, the fault must say that the call was not sent."""
@@ -173,14 +176,14 @@
 
 
 class SlowLinks(unittest.TestCase):
-    """Transfers of a frame that takes longer than the silence timeout, while other calls behind it time out."""
+    """Transfers of a frame that takes longer than the unresponsive timeout, while other calls behind it time out."""
 
-    def outcomes(self, large: Question, answer_bytes: int) -> list[Result[Answer, TransportFault]]:
+    def outcomes(self, large: Question, answer_bytes: int) -> list[Result[Answer, TransportFailure]]:
         peers = Peers(answer_bytes=answer_bytes)
         self.addCleanup(peers.world.close)
         peers.ask(Question(1))
         peers.world.network.bandwidth["near"] = 200_000.0
-        outcomes: list[Result[Answer, TransportFault]] = []
+        outcomes: list[Result[Answer, TransportFailure]] = []
         near = peers.world.processes["near"]
 
         async def call_large() -> None:
@@ -196,12 +199,12 @@
         peers.world.run(20.0)
         return outcomes
 
-    def test_large_call_does_not_count_as_silence(self) -> None:
-        """A link that is sending a large call must not be closed as silent."""
+    def test_peer_that_receives_a_large_call_is_not_unresponsive(self) -> None:
+        """A link that is sending a large call must not be closed as unresponsive."""
         self.assertEqual(self.outcomes(Question(2, filler=b"x" * 1_500_000), 0), [Success(Answer(2))])
 
-    def test_large_answer_does_not_count_as_silence(self) -> None:
-        """A link that is receiving a large answer must not be closed as silent."""
+    def test_peer_that_sends_a_large_answer_is_not_unresponsive(self) -> None:
+        """A link that is receiving a large answer must not be closed as unresponsive."""
         outcomes = self.outcomes(Question(2), 1_500_000)
         self.assertEqual(outcomes, [Success(Answer(2, b"x" * 1_500_000))])
 
@@ -265,7 +268,7 @@
             except StreamClosedError:
                 closed.append("closed")
 
-        peers.world.start("stranger", main)
+        peers.world.start("unknown", main)
         peers.world.run(5)
         return closed
 
@@ -290,7 +293,7 @@
 
     def test_frame_above_the_limit_closes_the_link_and_smaller_ones_pass_again(self) -> None:
         """A frame above the size limit must close the connection, and the link must work again for smaller frames."""
-        peers = Peers(limits=TransportLimits(max_frame_bytes=10_000))
+        peers = Peers(options=TransportOptions(max_frame_bytes=10_000))
         self.addCleanup(peers.world.close)
         self.assertEqual(peers.ask(Question(1, filler=bytes(9_000))), Success(Answer(1)))
         self.assertEqual(peers.ask(Question(2, filler=bytes(20_000))).failure().kind, "closed")
