--- a/bench/capacity/common.py
+++ b/bench/capacity/common.py
@@ -26,7 +26,7 @@
     """A log that prints broken invariants and refused peers to stderr and drops every other event."""
 
     def event(self, name: str, **fields: object) -> None:
-        if name in ("invariant-broken", "peer-refused"):
+        if name in ("invariant-broken", "peer-rejected"):
             print(name, fields, file=sys.stderr, flush=True)
 
 
--- a/bench/hollow_daemons.py
+++ b/bench/hollow_daemons.py
@@ -75,7 +75,7 @@
 
 class ErrorLog:
     def event(self, name: str, **fields: object) -> None:
-        if name in ("invariant-broken", "bundle-rejected", "peer-refused"):
+        if name in ("invariant-broken", "bundle-rejected", "peer-rejected"):
             print(name, fields, file=sys.stderr, flush=True)
 
 
--- a/wingwood/transport/messenger.py
+++ b/wingwood/transport/messenger.py
@@ -179,9 +179,11 @@
         except StreamClosedError:
             pass
         except HandshakeRejectedError as rejected:
-            self._context.log.event("stranger-dropped", address=address, detail=str(rejected))
+            self._context.log.event("unknown-peer-dropped", address=address, detail=str(rejected))
         except (TransportError, msgspec.MsgspecError, TimeoutError) as problem:
-            self._context.log.event("stranger-dropped", address=address, detail=f"{failure_name(problem)}: {problem}")
+            self._context.log.event(
+                "unknown-peer-dropped", address=address, detail=f"{failure_name(problem)}: {problem}"
+            )
         finally:
             self._incoming.discard(stream)
             stream.close()
--- a/wingwood/transport/peer_link.py
+++ b/wingwood/transport/peer_link.py
@@ -198,7 +198,7 @@
             async with asyncio.timeout(timeout):
                 await connect_handshake(stream, self._identity, self._key, nonce)
         except HandshakeRejectedError as rejected:
-            self._context.log.event("peer-refused", address=self._address, reason=str(rejected))
+            self._context.log.event("peer-rejected", address=self._address, reason=str(rejected))
             self.last_problem = str(rejected)
         except (StreamClosedError, TransportError, TimeoutError, msgspec.MsgspecError) as problem:
             self.last_problem = f"hello failed: {failure_name(problem)}"
--- a/wingwood/transport/tests/test_messenger.py
+++ b/wingwood/transport/tests/test_messenger.py
@@ -277,7 +277,7 @@
         for data in (b"GET / HTTP/1.1\r\n\r\n", b"\x00\x00\x00\x04spam", b"\xff\xff\xff\xff", b"", b"\x00\x00"):
             peers = Peers()
             self.assertEqual(self.send_raw(peers, data), ["closed"], data)
-            self.assertEqual(peers.events("stranger-dropped"), 1, data)
+            self.assertEqual(peers.events("unknown-peer-dropped"), 1, data)
             self.assertEqual(peers.ask(Question(1)), Success(Answer(1)))
             self.assertEqual(peers.world.broken_invariants, [])
             peers.world.close()
@@ -289,7 +289,7 @@
         fault = peers.ask(Question(1)).failure()
         self.assertEqual((fault.kind, fault.sent), ("unreachable", False))
         self.assertEqual(peers.answered, [])
-        self.assertEqual(peers.events("peer-refused"), 1)
+        self.assertEqual(peers.events("peer-rejected"), 1)
 
     def test_frame_above_the_limit_closes_the_link_and_smaller_ones_pass_again(self) -> None:
         """A frame above the size limit must close the connection, and the link must work again for smaller frames."""
@@ -297,6 +297,6 @@
         self.addCleanup(peers.world.close)
         self.assertEqual(peers.ask(Question(1, filler=bytes(9_000))), Success(Answer(1)))
         self.assertEqual(peers.ask(Question(2, filler=bytes(20_000))).failure().kind, "closed")
-        self.assertEqual(peers.events("stranger-dropped"), 1)
+        self.assertEqual(peers.events("unknown-peer-dropped"), 1)
         peers.world.run(0.5)
         self.assertEqual(peers.ask(Question(3)), Success(Answer(3)))
