--- a/bench/control_losses.py
+++ b/bench/control_losses.py
@@ -86,7 +86,7 @@
 
     Raises TimeoutError when the view does not form, and AssertionError when an invariant was broken.
     """
-    control = ControlWorld(seed, core_maker(losses_borne=losses), SIX if losses == 2 else THREE)
+    control = ControlWorld(seed, core_maker(failures_tolerated=losses), SIX if losses == 2 else THREE)
     world = control.world
     try:
         control.operator()
--- a/wingwood/command_line/tests/fake_daemons.py
+++ b/wingwood/command_line/tests/fake_daemons.py
@@ -22,7 +22,8 @@
 from ...context.protocols import Context
 from ...context.real import RealClock, RealDisk, RealNetwork, RealTasks
 from ...context.stream_client import StreamHttpClient
-from ...control.protocols import NotDecided, SubmitOrder, ViewReport
+from ...control.errors import CommandFailure
+from ...control.protocols import SubmitOrder, ViewReport
 from ...identifiers import (
     Address,
     BundleVersion,
@@ -136,7 +137,7 @@
         await asyncio.sleep(0)
 
     def _add_routes(self, server: OperatorServer, address: Address, number: int) -> None:
-        async def decide(command: SubmitOrder, _within: Seconds) -> Result[OrderOutcome, NotDecided]:
+        async def decide(command: SubmitOrder, _within: Seconds) -> Result[OrderOutcome, CommandFailure]:
             self.orders.append((address, command.order))
             if self.competing_order is not None:
                 submit(self.state, self.competing_order)
--- a/wingwood/control/backup.py
+++ b/wingwood/control/backup.py
@@ -7,18 +7,13 @@
 
 from ..identifiers import Epoch
 from ..transport.frames import Identity
+from .journal_entries import SnapshotEntry
 from .member import MemberSetup
-from .messages import (
-    ControlCommitted,
-    ControlReplicate,
-    ControlReplicated,
-    ControlStateChunk,
-    Promise,
-    SnapshotEntry,
-)
+from .messages import ControlCommitted, ControlReplicate, ControlReplicated, ControlStateChunk
 from .state_transfer import StateReceiver, Transfer, transfer_of
 from .store import Contents, decode_batch
 from .store_guard import StoreGuard
+from .views import PreparedEpoch
 
 ANOTHER_INCARNATION = "another incarnation"
 NEWER_STATE_INSTALLED = "a newer state was taken"
@@ -49,7 +44,7 @@
         self._state_receiver = StateReceiver()
 
     def _replicated(self, refusal: str | None) -> ControlReplicated:
-        return ControlReplicated(self._own_incarnation, refusal is None, self._store.promise.epoch, refusal or "")
+        return ControlReplicated(self._own_incarnation, refusal is None, self._store.prepared.epoch, refusal or "")
 
     # -- batches
 
@@ -59,7 +54,7 @@
         async with self._lock:
             refusal = await self._journal_batch(message)
             if refusal is None:
-                self._primary_seen_at = self._now()
+                self._primary_heard_at = self._now()
                 self._advance_commit(message.epoch, message.committed)
                 self._rewriter.rewrite_if_long(REWRITE_FACTOR)
             return self._replicated(refusal)
@@ -87,7 +82,7 @@
         view = self._store.view
         if self._disk_fault is not None or self._stale:
             return f"sick: {self._disk_fault}"
-        if epoch < self._store.promise.epoch:
+        if epoch < self._store.prepared.epoch:
             return "promised a higher epoch"
         if view is None or view.epoch != epoch or self._own_incarnation not in view.backups:
             return "not a backup under this epoch"
@@ -125,7 +120,7 @@
 
     def _state_refusal(self, transfer: Transfer) -> str | None:
         """Returns why this state is refused, or None when it may be installed."""
-        held = self._store.promise
+        held = self._store.prepared
         if self._disk_fault is not None:
             return f"sick: {self._disk_fault}"
         if self._state_receiver.is_outdated(transfer):
@@ -139,15 +134,15 @@
         if self._leadership is not None:
             self._step_down(f"takes the state of epoch {transfer.epoch}")
         contents = Contents(msgspec.msgpack.decode(data, type=SnapshotEntry), [])
-        promise = Promise(transfer.epoch, transfer.sender)
-        match await self._store.rewrite(lambda: contents, self._limits.rewrite_timeout(len(data)), promise):
+        promise = PreparedEpoch(transfer.epoch, transfer.sender)
+        match await self._store.rewrite(lambda: contents, self._options.rewrite_timeout(len(data)), promise):
             case Failure(fault):
                 self._mark_disk_faulty(fault)
                 return f"sick: {fault.kind}"
-        self._state_receiver.note_installed(transfer)
+        self._state_receiver.record_installed(transfer)
         self._replica.load(contents)
         self._stale = False
         self._last_received = None
-        self._primary_seen_at = self._now()
+        self._primary_heard_at = self._now()
         self._log("state-taken", epoch=transfer.epoch, sequence=self._store.sequence, bytes=len(data))
         return None
--- a/wingwood/control/candidate.py
+++ b/wingwood/control/candidate.py
@@ -5,49 +5,50 @@
 from collections.abc import Mapping, Sequence
 
 from ..identifiers import Epoch, Incarnation, Instant, Seconds
-from .messages import ControlAccept, ControlAccepted, ControlGrant, ControlPromise, Promise, View, ViewMember
+from .messages import ControlAccept, ControlAccepted, ControlPrepare, ControlPrepared
 from .planning import ViewPlan
 from .store_guard import StoreGuard
+from .views import PreparedEpoch, View, ViewMember
 
-GRANT_LINGER_S = Seconds(0.1)
+PREPARE_LINGER_S = Seconds(0.1)
 """Further grants are awaited for this long after a quorum.
 
 They may show a newer view, or a holder with more batches.
 """
-PAUSE_FOR_FULLER_HOLDER_S = 1.0
+DEFERENCE_BACKOFF_S = 1.0
 """Time for which a candidate does not stand again, so that a holder with more batches may win."""
 
 
-class Ballot:
+class Election:
     """The promises asked for under one epoch, and the latest view accepted by any member that granted one."""
 
     def __init__(self, me: Incarnation, epoch: Epoch, latest: View) -> None:
         self.epoch = epoch
         self.latest = latest
-        self.grants: dict[Incarnation, ControlGrant] = {}
+        self.grants: dict[Incarnation, ControlPrepared] = {}
         self._own_incarnation = me
         self._asked = {me}
 
-    def next_voters(self) -> list[ViewMember]:
-        """Returns the voters of the latest view that have not been asked yet, and marks them as asked."""
-        voters = [member for member in self.latest.voters() if member.incarnation not in self._asked]
-        self._asked.update(member.incarnation for member in voters)
-        return voters
+    def next_acceptors(self) -> list[ViewMember]:
+        """Returns the acceptors of the latest view that have not been asked yet, and marks them as asked."""
+        acceptors = [member for member in self.latest.acceptors() if member.incarnation not in self._asked]
+        self._asked.update(member.incarnation for member in acceptors)
+        return acceptors
 
-    def has_quorum(self, more: Sequence[ControlGrant] = ()) -> bool:
+    def has_quorum(self, more: Sequence[ControlPrepared] = ()) -> bool:
         """Whether a quorum of the latest view has granted, counting us and the answers in ``more``."""
         return self.latest.quorum(
             {self._own_incarnation, *self.grants, *(answer.by for answer in more if answer.granted)}
         )
 
-    def add(self, grant: ControlGrant) -> None:
+    def add(self, grant: ControlPrepared) -> None:
         if not grant.granted:
             return
         self.grants[grant.by] = grant
         if grant.view is not None and grant.view.supersedes(self.latest):
             self.latest = grant.view
 
-    def holder_has_more(self, sequence: int) -> bool:
+    def another_holder_has_more(self, sequence: int) -> bool:
         """Whether another holder of the latest view has journaled batches above ``sequence``."""
         holders = self.latest.holders
         return any(by in holders and grant.sequence > sequence for by, grant in self.grants.items())
@@ -62,66 +63,70 @@
         Returns the chosen view, or None when the election was lost. In either case this member may have
         promised itself a higher epoch.
         """
-        ballot = await self._open_ballot()
-        if ballot is None:
+        election = await self._open_election()
+        if election is None:
             return None
-        await self._collect_grants(ballot)
-        self._note_view(ballot.latest)
-        if not self._may_continue(ballot) or (plan is None and self._defers_to_another_holder(ballot)):
+        await self._collect_grants(election)
+        self._note_view(election.latest)
+        if not self._may_continue(election) or (plan is None and self._defers_to_another_holder(election)):
             return None
-        view = self._proposed_view(ballot, plan)
+        view = self._proposed_view(election, plan)
         if not await self._accept_round(view, everyone=False):
-            self._log("candidacy-lost", epoch=ballot.epoch, reason="not accepted by a majority")
+            self._log("candidacy-lost", epoch=election.epoch, reason="not accepted by a majority")
             return None
         return await self._record_chosen(view)
 
     # -- promises
 
-    async def _open_ballot(self) -> Ballot | None:
+    async def _open_election(self) -> Election | None:
         """Promises a new epoch to ourselves; returns None when the store may not be used or the write fails."""
         async with self._lock:
             if self._disk_fault is not None or self._store.view is None:
                 return None
-            epoch = Epoch(max(self._highest_epoch, self._store.promise.epoch) + 1)
+            epoch = Epoch(max(self._highest_epoch, self._store.prepared.epoch) + 1)
             self._highest_epoch = epoch
             if not self._write_succeeded(
-                await self._store.record_promise(Promise(epoch, self._own_incarnation), False)
+                await self._store.record_prepared(PreparedEpoch(epoch, self._own_incarnation), False)
             ):
                 return None
-            return Ballot(self._own_incarnation, epoch, self._store.view)
+            return Election(self._own_incarnation, epoch, self._store.view)
 
-    async def _collect_grants(self, ballot: Ballot) -> None:
-        """Asks the voters of the latest view for promises, and those of any newer view that a grant shows."""
-        while voters := ballot.next_voters():
+    async def _collect_grants(self, election: Election) -> None:
+        """Asks the acceptors of the latest view for promises, and those of any newer view that a grant shows."""
+        while acceptors := election.next_acceptors():
             work = [
-                self._ask(member, ControlPromise(member.incarnation, self._own_incarnation, ballot.epoch), ControlGrant)
-                for member in voters
+                self._ask(
+                    member, ControlPrepare(member.incarnation, self._own_incarnation, election.epoch), ControlPrepared
+                )
+                for member in acceptors
             ]
-            for grant in await self._gather(work, ballot.has_quorum, self._limits.call_timeout, linger=GRANT_LINGER_S):
-                self._note_epoch(grant.promised)
-                ballot.add(grant)
-
-    def _may_continue(self, ballot: Ballot) -> bool:
-        epoch, latest = ballot.epoch, ballot.latest
-        if not ballot.has_quorum():
-            self._log("candidacy-lost", epoch=epoch, granted=len(ballot.grants), highest=self._highest_epoch)
+            for grant in await self._gather(
+                work, election.has_quorum, self._options.call_timeout, linger=PREPARE_LINGER_S
+            ):
+                self._note_epoch(grant.prepared_epoch)
+                election.add(grant)
+
+    def _may_continue(self, election: Election) -> bool:
+        epoch, latest = election.epoch, election.latest
+        if not election.has_quorum():
+            self._log("candidacy-lost", epoch=epoch, granted=len(election.grants), highest=self._highest_epoch)
             return False
         if self._own_incarnation not in latest.holders:
             self._log("candidacy-given-up", epoch=epoch, newest=latest.epoch, reason="not a holder of the latest view")
             return False
         return True
 
-    def _defers_to_another_holder(self, ballot: Ballot) -> bool:
-        if not ballot.holder_has_more(self._store.sequence):
+    def _defers_to_another_holder(self, election: Election) -> bool:
+        if not election.another_holder_has_more(self._store.sequence):
             return False
         reason = "another holder has journaled more batches"
-        self._log("candidacy-given-up", epoch=ballot.epoch, newest=ballot.latest.epoch, reason=reason)
-        self._no_candidacy_before = Instant(self._now() + PAUSE_FOR_FULLER_HOLDER_S)
+        self._log("candidacy-given-up", epoch=election.epoch, newest=election.latest.epoch, reason=reason)
+        self._no_election_before = Instant(self._now() + DEFERENCE_BACKOFF_S)
         return True
 
-    def _proposed_view(self, ballot: Ballot, plan: ViewPlan | None) -> View:
+    def _proposed_view(self, election: Election, plan: ViewPlan | None) -> View:
         """Returns the planned view if it may be built on the latest one, else the latest one without backups."""
-        epoch, latest = ballot.epoch, ballot.latest
+        epoch, latest = election.epoch, election.latest
         view = View(epoch, self._own_incarnation, (), latest.members, latest.holders, latest.former)
         if plan is not None:
             if latest in plan.bases:
@@ -153,14 +158,14 @@
                 return len(who) == len(view.members)
             return self._in_sync(view, accepted) and view.quorum(who)
 
-        others = [member for member in view.voters() if member.incarnation != self._own_incarnation]
+        others = [member for member in view.acceptors() if member.incarnation != self._own_incarnation]
         work = [self._ask(member, ControlAccept(member.incarnation, view), ControlAccepted) for member in others]
-        answers = await self._gather(work, chosen, self._limits.call_timeout)
+        answers = await self._gather(work, chosen, self._options.call_timeout)
         for answer in answers:
-            self._note_epoch(answer.promised)
+            self._note_epoch(answer.prepared_epoch)
         return (
             chosen(answers)
-            and self._store.promise == Promise(view.epoch, self._own_incarnation)
+            and self._store.prepared == PreparedEpoch(view.epoch, self._own_incarnation)
             and self._disk_fault is None
         )
 
@@ -182,6 +187,6 @@
     async def _accept_own(self, view: View) -> bool:
         """Journals a view of ours, unless a higher epoch was promised meanwhile; returns whether it was journaled."""
         async with self._lock:
-            if self._disk_fault is not None or self._store.promise != Promise(view.epoch, self._own_incarnation):
+            if self._disk_fault is not None or self._store.prepared != PreparedEpoch(view.epoch, self._own_incarnation):
                 return False
             return self._write_succeeded(await self._store.record_view(view))
--- a/wingwood/control/command_intake.py
+++ b/wingwood/control/command_intake.py
@@ -13,10 +13,12 @@
 from ..identifiers import Epoch, Instant, Seconds
 from ..transport.frames import Identity
 from .commands import Answer, DecidedCommand, PendingCommand, deliver_all, fail_all
+from .errors import CommandFailure
+from .journal_entries import StateRecord
 from .leadership import Leadership
 from .member import MemberSetup
-from .messages import ControlCommand, ControlDecision, StateRecord
-from .protocols import NotDecided, PreparingApplier, SubmitOrder
+from .messages import ControlCommand, ControlDecision
+from .protocols import PreparingApplier, SubmitOrder
 from .relay import forward_command
 from .replicator import Replicator
 from .store import encode_batch
@@ -31,7 +33,7 @@
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
-        self._commands: Queue[PendingCommand] = Queue(self._limits.queued_commands)
+        self._commands: Queue[PendingCommand] = Queue(self._options.queued_commands)
         self._command_types: dict[str, Any] = {
             applier.kind: getattr(applier, "command_type", SubmitOrder) for applier in setup.appliers
         }
@@ -41,11 +43,11 @@
     async def decide(self, kind: str, command: msgspec.Struct, timeout: Seconds | None = None) -> Answer:
         """As in ``ControlCore``; ``timeout`` may shorten the limit on the time to decide."""
         if not self.leads():
-            return Failure(NotDecided("not-leading", self._other_primary()))
-        bound = self._limits.decide_timeout if timeout is None else min(timeout, self._limits.decide_timeout)
+            return Failure(CommandFailure("not-leading", self._other_primary()))
+        bound = self._options.decide_timeout if timeout is None else min(timeout, self._options.decide_timeout)
         waiting = PendingCommand(kind, command, Instant(self._now() + bound))
         if self._commands.full():
-            return Failure(NotDecided("busy", detail="too many commands wait"))
+            return Failure(CommandFailure("busy", detail="too many commands wait"))
         self._commands.put_nowait(waiting)
         try:
             async with asyncio.timeout(bound):
@@ -53,7 +55,7 @@
         except TimeoutError:
             answer = waiting.undecided("no answer in time")
         if isinstance(answer, Success) and self._now() > waiting.deadline:
-            return Failure(NotDecided("unknown", detail="decided too late"))
+            return Failure(CommandFailure("unknown", detail="decided too late"))
         return answer
 
     async def _on_command(self, _: Identity, message: ControlCommand) -> ControlDecision:
@@ -62,11 +64,13 @@
             return await forward_command(self._messenger, primary, message)
         command_type = self._command_types.get(message.kind)
         if command_type is None:
-            return ControlDecision(fault=NotDecided("not-leading", detail=f"no state of kind {message.kind!r} here"))
+            return ControlDecision(
+                fault=CommandFailure("not-leading", detail=f"no state of kind {message.kind!r} here")
+            )
         try:
             command = msgspec.msgpack.decode(message.command, type=command_type)
         except msgspec.MsgspecError as malformed:
-            return ControlDecision(fault=NotDecided("not-leading", detail=f"malformed command: {malformed}"))
+            return ControlDecision(fault=CommandFailure("not-leading", detail=f"malformed command: {malformed}"))
         return await self._decide_decoded(message, command)
 
     async def _decide_decoded(self, message: ControlCommand, command: msgspec.Struct) -> ControlDecision:
@@ -90,12 +94,12 @@
     async def _decide_waiting(self, batch: list[PendingCommand]) -> None:
         """Runs until all commands of the batch, and those added meanwhile, are decided or past their deadline."""
         while batch:
-            while len(batch) < self._limits.batch_commands and self._commands.qsize():
+            while len(batch) < self._options.batch_commands and self._commands.qsize():
                 batch.append(self._commands.get_nowait())
             leadership = self._leadership
             if leadership is None:
                 for command in batch:
-                    command.resolve(Failure(NotDecided("not-leading", self._other_primary())))
+                    command.resolve(Failure(CommandFailure("not-leading", self._other_primary())))
                 return
             if await self._try_batch(leadership, batch):
                 return
@@ -181,7 +185,7 @@
         self, leadership: Leadership, epoch: Epoch, decided: Sequence[DecidedCommand], wrote: bool
     ) -> None:
         """Commits and answers a batch that is on the disks of the primary and of all backups of the view."""
-        if self._store.promise.epoch != epoch:
+        if self._store.prepared.epoch != epoch:
             raise AssertionError("a primary promised a higher epoch without stepping down")
         self._replica.commit(self._store.sequence)
         deliver_all(decided, self._now())
--- a/wingwood/control/commands.py
+++ b/wingwood/control/commands.py
@@ -9,9 +9,9 @@
 from returns.result import Failure, Result, Success
 
 from ..identifiers import Instant
-from .protocols import NotDecided
+from .errors import CommandFailure
 
-Answer = Result[msgspec.Struct, NotDecided]
+Answer = Result[msgspec.Struct, CommandFailure]
 """The reply of the applier, or why there is none."""
 
 EXPIRED = Instant(float("-inf"))
@@ -41,9 +41,9 @@
         A command that was not decided by then is never run.
         """
         if self.decided:
-            return Failure(NotDecided("unknown", detail=detail))
+            return Failure(CommandFailure("unknown", detail=detail))
         self.deadline = EXPIRED
-        return Failure(NotDecided("busy", detail=detail))
+        return Failure(CommandFailure("busy", detail=detail))
 
 
 class DecidedCommand(msgspec.Struct, frozen=True):
@@ -57,7 +57,7 @@
         if now <= self.command.deadline:
             self.command.resolve(Success(self.reply))
         else:
-            self.command.resolve(Failure(NotDecided("unknown", detail="decided too late")))
+            self.command.resolve(Failure(CommandFailure("unknown", detail="decided too late")))
 
 
 def deliver_all(decided: Sequence[DecidedCommand], now: Instant) -> None:
@@ -68,4 +68,4 @@
 def fail_all(decided: Sequence[DecidedCommand], detail: str) -> None:
     """Answers all commands with ``unknown``, since their batch may or may not become durable."""
     for one in decided:
-        one.command.resolve(Failure(NotDecided("unknown", detail=detail)))
+        one.command.resolve(Failure(CommandFailure("unknown", detail=detail)))
--- a/wingwood/control/limits.py
+++ b/wingwood/control/control_options.py
@@ -7,27 +7,27 @@
 from ..identifiers import Seconds
 
 
-class ControlLimits(msgspec.Struct, frozen=True, kw_only=True):
+class ControlOptions(msgspec.Struct, frozen=True, kw_only=True):
     """Limits of one control daemon."""
 
     heartbeat_interval: Seconds = Seconds(0.25)
     call_timeout: Seconds = Seconds(0.6)
-    """Timeout of heartbeats, promises, acceptances and questions for proofs."""
+    """Timeout of heartbeats, promises, acceptances and questions for confirmations."""
     replicate_timeout: Seconds = Seconds(0.8)
     """Timeout of one batch at a backup, to which twice the time to write the batch is added."""
-    primary_silence: Seconds = Seconds(1.0)
+    primary_timeout: Seconds = Seconds(1.0)
     """After this time without a message of the primary, a member asks the others whether they receive its messages."""
     status_query_interval: Seconds = Seconds(0.2)
     """Interval between two rounds of such questions."""
     primary_recency: Seconds = Seconds(0.9)
     """A member answers that it hears the primary if it received a message of it within this time."""
-    member_silence: Seconds = Seconds(0.9)
+    member_timeout: Seconds = Seconds(0.9)
     """A member silent for this long is not chosen as a backup; another member is."""
     member_departed_after: Seconds = Seconds(2.2)
     """A member silent or unhealthy for this long is replaced by a live spare."""
-    recruit_pause: Seconds = Seconds(0.3)
+    recruit_backoff: Seconds = Seconds(0.3)
     """Pause before a member that failed as a backup is tried again."""
-    spare_silence: Seconds = Seconds(1.5)
+    spare_timeout: Seconds = Seconds(1.5)
     """A spare that has not asked to join for this long is not made a member."""
     leadership_unconfirmed_after: Seconds = Seconds(1.2)
     """A primary reports that it does not lead when no majority answered calls started within this time."""
@@ -35,7 +35,7 @@
     """After this time without such answers it gives up leadership."""
     decide_timeout: Seconds = Seconds(2.5)
     """Longest time from the arrival of a command at the primary to its reply."""
-    proof_timeout: Seconds = Seconds(1.0)
+    confirmation_timeout: Seconds = Seconds(1.0)
     """Longest time from a request for a proof of leadership to its answer."""
     tick_interval: Seconds = Seconds(0.1)
     """Interval of the periodic work of each member."""
--- a/wingwood/control/core.py
+++ b/wingwood/control/core.py
@@ -9,10 +9,10 @@
 from ..identifiers import Address
 from ..transport.messenger import Messenger
 from .command_intake import CommandIntake
+from .control_options import ControlOptions
 from .follower import Follower
 from .leadership import Leadership
 from .leadership_proofs import LeadershipProofs
-from .limits import ControlLimits
 from .member import MemberSetup
 from .messages import (
     ControlAccept,
@@ -23,7 +23,7 @@
     ControlJoin,
     ControlLeaderQuery,
     ControlLeadershipReleased,
-    ControlPromise,
+    ControlPrepare,
     ControlReplicate,
     ControlStateChunk,
     ControlStatusQuery,
@@ -41,7 +41,7 @@
     ``store.incarnation``. ``knows_of_history`` returns whether any daemon known here has seen a bundle or
     an epoch. ``other_controls`` returns further internal addresses of control daemons. If the data folder is
     emptied while the process runs, ``on_data_lost`` is called; without it the process is stopped.
-    ``losses_borne`` is the number of members that may be lost at the same time: the core then wants that
+    ``failures_tolerated`` is the number of members that may be lost at the same time: the core then wants that
     many backups and twice as many members plus one (section 7.1).
     """
 
@@ -55,9 +55,9 @@
         seeds: Sequence[Address],
         knows_of_history: Callable[[], bool] = lambda: False,
         other_controls: Callable[[], Sequence[Address]] = lambda: (),
-        limits: ControlLimits | None = None,
+        options: ControlOptions | None = None,
         on_data_lost: Callable[[], None] | None = None,
-        losses_borne: int = 1,
+        failures_tolerated: int = 1,
     ) -> None:
         if messenger.identity.incarnation != store.incarnation:
             raise ValueError("the messenger's identity must carry the store's incarnation")
@@ -71,9 +71,9 @@
                 seeds=seeds,
                 knows_of_history=knows_of_history,
                 other_controls=other_controls,
-                limits=limits or ControlLimits(),
+                options=options or ControlOptions(),
                 on_data_lost=on_data_lost,
-                losses_borne=losses_borne,
+                failures_tolerated=failures_tolerated,
             )
         )
 
@@ -84,13 +84,13 @@
         spawn = self._context.tasks.spawn
         spawn("control follow", self._follow())
         spawn("control commands", self._run_commands())
-        spawn("control proofs", self._run_proofs())
+        spawn("control confirmations", self._run_proofs())
         spawn("control disk check", self._check_disk())
 
     def _answer_calls(self) -> None:
         messenger = self._messenger
         messenger.on_call(ControlStatusQuery, self._on_status_query)
-        messenger.on_call(ControlPromise, self._on_promise)
+        messenger.on_call(ControlPrepare, self._on_promise)
         messenger.on_call(ControlAccept, self._on_accept)
         messenger.on_call(ControlHeartbeat, self._on_heartbeat)
         messenger.on_call(ControlReplicate, self._on_replicate)
@@ -146,7 +146,7 @@
         found = []
         if not leadership.in_sync:
             found.append("too few backups in sync")
-        short = self._members_wanted - len(leadership.view.members)
+        short = self._desired_member_count - len(leadership.view.members)
         if short > 0:
             found.append(f"{short} more members with a disk are wanted")
         missing = [
--- a/wingwood/control/follower.py
+++ b/wingwood/control/follower.py
@@ -6,24 +6,16 @@
 
 from ..identifiers import Address, Epoch, Instant
 from .member import MemberSetup
-from .messages import (
-    ControlGrant,
-    ControlJoin,
-    ControlJoined,
-    ControlPromise,
-    ControlStatus,
-    ControlStatusQuery,
-    View,
-    ViewMember,
-)
+from .messages import ControlJoin, ControlJoined, ControlPrepare, ControlPrepared, ControlStatus, ControlStatusQuery
 from .primary import Primary
+from .views import View, ViewMember
 from .voter import Voter
 
-FOUNDING_SEEDS = 3
+INITIAL_MEMBER_COUNT = 3
 """A fleet is formed by exactly this many seeds."""
 NEVER = Instant(0.0)
-RELEASED_PRIMARY_SILENCE = 0.7
-"""Fraction of ``primary_silence`` that a primary waits after it gave up leadership.
+RELEASED_PRIMARY_TIMEOUT_FACTOR = 0.7
+"""Fraction of ``primary_timeout`` that a primary waits after it gave up leadership.
 
 So its backups become candidates first.
 """
@@ -44,13 +36,13 @@
     async def _follow(self) -> None:
         while not self._stopped:
             before_sleep = self._now()
-            await self._context.clock.sleep(self._limits.tick_interval)
+            await self._context.clock.sleep(self._options.tick_interval)
             now = self._now()
-            if now - before_sleep > self._limits.primary_silence:
+            if now - before_sleep > self._options.primary_timeout:
                 self._after_freeze(now)
             if self._leadership is not None:
                 self._maintain_leadership(self._leadership)
-            elif self._disk_fault is not None or (self._stale and now >= self._no_candidacy_before):
+            elif self._disk_fault is not None or (self._stale and now >= self._no_election_before):
                 await self._recover_disk_when_due(now)
             else:
                 await self._seek_primary(now)
@@ -60,12 +52,12 @@
 
         Whether this daemon still leads is judged by answers alone.
         """
-        self._primary_seen_at = max(self._primary_seen_at, Instant(now - 0.5 * self._limits.primary_silence))
+        self._primary_heard_at = max(self._primary_heard_at, Instant(now - 0.5 * self._options.primary_timeout))
         if self._leadership is not None:
-            self._leadership.reset_silence(now)
+            self._leadership.reset_timeouts(now)
 
     async def _recover_disk_when_due(self, now: Instant) -> None:
-        if now - self._last_recovery >= self._limits.recovery_interval or self._disk_fault is None:
+        if now - self._last_recovery >= self._options.recovery_interval or self._disk_fault is None:
             self._last_recovery = now
             async with self._lock:
                 await self._recover_disk()
@@ -76,7 +68,7 @@
             self._repeat_release(known, now)
         if (
             known is None or known.member(self._own_incarnation) != self._own_member
-        ) and now - self._last_join >= self._limits.join_interval:
+        ) and now - self._last_join >= self._options.join_interval:
             self._last_join = now
             await self._join()
             if (
@@ -87,11 +79,11 @@
                 await self._form()
         if known is None or known.member(self._own_incarnation) is None:
             return
-        silent = now - self._primary_seen_at >= self._silence_limit(known)
+        silent = now - self._primary_heard_at >= self._silence_limit(known)
         if (
             silent
-            and now >= self._no_candidacy_before
-            and now - self._last_status_query >= self._limits.status_query_interval
+            and now >= self._no_election_before
+            and now - self._last_status_query >= self._options.status_query_interval
         ):
             if await self._may_be_candidate(known):
                 await self._take_over()
@@ -105,7 +97,7 @@
         This happens after a restart, for instance; the others then need not wait for the silence limit. The
         message is repeated, since the others may be restarting too.
         """
-        if now - self._last_release < self._limits.status_query_interval:
+        if now - self._last_release < self._options.status_query_interval:
             return
         self._last_release = now
         self._released_epoch = view.epoch
@@ -119,13 +111,13 @@
         rank = view.backups.index(self._own_incarnation) if self._own_incarnation in view.backups else None
         if self._released_epoch == view.epoch:
             if view.primary == self._own_incarnation:
-                return RELEASED_PRIMARY_SILENCE * self._limits.primary_silence
-            return (0.3 if rank is None else min(0.15 * rank, 0.3)) * self._limits.primary_silence
+                return RELEASED_PRIMARY_TIMEOUT_FACTOR * self._options.primary_timeout
+            return (0.3 if rank is None else min(0.15 * rank, 0.3)) * self._options.primary_timeout
         if rank is not None:
-            return min(1.0 + 0.15 * rank, 1.4) * self._limits.primary_silence
+            return min(1.0 + 0.15 * rank, 1.4) * self._options.primary_timeout
         if view.primary == self._own_incarnation:
-            return 1.2 * self._limits.primary_silence if len(view.backups) < 2 else 1.3 * self._limits.primary_silence
-        return 1.4 * self._limits.primary_silence
+            return 1.2 * self._options.primary_timeout if len(view.backups) < 2 else 1.3 * self._options.primary_timeout
+        return 1.4 * self._options.primary_timeout
 
     async def _may_be_candidate(self, view: View) -> bool:
         """Whether a majority of the members of the latest known view receives no messages of its primary either."""
@@ -139,17 +131,17 @@
             )
 
         answers = await self._gather(
-            [ask(member) for member in self._other_members(view)], majority_misses_primary, self._limits.call_timeout
+            [ask(member) for member in self._other_members(view)], majority_misses_primary, self._options.call_timeout
         )
         for answer in answers:
-            self._note_epoch(answer.promised)
+            self._note_epoch(answer.prepared_epoch)
             self._note_view(answer.view)
         return majority_misses_primary(answers) and self._is_eligible(view)
 
     def _is_eligible(self, view: View) -> bool:
         """Whether this member may become a candidate.
 
-        It knows no newer view, its disk holds the state of the latest view, and no primary sends it messages.
+        It knows no newer view, its disk confirmed the state of the latest view, and no primary sends it messages.
         """
         latest_view = self._store.view
         return (
@@ -159,7 +151,7 @@
             and self._disk_fault is None
             and not self._stale
             and self._leadership is None
-            and self._now() - self._primary_seen_at >= self._silence_limit(view)
+            and self._now() - self._primary_heard_at >= self._silence_limit(view)
         )
 
     async def _take_over(self) -> None:
@@ -173,7 +165,7 @@
             self._put_off_candidacy()
             return
         self._log(
-            "take-over", epoch=view.epoch, silent_for=started - self._primary_seen_at, rounds=self._now() - started
+            "take-over", epoch=view.epoch, silent_for=started - self._primary_heard_at, rounds=self._now() - started
         )
         self._begin_leadership(view)
 
@@ -182,7 +174,7 @@
     async def _join(self) -> None:
         addresses = [address for address in self.control_addresses() if address != self._own_member.address]
         work = [self._ask_address(address, ControlJoin(self._own_member), ControlJoined) for address in addresses]
-        for joined in await self._gather(work, lambda _: False, self._limits.call_timeout):
+        for joined in await self._gather(work, lambda _: False, self._options.call_timeout):
             self._note_view(joined.view)
 
     # -- forming the first view (section 7.2.8)
@@ -193,10 +185,10 @@
         members = self._founders(statuses)
         if members is None:
             return
-        epoch = Epoch(max(self._highest_epoch, *(status.promised for status in statuses[1:])) + 1)
+        epoch = Epoch(max(self._highest_epoch, *(status.prepared_epoch for status in statuses[1:])) + 1)
         if not await self._promised_by_founders(members, epoch):
             return
-        backups = tuple(member.incarnation for member in members[1 : 1 + self._backups_wanted])
+        backups = tuple(member.incarnation for member in members[1 : 1 + self._desired_backup_count])
         view = View(epoch, self._own_incarnation, backups, tuple(members), (self._own_incarnation, *backups))
         if not await self._accept_round(view, everyone=True):
             return
@@ -209,7 +201,7 @@
             for address in addresses
             if address != self._own_member.address
         ]
-        statuses = await self._gather(work, lambda _: False, self._limits.call_timeout)
+        statuses = await self._gather(work, lambda _: False, self._options.call_timeout)
         return sorted(statuses, key=lambda status: status.member)
 
     def _founders(self, statuses: Sequence[ControlStatus]) -> list[ViewMember] | None:
@@ -219,7 +211,11 @@
         """
         founders = {status.member.incarnation: status.member for status in statuses}
         addresses = {member.address for member in founders.values()}
-        if len(founders) != FOUNDING_SEEDS or len(self._seeds) != FOUNDING_SEEDS or addresses != set(self._seeds):
+        if (
+            len(founders) != INITIAL_MEMBER_COUNT
+            or len(self._seeds) != INITIAL_MEMBER_COUNT
+            or addresses != set(self._seeds)
+        ):
             return None
         if any(not status.empty or status.knows_history for status in statuses):
             return None
@@ -229,14 +225,14 @@
         """Returns whether this member and all other founders promised the epoch and the others are still empty."""
         async with self._lock:
             if not await self._promise(
-                ControlPromise(self._own_incarnation, self._own_incarnation, epoch, forming=True)
+                ControlPrepare(self._own_incarnation, self._own_incarnation, epoch, forming=True)
             ):
                 return False
         work = [
             self._ask(
-                member, ControlPromise(member.incarnation, self._own_incarnation, epoch, forming=True), ControlGrant
+                member, ControlPrepare(member.incarnation, self._own_incarnation, epoch, forming=True), ControlPrepared
             )
             for member in members[1:]
         ]
-        grants = await self._gather(work, lambda _: False, self._limits.call_timeout)
+        grants = await self._gather(work, lambda _: False, self._options.call_timeout)
         return sum(grant.granted and grant.empty for grant in grants) == len(members) - 1
--- a/wingwood/control/journal_rewriting.py
+++ b/wingwood/control/journal_rewriting.py
@@ -10,11 +10,11 @@
 from ..context.protocols import Context
 from ..identifiers import Instant
 from ..journal import JournalFault
-from .limits import ControlLimits
+from .control_options import ControlOptions
 from .replica import Replica
 from .store import ControlStore
 
-PAUSE_AFTER_FAILURE_S = 10.0
+BACKOFF_AFTER_FAILURE_S = 10.0
 """Pause before a failed rewrite is tried again."""
 
 
@@ -29,13 +29,13 @@
         context: Context,
         store: ControlStore,
         replica: Replica,
-        limits: ControlLimits,
+        options: ControlOptions,
         on_fault: Callable[[JournalFault], None],
     ) -> None:
         self._context = context
         self._store = store
         self._replica = replica
-        self._limits = limits
+        self._options = options
         self._on_fault = on_fault
         self._rewriting = False
         self._no_rewrite_before = context.clock.monotonic()
@@ -52,7 +52,7 @@
 
     def _is_long(self, factor: float) -> bool:
         store = self._store
-        return store.journal.length > factor * max(self._limits.rewrite_bytes, 2 * store.rewritten_bytes)
+        return store.journal.length > factor * max(self._options.rewrite_bytes, 2 * store.rewritten_bytes)
 
     async def _rewrite(self, compaction: Coroutine[Any, Any, Result[None, JournalFault]]) -> None:
         clock, log, journal = self._context.clock, self._context.log, self._store.journal
@@ -63,7 +63,7 @@
                 log.event("journal-rewritten", bytes_before=before, bytes_after=journal.length, took=took)
             case Failure(fault):
                 log.event("journal-not-rewritten", kind=fault.kind, detail=fault.detail)
-                self._no_rewrite_before = Instant(clock.monotonic() + PAUSE_AFTER_FAILURE_S)
+                self._no_rewrite_before = Instant(clock.monotonic() + BACKOFF_AFTER_FAILURE_S)
                 if fault.kind == "slow" or (fault.kind != "sick" and journal.unusable_reason is not None):
                     self._on_fault(fault)
         self._rewriting = False
--- a/wingwood/control/leadership.py
+++ b/wingwood/control/leadership.py
@@ -8,7 +8,7 @@
 
 from ..identifiers import Epoch, Incarnation, Instant, Seconds
 from .commands import DecidedCommand
-from .messages import View, ViewMember
+from .views import View, ViewMember
 
 
 class Spare(msgspec.Struct, frozen=True):
@@ -65,7 +65,7 @@
         self.next_heartbeat: dict[Incarnation, Instant] = {}
         """By member: the earliest time of the next heartbeat."""
 
-    def note_accepted(self, incarnation: Incarnation, started: Instant) -> None:
+    def record_accepted(self, incarnation: Incarnation, started: Instant) -> None:
         """Records that a member answered, under our epoch, a call started at ``started``."""
         self.accepted[incarnation] = max(started, self.accepted.get(incarnation, started))
         needed = len(self.view.members) // 2
@@ -73,7 +73,7 @@
         if needed and len(times) >= needed:
             self.confirmed = max(self.confirmed, times[needed - 1])
 
-    def note_answered(self, incarnation: Incarnation, started: Instant) -> None:
+    def record_answered(self, incarnation: Incarnation, started: Instant) -> None:
         """Records that a healthy member answered a call started at ``started``."""
         self.answered[incarnation] = max(started, self.answered.get(incarnation, started))
 
@@ -96,7 +96,7 @@
         pending, self.pending = self.pending, []
         return pending
 
-    def reset_silence(self, now: Instant) -> None:
+    def reset_timeouts(self, now: Instant) -> None:
         """Called after this process was frozen: treats the members as if they had answered just now."""
         self.since = now
         self.answered = dict.fromkeys(self.answered, now)
--- a/wingwood/control/leadership_proofs.py
+++ b/wingwood/control/leadership_proofs.py
@@ -10,7 +10,7 @@
 from .member import Member, MemberSetup
 from .messages import ControlConfirm, ControlConfirmed
 
-RETRY_PAUSE_S = Seconds(0.02)
+RETRY_BACKOFF_S = Seconds(0.02)
 """Pause before the next round after one that proved nothing."""
 
 
@@ -23,14 +23,14 @@
         """Requests that wait for the next round."""
         self._proof_asked = asyncio.Event()
 
-    async def prove_leadership(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         if self._leadership is None:
             return False
         asked: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._proofs.append(asked)
         self._proof_asked.set()
         try:
-            async with asyncio.timeout(self._limits.proof_timeout):
+            async with asyncio.timeout(self._options.confirmation_timeout):
                 return await asked
         except TimeoutError:
             return False
@@ -52,24 +52,24 @@
         elif self._leadership is None:
             _resolve_all(asked, False)
         else:
-            await self._context.clock.sleep(RETRY_PAUSE_S)
+            await self._context.clock.sleep(RETRY_BACKOFF_S)
             self._proofs = asked + self._proofs
             self._proof_asked.set()
 
     async def _proof_round(self, leadership: Leadership) -> bool:
         """Returns whether a majority, counting us, confirmed that it has promised nothing above our epoch."""
         view = leadership.view
-        if not leadership.commit_known or self._store.promise.epoch != view.epoch:
+        if not leadership.commit_known or self._store.prepared.epoch != view.epoch:
             return False
 
         def confirmed(answers: list[ControlConfirmed]) -> bool:
-            return view.majority({self._own_incarnation, *(answer.by for answer in answers if answer.holds)})
+            return view.majority({self._own_incarnation, *(answer.by for answer in answers if answer.confirmed)})
 
         work = [
             self._ask(member, ControlConfirm(member.incarnation, view.epoch), ControlConfirmed)
             for member in self._other_members(view)
         ]
-        answers = await self._gather(work, confirmed, self._limits.call_timeout)
+        answers = await self._gather(work, confirmed, self._options.call_timeout)
         return confirmed(answers) and self._leadership is leadership and leadership.view is view and not self._stale
 
 
--- a/wingwood/control/member.py
+++ b/wingwood/control/member.py
@@ -18,19 +18,20 @@
 from ..identifiers import Address, Epoch, Instant, Seconds
 from ..transport.messenger import Messenger
 from .commands import fail_all
+from .control_options import ControlOptions
 from .leadership import Leadership
-from .limits import ControlLimits
-from .messages import ControlLeadershipReleased, View, ViewMember
+from .messages import ControlLeadershipReleased
 from .protocols import Applier
 from .replica import Replica
 from .store import Contents, ControlStore
+from .views import View, ViewMember
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 
-SILENCE_AT_START = 0.4
-"""At its start, a member assumes that it last saw its primary this fraction of ``primary_silence`` ago."""
-PAUSE_AFTER_STEPPING_DOWN_S = (0.8, 1.2)
-PAUSE_BEFORE_CANDIDACY_S = (0.4, 0.7)
+INITIAL_TIMEOUT_FRACTION = 0.4
+"""At its start, a member assumes that it last saw its primary this fraction of ``primary_timeout`` ago."""
+BACKOFF_AFTER_STEPPING_DOWN_S = (0.8, 1.2)
+BACKOFF_BEFORE_ELECTION_S = (0.4, 0.7)
 """Each pause is drawn at random from its range, so that two members rarely become candidates at the same time."""
 
 
@@ -45,9 +46,9 @@
     seeds: Sequence[Address]
     knows_of_history: Callable[[], bool]
     other_controls: Callable[[], Sequence[Address]]
-    limits: ControlLimits
+    options: ControlOptions
     on_data_lost: Callable[[], None] | None
-    losses_borne: int
+    failures_tolerated: int
 
 
 class Member:
@@ -57,12 +58,12 @@
         context, store, identity = setup.context, setup.store, setup.messenger.identity
         self._context = context
         self._messenger = setup.messenger
-        self._limits = setup.limits
+        self._options = setup.options
         self._seeds = tuple(sorted(setup.seeds))
         """Sorted, so that all daemons have the same order, whatever the order in their settings."""
         self._other_controls = setup.other_controls
-        self._backups_wanted = setup.losses_borne
-        self._members_wanted = 2 * setup.losses_borne + 1
+        self._desired_backup_count = setup.failures_tolerated
+        self._desired_member_count = 2 * setup.failures_tolerated + 1
         self._own_member = ViewMember(store.incarnation, identity.name, identity.internal)
         self._own_incarnation = store.incarnation
         self._store = store
@@ -75,13 +76,13 @@
         """The replica must be loaded from the journal before it may be used."""
         self._leadership: Leadership | None = None
         self._known_view = store.view
-        self._highest_epoch = store.promise.epoch
+        self._highest_epoch = store.prepared.epoch
         self._released_epoch: Epoch | None = None
         """The epoch whose primary gave up leadership and asked the others to take over."""
         now = context.clock.monotonic()
-        self._primary_seen_at = Instant(now - SILENCE_AT_START * self._limits.primary_silence)
+        self._primary_heard_at = Instant(now - INITIAL_TIMEOUT_FRACTION * self._options.primary_timeout)
         """When a message of the primary was last received."""
-        self._no_candidacy_before = now
+        self._no_election_before = now
         """Until then this member does not become a candidate."""
         self._stopped = False
         self._wakeup = asyncio.Event()
@@ -92,7 +93,9 @@
 
     def leads(self) -> bool:
         leadership = self._leadership
-        return leadership is not None and self._now() - leadership.confirmed < self._limits.leadership_unconfirmed_after
+        return (
+            leadership is not None and self._now() - leadership.confirmed < self._options.leadership_unconfirmed_after
+        )
 
     def epoch(self) -> Epoch:
         return self._known_view.epoch if self._known_view is not None else Epoch(0)
@@ -152,7 +155,7 @@
     # -- leadership
 
     def _member_is_live(self, leadership: Leadership, member: ViewMember) -> bool:
-        return leadership.is_live(member.incarnation, self._now(), self._limits.member_silence)
+        return leadership.is_live(member.incarnation, self._now(), self._options.member_timeout)
 
     def _follows(self, leadership: Leadership, member: ViewMember) -> bool:
         """Whether the member is live and knows that our view is chosen.
@@ -165,7 +168,7 @@
         )
 
     def _accepts_orders(self, leadership: Leadership) -> bool:
-        return leadership.in_sync and len(leadership.view.members) >= self._members_wanted
+        return leadership.in_sync and len(leadership.view.members) >= self._desired_member_count
 
     def _step_down(self, reason: str) -> None:
         """Stops leading: fails the commands that wait for backups and asks the other members to take over."""
@@ -173,8 +176,8 @@
         assert leadership is not None
         self._log("stepped-down", epoch=leadership.view.epoch, reason=reason)
         self._stale = True
-        self._primary_seen_at = self._now()
-        self._put_off_candidacy(PAUSE_AFTER_STEPPING_DOWN_S)
+        self._primary_heard_at = self._now()
+        self._put_off_candidacy(BACKOFF_AFTER_STEPPING_DOWN_S)
         fail_all(leadership.take_pending(), f"stopped leading: {reason}")
         self._announce_release(leadership.view)
         self._changed()
@@ -184,8 +187,8 @@
         for member in self._other_members(view):
             self._messenger.post(member.address, ControlLeadershipReleased(view.epoch, self._own_incarnation))
 
-    def _put_off_candidacy(self, pause: tuple[float, float] = PAUSE_BEFORE_CANDIDACY_S) -> None:
-        self._no_candidacy_before = Instant(self._now() + self._context.random.uniform(*pause))
+    def _put_off_candidacy(self, pause: tuple[float, float] = BACKOFF_BEFORE_ELECTION_S) -> None:
+        self._no_election_before = Instant(self._now() + self._context.random.uniform(*pause))
 
     # -- calls
 
@@ -193,7 +196,7 @@
         self, member: ViewMember, message: msgspec.Struct, reply_type: type[Reply], timeout: Seconds | None = None
     ) -> Reply | None:
         """Returns the answer of exactly that incarnation, or None."""
-        outcome = await self._messenger.call(member.address, message, reply_type, timeout or self._limits.call_timeout)
+        outcome = await self._messenger.call(member.address, message, reply_type, timeout or self._options.call_timeout)
         match outcome:
             case Success(found) if getattr(found, "by", None) == member.incarnation:
                 reply: Reply = found
@@ -202,7 +205,7 @@
 
     async def _ask_address(self, address: Address, message: msgspec.Struct, reply_type: type[Reply]) -> Reply | None:
         """Returns the answer of whichever daemon is at that address, or None."""
-        match await self._messenger.call(address, message, reply_type, self._limits.call_timeout):
+        match await self._messenger.call(address, message, reply_type, self._options.call_timeout):
             case Success(found):
                 reply: Reply = found
                 return reply
--- a/wingwood/control/messages.py
+++ b/wingwood/control/messages.py
@@ -1,4 +1,4 @@
-"""Messages between control daemons, and entries of the control journal (docs/DESIGN.md sections 7.1 to 7.4)."""
+"""Messages between control daemons, and from any daemon to them (docs/DESIGN.md sections 7.1 to 7.4)."""
 
 from __future__ import annotations
 
@@ -6,126 +6,9 @@
 
 import msgspec
 
-from ..identifiers import Address, DaemonName, Epoch, Incarnation, Seconds
-from .protocols import NotDecided
-
-
-class ViewMember(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A member of a view: the identity and address of a control daemon."""
-
-    WIRE_NAME: ClassVar[str] = "Seat"
-
-    incarnation: Incarnation
-    name: DaemonName
-    address: Address
-
-
-class View(msgspec.Struct, frozen=True, array_like=True):
-    """Which daemons are members, primary and backups under an epoch (section 7.1)."""
-
-    epoch: Epoch
-    primary: Incarnation
-    backups: tuple[Incarnation, ...]
-    """Every backup syncs a record to disk before the record is acknowledged; empty right after a take-over."""
-    members: tuple[ViewMember, ...]
-    holders: tuple[Incarnation, ...]
-    """Members whose disks hold every record that was ever acknowledged."""
-    former: tuple[ViewMember, ...] = ()
-    """Members of the previous view, if they differ and this view is not yet known to be chosen."""
-
-    def member(self, incarnation: Incarnation | None) -> ViewMember | None:
-        return next((member for member in self.members if member.incarnation == incarnation), None)
-
-    def incarnations(self) -> tuple[Incarnation, ...]:
-        return tuple(member.incarnation for member in self.members)
-
-    def majority(self, who: set[Incarnation]) -> bool:
-        return _majority(self.members, who)
-
-    def quorum(self, who: set[Incarnation]) -> bool:
-        """Whether ``who`` suffices to choose this view or to build on it.
-
-        It needs a majority of the members and, while there are former members, a majority of those too.
-        """
-        return self.majority(who) and (not self.former or _majority(self.former, who))
-
-    def voters(self) -> tuple[ViewMember, ...]:
-        """All members and former members, without duplicates."""
-        return tuple({member.incarnation: member for member in (*self.former, *self.members)}.values())
-
-    def as_chosen(self) -> View:
-        """Returns the same view, known to be chosen: its former members are no longer asked."""
-        return msgspec.structs.replace(self, former=()) if self.former else self
-
-    def supersedes(self, other: View | None) -> bool:
-        """Whether this view has a higher epoch than ``other``, or is the same view and now known to be chosen."""
-        if other is None or self.epoch != other.epoch:
-            return other is None or self.epoch > other.epoch
-        return bool(other.former) and not self.former
-
-
-def _majority(members: tuple[ViewMember, ...], who: set[Incarnation]) -> bool:
-    return 2 * sum(member.incarnation in who for member in members) > len(members)
-
-
-class Promise(msgspec.Struct, frozen=True, array_like=True):
-    """A member's promise to accept nothing under a lower epoch, given to one candidate per epoch."""
-
-    epoch: Epoch
-    candidate: Incarnation
-    """Empty ("") under epoch 0, when nothing has been promised yet."""
-
-
-# entries of the control journal
-
-
-class FoundedEntry(msgspec.Struct, frozen=True, tag="founded", array_like=True):
-    """The first entry of every journal."""
-
-    incarnation: Incarnation
-
-
-class PromisedEntry(msgspec.Struct, frozen=True, tag="promised", array_like=True):
-    """A promise given; ``forming`` when it was asked for to form the first view."""
-
-    promise: Promise
-    forming: bool
-
-
-class AcceptedEntry(msgspec.Struct, frozen=True, tag="accepted", array_like=True):
-    """A view that this daemon accepted."""
-
-    view: View
-
-
-class StateRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A record for the applier of this kind."""
-
-    kind: str
-    record: bytes
-
-
-class BatchEntry(msgspec.Struct, frozen=True, tag="batch", array_like=True):
-    """The records of one batch; ``sequence`` counts batches from 1."""
-
-    sequence: int
-    epoch: Epoch
-    records: tuple[StateRecord, ...]
-
-
-class SnapshotEntry(msgspec.Struct, frozen=True, tag="snapshot", array_like=True):
-    """The complete state after batch ``sequence``; it replaces all earlier entries."""
-
-    sequence: int
-    parts: dict[str, bytes]
-
-
-class ProbeEntry(msgspec.Struct, frozen=True, tag="probe", array_like=True):
-    """An entry without content, written to find out whether the disk accepts writes again."""
-
-
-Entry = FoundedEntry | PromisedEntry | AcceptedEntry | BatchEntry | SnapshotEntry | ProbeEntry
-
+from ..identifiers import Address, Epoch, Incarnation, Seconds
+from .errors import CommandFailure
+from .views import View, ViewMember
 
 # Messages between control daemons. `to` and `by` are incarnations, so that a message meant for a machine, or
 # answered by one, has no effect after another machine has replaced it at the same address.
@@ -144,33 +27,37 @@
 
     by: Incarnation
     member: ViewMember = msgspec.field(name="seat")
-    promised: Epoch
+    prepared_epoch: Epoch = msgspec.field(name="promised")
     view: View | None
     """The latest view that it knows of, whether or not it accepted the view itself."""
     hears_primary: bool
     """Whether it received a message of the primary recently."""
     empty: bool
-    """It never accepted a view, never granted a promise except to form the first view, and never held state."""
+    """It never accepted a view, prepared no epoch except to form the first view, and never stored state."""
     knows_history: bool
     """It knows a daemon that has seen a bundle or an epoch, so a fleet has existed before."""
 
 
-class ControlPromise(msgspec.Struct, frozen=True):
-    """A candidate's request: promise this epoch to it, and accept nothing under a lower epoch."""
+class ControlPrepare(msgspec.Struct, frozen=True):
+    """A candidate's request to prepare this epoch for it, and to accept nothing under a lower epoch."""
+
+    WIRE_NAME: ClassVar[str] = "ControlPromise"
 
     to: Incarnation
     candidate: Incarnation
     epoch: Epoch
     forming: bool = False
-    """Whether the promise is asked for to form the first view of a fleet."""
+    """Whether the candidate forms the first view of a fleet."""
+
 
+class ControlPrepared(msgspec.Struct, frozen=True):
+    """Answer to ``ControlPrepare``: whether the epoch was prepared for the candidate, and what the acceptor has."""
 
-class ControlGrant(msgspec.Struct, frozen=True):
-    """Answer to ``ControlPromise``: whether the epoch was promised, and what the voter has."""
+    WIRE_NAME: ClassVar[str] = "ControlGrant"
 
     by: Incarnation
     granted: bool
-    promised: Epoch
+    prepared_epoch: Epoch = msgspec.field(name="promised")
     view: View | None = None
     """The latest view that it accepted itself."""
     sequence: int = 0
@@ -189,7 +76,7 @@
 
     by: Incarnation
     accepted: bool
-    promised: Epoch
+    prepared_epoch: Epoch = msgspec.field(name="promised")
     sequence: int = 0
     """The latest batch that it has journaled; a backup counts only if it has as many as the primary."""
 
@@ -211,8 +98,8 @@
 
     by: Incarnation
     accepted: bool
-    """It has accepted the view of that epoch and has promised no higher epoch."""
-    promised: Epoch
+    """It has accepted the view of that epoch and has prepared no higher epoch."""
+    prepared_epoch: Epoch = msgspec.field(name="promised")
     healthy: bool
     """Its journal accepts writes."""
     knows_chosen: bool = msgspec.field(name="settled", default=True)
@@ -237,7 +124,7 @@
 
     by: Incarnation
     synced: bool
-    promised: Epoch
+    prepared_epoch: Epoch = msgspec.field(name="promised")
     reason: str = ""
 
 
@@ -269,7 +156,7 @@
 
 
 class ControlConfirm(msgspec.Struct, frozen=True):
-    """A primary's question whether the member has promised nothing above its epoch; proves leadership for reads."""
+    """A primary's question whether the member has prepared nothing above its epoch; confirms leadership for reads."""
 
     to: Incarnation
     epoch: Epoch
@@ -279,15 +166,15 @@
     """Answer to ``ControlConfirm``."""
 
     by: Incarnation
-    holds: bool
-    """The member has promised nothing above the epoch asked about."""
-    promised: Epoch
+    confirmed: bool = msgspec.field(name="holds")
+    """The member has prepared nothing above the epoch asked about."""
+    prepared_epoch: Epoch = msgspec.field(name="promised")
 
 
 class ControlLeadershipReleased(msgspec.Struct, frozen=True):
     """Posted by a primary that no longer leads, for instance after a disk fault, a stop or a restart.
 
-    The members that receive it need not wait for the silence limit before they take over.
+    The members that receive it need not wait for the timeout of the primary before they fail over.
     """
 
     WIRE_NAME: ClassVar[str] = "ControlGiveWay"
@@ -306,7 +193,7 @@
     """Answer to ``ControlJoin``."""
 
     view: View | None
-    """The latest view known to the answering daemon; the newcomer asks the primary of this view next."""
+    """The latest view known to the answering daemon; the joining daemon asks the primary of this view next."""
 
 
 # Messages from any daemon.
@@ -325,7 +212,7 @@
     """The applier's ``reply`` in msgpack, or a ``fault``; ``primary`` is the address to ask next time."""
 
     reply: bytes | None = None
-    fault: NotDecided | None = None
+    fault: CommandFailure | None = None
     primary: Address | None = None
 
 
--- a/wingwood/control/planning.py
+++ b/wingwood/control/planning.py
@@ -5,9 +5,9 @@
 from collections.abc import Sequence
 
 from ..identifiers import Incarnation, Instant
+from .control_options import ControlOptions
 from .leadership import Leadership
-from .limits import ControlLimits
-from .messages import View, ViewMember
+from .views import View, ViewMember
 
 RECENT_FAILURE_S = 5.0
 """A member that failed as a backup within this time is chosen only after the others."""
@@ -37,30 +37,32 @@
 class ViewPlanner:
     """Plans the next view of the primary ``own``, with the wanted numbers of backups and members."""
 
-    def __init__(self, own: ViewMember, limits: ControlLimits, backups_wanted: int, members_wanted: int) -> None:
+    def __init__(
+        self, own: ViewMember, options: ControlOptions, desired_backup_count: int, desired_member_count: int
+    ) -> None:
         self._own = own
-        self._limits = limits
-        self._backups_wanted = backups_wanted
-        self._members_wanted = members_wanted
+        self._options = options
+        self._desired_backup_count = desired_backup_count
+        self._desired_member_count = desired_member_count
 
     def plan(self, leadership: Leadership, now: Instant) -> ViewPlan | None:
         """Returns None when the current view is as wanted, or when a better one is not possible yet."""
         view = leadership.view
-        members = self._wanted_members(leadership, now)
-        backups = self._wanted_backups(leadership, members, now)
-        as_wanted = members == view.members and {member.incarnation for member in backups} == set(view.backups)
-        if as_wanted and leadership.in_sync and not leadership.epoch_superseded:
+        members = self._desired_members(leadership, now)
+        backups = self._desired_backups(leadership, members, now)
+        as_desired = members == view.members and {member.incarnation for member in backups} == set(view.backups)
+        if as_desired and leadership.in_sync and not leadership.epoch_superseded:
             return None
-        if len(backups) < self._backups_wanted or self._any_paused(leadership, backups, now):
+        if len(backups) < self._desired_backup_count or self._any_paused(leadership, backups, now):
             return None
         return ViewPlan(backups, members, view)
 
     def _any_paused(self, leadership: Leadership, backups: Sequence[ViewMember], now: Instant) -> bool:
         """Whether one of ``backups`` failed so recently that it is not tried again yet."""
-        paused = Instant(now - self._limits.recruit_pause)
+        paused = Instant(now - self._options.recruit_backoff)
         return any(leadership.failed_at.get(member.incarnation, paused) > paused for member in backups)
 
-    def _wanted_members(self, leadership: Leadership, now: Instant) -> tuple[ViewMember, ...]:
+    def _desired_members(self, leadership: Leadership, now: Instant) -> tuple[ViewMember, ...]:
         """Returns the current members, with spares in place of departed members and in vacant places."""
         spares = self._live_spares(leadership, now)
         updated = {member.incarnation: member for member in (self._own, *spares)}
@@ -68,20 +70,20 @@
         newcomers = [member for member in spares if leadership.view.member(member.incarnation) is None]
         for member in [member for member in members if self._is_departed(leadership, member, now)][: len(newcomers)]:
             members[members.index(member)] = newcomers.pop(0)
-        missing = max(0, self._members_wanted - len(members))
+        missing = max(0, self._desired_member_count - len(members))
         return (*members, *newcomers[:missing])
 
     def _live_spares(self, leadership: Leadership, now: Instant) -> list[ViewMember]:
         """Returns the spares that asked to join recently, the most recent request first."""
         latest_first = sorted(leadership.spares.values(), key=lambda spare: (-spare.last_requested, spare.member))
-        return [spare.member for spare in latest_first if now - spare.last_requested < self._limits.spare_silence]
+        return [spare.member for spare in latest_first if now - spare.last_requested < self._options.spare_timeout]
 
     def _is_departed(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
         if member.incarnation == self._own.incarnation:
             return False
-        return leadership.is_departed(member.incarnation, now, self._limits.member_departed_after)
+        return leadership.is_departed(member.incarnation, now, self._options.member_departed_after)
 
-    def _wanted_backups(
+    def _desired_backups(
         self, leadership: Leadership, members: Sequence[ViewMember], now: Instant
     ) -> tuple[ViewMember, ...]:
         """Returns the healthy backups, and in place of the others the live members most likely to succeed."""
@@ -97,7 +99,7 @@
                 -leadership.answered.get(member.incarnation, 0.0),
             )
 
-        return (*healthy, *sorted(others, key=preference))[: self._backups_wanted]
+        return (*healthy, *sorted(others, key=preference))[: self._desired_backup_count]
 
     def _is_healthy_backup(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
         """Whether the member is already a backup, is live, and has journaled every batch sent to it."""
@@ -115,4 +117,4 @@
         return leadership.view.member(member.incarnation) is None or self._is_live(leadership, member, now)
 
     def _is_live(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
-        return leadership.is_live(member.incarnation, now, self._limits.member_silence)
+        return leadership.is_live(member.incarnation, now, self._options.member_timeout)
--- a/wingwood/control/primary.py
+++ b/wingwood/control/primary.py
@@ -9,9 +9,10 @@
 from .commands import deliver_all
 from .leadership import Leadership
 from .member import MemberSetup
-from .messages import ControlAccept, ControlAccepted, ControlHeartbeat, ControlHeartbeatAnswer, View, ViewMember
+from .messages import ControlAccept, ControlAccepted, ControlHeartbeat, ControlHeartbeatAnswer
 from .planning import ViewPlan, ViewPlanner
 from .replicator import Replicator
+from .views import View, ViewMember
 
 VIEW_CHANGE_ATTEMPTS = 3
 
@@ -21,7 +22,9 @@
 
     def __init__(self, setup: MemberSetup) -> None:
         super().__init__(setup)
-        self._planner = ViewPlanner(self._own_member, self._limits, self._backups_wanted, self._members_wanted)
+        self._planner = ViewPlanner(
+            self._own_member, self._options, self._desired_backup_count, self._desired_member_count
+        )
 
     def _begin_leadership(self, view: View) -> None:
         leadership = Leadership(view, self._now())
@@ -46,7 +49,7 @@
             members=",".join(str(member.name) for member in view.members),
             sequence=self._store.sequence,
         )
-        if len(view.backups) >= self._backups_wanted:
+        if len(view.backups) >= self._desired_backup_count:
             self._note_in_sync(leadership)
         leadership.next_heartbeat.clear()
         for member in self._other_members(view):
@@ -73,7 +76,7 @@
         Steps down if no majority answers, sends heartbeats, and changes the view if it is not as wanted.
         """
         if (
-            self._now() - leadership.confirmed > self._limits.leadership_abandoned_after
+            self._now() - leadership.confirmed > self._options.leadership_abandoned_after
             and not leadership.changing_view
         ):
             self._step_down("no member answers")
@@ -81,7 +84,7 @@
         for member in self._other_members(leadership.view):
             self._start_heartbeat(leadership, member)
         if not leadership.changing_view:
-            plan = self._wanted_view(leadership)
+            plan = self._desired_view(leadership)
             if plan is not None:
                 leadership.changing_view = True
                 self._context.tasks.spawn("control view change", self._change_view(leadership, plan))
@@ -96,7 +99,7 @@
             return
         leadership.heartbeats_in_flight.add(member.incarnation)
         leadership.next_heartbeat[member.incarnation] = Instant(
-            now + self._limits.heartbeat_interval - self._limits.tick_interval / 2
+            now + self._options.heartbeat_interval - self._options.tick_interval / 2
         )
         self._context.tasks.spawn(
             f"heartbeat {member.name}", self._send_heartbeat(leadership, member, leadership.view, now)
@@ -105,14 +108,16 @@
     async def _send_heartbeat(self, leadership: Leadership, member: ViewMember, view: View, started: Instant) -> None:
         committed = self._replica.committed if leadership.commit_known else 0
         message = ControlHeartbeat(member.incarnation, self._own_incarnation, view.epoch, committed)
-        outcome = await self._messenger.call(member.address, message, ControlHeartbeatAnswer, self._limits.call_timeout)
+        outcome = await self._messenger.call(
+            member.address, message, ControlHeartbeatAnswer, self._options.call_timeout
+        )
         leadership.heartbeats_in_flight.discard(member.incarnation)
         if not isinstance(outcome, Success) or self._leadership is not leadership:
             return
         answer = outcome.unwrap()
         if (
             not answer.accepted
-            and answer.promised <= view.epoch
+            and answer.prepared_epoch <= view.epoch
             and leadership.view is view
             and not leadership.changing_view
         ):
@@ -129,24 +134,29 @@
         membership.
         """
         acceptance = await self._ask(member, ControlAccept(member.incarnation, view), ControlAccepted)
-        if acceptance is not None and not acceptance.accepted and acceptance.promised >= view.epoch and answer.healthy:
+        if (
+            acceptance is not None
+            and not acceptance.accepted
+            and acceptance.prepared_epoch >= view.epoch
+            and answer.healthy
+        ):
             # It promised the same epoch to another candidate, or to itself when it became one meanwhile.
             leadership.epoch_superseded = True
 
     async def _note_heartbeat_answer(
         self, leadership: Leadership, member: ViewMember, view: View, started: Instant, answer: ControlHeartbeatAnswer
     ) -> None:
-        self._note_epoch(answer.promised)
+        self._note_epoch(answer.prepared_epoch)
         if answer.unpacks:
             leadership.unpacks.add(member.incarnation)
         if answer.accepted and not self.leads():
             self._wakeup.set()
         if answer.healthy:
-            leadership.note_answered(member.incarnation, started)
+            leadership.record_answered(member.incarnation, started)
         if answer.accepted:
-            leadership.note_accepted(member.incarnation, started)
+            leadership.record_accepted(member.incarnation, started)
             await self._note_chosen(leadership, member, view, answer.knows_chosen)
-        elif leadership.view is view and answer.promised > view.epoch and not leadership.changing_view:
+        elif leadership.view is view and answer.prepared_epoch > view.epoch and not leadership.changing_view:
             leadership.epoch_superseded = True
 
     async def _note_chosen(self, leadership: Leadership, member: ViewMember, view: View, knows_chosen: bool) -> None:
@@ -158,7 +168,7 @@
 
     # -- other backups and members
 
-    def _wanted_view(self, leadership: Leadership) -> ViewPlan | None:
+    def _desired_view(self, leadership: Leadership) -> ViewPlan | None:
         """Returns the plan of the next view, or None when the current one is as wanted."""
         return self._planner.plan(leadership, self._now())
 
--- a/wingwood/control/protocols.py
+++ b/wingwood/control/protocols.py
@@ -11,6 +11,7 @@
 from ..bundle.model import BundleDelta, EditionChange, Manifest, Order, OrderOutcome
 from ..identifiers import Address, BundleVersion, Epoch, Incarnation, OrderId
 from ..transport.frames import Identity
+from .errors import CommandFailure
 
 
 class Applier(Protocol):
@@ -46,18 +47,6 @@
         ...
 
 
-class NotDecided(msgspec.Struct, frozen=True):
-    """Why a command has no reply.
-
-    ``not-leading``: this daemon did nothing; ask ``primary``. ``unknown``: the command may or may not
-    become durable. ``busy``: the command was not run and will not be.
-    """
-
-    kind: Literal["not-leading", "unknown", "busy"]
-    primary: Address | None = None
-    detail: str = ""
-
-
 class ViewReport(msgspec.Struct, frozen=True, kw_only=True):
     """For the health report: who is primary and backup, and whether the configured losses could be survived now."""
 
@@ -70,7 +59,7 @@
     complete: bool
     """There are as many members as wanted, all of them live, and the wanted backups are in sync.
 
-    Then as many losses as configured (``losses_borne``) can be survived.
+    Then as many losses as configured (``failures_tolerated``) can be survived.
     """
     detail: str = ""
 
@@ -88,14 +77,14 @@
         """Returns the internal address of the presumed primary."""
         ...
 
-    async def decide(self, kind: str, command: msgspec.Struct) -> Result[msgspec.Struct, NotDecided]:
+    async def decide(self, kind: str, command: msgspec.Struct) -> Result[msgspec.Struct, CommandFailure]:
         """Runs the command in the applier of that kind.
 
         Returns Success only when the result is durable on the disks of the primary and all backups of the view.
         """
         ...
 
-    async def prove_leadership(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Whether a majority confirmed, in an exchange started after this call, that no other daemon leads."""
         ...
 
@@ -153,7 +142,6 @@
     "ControlCore",
     "FindEdition",
     "Identity",
-    "NotDecided",
     "OrderOutcome",
     "PreparingApplier",
     "SubmitEdition",
--- a/wingwood/control/relay.py
+++ b/wingwood/control/relay.py
@@ -13,6 +13,7 @@
 from ..identifiers import Address, Epoch, Seconds
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
+from .errors import CommandFailure
 from .messages import (
     ControlCommand,
     ControlDecision,
@@ -22,12 +23,12 @@
     ControlLeaderQuery,
     ControlStatus,
     ControlStatusQuery,
-    View,
 )
-from .protocols import NotDecided, ViewReport
+from .protocols import ViewReport
+from .views import View
 
 
-class RelayLimits(msgspec.Struct, frozen=True, kw_only=True):
+class RelayOptions(msgspec.Struct, frozen=True, kw_only=True):
     """Limits of a relay; durations are in seconds."""
 
     view_query_interval: Seconds = Seconds(0.5)
@@ -48,13 +49,13 @@
         messenger: Messenger,
         seeds: Sequence[Address],
         other_controls: Callable[[], Sequence[Address]] = lambda: (),
-        limits: RelayLimits | None = None,
+        options: RelayOptions | None = None,
     ) -> None:
         self._context = context
         self._messenger = messenger
         self._seeds = tuple(sorted(seeds))
         self._other_controls = other_controls
-        self._limits = limits or RelayLimits()
+        self._options = options or RelayOptions()
         self._view: View | None = None
         self._on_change: list[Callable[[], None]] = []
         self._task: Task | None = None
@@ -99,10 +100,10 @@
 
     async def decide(
         self, kind: str, command: msgspec.Struct, timeout: Seconds | None = None
-    ) -> Result[msgspec.Struct, NotDecided]:
-        return Failure(NotDecided("not-leading", self.primary_address()))
+    ) -> Result[msgspec.Struct, CommandFailure]:
+        return Failure(CommandFailure("not-leading", self.primary_address()))
 
-    async def prove_leadership(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         return False
 
     # -- start and stop
@@ -124,13 +125,13 @@
             status = await self._query_status(primary) if primary is not None else None
             if status is None or not self._confirms(status):
                 await asyncio.gather(*(self._query_status(address) for address in self.control_addresses()))
-            await self._context.clock.sleep(self._limits.view_query_interval)
+            await self._context.clock.sleep(self._options.view_query_interval)
 
     def _confirms(self, status: ControlStatus) -> bool:
         return status.hears_primary and self._view is not None and status.by == self._view.primary
 
     async def _query_status(self, address: Address) -> ControlStatus | None:
-        match await self._messenger.call(address, ControlStatusQuery(), ControlStatus, self._limits.call_timeout):
+        match await self._messenger.call(address, ControlStatusQuery(), ControlStatus, self._options.call_timeout):
             case Success(found):
                 status: ControlStatus = found
                 self._note(status.view)
@@ -154,7 +155,7 @@
     async def _on_command(self, _: Identity, message: ControlCommand) -> ControlDecision:
         primary = self.primary_address()
         if primary is None or message.hops <= 0:
-            return ControlDecision(fault=NotDecided("not-leading", primary))
+            return ControlDecision(fault=CommandFailure("not-leading", primary))
         return await forward_command(self._messenger, primary, message)
 
 
@@ -170,5 +171,5 @@
             return decision
         case Failure(fault):
             kind: Literal["unknown", "not-leading"] = "unknown" if fault.sent else "not-leading"
-            return ControlDecision(fault=NotDecided(kind, primary, f"{fault.kind} {fault.detail}"))
+            return ControlDecision(fault=CommandFailure(kind, primary, f"{fault.kind} {fault.detail}"))
     raise AssertionError("a result is a success or a failure")
--- a/wingwood/control/replica.py
+++ b/wingwood/control/replica.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from .messages import BatchEntry, SnapshotEntry
+from .journal_entries import BatchEntry, SnapshotEntry
 from .protocols import Applier
 from .store import Contents
 
--- a/wingwood/control/replicator.py
+++ b/wingwood/control/replicator.py
@@ -10,11 +10,12 @@
 from ..identifiers import Epoch, Seconds
 from .leadership import Leadership
 from .member import MemberSetup
-from .messages import ControlCommitted, ControlReplicate, ControlReplicated, ControlStateChunk, ViewMember
+from .messages import ControlCommitted, ControlReplicate, ControlReplicated, ControlStateChunk
 from .state_transfer import Transfer, split_into_chunks
 from .store_guard import StoreGuard
+from .views import ViewMember
 
-RETRY_PAUSE_S = Seconds(0.05)
+RETRY_BACKOFF_S = Seconds(0.05)
 """Pause before a batch is sent again to a backup that did not answer."""
 RETRY_WINDOW_S = 0.4
 """Time after which an unanswered batch is no longer sent again."""
@@ -48,7 +49,7 @@
     ) -> bool:
         message = ControlReplicate(member.incarnation, epoch, before, self._replica.committed, entry)
         started = self._now()
-        bound = self._limits.replicate_timeout + 2 * len(entry) / self._limits.rewrite_bytes_per_second
+        bound = self._options.replicate_timeout + 2 * len(entry) / self._options.rewrite_bytes_per_second
         while True:
             left = bound - (self._now() - started)
             if left <= 0 or self._leadership is not leadership:
@@ -61,10 +62,10 @@
                 self._note_failed(leadership, member)
                 self._log("backup-silent", backup=member.name)
                 return False
-            await self._context.clock.sleep(RETRY_PAUSE_S)
+            await self._context.clock.sleep(RETRY_BACKOFF_S)
 
     def _note_replicated(self, leadership: Leadership, member: ViewMember, answer: ControlReplicated) -> None:
-        self._note_epoch(answer.promised)
+        self._note_epoch(answer.prepared_epoch)
         if not answer.synced:
             self._note_failed(leadership, member)
             self._log("backup-refused", backup=member.name, reason=answer.reason)
@@ -105,9 +106,9 @@
         self._transfers += 1
         transfer = Transfer(self._own_incarnation, leadership.view.epoch, self._transfers)
         packed = member.incarnation in leadership.unpacks
-        for chunk in split_into_chunks(data, member.incarnation, transfer, self._limits.chunk_bytes, packed):
+        for chunk in split_into_chunks(data, member.incarnation, transfer, self._options.chunk_bytes, packed):
             last = chunk.index == chunk.count - 1
-            timeout = self._limits.rewrite_timeout(len(data)) if last else self._limits.call_timeout
+            timeout = self._options.rewrite_timeout(len(data)) if last else self._options.call_timeout
             if not await self._send_chunk(leadership, member, chunk, timeout):
                 return False
         return True
@@ -120,6 +121,6 @@
             return False
         if answer.synced and self._leadership is leadership:
             return True
-        self._note_epoch(answer.promised)
-        leadership.epoch_superseded = leadership.epoch_superseded or answer.promised > chunk.epoch
+        self._note_epoch(answer.prepared_epoch)
+        leadership.epoch_superseded = leadership.epoch_superseded or answer.prepared_epoch > chunk.epoch
         return False
--- a/wingwood/control/state_transfer.py
+++ b/wingwood/control/state_transfer.py
@@ -61,7 +61,7 @@
         data = b"".join(chunks[index] for index in range(chunk.count))
         return zlib.decompress(data) if chunk.packed else data
 
-    def note_installed(self, transfer: Transfer) -> None:
+    def record_installed(self, transfer: Transfer) -> None:
         self._latest_installed = transfer
 
 
--- a/wingwood/control/store.py
+++ b/wingwood/control/store.py
@@ -11,34 +11,25 @@
 from ..context.protocols import Context
 from ..identifiers import Epoch, Incarnation, Seconds
 from ..journal import Journal, JournalFault
-from .messages import (
+from .errors import StoreFailure
+from .journal_entries import (
     AcceptedEntry,
     BatchEntry,
     Entry,
-    FoundedEntry,
+    InitializedEntry,
+    PreparedEntry,
     ProbeEntry,
-    Promise,
-    PromisedEntry,
     SnapshotEntry,
     StateRecord,
-    View,
 )
+from .views import NOTHING_PREPARED, PreparedEpoch, View
 
 JOURNAL_NAME = "control.journal"
-NO_PROMISE = Promise(Epoch(0), Incarnation(""))
 
 _decoder = msgspec.msgpack.Decoder(Entry)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class StoreFault(msgspec.Struct, frozen=True):
-    """Why a data folder cannot be used; ``detail`` is a sentence for the operator."""
-
-    kind: Literal["locked", "damaged", "disk"]
-    detail: str
-    offset: int = 0
-
-
 class Contents(msgspec.Struct):
     """State as read from the journal, not yet applied to the appliers."""
 
@@ -57,7 +48,7 @@
         self.context = context
         self.journal = journal
         self.incarnation = incarnation
-        self.promise = NO_PROMISE
+        self.prepared = NOTHING_PREPARED
         self.ever_used = False
         """It has accepted a view, granted a promise other than to form the first view, or held state."""
         self.view: View | None = None
@@ -66,19 +57,19 @@
         self.rewritten_bytes = 0
         """The length of the journal after its last rewrite."""
 
-    async def record_promise(self, promise: Promise, forming: bool) -> Result[None, JournalFault]:
-        if promise.epoch <= self.promise.epoch:
-            raise AssertionError(f"epoch {promise.epoch} promised after {self.promise.epoch}")
-        match await self.journal.append(_encode(PromisedEntry(promise, forming))):
+    async def record_prepared(self, promise: PreparedEpoch, forming: bool) -> Result[None, JournalFault]:
+        if promise.epoch <= self.prepared.epoch:
+            raise AssertionError(f"epoch {promise.epoch} promised after {self.prepared.epoch}")
+        match await self.journal.append(_encode(PreparedEntry(promise, forming))):
             case Failure(fault):
                 return Failure(fault)
-        self.promise = promise
+        self.prepared = promise
         self.ever_used = self.ever_used or not forming
         return Success(None)
 
     async def record_view(self, view: View) -> Result[None, JournalFault]:
-        if view.epoch < self.promise.epoch:
-            raise AssertionError(f"view of epoch {view.epoch} accepted after promising {self.promise.epoch}")
+        if view.epoch < self.prepared.epoch:
+            raise AssertionError(f"view of epoch {view.epoch} accepted after promising {self.prepared.epoch}")
         match await self.journal.append(_encode(AcceptedEntry(view))):
             case Failure(fault):
                 return Failure(fault)
@@ -88,8 +79,8 @@
     def _accept(self, view: View) -> None:
         self.view = view
         self.ever_used = True
-        if view.epoch > self.promise.epoch:
-            self.promise = Promise(view.epoch, view.primary)
+        if view.epoch > self.prepared.epoch:
+            self.prepared = PreparedEpoch(view.epoch, view.primary)
 
     async def append_batch(self, encoded: bytes, sequence: int) -> Result[None, JournalFault]:
         if sequence != self.sequence + 1:
@@ -104,10 +95,10 @@
         return await self.journal.append(_encode(ProbeEntry()))
 
     async def rewrite(
-        self, contents: Callable[[], Contents], timeout: Seconds, promise: Promise | None = None
+        self, contents: Callable[[], Contents], timeout: Seconds, promise: PreparedEpoch | None = None
     ) -> Result[None, JournalFault]:
         """Replaces the journal by ``contents``. The sequence of its last batch becomes that of the store."""
-        promise = promise or self.promise
+        promise = promise or self.prepared
         written = Contents()
 
         def payloads() -> Sequence[bytes]:
@@ -118,7 +109,7 @@
         match await self.journal.rewrite(payloads, timeout):
             case Failure(fault):
                 return Failure(fault)
-        self.promise = promise
+        self.prepared = promise
         self.sequence = (
             written.batches[-1].sequence if written.batches else written.snapshot.sequence if written.snapshot else 0
         )
@@ -126,8 +117,8 @@
         self.rewritten_bytes = self.journal.length
         return Success(None)
 
-    def _payloads(self, contents: Contents, promise: Promise) -> list[bytes]:
-        entries: list[Entry] = [FoundedEntry(self.incarnation), PromisedEntry(promise, not self.ever_used)]
+    def _payloads(self, contents: Contents, promise: PreparedEpoch) -> list[bytes]:
+        entries: list[Entry] = [InitializedEntry(self.incarnation), PreparedEntry(promise, not self.ever_used)]
         if self.view is not None:
             entries.append(AcceptedEntry(self.view))
         if contents.snapshot is not None:
@@ -137,7 +128,7 @@
 
     def compact(self, contents: Contents) -> Coroutine[Any, Any, Result[None, JournalFault]]:
         """Shortens the journal. ``contents`` is the complete state up to ``sequence``; nothing else changes."""
-        return self._compact(self.journal.compact(self._payloads(contents, self.promise)))
+        return self._compact(self.journal.compact(self._payloads(contents, self.prepared)))
 
     async def _compact(self, compaction: Coroutine[Any, Any, Result[None, JournalFault]]) -> Result[None, JournalFault]:
         outcome = await compaction
@@ -155,17 +146,17 @@
         raise AssertionError("a result is a success or a failure")
 
     def _read_entries(self, payloads: Sequence[bytes]) -> Contents:
-        self.promise, self.ever_used, self.view, self.sequence = NO_PROMISE, False, None, 0
+        self.prepared, self.ever_used, self.view, self.sequence = NOTHING_PREPARED, False, None, 0
         contents = Contents()
         read = 0
         for payload in payloads:
             read += len(payload)
             entry = _decoder.decode(payload)
             match entry:
-                case FoundedEntry(incarnation):
+                case InitializedEntry(incarnation):
                     self.incarnation = incarnation
-                case PromisedEntry(promise, forming):
-                    self.promise = promise
+                case PreparedEntry(promise, forming):
+                    self.prepared = promise
                     self.ever_used = self.ever_used or not forming
                 case AcceptedEntry(view):
                     self._accept(view)
@@ -191,32 +182,32 @@
 
 
 async def open_store(
-    context: Context, start_empty_when_damaged: bool = False, retry_pause: Seconds | None = None
-) -> Result[tuple[ControlStore, Contents], StoreFault]:
+    context: Context, start_empty_when_damaged: bool = False, retry_backoff: Seconds | None = None
+) -> Result[tuple[ControlStore, Contents], StoreFailure]:
     """Locks the data folder and reads its journal; in an empty folder it creates a journal of a new incarnation.
 
     A damaged journal is a fault, unless the operator set ``start_empty_when_damaged``: then the journal is
     renamed, and the daemon starts empty, as a new incarnation, and receives the state from its peers.
-    With ``retry_pause``, opening a disk that fails or is full is retried until it succeeds.
+    With ``retry_backoff``, opening a disk that fails or is full is retried until it succeeds.
     """
     while True:
         opened = await _open_store(context, start_empty_when_damaged)
         match opened:
-            case Failure(StoreFault(kind="disk", detail=detail)) if retry_pause is not None:
+            case Failure(StoreFailure(kind="disk", detail=detail)) if retry_backoff is not None:
                 context.log.event("control-store-waits", detail=detail)
-                await context.clock.sleep(retry_pause)
+                await context.clock.sleep(retry_backoff)
             case _:
                 return opened
 
 
 async def _open_store(
     context: Context, start_empty_when_damaged: bool
-) -> Result[tuple[ControlStore, Contents], StoreFault]:
+) -> Result[tuple[ControlStore, Contents], StoreFailure]:
     timeout = Seconds(60.0)
     match await context.disk.lock():
         case Failure(fault):
             kind: Literal["locked", "disk"] = "locked" if fault.kind == "locked" else "disk"
-            return Failure(StoreFault(kind, f"the data folder cannot be locked: {fault.detail}"))
+            return Failure(StoreFailure(kind, f"the data folder cannot be locked: {fault.detail}"))
     journal = Journal(context, JOURNAL_NAME)
     store = ControlStore(context, journal, Incarnation(""))
     match await store.reload(timeout):
@@ -224,7 +215,7 @@
             context.log.event(
                 "control-store-opened",
                 incarnation=store.incarnation,
-                promised=store.promise.epoch,
+                promised=store.prepared.epoch,
                 view=store.view.epoch if store.view else None,
                 sequence=store.sequence,
                 journal_bytes=journal.length,
@@ -236,7 +227,7 @@
         context.log.event("journal-damaged", journal=JOURNAL_NAME, offset=problem.offset, detail=problem.detail)
         if not start_empty_when_damaged:
             return Failure(
-                StoreFault(
+                StoreFailure(
                     "damaged",
                     f"{JOURNAL_NAME} is damaged at byte {problem.offset} ({problem.detail}); "
                     "to refill this machine from its peers, start it once with --begin-empty-when-damaged",
@@ -247,14 +238,14 @@
         match await context.disk.rename(JOURNAL_NAME, aside):
             case Failure(fault):
                 return Failure(
-                    StoreFault("disk", f"the damaged {JOURNAL_NAME} cannot be renamed to {aside}: {fault.detail}")
+                    StoreFailure("disk", f"the damaged {JOURNAL_NAME} cannot be renamed to {aside}: {fault.detail}")
                 )
         context.log.event("journal-put-aside", file=aside)
     elif problem.kind != "missing":
-        return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be read: {problem.kind} {problem.detail}"))
+        return Failure(StoreFailure("disk", f"{JOURNAL_NAME} cannot be read: {problem.kind} {problem.detail}"))
     store.incarnation = Incarnation(context.random.randbytes(8).hex())
-    match await journal.create([_encode(FoundedEntry(store.incarnation))], timeout):
+    match await journal.create([_encode(InitializedEntry(store.incarnation))], timeout):
         case Failure(problem):
-            return Failure(StoreFault("disk", f"{JOURNAL_NAME} cannot be created: {problem.kind} {problem.detail}"))
+            return Failure(StoreFailure("disk", f"{JOURNAL_NAME} cannot be created: {problem.kind} {problem.detail}"))
     context.log.event("control-store-founded", incarnation=store.incarnation)
     return Success((store, Contents()))
--- a/wingwood/control/store_guard.py
+++ b/wingwood/control/store_guard.py
@@ -19,7 +19,7 @@
         super().__init__(setup)
         self._on_data_lost = setup.on_data_lost
         self._rewriter = JournalRewriter(
-            self._context, self._store, self._replica, self._limits, self._mark_disk_faulty
+            self._context, self._store, self._replica, self._options, self._mark_disk_faulty
         )
 
     def _mark_disk_faulty(self, fault: JournalFault) -> None:
@@ -43,7 +43,7 @@
     async def _recover_disk(self) -> bool:
         """Reads the journal back and checks with a probe entry that it accepts writes; returns whether both succeeded.
 
-        The caller holds the lock of the store.
+        The caller confirmed the lock of the store.
         """
         if self._disk_fault is None and not self._stale:
             return True
@@ -83,7 +83,7 @@
     async def _check_disk(self) -> None:
         """Checks at regular intervals that the journal file still exists, even when nothing is written."""
         while not self._stopped:
-            await self._context.clock.sleep(self._limits.disk_check_interval)
+            await self._context.clock.sleep(self._options.disk_check_interval)
             async with self._lock:
                 if self._disk_fault is None:
                     await self._check_journal()
--- a/wingwood/control/tests/control_world.py
+++ b/wingwood/control/tests/control_world.py
@@ -16,15 +16,15 @@
 from ...identifiers import Address, DaemonName, Epoch, Incarnation, Seconds, Zone
 from ...transport.frames import Identity
 from ...transport.messenger import TcpMessenger
-from ..client import ControlClient, ControlClientLimits
+from ..client import ControlClient, ControlClientOptions
+from ..control_options import ControlOptions
 from ..core import ReplicatedCore
-from ..limits import ControlLimits
 from ..protocols import ViewReport
 from ..store import Contents, ControlStore, open_store
 
 Value = TypeVar("Value")
 KEY = b"control tests"
-WALK_LIMITS = ControlLimits(rewrite_bytes=20_000, chunk_bytes=4096)
+WALK_OPTIONS = ControlOptions(rewrite_bytes=20_000, chunk_bytes=4096)
 PORT = 7000
 
 
@@ -83,7 +83,9 @@
 
 
 def core_maker(
-    core_type: type[ReplicatedCore] = ReplicatedCore, limits: ControlLimits = WALK_LIMITS, losses_borne: int = 1
+    core_type: type[ReplicatedCore] = ReplicatedCore,
+    options: ControlOptions = WALK_OPTIONS,
+    failures_tolerated: int = 1,
 ) -> MakeCore:
     def make(
         context: Context,
@@ -94,19 +96,26 @@
         seeds: Sequence[Address],
     ) -> ReplicatedCore:
         return core_type(
-            context, messenger, store, contents, [register], seeds, limits=limits, losses_borne=losses_borne
+            context,
+            messenger,
+            store,
+            contents,
+            [register],
+            seeds,
+            options=options,
+            failures_tolerated=failures_tolerated,
         )
 
     return make
 
 
 make_core = core_maker()
-make_core_for_two_losses = core_maker(losses_borne=2)
+make_core_for_two_losses = core_maker(failures_tolerated=2)
 SIX = ("c1", "c2", "c3", "c4", "c5", "c6")
 
 
 class Observer:
-    """Sees only the answers to operators and the proofs. ``faults`` lists observations that must never occur."""
+    """Sees only the answers to operators and the confirmations. ``faults`` lists observations that must never occur."""
 
     def __init__(self) -> None:
         self.faults: list[str] = []
@@ -116,7 +125,7 @@
         self.first_sent: dict[int, int] = {}
         """By order: the latest acknowledged version when the order was sent for the first time."""
         self.acknowledged = 0
-        self.proofs = 0
+        self.confirmations = 0
         self.last_acknowledged = 0.0
 
     def answered(self, now: float, outcome: PutOutcome, newest_when_first_sent: int) -> None:
@@ -165,7 +174,7 @@
 
         async def main(context: Context) -> None:
             self.cores.pop(name, None)
-            match await open_store(context, name in self.begin_empty, retry_pause=Seconds(0.5)):
+            match await open_store(context, name in self.begin_empty, retry_backoff=Seconds(0.5)):
                 case Failure(fault):
                     context.log.event("store-fault", kind=fault.kind, detail=fault.detail)
                     return
@@ -221,7 +230,7 @@
 
     # -- operators
 
-    def operator(self, name: str = "operator", zone: str = "a", limits: ControlClientLimits | None = None) -> None:
+    def operator(self, name: str = "operator", zone: str = "a", options: ControlClientOptions | None = None) -> None:
         """Starts a process that can send orders; it stores no state."""
 
         async def main(context: Context) -> None:
@@ -229,7 +238,7 @@
             identity = Identity(DaemonName(name), Incarnation(name), "tool", Zone(zone), address)
             messenger = TcpMessenger(context, identity, KEY)
             learnt = [address_of(self.world.machine(other), PORT) for other in self.world.processes if other[0] in "cs"]
-            self.clients[name] = ControlClient(context, messenger, lambda: [*self.seeds, *learnt], limits)
+            self.clients[name] = ControlClient(context, messenger, lambda: [*self.seeds, *learnt], options)
 
         self.world.start(name, main, zone)
         self.world.run(0.01)
--- a/wingwood/control/tests/edition_world.py
+++ b/wingwood/control/tests/edition_world.py
@@ -19,13 +19,13 @@
 from ..bundle_source import CommittedBundles
 from ..client import ControlClient
 from ..core import ReplicatedCore
-from ..protocols import NotDecided
+from ..errors import CommandFailure
 from ..store import Contents, ControlStore
-from .control_world import WALK_LIMITS, ControlWorld, Register
+from .control_world import WALK_OPTIONS, ControlWorld, Register
 
 MakeState = Callable[[], BundleState]
 MakeClient = Callable[[ControlClient, LocalBundleReader, RemoteBundleReader, Context], EditionClient]
-Answer = Result[OrderOutcome, NotDecided]
+Answer = Result[OrderOutcome, CommandFailure]
 
 
 def signing_state() -> BundleState:
@@ -39,7 +39,7 @@
 
 
 class EditionWorld(ControlWorld):
-    """``editions`` holds, by name of control daemon, the client through which it serves its operators."""
+    """``editions`` confirmed, by name of control daemon, the client through which it serves its operators."""
 
     def __init__(
         self, seed: int, make_state: MakeState = signing_state, make_client: MakeClient = edition_client
@@ -59,7 +59,7 @@
         seeds: Sequence[Address],
     ) -> ReplicatedCore:
         state = self.make_state()
-        core = ReplicatedCore(context, messenger, store, contents, [register, state], seeds, limits=WALK_LIMITS)
+        core = ReplicatedCore(context, messenger, store, contents, [register, state], seeds, options=WALK_OPTIONS)
         source = CommittedBundles(core, state)
         local = LocalBundleReader(state, lambda: source.version)
         local.serve(messenger)
--- a/wingwood/control/tests/mutants.py
+++ b/wingwood/control/tests/mutants.py
@@ -13,17 +13,10 @@
 from ...transport.messenger import TcpMessenger
 from ..core import ReplicatedCore
 from ..leadership import Leadership as _Lead
-from ..messages import (
-    ControlConfirm,
-    ControlConfirmed,
-    ControlGrant,
-    ControlPromise,
-    ControlReplicate,
-    View,
-    ViewMember,
-)
+from ..messages import ControlConfirm, ControlConfirmed, ControlPrepare, ControlPrepared, ControlReplicate
 from ..planning import ViewPlan as _Plan
 from ..store import Contents, ControlStore, decode_batch
+from ..views import View, ViewMember
 from .control_world import SIX, MakeCore, Register, core_maker
 
 
@@ -67,7 +60,7 @@
 
 
 class AnyGranteeMayWin(ReplicatedCore):
-    """Witnesses become candidates too, and no member checks whether the winner holds the state."""
+    """Witnesses become candidates too, and no member checks whether the winner confirmed the state."""
 
     async def _may_be_candidate(self, view: View) -> bool:
         newest = self._store.view
@@ -85,10 +78,10 @@
             timeout: Seconds | None = None,
         ) -> msgspec.Struct | None:
             reply = await ask(member, message, reply_type, timeout)
-            if isinstance(reply, ControlGrant) and isinstance(message, ControlPromise) and reply.view is not None:
+            if isinstance(reply, ControlPrepared) and isinstance(message, ControlPrepare) and reply.view is not None:
                 view = reply.view
                 everyone = View(view.epoch, view.primary, view.backups, view.members, view.incarnations())
-                return ControlGrant(reply.by, reply.granted, reply.promised, everyone, 0, reply.empty)
+                return ControlPrepared(reply.by, reply.granted, reply.prepared_epoch, everyone, 0, reply.empty)
             return reply
 
         self._ask = forget_holders  # type: ignore[method-assign, assignment]
@@ -108,9 +101,9 @@
         leadership.confirmed = self._now()
         super()._maintain_leadership(leadership)
 
-    def _wanted_view(self, leadership: _Lead) -> _Plan | None:
+    def _desired_view(self, leadership: _Lead) -> _Plan | None:
         alone = not any(self._member_is_live(leadership, member) for member in self._other_members(leadership.view))
-        return None if alone else super()._wanted_view(leadership)
+        return None if alone else super()._desired_view(leadership)
 
     async def _replicate(self, leadership: _Lead, epoch: Epoch, before: int, entry: bytes) -> bool:
         replicating = asyncio.get_running_loop().create_task(super()._replicate(leadership, epoch, before, entry))
@@ -188,10 +181,12 @@
                 self._ask(member, ControlConfirm(member.incarnation, view.epoch), ControlConfirmed)
                 for member in self._other_members(view)
             ],
-            lambda found: any(answer.holds for answer in found),
-            self._limits.call_timeout,
+            lambda found: any(answer.confirmed for answer in found),
+            self._options.call_timeout,
+        )
+        return (
+            any(answer.confirmed for answer in answers) and self._leadership is leadership and leadership.commit_known
         )
-        return any(answer.holds for answer in answers) and self._leadership is leadership and leadership.commit_known
 
 
 class Mutant(msgspec.Struct, frozen=True):
@@ -200,27 +195,27 @@
     make: MakeCore
     faults: tuple[str, ...]
     names: tuple[str, ...] = ("c1", "c2", "c3")
-    losses_borne: int = 1
+    failures_tolerated: int = 1
 
 
 def _for_two(core_type: type[ReplicatedCore], *faults: str) -> Mutant:
-    return Mutant(core_maker(core_type, losses_borne=2), faults, SIX, 2)
+    return Mutant(core_maker(core_type, failures_tolerated=2), faults, SIX, 2)
 
 
 MUTANTS: dict[str, Mutant] = {
     "acknowledges before backup": Mutant(
         with_core(AcknowledgesBeforeBackup),
-        ("slow_wire", "slow_wire", "kill_primary", "heal_cuts"),
+        ("slow_wire", "slow_wire", "kill_primary", "heal_partitions"),
     ),
     "identity survives wipe": Mutant(identity_survives_wipe, ("lose_then_kill", "nothing")),
     "view before transfer": Mutant(with_core(ViewBeforeTransfer), ("second_loss", "pause_operators", "nothing")),
-    "any grantee may win": Mutant(with_core(AnyGranteeMayWin), ("cut_off", "cut", "freeze_primary", "heal_cuts")),
+    "any grantee may win": Mutant(with_core(AnyGranteeMayWin), ("cut_off", "cut", "freeze_primary", "heal_partitions")),
     "proves without asking": Mutant(
-        with_core(ProvesWithoutAsking), ("cut_off", "heal_cuts", "freeze_primary", "nothing")
+        with_core(ProvesWithoutAsking), ("cut_off", "heal_partitions", "freeze_primary", "nothing")
     ),
-    "answers when cut off": Mutant(with_core(AnswersWhenCutOff), ("cut_off", "heal_cuts", "nothing")),
+    "answers when cut off": Mutant(with_core(AnswersWhenCutOff), ("cut_off", "heal_partitions", "nothing")),
     "forgets former members": Mutant(
-        with_core(ForgetsFormerMembers), ("cut_in_replacement", "heal_cuts", "nothing"), ("c1", "c2", "c3", "c4")
+        with_core(ForgetsFormerMembers), ("cut_in_replacement", "heal_partitions", "nothing"), ("c1", "c2", "c3", "c4")
     ),
     "acknowledges before backups, two losses": _for_two(AcknowledgesBeforeBackup, "lose_behind_slow_wire", "nothing"),
     "one backup is enough, two losses": _for_two(OneBackupIsEnough, "lose_behind_slow_wire", "nothing"),
@@ -228,7 +223,7 @@
     "takes backups for in sync, two losses": _for_two(
         TakesBackupsForInSync, "second_loss", "lose", "kill", "pause_operators"
     ),
-    "any grantee may win, two losses": _for_two(AnyGranteeMayWin, "split", "freeze_primary", "heal_cuts"),
-    "proves with one member, two losses": _for_two(ProvesWithOneMember, "cut_minority", "heal_cuts", "nothing"),
+    "any grantee may win, two losses": _for_two(AnyGranteeMayWin, "split", "freeze_primary", "heal_partitions"),
+    "proves with one member, two losses": _for_two(ProvesWithOneMember, "cut_minority", "heal_partitions", "nothing"),
 }
 """``BackupIgnoresPromise`` is not listed here; test_core catches it."""
--- a/wingwood/control/tests/protocol_model.py
+++ b/wingwood/control/tests/protocol_model.py
@@ -45,10 +45,10 @@
 class Fleet:
     """What is run: the core, its machines, and how many disks may be lost at the same time."""
 
-    def __init__(self, make: MakeCore, names: Sequence[str], losses_borne: int) -> None:
+    def __init__(self, make: MakeCore, names: Sequence[str], failures_tolerated: int) -> None:
         self.make = make
         self.names = names
-        self.losses_borne = losses_borne
+        self.failures_tolerated = failures_tolerated
 
 
 class ControlProtocol(RuleBasedStateMachine):
@@ -68,7 +68,7 @@
     @initialize(seed=st.integers(0, 15))
     def start(self, seed: int) -> None:
         fleet = self.fleet
-        self.walk = Walk(seed, self._make, operators=(), names=fleet.names, losses_borne=fleet.losses_borne)
+        self.walk = Walk(seed, self._make, operators=(), names=fleet.names, failures_tolerated=fleet.failures_tolerated)
         self.control, self.world = self.walk.control, self.walk.world
         self.walk.operators = OPERATORS
         for name, zone in zip(OPERATORS, "ab", strict=True):
@@ -115,10 +115,10 @@
         least = max(observer.newest, self.newest_read)
 
         async def ask() -> None:
-            if not await core.prove_leadership():
+            if not await core.confirm_leadership():
                 return
             version = self.committed[name]
-            observer.proofs += 1
+            observer.confirmations += 1
             self.newest_read = max(self.newest_read, version)
             if version < least:
                 observer.faults.append(f"{self.world.now:.3f} {name} shows {version} with a proof, after {least}")
@@ -159,7 +159,7 @@
         near, far = self._named(one), self._named(other)
         if near != far:
             self.walk.log_step(f"cut {near} {far} both={both}")
-            self.walk.cuts.append(self.world.cut(near, far, both))
+            self.walk.partitions.append(self.world.cut(near, far, both))
         self._pass(then)
 
     @precondition(lambda self: self._may("cut_off"))
@@ -182,24 +182,24 @@
     @precondition(lambda self: self._may("heal"))
     @rule(then=then)
     def heal(self, then: float) -> None:
-        self.walk.heal_cuts()
+        self.walk.heal_partitions()
         self._pass(then)
 
-    @precondition(lambda self: self._may("sicken"))
+    @precondition(lambda self: self._may("break_disk"))
     @rule(who=whom, mode=st.sampled_from(("slow", "stalled", "full", "failing")), seconds=a_while, then=then)
-    def sicken(self, who: int, mode: str, seconds: float, then: float) -> None:
+    def break_disk(self, who: int, mode: str, seconds: float, then: float) -> None:
         name = self._named(who)
         self.walk.log_step(f"disk of {name} {mode}")
         self.world.machines[name].disk.set_mode(mode)  # type: ignore[arg-type]
         self.walk.failed_disks[name] = self.world.now + seconds
         self._pass(then)
 
-    @precondition(lambda self: self._may("lose_disks") and self.walk.loss_can_be_borne())
+    @precondition(lambda self: self._may("lose_disks") and self.walk.loss_can_be_tolerated())
     @rule(first=whom, second=whom, killed=st.booleans(), seconds=a_while, then=then)
     def lose_disks(self, first: int, second: int, killed: bool, seconds: float, then: float) -> None:
-        """Wipes up to ``losses_borne`` disks, while their processes run or after killing them."""
+        """Wipes up to ``failures_tolerated`` disks, while their processes run or after killing them."""
         chosen = list(dict.fromkeys((self._named(first), self._named(second))))
-        for name in chosen[: self.fleet.losses_borne]:
+        for name in chosen[: self.fleet.failures_tolerated]:
             self.walk.log_step(f"wipe {name}")
             self.walk.losses += 1
             if killed and self.world.processes[name].alive:
@@ -208,7 +208,7 @@
             self.world.wipe(name)
         self._pass(then)
 
-    @precondition(lambda self: self._may("lose_then_kill") and self.walk.loss_can_be_borne())
+    @precondition(lambda self: self._may("lose_then_kill") and self.walk.loss_can_be_tolerated())
     @rule(who=st.integers(1, 6), seconds=a_while, then=then)
     def lose_then_kill(self, who: int, seconds: float, then: float) -> None:
         """Restarts a machine at once with an empty disk, then kills the primary."""
--- a/wingwood/control/tests/protocol_variants.py
+++ b/wingwood/control/tests/protocol_variants.py
@@ -15,7 +15,7 @@
 from ..core import ReplicatedCore
 from ..messages import ControlReplicate, ControlReplicated
 from ..store import Contents, ControlStore
-from .control_world import WALK_LIMITS, MakeCore, Put, PutOutcome, Register, core_maker
+from .control_world import WALK_OPTIONS, MakeCore, Put, PutOutcome, Register, core_maker
 
 Handler = Callable[[Identity, Any], Awaitable[msgspec.Struct]]
 Tamper = Callable[[Context, Handler], Handler]
@@ -23,9 +23,9 @@
 """Longer than a take-over."""
 
 
-def _prepared(prepare: Callable[[Context, TcpMessenger, Register], None], losses_borne: int) -> MakeCore:
+def _prepared(prepare: Callable[[Context, TcpMessenger, Register], None], failures_tolerated: int) -> MakeCore:
     """Makes a core after ``prepare`` has changed the parts that it is built from."""
-    inner = core_maker(losses_borne=losses_borne)
+    inner = core_maker(failures_tolerated=failures_tolerated)
 
     def make(
         context: Context,
@@ -41,7 +41,7 @@
     return make
 
 
-def _tampered(tampers: dict[type[msgspec.Struct], Tamper], losses_borne: int) -> MakeCore:
+def _tampered(tampers: dict[type[msgspec.Struct], Tamper], failures_tolerated: int) -> MakeCore:
     """Makes a core whose handlers of the given messages are replaced."""
 
     def prepare(context: Context, messenger: TcpMessenger, _: Register) -> None:
@@ -53,10 +53,10 @@
 
         messenger.on_call = tampered  # type: ignore[method-assign]
 
-    return _prepared(prepare, losses_borne)
+    return _prepared(prepare, failures_tolerated)
 
 
-def answers_before_it_has_written(losses_borne: int = 1) -> MakeCore:
+def answers_before_it_has_written(failures_tolerated: int = 1) -> MakeCore:
     """Makes a core that, as a backup, confirms a batch at once and writes it ``LATE_WRITE_DELAY_S`` later."""
 
     def tamper(context: Context, handler: Handler) -> Handler:
@@ -68,11 +68,11 @@
             if not message.entry:
                 return await handler(peer, message)
             context.tasks.spawn("late", late(peer, message))
-            return ControlReplicated(by=message.to, synced=True, promised=message.epoch)
+            return ControlReplicated(by=message.to, synced=True, prepared_epoch=message.epoch)
 
         return answer
 
-    return _tampered({ControlReplicate: tamper}, losses_borne)
+    return _tampered({ControlReplicate: tamper}, failures_tolerated)
 
 
 class _ForgetfulRegister(Register):
@@ -85,22 +85,22 @@
         return msgspec.msgpack.encode((outcome, command.filler)), outcome
 
 
-def forgets_order_ids(losses_borne: int = 1) -> MakeCore:
+def forgets_order_ids(failures_tolerated: int = 1) -> MakeCore:
     """Makes a core whose applier does not recognise repeated orders."""
 
     def prepare(_: Context, __: TcpMessenger, register: Register) -> None:
         register.__class__ = _ForgetfulRegister
 
-    return _prepared(prepare, losses_borne)
+    return _prepared(prepare, failures_tolerated)
 
 
 class _ProvesByOwnRole(ReplicatedCore):
     """Claims a proof whenever it is primary in its own view."""
 
-    async def prove_leadership(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         return self.report().own_role == "primary"
 
 
-def proves_without_asking(losses_borne: int = 1) -> MakeCore:
+def proves_without_asking(failures_tolerated: int = 1) -> MakeCore:
     """Makes a core that proves leadership without asking another member."""
-    return core_maker(_ProvesByOwnRole, WALK_LIMITS, losses_borne)
+    return core_maker(_ProvesByOwnRole, WALK_OPTIONS, failures_tolerated)
--- a/wingwood/control/tests/test_bundle_source.py
+++ b/wingwood/control/tests/test_bundle_source.py
@@ -17,7 +17,7 @@
 from ..core import ReplicatedCore
 from ..protocols import SubmitOrder
 from ..store import Contents, ControlStore
-from .control_world import WALK_LIMITS, ControlWorld, Register
+from .control_world import WALK_OPTIONS, ControlWorld, Register
 
 
 class CommittedBundlesTests(unittest.TestCase):
@@ -41,7 +41,7 @@
         seeds: Sequence[Address],
     ) -> ReplicatedCore:
         name, state = str(messenger.identity.name), BundleState(OPERATOR_KEYS)
-        core = ReplicatedCore(context, messenger, store, contents, [register, state], seeds, limits=WALK_LIMITS)
+        core = ReplicatedCore(context, messenger, store, contents, [register, state], seeds, options=WALK_OPTIONS)
         source = self.sources[name] = CommittedBundles(core, state)
         source.on_committed(lambda manifest: self.announced.append((name, manifest.version)))
         return core
@@ -83,7 +83,7 @@
 
     def test_a_version_without_a_backup_does_not_show_anywhere_until_it_has_one(self) -> None:
         self.order(3)
-        cuts = [self.control.world.cut("c1", name) for name in ("c2", "c3")]
+        partitions = [self.control.world.cut("c1", name) for name in ("c2", "c3")]
         answers = self.start_order(4)
         self.control.world.run(0.5)
         state = self.sources["c1"].state
@@ -93,7 +93,7 @@
         complete_delta = self.sources["c1"].delta_since(BundleVersion(0))
         assert complete_delta is not None
         self.assertEqual(complete_delta.manifest.version, 1)
-        for cut in cuts:
+        for cut in partitions:
             self.control.world.heal(cut)
         self.assertTrue(self.control.world.wait_for(lambda: bool(answers), 9.0))
         self.assertTrue(self.control.world.wait_for(self.control.complete, 9.0))
--- a/wingwood/control/tests/test_client.py
+++ b/wingwood/control/tests/test_client.py
@@ -9,8 +9,8 @@
 
 from ...identifiers import Address, Epoch, Seconds
 from ...transport.messenger import TransportFault
+from ..errors import CommandFailure
 from ..messages import ControlLeader, ControlLeaderQuery
-from ..protocols import NotDecided
 from .control_world import ControlWorld, Put, PutOutcome
 
 
@@ -23,8 +23,8 @@
         self.control.operator()
         self.assertTrue(self.control.world.wait_for(self.control.complete, 5.0))
 
-    def decide(self, order: int, timeout: float = 3.0) -> Result[PutOutcome, NotDecided]:
-        answers: list[Result[PutOutcome, NotDecided]] = []
+    def decide(self, order: int, timeout: float = 3.0) -> Result[PutOutcome, CommandFailure]:
+        answers: list[Result[PutOutcome, CommandFailure]] = []
 
         async def run() -> None:
             client = self.control.clients["operator"]
@@ -62,9 +62,9 @@
 
     def test_a_command_whose_answer_was_lost_is_unknown_and_gets_its_first_outcome_when_repeated(self) -> None:
         self.assertIsInstance(self.decide(1), Success)
-        cuts = [self.control.world.cut(name, "operator", both_ways=False) for name in ("c1", "c2", "c3")]
+        partitions = [self.control.world.cut(name, "operator", both_ways=False) for name in ("c1", "c2", "c3")]
         self.assertEqual(self.decide(2).failure().kind, "unknown")
-        for cut in cuts:
+        for cut in partitions:
             self.control.world.heal(cut)
         self.control.world.run(3.0)
         outcomes = [self.decide(2) for _ in range(2)]
--- a/wingwood/control/tests/test_core.py
+++ b/wingwood/control/tests/test_core.py
@@ -13,10 +13,10 @@
 from ...context.protocols import Context
 from ...identifiers import Epoch, Incarnation, Seconds
 from ...transport.messenger import TcpMessenger
+from ..control_options import ControlOptions
 from ..core import ReplicatedCore
-from ..limits import ControlLimits
-from ..messages import ControlPromise
-from ..protocols import NotDecided
+from ..errors import CommandFailure
+from ..messages import ControlPrepare
 from ..store import open_store
 from .control_world import ControlWorld, MakeCore, Put, make_core
 from .mutants import BackupIgnoresPromise, with_core
@@ -25,7 +25,7 @@
 SERVICE_BACK_S = 12.0
 BACK_AFTER_RESTART_S = 0.55
 """Restarted members accept orders again within this time; a primary is given up only after 1 s of silence."""
-LONG_TIMEOUTS = ControlLimits(replicate_timeout=Seconds(6.0), decide_timeout=Seconds(8.0))
+LONG_TIMEOUTS = ControlOptions(replicate_timeout=Seconds(6.0), decide_timeout=Seconds(8.0))
 """Timeouts so long that only the rules of the protocol keep a primary from acknowledging after a freeze."""
 
 
@@ -324,15 +324,15 @@
                 control = self.fleet()
                 old = control.name_with_role("primary")
                 core = control.cores[old]
-                self.assertEqual(self.ask(control, old, core.prove_leadership), [True])
+                self.assertEqual(self.ask(control, old, core.confirm_leadership), [True])
                 cut = control.world.cut_off(old, inward, outward)
                 control.world.run(0.02)
-                self.assertEqual(self.ask(control, old, core.prove_leadership), [False])
+                self.assertEqual(self.ask(control, old, core.confirm_leadership), [False])
                 control.world.run(2.0)
                 self.assertFalse(control.leads(old))
                 answers = self.ask(control, old, partial(core.decide, "register", Put(1000, 0)))
                 fault = answers[0].failure()  # type: ignore[attr-defined]
-                self.assertIsInstance(fault, NotDecided)
+                self.assertIsInstance(fault, CommandFailure)
                 self.assertEqual(fault.kind, "not-leading")
                 self.assertNotIn(control.leader(), (None, old))
                 control.world.heal(cut)
@@ -345,7 +345,7 @@
 
         async def promise_then_stand() -> None:
             await core._lock.acquire()
-            promise = ControlPromise(store.incarnation, Incarnation("another"), Epoch(50))
+            promise = ControlPrepare(store.incarnation, Incarnation("another"), Epoch(50))
             waiting = [
                 asyncio.ensure_future(core._on_promise(core._messenger.identity, promise)),
                 asyncio.ensure_future(core._run_election(None)),
@@ -356,7 +356,7 @@
 
         self.spawn(control, name, promise_then_stand)
         control.world.run(1.0)
-        self.assertGreaterEqual(store.promise.epoch, 50)
+        self.assertGreaterEqual(store.prepared.epoch, 50)
         self.assertEqual(control.world.broken_invariants, [])
 
     def test_an_order_under_way_when_the_backup_is_lost_is_answered_once_there_is_another(self) -> None:
@@ -369,7 +369,7 @@
     def test_a_member_that_promised_a_failed_candidate_follows_again(self) -> None:
         control = self.fleet()
         witness = control.cores[control.name_with_role("witness")]
-        promise = ControlPromise(witness._own_incarnation, Incarnation("failed"), Epoch(40))
+        promise = ControlPrepare(witness._own_incarnation, Incarnation("failed"), Epoch(40))
         self.ask(
             control,
             control.name_with_role("witness"),
@@ -384,7 +384,7 @@
         """A promise to another candidate comes between a decision and its append; then the same daemon leads again."""
         control = self.fleet()
         core = control.cores["c1"]
-        promise = ControlPromise(core._own_incarnation, Incarnation("failed"), Epoch(40))
+        promise = ControlPrepare(core._own_incarnation, Incarnation("failed"), Epoch(40))
 
         async def promise_before_append() -> None:
             await core._lock.acquire()
@@ -454,7 +454,7 @@
 
         async def prove() -> None:
             before = rounds[0]
-            if await core.prove_leadership():
+            if await core.confirm_leadership():
                 seen.append((before, rounds[0]))
 
         for number in range(50):
--- a/wingwood/control/tests/test_editions.py
+++ b/wingwood/control/tests/test_editions.py
@@ -16,7 +16,7 @@
 from ...identifiers import BundleVersion, OrderId, Seconds
 from ...operator_api.editions import EditionClient, LatestEdition
 from ..client import ControlClient
-from ..protocols import NotDecided
+from ..errors import CommandFailure
 from .edition_world import Answer, EditionWalk, EditionWorld
 
 RUN_EACH_ALONE = True
@@ -27,7 +27,7 @@
     match answer:
         case Success(OrderOutcome() as outcome):
             return outcome.outcome
-        case Failure(NotDecided() as fault):
+        case Failure(CommandFailure() as fault):
             return fault.kind
     return "none"
 
@@ -131,11 +131,11 @@
     """A change whose answer was lost must be acknowledged, not refused by its own edition, when it is repeated."""
 
     def test_an_order_whose_answer_was_lost_is_acknowledged_when_it_comes_again(self) -> None:
-        cuts = [self.control.world.cut(name, "c3", both_ways=False) for name in ("c1", "c2")]
+        partitions = [self.control.world.cut(name, "c3", both_ways=False) for name in ("c1", "c2")]
         change = edition_change(9, 10, self.slices)
         first = outcome_of(self.control.submit("c3", change, timeout=8.0))
         self.assertIn(first, ("unknown", "not-leading", "none"))
-        for cut in cuts:
+        for cut in partitions:
             self.control.world.heal(cut)
         self.assertEqual(outcome_of(self.control.submit("c2", change)), "accepted")
         self.sent.append(change)
@@ -241,7 +241,7 @@
 
 
 class ReadsWithoutProof(EditionClient):
-    """Returns what this daemon holds as durable, without a proof from the primary."""
+    """Returns what this daemon confirmed as durable, without a proof from the primary."""
 
     def __init__(self, control: ControlClient, local: LocalBundleReader, context: Context) -> None:
         super().__init__(control, (local,), context.clock, Seconds(3.0))
--- a/wingwood/control/tests/test_member_rules.py
+++ b/wingwood/control/tests/test_member_rules.py
@@ -9,27 +9,25 @@
 from returns.result import Result, Success
 
 from ...identifiers import DaemonName, Epoch, Incarnation, Seconds
+from ..errors import CommandFailure
+from ..journal_entries import SnapshotEntry, StateRecord
 from ..leadership import Leadership as _Lead
 from ..messages import (
     ControlAccept,
     ControlAccepted,
     ControlConfirm,
     ControlConfirmed,
-    ControlGrant,
     ControlHeartbeat,
     ControlHeartbeatAnswer,
-    ControlPromise,
+    ControlPrepare,
+    ControlPrepared,
     ControlReplicate,
     ControlReplicated,
     ControlStateChunk,
-    SnapshotEntry,
-    StateRecord,
-    View,
-    ViewMember,
 )
 from ..planning import ViewPlan as _Plan
-from ..protocols import NotDecided
 from ..store import encode_batch
+from ..views import View, ViewMember
 from .control_world import ControlWorld, Put
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
@@ -70,8 +68,10 @@
         self.assertTrue(self.control.world.wait_for(lambda: bool(answers), 1.1, every=0.001), str(message))
         return answers[0]
 
-    def promise(self, name: str, epoch: int, candidate: Incarnation = X, to: Incarnation | None = None) -> ControlGrant:
-        return self.ask(name, ControlPromise(to or self.incarnation_of(name), candidate, Epoch(epoch)), ControlGrant)
+    def prepare(
+        self, name: str, epoch: int, candidate: Incarnation = X, to: Incarnation | None = None
+    ) -> ControlPrepared:
+        return self.ask(name, ControlPrepare(to or self.incarnation_of(name), candidate, Epoch(epoch)), ControlPrepared)
 
     def accept(self, name: str, view: View, to: Incarnation | None = None) -> bool:
         return self.ask(name, ControlAccept(to or self.incarnation_of(name), view), ControlAccepted).accepted
@@ -92,40 +92,40 @@
 
 class MemberRules(MemberCase):
     def test_an_epoch_is_promised_once_and_never_lowered(self) -> None:
-        self.assertTrue(self.promise("c3", 40).granted)
-        self.assertTrue(self.promise("c3", 40).granted, "the same candidate may ask again")
-        self.assertFalse(self.promise("c3", 40, Y).granted)
-        self.assertFalse(self.promise("c3", 39).granted)
-        self.assertEqual(self.promise("c3", 41, Y).view, self.view)
-        self.assertFalse(self.promise("c3", 50, to=Y).granted)
-        self.assertEqual(self.control.stores["c3"].promise.epoch, 41)
+        self.assertTrue(self.prepare("c3", 40).granted)
+        self.assertTrue(self.prepare("c3", 40).granted, "the same candidate may ask again")
+        self.assertFalse(self.prepare("c3", 40, Y).granted)
+        self.assertFalse(self.prepare("c3", 39).granted)
+        self.assertEqual(self.prepare("c3", 41, Y).view, self.view)
+        self.assertFalse(self.prepare("c3", 50, to=Y).granted)
+        self.assertEqual(self.control.stores["c3"].prepared.epoch, 41)
 
     def test_a_promise_outlives_a_restart_and_a_rewrite(self) -> None:
-        self.promise("c3", 40)
-        self.promise("c2", 60)
+        self.prepare("c3", 40)
+        self.prepare("c2", 60)
         self.assertTrue(self.state(61, X))
-        self.assertEqual(self.control.stores["c2"].promise.epoch, 61)
+        self.assertEqual(self.control.stores["c2"].prepared.epoch, 61)
         for name in ("c2", "c3"):
             self.control.world.restart(name)
         self.control.world.run(0.05)
-        self.assertGreaterEqual(self.control.stores["c3"].promise.epoch, 40)
-        self.assertGreaterEqual(self.control.stores["c2"].promise.epoch, 61)
+        self.assertGreaterEqual(self.control.stores["c3"].prepared.epoch, 40)
+        self.assertGreaterEqual(self.control.stores["c2"].prepared.epoch, 61)
         self.assertEqual((self.view_of("c2").epoch, self.control.stores["c2"].sequence), (self.view.epoch, 70))
 
     def test_a_primary_that_promises_another_epoch_stops_leading_at_once(self) -> None:
         self.assertTrue(self.control.leads("c1"))
-        self.assertTrue(self.promise("c1", 40).granted)
+        self.assertTrue(self.prepare("c1", 40).granted)
         self.assertFalse(self.control.leads("c1"))
 
     def test_views_below_the_promise_or_of_another_candidate_are_refused(self) -> None:
-        self.promise("c3", 40)
+        self.prepare("c3", 40)
         self.assertFalse(self.accept("c3", self.new_view(39, X)))
         self.assertFalse(self.accept("c3", self.new_view(40, Y)))
         self.assertFalse(self.accept("c3", self.new_view(41, X), to=Y))
         self.assertEqual(self.view_of("c3"), self.view)
         self.assertTrue(self.accept("c3", self.new_view(40, X)))
         self.assertEqual(self.view_of("c3"), self.new_view(40, X))
-        self.assertEqual(self.promise("c3", 41, Y).view, self.new_view(40, X))
+        self.assertEqual(self.prepare("c3", 41, Y).view, self.new_view(40, X))
 
     def test_a_backup_accepts_batches_of_its_view_in_order_only(self) -> None:
         self.control.world.kill("c1")
@@ -139,18 +139,18 @@
         self.assertTrue(self.replicate(epoch, 3))
         self.assertTrue(self.replicate(epoch, 3), "the same batch again")
         self.assertEqual(self.control.stores["c2"].sequence, 4)
-        self.promise("c2", epoch + 1)
+        self.prepare("c2", epoch + 1)
         self.assertFalse(self.replicate(epoch, 4))
 
     def test_a_state_is_accepted_only_under_an_epoch_not_promised_to_another(self) -> None:
-        self.promise("c2", 40)
+        self.prepare("c2", 40)
         self.assertFalse(self.state(39, X))
         self.assertFalse(self.state(40, Y))
         self.assertFalse(self.state(41, X, to=Y))
         self.assertEqual(self.control.stores["c2"].sequence, 3)
         self.assertTrue(self.state(41, X))
         self.assertEqual(self.control.stores["c2"].sequence, 70)
-        self.assertFalse(self.promise("c2", 41, Y).granted)
+        self.assertFalse(self.prepare("c2", 41, Y).granted)
 
     def test_a_journaled_batch_is_applied_only_when_it_is_committed(self) -> None:
         self.control.world.kill("c1")
@@ -161,11 +161,11 @@
     def test_a_proof_is_confirmed_unless_a_higher_epoch_was_promised(self) -> None:
         def confirm(epoch: int, to: Incarnation | None = None) -> bool:
             message = ControlConfirm(to or self.incarnation_of("c3"), Epoch(epoch))
-            return self.ask("c3", message, ControlConfirmed).holds
+            return self.ask("c3", message, ControlConfirmed).confirmed
 
         self.assertTrue(confirm(self.view.epoch))
         self.assertFalse(confirm(self.view.epoch, to=Y))
-        self.promise("c3", 40)
+        self.prepare("c3", 40)
         self.assertFalse(confirm(self.view.epoch))
         self.assertTrue(confirm(40))
 
@@ -177,7 +177,7 @@
         self.assertTrue(beat(self.view.epoch))
         self.assertFalse(beat(self.view.epoch + 1))
         self.assertFalse(beat(self.view.epoch, to=Y))
-        self.promise("c3", 40)
+        self.prepare("c3", 40)
         self.assertFalse(beat(self.view.epoch))
 
     def test_answers_of_another_incarnation_are_ignored(self) -> None:
@@ -200,7 +200,7 @@
 
     def test_a_late_answer_is_unknown(self) -> None:
         """The process is frozen past the deadline while the answer is ready to be delivered."""
-        core, given_answers = self.control.cores["c1"], list[Result[msgspec.Struct, NotDecided]]()
+        core, given_answers = self.control.cores["c1"], list[Result[msgspec.Struct, CommandFailure]]()
 
         async def run() -> None:
             given_answers.append(await core.decide("register", Put(500, 3), Seconds(0.5)))
@@ -223,7 +223,7 @@
 
         async def run() -> None:
             for epoch, forming in ((5, True), (6, False), (7, True)):
-                promise = ControlPromise(core._own_incarnation, X, Epoch(epoch), forming)
+                promise = ControlPrepare(core._own_incarnation, X, Epoch(epoch), forming)
                 granted.append((await core._on_promise(core._messenger.identity, promise)).granted)
 
         control.world.spawn(control.world.processes["c1"], run(), "promise")
@@ -253,8 +253,8 @@
     ) -> msgspec.Struct | None:
         self.asked.append((type(message).__name__, member.incarnation))
         match message:
-            case ControlPromise(epoch=epoch) if member.incarnation in self.grants:
-                return ControlGrant(member.incarnation, True, epoch, self.grants[member.incarnation])
+            case ControlPrepare(epoch=epoch) if member.incarnation in self.grants:
+                return ControlPrepared(member.incarnation, True, epoch, self.grants[member.incarnation])
             case ControlAccept(view=view) if member.incarnation in self.acceptors:
                 return ControlAccepted(member.incarnation, True, view.epoch, self.sequences.get(member.incarnation, 3))
             case ControlStateChunk(epoch=epoch):
@@ -293,7 +293,7 @@
         self.grants = {self.three.incarnation: view}
         self.acceptors = {self.three.incarnation, X}
         self.assertIsNone(self.run_election())
-        self.assertIn(("ControlPromise", X), self.asked)
+        self.assertIn(("ControlPrepare", X), self.asked)
         self.grants[X] = view
         won = self.run_election()
         assert won is not None
@@ -355,7 +355,7 @@
 
         async def longer(member: ViewMember, message: msgspec.Struct, *rest: object) -> msgspec.Struct | None:
             reply = await answer(member, message, *rest)  # type: ignore[arg-type, func-returns-value]
-            return msgspec.structs.replace(reply, sequence=99) if isinstance(reply, ControlGrant) else reply
+            return msgspec.structs.replace(reply, sequence=99) if isinstance(reply, ControlPrepared) else reply
 
         self.grants = {self.one.incarnation: self.view, self.three.incarnation: self.view}
         self.acceptors = {self.three.incarnation}
@@ -368,7 +368,7 @@
         self.acceptors = {self.three.incarnation}
         view = self.run_election()
         assert view is not None
-        proofs: list[bool] = []
+        confirmations: list[bool] = []
 
         async def confirm(member: ViewMember, message: msgspec.Struct, *_: object) -> msgspec.Struct | None:
             return ControlConfirmed(member.incarnation, True, view.epoch)
@@ -378,13 +378,13 @@
         async def run() -> None:
             leadership = _Lead(view, self.core._now())
             self.core._leadership = leadership
-            proofs.append(await self.core._proof_round(leadership))
+            confirmations.append(await self.core._proof_round(leadership))
             leadership.commit_known = True
-            proofs.append(await self.core._proof_round(leadership))
+            confirmations.append(await self.core._proof_round(leadership))
 
         self.control.world.spawn(self.control.world.processes["c2"], run(), "prove")
         self.control.world.run(0.05)
-        self.assertEqual(proofs, [False, True])
+        self.assertEqual(confirmations, [False, True])
 
 
 class Majorities(unittest.TestCase):
--- a/wingwood/control/tests/test_protocol_model.py
+++ b/wingwood/control/tests/test_protocol_model.py
@@ -59,7 +59,7 @@
         run(protocol_of(Fleet(core_maker(), FOUR, 1)), EXAMPLES_BY_HAND or 24)
 
     def test_five_members_and_a_spare(self) -> None:
-        run(protocol_of(Fleet(core_maker(losses_borne=2), SIX, 2)), EXAMPLES_BY_HAND or 20)
+        run(protocol_of(Fleet(core_maker(failures_tolerated=2), SIX, 2)), EXAMPLES_BY_HAND or 20)
 
 
 class BrokenCores(unittest.TestCase):
--- a/wingwood/control/tests/test_walks.py
+++ b/wingwood/control/tests/test_walks.py
@@ -16,7 +16,7 @@
 
 
 def walk(seed: int, mutant: Mutant, make: MakeCore) -> Walk:
-    return Walk(seed, make, mutant.faults, names=mutant.names, losses_borne=mutant.losses_borne)
+    return Walk(seed, make, mutant.faults, names=mutant.names, failures_tolerated=mutant.failures_tolerated)
 
 
 class WalkTests(unittest.TestCase):
@@ -26,32 +26,32 @@
         self.assert_walks_hold(Mutant(core_maker(), ()), least_losses=5)
 
     def test_the_same_with_two_losses_at_once(self) -> None:
-        self.assert_walks_hold(Mutant(core_maker(losses_borne=2), (), SIX, 2), least_losses=10)
+        self.assert_walks_hold(Mutant(core_maker(failures_tolerated=2), (), SIX, 2), least_losses=10)
 
     def test_the_same_with_a_spare(self) -> None:
         self.assert_walks_hold(Mutant(core_maker(), (), SIX[:4], 1), least_losses=5)
 
     def assert_walks_hold(self, fleet: Mutant, least_losses: int) -> None:
-        acknowledged = losses = proofs = 0
+        acknowledged = losses = confirmations = 0
         for seed in SEEDS:
             one = walk(seed, fleet, fleet.make)
             self.assertEqual(one.run(STEPS), [], "\n".join([f"seed {seed}", *one.steps]))
             acknowledged += one.control.observer.acknowledged
             losses += one.losses
-            proofs += one.control.observer.proofs
+            confirmations += one.control.observer.confirmations
         self.assertGreater(acknowledged, 1000)
         self.assertGreater(losses, least_losses)
-        self.assertGreater(proofs, 20)
+        self.assertGreater(confirmations, 20)
 
     def test_walks_catch_each_broken_variant(self) -> None:
-        self.assert_each_caught(losses_borne=1)
+        self.assert_each_caught(failures_tolerated=1)
 
     def test_walks_catch_each_broken_variant_with_two_losses(self) -> None:
-        self.assert_each_caught(losses_borne=2)
+        self.assert_each_caught(failures_tolerated=2)
 
-    def assert_each_caught(self, losses_borne: int) -> None:
+    def assert_each_caught(self, failures_tolerated: int) -> None:
         for name, mutant in MUTANTS.items():
-            if mutant.losses_borne == losses_borne:
+            if mutant.failures_tolerated == failures_tolerated:
                 with self.subTest(mutant=name):
                     self.assertTrue(any(walk(seed, mutant, mutant.make).run(STEPS) for seed in range(MAX_WALKS)))
 
@@ -59,7 +59,7 @@
         for name, mutant in MUTANTS.items():
             with self.subTest(mutant=name):
                 for seed in range(2):
-                    make = core_maker(losses_borne=mutant.losses_borne)
+                    make = core_maker(failures_tolerated=mutant.failures_tolerated)
                     self.assertEqual(walk(seed, mutant, make).run(STEPS), [])
 
 
--- a/wingwood/control/tests/walk.py
+++ b/wingwood/control/tests/walk.py
@@ -17,7 +17,8 @@
 
 from ...journal import scan
 from ...journal.journal import FRAME_OVERHEAD_BYTES
-from ..messages import FoundedEntry, View
+from ..journal_entries import InitializedEntry
+from ..views import View
 from .control_world import ControlWorld, MakeCore, Put, make_core
 
 SERVICE_BACK_S = 12.0
@@ -33,13 +34,13 @@
         only: Sequence[str] = (),
         operators: Sequence[str] = ("oa", "ob", "oc"),
         names: Sequence[str] = ("c1", "c2", "c3"),
-        losses_borne: int = 1,
+        failures_tolerated: int = 1,
     ) -> None:
         self.control = ControlWorld(seed, make, names)
-        self.losses_borne = losses_borne
+        self.failures_tolerated = failures_tolerated
         self.world = self.control.world
         self.random = self.world.random
-        self.cuts: list[Cut] = []
+        self.partitions: list[Cut] = []
         self.down: dict[str, float] = {}
         """Killed daemons, and when they are started again."""
         self.frozen: dict[str, float] = {}
@@ -69,7 +70,7 @@
                 self.recover_due()
                 self.random.choice(self.faults())()
                 for name in self.names:
-                    self.ask_for_proof(name)
+                    self.ask_for_confirmation(name)
                 if self.control.observer.faults or self.world.broken_invariants:
                     break
             self.end()
@@ -77,7 +78,7 @@
         finally:
             self.control.close()
 
-    def ask_for_proof(self, name: str) -> None:
+    def ask_for_confirmation(self, name: str) -> None:
         """A daemon that proves that it leads must have everything that was acknowledged before it was asked."""
         if not self.control.alive(name):
             return
@@ -85,8 +86,8 @@
 
         async def ask() -> None:
             newest = observer.newest
-            if await core.prove_leadership():
-                observer.proofs += 1
+            if await core.confirm_leadership():
+                observer.confirmations += 1
                 if register.stored.version < newest:
                     version = register.stored.version
                     observer.faults.append(f"{self.world.now:.3f} {name} proves version {version}, {newest} is newer")
@@ -107,8 +108,8 @@
             self.cut,
             self.cut,
             self.cut_off,
-            self.heal_cuts,
-            self.sicken,
+            self.heal_partitions,
+            self.break_disk,
             self.lose,
             self.lose_then_kill,
             self.second_loss,
@@ -158,7 +159,7 @@
             self.kill(leader)
 
     def kill_all(self) -> None:
-        lost = self.sample_names(self.names) if self.loss_can_be_borne() and self.random.random() < 0.6 else []
+        lost = self.sample_names(self.names) if self.loss_can_be_tolerated() and self.random.random() < 0.6 else []
         self.log_step(f"kill all, wipe {lost}")
         for name in self.up():
             self.kill(name)
@@ -185,7 +186,7 @@
         one, other = self.random.sample(everyone, 2)
         both = self.random.random() < 0.5
         self.log_step(f"cut {one} {other} both={both}")
-        self.cuts.append(self.world.cut(one, other, both))
+        self.partitions.append(self.world.cut(one, other, both))
 
     def cut_off(self) -> None:
         """Cuts a control daemon and one operator off from all others."""
@@ -194,7 +195,7 @@
         self.log_step(f"cut off {name} with {friend} inward={inward} outward={outward}")
         others = [other for other in (*self.names, *self.operators) if other not in (name, friend)]
         pairs = [(other, name) for other in others if inward] + [(name, other) for other in others if outward]
-        self.cuts.append(self.world.network.cut(pairs))
+        self.partitions.append(self.world.network.cut(pairs))
 
     def slow_wire(self) -> None:
         one, other = self.random.sample(self.names, 2)
@@ -212,30 +213,32 @@
         self.log_step(f"cut {' '.join(group)} from the others")
         others = [name for name in (*self.names, *self.operators) if name not in group]
         pairs = [(one, other) for one in group for other in others]
-        self.cuts.append(self.world.network.cut([*pairs, *((other, one) for one, other in pairs)]))
+        self.partitions.append(self.world.network.cut([*pairs, *((other, one) for one, other in pairs)]))
 
     def cut_minority(self) -> None:
-        """Cuts off the primary with one member too few for a majority, and asks it for proofs meanwhile."""
+        """Cuts off the primary with one member too few for a majority, and asks it for confirmations meanwhile."""
         leader = self.control.leader()
         view = self.control.stores[leader].view if leader is not None else None
         if leader is None or view is None:
             return
         members = [name for name in self.names if self.incarnation_on_disk(name) in view.incarnations()]
-        friends = self.random.sample([name for name in members if name != leader], self.losses_borne - 1)
+        friends = self.random.sample([name for name in members if name != leader], self.failures_tolerated - 1)
         self.cut_apart([leader, *friends, self.operators[0]])
         for _ in range(10):
             self.world.run(0.3)
-            self.ask_for_proof(leader)
+            self.ask_for_confirmation(leader)
 
     def cut_in_replacement(self) -> None:
         """Freezes members until spares replace them, and separates old and new members between the two rounds of it."""
         leader = self.control.leader()
-        view = self.control.stores[leader].view if leader is not None and self.loss_can_be_borne() else None
+        view = self.control.stores[leader].view if leader is not None and self.loss_can_be_tolerated() else None
         if leader is None or view is None:
             return
         members = [name for name in self.names if self.incarnation_on_disk(name) in view.incarnations()]
         spares = [name for name in self.up() if name not in members and name not in self.frozen]
-        out = self.random.sample([name for name in members if name != leader], min(len(spares), self.losses_borne))
+        out = self.random.sample(
+            [name for name in members if name != leader], min(len(spares), self.failures_tolerated)
+        )
         if not out or any(name not in self.up() or name in self.frozen for name in out):
             return
         self.log_step(f"freeze {out}, {spares} are spares")
@@ -247,33 +250,33 @@
         def between_the_rounds() -> bool:
             """Whether the new view is promised but not accepted; the primary may replace only backups first."""
             now = self.control.stores[leader].view
-            return now is not None and now.incarnations() == view.incarnations() and store.promise.epoch > now.epoch
+            return now is not None and now.incarnations() == view.incarnations() and store.prepared.epoch > now.epoch
 
         self.world.wait_for(lambda: self.world.now > self.frozen[out[0]] - 3.0, 2.5, every=0.05)
         if self.world.wait_for(between_the_rounds, 2.0, every=0.0005):
             self.world.run(self.random.uniform(0.0, 0.004))
         loyal = [name for name in members if name not in (*out, leader)]
-        self.cut_apart([leader, *spares, *loyal[: self.losses_borne - 1], self.operators[0]])
+        self.cut_apart([leader, *spares, *loyal[: self.failures_tolerated - 1], self.operators[0]])
         for name in out:
             self.frozen.pop(name)
             self.world.wake(name)
         self.world.run(self.random.uniform(3.0, 7.0))
 
-    def heal_cuts(self) -> None:
-        self.log_step("heal cuts")
+    def heal_partitions(self) -> None:
+        self.log_step("heal partitions")
         self.world.network.slowness.clear()
-        for cut in self.cuts:
+        for cut in self.partitions:
             self.world.heal(cut)
-        self.cuts.clear()
+        self.partitions.clear()
 
-    def sicken(self) -> None:
+    def break_disk(self) -> None:
         name = self.random.choice(self.names)
         mode = self.random.choice(("slow", "stalled", "full", "failing"))
         self.log_step(f"disk of {name} {mode}")
         self.world.machines[name].disk.set_mode(mode)  # type: ignore[arg-type]
         self.failed_disks[name] = self.world.now + self.random.choice((0.2, 1.5, 8.0)) * self.random.random() * 2
 
-    def loss_can_be_borne(self) -> bool:
+    def loss_can_be_tolerated(self) -> bool:
         """Whether the health report says so, about members whose disks are all still there."""
         leader = self.control.leader()
         if leader is None or not self.control.report(leader).complete:
@@ -286,15 +289,15 @@
     def incarnation_on_disk(self, name: str) -> str | None:
         match scan(self.world.machines[name].disk.durable.get("control.journal", b"")):
             case Success(found) if found.payloads:
-                incarnation = str(msgspec.msgpack.decode(found.payloads[0], type=FoundedEntry).incarnation)
+                incarnation = str(msgspec.msgpack.decode(found.payloads[0], type=InitializedEntry).incarnation)
                 store = self.control.stores.get(name)
                 # The mutant whose identity survives a wipe uses another incarnation than the one in its journal.
                 return store.incarnation if store is not None and store.incarnation.startswith("at ") else incarnation
         return None
 
     def sample_names(self, names: Sequence[str], first: str | None = None) -> list[str]:
-        """Returns up to ``losses_borne`` of the names, ``first`` among them."""
-        most = self.random.randint(1, self.losses_borne)
+        """Returns up to ``failures_tolerated`` of the names, ``first`` among them."""
+        most = self.random.randint(1, self.failures_tolerated)
         firsts = [first] if first is not None else []
         others = [name for name in names if name != first]
         return [*firsts, *self.random.sample(others, most - len(firsts))]
@@ -308,10 +311,10 @@
 
     def lose(self) -> None:
         """Wipes disks, often those of the primary and backups, sometimes while the process runs."""
-        if not self.loss_can_be_borne():
+        if not self.loss_can_be_tolerated():
             return
         leader = self.control.leader() if self.random.random() < 0.4 else None
-        among = self.holders() if self.losses_borne > 1 and self.random.random() < 0.5 else self.names
+        among = self.holders() if self.failures_tolerated > 1 and self.random.random() < 0.5 else self.names
         names = self.sample_names(among, leader)
         self.losses += len(names)
         self.log_step(f"wipe {names}")
@@ -324,13 +327,13 @@
         """Slows the network to one backup, then loses as many other holders as can be survived."""
         holders = self.holders()
         leader = self.control.leader()
-        if not self.loss_can_be_borne() or leader is None or len(holders) < 2:
+        if not self.loss_can_be_tolerated() or leader is None or len(holders) < 2:
             return
         late = self.random.choice([name for name in holders if name != leader])
         self.log_step(f"slow wire from {leader} to {late}")
         self.world.network.slowness[(leader, late)] = 0.4
         self.world.run(self.random.uniform(0.02, 0.4))
-        for name in [name for name in holders if name != late][: self.losses_borne]:
+        for name in [name for name in holders if name != late][: self.failures_tolerated]:
             self.log_step(f"wipe {name}")
             self.losses += 1
             if self.world.processes[name].alive:
@@ -340,7 +343,7 @@
 
     def lose_then_kill(self) -> None:
         """Loses disks whose machines return at once, then stops the primary for a while."""
-        if not self.loss_can_be_borne():
+        if not self.loss_can_be_tolerated():
             return
         leader = self.control.leader()
         names = self.sample_names([name for name in self.names if name != leader])
@@ -358,7 +361,7 @@
 
     def second_loss(self) -> None:
         """Loses disks and, as soon as the health report is complete again, those of the primary and others."""
-        if not self.loss_can_be_borne():
+        if not self.loss_can_be_tolerated():
             return
         leader = self.control.leader()
         names = self.sample_names([name for name in self.names if name != leader])
@@ -368,7 +371,7 @@
             self.world.kill(name)
             self.world.wipe(name)
             self.start(name)
-        if self.world.wait_for(self.loss_can_be_borne, 3.0, every=0.001):
+        if self.world.wait_for(self.loss_can_be_tolerated, 3.0, every=0.001):
             others = [name for name in self.holders() if name not in names]
             for name in self.sample_names(others if len(others) > 1 else self.names, self.control.leader()):
                 self.log_step(f"wipe {name}")
@@ -382,7 +385,7 @@
 
         In the last frame the damage would look like an append that was cut short.
         """
-        if not self.loss_can_be_borne():
+        if not self.loss_can_be_tolerated():
             return
         name = self.random.choice([name for name in self.names if self.incarnation_on_disk(name) is not None])
         disk = self.world.machines[name].disk
@@ -401,10 +404,10 @@
 
     def replace(self) -> None:
         """Removes machines for good and starts empty ones at new addresses, with the old seeds in their settings."""
-        if not self.loss_can_be_borne():
+        if not self.loss_can_be_tolerated():
             return
-        for _ in range(self.random.randint(1, self.losses_borne)):
-            if len(self.retired) < 4 * self.losses_borne:
+        for _ in range(self.random.randint(1, self.failures_tolerated)):
+            if len(self.retired) < 4 * self.failures_tolerated:
                 self.replace_one()
 
     def replace_one(self) -> None:
@@ -418,11 +421,11 @@
         self.world.wipe(name)
         self.names.remove(name)
         self.retired.add(name)
-        self.forget_machine(name)
+        self.remove_machine(name)
         self.names.append(fresh)
         self.control.start(fresh)
 
-    def forget_machine(self, name: str) -> None:
+    def remove_machine(self, name: str) -> None:
         for times in (self.down, self.frozen, self.failed_disks):
             times.pop(name, None)
         self.control.cores.pop(name, None)
@@ -458,7 +461,7 @@
         observer = self.control.observer
         self.log_step("end")
         self.control.quiet_until = 0.0
-        self.heal_cuts()
+        self.heal_partitions()
         self.recover_due(everything=True)
         started = self.world.now
         served: list[float] = []
--- a/wingwood/control/voter.py
+++ b/wingwood/control/voter.py
@@ -11,7 +11,6 @@
     ControlAccepted,
     ControlConfirm,
     ControlConfirmed,
-    ControlGrant,
     ControlHeartbeat,
     ControlHeartbeatAnswer,
     ControlJoin,
@@ -19,12 +18,12 @@
     ControlLeader,
     ControlLeaderQuery,
     ControlLeadershipReleased,
-    ControlPromise,
+    ControlPrepare,
+    ControlPrepared,
     ControlStatus,
     ControlStatusQuery,
-    Promise,
-    View,
 )
+from .views import PreparedEpoch, View
 
 
 class Voter(Backup):
@@ -40,7 +39,7 @@
         return ControlStatus(
             by=self._own_incarnation,
             member=self._own_member,
-            promised=self._store.promise.epoch,
+            prepared_epoch=self._store.prepared.epoch,
             view=self._known_view,
             hears_primary=self._hears_primary(),
             empty=not self._store.ever_used and self._known_view is None,
@@ -53,7 +52,7 @@
         if self._known_view is None:
             return False
         return (
-            self._now() - self._primary_seen_at < self._limits.primary_recency
+            self._now() - self._primary_heard_at < self._options.primary_recency
             and self._released_epoch != self._known_view.epoch
         )
 
@@ -62,33 +61,33 @@
 
     # -- promises
 
-    async def _on_promise(self, _: Identity, message: ControlPromise) -> ControlGrant:
+    async def _on_promise(self, _: Identity, message: ControlPrepare) -> ControlPrepared:
         async with self._lock:
             granted = await self._promise(message)
             store = self._store
-            return ControlGrant(
+            return ControlPrepared(
                 self._own_incarnation,
                 granted,
-                store.promise.epoch,
+                store.prepared.epoch,
                 store.view,
                 store.sequence,
                 empty=not store.ever_used,
             )
 
-    async def _promise(self, message: ControlPromise) -> bool:
+    async def _promise(self, message: ControlPrepare) -> bool:
         """Promises the epoch to the candidate unless the rules forbid it; returns whether it is promised."""
         store = self._store
         if message.to != self._own_incarnation or self._disk_fault is not None or (message.forming and store.ever_used):
             return False
-        held = store.promise
+        held = store.prepared
         if message.epoch < held.epoch or (message.epoch == held.epoch and message.candidate != held.candidate):
             return False
         self._note_epoch(message.epoch)
         if message.epoch > held.epoch:
             if self._leadership is not None:
                 self._step_down(f"promised epoch {message.epoch} to another")
-            promise = Promise(message.epoch, message.candidate)
-            if not self._write_succeeded(await store.record_promise(promise, message.forming)):
+            promise = PreparedEpoch(message.epoch, message.candidate)
+            if not self._write_succeeded(await store.record_prepared(promise, message.forming)):
                 return False
         self._put_off_candidacy()
         return True
@@ -99,21 +98,21 @@
         if message.to != self._own_incarnation:
             # The view names an earlier incarnation at our address; it shows whom to ask for membership.
             self._note_view(message.view)
-            return ControlAccepted(self._own_incarnation, False, self._store.promise.epoch)
+            return ControlAccepted(self._own_incarnation, False, self._store.prepared.epoch)
         async with self._lock:
             accepted = await self._accept(message.view)
-            return ControlAccepted(self._own_incarnation, accepted, self._store.promise.epoch, self._store.sequence)
+            return ControlAccepted(self._own_incarnation, accepted, self._store.prepared.epoch, self._store.sequence)
 
     async def _accept(self, view: View) -> bool:
         """Accepts the view unless a higher epoch, or this one to another primary, was promised."""
         if self._disk_fault is not None:
             return False
-        held = self._store.promise
+        held = self._store.prepared
         if view.epoch < held.epoch or (view.epoch == held.epoch and view.primary != held.candidate):
             return False
         if view.supersedes(self._store.view) and not await self._journal_view(view):
             return False
-        self._primary_seen_at = self._now()
+        self._primary_heard_at = self._now()
         self._note_view(view)
         return True
 
@@ -132,12 +131,12 @@
     # -- calls of the primary
 
     async def _on_heartbeat(self, _: Identity, message: ControlHeartbeat) -> ControlHeartbeatAnswer:
-        promise, view = self._store.promise, self._store.view
+        promise, view = self._store.prepared, self._store.view
         if message.to != self._own_incarnation:
             return ControlHeartbeatAnswer(self._own_incarnation, False, promise.epoch, False, unpacks=True)
         accepted = view is not None and view.epoch == promise.epoch == message.epoch
         if accepted or promise.candidate == message.primary:
-            self._primary_seen_at = self._now()
+            self._primary_heard_at = self._now()
         if accepted:
             self._advance_commit(message.epoch, message.committed)
         knows_chosen = view is not None and not view.former
@@ -146,9 +145,9 @@
         )
 
     async def _on_confirm(self, _: Identity, message: ControlConfirm) -> ControlConfirmed:
-        promised = self._store.promise.epoch
-        holds = message.to == self._own_incarnation and self._disk_fault is None and promised <= message.epoch
-        return ControlConfirmed(self._own_incarnation, holds, promised)
+        promised = self._store.prepared.epoch
+        confirmed = message.to == self._own_incarnation and self._disk_fault is None and promised <= message.epoch
+        return ControlConfirmed(self._own_incarnation, confirmed, promised)
 
     def _on_leadership_released(self, _: Identity, message: ControlLeadershipReleased) -> None:
         if (
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -15,7 +15,8 @@
 from ..control.bundle_source import CommittedBundles
 from ..control.client import ControlClient
 from ..control.core import ReplicatedCore
-from ..control.protocols import NotDecided, SubmitOrder
+from ..control.errors import CommandFailure
+from ..control.protocols import SubmitOrder
 from ..control.relay import RelayCore
 from ..control.store import Contents, ControlStore, open_store
 from ..distribution.publisher import BundlePublisher
@@ -53,7 +54,9 @@
         if self._settings.data_folder is None:
             self._parts = ControlParts(self._context, self._settings, None, self._dialect)
             return self._parts.start()
-        match await open_store(self._context, self._settings.begin_empty_when_damaged, retry_pause=DISK_RETRY_PAUSE_S):
+        match await open_store(
+            self._context, self._settings.begin_empty_when_damaged, retry_backoff=DISK_RETRY_PAUSE_S
+        ):
             case Success(opened):
                 self._parts = ControlParts(self._context, self._settings, opened, self._dialect)
                 return self._parts.start()
@@ -150,7 +153,7 @@
             seeds,
             self.coordinator.knows_of_history,
             self.coordinator.known_controls,
-            losses_borne=self._settings.losses_borne,
+            failures_tolerated=self._settings.losses_borne,
         )
 
     def start(self) -> Result[None, StartFailure]:
@@ -172,7 +175,7 @@
         self.operator_server.stop()
         self.messenger.stop()
 
-    async def _submit(self, command: SubmitOrder, within: Seconds) -> Result[OrderOutcome, NotDecided]:
+    async def _submit(self, command: SubmitOrder, within: Seconds) -> Result[OrderOutcome, CommandFailure]:
         return await self.client.submit(command, within)
 
     def current(self) -> Bundle | None:
--- a/wingwood/daemons/tests/test_relay.py
+++ b/wingwood/daemons/tests/test_relay.py
@@ -19,12 +19,12 @@
 from ...control.messages import (
     ControlAccept,
     ControlAccepted,
-    ControlGrant,
-    ControlPromise,
+    ControlPrepare,
+    ControlPrepared,
     ControlReplicate,
     ControlReplicated,
-    View,
 )
+from ...control.views import View
 from ...distribution.messages import BundleChunk, FetchBundle
 from ...identifiers import BundleVersion, Epoch, Seconds
 from ...operator_api.reading import HealthReport
@@ -141,7 +141,7 @@
         view = View(Epoch(90), parts._identity.incarnation, (), (), ())
         incarnation = parts._identity.incarnation
         requests = (
-            (ControlPromise(incarnation, incarnation, Epoch(90)), ControlGrant),
+            (ControlPrepare(incarnation, incarnation, Epoch(90)), ControlPrepared),
             (ControlAccept(incarnation, view), ControlAccepted),
             (ControlReplicate(incarnation, Epoch(90), 0, 0, b""), ControlReplicated),
         )
--- a/wingwood/distribution/freshness.py
+++ b/wingwood/distribution/freshness.py
@@ -168,7 +168,7 @@
             proven = False
             try:
                 async with asyncio.timeout(self._limits.proof_timeout):
-                    proven = await self._core.prove_leadership() and self._core.leads()
+                    proven = await self._core.confirm_leadership() and self._core.leads()
             except TimeoutError:
                 pass
             self._current_round.set_result(proven)
--- a/wingwood/distribution/tests/fakes.py
+++ b/wingwood/distribution/tests/fakes.py
@@ -12,7 +12,8 @@
 from ...bundle.model import BundleDelta, Manifest, Order, Tenant
 from ...bundle.state import BundleState
 from ...bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices, slice_of
-from ...control.protocols import NotDecided, ViewReport
+from ...control.errors import CommandFailure
+from ...control.protocols import ViewReport
 from ...identifiers import Address, BundleVersion, ClassName, Epoch, Seconds, SliceName, TenantName
 from ...transport.frames import Identity
 from ...transport.messenger import Messenger
@@ -58,10 +59,10 @@
     def primary_address(self) -> Address | None:
         return self._primary
 
-    async def decide(self, kind: str, command: msgspec.Struct) -> Result[msgspec.Struct, NotDecided]:
-        return Failure(NotDecided("not-leading"))
+    async def decide(self, kind: str, command: msgspec.Struct) -> Result[msgspec.Struct, CommandFailure]:
+        return Failure(CommandFailure("not-leading"))
 
-    async def prove_leadership(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         epoch = self._epoch
         for other in self._others:
             if other == self._messenger.identity.internal:
--- a/wingwood/ledger/client.py
+++ b/wingwood/ledger/client.py
@@ -9,7 +9,7 @@
 from returns.result import Result, Success
 
 from ..context.protocols import Context
-from ..control.protocols import NotDecided
+from ..control.errors import CommandFailure
 from ..identifiers import Incarnation, Instant, Seconds
 from .protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
 from .state import (
@@ -31,7 +31,7 @@
 
     async def decide(
         self, kind: str, command: msgspec.Struct, reply_type: type[Reply], timeout: Seconds
-    ) -> Result[Reply, NotDecided]: ...
+    ) -> Result[Reply, CommandFailure]: ...
 
 
 class LedgerLimits(msgspec.Struct, frozen=True):
--- a/wingwood/ledger/tests/ledger_world.py
+++ b/wingwood/ledger/tests/ledger_world.py
@@ -18,7 +18,7 @@
 from simulation.virtual_time import VirtualTask
 
 from ...context.protocols import Context
-from ...control.protocols import NotDecided
+from ...control.errors import CommandFailure
 from ...identifiers import IdempotencyKey, Incarnation, Instant, Seconds, ServiceName, TenantName, WallTime
 from ..client import DecideClient, RouterLedger
 from ..protocols import AlreadyClaimed, CallKey, Claimed
@@ -107,10 +107,10 @@
 
     async def decide(
         self, kind: str, command: msgspec.Struct, reply_type: type[Reply], timeout: Seconds
-    ) -> Result[Reply, NotDecided]:
+    ) -> Result[Reply, CommandFailure]:
         random = self._world.random
         fate = random.random() if self.faults_enabled else 1.0
-        lost = Failure(NotDecided("unknown", detail="no answer"))
+        lost = Failure(CommandFailure("unknown", detail="no answer"))
         if fate < 0.05:
             await asyncio.sleep(timeout)
             return lost
--- a/wingwood/ledger/tests/test_client.py
+++ b/wingwood/ledger/tests/test_client.py
@@ -18,7 +18,7 @@
 from simulation import World
 
 from ...context.protocols import Context
-from ...control.protocols import NotDecided
+from ...control.errors import CommandFailure
 from ...identifiers import Incarnation, Seconds
 from ..client import DecideClient, LedgerLimits, RouterLedger
 from ..protocols import AlreadyClaimed, Claimed, Unreachable
@@ -156,7 +156,7 @@
 
 async def _silent(control: FaultyControl, kind: str, command: object, reply_type: type, timeout: Seconds) -> object:
     await asyncio.sleep(timeout)
-    return Failure(NotDecided("unknown"))
+    return Failure(CommandFailure("unknown"))
 
 
 def run_random_faults(
--- a/wingwood/ledger/tests/test_core.py
+++ b/wingwood/ledger/tests/test_core.py
@@ -14,8 +14,8 @@
 
 from ...context.protocols import Context
 from ...control.client import ControlClient
+from ...control.control_options import ControlOptions
 from ...control.core import ReplicatedCore
-from ...control.limits import ControlLimits
 from ...control.store import Contents, ControlStore
 from ...control.tests.control_world import KEY, PORT, ControlWorld, Register
 from ...identifiers import Address, DaemonName, Incarnation, Zone
@@ -49,8 +49,8 @@
         seeds: Sequence[Address],
     ) -> ReplicatedCore:
         ledger = LedgerState(context.clock, RETENTION, self._is_member)
-        limits = ControlLimits(rewrite_bytes=50_000, chunk_bytes=16_384)
-        return self.core_type(context, messenger, store, contents, [ledger], seeds, limits=limits)
+        options = ControlOptions(rewrite_bytes=50_000, chunk_bytes=16_384)
+        return self.core_type(context, messenger, store, contents, [ledger], seeds, options=options)
 
     def _is_member(self, router: Incarnation) -> bool:
         return self.routers is not None and self.routers.is_member(router)
--- a/wingwood/operator_api/editions.py
+++ b/wingwood/operator_api/editions.py
@@ -15,7 +15,8 @@
 from ..bundle.model import EditionChange, EditionStatus, OrderOutcome
 from ..bundle.reading import BundleReader, BundleView, NotReadable
 from ..context.protocols import Clock
-from ..control.protocols import FindEdition, NotDecided, SubmitEdition
+from ..control.errors import CommandFailure
+from ..control.protocols import FindEdition, SubmitEdition
 from ..identifiers import BundleVersion, Instant, OrderId, Seconds
 
 NO_ORDER = OrderId("")
@@ -33,7 +34,7 @@
 
     async def decide(
         self, kind: str, command: msgspec.Struct, reply_type: type[Reply], timeout: Seconds
-    ) -> Result[Reply, NotDecided]:
+    ) -> Result[Reply, CommandFailure]:
         """Returns the primary's reply to ``command``, or why there is none within ``timeout``."""
         ...
 
@@ -61,14 +62,14 @@
         self._clock = clock
         self._within = within
 
-    async def submit(self, change: EditionChange) -> Result[OrderOutcome, NotDecided]:
+    async def submit(self, change: EditionChange) -> Result[OrderOutcome, CommandFailure]:
         """Submits ``change``; an outcome that is returned is certain.
 
         After a failure of kind ``unknown`` the order may have been accepted and should be sent again.
         """
         return await self._control.decide("bundle", SubmitEdition(change), OrderOutcome, self._within)
 
-    async def status(self, order: OrderId = NO_ORDER) -> Result[EditionStatus, NotDecided]:
+    async def status(self, order: OrderId = NO_ORDER) -> Result[EditionStatus, CommandFailure]:
         """Returns the state that the primary knows, proven after this call started.
 
         It includes the outcome of ``order`` if that order was accepted.
--- a/wingwood/operator_api/orders.py
+++ b/wingwood/operator_api/orders.py
@@ -11,7 +11,8 @@
 from returns.result import Failure, Result, Success
 
 from ..bundle.model import Order, OrderOutcome
-from ..control.protocols import NotDecided, SubmitOrder
+from ..control.errors import CommandFailure
+from ..control.protocols import SubmitOrder
 from ..identifiers import BundleVersion, Seconds
 from .protocols import OperatorReply, OperatorRequest, OperatorRoutes, error_reply
 
@@ -20,7 +21,7 @@
 DECISION_TIMEOUT_S = Seconds(5.0)
 """The time limit for a decision by the primary."""
 
-DecideOrder = Callable[[SubmitOrder, Seconds], Awaitable[Result[OrderOutcome, NotDecided]]]
+DecideOrder = Callable[[SubmitOrder, Seconds], Awaitable[Result[OrderOutcome, CommandFailure]]]
 """Runs the command on the primary within the given number of seconds."""
 
 
@@ -49,11 +50,11 @@
         match await self._decide(SubmitOrder(order), self._within):
             case Success(outcome):
                 return self._reply(outcome)
-            case Failure(NotDecided() as fault):
+            case Failure(CommandFailure() as fault):
                 return self._reply(self._unknown(order, fault))
         raise AssertionError("a result is a success or a failure")
 
-    def _unknown(self, order: Order, fault: NotDecided) -> OrderOutcome:
+    def _unknown(self, order: Order, fault: CommandFailure) -> OrderOutcome:
         """Returns the outcome ``unknown`` with the reason why control gave no decision."""
         cause = {
             "not-leading": "no control daemon leads at the moment",
--- a/wingwood/operator_api/tests/test_editions.py
+++ b/wingwood/operator_api/tests/test_editions.py
@@ -16,7 +16,7 @@
 from ...bundle.reading import BundleAnswer, HistoryAnswer, LocalBundleReader, NotReadable
 from ...bundle.state import BundleState
 from ...bundle.tests.samples import OPERATOR_KEYS, SIGNING_KEY, edition_change, sample_slices
-from ...control.protocols import NotDecided
+from ...control.errors import CommandFailure
 from ...identifiers import BundleVersion, Instant, OrderId, Seconds, WallTime
 from ..editions import CALL_TIMEOUT_S, EditionClient
 
@@ -29,11 +29,11 @@
 
     def __init__(self) -> None:
         self.state = BundleState(OPERATOR_KEYS, signing_key=SIGNING_KEY)
-        self.fault: NotDecided | None = None
+        self.fault: CommandFailure | None = None
 
     async def decide(
         self, kind: str, command: msgspec.Struct, reply_type: type[Reply], timeout: Seconds
-    ) -> Result[Reply, NotDecided]:
+    ) -> Result[Reply, CommandFailure]:
         if self.fault is not None:
             return Failure(self.fault)
         assert (kind, timeout) == ("bundle", CALL_TIMEOUT_S)
@@ -111,7 +111,7 @@
     def test_nothing_is_read_without_a_primary(self) -> None:
         run(self.client.submit(self.first))
         for kind in ("unknown", "not-leading", "busy"):
-            self.primary.fault = NotDecided(kind)
+            self.primary.fault = CommandFailure(kind)
             self.assertIn(kind, run(self.client.newest()).failure().reason)
             self.assertEqual(run(self.client.submit(self.first)).failure().kind, kind)
             self.assertEqual(run(self.client.status()).failure().kind, kind)
--- a/wingwood/operator_api/tests/test_routes.py
+++ b/wingwood/operator_api/tests/test_routes.py
@@ -15,7 +15,8 @@
 from ...bundle.reading import BundleAnswer, HistoryAnswer, LocalBundleReader, NotReadable
 from ...bundle.state import BundleState
 from ...bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices, submit
-from ...control.protocols import NotDecided, SubmitOrder
+from ...control.errors import CommandFailure
+from ...control.protocols import SubmitOrder
 from ...identifiers import Address, BundleVersion, DaemonName, Incarnation, Seconds, Zone
 from ..orders import OrderRoutes
 from ..protocols import OperatorHandler, OperatorReply, OperatorRequest
@@ -50,10 +51,10 @@
     def setUp(self) -> None:
         self.state = BundleState(OPERATOR_KEYS)
         self.routes = FakeRoutes()
-        self.fault: NotDecided | None = None
+        self.fault: CommandFailure | None = None
         OrderRoutes(self.decide, 1000).add_to(self.routes)
 
-    async def decide(self, command: SubmitOrder, within: Seconds) -> Result[OrderOutcome, NotDecided]:
+    async def decide(self, command: SubmitOrder, within: Seconds) -> Result[OrderOutcome, CommandFailure]:
         if self.fault is not None:
             return Failure(self.fault)
         return Success(submit(self.state, command.order))
@@ -74,7 +75,11 @@
 
     def test_unknown_outcome_says_that_resending_is_safe(self) -> None:
         order = order_between(0, {}, sample_slices())
-        for fault in (NotDecided("unknown"), NotDecided("not-leading"), NotDecided("busy", detail="9 waiting")):
+        for fault in (
+            CommandFailure("unknown"),
+            CommandFailure("not-leading"),
+            CommandFailure("busy", detail="9 waiting"),
+        ):
             self.fault = fault
             status, outcome = self.post(order)
             self.assertEqual((status, outcome.outcome, outcome.order), (503, "unknown", "order-1"))
