--- a/wingwood/control/planning.py
+++ b/wingwood/control/planning.py
@@ -4,6 +4,8 @@
 
 from collections.abc import Sequence
 
+import msgspec
+
 from ..identifiers import Incarnation, Instant
 from .control_options import ControlOptions
 from .leadership import Leadership
@@ -14,7 +16,7 @@
 
 
 class ViewPlan:
-    """The view that a primary wants next, and the views on which it may be built."""
+    """The view to which a primary changes next, and the views on which it may be built."""
 
     def __init__(self, backup_members: tuple[ViewMember, ...], members: tuple[ViewMember, ...], base: View) -> None:
         self.backup_members = backup_members
@@ -34,44 +36,61 @@
         return tuple(member.incarnation for member in self.backup_members)
 
 
+class ClusterSize(msgspec.Struct, frozen=True):
+    """How many members and backups a cluster needs, so that ``failures_tolerated`` of them may be lost at once."""
+
+    failures_tolerated: int
+
+    @property
+    def backups(self) -> int:
+        """The number of backups, which have the state on disk as the primary does."""
+        return self.failures_tolerated
+
+    @property
+    def members(self) -> int:
+        """The number of members, of which a majority must remain to choose a view."""
+        return 2 * self.failures_tolerated + 1
+
+
 class ViewPlanner:
-    """Plans the next view of the primary ``own``, with the wanted numbers of backups and members."""
+    """Plans the next view of the primary ``own``, with the members and backups that ``size`` asks for."""
 
-    def __init__(
-        self, own: ViewMember, options: ControlOptions, desired_backup_count: int, desired_member_count: int
-    ) -> None:
+    def __init__(self, own: ViewMember, options: ControlOptions, size: ClusterSize) -> None:
         self._own = own
         self._options = options
-        self._desired_backup_count = desired_backup_count
-        self._desired_member_count = desired_member_count
+        self._size = size
+
+    def has_desired_backups(self, view: View) -> bool:
+        """Whether the view has as many backups as the size of the cluster asks for."""
+        return len(view.backups) >= self._size.backups
 
     def plan(self, leadership: Leadership, now: Instant) -> ViewPlan | None:
-        """Returns None when the current view is as wanted, or when a better one is not possible yet."""
+        """Returns None when the current view is as desired, or when a better one is not possible yet."""
         view = leadership.view
         members = self._desired_members(leadership, now)
         backups = self._desired_backups(leadership, members, now)
         as_desired = members == view.members and {member.incarnation for member in backups} == set(view.backups)
         if as_desired and leadership.in_sync and not leadership.epoch_superseded:
             return None
-        if len(backups) < self._desired_backup_count or self._any_paused(leadership, backups, now):
+        if len(backups) < self._size.backups or self._any_backing_off(leadership, backups, now):
             return None
         return ViewPlan(backups, members, view)
 
-    def _any_paused(self, leadership: Leadership, backups: Sequence[ViewMember], now: Instant) -> bool:
-        """Whether one of ``backups`` failed so recently that it is not tried again yet."""
-        paused = Instant(now - self._options.recruit_backoff)
-        return any(leadership.failed_at.get(member.incarnation, paused) > paused for member in backups)
+    def _any_backing_off(self, leadership: Leadership, backups: Sequence[ViewMember], now: Instant) -> bool:
+        """Whether one of ``backups`` failed so recently that it is not recruited again yet."""
+        earliest = Instant(now - self._options.recruit_backoff)
+        return any(leadership.failed_at.get(member.incarnation, earliest) > earliest for member in backups)
 
     def _desired_members(self, leadership: Leadership, now: Instant) -> tuple[ViewMember, ...]:
-        """Returns the current members, with spares in place of departed members and in vacant places."""
+        """Returns the current members, with spares in place of departed members and where members are missing."""
         spares = self._live_spares(leadership, now)
         updated = {member.incarnation: member for member in (self._own, *spares)}
         members = [updated.get(member.incarnation, member) for member in leadership.view.members]
-        newcomers = [member for member in spares if leadership.view.member(member.incarnation) is None]
-        for member in [member for member in members if self._is_departed(leadership, member, now)][: len(newcomers)]:
-            members[members.index(member)] = newcomers.pop(0)
-        missing = max(0, self._desired_member_count - len(members))
-        return (*members, *newcomers[:missing])
+        joining = [member for member in spares if leadership.view.member(member.incarnation) is None]
+        for member in [member for member in members if self._is_departed(leadership, member, now)][: len(joining)]:
+            members[members.index(member)] = joining.pop(0)
+        missing = max(0, self._size.members - len(members))
+        return (*members, *joining[:missing])
 
     def _live_spares(self, leadership: Leadership, now: Instant) -> list[ViewMember]:
         """Returns the spares that asked to join recently, the most recent request first."""
@@ -99,7 +118,7 @@
                 -leadership.answered.get(member.incarnation, 0.0),
             )
 
-        return (*healthy, *sorted(others, key=preference))[: self._desired_backup_count]
+        return (*healthy, *sorted(others, key=preference))[: self._size.backups]
 
     def _is_healthy_backup(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
         """Whether the member is already a backup, is live, and has journaled every batch sent to it."""
@@ -111,7 +130,7 @@
         )
 
     def _may_back_up(self, leadership: Leadership, member: ViewMember, now: Instant) -> bool:
-        """Whether the member is a newcomer, which asked to join recently, or another live member."""
+        """Whether the member is a joining one, which asked to join recently, or another live member."""
         if member.incarnation == self._own.incarnation:
             return False
         return leadership.view.member(member.incarnation) is None or self._is_live(leadership, member, now)
--- a/wingwood/control/protocols.py
+++ b/wingwood/control/protocols.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Literal, Protocol, runtime_checkable
+from typing import Any, Literal, Protocol, runtime_checkable
 
 import msgspec
 from returns.result import Result
@@ -24,14 +24,20 @@
     """
 
     kind: str
+    command_type: Any
+    """The class of its commands, or a union of classes; ``Any`` because msgspec decodes to whatever this names."""
 
     def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
         """Returns the record to write (None: nothing to write) and the reply to send once the record is durable."""
         ...
 
-    def apply(self, record: bytes) -> None: ...
+    def apply(self, record: bytes) -> None:
+        """Applies a record that ``decide`` returned here or on the primary."""
+        ...
 
-    def snapshot(self) -> bytes: ...
+    def snapshot(self) -> bytes:
+        """Returns the complete state, encoded."""
+        ...
 
     def restore(self, snapshot: bytes | None) -> None:
         """Replaces the complete state; None empties it."""
@@ -48,7 +54,7 @@
 
 
 class ViewReport(msgspec.Struct, frozen=True, kw_only=True):
-    """For the health report: who is primary and backup, and whether the configured losses could be survived now."""
+    """For the health report: who is primary and backup, and whether the configured failures are tolerated now."""
 
     epoch: Epoch
     own_role: Literal["primary", "backup", "witness", "spare", "candidate", "relay"]
@@ -57,9 +63,9 @@
     members: tuple[Incarnation, ...]
     accepts_orders: bool
     complete: bool
-    """There are as many members as wanted, all of them live, and the wanted backups are in sync.
+    """There are as many members as configured, all of them live, and as many backups as configured, in sync.
 
-    Then as many losses as configured (``failures_tolerated``) can be survived.
+    Then as many simultaneous failures as configured (``failures_tolerated``) can be survived.
     """
     detail: str = ""
 
@@ -67,10 +73,12 @@
 class ControlCore(Protocol):
     """The part of one control daemon in the control core."""
 
-    def leads(self) -> bool: ...
+    def leads(self) -> bool:
+        """Whether this daemon is primary and a majority of the members confirmed it recently."""
+        ...
 
     def epoch(self) -> Epoch:
-        """The highest epoch that this daemon knows of; duties that only one daemon may have are performed under it."""
+        """Returns the highest epoch that this daemon knows of; singleton roles are performed under it."""
         ...
 
     def primary_address(self) -> Address | None:
@@ -88,7 +96,9 @@
         """Whether a majority confirmed, in an exchange started after this call, that no other daemon leads."""
         ...
 
-    def report(self) -> ViewReport: ...
+    def report(self) -> ViewReport:
+        """Returns what the health report says about the view and the role of this daemon."""
+        ...
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Calls back after each change of the known view, of the own role or of the state of the disk."""
@@ -106,7 +116,9 @@
         """Returns None when ``version`` is already the latest one, or when there is no bundle."""
         ...
 
-    def on_committed(self, callback: Callable[[Manifest], None]) -> None: ...
+    def on_committed(self, callback: Callable[[Manifest], None]) -> None:
+        """Calls back with the manifest of each version that becomes durable."""
+        ...
 
 
 class SubmitOrder(msgspec.Struct, frozen=True, tag=True):
--- a/wingwood/control/relay.py
+++ b/wingwood/control/relay.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Callable, Sequence
-from typing import Literal
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -14,6 +13,7 @@
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
 from .errors import CommandFailure
+from .forwarding import forward_command
 from .messages import (
     ControlCommand,
     ControlDecision,
@@ -157,19 +157,3 @@
         if primary is None or message.hops <= 0:
             return ControlDecision(fault=CommandFailure("not-leading", primary))
         return await forward_command(self._messenger, primary, message)
-
-
-async def forward_command(messenger: Messenger, primary: Address, message: ControlCommand) -> ControlDecision:
-    """Forwards a command to the primary and returns its answer.
-
-    When the call fails, the fault is ``unknown`` if the command may have reached the primary, else ``not-leading``.
-    """
-    forwarded = msgspec.structs.replace(message, hops=message.hops - 1)
-    match await messenger.call(primary, forwarded, ControlDecision, message.budget):
-        case Success(found):
-            decision: ControlDecision = found
-            return decision
-        case Failure(fault):
-            kind: Literal["unknown", "not-leading"] = "unknown" if fault.sent else "not-leading"
-            return ControlDecision(fault=CommandFailure(kind, primary, f"{fault.kind} {fault.detail}"))
-    raise AssertionError("a result is a success or a failure")
--- a/wingwood/control/replica.py
+++ b/wingwood/control/replica.py
@@ -4,13 +4,14 @@
 
 from collections.abc import Callable, Sequence
 
+from .errors import InvariantError
 from .journal_entries import BatchEntry, SnapshotEntry
 from .protocols import Applier
 from .store import Contents
 
 
 class Replica:
-    """The appliers of one daemon, and the journaled batches that wait to be applied to them.
+    """The appliers of one daemon, and the journaled batches that are not applied to them yet.
 
     ``applied`` is the latest batch applied to the appliers; -1 means that their state is invalid.
     ``committed`` is the latest batch known to be durable on the primary and all backups. Committed batches
@@ -22,9 +23,10 @@
         if len(self.appliers) != len(appliers):
             raise ValueError("two appliers of one kind")
         self.committed = 0
-        self._announced = -1
-        self._waiting = contents
         self.applied = -1
+        self._announced = -1
+        self._unapplied = contents
+        self._needs_load = False
         self._on_commit: list[Callable[[], None]] = []
 
     def on_commit(self, callback: Callable[[], None]) -> None:
@@ -33,36 +35,52 @@
 
     def load(self, contents: Contents) -> None:
         """Replaces all state by the contents of a journal, none of which are applied yet."""
-        self._waiting = contents
+        self._unapplied = contents
         self.applied = -1
+        self._needs_load = False
+
+    @property
+    def needs_load(self) -> bool:
+        """Whether the replica must be loaded from the journal before it may be used."""
+        return self._needs_load
+
+    def invalidate(self) -> None:
+        """Requires a load from the journal, which the state may have got ahead of."""
+        self._needs_load = True
 
     def receive(self, batch: BatchEntry) -> None:
-        self._waiting.batches.append(batch)
+        """Adds a batch that was journaled here and is not yet known to be committed."""
+        self._unapplied.batches.append(batch)
 
     def apply_up_to(self, sequence: int | None) -> None:
-        """Applies the waiting batches up to and including ``sequence`` (None: all of them)."""
-        waiting = self._waiting
-        if self.applied < 0:
-            snapshot = waiting.snapshot
-            start = snapshot.sequence if snapshot is not None else 0
-            if sequence is not None and start > sequence:
-                return
-            parts = snapshot.parts if snapshot is not None else {}
-            for kind in sorted(set(parts) - set(self.appliers)):
-                raise AssertionError(f"no applier for state of kind {kind}")
-            for kind, applier in self.appliers.items():
-                applier.restore(parts.get(kind))
-            self.applied = start
-            waiting.snapshot = None
-        done = 0
-        for batch in waiting.batches:
+        """Applies the journaled batches up to and including ``sequence`` (None: all of them)."""
+        if self.applied < 0 and not self._restore_snapshot(sequence):
+            return
+        batches = self._unapplied.batches
+        applied_count = 0
+        for batch in batches:
             if sequence is not None and batch.sequence > sequence:
                 break
             for record in batch.records:
                 self.appliers[record.kind].apply(record.record)
             self.applied = batch.sequence
-            done += 1
-        del waiting.batches[:done]
+            applied_count += 1
+        del batches[:applied_count]
+
+    def _restore_snapshot(self, sequence: int | None) -> bool:
+        """Replaces the state of the appliers by the snapshot, unless that is later than ``sequence``."""
+        snapshot = self._unapplied.snapshot
+        start = snapshot.sequence if snapshot is not None else 0
+        if sequence is not None and start > sequence:
+            return False
+        states = snapshot.parts if snapshot is not None else {}
+        for kind in sorted(set(states) - set(self.appliers)):
+            raise InvariantError(f"no applier for state of kind {kind}")
+        for kind, applier in self.appliers.items():
+            applier.restore(states.get(kind))
+        self.applied = start
+        self._unapplied.snapshot = None
+        return True
 
     def commit(self, sequence: int) -> None:
         """Commits all batches up to ``sequence``.
@@ -77,10 +95,11 @@
                 callback()
 
     def snapshot(self) -> SnapshotEntry:
+        """Returns the state of the appliers after the latest applied batch."""
         return SnapshotEntry(self.applied, {kind: applier.snapshot() for kind, applier in self.appliers.items()})
 
     def contents(self) -> Contents:
         """Returns the complete state, applied or not, for a rewrite of the journal."""
         if self.applied < 0:
-            return Contents(self._waiting.snapshot, list(self._waiting.batches))
-        return Contents(self.snapshot(), list(self._waiting.batches))
+            return Contents(self._unapplied.snapshot, list(self._unapplied.batches))
+        return Contents(self.snapshot(), list(self._unapplied.batches))
--- a/wingwood/control/tests/test_core.py
+++ b/wingwood/control/tests/test_core.py
@@ -19,7 +19,7 @@
 from ..messages import ControlPrepare
 from ..store import open_store
 from .control_world import ControlWorld, MakeCore, Put, make_core
-from .mutants import BackupIgnoresPromise, with_core
+from .mutants import BackupIgnoresPreparedEpoch, with_core
 
 LONGEST_GAP_S = 3.0
 SERVICE_BACK_S = 12.0
@@ -90,7 +90,7 @@
         for name in ("c1", "c2", "c3"):
             control.start(name)
         control.world.run(0.03)
-        control.cores["c3"]._knows_of_history = lambda: True
+        control.cores["c3"].monitor.knows_history = lambda: True
         control.world.run(20.0)
         self.assertIsNone(control.leader())
 
@@ -315,7 +315,9 @@
                 self.assert_nothing_lost(control)
 
     def test_a_backup_that_ignores_its_promise_is_caught(self) -> None:
-        given_answers = [self.late_batch(with_core(BackupIgnoresPromise, LONG_TIMEOUTS), seed)[2] for seed in range(8)]
+        given_answers = [
+            self.late_batch(with_core(BackupIgnoresPreparedEpoch, LONG_TIMEOUTS), seed)[2] for seed in range(8)
+        ]
         self.assertTrue(any(isinstance(answer, Success) for answers in given_answers for answer in answers))
 
     def test_primaries_that_are_cut_off_report_it_and_prove_nothing(self) -> None:
@@ -343,18 +345,18 @@
         name = control.name_with_role("backup")
         core, store = control.cores[name], control.stores[name]
 
-        async def promise_then_stand() -> None:
-            await core._lock.acquire()
-            promise = ControlPrepare(store.incarnation, Incarnation("another"), Epoch(50))
+        async def prepare_then_run() -> None:
+            await core.guarded.lock.acquire()
+            prepare = ControlPrepare(store.incarnation, Incarnation("another"), Epoch(50))
             waiting = [
-                asyncio.ensure_future(core._on_promise(core._messenger.identity, promise)),
-                asyncio.ensure_future(core._run_election(None)),
+                asyncio.ensure_future(core.acceptor.prepare(prepare)),
+                asyncio.ensure_future(core.candidate.run_election(None)),
             ]
             await asyncio.sleep(0.001)
-            core._lock.release()
+            core.guarded.lock.release()
             await asyncio.gather(*waiting)
 
-        self.spawn(control, name, promise_then_stand)
+        self.spawn(control, name, prepare_then_run)
         control.world.run(1.0)
         self.assertGreaterEqual(store.prepared.epoch, 50)
         self.assertEqual(control.world.broken_invariants, [])
@@ -368,13 +370,10 @@
 
     def test_a_member_that_promised_a_failed_candidate_follows_again(self) -> None:
         control = self.fleet()
-        witness = control.cores[control.name_with_role("witness")]
-        promise = ControlPrepare(witness._own_incarnation, Incarnation("failed"), Epoch(40))
-        self.ask(
-            control,
-            control.name_with_role("witness"),
-            lambda: witness._on_promise(witness._messenger.identity, promise),
-        )
+        name = control.name_with_role("witness")
+        witness = control.cores[name]
+        prepare = ControlPrepare(control.stores[name].incarnation, Incarnation("failed"), Epoch(40))
+        self.ask(control, name, lambda: witness.acceptor.prepare(prepare))
         control.world.run(1.5)
         self.assertEqual(control.leader(), "c1")
         self.assertGreater(control.epoch(), 40)
@@ -384,17 +383,17 @@
         """A promise to another candidate comes between a decision and its append; then the same daemon leads again."""
         control = self.fleet()
         core = control.cores["c1"]
-        promise = ControlPrepare(core._own_incarnation, Incarnation("failed"), Epoch(40))
+        prepare = ControlPrepare(control.stores["c1"].incarnation, Incarnation("failed"), Epoch(40))
 
-        async def promise_before_append() -> None:
-            await core._lock.acquire()
-            promising = asyncio.ensure_future(core._on_promise(core._messenger.identity, promise))
+        async def prepare_before_append() -> None:
+            await core.guarded.lock.acquire()
+            preparing = asyncio.ensure_future(core.acceptor.prepare(prepare))
             deciding = asyncio.ensure_future(core.decide("register", Put(999, 5)))
             await asyncio.sleep(0.001)
-            core._lock.release()
-            await asyncio.gather(promising, deciding)
+            core.guarded.lock.release()
+            await asyncio.gather(preparing, deciding)
 
-        self.spawn(control, "c1", promise_before_append)
+        self.spawn(control, "c1", prepare_before_append)
         control.world.run(0.02)
         control.world.kill("c2")
         self.assertTrue(control.world.wait_for(lambda: control.leader() == "c1", 6.0), control.world.timeline(20))
@@ -444,13 +443,13 @@
         leader = control.name_with_role("primary")
         core, rounds = control.cores[leader], [0]
         seen: list[tuple[int, int]] = []
-        real = core._proof_round
+        real = core.confirmation.majority_confirms
 
         async def counted(leadership: object) -> bool:
             rounds[0] += 1
             return await real(leadership)  # type: ignore[arg-type]
 
-        core._proof_round = counted  # type: ignore[method-assign]
+        core.confirmation.majority_confirms = counted  # type: ignore[method-assign]
 
         async def prove() -> None:
             before = rounds[0]
--- a/wingwood/control/tests/test_member_rules.py
+++ b/wingwood/control/tests/test_member_rules.py
@@ -8,10 +8,10 @@
 import msgspec
 from returns.result import Result, Success
 
-from ...identifiers import DaemonName, Epoch, Incarnation, Seconds
+from ...identifiers import DaemonName, Epoch, Incarnation, Instant, Seconds
 from ..errors import CommandFailure
 from ..journal_entries import SnapshotEntry, StateRecord
-from ..leadership import Leadership as _Lead
+from ..leadership import Leadership
 from ..messages import (
     ControlAccept,
     ControlAccepted,
@@ -25,7 +25,7 @@
     ControlReplicated,
     ControlStateChunk,
 )
-from ..planning import ViewPlan as _Plan
+from ..planning import ViewPlan
 from ..store import encode_batch
 from ..views import View, ViewMember
 from .control_world import ControlWorld, Put
@@ -156,7 +156,7 @@
         self.control.world.kill("c1")
         self.replicate(self.view.epoch, 3)
         core = self.control.cores["c2"]
-        self.assertEqual((core._replica.applied, core._replica.committed), (3, 3))
+        self.assertEqual((core.replica.applied, core.replica.committed), (3, 3))
 
     def test_a_proof_is_confirmed_unless_a_higher_epoch_was_promised(self) -> None:
         def confirm(epoch: int, to: Incarnation | None = None) -> bool:
@@ -188,7 +188,7 @@
         async def run() -> None:
             answers.extend(
                 [
-                    await core._ask(asked, ControlConfirm(asked.incarnation, Epoch(9)), ControlConfirmed)
+                    await core.peers.ask(asked, ControlConfirm(asked.incarnation, Epoch(9)), ControlConfirmed)
                     for asked in (member, replaced)
                 ]
             )
@@ -223,8 +223,8 @@
 
         async def run() -> None:
             for epoch, forming in ((5, True), (6, False), (7, True)):
-                promise = ControlPrepare(core._own_incarnation, X, Epoch(epoch), forming)
-                granted.append((await core._on_promise(core._messenger.identity, promise)).granted)
+                prepare = ControlPrepare(control.stores["c1"].incarnation, X, Epoch(epoch), forming)
+                granted.append((await core.acceptor.prepare(prepare)).granted)
 
         control.world.spawn(control.world.processes["c1"], run(), "promise")
         control.world.run(0.1)
@@ -246,7 +246,7 @@
         self.sequences: dict[Incarnation, int] = {}
         """How many batches an acceptor has, if not 3 as the candidate has."""
         self.asked: list[tuple[str, Incarnation]] = []
-        self.core._ask = self.answer  # type: ignore[method-assign, assignment]
+        self.core.peers.ask = self.answer  # type: ignore[method-assign, assignment]
 
     async def answer(
         self, member: ViewMember, message: msgspec.Struct, _: object, __: object = None
@@ -261,11 +261,11 @@
                 return ControlReplicated(member.incarnation, True, epoch)
         return None
 
-    def run_election(self, plan: _Plan | None = None) -> View | None:
+    def run_election(self, plan: ViewPlan | None = None) -> View | None:
         views: list[View | None] = []
 
         async def run() -> None:
-            views.append(await self.core._run_election(plan))
+            views.append(await self.core.candidate.run_election(plan))
 
         self.control.world.spawn(self.control.world.processes["c2"], run(), "stand")
         self.assertTrue(self.control.world.wait_for(lambda: bool(views), 3.0, every=0.01))
@@ -312,7 +312,7 @@
                 current = self.view_of("c2")
                 self.grants = {self.three.incarnation: None}
                 self.acceptors = set(acceptors)
-                view = self.run_election(_Plan((backup,), members, current))
+                view = self.run_election(ViewPlan((backup,), members, current))
                 self.assertEqual(view is not None, won)
                 self.setUp()
 
@@ -320,14 +320,14 @@
         self.grants = {self.three.incarnation: None}
         self.acceptors = {self.three.incarnation}
         self.sequences = {self.three.incarnation: 2}
-        self.assertIsNone(self.run_election(_Plan((self.three,), self.view.members, self.view)))
+        self.assertIsNone(self.run_election(ViewPlan((self.three,), self.view.members, self.view)))
         self.sequences = {}
-        self.assertIsNotNone(self.run_election(_Plan((self.three,), self.view.members, self.view_of("c2"))))
+        self.assertIsNotNone(self.run_election(ViewPlan((self.three,), self.view.members, self.view_of("c2"))))
 
     def test_a_view_with_other_members_that_too_few_accepted_still_needs_the_former_ones(self) -> None:
         """Otherwise the newcomer of the first attempt and its primary could lead beside the two former members."""
         newcomer = ViewMember(X, DaemonName("x"), self.one.address)
-        plan = _Plan((newcomer,), (self.two, newcomer, self.three), self.view)
+        plan = ViewPlan((newcomer,), (self.two, newcomer, self.three), self.view)
         self.grants = {self.three.incarnation: self.view}
         self.acceptors = {X}
         self.assertIsNone(self.run_election(plan))
@@ -346,12 +346,12 @@
         other = View(Epoch(7), self.one.incarnation, (), self.view.members, self.view.holders)
         self.grants = {self.three.incarnation: other}
         self.acceptors = {self.three.incarnation}
-        view = self.run_election(_Plan((self.three,), self.view.members, self.view))
+        view = self.run_election(ViewPlan((self.three,), self.view.members, self.view))
         assert view is not None
         self.assertEqual((view.backups, view.holders), ((), self.view.holders))
 
     def test_a_candidate_defers_to_another_holder_with_more_batches(self) -> None:
-        answer = self.core._ask
+        answer = self.core.peers.ask
 
         async def longer(member: ViewMember, message: msgspec.Struct, *rest: object) -> msgspec.Struct | None:
             reply = await answer(member, message, *rest)  # type: ignore[arg-type, func-returns-value]
@@ -359,7 +359,7 @@
 
         self.grants = {self.one.incarnation: self.view, self.three.incarnation: self.view}
         self.acceptors = {self.three.incarnation}
-        self.core._ask = longer  # type: ignore[method-assign, assignment]
+        self.core.peers.ask = longer  # type: ignore[method-assign, assignment]
         self.assertIsNone(self.run_election())
 
     def test_a_new_primary_proves_nothing_before_it_has_a_backup(self) -> None:
@@ -373,14 +373,14 @@
         async def confirm(member: ViewMember, message: msgspec.Struct, *_: object) -> msgspec.Struct | None:
             return ControlConfirmed(member.incarnation, True, view.epoch)
 
-        self.core._ask = confirm  # type: ignore[method-assign, assignment]
+        self.core.peers.ask = confirm  # type: ignore[method-assign, assignment]
 
         async def run() -> None:
-            leadership = _Lead(view, self.core._now())
-            self.core._leadership = leadership
-            confirmations.append(await self.core._proof_round(leadership))
+            leadership = Leadership(view, Instant(self.control.world.now))
+            self.core.leadership.begin(leadership)
+            confirmations.append(await self.core.confirmation.majority_confirms(leadership))
             leadership.commit_known = True
-            confirmations.append(await self.core._proof_round(leadership))
+            confirmations.append(await self.core.confirmation.majority_confirms(leadership))
 
         self.control.world.spawn(self.control.world.processes["c2"], run(), "prove")
         self.control.world.run(0.05)
--- a/wingwood/control/views.py
+++ b/wingwood/control/views.py
@@ -40,6 +40,10 @@
         """Returns the incarnations of the members, in the order of the members."""
         return tuple(member.incarnation for member in self.members)
 
+    def others(self, own: Incarnation) -> list[ViewMember]:
+        """Returns the members except the one with the incarnation ``own``."""
+        return [member for member in self.members if member.incarnation != own]
+
     def majority(self, incarnations: set[Incarnation]) -> bool:
         """Whether ``incarnations`` contains a majority of the members; others in it do not count."""
         return _majority(self.members, incarnations)
--- a/wingwood/ledger/tests/test_core.py
+++ b/wingwood/ledger/tests/test_core.py
@@ -16,8 +16,10 @@
 from ...control.client import ControlClient
 from ...control.control_options import ControlOptions
 from ...control.core import ReplicatedCore
+from ...control.replicator import Replicator
 from ...control.store import Contents, ControlStore
 from ...control.tests.control_world import KEY, PORT, ControlWorld, Register
+from ...control.tests.mutants import core_with
 from ...identifiers import Address, DaemonName, Incarnation, Zone
 from ...transport.frames import Identity
 from ...transport.messenger import TcpMessenger
@@ -139,6 +141,11 @@
         self.assertTrue(any(any("twice" in fault for fault in faults(seed)) for seed in range(8)))
 
 
-class EarlyAcknowledgingCore(ReplicatedCore):
-    async def _replicate(self, *arguments: Any) -> bool:
+class EarlyReplicator(Replicator):
+    """Reports each batch as replicated without sending it."""
+
+    async def replicate(self, *arguments: Any) -> bool:
         return True
+
+
+EarlyAcknowledgingCore = core_with(replicator=EarlyReplicator)
