--- a/wingwood/control/__init__.py
+++ b/wingwood/control/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated control core: a primary, its backups and a witness that only votes (docs/DESIGN.md section 7)."""
+"""The replicated control core: a primary, its backups, and witnesses that only accept views (DESIGN.md section 7)."""
--- a/wingwood/control/backup.py
+++ b/wingwood/control/backup.py
@@ -9,7 +9,7 @@
 from ..identifiers import Epoch
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
-from .control_options import ControlOptions
+from .control_options import JournalOptions
 from .guarded_store import GuardedStore
 from .journal_entries import SnapshotEntry
 from .journal_rewriting import JournalRewriter
@@ -56,7 +56,7 @@
     def __init__(
         self,
         context: Context,
-        options: ControlOptions,
+        options: JournalOptions,
         guarded: GuardedStore,
         replica: Replica,
         state: MemberState,
@@ -64,7 +64,7 @@
         rewriter: JournalRewriter,
     ) -> None:
         self._context = context
-        self._options = options
+        self._journal_options = options
         self._guarded = guarded
         self._store = guarded.store
         self._replica = replica
@@ -187,7 +187,7 @@
         self._leadership.step_down(f"takes the state of epoch {transfer.epoch}")
         contents = Contents(msgspec.msgpack.decode(data, type=SnapshotEntry), [])
         prepared = PreparedEpoch(transfer.epoch, transfer.sender)
-        match await self._store.rewrite(lambda: contents, self._options.rewrite_timeout(len(data)), prepared):
+        match await self._store.rewrite(contents, self._journal_options.rewrite_timeout(len(data)), prepared):
             case Failure(fault):
                 self._guarded.mark_faulty(fault)
                 return Rejection(f"sick: {fault.kind}")
--- a/wingwood/control/bundle_source.py
+++ b/wingwood/control/bundle_source.py
@@ -12,7 +12,10 @@
 
 
 class CommittedBundles:
-    """A ``BundleSource`` over the bundle applier that shows only versions durable on the primary and all backups."""
+    """A ``BundleSource`` over the bundle applier that shows only versions durable on the primary and all backups.
+
+    Owns the manifest of the latest durable version.
+    """
 
     def __init__(self, core: ReplicatedCore | RelayCore, state: BundleState) -> None:
         self._state = state
@@ -22,6 +25,7 @@
 
     @property
     def state(self) -> BundleState:
+        """The state of the bundle applier, which may be ahead of what is durable."""
         return self._state
 
     @property
@@ -30,12 +34,15 @@
         return self._manifest.version if self._manifest is not None else BundleVersion(0)
 
     def latest(self) -> Manifest | None:
+        """Returns the manifest of the latest durable version, or None when there is none."""
         return self._manifest
 
     def delta_since(self, version: BundleVersion) -> BundleDelta | None:
+        """Returns the change from ``version`` to the latest durable version, or None when there is no change."""
         return self._state.delta_since(version, self.version)
 
     def on_committed(self, callback: Callable[[Manifest], None]) -> None:
+        """Calls back with the manifest of each version that becomes durable."""
         self._on_committed.append(callback)
 
     def _committed(self) -> None:
--- a/wingwood/control/client.py
+++ b/wingwood/control/client.py
@@ -1,10 +1,9 @@
-"""Client of the control core for any daemon: finds the primary, sends commands (docs/DESIGN.md section 7.11)."""
+"""Client of the control core for any daemon: sends commands to the primary (docs/DESIGN.md section 7.11)."""
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Callable, Sequence
-from typing import TypeVar
+from typing import Literal, TypeVar
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -12,16 +11,17 @@
 from ..bundle.model import OrderOutcome
 from ..context.protocols import Context
 from ..identifiers import Address, Instant, Seconds
-from ..transport.messenger import Messenger
+from ..transport.messenger import Messenger, TransportFault
 from .errors import CommandFailure
-from .messages import ControlCommand, ControlDecision, ControlLeader, ControlLeaderQuery
+from .leader_finder import LeaderFinder
+from .messages import ControlCommand, ControlDecision
 from .protocols import SubmitEdition, SubmitOrder
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 
 
 class ControlClientOptions(msgspec.Struct, frozen=True):
-    """Limits of a client; durations are in seconds."""
+    """Timeouts of a client; durations are in seconds."""
 
     attempt_timeout: Seconds = Seconds(1.2)
     """How long one control daemon may take to answer before the command is sent to another."""
@@ -30,9 +30,38 @@
     leader_query_linger: Seconds = Seconds(0.05)
     """How long to wait for further answers after the first one."""
     retry_backoff: Seconds = Seconds(0.05)
-    """Pause before the next attempt."""
+    """Backoff before the next attempt."""
     avoid_unresponsive_for: Seconds = Seconds(3.0)
-    """For this long, a daemon that left a command unanswered is tried only after all others."""
+    """For this long, a daemon that left a command unanswered is asked only after all others."""
+
+
+class _Submission:
+    """One command on its way to the primary: the addresses to try, and what is known about its outcome."""
+
+    def __init__(self, kind: str, command: bytes, deadline: Instant) -> None:
+        self.kind = kind
+        self.command = command
+        self.deadline = deadline
+        self.targets: list[Address] = []
+        """The addresses to try next: the primary, then daemons that can forward the command."""
+        self._latest = CommandFailure("not-leading", detail="no control daemon answers")
+        self._may_have_run = False
+
+    def record_fault(self, fault: TransportFault) -> None:
+        """Records an attempt without an answer."""
+        kind: Literal["unknown", "not-leading"] = "unknown" if fault.sent else "not-leading"
+        self.record_failure(CommandFailure(kind, None, f"{fault.kind} {fault.detail}"))
+
+    def record_failure(self, failure: CommandFailure | None) -> CommandFailure:
+        """Records the failure of an attempt, if the answer gives one; returns the latest failure."""
+        self._latest = failure or self._latest
+        self._may_have_run = self._may_have_run or self._latest.kind == "unknown"
+        return self._latest
+
+    def failure(self) -> CommandFailure:
+        """Returns the latest failure, as ``unknown`` if any attempt may have run the command."""
+        latest = self._latest
+        return CommandFailure("unknown", latest.primary, latest.detail) if self._may_have_run else latest
 
 
 class ControlClient:
@@ -40,7 +69,8 @@
 
     A command may reach the appliers more than once, so they must recognise a repeated command: orders by
     their id, the ledger by its tickets. ``addresses`` returns the internal addresses of all control daemons
-    known now: the seeds and those learned since.
+    known now: the seeds and those learned since. Owns the address of the presumed primary and the list of
+    daemons that were unresponsive recently.
     """
 
     def __init__(
@@ -50,14 +80,15 @@
         addresses: Callable[[], Sequence[Address]],
         options: ControlClientOptions | None = None,
     ) -> None:
+        options = options or ControlClientOptions()
         self._context = context
         self._messenger = messenger
-        self._addresses = addresses
-        self._options = options or ControlClientOptions()
+        self._options = options
+        self._finder = LeaderFinder(
+            context.clock, messenger, addresses, options.leader_query_timeout, options.leader_query_linger
+        )
         self._primary: Address | None = None
-        self._learned: tuple[Address, ...] = ()
         self._unresponsive_until: dict[Address, Instant] = {}
-        self._find_task: asyncio.Task[list[Address]] | None = None
 
     async def decide(
         self, kind: str, command: msgspec.Struct, reply_type: type[Reply], timeout: Seconds
@@ -67,60 +98,19 @@
         The failure is ``unknown`` when the command may have been sent and no answer was certain; every other
         kind means that nothing happened.
         """
-        now = self._context.clock.monotonic
-        encoded = msgspec.msgpack.encode(command)
-        deadline = Instant(now() + timeout)
-        may_have_run = False
-        last = CommandFailure("not-leading", detail="no control daemon answers")
-        targets: list[Address] = []
-        """The addresses to try next: the primary, then daemons that can forward the command."""
-        while (left := deadline - now()) > 0.0:
-            if self._primary is not None and not targets:
-                targets = [self._primary]
-            if not targets:
-                targets = sorted(await self._find_targets(), key=self._is_unresponsive)
-                if not targets:
-                    await self._back_off(deadline)
-                    continue
-                left = deadline - now()
-                if left <= 0.0:
-                    break
-            address = targets.pop(0)
-            attempt_timeout = Seconds(min(left, self._options.attempt_timeout))
-            message = ControlCommand(kind, encoded, attempt_timeout, hops=1)
-            match await self._messenger.call(address, message, ControlDecision, attempt_timeout):
-                case Success(found):
-                    decision: ControlDecision = found
-                case Failure(fault):
-                    may_have_run = may_have_run or fault.sent
-                    last = CommandFailure(
-                        "unknown" if fault.sent else "not-leading", None, f"{fault.kind} {fault.detail}"
-                    )
-                    self._clear_primary(address)
-                    self._unresponsive_until[address] = Instant(now() + self._options.avoid_unresponsive_for)
-                    if not targets:
-                        await self._back_off(deadline)
-                    continue
+        deadline = Instant(self._context.clock.monotonic() + timeout)
+        submission = _Submission(kind, msgspec.msgpack.encode(command), deadline)
+        while self._remaining(submission) > 0.0:
+            address = await self._next_target(submission)
+            decision = None if address is None else await self._attempt(submission, address)
+            if address is None or decision is None:
+                continue
             if decision.reply is not None:
-                self._unresponsive_until.pop(address, None)
-                self._primary = decision.primary or address
-                if self._is_unresponsive(self._primary):  # Unreachable from here only: use the forwarder.
-                    self._primary = address
+                self._record_reply(address, decision)
                 return Success(msgspec.msgpack.decode(decision.reply, type=reply_type))
-            last = decision.fault or last
-            may_have_run = may_have_run or last.kind == "unknown"
-            self._clear_primary(address)
-            if last.primary in (None, address):
-                targets = []
-            elif self._is_unresponsive(last.primary):
-                # It refers us to a silent primary, so other daemons are tried first.
-                self._unresponsive_until[address] = Instant(now() + self._options.avoid_unresponsive_for)
-            else:
-                targets = [last.primary]
-            await self._back_off(deadline)
-        if may_have_run and last.kind != "unknown":
-            last = CommandFailure("unknown", last.primary, last.detail)
-        return Failure(last)
+            self._record_rejection(submission, address, decision)
+            await self._back_off(submission)
+        return Failure(submission.failure())
 
     async def submit(
         self, command: SubmitOrder | SubmitEdition, timeout: Seconds
@@ -128,47 +118,72 @@
         """Sends an operator's order; repeating it is always safe."""
         return await self.decide("bundle", command, OrderOutcome, timeout)
 
+    # -- one attempt
+
+    async def _next_target(self, submission: _Submission) -> Address | None:
+        """Returns the address for the next attempt, or None when no daemon answers or no time is left."""
+        if self._primary is not None and not submission.targets:
+            submission.targets = [self._primary]
+        if not submission.targets:
+            submission.targets = sorted(await self._finder.find(), key=self._is_unresponsive)
+            if not submission.targets:
+                await self._back_off(submission)
+                return None
+            if self._remaining(submission) <= 0.0:
+                return None
+        return submission.targets.pop(0)
+
+    async def _attempt(self, submission: _Submission, address: Address) -> ControlDecision | None:
+        """Sends the command to one daemon; returns None when the daemon did not answer."""
+        timeout = Seconds(min(self._remaining(submission), self._options.attempt_timeout))
+        message = ControlCommand(submission.kind, submission.command, timeout, hops=1)
+        match await self._messenger.call(address, message, ControlDecision, timeout):
+            case Success(answer):
+                decision: ControlDecision = answer
+                return decision
+            case Failure(fault):
+                submission.record_fault(fault)
+                self._clear_primary(address)
+                self._record_unresponsive(address)
+                if not submission.targets:
+                    await self._back_off(submission)
+        return None
+
+    def _record_reply(self, address: Address, decision: ControlDecision) -> None:
+        """Records which daemon to ask next time: the primary, or the forwarder if only that is reachable from here."""
+        self._unresponsive_until.pop(address, None)
+        self._primary = decision.primary or address
+        if self._is_unresponsive(self._primary):
+            self._primary = address
+
+    def _record_rejection(self, submission: _Submission, address: Address, decision: ControlDecision) -> None:
+        failure = submission.record_failure(decision.fault)
+        self._clear_primary(address)
+        if failure.primary is None or failure.primary == address:
+            submission.targets = []
+        elif self._is_unresponsive(failure.primary):
+            # It refers us to a primary that does not answer us, so other daemons are asked first.
+            self._record_unresponsive(address)
+        else:
+            submission.targets = [failure.primary]
+
+    # -- the state of the client
+
+    def _remaining(self, submission: _Submission) -> float:
+        return submission.deadline - self._context.clock.monotonic()
+
+    async def _back_off(self, submission: _Submission) -> None:
+        seconds = max(0.0, min(self._options.retry_backoff, self._remaining(submission)))
+        await self._context.clock.sleep(Seconds(seconds))
+
+    def _record_unresponsive(self, address: Address) -> None:
+        now = self._context.clock.monotonic()
+        self._unresponsive_until[address] = Instant(now + self._options.avoid_unresponsive_for)
+
     def _is_unresponsive(self, address: Address) -> bool:
         """Whether the daemon left a command unanswered recently."""
         return self._unresponsive_until.get(address, 0.0) > self._context.clock.monotonic()
 
-    async def _back_off(self, deadline: Instant) -> None:
-        left = deadline - self._context.clock.monotonic()
-        await self._context.clock.sleep(Seconds(max(0.0, min(self._options.retry_backoff, left))))
-
     def _clear_primary(self, address: Address) -> None:
         if self._primary == address:
             self._primary = None
-
-    async def _find_targets(self) -> list[Address]:
-        """Returns the presumed primary and the daemons that answered.
-
-        Concurrent callers share one round of questions.
-        """
-        if self._find_task is None or self._find_task.done():
-            self._find_task = asyncio.get_running_loop().create_task(self._query_leaders())
-        return list(await asyncio.shield(self._find_task))
-
-    async def _query_leaders(self) -> list[Address]:
-        answers: list[tuple[Address, ControlLeader]] = []
-
-        async def ask(address: Address) -> None:
-            match await self._messenger.call(
-                address, ControlLeaderQuery(), ControlLeader, self._options.leader_query_timeout
-            ):
-                case Success(found):
-                    answers.append((address, found))
-
-        addresses = dict.fromkeys([*self._addresses(), *self._learned])
-        left = {asyncio.get_running_loop().create_task(ask(address)) for address in addresses}
-        end = Instant(self._context.clock.monotonic() + self._options.leader_query_timeout)
-        while left and (wait := end - self._context.clock.monotonic()) > 0.0:
-            _, left = await asyncio.wait(left, timeout=wait, return_when=asyncio.FIRST_COMPLETED)
-            if answers:
-                end = min(end, Instant(self._context.clock.monotonic() + self._options.leader_query_linger))
-        if not answers:
-            return []
-        latest_answer = max((leader for _, leader in answers), key=lambda leader: leader.epoch)
-        self._learned = latest_answer.addresses
-        targets = [] if latest_answer.primary is None else [latest_answer.primary]
-        return list(dict.fromkeys([*targets, *sorted(address for address, _ in answers)]))
--- a/wingwood/control/commands.py
+++ b/wingwood/control/commands.py
@@ -1,4 +1,4 @@
-"""Commands in the primary: waiting, decided, answered (docs/DESIGN.md section 7.7)."""
+"""Commands in the primary: pending, decided, answered (docs/DESIGN.md section 7.7)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PendingCommand:
-    """A command that waits in the queue, then for its batch to become durable."""
+    """A command that is in the queue, or in a batch that is not durable yet."""
 
     __slots__ = ("answer", "command", "deadline", "decided", "kind")
 
@@ -61,11 +61,12 @@
 
 
 def deliver_all(decided: Sequence[DecidedCommand], now: Instant) -> None:
-    for one in decided:
-        one.deliver(now)
+    """Sends the replies of a batch that has become durable."""
+    for command in decided:
+        command.deliver(now)
 
 
 def fail_all(decided: Sequence[DecidedCommand], detail: str) -> None:
     """Answers all commands with ``unknown``, since their batch may or may not become durable."""
-    for one in decided:
-        one.command.resolve(Failure(CommandFailure("unknown", detail=detail)))
+    for command in decided:
+        command.command.resolve(Failure(CommandFailure("unknown", detail=detail)))
--- a/wingwood/control/core.py
+++ b/wingwood/control/core.py
@@ -83,11 +83,11 @@
         self.guarded = guarded = GuardedStore(
             context, store, replica, options, state, leadership, changes, on_data_lost
         )
-        rewriter = JournalRewriter(context, store, replica, options, guarded.mark_faulty)
+        rewriter = JournalRewriter(context, store, replica, options.journal, guarded.mark_faulty)
         self._directory = directory = ControlDirectory(context, state, leadership, seeds, other_controls)
         self._health = HealthReporter(clock, options, size, guarded, state, leadership)
         # What a member does for candidates and primaries.
-        self.backup = backup = Backup(context, options, guarded, replica, state, leadership, rewriter)
+        self.backup = backup = Backup(context, options.journal, guarded, replica, state, leadership, rewriter)
         self.acceptor = acceptor = Acceptor(context, guarded, state, leadership, backup)
         self.monitor = monitor = PrimaryMonitor(clock, options, guarded, state, leadership, backup, knows_of_history)
         # What a primary does.
--- a/wingwood/control/follower.py
+++ b/wingwood/control/follower.py
@@ -75,7 +75,7 @@
             self._leadership.current.process_paused(now)
 
     async def _recover_store_when_due(self, now: Instant) -> None:
-        due = now - self._last_recovery >= self._options.recovery_interval
+        due = now - self._last_recovery >= self._options.journal.recovery_interval
         if due or self._guarded.fault is None:
             self._last_recovery = now
             await self._guarded.recover()
--- a/wingwood/control/forwarding.py
+++ b/wingwood/control/forwarding.py
@@ -20,8 +20,8 @@
     """
     forwarded = msgspec.structs.replace(message, hops=message.hops - 1)
     match await messenger.call(primary, forwarded, ControlDecision, message.budget):
-        case Success(found):
-            decision: ControlDecision = found
+        case Success(answer):
+            decision: ControlDecision = answer
             return decision
         case Failure(fault):
             kind: Literal["unknown", "not-leading"] = "unknown" if fault.sent else "not-leading"
--- a/wingwood/control/guarded_store.py
+++ b/wingwood/control/guarded_store.py
@@ -43,7 +43,7 @@
         self.lock = asyncio.Lock()
         self._context = context
         self._replica = replica
-        self._check_interval = options.disk_check_interval
+        self._check_interval = options.journal.check_interval
         self._state = state
         self._leadership = leadership
         self._changes = changes
--- a/wingwood/control/journal_rewriting.py
+++ b/wingwood/control/journal_rewriting.py
@@ -10,12 +10,12 @@
 from ..context.protocols import Context
 from ..identifiers import Instant
 from ..journal import JournalFault
-from .control_options import ControlOptions
+from .control_options import JournalOptions
 from .replica import Replica
 from .store import ControlStore
 
 BACKOFF_AFTER_FAILURE_S = 10.0
-"""Pause before a failed rewrite is tried again."""
+"""Backoff before a failed rewrite is attempted again."""
 
 
 class JournalRewriter:
@@ -29,7 +29,7 @@
         context: Context,
         store: ControlStore,
         replica: Replica,
-        options: ControlOptions,
+        options: JournalOptions,
         on_fault: Callable[[JournalFault], None],
     ) -> None:
         self._context = context
--- a/wingwood/control/planning.py
+++ b/wingwood/control/planning.py
@@ -33,6 +33,7 @@
 
     @property
     def backups(self) -> tuple[Incarnation, ...]:
+        """The incarnations of the planned backups."""
         return tuple(member.incarnation for member in self.backup_members)
 
 
--- a/wingwood/control/relay.py
+++ b/wingwood/control/relay.py
@@ -29,7 +29,7 @@
 
 
 class RelayOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits of a relay; durations are in seconds."""
+    """Intervals and timeouts of a relay; durations are in seconds."""
 
     view_query_interval: Seconds = Seconds(0.5)
     """Interval between two status queries to the presumed primary."""
@@ -63,12 +63,15 @@
     # -- interface for the other slices
 
     def leads(self) -> bool:
+        """Returns False, since a relay never leads."""
         return False
 
     def epoch(self) -> Epoch:
+        """Returns the epoch of the latest known view; 0 when none is known."""
         return self._view.epoch if self._view is not None else Epoch(0)
 
     def primary_address(self) -> Address | None:
+        """Returns the internal address of the presumed primary."""
         member = self._view.member(self._view.primary) if self._view is not None else None
         return member.address if member is not None else None
 
@@ -81,12 +84,14 @@
         return tuple(dict.fromkeys(address for address in addresses if address not in (None, own)))
 
     def on_change(self, callback: Callable[[], None]) -> None:
+        """Calls back after each change of the known view."""
         self._on_change.append(callback)
 
     def on_commit(self, callback: Callable[[], None]) -> None:
         """Ignores the callback, since nothing is committed here."""
 
     def report(self) -> ViewReport:
+        """Returns what the health report says about the known view; the own role is ``relay``."""
         view = self._view
         return ViewReport(
             epoch=self.epoch(),
@@ -99,27 +104,33 @@
         )
 
     async def decide(
-        self, kind: str, command: msgspec.Struct, timeout: Seconds | None = None
+        self,
+        kind: str,  # noqa: ARG002
+        command: msgspec.Struct,  # noqa: ARG002
+        timeout: Seconds | None = None,  # noqa: ARG002
     ) -> Result[msgspec.Struct, CommandFailure]:
+        """Decides nothing; the failure names the presumed primary."""
         return Failure(CommandFailure("not-leading", self.primary_address()))
 
     async def confirm_leadership(self) -> bool:
+        """Returns False, since a relay never leads."""
         return False
 
     # -- start and stop
 
     def start(self) -> None:
+        """Answers the messages of other daemons, and starts to look for the primary."""
         self._messenger.on_call(ControlJoin, self._on_join)
         self._messenger.on_call(ControlCommand, self._on_command)
         self._messenger.on_call(ControlLeaderQuery, self._on_leader_query)
-        self._task = self._context.tasks.spawn("control relay", self._look_forever())
+        self._task = self._context.tasks.spawn("control relay", self._follow_primary())
 
     def release_leadership(self) -> None:
         """Does nothing, since a relay never leads."""
 
     # -- finding the primary
 
-    async def _look_forever(self) -> None:
+    async def _follow_primary(self) -> None:
         while True:
             primary = self.primary_address()
             status = await self._query_status(primary) if primary is not None else None
@@ -132,13 +143,13 @@
 
     async def _query_status(self, address: Address) -> ControlStatus | None:
         match await self._messenger.call(address, ControlStatusQuery(), ControlStatus, self._options.call_timeout):
-            case Success(found):
-                status: ControlStatus = found
-                self._note(status.view)
+            case Success(answer):
+                status: ControlStatus = answer
+                self._observe_view(status.view)
                 return status
         return None
 
-    def _note(self, view: View | None) -> None:
+    def _observe_view(self, view: View | None) -> None:
         if view is not None and view.supersedes(self._view):
             self._view = view
             for callback in self._on_change:
--- a/wingwood/control/replicator.py
+++ b/wingwood/control/replicator.py
@@ -78,7 +78,7 @@
         """Sends a batch to one backup, again if it does not answer; returns whether the backup has synced it."""
         message = ControlReplicate(member.incarnation, epoch, before, self._replica.committed, entry)
         started = self._now()
-        timeout = self._options.replicate_timeout + 2 * len(entry) / self._options.rewrite_bytes_per_second
+        timeout = self._options.replicate_timeout + 2 * self._options.journal.write_time(len(entry))
         while True:
             remaining = timeout - (self._now() - started)
             if remaining <= 0 or self._leadership.current is not leadership:
@@ -136,7 +136,7 @@
         packed = member.incarnation in leadership.unpacks
         for chunk in split_into_chunks(data, member.incarnation, transfer, self._options.chunk_bytes, packed):
             last = chunk.index == chunk.count - 1
-            timeout = self._options.rewrite_timeout(len(data)) if last else self._options.call_timeout
+            timeout = self._options.journal.rewrite_timeout(len(data)) if last else self._options.call_timeout
             if not await self._send_chunk(leadership, member, chunk, timeout):
                 return False
         return True
--- a/wingwood/control/state_transfer.py
+++ b/wingwood/control/state_transfer.py
@@ -29,8 +29,8 @@
     data = zlib.compress(state, ZLIB_LEVEL) if packed else state
     count = max(1, -(-len(data) // chunk_bytes))
     for index in range(count):
-        part = data[index * chunk_bytes : (index + 1) * chunk_bytes]
-        yield ControlStateChunk(to, transfer.sender, transfer.epoch, transfer.number, index, count, part, packed)
+        chunk = data[index * chunk_bytes : (index + 1) * chunk_bytes]
+        yield ControlStateChunk(to, transfer.sender, transfer.epoch, transfer.number, index, count, chunk, packed)
 
 
 class StateReceiver:
@@ -62,8 +62,10 @@
         return zlib.decompress(data) if chunk.packed else data
 
     def record_installed(self, transfer: Transfer) -> None:
+        """Records that the state of this transfer was installed, which outdates earlier transfers."""
         self._latest_installed = transfer
 
 
 def transfer_of(chunk: ControlStateChunk) -> Transfer:
+    """Returns the transfer to which the chunk belongs."""
     return Transfer(chunk.sender, chunk.epoch, chunk.transfer)
--- a/wingwood/control/store.py
+++ b/wingwood/control/store.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Coroutine, Sequence
+from collections.abc import Coroutine, Sequence
 from typing import Any, Literal
 
 import msgspec
@@ -11,7 +11,7 @@
 from ..context.protocols import Context
 from ..identifiers import Epoch, Incarnation, Seconds
 from ..journal import Journal, JournalFault
-from .errors import StoreFailure
+from .errors import InvariantError, StoreFailure
 from .journal_entries import (
     AcceptedEntry,
     BatchEntry,
@@ -25,6 +25,8 @@
 from .views import NOTHING_PREPARED, PreparedEpoch, View
 
 JOURNAL_NAME = "control.journal"
+OPEN_TIMEOUT_S = Seconds(60.0)
+"""Timeout of reading the journal at the start, and of creating it."""
 
 _decoder = msgspec.msgpack.Decoder(Entry)
 _encode = msgspec.msgpack.Encoder().encode
@@ -36,9 +38,15 @@
     snapshot: SnapshotEntry | None = None
     batches: list[BatchEntry] = []
 
+    def last_sequence(self) -> int:
+        """Returns the sequence of the latest batch; 0 when there is no state."""
+        if self.batches:
+            return self.batches[-1].sequence
+        return self.snapshot.sequence if self.snapshot is not None else 0
+
 
 class ControlStore:
-    """The durable state of a member. Its methods are called one at a time, under the lock of the core.
+    """The durable state of a member. Its methods are called one at a time, under the lock of ``GuardedStore``.
 
     The attributes reflect what has been synced to disk: each changes only after its append has succeeded.
     After a failure the caller must call ``reload`` before it uses the store again.
@@ -50,26 +58,28 @@
         self.incarnation = incarnation
         self.prepared = NOTHING_PREPARED
         self.ever_used = False
-        """It has accepted a view, granted a promise other than to form the first view, or held state."""
+        """It has accepted a view, prepared an epoch other than to form the first view, or stored state."""
         self.view: View | None = None
         self.sequence = 0
         """The latest batch in the journal."""
         self.rewritten_bytes = 0
         """The length of the journal after its last rewrite."""
 
-    async def record_prepared(self, promise: PreparedEpoch, forming: bool) -> Result[None, JournalFault]:
-        if promise.epoch <= self.prepared.epoch:
-            raise AssertionError(f"epoch {promise.epoch} promised after {self.prepared.epoch}")
-        match await self.journal.append(_encode(PreparedEntry(promise, forming))):
+    async def record_prepared(self, prepared: PreparedEpoch, forming: bool) -> Result[None, JournalFault]:
+        """Journals that an epoch is prepared; ``forming`` when the candidate forms the first view."""
+        if prepared.epoch <= self.prepared.epoch:
+            raise InvariantError(f"epoch {prepared.epoch} prepared after {self.prepared.epoch}")
+        match await self.journal.append(_encode(PreparedEntry(prepared, forming))):
             case Failure(fault):
                 return Failure(fault)
-        self.prepared = promise
+        self.prepared = prepared
         self.ever_used = self.ever_used or not forming
         return Success(None)
 
     async def record_view(self, view: View) -> Result[None, JournalFault]:
+        """Journals an accepted view, which also prepares its epoch for its primary."""
         if view.epoch < self.prepared.epoch:
-            raise AssertionError(f"view of epoch {view.epoch} accepted after promising {self.prepared.epoch}")
+            raise InvariantError(f"view of epoch {view.epoch} accepted after preparing {self.prepared.epoch}")
         match await self.journal.append(_encode(AcceptedEntry(view))):
             case Failure(fault):
                 return Failure(fault)
@@ -83,8 +93,9 @@
             self.prepared = PreparedEpoch(view.epoch, view.primary)
 
     async def append_batch(self, encoded: bytes, sequence: int) -> Result[None, JournalFault]:
+        """Journals an encoded batch, which must be the next one."""
         if sequence != self.sequence + 1:
-            raise AssertionError(f"batch {sequence} after batch {self.sequence}")
+            raise InvariantError(f"batch {sequence} after batch {self.sequence}")
         match await self.journal.append(encoded):
             case Failure(fault):
                 return Failure(fault)
@@ -92,33 +103,27 @@
         return Success(None)
 
     async def probe(self) -> Result[None, JournalFault]:
+        """Journals an entry without content, which shows that the disk accepts writes."""
         return await self.journal.append(_encode(ProbeEntry()))
 
     async def rewrite(
-        self, contents: Callable[[], Contents], timeout: Seconds, promise: PreparedEpoch | None = None
+        self, contents: Contents, timeout: Seconds, prepared: PreparedEpoch
     ) -> Result[None, JournalFault]:
-        """Replaces the journal by ``contents``. The sequence of its last batch becomes that of the store."""
-        promise = promise or self.prepared
-        written = Contents()
-
-        def payloads() -> Sequence[bytes]:
-            nonlocal written
-            written = contents()
-            return self._payloads(written, promise)
+        """Replaces the journal by ``contents`` and the prepared epoch under which they were received.
 
-        match await self.journal.rewrite(payloads, timeout):
+        The sequence of the last batch in ``contents`` becomes that of the store.
+        """
+        match await self.journal.rewrite(lambda: self._payloads(contents, prepared), timeout):
             case Failure(fault):
                 return Failure(fault)
-        self.prepared = promise
-        self.sequence = (
-            written.batches[-1].sequence if written.batches else written.snapshot.sequence if written.snapshot else 0
-        )
-        self.ever_used = self.ever_used or written.snapshot is not None
+        self.prepared = prepared
+        self.sequence = contents.last_sequence()
+        self.ever_used = self.ever_used or contents.snapshot is not None
         self.rewritten_bytes = self.journal.length
         return Success(None)
 
-    def _payloads(self, contents: Contents, promise: PreparedEpoch) -> list[bytes]:
-        entries: list[Entry] = [InitializedEntry(self.incarnation), PreparedEntry(promise, not self.ever_used)]
+    def _payloads(self, contents: Contents, prepared: PreparedEpoch) -> list[bytes]:
+        entries: list[Entry] = [InitializedEntry(self.incarnation), PreparedEntry(prepared, not self.ever_used)]
         if self.view is not None:
             entries.append(AcceptedEntry(self.view))
         if contents.snapshot is not None:
@@ -155,8 +160,8 @@
             match entry:
                 case InitializedEntry(incarnation):
                     self.incarnation = incarnation
-                case PreparedEntry(promise, forming):
-                    self.prepared = promise
+                case PreparedEntry(prepared, forming):
+                    self.prepared = prepared
                     self.ever_used = self.ever_used or not forming
                 case AcceptedEntry(view):
                     self._accept(view)
@@ -167,17 +172,19 @@
                     self.rewritten_bytes = read
                 case BatchEntry():
                     if entry.sequence != self.sequence + 1:
-                        raise AssertionError(f"batch {entry.sequence} after batch {self.sequence} in the journal")
+                        raise InvariantError(f"batch {entry.sequence} after batch {self.sequence} in the journal")
                     contents.batches.append(entry)
                     self.sequence = entry.sequence
         return contents
 
 
 def encode_batch(sequence: int, epoch: Epoch, records: Sequence[StateRecord]) -> bytes:
+    """Encodes a batch as it is journaled and sent to backups."""
     return _encode(BatchEntry(sequence, epoch, tuple(records)))
 
 
 def decode_batch(encoded: bytes) -> BatchEntry:
+    """Decodes a batch that the primary encoded with ``encode_batch``."""
     return msgspec.msgpack.decode(encoded, type=BatchEntry)
 
 
@@ -203,49 +210,66 @@
 async def _open_store(
     context: Context, start_empty_when_damaged: bool
 ) -> Result[tuple[ControlStore, Contents], StoreFailure]:
-    timeout = Seconds(60.0)
     match await context.disk.lock():
         case Failure(fault):
             kind: Literal["locked", "disk"] = "locked" if fault.kind == "locked" else "disk"
             return Failure(StoreFailure(kind, f"the data folder cannot be locked: {fault.detail}"))
-    journal = Journal(context, JOURNAL_NAME)
-    store = ControlStore(context, journal, Incarnation(""))
-    match await store.reload(timeout):
+    store = ControlStore(context, Journal(context, JOURNAL_NAME), Incarnation(""))
+    match await store.reload(OPEN_TIMEOUT_S):
         case Success(contents):
-            context.log.event(
-                "control-store-opened",
-                incarnation=store.incarnation,
-                promised=store.prepared.epoch,
-                view=store.view.epoch if store.view else None,
-                sequence=store.sequence,
-                journal_bytes=journal.length,
-            )
+            _log_opened(context, store)
             return Success((store, contents))
-        case Failure(problem):
-            pass
-    if problem.kind == "damaged":
-        context.log.event("journal-damaged", journal=JOURNAL_NAME, offset=problem.offset, detail=problem.detail)
-        if not start_empty_when_damaged:
-            return Failure(
-                StoreFailure(
-                    "damaged",
-                    f"{JOURNAL_NAME} is damaged at byte {problem.offset} ({problem.detail}); "
-                    "to refill this machine from its peers, start it once with --begin-empty-when-damaged",
-                    problem.offset,
-                )
-            )
-        aside = f"{JOURNAL_NAME}.damaged-{int(context.clock.wall())}"
-        match await context.disk.rename(JOURNAL_NAME, aside):
-            case Failure(fault):
-                return Failure(
-                    StoreFailure("disk", f"the damaged {JOURNAL_NAME} cannot be renamed to {aside}: {fault.detail}")
-                )
-        context.log.event("journal-put-aside", file=aside)
-    elif problem.kind != "missing":
-        return Failure(StoreFailure("disk", f"{JOURNAL_NAME} cannot be read: {problem.kind} {problem.detail}"))
+        case Failure(fault):
+            failure = await _prepare_to_create(context, fault, start_empty_when_damaged)
+            return Failure(failure) if failure is not None else await _create_store(context, store)
+    raise AssertionError("a result is a success or a failure")
+
+
+def _log_opened(context: Context, store: ControlStore) -> None:
+    context.log.event(
+        "control-store-opened",
+        incarnation=store.incarnation,
+        promised=store.prepared.epoch,
+        view=store.view.epoch if store.view else None,
+        sequence=store.sequence,
+        journal_bytes=store.journal.length,
+    )
+
+
+async def _prepare_to_create(
+    context: Context, fault: JournalFault, start_empty_when_damaged: bool
+) -> StoreFailure | None:
+    """Returns why no journal may be created in place of one that cannot be read, or None when one may."""
+    if fault.kind == "missing":
+        return None
+    if fault.kind != "damaged":
+        return StoreFailure("disk", f"{JOURNAL_NAME} cannot be read: {fault.kind} {fault.detail}")
+    context.log.event("journal-damaged", journal=JOURNAL_NAME, offset=fault.offset, detail=fault.detail)
+    if not start_empty_when_damaged:
+        return StoreFailure(
+            "damaged",
+            f"{JOURNAL_NAME} is damaged at byte {fault.offset} ({fault.detail}); "
+            "to refill this machine from its peers, start it once with --begin-empty-when-damaged",
+            fault.offset,
+        )
+    return await _set_journal_aside(context)
+
+
+async def _set_journal_aside(context: Context) -> StoreFailure | None:
+    """Renames the damaged journal; returns why that failed, if it did."""
+    aside = f"{JOURNAL_NAME}.damaged-{int(context.clock.wall())}"
+    match await context.disk.rename(JOURNAL_NAME, aside):
+        case Failure(fault):
+            return StoreFailure("disk", f"the damaged {JOURNAL_NAME} cannot be renamed to {aside}: {fault.detail}")
+    context.log.event("journal-put-aside", file=aside)
+    return None
+
+
+async def _create_store(context: Context, store: ControlStore) -> Result[tuple[ControlStore, Contents], StoreFailure]:
+    """Creates the journal of a new incarnation."""
     store.incarnation = Incarnation(context.random.randbytes(8).hex())
-    match await journal.create([_encode(InitializedEntry(store.incarnation))], timeout):
-        case Failure(problem):
-            return Failure(StoreFailure("disk", f"{JOURNAL_NAME} cannot be created: {problem.kind} {problem.detail}"))
+    match await store.journal.create([_encode(InitializedEntry(store.incarnation))], OPEN_TIMEOUT_S):
+        case Failure(fault):
+            return Failure(StoreFailure("disk", f"{JOURNAL_NAME} cannot be created: {fault.kind} {fault.detail}"))
     context.log.event("control-store-founded", incarnation=store.incarnation)
     return Success((store, Contents()))
--- a/wingwood/control/tests/control_world.py
+++ b/wingwood/control/tests/control_world.py
@@ -17,14 +17,14 @@
 from ...transport.frames import Identity
 from ...transport.messenger import TcpMessenger
 from ..client import ControlClient, ControlClientOptions
-from ..control_options import ControlOptions
+from ..control_options import ControlOptions, JournalOptions
 from ..core import ReplicatedCore
 from ..protocols import ViewReport
 from ..store import Contents, ControlStore, open_store
 
 Value = TypeVar("Value")
 KEY = b"control tests"
-WALK_OPTIONS = ControlOptions(rewrite_bytes=20_000, chunk_bytes=4096)
+WALK_OPTIONS = ControlOptions(chunk_bytes=4096, journal=JournalOptions(rewrite_bytes=20_000))
 PORT = 7000
 
 
--- a/wingwood/ledger/tests/test_core.py
+++ b/wingwood/ledger/tests/test_core.py
@@ -14,7 +14,7 @@
 
 from ...context.protocols import Context
 from ...control.client import ControlClient
-from ...control.control_options import ControlOptions
+from ...control.control_options import ControlOptions, JournalOptions
 from ...control.core import ReplicatedCore
 from ...control.replicator import Replicator
 from ...control.store import Contents, ControlStore
@@ -51,7 +51,7 @@
         seeds: Sequence[Address],
     ) -> ReplicatedCore:
         ledger = LedgerState(context.clock, RETENTION, self._is_member)
-        options = ControlOptions(rewrite_bytes=50_000, chunk_bytes=16_384)
+        options = ControlOptions(chunk_bytes=16_384, journal=JournalOptions(rewrite_bytes=50_000))
         return self.core_type(context, messenger, store, contents, [ledger], seeds, options=options)
 
     def _is_member(self, router: Incarnation) -> bool:
