--- a/wingwood/control/backup.py
+++ b/wingwood/control/backup.py
@@ -195,5 +195,5 @@
         self._replica.load(contents)
         self._last_received = None
         self._state.primary_heard()
-        self._context.log.event("state-taken", epoch=transfer.epoch, sequence=self._store.sequence, bytes=len(data))
+        self._context.log.event("state-installed", epoch=transfer.epoch, sequence=self._store.sequence, bytes=len(data))
         return None
--- a/wingwood/control/directory.py
+++ b/wingwood/control/directory.py
@@ -57,7 +57,7 @@
         spare = message.member
         if spare.incarnation not in leadership.spares:
             self._context.log.event(
-                "spare-seen", name_of_spare=spare.name, incarnation=spare.incarnation, address=spare.address
+                "spare-discovered", name_of_spare=spare.name, incarnation=spare.incarnation, address=spare.address
             )
         leadership.spares[spare.incarnation] = Spare(spare, self._context.clock.monotonic())
         for other in leadership.view.others(self._state.own.incarnation):
--- a/wingwood/control/election.py
+++ b/wingwood/control/election.py
@@ -89,7 +89,7 @@
             return None
         view = self._proposed_view(election, plan)
         if not await self.run_accept_phase(view, everyone=False):
-            self._context.log.event("candidacy-lost", epoch=election.epoch, reason="not accepted by a majority")
+            self._context.log.event("election-lost", epoch=election.epoch, reason="not accepted by a majority")
             return None
         return await self._record_chosen(view)
 
@@ -124,7 +124,7 @@
         epoch, latest = election.epoch, election.latest
         if not election.has_quorum():
             self._context.log.event(
-                "candidacy-lost", epoch=epoch, granted=len(election.granted), highest=self._state.highest_epoch
+                "election-lost", epoch=epoch, granted=len(election.granted), highest_epoch=self._state.highest_epoch
             )
             return False
         if self._own_incarnation not in latest.holders:
@@ -140,7 +140,9 @@
         return True
 
     def _log_abandoned(self, election: Election, reason: str) -> None:
-        self._context.log.event("candidacy-given-up", epoch=election.epoch, newest=election.latest.epoch, reason=reason)
+        self._context.log.event(
+            "election-abandoned", epoch=election.epoch, latest_epoch=election.latest.epoch, reason=reason
+        )
 
     def _proposed_view(self, election: Election, plan: ViewPlan | None) -> View:
         """Returns the planned view if it may be built on the latest one, else the latest one without backups."""
--- a/wingwood/control/failover.py
+++ b/wingwood/control/failover.py
@@ -142,9 +142,9 @@
             self._state.back_off_election()
             return
         self._context.log.event(
-            "take-over",
+            "failover-completed",
             epoch=view.epoch,
-            silent_for=started - self._state.primary_heard_at,
-            rounds=self._now() - started,
+            primary_unheard_for=started - self._state.primary_heard_at,
+            election_took=self._now() - started,
         )
         self._primary.begin(view)
--- a/wingwood/control/guarded_store.py
+++ b/wingwood/control/guarded_store.py
@@ -58,7 +58,7 @@
     def mark_faulty(self, fault: JournalFault) -> None:
         """Marks the store unusable: nothing is prepared, accepted or acknowledged until the journal was read back."""
         if self._fault is None:
-            self._context.log.event("control-disk-sick", kind=fault.kind, detail=fault.detail)
+            self._context.log.event("disk-fault-detected", kind=fault.kind, detail=fault.detail)
         self._record_fault(fault)
         self._replica.invalidate()
         self._leadership.step_down(f"own disk: {fault.kind}")
@@ -95,7 +95,7 @@
                 case Failure(fault):
                     self._record_fault(fault)
                     return
-            self._context.log.event("control-disk-healed", sequence=self.store.sequence)
+            self._context.log.event("disk-recovered", sequence=self.store.sequence)
         self._replica.load(contents)
         self._fault = None
         self._changes.notify()
@@ -110,7 +110,7 @@
 
     def _handle_data_loss(self) -> None:
         detail = "the data folder was emptied while this process was running"
-        self._context.log.event("control-data-lost", detail=detail)
+        self._context.log.event("data-folder-emptied", detail=detail)
         if self._on_data_lost is not None:
             self._on_data_lost()
         else:
--- a/wingwood/control/journal_rewriting.py
+++ b/wingwood/control/journal_rewriting.py
@@ -62,7 +62,7 @@
                 took = clock.monotonic() - started
                 log.event("journal-rewritten", bytes_before=before, bytes_after=journal.length, took=took)
             case Failure(fault):
-                log.event("journal-not-rewritten", kind=fault.kind, detail=fault.detail)
+                log.event("journal-rewrite-failed", kind=fault.kind, detail=fault.detail)
                 self._no_rewrite_before = Instant(clock.monotonic() + BACKOFF_AFTER_FAILURE_S)
                 if fault.kind == "slow" or (fault.kind != "sick" and journal.unusable_reason is not None):
                     self._on_fault(fault)
--- a/wingwood/control/leadership.py
+++ b/wingwood/control/leadership.py
@@ -26,7 +26,7 @@
         self.since = now
         """When the leadership began, or when this process last continued after a pause."""
         self.in_sync = False
-        """Whether the view has the wanted backups and none of them has failed since it was chosen."""
+        """Whether the view has the desired backups and none of them has failed since it was chosen."""
         self.commit_known = False
         """Whether it is known exactly which batches are committed.
 
--- a/wingwood/control/own_leadership.py
+++ b/wingwood/control/own_leadership.py
@@ -63,7 +63,7 @@
         leadership, self._current = self._current, None
         if leadership is None:
             return
-        self._context.log.event("stepped-down", epoch=leadership.view.epoch, reason=reason)
+        self._context.log.event("leadership-released", epoch=leadership.view.epoch, reason=reason)
         self._replica.invalidate()
         self._state.stepped_down()
         fail_all(leadership.take_pending(), f"stopped leading: {reason}")
--- a/wingwood/control/primary.py
+++ b/wingwood/control/primary.py
@@ -67,7 +67,7 @@
         self._state.leads_view()
         self._state.observe_view(view)
         self._context.log.event(
-            "leading",
+            "leadership-started",
             epoch=view.epoch,
             backups=",".join(view.backups),
             members=",".join(str(member.name) for member in view.members),
--- a/wingwood/control/replicator.py
+++ b/wingwood/control/replicator.py
@@ -89,7 +89,7 @@
                 return answer.synced
             if self._now() - started > RETRY_WINDOW_S:
                 leadership.record_failed(member.incarnation, self._now())
-                self._context.log.event("backup-silent", backup=member.name)
+                self._context.log.event("backup-unresponsive", backup=member.name)
                 return False
             await self._context.clock.sleep(RETRY_BACKOFF_S)
 
@@ -97,7 +97,7 @@
         self._state.observe_epoch(answer.prepared_epoch)
         if not answer.synced:
             leadership.record_failed(member.incarnation, self._now())
-            self._context.log.event("backup-refused", backup=member.name, reason=answer.reason)
+            self._context.log.event("batch-rejected", backup=member.name, reason=answer.reason)
 
     def announce_commit(self, leadership: Leadership) -> None:
         """Notifies the backups that all batches committed here are on the disks of all of them."""
@@ -121,7 +121,7 @@
             else:
                 leadership.synced.pop(member.incarnation, None)
                 leadership.record_failed(member.incarnation, self._now())
-                self._context.log.event("recruit-failed", backup=member.name)
+                self._context.log.event("backup-recruitment-failed", backup=member.name)
         return all(outcomes)
 
     async def send_state(self, leadership: Leadership, member: ViewMember) -> bool:
--- a/wingwood/control/store.py
+++ b/wingwood/control/store.py
@@ -201,7 +201,7 @@
         opened = await _open_store(context, start_empty_when_damaged)
         match opened:
             case Failure(StoreFailure(kind="disk", detail=detail)) if retry_backoff is not None:
-                context.log.event("control-store-waits", detail=detail)
+                context.log.event("store-open-retried", detail=detail)
                 await context.clock.sleep(retry_backoff)
             case _:
                 return opened
@@ -227,9 +227,9 @@
 
 def _log_opened(context: Context, store: ControlStore) -> None:
     context.log.event(
-        "control-store-opened",
+        "store-opened",
         incarnation=store.incarnation,
-        promised=store.prepared.epoch,
+        prepared_epoch=store.prepared.epoch,
         view=store.view.epoch if store.view else None,
         sequence=store.sequence,
         journal_bytes=store.journal.length,
@@ -261,7 +261,7 @@
     match await context.disk.rename(JOURNAL_NAME, aside):
         case Failure(fault):
             return StoreFailure("disk", f"the damaged {JOURNAL_NAME} cannot be renamed to {aside}: {fault.detail}")
-    context.log.event("journal-put-aside", file=aside)
+    context.log.event("journal-set-aside", file=aside)
     return None
 
 
@@ -271,5 +271,5 @@
     match await store.journal.create([_encode(InitializedEntry(store.incarnation))], OPEN_TIMEOUT_S):
         case Failure(fault):
             return Failure(StoreFailure("disk", f"{JOURNAL_NAME} cannot be created: {fault.kind} {fault.detail}"))
-    context.log.event("control-store-founded", incarnation=store.incarnation)
+    context.log.event("store-initialized", incarnation=store.incarnation)
     return Success((store, Contents()))
