--- a/wingwood/control/tests/control_world.py
+++ b/wingwood/control/tests/control_world.py
@@ -115,7 +115,10 @@
 
 
 class Observer:
-    """Sees only the answers to operators and the confirmations. ``faults`` lists observations that must never occur."""
+    """Sees only the answers to operators and the confirmations of leadership.
+
+    ``faults`` lists observations that must never occur.
+    """
 
     def __init__(self) -> None:
         self.faults: list[str] = []
--- a/wingwood/control/tests/edition_world.py
+++ b/wingwood/control/tests/edition_world.py
@@ -39,7 +39,7 @@
 
 
 class EditionWorld(ControlWorld):
-    """``editions`` confirmed, by name of control daemon, the client through which it serves its operators."""
+    """``editions`` has, by name of control daemon, the client through which it serves its operators."""
 
     def __init__(
         self, seed: int, make_state: MakeState = signing_state, make_client: MakeClient = edition_client
--- a/wingwood/control/tests/mutants.py
+++ b/wingwood/control/tests/mutants.py
@@ -289,10 +289,10 @@
     ),
     "identity survives wipe": Mutant(identity_survives_wipe, ("lose_then_kill", "nothing")),
     "view before transfer": Mutant(with_core(ViewBeforeTransfer), ("second_loss", "pause_operators", "nothing")),
-    "any grantee may win": Mutant(
+    "any acceptor may win": Mutant(
         with_core(AnyAcceptorMayWin), ("cut_off", "cut", "freeze_primary", "heal_partitions")
     ),
-    "proves without asking": Mutant(
+    "confirms without asking": Mutant(
         with_core(ConfirmsWithoutAsking), ("cut_off", "heal_partitions", "freeze_primary", "nothing")
     ),
     "answers when cut off": Mutant(with_core(AnswersWhenPartitioned), ("cut_off", "heal_partitions", "nothing")),
@@ -305,7 +305,9 @@
     "takes backups for in sync, two losses": _for_two(
         TakesBackupsForInSync, "second_loss", "lose", "kill", "pause_operators"
     ),
-    "any grantee may win, two losses": _for_two(AnyAcceptorMayWin, "split", "freeze_primary", "heal_partitions"),
-    "proves with one member, two losses": _for_two(ConfirmsWithOneMember, "cut_minority", "heal_partitions", "nothing"),
+    "any acceptor may win, two losses": _for_two(AnyAcceptorMayWin, "split", "freeze_primary", "heal_partitions"),
+    "confirms with one member, two losses": _for_two(
+        ConfirmsWithOneMember, "cut_minority", "heal_partitions", "nothing"
+    ),
 }
 """``BackupIgnoresPreparedEpoch`` is not listed here; test_core catches it."""
--- a/wingwood/control/tests/protocol_model.py
+++ b/wingwood/control/tests/protocol_model.py
@@ -6,8 +6,8 @@
 The core is used only through its public interface and the messages between members.
 
 Checked after every step: an acknowledged order keeps its outcome, no two orders win the same version, and a
-reader with a proof never sees an older version than one that was acknowledged, or read with a proof, before it
-asked. At the end all faults but the lost disks are mended; service must return, and every acknowledged order must
+reader with a confirmation of leadership never sees an older version than one that was acknowledged, or read with a
+confirmation, before it asked. At the end all faults but the lost disks end; service must return, and every acknowledged order must
 be there and be acknowledged again when it is repeated.
 """
 
@@ -108,7 +108,7 @@
             self._send(name, put)
 
     def read(self, name: str) -> None:
-        """Reads the committed version from a member if that proves that it leads."""
+        """Reads the committed version from a member if that confirms that it leads."""
         if not self.control.alive(name):
             return
         core, observer = self.control.cores[name], self.control.observer
@@ -121,7 +121,9 @@
             observer.confirmations += 1
             self.newest_read = max(self.newest_read, version)
             if version < least:
-                observer.faults.append(f"{self.world.now:.3f} {name} shows {version} with a proof, after {least}")
+                observer.faults.append(
+                    f"{self.world.now:.3f} {name} shows {version} with a confirmation, after {least}"
+                )
 
         self.world.spawn(self.world.processes[name], ask(), "read")
 
@@ -274,7 +276,7 @@
             self.control.close()
 
     def _end(self) -> None:
-        """Mends all faults but the lost disks, and checks the result."""
+        """Ends all faults but the lost disks, and checks the result."""
         self.walk.end()
         self.nothing_contradicts()
 
--- a/wingwood/control/tests/protocol_variants.py
+++ b/wingwood/control/tests/protocol_variants.py
@@ -20,7 +20,7 @@
 Handler = Callable[[Identity, Any], Awaitable[msgspec.Struct]]
 Tamper = Callable[[Context, Handler], Handler]
 LATE_WRITE_DELAY_S = 1.5
-"""Longer than a take-over."""
+"""Longer than a failover."""
 
 
 def _prepared(prepare: Callable[[Context, TcpMessenger, Register], None], failures_tolerated: int) -> MakeCore:
@@ -94,13 +94,13 @@
     return _prepared(prepare, failures_tolerated)
 
 
-class _ProvesByOwnRole(ReplicatedCore):
-    """Claims a proof whenever it is primary in its own view."""
+class _ConfirmsByOwnRole(ReplicatedCore):
+    """Claims a confirmation whenever it is primary in its own view."""
 
     async def confirm_leadership(self) -> bool:
         return self.report().own_role == "primary"
 
 
-def proves_without_asking(failures_tolerated: int = 1) -> MakeCore:
-    """Makes a core that proves leadership without asking another member."""
-    return core_maker(_ProvesByOwnRole, WALK_OPTIONS, failures_tolerated)
+def confirms_without_asking(failures_tolerated: int = 1) -> MakeCore:
+    """Makes a core that confirms leadership without asking another member."""
+    return core_maker(_ConfirmsByOwnRole, WALK_OPTIONS, failures_tolerated)
--- a/wingwood/control/tests/test_bundle_source.py
+++ b/wingwood/control/tests/test_bundle_source.py
@@ -101,7 +101,7 @@
         assert leader is not None
         self.assertEqual(self.sources[leader].version, 2)
 
-    def test_the_latest_version_shows_again_after_a_take_over_and_a_restart_of_all(self) -> None:
+    def test_the_latest_version_shows_again_after_a_failover_and_a_restart_of_all(self) -> None:
         for tenants in (3, 4, 5):
             self.order(tenants)
         self.control.world.kill("c1")
--- a/wingwood/control/tests/test_editions.py
+++ b/wingwood/control/tests/test_editions.py
@@ -68,7 +68,7 @@
         self.accept("c3", 9, 12)
         self.assert_nothing_lost()
 
-    def test_after_a_take_over(self) -> None:
+    def test_after_a_failover(self) -> None:
         self.control.world.kill("c1")
         self.accept("c2", 9, 10)
         self.control.world.restart("c1")
@@ -98,7 +98,7 @@
 
 
 class RaceTests(EditionCase):
-    """Of several changes on one base exactly one is accepted, also during a take-over."""
+    """Of several changes on one base exactly one is accepted, also during a failover."""
 
     def test_of_two_on_one_base_exactly_one_wins(self) -> None:
         for turn in range(6):
@@ -111,7 +111,7 @@
             self.sent.append(changes[outcomes.index("accepted")])
         self.assert_nothing_lost()
 
-    def test_a_race_during_a_take_over_has_one_winner_too(self) -> None:
+    def test_a_race_during_a_failover_has_one_winner_too(self) -> None:
         changes = [edition_change(9, 10, self.slices, name) for name in ("one", "two")]
         racing = [self.control.start_submit(*each) for each in zip(("c2", "c3"), changes, strict=True)]
         self.control.world.run(0.003)
@@ -156,7 +156,7 @@
 
 
 class ReadingTests(EditionCase):
-    """A daemon without a proof from the primary must answer that it cannot read, and never give an older edition."""
+    """A daemon without a confirmation of the primary must answer that it cannot read, never with an older edition."""
 
     def test_a_daemon_that_is_cut_off_reads_nothing_back(self) -> None:
         for name in DAEMONS:
@@ -174,7 +174,7 @@
         for change in (self.sent[-1], edition_change(0, 1, self.slices, "stale")):
             self.assertIn(outcome_of(self.control.submit("c3", change)), ("unknown", "not-leading"))
 
-    def test_before_the_first_edition_there_is_proof_that_there_is_none(self) -> None:
+    def test_before_the_first_edition_it_is_confirmed_that_there_is_none(self) -> None:
         control = EditionWorld(2)
         self.addCleanup(control.close)
         self.assertTrue(control.world.wait_for(control.complete, 5.0))
@@ -240,8 +240,8 @@
         return decided
 
 
-class ReadsWithoutProof(EditionClient):
-    """Returns what this daemon confirmed as durable, without a proof from the primary."""
+class ReadsWithoutConfirmation(EditionClient):
+    """Returns what this daemon knows to be durable, without a confirmation from the primary."""
 
     def __init__(self, control: ControlClient, local: LocalBundleReader, context: Context) -> None:
         super().__init__(control, (local,), context.clock, Seconds(3.0))
@@ -279,13 +279,13 @@
             answers = [outcome_of(control.submit("c2", change)) for change in (early, taken, early)]
             self.assertEqual(answers, ["conflict", "accepted", last])
 
-    def test_a_reader_without_proof(self) -> None:
-        def unproven(
+    def test_a_reader_without_confirmation(self) -> None:
+        def unconfirmed(
             control: ControlClient, local: LocalBundleReader, _: RemoteBundleReader, context: Context
         ) -> EditionClient:
-            return ReadsWithoutProof(control, local, context)
+            return ReadsWithoutConfirmation(control, local, context)
 
-        self.assert_caught(EditionWalk(1, make_client=unproven), "was acknowledged before")
+        self.assert_caught(EditionWalk(1, make_client=unconfirmed), "was acknowledged before")
 
 
 def signing() -> BundleState:
--- a/wingwood/control/tests/test_protocol_model.py
+++ b/wingwood/control/tests/test_protocol_model.py
@@ -16,8 +16,8 @@
 from .protocol_model import ControlProtocol, Fleet
 from .protocol_variants import (
     answers_before_it_has_written,
+    confirms_without_asking,
     forgets_order_ids,
-    proves_without_asking,
 )
 
 RUN_EACH_ALONE = True
@@ -83,11 +83,11 @@
     def test_forgets_order_ids_with_five_members(self) -> None:
         self.assert_caught(Fleet(forgets_order_ids(2), SIX, 2), "kill")
 
-    def test_proves_without_asking(self) -> None:
-        self.assert_caught(Fleet(proves_without_asking(), FOUR[:3], 1), "kill", "freeze", "cut_off", "heal")
+    def test_confirms_without_asking(self) -> None:
+        self.assert_caught(Fleet(confirms_without_asking(), FOUR[:3], 1), "kill", "freeze", "cut_off", "heal")
 
-    def test_proves_without_asking_with_five_members(self) -> None:
-        self.assert_caught(Fleet(proves_without_asking(2), SIX, 2), "kill", "freeze", "cut_off", "heal")
+    def test_confirms_without_asking_with_five_members(self) -> None:
+        self.assert_caught(Fleet(confirms_without_asking(2), SIX, 2), "kill", "freeze", "cut_off", "heal")
 
 
 if __name__ == "__main__":
--- a/wingwood/control/tests/test_two_losses.py
+++ b/wingwood/control/tests/test_two_losses.py
@@ -72,7 +72,7 @@
         control.operator()
         control.world.run(5.0)
         self.assertIsNone(control.leader())
-        self.assertTrue(control.leads("c1"), "it leads all the same, and can prove that there is no state")
+        self.assertTrue(control.leads("c1"), "it leads all the same, and can confirm that there is no state")
         self.assertIsNone(control.send())
         self.assertIn("1 more members with a disk are wanted", control.report("c1").detail)
         control.start("c5")
@@ -157,7 +157,7 @@
                 self.assertLess(self.seconds_until_served(control), LONGEST_GAP_S)
                 self.assert_nothing_lost(control)
 
-    def test_a_spare_replaces_a_silent_member_and_then_two_others_may_be_lost(self) -> None:
+    def test_a_spare_replaces_an_unresponsive_member_and_then_two_others_may_be_lost(self) -> None:
         control = self.fleet()
         members = self.members(control)
         control.world.power_off(members[1])
--- a/wingwood/control/tests/walk.py
+++ b/wingwood/control/tests/walk.py
@@ -2,7 +2,7 @@
 
 Rules of a walk: a disk is lost only while the health report says that any loss can be survived, and says so
 about the machines that are there. Every other fault may occur at any moment, also together or repeatedly. At the
-end all faults but the lost disks are mended; service must be back within 12 s (``SERVICE_BACK_S``), and no
+end all faults but the lost disks end; service must be back within 12 s (``SERVICE_BACK_S``), and no
 acknowledged order may be missing.
 """
 
@@ -79,7 +79,7 @@
             self.control.close()
 
     def ask_for_confirmation(self, name: str) -> None:
-        """A daemon that proves that it leads must have everything that was acknowledged before it was asked."""
+        """A daemon that confirms that it leads must have everything that was acknowledged before it was asked."""
         if not self.control.alive(name):
             return
         core, register, observer = self.control.cores[name], self.control.registers[name], self.control.observer
@@ -90,9 +90,9 @@
                 observer.confirmations += 1
                 if register.stored.version < newest:
                     version = register.stored.version
-                    observer.faults.append(f"{self.world.now:.3f} {name} proves version {version}, {newest} is newer")
+                    observer.faults.append(f"{self.world.now:.3f} {name} confirms version {version}, {newest} is newer")
 
-        self.world.spawn(self.world.processes[name], ask(), "proof")
+        self.world.spawn(self.world.processes[name], ask(), "confirmation")
 
     # -- faults
 
@@ -229,7 +229,7 @@
             self.ask_for_confirmation(leader)
 
     def cut_in_replacement(self) -> None:
-        """Freezes members until spares replace them, and separates old and new members between the two rounds of it."""
+        """Freezes members until spares replace them, and separates old and new members between its two phases."""
         leader = self.control.leader()
         view = self.control.stores[leader].view if leader is not None and self.loss_can_be_tolerated() else None
         if leader is None or view is None:
@@ -247,13 +247,13 @@
             self.frozen[name] = self.world.now + 5.0
         store = self.control.stores[leader]
 
-        def between_the_rounds() -> bool:
-            """Whether the new view is promised but not accepted; the primary may replace only backups first."""
+        def between_the_phases() -> bool:
+            """Whether a view is prepared but not accepted; the primary may replace only backups first."""
             now = self.control.stores[leader].view
             return now is not None and now.incarnations() == view.incarnations() and store.prepared.epoch > now.epoch
 
         self.world.wait_for(lambda: self.world.now > self.frozen[out[0]] - 3.0, 2.5, every=0.05)
-        if self.world.wait_for(between_the_rounds, 2.0, every=0.0005):
+        if self.world.wait_for(between_the_phases, 2.0, every=0.0005):
             self.world.run(self.random.uniform(0.0, 0.004))
         loyal = [name for name in members if name not in (*out, leader)]
         self.cut_apart([leader, *spares, *loyal[: self.failures_tolerated - 1], self.operators[0]])
@@ -457,7 +457,7 @@
     # -- the end
 
     def end(self) -> None:
-        """Mends all faults but lost disks, then checks that service returns and no acknowledged order is missing."""
+        """Ends all faults but lost disks, then checks that service returns and no acknowledged order is missing."""
         observer = self.control.observer
         self.log_step("end")
         self.control.quiet_until = 0.0
