--- a/wingwood/control/relay.py
+++ b/wingwood/control/relay.py
@@ -8,7 +8,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from ..context.protocols import Context, Task
+from ..context.protocols import Context
 from ..identifiers import Address, Epoch, Seconds
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
@@ -58,7 +58,6 @@
         self._options = options or RelayOptions()
         self._view: View | None = None
         self._on_change: list[Callable[[], None]] = []
-        self._task: Task | None = None
 
     # -- interface for the other slices
 
@@ -123,7 +122,7 @@
         self._messenger.on_call(ControlJoin, self._on_join)
         self._messenger.on_call(ControlCommand, self._on_command)
         self._messenger.on_call(ControlLeaderQuery, self._on_leader_query)
-        self._task = self._context.tasks.spawn("control relay", self._follow_primary())
+        self._context.tasks.spawn("control relay", self._follow_primary())
 
     def release_leadership(self) -> None:
         """Does nothing, since a relay never leads."""
--- a/wingwood/control/tests/protocol_model.py
+++ b/wingwood/control/tests/protocol_model.py
@@ -6,9 +6,9 @@
 The core is used only through its public interface and the messages between members.
 
 Checked after every step: an acknowledged order keeps its outcome, no two orders win the same version, and a
-reader with a confirmation of leadership never sees an older version than one that was acknowledged, or read with a
-confirmation, before it asked. At the end all faults but the lost disks end; service must return, and every acknowledged order must
-be there and be acknowledged again when it is repeated.
+reader with a confirmation of leadership never sees an older version than one that was acknowledged, or read with
+a confirmation, before it asked. At the end all faults but the lost disks end; service must return, and every
+acknowledged order must be there and be acknowledged again when it is repeated.
 """
 
 from __future__ import annotations
