--- a/wingwood/control/core.py
+++ b/wingwood/control/core.py
@@ -50,6 +50,8 @@
     ``on_data_lost`` is called; without it the process is stopped. ``failures_tolerated`` is the number of
     members that may be lost at the same time: the core then needs that many backups and twice as many members
     plus one (section 7.1).
+
+    Each part owns its state and answers its messages; the parts that tests observe or replace are public.
     """
 
     def __init__(
@@ -103,7 +105,7 @@
         self._commands = CommandQueue(clock, options, messenger, state, leadership, changes, runner, appliers)
         # What a daemon does that is not a member, or does not hear its primary.
         formation = FirstViewFormation(context, size, peers, state, directory, monitor, acceptor, candidate, primary)
-        joining = Joining(context, options, peers, store, state, directory, formation)
+        joining = Joining(options, peers, store, state, directory, formation)
         self.failover = failover = Failover(
             context, options, peers, guarded, replica, state, leadership, candidate, primary
         )
--- a/wingwood/control/joining.py
+++ b/wingwood/control/joining.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from ..context.protocols import Context
 from ..identifiers import Instant
 from .control_options import ControlOptions
 from .directory import ControlDirectory
@@ -20,7 +19,6 @@
 
     def __init__(
         self,
-        context: Context,
         options: ControlOptions,
         peers: PeerClient,
         store: ControlStore,
@@ -28,7 +26,6 @@
         directory: ControlDirectory,
         formation: FirstViewFormation,
     ) -> None:
-        self._context = context
         self._join_interval = options.join_interval
         self._peers = peers
         self._store = store
--- a/wingwood/control/tests/control_case.py
+++ b/wingwood/control/tests/control_case.py
@@ -4,6 +4,7 @@
 
 import unittest
 from collections.abc import Callable
+from typing import ClassVar
 
 from ...identifiers import Seconds
 from ..control_options import ControlOptions
@@ -20,6 +21,9 @@
 class ControlCase(unittest.TestCase):
     """Tests of daemons that have formed a fleet and acknowledged some orders."""
 
+    service_back_s: ClassVar[float] = SERVICE_BACK_S
+    """Longest time until the fleet is complete again."""
+
     def fleet(self, seed: int = 1, make: MakeCore = make_core, orders: int = 5) -> ControlWorld:
         """Returns three daemons that have formed a fleet and acknowledged some orders."""
         control = ControlWorld(seed, make)
@@ -32,7 +36,7 @@
 
     def assert_nothing_lost(self, control: ControlWorld) -> None:
         """Checks that the fleet is complete again and that all acknowledged orders are still there."""
-        self.assertTrue(control.world.wait_for(control.complete, SERVICE_BACK_S), control.world.timeline(60))
+        self.assertTrue(control.world.wait_for(control.complete, self.service_back_s), control.world.timeline(60))
         self.assertIsNotNone(control.send())
         leader = control.leader()
         assert leader is not None
--- a/wingwood/control/tests/test_two_losses.py
+++ b/wingwood/control/tests/test_two_losses.py
@@ -6,7 +6,8 @@
 from collections.abc import Sequence
 from itertools import combinations
 
-from .control_world import SIX, ControlWorld, make_core_for_two_losses
+from .control_case import ControlCase
+from .control_world import SIX, ControlWorld, MakeCore, make_core_for_two_losses
 
 LONGEST_GAP_S = 3.0
 """Longest wait for an acknowledgement after a fault."""
@@ -16,9 +17,12 @@
 """Time given to replaced machines to receive the state."""
 
 
-class TwoLossesCase(unittest.TestCase):
-    def fleet(self, seed: int = 1, orders: int = 5, names: Sequence[str] = SIX) -> ControlWorld:
-        control = ControlWorld(seed, make_core_for_two_losses, names)
+class TwoLossesCase(ControlCase):
+    service_back_s = SERVICE_BACK_S
+
+    def fleet(self, seed: int = 1, make: MakeCore = make_core_for_two_losses, orders: int = 5) -> ControlWorld:
+        """Returns six daemons, of which five are members, that have acknowledged some orders."""
+        control = ControlWorld(seed, make, SIX)
         self.addCleanup(control.close)
         control.operator()
         self.assertTrue(control.world.wait_for(control.complete, 5.0), control.world.timeline(60))
@@ -35,22 +39,6 @@
         rank = {view.primary: 0} | dict.fromkeys(view.backups, 1)
         return [str(member.name) for member in sorted(view.members, key=lambda member: rank.get(member.incarnation, 2))]
 
-    def seconds_until_served(self, control: ControlWorld) -> float:
-        started = control.world.now
-        while control.send() is None:
-            self.assertLess(control.world.now - started, 30.0, control.world.timeline(60))
-        return control.world.now - started
-
-    def assert_nothing_lost(self, control: ControlWorld) -> None:
-        self.assertTrue(control.world.wait_for(control.complete, SERVICE_BACK_S), control.world.timeline(60))
-        leader = control.leader()
-        assert leader is not None
-        stored = control.registers[leader].stored.outcomes
-        for order, outcome in control.observer.outcomes.items():
-            self.assertEqual(stored.get(order), outcome)
-        self.assertEqual(control.observer.faults, [])
-        self.assertEqual(control.world.broken_invariants, [])
-
 
 class FormingTests(TwoLossesCase):
     def test_six_empty_machines_form_in_any_order(self) -> None:
