--- a/wingwood/distribution/freshness_confirmation.py
+++ b/wingwood/distribution/freshness_confirmation.py
@@ -189,7 +189,7 @@
             confirmed = False
             try:
                 async with asyncio.timeout(self._options.confirmation_timeout):
-                    confirmed = await self._core.prove_leadership() and self._core.leads()
+                    confirmed = await self._core.confirm_leadership() and self._core.leads()
             except TimeoutError:
                 pass
             self._current_poll.set_result(confirmed)
