--- a/wingwood/distribution/follower.py
+++ b/wingwood/distribution/follower.py
@@ -58,7 +58,8 @@
         chunk_relay = ChunkRelay(context.clock)
         self._target = target = VersionTarget(context.clock, applied)
         self._forwarder = BundleForwarder(context.clock, messenger, membership, applied, target, options)
-        self._server = BundleServer(messenger, membership, applied, target, chunk_relay, options)
+        # Registers itself at the messenger.
+        BundleServer(messenger, membership, applied, target, chunk_relay, options)
         self._subscription = UpstreamSubscription(context, messenger, tree, applied, target, options)
         delta_fetcher = DeltaFetcher(context.clock, messenger, options, chunk_relay, self._forwarder.announce_incoming)
         self._fetcher = CatchUpFetcher(
--- a/wingwood/registry/worker_registry.py
+++ b/wingwood/registry/worker_registry.py
@@ -91,9 +91,8 @@
             self._feeds,
             self._receiver,
         )
-        self._feed_server = FeedServer(
-            context, messenger, membership, directory, self._ownership, self._sums, self._ejections
-        )
+        # Registers itself at the messenger.
+        FeedServer(context, messenger, membership, directory, self._ownership, self._sums, self._ejections)
         self._check: WorkerCheck = (
             TrialCalls(context, directory, self._ejections, self._outcomes, unrenewed_after)
             if uses_trial_calls
