--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -13,7 +13,7 @@
 from ..context.protocols import Context
 from ..control.client import ControlClient
 from ..distribution.follower import BundleFollower
-from ..forward.limits import path_limits
+from ..forward.forward_options import options_from_settings
 from ..forward.metrics import RequestMetrics
 from ..forward.recording import CallRecorder
 from ..forward.request_path import RequestPath
@@ -97,7 +97,7 @@
             self.registry,
             DeadlineAdmission(),
             RequestMetrics(self.metrics),
-            limits=path_limits(settings),
+            options=options_from_settings(settings),
             recorder=None if self._record_file is None else CallRecorder(context.clock, self._record_file.write),
             formats=dialect.formats,
             outcomes=self.registry,
--- a/wingwood/forward/caller_connection.py
+++ b/wingwood/forward/caller_connection.py
@@ -1,7 +1,7 @@
 """One caller's connection, with the methods that tornado calls on a stream (docs/DESIGN.md section 12.3).
 
-It adds what tornado lacks: refusals that state a reason, a timeout for each phase, and input that is read all the time,
-so that a caller's disconnection is noticed at once even when it sent bytes beyond its request.
+It adds what tornado lacks: rejections that state a reason, a timeout for each phase, and input that is read all the
+time, so that a caller's disconnection is noticed at once even when it sent bytes beyond its request.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 from ..identifiers import Address, RequestId
 from .edge_state import EdgeState, reason_phrase
-from .protocols import Refused
+from .results import Rejection
 from .timed_connection import TimedConnection
 
 READ_BYTES: Final = 64 * 1024
 """Size of one read, and of the input above which reading pauses."""
 UNLIMITED: Final = 1 << 62
-"""Size limit passed to tornado: the edge limits heads and bodies itself, so that a refusal can state the limit."""
+"""Size limit passed to tornado: the edge limits heads and bodies itself, so that a rejection can state the limit."""
 
 _TORNADO_BAD_REQUEST: Final = b"HTTP/1.1 400 Bad Request\r\n\r\n"
-_MALFORMED: Final = Refused(status=400, code="malformed-request", reason="this is not a well-formed HTTP/1.1 request")
+_MALFORMED: Final = Rejection(status=400, code="malformed-request", reason="this is not a well-formed HTTP/1.1 request")
 _MAX_FIRST_LINE_BYTES: Final = 8 * 1024 + 64
 """Size up to which a request line is not counted as part of the headers: a path of 8 KiB, method and version."""
 _HEAD_END = re.compile(rb"\r?\n\r?\n")
@@ -41,10 +41,14 @@
         self.io_loop = IOLoop.current()
         self.max_buffer_size = UNLIMITED
         self.edge = edge
+        """What all connections share."""
         self.peer = peer
-        self.reading_call = False
+        self.reading_request = False
+        """Whether a request is being read, or has been read and was not yet passed on."""
         self.disconnected = asyncio.Event()
+        """Set when the caller has closed the connection."""
         self.on_disconnect: Callable[[], None] | None = None
+        """Called when ``disconnected`` is set."""
         self.last_write: asyncio.Future[None] | None = None
         """Future of the latest write; it is done when the kernel has taken the data."""
         self._stream = stream
@@ -55,78 +59,84 @@
         stream.set_close_callback(self._connection_closed)
         self._continue_reading()
 
-    def expect_call(self) -> None:
-        """Starts the idle timeout until the next call, or the timeout of its head if part of it has been received."""
+    def expect_request(self) -> None:
+        """Starts the idle timeout until the next request, or the timeout of its head if part of it was received."""
         self.idle = not self._input
-        self.reading_call = not self.idle
+        self.reading_request = not self.idle
         if self.idle:
-            self.start_phase_timeout(self.edge.bounds().idle_timeout, None)
+            self.start_phase_timeout(self.edge.request_limits().idle_timeout, None)
         else:
-            self.start_phase_timeout(self.edge.bounds().head_timeout, "headers")
+            self.start_phase_timeout(self.edge.request_limits().head_timeout, "headers")
 
     # The methods that HTTP1Connection calls on a stream.
 
-    async def read_until_regex(self, regex: bytes, max_bytes: int) -> bytes:
-        """Reads the head of a call. Its request line does not count towards the size limit of the headers.
+    async def read_until_regex(self, regex: bytes, max_bytes: int) -> bytes:  # noqa: ARG002
+        """Reads the head of a request. Its request line does not count towards the size limit of the headers.
 
-        Raises StreamClosedError when the head is too large, which is then refused, or when the connection is closed.
+        Raises StreamClosedError when the head is too large, which is then rejected, or when the connection is closed.
         """
-        max_head_bytes = self.edge.bounds().head_bytes
+        max_head_bytes = self.edge.request_limits().head_bytes
         searched = 0
-        while (found := _HEAD_END.search(self._input, max(0, searched - 3))) is None:
+        while (head_end := _HEAD_END.search(self._input, max(0, searched - 3))) is None:
             searched = len(self._input)
             if searched > max_head_bytes + self._first_line_bytes():
                 break
             await self._wait_for_input()
             if self.idle:
-                self.idle, self.reading_call = False, True
-                self.start_phase_timeout(self.edge.bounds().head_timeout, "headers")
-        if found is None or found.end() > max_head_bytes + self._first_line_bytes():
-            self.refuse(Refused(status=431, code="headers-too-large", reason=f"headers above {max_head_bytes} bytes"))
+                self.idle, self.reading_request = False, True
+                self.start_phase_timeout(self.edge.request_limits().head_timeout, "headers")
+        if head_end is None or head_end.end() > max_head_bytes + self._first_line_bytes():
+            self.reject(Rejection(status=431, code="headers-too-large", reason=f"headers above {max_head_bytes} bytes"))
             raise StreamClosedError
-        return self._take_input(found.end())
+        return self._take_input(head_end.end())
 
     def _first_line_bytes(self) -> int:
         """Returns the length of the request line, as far as it is not counted among the headers."""
         return min(_MAX_FIRST_LINE_BYTES, self._input.find(b"\n") + 1)
 
     async def read_until(self, delimiter: bytes, max_bytes: int) -> bytes:
-        while (found := self._input.find(delimiter, 0, max_bytes)) < 0:
+        """Reads up to and including the delimiter; rejects the request if it is not within ``max_bytes``."""
+        while (offset := self._input.find(delimiter, 0, max_bytes)) < 0:
             if len(self._input) >= max_bytes:
-                self.refuse(_MALFORMED)
+                self.reject(_MALFORMED)
                 raise StreamClosedError
             await self._wait_for_input()
-        return self._take_input(found + len(delimiter))
+        return self._take_input(offset + len(delimiter))
 
     async def read_bytes(self, count: int, partial: bool = False) -> bytes:
+        """Reads ``count`` bytes; with ``partial`` what was received, but at least one byte."""
         while len(self._input) < (1 if partial else count):
             await self._wait_for_input()
         return self._take_input(min(count, len(self._input)))
 
     def write(self, data: bytes) -> asyncio.Future[None]:
-        if self.shut:
+        """Sends the data; the future is done when the kernel has taken it. Raises StreamClosedError when closing."""
+        if self.closing:
             raise StreamClosedError
         if data == _TORNADO_BAD_REQUEST:
-            self.refuse(_MALFORMED)
+            self.reject(_MALFORMED)
             raise StreamClosedError
         self.last_write = self._stream.write(data)
         return self.last_write
 
     def close(self) -> None:
-        self.shut = True
+        """Closes the connection at once."""
+        self.closing = True
         self.cancel_timeout()
         self._stream.close()
 
     def closed(self) -> bool:
-        return self.shut or self._stream.closed()
+        """Returns whether nothing more can be written."""
+        return self.closing or self._stream.closed()
 
     def set_close_callback(self, callback: Callable[[], None] | None) -> None:
+        """Sets tornado's callback, run once when the connection is closed."""
         self._close_callback = callback
 
     def set_nodelay(self, value: bool) -> None:
         """Does nothing, so that data is always sent at once.
 
-        Tornado would turn Nagle's algorithm on again after the first call of a connection.
+        Tornado would turn Nagle's algorithm on again after the first request of a connection.
         """
 
     # Reading of input.
@@ -147,7 +157,7 @@
         if future.cancelled() or future.exception() is not None:
             self._connection_closed()
             return
-        if not self.shut:  # Otherwise the input comes from a refused caller, and is discarded.
+        if not self.closing:  # Otherwise the input comes from a rejected caller, and is discarded.
             self._input += future.result()
             self._wake_reader()
         self._continue_reading()
@@ -155,7 +165,7 @@
     def _connection_closed(self) -> None:
         if self.disconnected.is_set():
             return
-        self.shut = True
+        self.closing = True
         self.disconnected.set()
         self.cancel_timeout()
         self._wake_reader()
@@ -171,11 +181,11 @@
 
     async def _wait_for_input(self) -> None:
         """Returns when more input was received; raises StreamClosedError when the connection is closed."""
-        if self.shut:
+        if self.closing:
             raise StreamClosedError
         self._input_waiter = self._loop.create_future()
         await self._input_waiter
-        if self.shut:
+        if self.closing:
             raise StreamClosedError
 
     def _take_input(self, count: int) -> bytes:
@@ -185,32 +195,34 @@
         self._continue_reading()
         return taken
 
-    # Timeouts and refusals.
+    # Timeouts and rejections.
 
     def idle_timeout(self) -> float:
-        return self.edge.bounds().idle_timeout
+        """Returns the idle timeout that the bundle in force sets, in seconds."""
+        return self.edge.request_limits().idle_timeout
 
     def phase_timed_out(self, waiting_for: str) -> None:
-        self.refuse(Refused(status=408, code="too-slow", reason=f"the request's {waiting_for} took too long"))
+        """Rejects the request with 408."""
+        self.reject(Rejection(status=408, code="too-slow", reason=f"the request's {waiting_for} took too long"))
 
-    def refuse(self, refused: Refused, request: RequestId | None = None) -> None:
-        """Sends the refusal without tornado, discards further input and closes after ``refusal_linger``."""
-        if self.shut:
+    def reject(self, rejection: Rejection) -> None:
+        """Sends the rejection without tornado, discards further input and closes after ``rejection_linger``."""
+        if self.closing:
             return
-        self.shut = True
-        self.reading_call = False
+        self.closing = True
+        self.reading_request = False
         self._input.clear()
         self.cancel_timeout()
-        rendered = self.edge.format.router_answer(refused, request or RequestId(""), False)
+        rendered = self.edge.format.router_response(rejection, RequestId(""), False)
         lines = [f"HTTP/1.1 {rendered.status} {reason_phrase(rendered.status)}", "Connection: close"]
         lines += [f"{name}: {value}" for name, value in rendered.headers]
-        self.edge.context.log.event("request-refused", peer=self.peer, status=rendered.status, code=refused.code)
+        self.edge.context.log.event("request-refused", peer=self.peer, status=rendered.status, code=rejection.code)
         try:
             written = self._stream.write("\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + rendered.body)
             written.add_done_callback(lambda future: future.cancelled() or future.exception())
         except StreamClosedError:
             return
-        self.run_later(self.edge.limits.refusal_linger, self._stream.close)
+        self.run_later(self.edge.options.rejection_linger, self._stream.close)
         self._wake_reader()
         self._continue_reading()
 
--- a/wingwood/forward/caller_format.py
+++ b/wingwood/forward/caller_format.py
@@ -1,10 +1,10 @@
-"""The default format of callers' calls and of the answers that the router makes (docs/DESIGN.md section 12.3).
+"""The default format of callers' requests and of the responses that the router makes (docs/DESIGN.md section 12.3).
 
 Callers send HTTP/1.1 (or 1.0) with ``Authorization: Bearer KEY``, optionally ``Prefix: shared1/shared2/session``,
 ``X-Request-Id`` (echoed) and, for services that may not be repeated, ``Idempotency-Key``.
 
-Answers of workers carry ``Wingwood-Worker`` and ``Wingwood-Award`` (why that worker was chosen). Answers that the
-router made itself carry ``Wingwood-Answer: router`` and JSON ``{code, reason, run, sent, request, retry_after?}``.
+Responses of workers carry ``Wingwood-Worker`` and ``Wingwood-Award`` (how that worker was chosen). Responses that
+the router made itself carry ``Wingwood-Answer: router`` and JSON ``{code, reason, run, sent, request, retry_after?}``.
 ``run`` is ``not-run`` (no call with this idempotency key ran, and none will unless it is sent again), ``unknown`` or
 ``ran``. ``sent`` is whether any part of this request was sent to a worker.
 """
@@ -20,9 +20,10 @@
 import msgspec
 
 from ..identifiers import IdempotencyKey, KeyDigest, RequestId, Seconds
-from .event_streams import LAST_EVENT_ID, parse_event_id
-from .formats import RenderedAnswer
-from .protocols import IncomingCall, Prompt, Refused, RunState
+from .calls import CallerRequest, IncomingCall, Prompt
+from .formats import Headers, RenderedResponse, json_response
+from .results import Rejection, RunState
+from .resumable_stream import LAST_EVENT_ID, parse_event_id
 from .worker_format import PREFIX, REQUEST_ID
 
 AUTHORIZATION: Final = "Authorization"
@@ -43,8 +44,8 @@
 _ENCODED = re.compile(r"%(2e|2f|5c)", re.IGNORECASE)
 
 
-class RouterAnswer(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The JSON body of an answer made by the router."""
+class RouterResponseBody(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The JSON body of a response made by the router."""
 
     code: str
     reason: str
@@ -57,9 +58,9 @@
 class DefaultCallerFormat:
     """Implements ``CallerFormat`` with the headers described at the top of this module."""
 
-    def request_id(self, call: IncomingCall) -> RequestId | None:
+    def request_id(self, request: CallerRequest) -> RequestId | None:
         """Returns the caller's ``X-Request-Id`` if it is at most 128 printable characters without spaces, else None."""
-        value = call.header(REQUEST_ID)
+        value = request.header(REQUEST_ID)
         return RequestId(value) if value is not None and _REQUEST_ID.fullmatch(value) else None
 
     def plain_path(self, path: str) -> str | None:
@@ -71,59 +72,63 @@
             return None
         return None if any(part in {".", ".."} for part in plain.split("/")) else plain
 
-    def key(self, call: IncomingCall) -> KeyDigest | None:
-        values = call.header_values(AUTHORIZATION)
+    def key(self, request: CallerRequest) -> KeyDigest | None:
+        """Returns the digest of the key in ``Authorization: Bearer KEY``; None unless there is exactly one."""
+        values = request.header_values(AUTHORIZATION)
         if len(values) != 1:
             return None
         scheme, _, key = values[0].partition(" ")
         key = key.strip()
         return digest_of_key(key) if scheme.lower() == "bearer" and key else None
 
-    def problem(self, call: IncomingCall) -> Refused | None:
-        if prefix_parts(call) is None:
-            return Refused(status=400, code="prefix-malformed", reason="one header of the form Prefix: shared/session")
+    def problem(self, request: CallerRequest) -> Rejection | None:
+        """Returns a 400 for a malformed or repeated ``Prefix``, else None."""
+        if prefix_parts(request) is None:
+            return Rejection(
+                status=400, code="prefix-malformed", reason="one header of the form Prefix: shared/session"
+            )
         return None
 
-    def prompt(self, call: IncomingCall) -> Prompt:
-        return Prompt(prefix_parts(call) or ())
+    def prompt(self, request: CallerRequest) -> Prompt:
+        """Returns the prefix of the prompt; callers state no sizes."""
+        return Prompt(prefix_parts(request) or ())
 
-    def caller_timeout(self, call: IncomingCall) -> Seconds | None:
+    def caller_timeout(self, request: CallerRequest) -> Seconds | None:  # noqa: ARG002
         """Returns None: callers state no timeout, the configuration of their service does."""
         return None
 
-    def idempotency_key(self, call: IncomingCall) -> IdempotencyKey | None:
-        values = call.header_values(IDEMPOTENCY_KEY)
+    def idempotency_key(self, request: CallerRequest) -> IdempotencyKey | None:
+        """Returns the key if the header is present once and has at most 200 printable characters, else None."""
+        values = request.header_values(IDEMPOTENCY_KEY)
         if len(values) != 1 or not _IDEMPOTENCY_KEY.fullmatch(values[0]):
             return None
         return IdempotencyKey(values[0])
 
-    def has_idempotency_key(self, call: IncomingCall) -> bool:
-        return call.header(IDEMPOTENCY_KEY) is not None
-
-    def last_event(self, call: IncomingCall) -> int | None:
-        return parse_event_id(call.header(LAST_EVENT_ID))
-
-    def worker_answer_headers(self, call: IncomingCall) -> tuple[tuple[str, str], ...]:
-        return (REQUEST_ID, str(call.request)), (WORKER, str(call.worker)), (AWARD, call.placement_reason)
-
-    def router_answer(self, refused: Refused, request: RequestId, sent: bool = False) -> RenderedAnswer:
-        retry_after = None if refused.status == HTTPStatus.GATEWAY_TIMEOUT else refused.retry_after
-        body = msgspec.json.encode(
-            RouterAnswer(refused.code, refused.reason, refused.run, sent, request, retry_after),
-            order="deterministic",
-        )
-        headers = [
-            ("Content-Type", "application/json"),
-            ("Content-Length", str(len(body))),
-            (ANSWER, "router"),
-        ]
-        if request:
-            headers.append((REQUEST_ID, str(request)))
+    def has_idempotency_key(self, request: CallerRequest) -> bool:
+        """Returns whether the request has the header ``Idempotency-Key``."""
+        return request.header(IDEMPOTENCY_KEY) is not None
+
+    def last_event(self, request: CallerRequest) -> int | None:
+        """Returns the event id in ``Last-Event-ID``; None without a valid one."""
+        return parse_event_id(request.header(LAST_EVENT_ID))
+
+    def worker_response_headers(self, call: IncomingCall) -> Headers:
+        """Returns the request id, the worker and how placement chose it."""
+        history = call.history
+        return (REQUEST_ID, str(call.request_id)), (WORKER, str(history.worker)), (AWARD, history.placement_method)
+
+    def router_response(self, rejection: Rejection, request_id: RequestId, sent: bool = False) -> RenderedResponse:
+        """Renders a rejection as JSON; a 504 states no ``Retry-After``, which has full seconds, rounded up."""
+        retry_after = None if rejection.status == HTTPStatus.GATEWAY_TIMEOUT else rejection.retry_after
+        headers = [(ANSWER, "router")]
+        if request_id:
+            headers.append((REQUEST_ID, str(request_id)))
         if retry_after is not None:
             headers.append((RETRY_AFTER, str(max(1, math.ceil(retry_after)))))
-        if refused.status == 401:
+        if rejection.status == HTTPStatus.UNAUTHORIZED:
             headers.append(("WWW-Authenticate", "Bearer"))
-        return RenderedAnswer(refused.status, tuple(headers), body)
+        body = RouterResponseBody(rejection.code, rejection.reason, rejection.run, sent, request_id, retry_after)
+        return json_response(rejection.status, body, tuple(headers))
 
 
 def digest_of_key(key: str) -> KeyDigest:
@@ -131,12 +136,12 @@
     return KeyDigest(hashlib.sha256(key.encode("latin-1", "replace")).hexdigest())
 
 
-def prefix_parts(call: IncomingCall) -> tuple[str, ...] | None:
+def prefix_parts(request: CallerRequest) -> tuple[str, ...] | None:
     """Returns the parts of the ``Prefix`` header, shared parts first and the session last.
 
     The result is empty without the header, and None when the header is malformed or repeated.
     """
-    values = call.header_values(PREFIX)
+    values = request.header_values(PREFIX)
     if not values:
         return ()
     if len(values) > 1 or len(values[0]) > MAX_PREFIX_BYTES:
--- a/wingwood/forward/caller_answer.py
+++ b/wingwood/forward/caller_response.py
@@ -1,4 +1,4 @@
-"""Writing of the answer to one call (docs/DESIGN.md section 12.3)."""
+"""Writing of the response to one request (docs/DESIGN.md section 12.3)."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from .caller_connection import CallerConnection
 from .edge_state import reason_phrase
 
-_WITHOUT_BODY: Final = frozenset({204, 304})
+_STATUSES_WITHOUT_BODY: Final = frozenset({204, 304})
 
 
 class AnsweredRequest(Protocol):
-    """The call that is being answered."""
+    """The request that is being answered."""
 
     last: bool
-    """Whether the connection is closed after this call."""
+    """Whether the connection is closed after this request."""
 
 
-class CallerAnswer:
-    """Implements ``CallerStream`` on tornado's HTTP/1.x connection."""
+class CallerResponse:
+    """Implements ``ResponseStream`` on tornado's HTTP/1.x connection; owns how the response is framed."""
 
     def __init__(
         self,
@@ -48,32 +48,37 @@
 
     @property
     def started(self) -> bool:
+        """Returns whether ``start`` has been called."""
         return self._started
 
     @property
     def disconnected(self) -> asyncio.Event:
+        """The event that is set when the caller has closed its connection."""
         return self._caller.disconnected
 
     def on_disconnect(self, callback: Callable[[], None] | None) -> None:
+        """Sets the only callback for the caller's disconnection; None removes it."""
         self._caller.on_disconnect = callback
         if callback is not None and self._caller.disconnected.is_set():
             callback()
 
     async def start(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
+        """Prepares status and headers, which are written with the first chunk or in the loop's next iteration."""
         self._started = True
         fields = httputil.HTTPHeaders()
         for name, value in headers:
             fields.add(name, value)
         without_length = "Content-Length" not in fields
         self._ended_by_close = self._http_1_0 and without_length
-        self._chunked = not self._http_1_0 and without_length and status not in _WITHOUT_BODY
-        if self._caller.edge.closing or self._request.last:
+        self._chunked = not self._http_1_0 and without_length and status not in _STATUSES_WITHOUT_BODY
+        if self._caller.edge.close_after_response or self._request.last:
             fields["Connection"] = "close"
             self._request.last = True
         self._head = httputil.ResponseStartLine("HTTP/1.1", status, reason_phrase(status)), fields
         asyncio.get_running_loop().call_soon(self._write_head)
 
     async def write(self, chunk: bytes) -> None:
+        """Writes part of the body; returns when the kernel has taken it, or at once if the connection is closed."""
         if self._ended or self._without_body or not chunk:
             return
         with contextlib.suppress(StreamClosedError):
@@ -82,9 +87,8 @@
             elif self._caller.closed():
                 return
             elif self._chunked:
-                self._caller.write(
-                    b"%x\r\n%b\r\n" % (len(chunk), chunk)
-                )  # The same bytes as tornado writes, at less cost.
+                # The same bytes as tornado writes, at less cost.
+                self._caller.write(b"%x\r\n%b\r\n" % (len(chunk), chunk))
             else:
                 self._connection.write(chunk)
             # The future that tornado returns is dropped, and never done, when the connection closes first.
@@ -92,6 +96,7 @@
                 await self._caller.last_write
 
     async def finish(self) -> None:
+        """Writes the end of a complete response."""
         if self._ended:
             return
         self._ended = True
@@ -100,6 +105,7 @@
             self._connection.finish()
 
     def abort(self) -> None:
+        """Closes the connection; with a reset where an orderly close would end the body."""
         if self._ended:
             return
         self._ended = True
--- a/wingwood/forward/chain.py
+++ b/wingwood/forward/chain.py
@@ -4,11 +4,13 @@
 
 from collections.abc import Sequence
 
-from .protocols import Aborted, Answer, IncomingCall, Policy, Proceed
+from .calls import IncomingCall
+from .protocols import Policy, Proceed
+from .results import Aborted, CallResult
 
 
 class Chain:
-    """Runs policies in order; each is given the policies after it as ``proceed``. The last one always answers itself.
+    """Runs policies in order; each is given the policies after it as ``proceed``. The last one never proceeds.
 
     A call whose caller has disconnected or was answered meanwhile is stopped before the next policy.
     """
@@ -20,7 +22,7 @@
             proceed = _bind(policy, proceed)
         self._first = proceed
 
-    async def run(self, call: IncomingCall) -> Answer:
+    async def run(self, call: IncomingCall) -> CallResult:
         """Takes the call through all policies and returns how it ended."""
         return await self._first(call)
 
@@ -30,15 +32,15 @@
 
 
 def _bind(policy: Policy, proceed: Proceed) -> Proceed:
-    async def apply(call: IncomingCall) -> Answer:
-        if call.early_refusal is not None:
-            return call.early_refusal
-        if call.caller.disconnected.is_set():
-            return Aborted("caller-gone", call.run)
+    async def apply(call: IncomingCall) -> CallResult:
+        if call.early_rejection is not None:
+            return call.early_rejection
+        if call.response.disconnected.is_set():
+            return Aborted("caller-gone", call.history.run)
         return await policy.apply(call, proceed)
 
     return apply
 
 
-async def _past_the_end(call: IncomingCall) -> Answer:
-    raise AssertionError(f"no policy answered call {call.request}")
+async def _past_the_end(call: IncomingCall) -> CallResult:
+    raise AssertionError(f"no policy ended call {call.request_id}")
--- a/wingwood/forward/edge_state.py
+++ b/wingwood/forward/edge_state.py
@@ -6,50 +6,50 @@
 from http import HTTPStatus
 
 from ..context.protocols import Context
+from .calls import IncomingCall
 from .formats import CallerFormat
-from .limits import CallerBounds, PathLimits
-from .protocols import IncomingCall
+from .forward_options import CallerOptions, RequestLimits
 
-Handle = Callable[[IncomingCall], Awaitable[None]]
-"""Answers one complete call."""
+CallHandler = Callable[[IncomingCall], Awaitable[None]]
+"""Responds to one complete request."""
 
 
 class EdgeState:
-    """Limits, format and counters of the caller edge; ``handle`` is called with each complete call."""
+    """Options, format and counters of the caller edge; ``handle_call`` is called with each complete request."""
 
     def __init__(
         self,
         context: Context,
-        limits: PathLimits,
-        bounds: Callable[[], CallerBounds],
+        options: CallerOptions,
+        request_limits: Callable[[], RequestLimits],
         caller_format: CallerFormat,
-        handle: Handle,
+        handle_call: CallHandler,
     ) -> None:
         self.context = context
-        self.limits = limits
-        self.bounds = bounds
-        """Returns the limits for callers as of now; the bundle in force may change them at any time."""
+        self.options = options
+        self.request_limits = request_limits
+        """Returns the limits as of now; the bundle in force may change them at any time."""
         self.format = caller_format
-        self.handle = handle
-        self.closing = False
-        """Whether each answer closes its connection, because the router is draining."""
-        self.held_body_bytes = 0
-        """Bytes of all request bodies that are held in memory now."""
-
-    def hold_body_bytes(self, count: int) -> bool:
-        """Adds ``count`` bytes to the held bodies; returns False and adds nothing when that would exceed the limit."""
-        if self.held_body_bytes + count > self.limits.max_held_body_bytes:
+        self.handle_call = handle_call
+        self.close_after_response = False
+        """Whether each response closes its connection, because the router is draining."""
+        self.buffered_body_bytes = 0
+        """Bytes of all request bodies that are in memory now."""
+
+    def reserve_body_bytes(self, count: int) -> bool:
+        """Adds ``count`` bytes to the buffered bodies; returns False and adds nothing if that exceeds the limit."""
+        if self.buffered_body_bytes + count > self.options.max_buffered_body_bytes:
             return False
-        self.held_body_bytes += count
+        self.buffered_body_bytes += count
         return True
 
     def release_body_bytes(self, count: int) -> None:
-        """Subtracts bytes that ``hold_body_bytes`` added."""
-        self.held_body_bytes -= count
+        """Subtracts bytes that ``reserve_body_bytes`` added."""
+        self.buffered_body_bytes -= count
 
 
 def reason_phrase(status: int) -> str:
-    """Returns the text that follows the status in the first line of an answer; ``Unknown`` for an unknown status."""
+    """Returns the text that follows the status in a status line; ``Unknown`` for an unknown status."""
     try:
         return HTTPStatus(status).phrase
     except ValueError:
--- a/wingwood/forward/http_headers.py
+++ b/wingwood/forward/http_headers.py
@@ -19,6 +19,7 @@
         "upgrade",
     }
 )
+"""Names of headers, in lower case, that apply to one connection only."""
 EVENT_STREAM: Final = "text/event-stream"
 
 
@@ -41,6 +42,6 @@
 
 
 def is_event_stream(head: HttpHead) -> bool:
-    """Returns whether this is a successful answer whose body is a stream of server-sent events."""
+    """Returns whether this is a successful response whose body is a stream of server-sent events."""
     content_type = (head.header("Content-Type") or "").split(";", 1)[0].strip().lower()
     return content_type == EVENT_STREAM and 200 <= head.status < 300
--- a/wingwood/forward/metrics.py
+++ b/wingwood/forward/metrics.py
@@ -5,7 +5,8 @@
 import msgspec
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-from .protocols import Answer, Forwarded, IncomingCall, NotAnswered, Refused
+from .calls import IncomingCall
+from .results import AttemptFailure, CallResult, Forwarded, Rejection
 
 _FIRST_CHUNK_BUCKETS_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.42, 0.6, 1.0, 1.5, 2.0, 3.0, 4.0, 8.0)
 _TOTAL_BUCKETS_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0)
@@ -19,10 +20,10 @@
         self._placed = Counter(
             "wingwood_placed", "Calls sent to a worker, by how it was chosen", ("service", "how"), registry=registry
         )
-        self._tries = Counter(
+        self._retries = Counter(
             "wingwood_further_tries", "Tries beyond the first of a call", ("service",), registry=registry
         )
-        self._first_token = Histogram(
+        self._first_chunk = Histogram(
             "wingwood_first_piece_seconds",
             "Arrival to first piece",
             ("service",),
@@ -46,56 +47,58 @@
         self.in_flight = Gauge("wingwood_calls_in_flight", "Calls under way", registry=registry)
         self.connections = Gauge("wingwood_caller_connections", "Connections of callers", registry=registry)
 
-    def count(self, call: IncomingCall, answer: Answer, seconds: float) -> None:
+    def count(self, call: IncomingCall, result: CallResult, seconds: float) -> None:
         """Counts a call that ended ``seconds`` after it was received."""
-        service = "none" if call.service is None else str(call.service.name)
+        service = "none" if call.attributes.service is None else str(call.attributes.service.name)
         service_metrics = self._metrics_of(service)
-        outcome = outcome_name(answer)
-        self._labelled(self._outcome_counters, self._calls, service, outcome).inc()
+        self._labelled(self._outcome_counters, self._calls, service, outcome_name(result)).inc()
         service_metrics.total.observe(seconds)
-        if call.tries:
-            self._labelled(self._placed_counters, self._placed, service, call.placement_reason).inc()
-        if call.tries > 1:
-            service_metrics.tries.inc(call.tries - 1)
-        if call.first_token_after is not None:
-            service_metrics.first_token.observe(call.first_token_after)
-            service_metrics.chunks.inc(call.chunks)
-            service_metrics.tokens.inc(call.generated_tokens)
+        history, stats = call.history, call.stats
+        if history.attempts:
+            self._labelled(self._placed_counters, self._placed, service, history.placement_method).inc()
+        if history.attempts > 1:
+            service_metrics.retries.inc(history.attempts - 1)
+        if stats.first_chunk_after is not None:
+            service_metrics.first_chunk.observe(stats.first_chunk_after)
+            service_metrics.chunks.inc(stats.chunks)
+            service_metrics.tokens.inc(stats.generated_tokens)
 
     def _metrics_of(self, service: str) -> _ServiceMetrics:
         """Returns the service's metrics from a cache, because a look-up by labels costs more than counting."""
-        found = self._service_metrics.get(service)
-        if found is None:
-            found = self._service_metrics[service] = _ServiceMetrics(
+        metrics = self._service_metrics.get(service)
+        if metrics is None:
+            metrics = self._service_metrics[service] = _ServiceMetrics(
                 total=self._total.labels(service),
-                first_token=self._first_token.labels(service),
-                tries=self._tries.labels(service),
+                first_chunk=self._first_chunk.labels(service),
+                retries=self._retries.labels(service),
                 chunks=self._chunks.labels(service),
                 tokens=self._tokens.labels(service),
             )
-        return found
+        return metrics
 
     @staticmethod
-    def _labelled(known: dict[tuple[str, str], Counter], counter: Counter, service: str, label: str) -> Counter:
-        child = known.get((service, label))
+    def _labelled(cache: dict[tuple[str, str], Counter], counter: Counter, service: str, label: str) -> Counter:
+        child = cache.get((service, label))
         if child is None:
-            child = known[service, label] = counter.labels(service, label)
+            child = cache[service, label] = counter.labels(service, label)
         return child
 
 
 class _ServiceMetrics(msgspec.Struct, frozen=True):
+    """The metrics of one service."""
+
     total: Histogram
-    first_token: Histogram
-    tries: Counter
+    first_chunk: Histogram
+    retries: Counter
     chunks: Counter
     tokens: Counter
 
 
-def outcome_name(answer: Answer) -> str:
-    """Returns ``answered``, ``cut-`` and the reason of an abort, or the code of an answer made by the router."""
-    match answer:
+def outcome_name(result: CallResult) -> str:
+    """Returns ``answered``, ``cut-`` and the reason of an abort, or the code of a response made by the router."""
+    match result:
         case Forwarded():
             return "answered"
-        case Refused(code=code) | NotAnswered(code=code):
+        case Rejection(code=code) | AttemptFailure(code=code):
             return code
-    return f"cut-{answer.reason}"
+    return f"cut-{result.reason}"
--- a/wingwood/forward/policies/__init__.py
+++ b/wingwood/forward/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Policies of the request path, one in each module (docs/DESIGN.md section 12.4)."""
+"""The policies of the request path, one per module (docs/DESIGN.md section 12.4)."""
--- a/wingwood/forward/policies/at_most_once.py
+++ b/wingwood/forward/policies/at_most_once.py
@@ -2,19 +2,45 @@
 
 from __future__ import annotations
 
+from typing import Literal
+
 from ...context.protocols import Context
 from ...identifiers import Instant, Seconds, TenantName
 from ...ledger.protocols import AlreadyClaimed, CallKey, Ledger, Unreachable
+from ..calls import IncomingCall
 from ..formats import CallerFormat
-from ..limits import PathLimits
-from ..protocols import Answer, Forwarded, IncomingCall, Proceed, Refused, RunState
+from ..forward_options import LedgerOptions
+from ..protocols import Proceed
+from ..results import CallResult, Rejection, RunState
 
-_REFUSALS_BY_STATE: dict[str, tuple[str, RunState, Seconds | None]] = {
-    "running": ("the first call with this key is under way", "unknown", Seconds(1.0)),
-    "ran": ("the call with this key ran; its answer is not sent again", "ran", None),
-    "unknown": ("a call with this key may have run; it will not run again", "unknown", None),
+_KEY_MISSING = Rejection(
+    status=400,
+    code="idempotency-key-missing",
+    reason="calls of this service need one idempotency key of at most 200 plain characters",
+)
+_REJECTIONS_BY_STATE: dict[Literal["running", "ran", "unknown"], Rejection] = {
+    "running": Rejection(
+        status=409,
+        code="call-running",
+        reason="the first call with this key is under way",
+        run="unknown",
+        retry_after=Seconds(1.0),
+    ),
+    "ran": Rejection(
+        status=409,
+        code="call-ran",
+        reason="the call with this key ran; its answer is not sent again",
+        run="ran",
+    ),
+    "unknown": Rejection(
+        status=409,
+        code="call-unknown",
+        reason="a call with this key may have run; it will not run again",
+        run="unknown",
+    ),
 }
-_LEDGER_UNREACHABLE = Refused(
+"""Rejections of a call whose key was claimed before, by the state of the earlier call."""
+_LEDGER_UNREACHABLE = Rejection(
     status=503,
     code="ledger-unreachable",
     reason="the record of calls that may not be repeated can't be reached; this call was not sent",
@@ -31,55 +57,43 @@
 
     name = "at-most-once"
 
-    def __init__(self, context: Context, ledger: Ledger, limits: PathLimits, caller_format: CallerFormat) -> None:
+    def __init__(self, context: Context, ledger: Ledger, options: LedgerOptions, caller_format: CallerFormat) -> None:
         self._format = caller_format
         self._context = context
         self._ledger = ledger
-        self._limits = limits
+        self._options = options
         self._ledger_unreachable = False
-        """Whether the latest claim to end got no answer from the ledger."""
+        """Whether the latest claim to end got no reply from the ledger."""
         self._next_probe = Instant(0.0)
 
-    async def apply(self, call: IncomingCall, proceed: Proceed) -> Answer:
-        assert call.service is not None
+    async def apply(self, call: IncomingCall, proceed: Proceed) -> CallResult:
+        """Proceeds once the key is claimed, and reports the outcome of the call to the ledger when the call ends."""
         if call.service.repeatable or not call.service.idempotency_keys:
             return await proceed(call)
-        given = self._format.idempotency_key(call)
-        if given is None:
-            return Refused(
-                status=400,
-                code="idempotency-key-missing",
-                reason="calls of this service need one idempotency key of at most 200 plain characters",
-            )
-        key = CallKey(TenantName("") if call.tenant is None else call.tenant.name, call.service.name, given)
+        idempotency_key = self._format.idempotency_key(call.request)
+        if idempotency_key is None:
+            return _KEY_MISSING
+        key = CallKey(TenantName(call.tenant_name), call.service.name, idempotency_key)
         now = self._context.clock.monotonic()
         if self._ledger_unreachable and now < self._next_probe:
             return _LEDGER_UNREACHABLE
-        self._next_probe = Instant(now + self._limits.ledger_probe_interval)
-        timeout = self._limits.ledger_timeout_share * call.service.first_byte_patience
-        claim = await self._ledger.claim(key, Seconds(min(self._limits.ledger_timeout, timeout)))
+        self._next_probe = Instant(now + self._options.probe_interval)
+        timeout = self._options.claim_timeout_fraction * call.service.first_byte_patience
+        claim = await self._ledger.claim(key, Seconds(min(self._options.claim_timeout, timeout)))
         self._ledger_unreachable = isinstance(claim, Unreachable)
         match claim:
-            case AlreadyClaimed(known):
-                reason, run, retry_after = _REFUSALS_BY_STATE[known]
-                return Refused(status=409, code=f"call-{known}", reason=reason, run=run, retry_after=retry_after)
+            case AlreadyClaimed(state):
+                return _REJECTIONS_BY_STATE[state]
             case Unreachable():
                 return _LEDGER_UNREACHABLE
-        call.claimed = True
-        state: RunState = "unknown"
+        call.key_claimed = True
+        run: RunState = "unknown"
         try:
-            answer = await proceed(call)
-            state = run_state_of(call, answer)
-            return answer
+            result = await proceed(call)
+            run = call.run_state(result)
+            return result
         finally:
-            self._context.tasks.spawn("settle", self._settle(key, claim.ticket, state))
-
-    async def _settle(self, key: CallKey, ticket: str, state: RunState) -> None:
-        await self._ledger.settle(key, ticket, state)
-
+            self._context.tasks.spawn("report call outcome", self._report_outcome(key, claim.ticket, run))
 
-def run_state_of(call: IncomingCall, answer: Answer) -> RunState:
-    """Returns what is known after all tries about whether the call ran."""
-    if isinstance(answer, Forwarded):
-        return "ran"
-    return answer.run if answer.run != "not-run" else call.run
+    async def _report_outcome(self, key: CallKey, ticket: str, run: RunState) -> None:
+        await self._ledger.settle(key, ticket, run)
--- a/wingwood/forward/policies/draining.py
+++ b/wingwood/forward/policies/draining.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 from ...identifiers import Instant, Seconds
-from ..protocols import Answer, IncomingCall, Proceed, Refused
+from ..calls import IncomingCall
+from ..protocols import Proceed
+from ..results import CallResult, Rejection
 
-ROUTER_DRAINING = Refused(
+ROUTER_DRAINING = Rejection(
     status=503, code="router-draining", reason="this router is going down", retry_after=Seconds(0.1)
 )
 
@@ -19,10 +21,11 @@
         self._stops_at: Instant | None = None
 
     def accept_only_until(self, stops_at: Instant) -> None:
-        """Refuses calls with a later deadline than ``stops_at`` from now on."""
+        """Rejects calls with a later deadline than ``stops_at`` from now on."""
         self._stops_at = stops_at
 
-    async def apply(self, call: IncomingCall, proceed: Proceed) -> Answer:
-        if self._stops_at is not None and call.deadline > self._stops_at:
+    async def apply(self, call: IncomingCall, proceed: Proceed) -> CallResult:
+        """Ends a call with 503 that may still be in progress when the router stops."""
+        if self._stops_at is not None and call.attributes.deadline > self._stops_at:
             return ROUTER_DRAINING
         return await proceed(call)
--- a/wingwood/forward/policies/first_byte_deadline.py
+++ b/wingwood/forward/policies/first_byte_deadline.py
@@ -1,4 +1,4 @@
-"""A deadline for the first byte of each answer, however slow parts of the router are (docs/DESIGN.md section 12.4)."""
+"""A deadline for the first byte of each response, however slow parts of the router are (section 12.4)."""
 
 from __future__ import annotations
 
@@ -6,51 +6,53 @@
 
 from ...context.protocols import Context
 from ...identifiers import Instant
-from ..limits import PathLimits
-from ..protocols import Answer, IncomingCall, Proceed, RefusalSender, Refused
+from ..calls import IncomingCall
+from ..forward_options import DeadlineOptions, ForwardOptions
+from ..protocols import Proceed, RejectionSender
+from ..results import CallResult, Rejection
 
 
-def first_byte_deadline(call: IncomingCall, limits: PathLimits) -> Instant:
+def first_byte_deadline(call: IncomingCall, options: DeadlineOptions) -> Instant:
     """Returns by when a caller that was sent nothing must be answered."""
-    assert call.service is not None
-    if not limits.wait_limits_end_calls:
-        return call.deadline
-    return Instant(min(call.received_at + call.service.first_byte_patience - limits.answer_margin, call.deadline))
+    if not options.wait_timeouts_end_calls:
+        return call.attributes.deadline
+    first_byte_by = call.request.received_at + call.service.first_byte_patience - options.first_byte_margin
+    return Instant(min(first_byte_by, call.attributes.deadline))
 
 
 class FirstByteDeadlinePolicy:
     """Refuses a call whose first-byte deadline passes while shares, ledger or placement have not answered yet.
 
-    A try that is in progress checks the deadline itself. A refused call is sent to no worker afterwards: the
-    forwarding policy checks ``early_refusal`` right before the first byte.
+    An attempt that is in progress checks the deadline itself. A rejected call is sent to no worker afterwards:
+    ``early_rejection`` is checked right before the first byte.
     """
 
     name = "patience"
 
-    def __init__(self, context: Context, limits: PathLimits, answer: RefusalSender) -> None:
+    def __init__(self, context: Context, options: ForwardOptions, send_rejection: RejectionSender) -> None:
         self._context = context
-        self._limits = limits
-        self._answer = answer
+        self._options = options
+        self._send_rejection = send_rejection
 
-    async def apply(self, call: IncomingCall, proceed: Proceed) -> Answer:
-        assert call.service is not None
-        deadline = first_byte_deadline(call, self._limits)
+    async def apply(self, call: IncomingCall, proceed: Proceed) -> CallResult:
+        """Proceeds with a timer that sends the caller a 504 at the first-byte deadline."""
+        deadline = first_byte_deadline(call, self._options.deadline)
         now = self._context.clock.monotonic()
         timer = asyncio.get_running_loop().call_later(max(0.0, deadline - now), self._deadline_passed, call)
         try:
-            answer = await proceed(call)
+            result = await proceed(call)
         finally:
             timer.cancel()
-        return answer if call.early_refusal is None else call.early_refusal
+        return result if call.early_rejection is None else call.early_rejection
 
     def _deadline_passed(self, call: IncomingCall) -> None:
-        if call.attempt_in_progress or call.caller.started:
+        if call.attempt_in_progress() or call.response.started:
             return
-        call.early_refusal = Refused(
+        call.early_rejection = Rejection(
             status=504,
             code="patience-passed",
             reason="this router could not place the call within the callers' patience",
-            run=call.run,
-            retry_after=self._limits.retry_after,
+            run=call.history.run,
+            retry_after=self._options.retry.retry_after,
         )
-        self._context.tasks.spawn("give up", self._answer(call, call.early_refusal))
+        self._context.tasks.spawn("first-byte deadline", self._send_rejection(call, call.early_rejection))
--- a/wingwood/forward/policies/limits.py
+++ b/wingwood/forward/policies/paid_share.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 from ...limits.protocols import RetryBudget, Shares
-from ..protocols import Answer, IncomingCall, Proceed, Refused
+from ..calls import IncomingCall
+from ..protocols import Proceed
+from ..results import CallResult, Rejection
 
 
 class PaidSharePolicy:
@@ -18,13 +20,14 @@
         self._shares = shares
         self._retry_budget = retry_budget
 
-    async def apply(self, call: IncomingCall, proceed: Proceed) -> Answer:
-        assert call.service is not None
+    async def apply(self, call: IncomingCall, proceed: Proceed) -> CallResult:
+        """Charges the call to its tenant's paid share; a call beyond it ends with 429."""
         self._retry_budget.note_call(call.service)
-        refusal = None if call.tenant is None else await self._shares.take(call.tenant, call.quota_cost)
+        tenant = call.attributes.tenant
+        refusal = None if tenant is None else await self._shares.take(tenant, call.attributes.quota_cost)
         if refusal is None:
             return await proceed(call)
-        return Refused(
+        return Rejection(
             status=429,
             code="share-exceeded",
             reason="the tenant's paid share is used up",
--- a/wingwood/forward/policies/placement.py
+++ b/wingwood/forward/policies/placement.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from functools import partial
+from typing import Final
 
 from returns.result import Failure
 
@@ -10,11 +11,13 @@
 from ...limits.protocols import Admission
 from ...placement.protocols import Choice, Placement, Turn
 from ...registry.protocols import Registry
-from ..protocols import Answer, IncomingCall, NotAnswered, Proceed, Refused
+from ..calls import AttemptState, IncomingCall
+from ..protocols import Proceed
+from ..results import AttemptFailure, CallResult, Rejection
 
-_BYTES_PER_TOKEN = 4
+_BYTES_PER_TOKEN: Final = 4
 """For estimating the length of a prompt that the caller does not state."""
-_NO_WORKER = {
+_NO_WORKER_REASONS: Final = {
     "none-ready": "no worker of the service is ready",
     "all-full": "all workers of the service are full",
 }
@@ -31,45 +34,43 @@
         self._admission = admission
         self._turn_count = 0
 
-    async def apply(self, call: IncomingCall, proceed: Proceed) -> Answer:
+    async def apply(self, call: IncomingCall, proceed: Proceed) -> CallResult:
+        """Starts an attempt on the chosen worker, and reports to placement how it ended; 503 without a worker."""
         turn = call.turn or self._make_turn(call)
         call.turn = turn
-        chosen = await self._placement.choose(turn, call.excluded)
+        chosen = await self._placement.choose(turn, call.history.excluded_workers)
         if isinstance(chosen, Failure):
             no_worker = chosen.failure()
-            return Refused(
+            return Rejection(
                 status=503,
                 code=f"workers-{no_worker.reason}",
-                reason=_NO_WORKER[no_worker.reason],
-                run=call.run,
+                reason=_NO_WORKER_REASONS[no_worker.reason],
+                run=call.history.run,
                 retry_after=no_worker.retry_after,
             )
         choice: Choice = chosen.unwrap()
-        call.choice = choice
-        call.worker_outcome = "cancelled"
-        call.try_first_token_after = None
-        call.on_first_chunk = partial(self._placement.first_token_received, turn, choice)
-        tokens_before = call.generated_tokens
+        on_first_chunk = partial(self._placement.first_token_received, turn, choice)
+        attempt = call.attempt = AttemptState(choice=choice, on_first_chunk=on_first_chunk)
+        tokens_before = call.stats.generated_tokens
         try:
-            return await self._send(call, choice, proceed)
+            return await self._proceed(call, attempt, proceed)
         finally:
-            generated = call.generated_tokens - tokens_before
-            self._placement.finished(turn, choice, call.worker_outcome, generated, call.try_first_token_after)
+            generated = call.stats.generated_tokens - tokens_before
+            self._placement.finished(turn, choice, attempt.outcome, generated, attempt.first_chunk_after)
 
-    async def _send(self, call: IncomingCall, choice: Choice, proceed: Proceed) -> Answer:
-        assert call.service is not None
-        refusal = self._admission.refuse(call.service, choice.first_token)
+    async def _proceed(self, call: IncomingCall, attempt: AttemptState, proceed: Proceed) -> CallResult:
+        refusal = self._admission.refuse(call.service, attempt.choice.first_token)
         if refusal is not None:
-            return Refused(
+            return Rejection(
                 status=503,
                 code="too-late",
                 reason="the first token would come after the callers' patience",
-                run=call.run,
+                run=call.history.run,
                 retry_after=refusal.retry_after,
             )
-        if not await self._registry.confirm(choice.worker):
-            call.worker_outcome = "refused"
-            return NotAnswered(
+        if not await self._registry.confirm(attempt.choice.worker):
+            attempt.outcome = "refused"
+            return AttemptFailure(
                 code="worker-not-ready",
                 reason="the chosen worker takes no new turns",
                 run="not-run",
@@ -78,21 +79,21 @@
         return await proceed(call)
 
     def _make_turn(self, call: IncomingCall) -> Turn:
-        assert call.service is not None and call.bundle is not None
         self._turn_count += 1
-        tenant, prompt = call.tenant, call.prompt
+        attributes = call.attributes
+        tenant, prompt = attributes.tenant, attributes.prompt
         priority = None if tenant is None else call.bundle.classes.get(tenant.priority_class)
-        estimated = len(call.body) // _BYTES_PER_TOKEN
+        estimated = len(call.request.body) // _BYTES_PER_TOKEN
         return Turn(
             # Callers may use one id for several calls, so a counter makes it unique for placement.
-            request=RequestId(f"{call.request}#{self._turn_count}"),
+            request=RequestId(f"{call.request_id}#{self._turn_count}"),
             service=call.service,
-            tenant=TenantName("") if tenant is None else tenant.name,
+            tenant=TenantName(call.tenant_name),
             weight=1.0 if priority is None else priority.weight,
             prefix=prompt.prefix,
             prompt_tokens=estimated if prompt.prompt_tokens is None else prompt.prompt_tokens,
             parts=prompt.parts,
             generate_tokens=prompt.generate_tokens,
-            urgency=call.urgency,
-            deadline=call.deadline,
+            urgency=attributes.urgency,
+            deadline=attributes.deadline,
         )
--- a/wingwood/forward/policies/retry.py
+++ b/wingwood/forward/policies/retry.py
@@ -1,12 +1,16 @@
-"""Further tries on other workers (docs/DESIGN.md sections 12.4 and 14)."""
+"""Retries on other workers (docs/DESIGN.md sections 12.4 and 14)."""
 
 from __future__ import annotations
 
 import asyncio
 
 from ...limits.protocols import RetryBudget
-from ..limits import PathLimits
-from ..protocols import Aborted, Answer, IncomingCall, NotAnswered, Proceed, Refused
+from ..calls import IncomingCall
+from ..forward_options import RetryOptions
+from ..protocols import Proceed
+from ..results import Aborted, AttemptFailure, CallResult, Rejection
+
+_SERVICE_UNAVAILABLE = 503
 
 
 class RetryPolicy:
@@ -18,61 +22,68 @@
 
     name = "retry"
 
-    def __init__(self, budget: RetryBudget, limits: PathLimits) -> None:
+    def __init__(self, budget: RetryBudget, options: RetryOptions) -> None:
         self._budget = budget
-        self._limits = limits
+        self._options = options
 
-    async def apply(self, call: IncomingCall, proceed: Proceed) -> Answer:
-        tries_left = self._limits.max_tries
+    async def apply(self, call: IncomingCall, proceed: Proceed) -> CallResult:
+        """Proceeds until an attempt succeeds or no retry is allowed; no attempt failure leaves this policy."""
+        attempts_left = self._options.max_attempts
         while True:
-            answer = await proceed(call)
-            if not isinstance(answer, NotAnswered):
-                return answer
-            tries_left -= 1
-            if answer.exclude_worker and call.choice is not None:
-                call.excluded = (*call.excluded, call.choice.worker.instance)
-            if answer.run != "not-run":
-                call.run = answer.run
-            if call.caller.disconnected.is_set():
-                return Aborted("caller-gone", call.run)
-            if not tries_left or not answer.retryable or not self._may_try_again(call, answer):
-                return self._end(call, answer)
-            await asyncio.sleep(0)  # If the process stood still, disconnections of callers are noticed first.
-
-    def _end(self, call: IncomingCall, answer: NotAnswered) -> Answer:
-        if call.caller.started:
-            return Aborted(answer.code, call.run)
-        return Refused(
-            status=answer.status,
-            code=answer.code,
-            reason=answer.reason,
-            run=call.run,
-            retry_after=self._limits.retry_after if answer.status == 503 or call.run == "not-run" else None,
-        )
+            result = await proceed(call)
+            if not isinstance(result, AttemptFailure):
+                return result
+            attempts_left -= 1
+            self._record_failure(call, result)
+            if call.response.disconnected.is_set():
+                return Aborted("caller-gone", call.history.run)
+            if not attempts_left or not result.retryable or not self._may_retry(call, result):
+                return self._end(call, result)
+            await asyncio.sleep(0)  # After a pause of the process, disconnections of callers are noticed first.
 
     def reserve(self, call: IncomingCall) -> bool:
-        """Returns whether the current try may be given up for another one; if so, charges that one to the budget."""
-        if not self._repeatable(call) or call.tries >= self._limits.max_tries or call.retry_reserved:
+        """Returns whether the current attempt may be given up for a retry; if so, charges the retry to the budget."""
+        history = call.history
+        if not self._repeatable(call) or history.attempts >= self._options.max_attempts or history.retry_reserved:
             return False
-        assert call.service is not None
-        if call.possible_runs + 1 >= call.service.attempts:
+        if history.possible_runs + 1 >= call.service.attempts:
             return False
-        call.retry_reserved = self._budget.take(call.service)
-        return call.retry_reserved
+        history.retry_reserved = self._budget.take(call.service)
+        return history.retry_reserved
+
+    @staticmethod
+    def _record_failure(call: IncomingCall, failure: AttemptFailure) -> None:
+        history = call.history
+        if failure.exclude_worker and call.attempt is not None:
+            history.excluded_workers = (*history.excluded_workers, call.attempt.choice.worker.instance)
+        if failure.run != "not-run":
+            history.run = failure.run
+
+    def _end(self, call: IncomingCall, failure: AttemptFailure) -> CallResult:
+        run = call.history.run
+        if call.response.started:
+            return Aborted(failure.code, run)
+        may_try_later = failure.status == _SERVICE_UNAVAILABLE or run == "not-run"
+        return Rejection(
+            status=failure.status,
+            code=failure.code,
+            reason=failure.reason,
+            run=run,
+            retry_after=self._options.retry_after if may_try_later else None,
+        )
 
-    def _may_try_again(self, call: IncomingCall, answer: NotAnswered) -> bool:
-        if answer.run != "not-run" and not self._repeatable(call):
+    def _may_retry(self, call: IncomingCall, failure: AttemptFailure) -> bool:
+        if failure.run != "not-run" and not self._repeatable(call):
             return False
-        assert call.service is not None
-        if call.possible_runs >= call.service.attempts:
+        if call.history.possible_runs >= call.service.attempts:
             return False
-        if not answer.uses_retry_budget:
+        if not failure.uses_retry_budget:
             return True
-        if call.retry_reserved:
-            call.retry_reserved = False
+        if call.history.retry_reserved:
+            call.history.retry_reserved = False
             return True
         return self._budget.take(call.service)
 
     @staticmethod
     def _repeatable(call: IncomingCall) -> bool:
-        return call.service is not None and call.service.repeatable
+        return call.service.repeatable
--- a/wingwood/forward/recording.py
+++ b/wingwood/forward/recording.py
@@ -8,12 +8,13 @@
 import msgspec
 
 from ..context.protocols import Clock
+from .calls import IncomingCall
 from .metrics import outcome_name
-from .protocols import Answer, Forwarded, IncomingCall, Refused
+from .results import CallResult, Forwarded, Rejection
 
 
 class RecordedCall(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One recorded call, a line of the file."""
+    """One recorded call, a line of the file; the names of the fields are stored."""
 
     at: float
     """When the call was received, in seconds since the recording started."""
@@ -28,10 +29,10 @@
     outcome: str = ""
     status: int = 0
     worker: str = ""
-    how: str = ""
-    tries: int = 0
-    first_piece: float | None = None
-    """Seconds from the receipt of the call to the first chunk of its answer; None when no chunk was sent."""
+    placement_method: str = msgspec.field(name="how", default="")
+    attempts: int = msgspec.field(name="tries", default=0)
+    first_chunk: float | None = msgspec.field(name="first_piece", default=None)
+    """Seconds from the receipt of the call to the first chunk of its response; None when no chunk was sent."""
     total: float = 0.0
     """Seconds from the receipt of the call to its end."""
     tokens: int = 0
@@ -46,27 +47,27 @@
         self._write = write
         self._started_at = clock.monotonic()
 
-    def record(self, call: IncomingCall, answer: Answer) -> None:
+    def record(self, call: IncomingCall, result: CallResult) -> None:
         """Writes the line of a call that has ended."""
         now = self._clock.monotonic()
-        status = answer.status if isinstance(answer, Forwarded | Refused) else 0
+        request, history, stats = call.request, call.history, call.stats
         line = RecordedCall(
-            at=round(call.received_at - self._started_at, 4),
-            tenant="" if call.tenant is None else str(call.tenant.name),
-            service="" if call.service is None else str(call.service.name),
-            method=call.method,
-            path=call.path.partition("?")[0],
+            at=round(request.received_at - self._started_at, 4),
+            tenant=call.tenant_name,
+            service="" if call.attributes.service is None else str(call.attributes.service.name),
+            method=request.method,
+            path=request.path.partition("?")[0],
             prefix=tuple(_digest(part) for part in call.turn.prefix) if call.turn is not None else (),
-            body_bytes=len(call.body),
-            outcome=outcome_name(answer),
-            status=status,
-            worker="" if call.worker is None else str(call.worker),
-            how=call.placement_reason,
-            tries=call.tries,
-            first_piece=None if call.first_token_after is None else round(call.first_token_after, 4),
-            total=round(now - call.received_at, 4),
-            tokens=call.generated_tokens,
-            bytes_out=call.bytes_out,
+            body_bytes=len(request.body),
+            outcome=outcome_name(result),
+            status=result.status if isinstance(result, Forwarded | Rejection) else 0,
+            worker="" if history.worker is None else str(history.worker),
+            placement_method=history.placement_method,
+            attempts=history.attempts,
+            first_chunk=None if stats.first_chunk_after is None else round(stats.first_chunk_after, 4),
+            total=round(now - request.received_at, 4),
+            tokens=stats.generated_tokens,
+            bytes_out=stats.body_bytes,
         )
         self._write(msgspec.json.encode(line) + b"\n")
 
--- a/wingwood/forward/tests/fakes.py
+++ b/wingwood/forward/tests/fakes.py
@@ -43,7 +43,7 @@
 from ...registry.protocols import Worker
 from ...settings.model import DaemonSettings
 from ..formats import Formats
-from ..limits import PathLimits
+from ..forward_options import ForwardOptions
 from ..metrics import RequestMetrics
 from ..recording import CallRecorder
 from ..request_path import DEFAULT_FORMATS, RequestPath
@@ -416,7 +416,7 @@
     def __init__(
         self,
         world: World,
-        limits: PathLimits | None = None,
+        options: ForwardOptions | None = None,
         stop_within: float = 5.0,
         formats: Formats = DEFAULT_FORMATS,
     ) -> None:
@@ -429,7 +429,7 @@
         self.recorded: list[bytes] = []
         self.metrics = CollectorRegistry()
         self.path: RequestPath
-        self._path_limits = limits
+        self._options = options
         self._formats = formats
         self._stop_within = Seconds(stop_within)
         self.router = world.start("router", self._main)
@@ -460,7 +460,7 @@
             self.placement,
             self.limits,
             RequestMetrics(self.metrics),
-            limits=self._path_limits,
+            options=self._options,
             recorder=CallRecorder(context.clock, self.recorded.append),
             formats=self._formats,
             outcomes=self.outcomes,
--- a/wingwood/forward/tests/test_caller_edge.py
+++ b/wingwood/forward/tests/test_caller_edge.py
@@ -16,7 +16,7 @@
 
 from ...identifiers import Seconds, ServiceName
 from ...limits.protocols import ShareRefused
-from ..limits import PathLimits
+from ..forward_options import CallerOptions, ForwardOptions, RequestLimits
 from .fakes import (
     CHUNKED,
     KEY,
@@ -36,16 +36,23 @@
 )
 
 FORBIDDEN = msgspec.structs.replace(PLAIN, name=ServiceName("forbidden"))
-SMALL = PathLimits(head_bytes=2048, body_bytes=10_000, max_held_body_bytes=25_000, max_in_flight=8, max_connections=20)
+SMALL = ForwardOptions(
+    caller=CallerOptions(
+        request_limits=RequestLimits(head_bytes=2048, body_bytes=10_000),
+        max_buffered_body_bytes=25_000,
+        max_connections=20,
+    ),
+    max_in_flight=8,
+)
 
 
 class EdgeCase(unittest.TestCase):
-    limits = SMALL
+    options = SMALL
 
     def setUp(self) -> None:
         self.world = World(seed=12).__enter__()
         self.addCleanup(self.world.close)
-        self.path = PathWorld(self.world, self.limits)
+        self.path = PathWorld(self.world, self.options)
         self.worker: ScriptedWorker = self.path.worker("w1", responds(b"answer"))
 
     def tearDown(self) -> None:
@@ -130,11 +137,11 @@
         for _ in range(100):
             drip += [b"X: y\r\n", 1.0]
         seconds = self.refused("too-slow", 408, *drip)
-        self.assertAlmostEqual(seconds, SMALL.head_timeout, delta=0.1)
+        self.assertAlmostEqual(seconds, SMALL.caller.request_limits.head_timeout, delta=0.1)
         drip = [request(body=b"x" * 1000)[:-1000]]
         for _ in range(100):
             drip += [b"x", 1.0]
-        self.assertLess(self.refused("too-slow", 408, *drip), SMALL.body_timeout + 1)
+        self.assertLess(self.refused("too-slow", 408, *drip), SMALL.caller.body_timeout + 1)
 
     def test_connections_are_limited_and_idle_ones_are_closed(self) -> None:
         async def run() -> list[Caller]:
@@ -143,7 +150,7 @@
         callers = self.world.complete(run())
         self.world.run(0.1)
         self.assertEqual(self.exchange()[0].status, 503)
-        self.world.run(SMALL.idle_timeout)
+        self.world.run(SMALL.caller.request_limits.idle_timeout)
         self.assertTrue(all(caller.stream.closed() for caller in callers))
         self.assertEqual(self.path.call("/plain").status, 200)
 
@@ -264,7 +271,7 @@
             await asyncio.sleep(0.1)
 
         self.world.complete(run())
-        self.assertEqual((self.worker.connections, self.path.path._edge.held_body_bytes), (0, 0))
+        self.assertEqual((self.worker.connections, self.path.path._edge.state.buffered_body_bytes), (0, 0))
         self.assertEqual(self.path.path._edge.connections(), 0)
 
 
--- a/wingwood/forward/tests/test_forwarding.py
+++ b/wingwood/forward/tests/test_forwarding.py
@@ -16,7 +16,7 @@
 
 from ...identifiers import Seconds
 from ...ledger.protocols import Unreachable
-from ..limits import PathLimits
+from ..forward_options import AttemptOptions, ForwardOptions
 from .fakes import (
     CARDS,
     CHAT,
@@ -242,7 +242,7 @@
         self.assertEqual(self.path.placement.suspects, ["w1-1"])
 
 
-class FurtherTries(PathCase):
+class Retries(PathCase):
     """When a call is tried on a second worker, and when it must not be."""
 
     def call_with_two_workers(
@@ -258,7 +258,7 @@
         self.assertEqual([outcome for _, outcome, _ in self.path.placement.finishes], ["broken", "whole"])
         self.assertEqual(self.path.limits.budget, 9)
 
-    def test_no_try_without_budget(self) -> None:
+    def test_no_retry_without_budget(self) -> None:
         self.path.limits.budget = 0
         _, two, status, run = self.call_with_two_workers(sends())
         self.assertEqual((len(two.requests), status, run), (0, 502, "unknown"))
@@ -267,7 +267,7 @@
         _, _, status, by = self.call_with_two_workers(sends(CHUNKED, 0.02))
         self.assertEqual((status, by), (200, "w2-1"))
 
-    def test_no_further_try_once_the_caller_has_part_of_the_answer(self) -> None:
+    def test_no_retry_once_the_caller_has_part_of_the_answer(self) -> None:
         _, two, status, by = self.call_with_two_workers(sends(CHUNKED, chunk(EVENT)))
         self.assertEqual((status, by, len(two.requests)), (200, "w1-1", 0))
 
@@ -433,7 +433,7 @@
         client = PendingHttpClient()
         with World(seed=3) as world:
             world.http_client = lambda network, tasks: client
-            path = PathWorld(world, PathLimits(loop_stall=Seconds(stall)))
+            path = PathWorld(world, ForwardOptions(attempt=AttemptOptions(loop_stall_threshold=Seconds(stall))))
             path.bundle.bundle = bundle_of([msgspec.structs.replace(CHAT, **service)])
             path.worker("w1", sends())
             world.complete(path.send(request()))
@@ -441,7 +441,7 @@
             world.freeze("router")
             world.run(seconds)
             if disconnected:
-                next(iter(path.path._calls.values())).caller.disconnected.set()
+                next(iter(path.path._calls.values())).response.disconnected.set()
             world.loop.running_incarnation = path.router.incarnation
             try:
                 return client.exchanges[0].may_write()
--- a/wingwood/forward/tests/test_fuzzed_requests.py
+++ b/wingwood/forward/tests/test_fuzzed_requests.py
@@ -18,10 +18,17 @@
 from simulation import World
 
 from ..caller_connection import CallerConnection
-from ..limits import PathLimits
+from ..forward_options import CallerOptions, ForwardOptions, RequestLimits
 from .fakes import KEY, PathWorld, request, responds
 
-LIMITS = PathLimits(head_bytes=2048, body_bytes=10_000, max_held_body_bytes=25_000, max_in_flight=8, max_connections=20)
+OPTIONS = ForwardOptions(
+    caller=CallerOptions(
+        request_limits=RequestLimits(head_bytes=2048, body_bytes=10_000),
+        max_buffered_body_bytes=25_000,
+        max_connections=20,
+    ),
+    max_in_flight=8,
+)
 MAX_WAIT_SECONDS = 30.0
 """Time within which every connection that sends nothing more has been answered and closed."""
 
@@ -95,7 +102,7 @@
 def play(data: bytes, at: list[int]) -> tuple[list[bytes], list[bytes], list[str]]:
     """Returns the first lines of the answers, the bodies that the worker received, and uncaught exceptions."""
     with World(seed=31) as world:
-        path = PathWorld(world, LIMITS)
+        path = PathWorld(world, OPTIONS)
         worker = path.worker("w1", responds(b"ok"))
 
         async def run() -> bytes:
--- a/wingwood/forward/tests/test_fuzzed_streams.py
+++ b/wingwood/forward/tests/test_fuzzed_streams.py
@@ -9,8 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ..event_streams import BodyReader, MarkedStream, ResumableStream, UnmarkedStream
-from ..protocols import StreamProgress
+from ..calls import StreamProgress
+from ..event_streams import BodyReader, StreamWithEndMarker, StreamWithoutEndMarker
+from ..resumable_stream import ResumableStream
 
 MARKER = b"[DONE]"
 parts_of_streams = st.one_of(
@@ -67,7 +68,7 @@
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(streams, places)
     def test_streams_with_a_marker(self, data: bytes, at: list[int]) -> None:
-        passed, _, ended, _ = self.same(lambda: MarkedStream(MARKER), data, at)
+        passed, _, ended, _ = self.same(lambda: StreamWithEndMarker(MARKER), data, at)
         assert isinstance(passed, bytes)
         self.assertTrue(data.startswith(passed))
         self.assertTrue(ended or passed == data)
@@ -75,7 +76,7 @@
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(streams, places)
     def test_streams_without_a_marker(self, data: bytes, at: list[int]) -> None:
-        self.assertEqual(self.same(UnmarkedStream, data, at)[0], data)
+        self.assertEqual(self.same(StreamWithoutEndMarker, data, at)[0], data)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(streams, places, st.sampled_from([None, MARKER]), st.sampled_from([None, 1, 2]))
--- a/wingwood/forward/tests/test_paid_share.py
+++ b/wingwood/forward/tests/test_paid_share.py
@@ -7,13 +7,23 @@
 
 import asyncio
 import unittest
-from typing import Any
+from typing import Any, cast
 
 from ...bundle.model import Service, Tenant
-from ...identifiers import ClassName, PoolName, Seconds, ServiceName, TenantName
+from ...identifiers import (
+    Address,
+    ClassName,
+    Instant,
+    PoolName,
+    RequestId,
+    Seconds,
+    ServiceName,
+    TenantName,
+)
 from ...limits.protocols import ShareRefused
-from ..policies.limits import PaidSharePolicy
-from ..protocols import Answer, Forwarded, IncomingCall, Refused
+from ..calls import CallAttributes, CallerRequest, IncomingCall
+from ..policies.paid_share import PaidSharePolicy
+from ..results import CallResult, Forwarded, Rejection
 from .fakes import FakeLimits, FakeShares
 
 SERVICE = Service(name=ServiceName("chat"), pool=PoolName("model"))
@@ -21,21 +31,22 @@
 
 
 class PaidShareTest(unittest.TestCase):
-    def apply(self, limits: FakeLimits, **fields: Any) -> Answer:
+    def apply(self, limits: FakeLimits, **attributes: Any) -> CallResult:
         call = IncomingCall(
-            request="r1",  # type: ignore[arg-type]
-            method="POST",
-            path="/chat",
-            headers=(),
-            body=b"",
-            peer=None,  # type: ignore[arg-type]
-            received_at=0.0,  # type: ignore[arg-type]
-            caller=None,  # type: ignore[arg-type]
-            service=SERVICE,
-            **fields,
+            request_id=RequestId("r1"),
+            request=CallerRequest(
+                method="POST",
+                path="/chat",
+                headers=(),
+                body=b"",
+                peer=Address("10.0.0.9", 1),
+                received_at=Instant(0.0),
+            ),
+            response=cast(Any, None),
+            attributes=CallAttributes(service=SERVICE, **attributes),
         )
 
-        async def proceed(_: IncomingCall) -> Answer:
+        async def proceed(_: IncomingCall) -> CallResult:
             return Forwarded(200)
 
         return asyncio.run(PaidSharePolicy(FakeShares(limits), limits).apply(call, proceed))
@@ -55,6 +66,6 @@
         limits = FakeLimits()
         limits.share_refused = ShareRefused(Seconds(0.3))
         answer = self.apply(limits, tenant=TENANT, quota_cost=40_000)
-        assert isinstance(answer, Refused)
+        assert isinstance(answer, Rejection)
         self.assertEqual((answer.status, answer.run, answer.retry_after), (429, "not-run", 0.3))
         self.assertEqual(limits.earned_by, ["chat"])
--- a/wingwood/forward/tests/test_real_sockets.py
+++ b/wingwood/forward/tests/test_real_sockets.py
@@ -212,7 +212,7 @@
         async with asyncio.timeout(5):
             reader, _ = await self.send(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
             await reader.readuntil(EVENT)
-            next(iter(self.path._calls.values())).caller.abort()
+            next(iter(self.path._calls.values())).response.abort()
             with self.assertRaises(ConnectionResetError):
                 await reader.read()
 
--- a/wingwood/forward/tests/test_starting.py
+++ b/wingwood/forward/tests/test_starting.py
@@ -13,14 +13,14 @@
 
 from ...identifiers import Seconds
 from ..caller_format import DefaultCallerFormat
+from ..calls import CallerRequest
 from ..formats import CallerFormat, Formats
-from ..limits import PathLimits
+from ..forward_options import ForwardOptions
 from ..policies.starting import SERVING_RESERVE_SECONDS, STARTUP_SECONDS
-from ..protocols import IncomingCall
 from ..worker_format import DefaultWorkerFormat
 from .fakes import Caller, PathWorld, Reply, request, responds
 
-WAIT = PathLimits().startup_wait
+WAIT = ForwardOptions().startup_wait
 
 
 class CallersWithTimeout(DefaultCallerFormat):
@@ -29,7 +29,7 @@
     def __init__(self, timeout: Seconds) -> None:
         self._timeout = timeout
 
-    def caller_timeout(self, call: IncomingCall) -> Seconds | None:
+    def caller_timeout(self, request: CallerRequest) -> Seconds | None:
         return self._timeout
 
 
@@ -39,7 +39,7 @@
         world = World(seed=21).__enter__()
         self.addCleanup(world.close)
         formats = Formats(caller=caller_format or DefaultCallerFormat(), worker=DefaultWorkerFormat())
-        path = PathWorld(world, PathLimits(), formats=formats)
+        path = PathWorld(world, ForwardOptions(), formats=formats)
         path.bundle.serving = False
         path.worker("w1", responds(b"answer"))
         return path
--- a/wingwood/forward/tests/test_unreachable_ledger.py
+++ b/wingwood/forward/tests/test_unreachable_ledger.py
@@ -16,9 +16,10 @@
 from ...identifiers import Address, Instant, RequestId, Seconds
 from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
 from ..caller_format import DefaultCallerFormat
-from ..limits import PathLimits
+from ..calls import CallAttributes, CallerRequest, IncomingCall
+from ..forward_options import LedgerOptions
 from ..policies.at_most_once import AtMostOncePolicy
-from ..protocols import Answer, Forwarded, IncomingCall, Refused
+from ..results import CallResult, Forwarded, Rejection
 from .fakes import CARDS, bundle_of
 
 SHORT_WAIT = msgspec.structs.replace(CARDS, first_byte_patience=Seconds(2.0))
@@ -46,12 +47,12 @@
 class UnreachableLedgerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.world = self.enterContext(World(1))
-        self.answers: list[tuple[float, Answer]] = []
+        self.answers: list[tuple[float, CallResult]] = []
 
         async def main(context: Context) -> None:
             self.context = context
             self.ledger = UnreachableLedger(context)
-            self.policy = AtMostOncePolicy(context, cast(Any, self.ledger), PathLimits(), DefaultCallerFormat())
+            self.policy = AtMostOncePolicy(context, cast(Any, self.ledger), LedgerOptions(), DefaultCallerFormat())
 
         self.world.start("r1", main)
         self.world.run(0.01)
@@ -65,19 +66,20 @@
         async def run() -> None:
             now = self.context.clock.monotonic()
             call = IncomingCall(
-                request=RequestId(key),
-                method="POST",
-                path="/cards",
-                headers=(("Idempotency-Key", key),),
-                body=b"{}",
-                peer=Address("10.0.0.9", 1),
-                received_at=Instant(now),
-                caller=cast(Any, None),
-                service=SHORT_WAIT,
-                tenant=next(iter(bundle_of().tenants.values())),
+                request_id=RequestId(key),
+                request=CallerRequest(
+                    method="POST",
+                    path="/cards",
+                    headers=(("Idempotency-Key", key),),
+                    body=b"{}",
+                    peer=Address("10.0.0.9", 1),
+                    received_at=Instant(now),
+                ),
+                response=cast(Any, None),
+                attributes=CallAttributes(service=SHORT_WAIT, tenant=next(iter(bundle_of().tenants.values()))),
             )
 
-            async def proceed(_: IncomingCall) -> Answer:
+            async def proceed(_: IncomingCall) -> CallResult:
                 return Forwarded(200)
 
             answer = await self.policy.apply(call, proceed)
@@ -89,7 +91,7 @@
         self.call()
         self.world.run(2.1)
         waited, answer = self.answers.pop()
-        assert isinstance(answer, Refused)
+        assert isinstance(answer, Rejection)
         self.assertEqual(answer.code, "ledger-unreachable")
         self.assertLess(waited, 1.6)
         for _ in range(40):
@@ -99,7 +101,7 @@
         self.assertEqual(len(self.answers), 40)
         at_once = [waited for waited, _ in self.answers if waited < 0.01]
         self.assertGreater(len(at_once), 30, "only probes wait for the ledger")
-        self.assertTrue(all(isinstance(each, Refused) and each.retry_after for _, each in self.answers))
+        self.assertTrue(all(isinstance(each, Rejection) and each.retry_after for _, each in self.answers))
 
     def test_calls_are_served_soon_after_the_ledger_is_reachable_again(self) -> None:
         self.call()
--- a/wingwood/forward/timed_connection.py
+++ b/wingwood/forward/timed_connection.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 _IDLE_GRACE_SECONDS: Final = 0.05
-"""How much longer the connection stays open, for a call that arrived just when the idle timeout expired."""
+"""How much longer the connection stays open, for a request that arrived just when the idle timeout expired."""
 
 
 class TimedConnection(ABC):
@@ -16,9 +16,9 @@
 
     def __init__(self) -> None:
         self.idle = True
-        """Whether no call is being read or answered."""
-        self.shut = False
-        """Whether no more input is used and nothing more is written, except for a refusal."""
+        """Whether no request is being read or answered."""
+        self.closing = False
+        """Whether no more input is used and nothing more is written, except for a rejection."""
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._phase_end: float | None = None
@@ -27,24 +27,25 @@
 
     @abstractmethod
     def idle_timeout(self) -> float:
-        """Returns how many seconds the connection may be idle between two calls, as configured now."""
+        """Returns how many seconds the connection may be idle between two requests, as configured now."""
 
     @abstractmethod
     def phase_timed_out(self, waiting_for: str) -> None:
         """Called when reading ``waiting_for`` took longer than its timeout."""
 
     @abstractmethod
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the connection at once."""
 
     def start_phase_timeout(self, seconds: float | None, waiting_for: str | None) -> None:
         """Ends the connection if the phase takes longer than ``seconds``; None sets no timeout.
 
-        When ``waiting_for`` is None the connection is closed without an answer, else ``phase_timed_out`` is called.
-        A timer of an earlier phase is not replaced if it expires first; it then checks the new phase. So most calls
+        When ``waiting_for`` is None the connection is closed without a response, else ``phase_timed_out`` is called.
+        A timer of an earlier phase is not replaced if it expires first; it then checks the new phase. So most requests
         need no timer of their own.
         """
         self._waiting_for = waiting_for
-        if seconds is None or self.shut:
+        if seconds is None or self.closing:
             self._phase_end = None
             return
         self._phase_start = self._loop.time()
@@ -54,6 +55,7 @@
             self._timer = self._loop.call_at(self._phase_end, self._timeout_expired)
 
     def cancel_timeout(self) -> None:
+        """Cancels the timeout of the phase, or the callback of ``run_later``."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/wingwood/forward/turn_report.py
+++ b/wingwood/forward/worker_outcome_reporter.py
@@ -1,4 +1,4 @@
-"""Reports of one try about its worker to the registry (docs/DESIGN.md sections 10.6 and 12.5)."""
+"""Reports about the worker of one attempt to the registry (docs/DESIGN.md sections 10.6 and 12.5)."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from ..registry.protocols import CallOutcomes, Registry
 
 
-class TurnReport:
-    """Reports one turn at one worker: ``begin``, then its outcome; ``ended`` reports it as abandoned if there was none.
+class WorkerOutcomeReporter:
+    """Reports how one attempt went: ``begin``, then its outcomes, then ``ended``; owns what was reported already.
 
     Without ``outcomes`` only the suspicion that a worker is unreachable is reported.
     """
@@ -21,29 +21,29 @@
         self._failed = False
 
     def begin(self) -> bool:
-        """Returns whether the turn may be sent to the worker now."""
+        """Returns whether the call may be sent to the worker now."""
         self._started = self._outcomes is None or self._outcomes.begin(self._instance)
         return self._started
 
     def succeeded(self) -> None:
-        """Reports that the worker answers properly; only the first outcome of a turn is reported."""
+        """Reports that the worker responds properly; only the first outcome of an attempt is reported."""
         if not self._reported and self._outcomes is not None:
             self._outcomes.succeeded(self._instance)
         self._reported = True
 
     def failed(self) -> None:
-        """Reports a failure of the worker once, even after a success: an answer that started well may still break."""
+        """Reports a failure of the worker once, even after a success: a response that started well may still break."""
         if not self._failed and self._outcomes is not None:
             self._outcomes.failed(self._instance)
         self._reported = self._failed = True
 
     def unresponsive(self) -> None:
-        """Reports that the worker could not be connected to, or was silent for too long."""
+        """Reports that the worker could not be connected to, or sent nothing for too long."""
         self._registry.suspect(self._instance)
         self._reported = self._failed = True
 
     def misplaced(self) -> None:
-        """Reports that another instance answered at the worker's address."""
+        """Reports that another instance responded at the worker's address."""
         if self._outcomes is not None:
             self._outcomes.misplaced(self._instance)
         else:
@@ -51,7 +51,7 @@
         self._reported = True
 
     def ended(self) -> None:
-        """Reports a turn that was started and ended without any outcome as abandoned."""
+        """Reports an attempt that was started and ended without any outcome as abandoned."""
         if self._started and not self._reported and self._outcomes is not None:
             self._outcomes.abandoned(self._instance)
         self._reported = True
--- a/wingwood/forward/worker_requests.py
+++ b/wingwood/forward/worker_requests.py
@@ -6,10 +6,11 @@
 
 from ..context.protocols import HttpRequest
 from ..registry.protocols import Worker
+from .calls import IncomingCall
 from .http_headers import end_to_end
-from .protocols import IncomingCall
 
 Header = tuple[str, str]
+"""Name and value."""
 
 
 def request_to_worker(
@@ -20,7 +21,7 @@
     last_event: str,
     echo: Header | None = None,
 ) -> HttpRequest:
-    """Builds the request that sends the caller's call to a worker.
+    """Builds the request that sends a call to a worker.
 
     ``router_headers`` are added, and the caller's headers named in ``replaced_headers`` (lower case) are left out.
     A stream that is resumed names the last event that its caller has in the header ``last_event``.
@@ -31,10 +32,10 @@
         added.append((last_event, str(call.progress.last_event)))
         dropped = replaced_headers | {last_event.lower()}
     return HttpRequest(
-        method=call.method,
+        method=call.request.method,
         address=worker.address,
-        path=call.path,
-        headers=(*end_to_end(call.headers, dropped), *added),
-        body=call.body,
+        path=call.request.path,
+        headers=(*end_to_end(call.request.headers, dropped), *added),
+        body=call.request.body,
         echo=echo,
     )
--- a/wingwood/replay/player.py
+++ b/wingwood/replay/player.py
@@ -133,8 +133,8 @@
             service.outcomes[outcome] = service.outcomes.get(outcome, 0) + 1
             recorded = day_call.call.outcome or "?"
             service.recorded_outcomes[recorded] = service.recorded_outcomes.get(recorded, 0) + 1
-            if day_call.call.prefix and day_call.call.how:
-                award = day_call.call.how
+            if day_call.call.prefix and day_call.call.placement_method:
+                award = day_call.call.placement_method
                 service.recorded_awards[award] = service.recorded_awards.get(award, 0) + 1
         finally:
             self._call_slots.release()
--- a/wingwood/tests/outer_names.py
+++ b/wingwood/tests/outer_names.py
@@ -157,7 +157,7 @@
     "shown bundle": "wingwood.operator_api.reading:BundleDocument",
     "health": "wingwood.operator_api.reading:HealthReport",
     "newest edition": "wingwood.operator_api.editions:LatestEdition",
-    "refusal of a router": "wingwood.forward.caller_format:RouterAnswer",
+    "refusal of a router": "wingwood.forward.caller_format:RouterResponseBody",
     "recorded call": "wingwood.forward.recording:RecordedCall",
     "recorded day's start": "wingwood.replay.day:DayStart",
     "day call": "wingwood.replay.day:DayCall",
