--- a/wingwood/forward/call_log.py
+++ b/wingwood/forward/call_log.py
@@ -40,7 +40,7 @@
             self._write_event(call, result, total)
 
     def _write_event(self, call: IncomingCall, result: CallResult, total: float) -> None:
-        """Writes the event ``call``, whose fields other programs read; ``-`` stands for an unknown value."""
+        """Writes the event ``call``; ``-`` stands for an unknown value."""
         attributes, history, first = call.attributes, call.history, call.stats.first_chunk_after
         self._context.log.event(
             "call",
@@ -48,14 +48,14 @@
             tenant="-" if attributes.tenant is None else attributes.tenant.name,
             service="-" if attributes.service is None else attributes.service.name,
             worker=history.worker or "-",
-            how=history.placement_method or "-",
-            tries=history.attempts,
+            placement=history.placement_method or "-",
+            attempts=history.attempts,
             status=result.status if isinstance(result, Forwarded | Rejection) else 0,
             outcome=outcome_name(result),
             run=self._run_state(call, result),
-            first_ms="-" if first is None else round(first * _MILLISECONDS_PER_SECOND, 1),
+            first_chunk_ms="-" if first is None else round(first * _MILLISECONDS_PER_SECOND, 1),
             total_ms=round(total * _MILLISECONDS_PER_SECOND, 1),
-            pieces=call.stats.chunks,
+            chunks=call.stats.chunks,
         )
 
     def _run_state(self, call: IncomingCall, result: CallResult) -> RunState:
--- a/wingwood/forward/caller_connection.py
+++ b/wingwood/forward/caller_connection.py
@@ -216,7 +216,7 @@
         rendered = self.edge.format.router_response(rejection, RequestId(""), False)
         lines = [f"HTTP/1.1 {rendered.status} {reason_phrase(rendered.status)}", "Connection: close"]
         lines += [f"{name}: {value}" for name, value in rendered.headers]
-        self.edge.context.log.event("request-refused", peer=self.peer, status=rendered.status, code=rejection.code)
+        self.edge.context.log.event("request-rejected", peer=self.peer, status=rendered.status, code=rejection.code)
         try:
             written = self._stream.write("\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + rendered.body)
             written.add_done_callback(lambda future: future.cancelled() or future.exception())
--- a/wingwood/forward/policies/at_most_once.py
+++ b/wingwood/forward/policies/at_most_once.py
@@ -51,8 +51,8 @@
 class AtMostOncePolicy:
     """Claims the idempotency key of a call that may not be repeated before the call is sent to a worker.
 
-    While the ledger is unreachable, one call in each half second asks it. The others are refused at once, because
-    waiting would only keep their callers from trying again later.
+    While the ledger is unreachable, one call in each half second asks it. The others are rejected at once, because
+    waiting would only keep their callers from retrying later.
     """
 
     name = "at-most-once"
--- a/wingwood/forward/policies/first_byte_deadline.py
+++ b/wingwood/forward/policies/first_byte_deadline.py
@@ -21,7 +21,7 @@
 
 
 class FirstByteDeadlinePolicy:
-    """Refuses a call whose first-byte deadline passes while shares, ledger or placement have not answered yet.
+    """Rejects a call whose first-byte deadline passes while shares, ledger or placement have not replied yet.
 
     An attempt that is in progress checks the deadline itself. A rejected call is sent to no worker afterwards:
     ``early_rejection`` is checked right before the first byte.
--- a/wingwood/forward/policies/forwarding.py
+++ b/wingwood/forward/policies/forwarding.py
@@ -31,7 +31,7 @@
 
 
 class ForwardingPolicy:
-    """Forwards the call, after a last check right before its first byte, and each chunk of the answer as it arrives."""
+    """Forwards the call, after a last check right before its first byte, and each chunk of the response at once."""
 
     name = "forwarding"
 
--- a/wingwood/forward/policies/paid_share.py
+++ b/wingwood/forward/policies/paid_share.py
@@ -9,7 +9,7 @@
 
 
 class PaidSharePolicy:
-    """Adds to the retry budget for each call, and refuses calls beyond their tenant's paid share.
+    """Adds to the retry budget for each call, and rejects calls beyond their tenant's paid share.
 
     Calls of routes that need no key have no tenant, and so no share to exceed.
     """
--- a/wingwood/forward/policies/placement.py
+++ b/wingwood/forward/policies/placement.py
@@ -24,7 +24,7 @@
 
 
 class PlacementPolicy:
-    """Chooses a worker, refuses calls whose first token would be late, and checks that the worker accepts turns."""
+    """Chooses a worker, rejects calls whose first token would be late, and checks that the worker accepts turns."""
 
     name = "placement"
 
--- a/wingwood/forward/policies/retry.py
+++ b/wingwood/forward/policies/retry.py
@@ -14,9 +14,9 @@
 
 
 class RetryPolicy:
-    """Tries another worker, within the budget, while the caller has nothing or a stream that can be resumed.
+    """Retries on another worker, within the budget, while the caller has nothing or a stream that can be resumed.
 
-    A call that may not be repeated is tried again only if it can not have run. The number of workers that run a call
+    A call that may not be repeated is retried only if it can not have run. The number of workers that run a call
     or have run it is limited by ``attempts`` of the service; workers that did not run it are not counted.
     """
 
--- a/wingwood/forward/request_path.py
+++ b/wingwood/forward/request_path.py
@@ -169,7 +169,7 @@
             return
         self._draining = True
         self._edge.close_after_responses()
-        self._context.log.event("draining", in_flight=len(self._calls))
+        self._context.log.event("drain-started", in_flight=len(self._calls))
         within = self._settings.stop_within
         stops_at = Instant(self._context.clock.monotonic() + within)
         phases = self._options.drain
@@ -201,7 +201,7 @@
 
     async def _abort_unfinished(self) -> None:
         """Rejects the calls whose callers have no response yet; nothing of them is sent to a worker after that."""
-        self._context.log.event("drain-too-long", broken_off=len(self._calls))
+        self._context.log.event("drain-timed-out", aborted_calls=len(self._calls))
         unanswered = [call for call in self._calls.values() if not call.response.started]
         for call in unanswered:
             call.early_rejection = call.early_rejection or _ROUTER_STOPPING
--- a/wingwood/forward/tests/fakes.py
+++ b/wingwood/forward/tests/fakes.py
@@ -77,7 +77,7 @@
 
 
 class FakeBundle(FixedBundle):
-    """A bundle in force that a test can replace, remove or make unproven (``serving``)."""
+    """A bundle in force that a test can replace, remove or make unconfirmed (``serving``)."""
 
     def __init__(self) -> None:
         super().__init__(bundle_of())
--- a/wingwood/forward/tests/test_caller_edge.py
+++ b/wingwood/forward/tests/test_caller_edge.py
@@ -1,4 +1,4 @@
-"""The caller edge: limits, refusals, connection reuse, draining (docs/DESIGN.md section 12.3).
+"""The caller edge: limits, rejections, connection reuse, draining (docs/DESIGN.md section 12.3).
 
 Guards against callers that exhaust the router (floods of headers, bodies or connections, slow senders), requests that
 are accepted without authentication, and calls that are lost without an answer when a router is full or drains.
@@ -81,8 +81,8 @@
 
         return self.world.complete(run())
 
-    def refused(self, code: str, status: int, *parts: bytes | float) -> float:
-        """Checks that the router refuses the parts and closes the connection; returns the time of the refusal."""
+    def assert_rejected(self, code: str, status: int, *parts: bytes | float) -> float:
+        """Checks that the router rejects the parts and closes the connection; returns the time of the rejection."""
         reply, seconds, stays = self.exchange(*parts)
         self.assertEqual((reply.status, reply.json()["code"], reply.json()["run"]), (status, code, "not-run"))
         self.assertEqual(reply.headers["wingwood-answer"], "router")
@@ -90,7 +90,7 @@
         return seconds
 
 
-class Refusals(EdgeCase):
+class Rejections(EdgeCase):
     def test_malformed_requests(self) -> None:
         for data in (
             b"nonsense\r\n\r\n",
@@ -106,29 +106,29 @@
             b"POST /chat HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcde\r\n",
         ):
             with self.subTest(data=data):
-                self.refused("malformed-request", 400, data)
+                self.assert_rejected("malformed-request", 400, data)
         self.assertEqual(self.worker.requests, [])
 
     def test_header_floods(self) -> None:
-        self.refused("headers-too-large", 431, b"POST /chat HTTP/1.1\r\n" + b"X: y\r\n" * 1000)
-        self.refused("headers-too-large", 431, b"POST /chat HTTP/1.1\r\nX: " + b"y" * 3000 + b"\r\n\r\n")
+        self.assert_rejected("headers-too-large", 431, b"POST /chat HTTP/1.1\r\n" + b"X: y\r\n" * 1000)
+        self.assert_rejected("headers-too-large", 431, b"POST /chat HTTP/1.1\r\nX: " + b"y" * 3000 + b"\r\n\r\n")
 
     def test_large_bodies(self) -> None:
-        self.refused("body-too-large", 413, request(body=b"x" * 10_001))
+        self.assert_rejected("body-too-large", 413, request(body=b"x" * 10_001))
         head = request(Content_Length="99999999999999999999")
-        self.refused("body-too-large", 413, head)
+        self.assert_rejected("body-too-large", 413, head)
         head = request(Content_Length="", Transfer_Encoding="chunked").removesuffix(b"{}")
-        self.refused("body-too-large", 413, head, *[chunk(b"x" * 1000)] * 11)
+        self.assert_rejected("body-too-large", 413, head, *[chunk(b"x" * 1000)] * 11)
         self.assertEqual(self.exchange(request("/plain", body=b"x" * 10_000))[0].status, 200)
 
-    def test_total_size_of_held_bodies_is_limited(self) -> None:
+    def test_total_size_of_buffered_bodies_is_limited(self) -> None:
         async def run() -> tuple[int, int]:
             callers = [await self.path.send(request("/plain", body=b"x" * 10_000)[:-1]) for _ in range(2)]
-            refused = await (await self.path.send(request("/plain", body=b"x" * 10_000))).reply()
+            rejected = await (await self.path.send(request("/plain", body=b"x" * 10_000))).reply()
             for caller in callers:
                 caller.send(b"x")
                 self.assertEqual((await caller.reply()).status, 200)
-            return refused.status, (await (await self.path.send(request("/plain", body=b"x" * 10_000))).reply()).status
+            return rejected.status, (await (await self.path.send(request("/plain", body=b"x" * 10_000))).reply()).status
 
         self.assertEqual(self.world.complete(run()), (503, 200))
 
@@ -136,12 +136,12 @@
         drip: list[bytes | float] = [b"POST /chat HTTP/1.1\r\n"]
         for _ in range(100):
             drip += [b"X: y\r\n", 1.0]
-        seconds = self.refused("too-slow", 408, *drip)
+        seconds = self.assert_rejected("too-slow", 408, *drip)
         self.assertAlmostEqual(seconds, SMALL.caller.request_limits.head_timeout, delta=0.1)
         drip = [request(body=b"x" * 1000)[:-1000]]
         for _ in range(100):
             drip += [b"x", 1.0]
-        self.assertLess(self.refused("too-slow", 408, *drip), SMALL.caller.body_timeout + 1)
+        self.assertLess(self.assert_rejected("too-slow", 408, *drip), SMALL.caller.body_timeout + 1)
 
     def test_connections_are_limited_and_idle_ones_are_closed(self) -> None:
         async def run() -> list[Caller]:
@@ -154,7 +154,7 @@
         self.assertTrue(all(caller.stream.closed() for caller in callers))
         self.assertEqual(self.path.call("/plain").status, 200)
 
-    def test_refusals_of_authentication(self) -> None:
+    def test_rejections_of_authentication(self) -> None:
         for code, status, data in (
             ("key-missing", 401, request(Authorization="")),
             ("key-missing", 401, request(Authorization="Basic abc")),
@@ -190,7 +190,7 @@
         self.assertEqual(self.path.call("/plain", b"{}", Idempotency_Key="k").json()["run"], "not-run")
         self.assertEqual(self.path.call("/chat").json()["run"], "not-run")
 
-    def test_call_with_a_late_predicted_first_token_is_refused(self) -> None:
+    def test_call_with_a_late_predicted_first_token_is_rejected(self) -> None:
         self.path.limits.too_late = ShareRefused(Seconds(1.0))
         reply = self.path.call()
         self.assertEqual((reply.status, reply.json()["code"]), (503, "too-late"))
@@ -257,10 +257,10 @@
         self.assertIsNone(self.worker.requests[0].header("Expect"))
 
     def test_request_ids(self) -> None:
-        given = [
+        request_ids = [
             self.path.call("/plain", b"{}", X_Request_Id=name).headers["x-request-id"] for name in ("r 1", "r" * 200)
         ]
-        self.assertTrue(all(len(name) == 16 for name in given))
+        self.assertTrue(all(len(name) == 16 for name in request_ids))
         self.assertEqual(self.path.call("/plain", b"{}", X_Request_Id="r-1").headers["x-request-id"], "r-1")
 
     def test_caller_disconnects_while_it_sends(self) -> None:
@@ -278,7 +278,7 @@
 class CrowdedRouter(EdgeCase):
     """One tenant's flood must not keep out the calls of others."""
 
-    def test_flooded_router_refuses_at_once_and_leaves_room_for_other_tenants(self) -> None:
+    def test_flooded_router_rejects_at_once_and_leaves_capacity_for_other_tenants(self) -> None:
         self.worker.script = sends(1.0, CHUNKED + chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
 
         async def run() -> tuple[list[int], list[int]]:
@@ -292,7 +292,7 @@
         self.assertEqual((flood.count(200), flood.count(503)), (6, 12))
         self.assertEqual(others, [200, 200])
 
-    def test_no_wait_before_a_refusal(self) -> None:
+    def test_no_wait_before_a_rejection(self) -> None:
         self.worker.script = sends(5.0, OK + b"Content-Length: 0\r\n\r\n")
 
         async def run() -> float:
@@ -309,7 +309,7 @@
 
 
 class LifeCycle(EdgeCase):
-    def test_drain_finishes_streams_and_refuses_new_calls(self) -> None:
+    def test_drain_finishes_streams_and_rejects_new_calls(self) -> None:
         self.worker.script = streams(30, pause=0.1)
 
         async def run() -> tuple[Reply, Reply, Reply, float]:
--- a/wingwood/forward/tests/test_forwarding.py
+++ b/wingwood/forward/tests/test_forwarding.py
@@ -1,7 +1,7 @@
 """Calls through the whole chain to workers that misbehave, in simulated time (docs/DESIGN.md section 12.5).
 
 Guards against truncated answers that look complete, calls that run twice or after their caller has disconnected,
-and callers that are left without an answer when a worker fails, is silent or disappears.
+and callers that are left without an answer when a worker fails, is unresponsive or disappears.
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
         self.assertEqual(self.path.placement.finishes, [("w1-1", "whole", 20)])
         self.assertEqual(self.path.placement.turns[0].prefix, ("a", "s1"))
         line = self.path.log_lines()[0]
-        self.assertEqual((line["status"], line["run"], line["tries"], line["how"]), (200, "ran", 1, "award"))
+        self.assertEqual((line["status"], line["run"], line["attempts"], line["placement"]), (200, "ran", 1, "award"))
 
     def test_errors_of_the_worker_are_passed_on(self) -> None:
         self.worker(responds(b'{"error": 1}', "500 Broken", "Content-Type: application/json", "X-Own: 1"))
@@ -155,10 +155,10 @@
             caller = await self.path.send(request("/plain"))
             await caller.stream.read_until(b"\r\n\r\n")
             await asyncio.sleep(5.0)
-            held = sum(sent)
+            sent_before_reading = sum(sent)
             total = len(await caller.stream.read_bytes(16777216))
             self.assertEqual(total, 16777216)
-            return held
+            return sent_before_reading
 
         self.assertLess(self.world.complete(run()), 2 * 1024 * 1024)
 
@@ -207,11 +207,11 @@
     def test_end_marker_without_the_last_chunk(self) -> None:
         self.assert_truncated(sends(CHUNKED, chunk(EVENT + DONE), 0.1))
 
-    def test_silence_after_the_end_marker(self) -> None:
+    def test_chunk_timeout_after_the_end_marker(self) -> None:
         self.assert_truncated(sends(CHUNKED, chunk(EVENT + DONE), keep_open=True))
         self.assertLess(self.world.now, 2.0)
 
-    def test_silence_after_the_first_chunk(self) -> None:
+    def test_chunk_timeout_after_the_first_chunk(self) -> None:
         self.assert_truncated(sends(CHUNKED, chunk(EVENT), keep_open=True))
         self.assertEqual(self.path.placement.suspects, ["w1-1"])
         self.assertAlmostEqual(self.world.now, CHAT.silence_patience, delta=0.5)
@@ -224,13 +224,13 @@
         self.assertAlmostEqual(self.world.now, 2.0, delta=0.2)
 
     def test_answer_whose_end_can_not_be_known_is_refused(self) -> None:
-        self.worker(sends(OK + b"\r\n", b"looks whole"))
+        self.worker(sends(OK + b"\r\n", b"looks complete"))
         reply = self.path.call("/plain")
         self.assertEqual(
             (reply.status, reply.json()["code"], reply.json()["run"]), (502, "answer-without-end", "unknown")
         )
 
-    def test_silent_worker_is_answered_for_before_the_wait_limit(self) -> None:
+    def test_unresponsive_worker_is_answered_for_before_the_first_byte_timeout(self) -> None:
         self.path.limits.budget = 0
         self.worker(sends(keep_open=True))
         reply = self.path.call()
@@ -271,7 +271,7 @@
         _, two, status, by = self.call_with_two_workers(sends(CHUNKED, chunk(EVENT)))
         self.assertEqual((status, by, len(two.requests)), (200, "w1-1", 0))
 
-    def test_silent_worker_is_given_up_while_there_is_time_for_another(self) -> None:
+    def test_unresponsive_worker_is_given_up_while_there_is_time_for_another(self) -> None:
         one, _, status, by = self.call_with_two_workers(sends(keep_open=True))
         self.assertEqual((status, by, len(one.requests)), (200, "w2-1", 1))
         self.assertLess(self.world.now, CHAT.first_byte_patience)
@@ -283,7 +283,7 @@
         self.worker(streams(3), "w2")
         self.assertEqual(self.path.call().status, 200)
         self.assertEqual((self.path.limits.budget, self.path.placement.suspects), (10, ["w1-1"]))
-        self.assertEqual(self.path.log_lines()[0]["tries"], 1)
+        self.assertEqual(self.path.log_lines()[0]["attempts"], 1)
 
     def test_worker_that_is_not_confirmed_is_not_used(self) -> None:
         self.path.placement.not_confirmed.add("w1-1")
@@ -371,15 +371,15 @@
                 self.assertFalse(caller.stream.closed())
 
 
-class FrozenRouters(PathCase):
-    """After a freeze, a router must not send a call that became invalid meanwhile.
+class PausedRouters(PathCase):
+    """After a pause of its process, a router must not send a call that became invalid meanwhile.
 
     The process stops between accepting the call and sending it. Until it runs again, the caller may have disconnected,
-    the deadline may have passed, and the key, the service or the proof of the bundle may have been lost.
+    the deadline may have passed, and the key, the service or the bundle may no longer be confirmed.
     """
 
-    def freeze_before_sending(self, seconds: float, disconnect: bool, meanwhile: object = None) -> ScriptedWorker:
-        """Freezes the router for so long while a call waits for its share; ``meanwhile`` runs in the freeze."""
+    def pause_before_sending(self, seconds: float, disconnect: bool, meanwhile: object = None) -> ScriptedWorker:
+        """Pauses the router for so long while a call waits for its share; ``meanwhile`` runs in the pause."""
         self.path.limits.delay = Seconds(0.2)
         worker = self.worker(streams(3))
 
@@ -399,37 +399,37 @@
         self.world.run(2.0)
         return worker
 
-    def test_call_is_sent_after_a_short_freeze(self) -> None:
-        self.assertEqual(len(self.freeze_before_sending(0.5, disconnect=False).requests), 1)
+    def test_call_is_sent_after_a_short_pause(self) -> None:
+        self.assertEqual(len(self.pause_before_sending(0.5, disconnect=False).requests), 1)
 
     def test_caller_disconnected(self) -> None:
-        self.assertEqual(self.freeze_before_sending(0.5, disconnect=True).requests, [])
+        self.assertEqual(self.pause_before_sending(0.5, disconnect=True).requests, [])
 
-    def test_wait_limit_passed(self) -> None:
-        self.assertEqual(self.freeze_before_sending(CHAT.first_byte_patience + 1, disconnect=False).requests, [])
+    def test_first_byte_timeout_passed(self) -> None:
+        self.assertEqual(self.pause_before_sending(CHAT.first_byte_patience + 1, disconnect=False).requests, [])
         self.assertEqual(self.path.log_lines()[0]["run"], "not-run")
 
     def test_key_removed(self) -> None:
         def remove() -> None:
             self.path.bundle.bundle = bundle_of(keys=())
 
-        self.assertEqual(self.freeze_before_sending(0.5, disconnect=False, meanwhile=remove).requests, [])
+        self.assertEqual(self.pause_before_sending(0.5, disconnect=False, meanwhile=remove).requests, [])
         self.assertEqual(self.path.log_lines()[0]["outcome"], "key-unknown")
 
     def test_service_may_no_longer_be_repeated(self) -> None:
         def change() -> None:
             self.path.bundle.bundle = bundle_of([msgspec.structs.replace(CHAT, repeatable=False)])
 
-        self.assertEqual(self.freeze_before_sending(0.5, disconnect=False, meanwhile=change).requests, [])
+        self.assertEqual(self.pause_before_sending(0.5, disconnect=False, meanwhile=change).requests, [])
 
-    def test_proof_of_the_bundle_lost(self) -> None:
+    def test_bundle_no_longer_confirmed(self) -> None:
         def lose() -> None:
             self.path.bundle.serving = False
 
-        self.assertEqual(self.freeze_before_sending(0.5, disconnect=False, meanwhile=lose).requests, [])
+        self.assertEqual(self.pause_before_sending(0.5, disconnect=False, meanwhile=lose).requests, [])
 
     def may_write_after(self, seconds: float, stall: float, disconnected: bool = False, **service: object) -> bool:
-        """Returns what the last check before sending says right after a freeze, before the event loop has run."""
+        """Returns what the last check before sending says right after a pause, before the event loop has run."""
         client = PendingHttpClient()
         with World(seed=3) as world:
             world.http_client = lambda network, tasks: client
@@ -450,13 +450,13 @@
 
     def test_last_check_before_the_first_byte(self) -> None:
         self.assertTrue(self.may_write_after(0.05, stall=0.1))
-        self.assertFalse(self.may_write_after(0.2, stall=0.1), "disconnections during the freeze are not known yet")
+        self.assertFalse(self.may_write_after(0.2, stall=0.1), "disconnections during the pause are not known yet")
         self.assertTrue(self.may_write_after(3.0, stall=100.0))
-        self.assertFalse(self.may_write_after(4.0, stall=100.0), "the service's wait limit has passed")
+        self.assertFalse(self.may_write_after(4.0, stall=100.0), "the service's first-byte timeout has passed")
         self.assertFalse(self.may_write_after(3.0, stall=100.0, deadline=2.0))
         self.assertFalse(self.may_write_after(0.05, stall=100.0, disconnected=True))
 
-    def test_call_during_a_freeze_is_sent_after_it(self) -> None:
+    def test_call_during_a_pause_is_sent_after_it(self) -> None:
         worker = self.worker(streams(3))
         callers: list[Caller] = []
         for step in range(20):
--- a/wingwood/forward/tests/test_fuzzed_requests.py
+++ b/wingwood/forward/tests/test_fuzzed_requests.py
@@ -90,7 +90,7 @@
     bodies,
 )
 sent = st.lists(requests, min_size=1, max_size=2).map(b"".join)
-places = st.lists(st.integers(0, 600), max_size=5)
+split_offsets = st.lists(st.integers(0, 600), max_size=5)
 """Offsets at which the data is split; taken modulo its length."""
 
 
@@ -136,11 +136,11 @@
 
 class FuzzedRequests(unittest.TestCase):
     @settings(max_examples=40, deadline=None, derandomize=True)
-    @given(sent, places)
+    @given(sent, split_offsets)
     def test_splits_make_no_difference_and_nothing_escapes(self, data: bytes, at: list[int]) -> None:
-        split, whole = play(data, at), play(data, [])
+        split, unsplit = play(data, at), play(data, [])
         self.assertEqual(split[2], [])
-        self.assertEqual(split, whole)
+        self.assertEqual(split, unsplit)
 
     def test_check_finds_an_edge_that_seeks_the_end_of_a_head_in_new_bytes_only(self) -> None:
         """Such an edge misses an end that is split between two reads; it shows that the check above can fail."""
--- a/wingwood/forward/tests/test_fuzzed_streams.py
+++ b/wingwood/forward/tests/test_fuzzed_streams.py
@@ -41,7 +41,7 @@
     st.binary(max_size=6),
 )
 streams = st.lists(parts_of_streams, max_size=8).map(b"".join)
-places = st.lists(st.integers(0, 400), max_size=8)
+split_offsets = st.lists(st.integers(0, 400), max_size=8)
 """Offsets at which the data is split; taken modulo its length."""
 
 
@@ -53,20 +53,20 @@
 def read(reader: BodyReader, chunks: list[bytes]) -> tuple[object, ...]:
     """Returns what a caller gets of a body whose framing ends cleanly, and what the reader found in it."""
     passed = b"".join(reader.feed(chunk) for chunk in chunks if chunk)
-    whole = [reader.is_complete("close"), reader.is_complete("chunked")]
-    return passed + reader.remainder(), reader.events, reader.ended, whole
+    complete = [reader.is_complete("close"), reader.is_complete("chunked")]
+    return passed + reader.remainder(), reader.events, reader.ended, complete
 
 
 class FuzzedStreams(unittest.TestCase):
     def same(self, make: Callable[[], BodyReader], data: bytes, at: list[int]) -> tuple[object, ...]:
-        """Checks that split data, the whole and single bytes give the same result, and returns that."""
+        """Checks that split data, unsplit data and single bytes give the same result, and returns that."""
         found = read(make(), split_at(data, at))
         self.assertEqual(found, read(make(), [data] if data else []))
         self.assertEqual(found, read(make(), [data[offset : offset + 1] for offset in range(len(data))]))
         return found
 
     @settings(max_examples=300, deadline=None, derandomize=True)
-    @given(streams, places)
+    @given(streams, split_offsets)
     def test_streams_with_a_marker(self, data: bytes, at: list[int]) -> None:
         passed, _, ended, _ = self.same(lambda: StreamWithEndMarker(MARKER), data, at)
         assert isinstance(passed, bytes)
@@ -74,12 +74,12 @@
         self.assertTrue(ended or passed == data)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
-    @given(streams, places)
+    @given(streams, split_offsets)
     def test_streams_without_a_marker(self, data: bytes, at: list[int]) -> None:
         self.assertEqual(self.same(StreamWithoutEndMarker, data, at)[0], data)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
-    @given(streams, places, st.sampled_from([None, MARKER]), st.sampled_from([None, 1, 2]))
+    @given(streams, split_offsets, st.sampled_from([None, MARKER]), st.sampled_from([None, 1, 2]))
     def test_streams_that_can_be_continued(
         self, data: bytes, at: list[int], marker: bytes | None, last: int | None
     ) -> None:
--- a/wingwood/forward/tests/test_starting.py
+++ b/wingwood/forward/tests/test_starting.py
@@ -35,7 +35,7 @@
 
 class StartingTest(unittest.TestCase):
     def start(self, caller_format: CallerFormat | None = None) -> PathWorld:
-        """Starts a router whose bundle is not proven, and a worker that answers."""
+        """Starts a router whose bundle is not confirmed, and a worker that answers."""
         world = World(seed=21).__enter__()
         self.addCleanup(world.close)
         formats = Formats(caller=caller_format or DefaultCallerFormat(), worker=DefaultWorkerFormat())
@@ -58,7 +58,7 @@
 
         return world.complete(run())
 
-    def test_a_call_is_served_once_the_bundle_is_proven(self) -> None:
+    def test_a_call_is_served_once_the_bundle_is_confirmed(self) -> None:
         reply, seconds = self.reply_and_time(self.start(), serves_after=0.8)
         self.assertEqual((reply.status, reply.body()), (200, b"answer"))
         self.assertLess(seconds, 0.9)
@@ -96,7 +96,7 @@
         self.assertEqual(reply.status, 503)
         self.assertLess(seconds, 0.05)
 
-    def test_a_proof_that_is_lost_later_is_not_waited_for(self) -> None:
+    def test_a_confirmation_that_is_lost_later_is_not_waited_for(self) -> None:
         path = self.start()
         path.bundle.serving = True
         self.assertEqual(path.call().status, 200)
--- a/wingwood/forward/tests/test_unreachable_ledger.py
+++ b/wingwood/forward/tests/test_unreachable_ledger.py
@@ -1,6 +1,6 @@
 """Calls that may not be repeated while the ledger is unreachable (docs/DESIGN.md section 12.4).
 
-If each of them waited for the ledger, callers would wait in vain and have no time left for another try.
+If each of them waited for the ledger, callers would wait in vain and have no time left for a retry.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
 
         self.world.spawn(self.world.processes["r1"], run(), "call")
 
-    def test_the_first_call_is_refused_within_its_wait_limit_and_later_ones_at_once(self) -> None:
+    def test_the_first_call_is_rejected_within_its_first_byte_timeout_and_later_ones_at_once(self) -> None:
         self.call()
         self.world.run(2.1)
         waited, answer = self.answers.pop()
