--- a/wingwood/context/curl_client.py
+++ b/wingwood/context/curl_client.py
@@ -15,10 +15,12 @@
 import pycurl
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 
-from .http_exchange import MAX_HEAD_BYTES, ChunkDecoder, Exchange, fault_of_request, framing_of, is_token
+from .http_exchange import Exchange
+from .http_framing import MAX_HEAD_BYTES, ChunkDecoder, fault_of_request, framing_of, is_token
 from .protocols import HttpExchange, HttpFault, HttpHead, HttpRequest
 
-_MAX_SPARE_HANDLES: Final = 256
+_MAX_IDLE_HANDLES: Final = 256
+"""Handles without a call that are stored for later calls, because making one is expensive."""
 _PROCEED: Final[int] = pycurl.PREREQFUNC_OK
 _ABORT: Final[int] = pycurl.PREREQFUNC_ABORT
 _PAUSE: Final[int] = pycurl.WRITEFUNC_PAUSE
@@ -35,6 +37,7 @@
         self._engine: _Engine | None = None
 
     def start(self, request: HttpRequest) -> HttpExchange:
+        """Starts the call on a connection of its own."""
         if self._engine is None:
             self._engine = _Engine(force_instance=True, max_clients=0)
         exchange = _CurlExchange(request, self._engine)
@@ -50,6 +53,7 @@
         return 0 if self._engine is None else len(self._engine.exchanges)
 
     def close(self) -> None:
+        """Cancels all calls."""
         if self._engine is not None:
             for exchange in list(self._engine.exchanges.values()):
                 exchange.cancel()
@@ -61,15 +65,17 @@
     """libcurl's multi handle on tornado's event loop; ``max_clients`` is 0 because ``fetch`` is not used."""
 
     exchanges: dict[pycurl.Curl, _CurlExchange]
-    spare: list[pycurl.Curl]
+    idle_handles: list[pycurl.Curl]
 
-    def initialize(self, max_clients: int = 0, **unused: object) -> None:  # type: ignore[override]
+    def initialize(self, max_clients: int = 0, **_: object) -> None:  # type: ignore[override]
+        """Called by tornado in place of a constructor."""
         super().initialize(max_clients=max_clients)
         self.exchanges = {}
-        self.spare = []
+        self.idle_handles = []
 
     def add(self, exchange: _CurlExchange) -> None:
-        curl = self.spare.pop() if self.spare else pycurl.Curl()
+        """Starts the exchange on an idle handle or a new one."""
+        curl = self.idle_handles.pop() if self.idle_handles else pycurl.Curl()
         exchange.set_up(curl)
         self.exchanges[curl] = exchange
         self._multi.add_handle(curl)
@@ -80,12 +86,13 @@
         del self.exchanges[curl]
         self._multi.remove_handle(curl)
         curl.reset()
-        if len(self.spare) < _MAX_SPARE_HANDLES:
-            self.spare.append(curl)
+        if len(self.idle_handles) < _MAX_IDLE_HANDLES:
+            self.idle_handles.append(curl)
         else:
             curl.close()
 
     def resume(self, curl: pycurl.Curl) -> None:
+        """Continues reading after it was paused."""
         with contextlib.suppress(pycurl.error):  # It failed while paused; _finish reports that.
             curl.pause(pycurl.PAUSE_CONT)
         self._set_timeout(0)
@@ -97,6 +104,8 @@
 
 
 class _CurlExchange(Exchange):
+    """One call on one libcurl handle; libcurl calls it with header lines and body bytes."""
+
     def __init__(self, request: HttpRequest, engine: _Engine) -> None:
         super().__init__(request)
         self._engine = engine
@@ -108,9 +117,10 @@
         self._head_done = False
         self._chunks: ChunkDecoder | None = None
         self._problem: str | None = None
-        """The reason why this client rejected the head of the answer."""
+        """The reason why this client rejected the head of the response."""
 
     def set_up(self, curl: pycurl.Curl) -> None:
+        """Sets the options of the handle for this call."""
         self._curl = curl
         request = self.request
         set_option = curl.setopt
@@ -142,6 +152,7 @@
         set_option(pycurl.WRITEFUNCTION, self._on_body)
 
     def finished(self, error: int | None, message: str) -> None:
+        """Called when libcurl has ended the transfer; ``error`` is its error code, or None."""
         self._curl = None
         if self._problem is not None:
             self.end(HttpFault("malformed", self._sent, self._problem))
@@ -157,7 +168,7 @@
         else:
             self.end(HttpFault("broken", True, message))
 
-    def _before_write(self, *addresses: object) -> int:
+    def _before_write(self, *_: object) -> int:
         return _PROCEED if self.may_write() else _ABORT
 
     def _on_header_line(self, line: bytes) -> int | None:
@@ -169,10 +180,10 @@
         text = line.decode("latin-1").rstrip("\r\n")
         if text.startswith("HTTP/"):
             self._headers.clear()
-            found = _STATUS_LINE.fullmatch(text)
-            if found is None:
+            match = _STATUS_LINE.fullmatch(text)
+            if match is None:
                 return self._reject("malformed status line")
-            self._status = int(found[1])
+            self._status = int(match[1])
         elif text:
             return self._add_header(text)
         elif self._status == 101:
--- a/wingwood/context/logs.py
+++ b/wingwood/context/logs.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import sys
+from collections.abc import Mapping
 from typing import Any, TextIO
 
 import eliot
@@ -10,7 +11,7 @@
 from ..identifiers import DaemonName
 
 
-def format_line(fields: dict[str, Any]) -> str:
+def format_line(fields: Mapping[str, object]) -> str:
     """Formats fields as ``key=value`` pairs; values with spaces, quotes or line breaks are quoted."""
     return " ".join(f"{key}={format_value(value)}" for key, value in fields.items())
 
@@ -38,9 +39,11 @@
         eliot.add_destinations(self._write)
 
     def event(self, name: str, **fields: object) -> None:
+        """Writes one line; fields that are neither text, number nor truth value are written as text."""
         eliot.log_message(name, **{key: _plain(value) for key, value in fields.items()})
 
     def _write(self, message: dict[str, Any]) -> None:
+        """Writes a message of eliot as one line; ``Any`` is eliot's type of messages."""
         fields = {
             "time": f"{message['timestamp']:.3f}",
             "event": message.get("message_type", message.get("action_type", "?")),
--- a/wingwood/context/pooled_client.py
+++ b/wingwood/context/pooled_client.py
@@ -2,7 +2,7 @@
 
 It works on any ``Network``, so it runs on real sockets and in the simulator. A request is written once, on one
 connection: neither the pool nor this client ever sends it again, and no connection carries two requests at a time.
-A connection is reused only if the answer ended cleanly, no bytes followed it, the request was written completely
+A connection is reused only if the response ended cleanly, no bytes followed it, the request was written completely
 and neither side asked to close the connection.
 
 A call that gets an idle connection is written within ``start``; otherwise it is written once its new connection is
@@ -15,10 +15,12 @@
 
 from returns.result import Failure
 
-from .answer_parser import AnswerParser
-from .connection_pool import ConnectionCounts, ConnectionLimits, ConnectionPool, PooledConnection
-from .http_exchange import Exchange, fault_of_request
+from .connection_pool import ConnectionCounts, ConnectionLimits, ConnectionPool
+from .http_exchange import Exchange
+from .http_framing import fault_of_request
+from .pooled_connection import PooledConnection
 from .protocols import Clock, HttpExchange, HttpFault, HttpRequest, Network, NetworkFault, Tasks
+from .response_parser import ResponseParser, ResponseState
 
 _FRAMING_NAME_LENGTHS: Final = frozenset({len("transfer-encoding"), len("content-length")})
 """Header names of other lengths need not be put in lower case to be compared."""
@@ -36,6 +38,7 @@
         self._exchanges: dict[_PooledExchange, None] = {}
 
     def start(self, request: HttpRequest) -> HttpExchange:
+        """Starts the call on an idle connection or a new one; at a connection limit it fails as ``busy``."""
         exchange = _PooledExchange(request, self)
         problem = fault_of_request(request) or _fault_of_framing(request)
         if problem is not None:
@@ -76,14 +79,14 @@
 
 
 class _PooledExchange(Exchange):
-    """One call. It is the ``ConnectionUser`` of its connection from the first written byte to the end of the answer."""
+    """One call. It is the ``ConnectionUser`` of its connection from the first written byte to the response's end."""
 
     def __init__(self, request: HttpRequest, client: PooledHttpClient) -> None:
         super().__init__(request)
         self._client = client
         self._pool = client.pool
         self._connection: PooledConnection | None = None
-        self._parser: AnswerParser
+        self._parser: ResponseParser
 
     # Acquiring a connection.
 
@@ -97,7 +100,7 @@
         self._send_request(connection)
 
     async def connect(self, network: Network) -> None:
-        """Opens a connection in the reserved place.
+        """Opens the connection that was reserved.
 
         If the call was cancelled meanwhile and its request allows reuse, the connection is stored for another call.
         """
@@ -120,7 +123,7 @@
     def _send_request(self, connection: PooledConnection) -> None:
         request = self.request
         self._connection = connection
-        self._parser = AnswerParser(request.method, request.echo, not connection.reused)
+        self._parser = ResponseParser(request.method, request.echo, not connection.reused)
         connection.user = self
         problem = connection.write(_message(request))
         if problem is not None:
@@ -129,12 +132,15 @@
     # Callbacks of the connection (protocol ConnectionUser).
 
     def on_first_byte_written(self) -> None:
+        """Marks the request as sent."""
         self._sent = True
 
     def read_allowance(self) -> int:
-        return 0 if self.is_full() else MAX_BUFFERED_BYTES - self._buffered
+        """Returns how many more bytes may be buffered for the consumer."""
+        return 0 if self.is_full() else MAX_BUFFERED_BYTES - self._buffered_bytes
 
     def on_data(self, data: bytes) -> None:
+        """Parses received bytes, and ends the call at the end of the response."""
         parser = self._parser
         before = parser.head
         body = parser.take(data)
@@ -142,22 +148,24 @@
             self.set_head(parser.head)
         if body:
             self.add_chunk(body)
-        if parser.outcome != "under way":
-            self._answer_done()
+        if parser.state is not ResponseState.INCOMPLETE:
+            self._response_done()
 
     def on_connection_end(self) -> None:
+        """Ends the call; the framing decides whether the response is complete."""
         self._parser.on_connection_end()
-        self._answer_done()
+        self._response_done()
 
     def on_error(self, problem: OSError) -> None:
+        """Ends the call as ``broken``."""
         self._fail("broken", str(problem))
 
-    def _answer_done(self) -> None:
+    def _response_done(self) -> None:
         parser = self._parser
-        if parser.outcome == "ended":
+        if parser.state is ResponseState.COMPLETE:
             self._free_connection()
             self.end(None)
-        elif parser.outcome == "malformed":
+        elif parser.state is ResponseState.MALFORMED:
             self._fail("malformed", parser.problem)
         else:
             self._fail("broken", parser.problem)
@@ -176,13 +184,14 @@
         parser = self._parser
         clean = parser.persistent and not parser.surplus and connection.all_written()
         if clean and self.request.reuse and not _asks_to_close(self.request):
-            self._pool.store_idle(connection, parser.idle_timeout)
+            self._pool.store_idle(connection, parser.keep_alive_seconds)
         else:
             self._pool.close(connection)
 
     # Overridden methods of Exchange.
 
     def end(self, fault: HttpFault | None) -> None:
+        """Ends the call, cleanly (None) or with a fault, and removes it from those in progress."""
         super().end(fault)
         self._client.remove_exchange(self)
 
@@ -205,7 +214,7 @@
 def _fault_of_framing(request: HttpRequest) -> str | None:
     """Returns the problem of a header that contradicts the length of the body, or None.
 
-    On a reused connection, the peer would take bytes of the next request for a part of this body, or the reverse.
+    On a reused connection, the peer would take bytes of the next request for part of this body, or the reverse.
     """
     for name, value in request.headers:
         if len(name) in _FRAMING_NAME_LENGTHS:
--- a/wingwood/context/protocols.py
+++ b/wingwood/context/protocols.py
@@ -23,14 +23,16 @@
     """The clocks of one process. All durations are in seconds."""
 
     def monotonic(self) -> Instant:
-        """Returns a time that never goes backwards and that advances while the process is frozen."""
+        """Returns a time that never goes backwards and that advances while the process is paused."""
         ...
 
     def wall(self) -> WallTime:
         """Returns the time of day. It is used for logs and records only, never to measure durations."""
         ...
 
-    async def sleep(self, seconds: Seconds) -> None: ...
+    async def sleep(self, seconds: Seconds) -> None:
+        """Returns after ``seconds``."""
+        ...
 
 
 class NetworkFault(msgspec.Struct, frozen=True):
@@ -50,6 +52,7 @@
 
 
 StreamHandler = Callable[[BaseIOStream, Address], Awaitable[None] | None]
+"""Called with an accepted stream and the address of its peer."""
 
 
 class Network(Protocol):
@@ -83,16 +86,18 @@
     """
 
     async def lock(self) -> Result[None, DiskFault]:
-        """Locks the folder for this process until the process ends; fails with ``locked`` if another one holds it."""
+        """Locks the folder for this process until the process ends; fails with ``locked`` if another did so."""
         ...
 
     async def names(self) -> Result[Sequence[str], DiskFault]:
         """Lists the names of the files in the folder."""
         ...
 
-    async def read(self, name: str) -> Result[bytes, DiskFault]: ...
+    async def read(self, name: str, /) -> Result[bytes, DiskFault]:
+        """Returns the contents of the file; fails with ``missing`` if there is none."""
+        ...
 
-    async def append(self, name: str, data: bytes, at: int | None = None) -> Result[None, DiskFault]:
+    async def append(self, name: str, data: bytes, /, at: int | None = None) -> Result[None, DiskFault]:
         """Appends to the file and syncs it; creates a missing file and then syncs the folder too.
 
         If ``at`` is given, the file must exist with exactly that many bytes. Otherwise the call fails with
@@ -100,23 +105,25 @@
         """
         ...
 
-    async def write_new(self, name: str, data: bytes) -> Result[None, DiskFault]:
+    async def write_new(self, name: str, data: bytes, /) -> Result[None, DiskFault]:
         """Writes a complete file and syncs it; replaces an unsynced leftover file of that name."""
         ...
 
-    async def rename(self, name: str, new_name: str) -> Result[None, DiskFault]:
+    async def rename(self, name: str, new_name: str, /) -> Result[None, DiskFault]:
         """Renames the file, atomically replacing an existing ``new_name``, then syncs the folder."""
         ...
 
-    async def truncate(self, name: str, length: int) -> Result[None, DiskFault]:
+    async def truncate(self, name: str, length: int, /) -> Result[None, DiskFault]:
         """Shortens the file to ``length`` bytes and syncs it."""
         ...
 
-    async def remove(self, name: str) -> Result[None, DiskFault]: ...
+    async def remove(self, name: str, /) -> Result[None, DiskFault]:
+        """Removes the file, then syncs the folder."""
+        ...
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """An outgoing call. The body is sent completely, with its ``Content-Length``."""
+    """An outgoing request. The body is sent completely, with its ``Content-Length``."""
 
     method: str
     address: Address
@@ -138,16 +145,16 @@
     call that must not be repeated should only use a connection that has been idle for a very short time.
     """
     echo: tuple[str, str] | None = None
-    """Name and value of a header that the answer must carry; an answer with another value belongs to another call.
+    """Name and value of a header that the response must carry; one with another value belongs to another call.
 
-    If the value is empty, an answer without the header is accepted too.
+    If the value is empty, a response without the header is accepted too.
     """
     connection_limit: int | None = None
     """Maximum number of connections from this process to ``address``; None means the client's own limit."""
 
 
 class HttpHead(msgspec.Struct, frozen=True):
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -168,7 +175,7 @@
 
 
 class HttpFault(msgspec.Struct, frozen=True):
-    """The reason why a call has no answer or only part of one.
+    """The reason why a call has no response or only part of one.
 
     ``request_sent`` is False only if no byte of the request has reached or will reach the peer. It is True if
     some bytes may have reached it.
@@ -179,7 +186,7 @@
     request_sent: bool
     detail: str = ""
     on_reused_connection: bool = False
-    """Whether a reused connection was ``broken`` before the first byte of an answer arrived.
+    """Whether a reused connection was ``broken`` before the first byte of a response arrived.
 
     Most likely the peer had closed the connection while it was idle. If ``request_sent`` is True, the peer may
     have run the call nevertheless.
@@ -190,7 +197,7 @@
     """One call in progress."""
 
     async def head(self) -> Result[HttpHead, HttpFault]:
-        """Waits for status and headers, skipping 1xx answers.
+        """Waits for status and headers, skipping 1xx responses.
 
         The wait has no limit of its own: callers use ``asyncio.timeout`` and then ``cancel``.
         """
@@ -235,7 +242,7 @@
     """The background tasks of a daemon."""
 
     def spawn(self, name: str, coroutine: Coroutine[Any, Any, None]) -> Task:
-        """Runs the coroutine as a task.
+        """Runs the coroutine as a task. ``Any``: what a coroutine is sent and yields does not matter.
 
         An exception that escapes it is a broken invariant: it is logged and the process stops.
         """
@@ -249,9 +256,13 @@
 class Task(Protocol):
     """A task that ``Tasks.spawn`` started."""
 
-    def cancel(self) -> object: ...
+    def cancel(self) -> object:
+        """Cancels the task, if it has not ended."""
+        ...
 
-    def done(self) -> bool: ...
+    def done(self) -> bool:
+        """Returns whether the task has ended or was cancelled."""
+        ...
 
 
 class Context(msgspec.Struct, frozen=True):
--- a/wingwood/context/stream_client.py
+++ b/wingwood/context/stream_client.py
@@ -6,18 +6,21 @@
 
 from __future__ import annotations
 
+import asyncio
 from collections.abc import Awaitable
-from typing import cast
+from typing import Final, cast
 
 from returns.result import Failure, Success
 from tornado import httputil
 from tornado.http1connection import HTTP1Connection, HTTP1ConnectionParameters
 from tornado.iostream import BaseIOStream, IOStream, StreamClosedError, UnsatisfiableReadError
 
-from .http_exchange import MAX_HEAD_BYTES, Exchange, fault_of_request, framing_of
+from .http_exchange import Exchange
+from .http_framing import MAX_HEAD_BYTES, fault_of_request, framing_of
 from .protocols import HttpExchange, HttpFault, HttpHead, HttpRequest, Network, Tasks
 
-_UNLIMITED_BYTES = 1 << 62
+_UNLIMITED_BYTES: Final = 1 << 62
+_READ_BYTES: Final = 16 * 1024
 
 
 class StreamHttpClient:
@@ -28,6 +31,7 @@
         self._tasks = tasks
 
     def start(self, request: HttpRequest) -> HttpExchange:
+        """Starts the call on a connection of its own."""
         exchange = _StreamExchange(request)
         problem = fault_of_request(request)
         if problem is not None:
@@ -38,13 +42,18 @@
 
 
 class _StreamExchange(Exchange):
+    """One call on one stream, from connecting to the end of the response."""
+
     def __init__(self, request: HttpRequest) -> None:
         super().__init__(request)
         self._stream: BaseIOStream | None = None
-        self._read_waiters: list[object] = []
+        self._read_waiters: list[asyncio.Future[None]] = []
+        """Waits of tornado until the consumer has taken chunks."""
         self.problem: str | None = None
+        """Why the head of the response is malformed."""
 
     async def run(self, network: Network) -> None:
+        """Connects, sends the request and receives the response."""
         opened = await network.connect(self.request.address, self.request.connect_timeout)
         match opened:
             case Success(stream):
@@ -63,7 +72,7 @@
     async def _send_and_receive(self, stream: IOStream) -> None:
         request = self.request
         parameters = HTTP1ConnectionParameters(
-            no_keep_alive=True, max_header_size=MAX_HEAD_BYTES, max_body_size=_UNLIMITED_BYTES, chunk_size=16 * 1024
+            no_keep_alive=True, max_header_size=MAX_HEAD_BYTES, max_body_size=_UNLIMITED_BYTES, chunk_size=_READ_BYTES
         )
         connection = HTTP1Connection(stream, True, parameters, str(request.address))
         header_names = {name.lower() for name, _ in request.headers}
@@ -80,22 +89,27 @@
         written = connection.write_headers(start_line, headers, request.body or None)
         written.add_done_callback(lambda future: future.cancelled() or future.exception())
         connection.finish()
-        answer = _AnswerDelegate(self)
+        delegate = _ResponseDelegate(self)
         try:
-            await connection.read_response(answer)
+            await connection.read_response(delegate)
         except StreamClosedError as closed:
             too_long = isinstance(closed.real_error, UnsatisfiableReadError)
             self.end(HttpFault("malformed" if too_long else "broken", True, f"closed: {closed.real_error}"))
         self.end(HttpFault("malformed", True, self.problem or "not HTTP"))
 
-    async def wait_for_room(self) -> None:
+    async def wait_until_not_full(self) -> None:
+        """Returns when the consumer has taken enough chunks, or the call has ended."""
         while self.is_full() and not self.ended():
             future = self._loop.create_future()
             self._read_waiters.append(future)
             await future
 
-    def answer_ended(self) -> None:
-        """Ends the call when tornado reports the end of the answer.
+    def has_head(self) -> bool:
+        """Returns whether the head of the response has arrived."""
+        return self._head is not None
+
+    def response_ended(self) -> None:
+        """Ends the call when tornado reports the end of the response.
 
         For a body without a length, tornado treats every end of the connection as the end of the body, even a
         reset; here a reset is a ``broken`` fault.
@@ -108,9 +122,9 @@
             self.end(None)
 
     def _resume_if_paused(self) -> None:
-        waiting, self._read_waiters = self._read_waiters, []
-        for future in waiting:
-            future.set_result(None)  # type: ignore[attr-defined]
+        waiters, self._read_waiters = self._read_waiters, []
+        for future in waiters:
+            future.set_result(None)
 
     def _close(self) -> None:
         self._resume_if_paused()
@@ -118,7 +132,9 @@
             self._stream.close()
 
 
-class _AnswerDelegate(httputil.HTTPMessageDelegate):
+class _ResponseDelegate(httputil.HTTPMessageDelegate):
+    """Called by tornado with the head and the body of the response."""
+
     def __init__(self, exchange: _StreamExchange) -> None:
         self._exchange = exchange
 
@@ -127,6 +143,7 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
+        """Passes the final head to the consumer; raises HTTPInputError for one that is malformed."""
         assert isinstance(start_line, httputil.ResponseStartLine)
         if start_line.code == 101 or not 100 <= start_line.code < 600:
             self._exchange.problem = f"status {start_line.code}"
@@ -142,14 +159,17 @@
         return None
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
+        """Buffers a chunk of the body; tornado reads on when the returned wait ends."""
         self._exchange.add_chunk(chunk)
-        return self._exchange.wait_for_room() if self._exchange.is_full() else None
+        return self._exchange.wait_until_not_full() if self._exchange.is_full() else None
 
     def finish(self) -> None:
-        self._exchange.answer_ended()
+        """Ends the call after the end of the body."""
+        self._exchange.response_ended()
 
     def on_connection_close(self) -> None:
-        if self._exchange.problem is None and self._exchange._head is None:
+        """Ends the call with a fault, as the connection was closed before the end of the response."""
+        if self._exchange.problem is None and not self._exchange.has_head():
             self._exchange.problem = "not HTTP"
         if self._exchange.problem is not None:
             self._exchange.end(HttpFault("malformed", True, self._exchange.problem))
--- a/wingwood/context/tests/test_http_descriptors.py
+++ b/wingwood/context/tests/test_http_descriptors.py
@@ -11,7 +11,7 @@
 from tornado.iostream import BaseIOStream
 
 from ...identifiers import Address
-from ..real import RESERVED_DESCRIPTORS, RealNetwork
+from ..real.network import RESERVED_DESCRIPTORS, RealNetwork
 
 
 class Descriptors(unittest.IsolatedAsyncioTestCase):
