--- a/wingwood/context/http_framing.py
+++ b/wingwood/context/http_framing.py
@@ -5,14 +5,11 @@
 import re
 from typing import Final, Literal
 
-from .protocols import HttpRequest
+from .protocols import Framing, HttpRequest
 
 MAX_HEAD_BYTES: Final = 64 * 1024
 """Maximum total size of the status line and headers of a response."""
 
-Framing = Literal["length", "chunked", "close", "none"]
-"""How the end of a body is recognized: by its length, by its last chunk, by the end of the connection; or no body."""
-
 _MAX_CHUNK_LINE_BYTES: Final = 4096
 _MAX_LENGTH_DIGITS: Final = 18
 """Maximum number of digits of ``Content-Length``. Longer ones are not real, and Python refuses some thousand digits."""
--- a/wingwood/context/protocols.py
+++ b/wingwood/context/protocols.py
@@ -153,15 +153,17 @@
     """Maximum number of connections from this process to ``address``; None means the client's own limit."""
 
 
+Framing = Literal["length", "chunked", "close", "none"]
+"""How the end of a body is recognized: by its length, by its last chunk, by the end of the connection; or no body."""
+
+
 class HttpHead(msgspec.Struct, frozen=True):
     """Status and headers of a response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
-    framing: Literal["length", "chunked", "close", "none"]
-    """How the end of the body is recognized.
-
-    With ``close`` the body ends with the connection: an orderly close (FIN) ends it cleanly, and a reset is a
+    framing: Framing
+    """With ``close`` the body ends with the connection: an orderly close (FIN) ends it cleanly, and a reset is a
     ``broken`` fault. A worker that crashes within a body may still have its connection closed in order, so such
     a body can be truncated without a fault.
     """
--- a/wingwood/forward/event_streams.py
+++ b/wingwood/forward/event_streams.py
@@ -8,7 +8,7 @@
 import re
 from typing import Final, Protocol
 
-from ..context.http_framing import Framing
+from ..context.protocols import Framing
 
 _MAX_LINE_PREFIX_BYTES: Final = 64
 """How much of a line is stored: more than the longest line whose content matters, ``data: [DONE]``."""
--- a/wingwood/forward/resumable_stream.py
+++ b/wingwood/forward/resumable_stream.py
@@ -5,7 +5,7 @@
 import re
 from typing import Final
 
-from ..context.http_framing import Framing
+from ..context.protocols import Framing
 from .calls import StreamProgress
 
 LAST_EVENT_ID: Final = "Last-Event-ID"
