--- a/wingwood/control/tests/test_editions.py
+++ b/wingwood/control/tests/test_editions.py
@@ -16,7 +16,7 @@
 from ...identifiers import BundleVersion, OrderId, Seconds
 from ...operator_api.editions import EditionClient, LatestEdition
 from ..client import ControlClient
-from ..protocols import NotDecided
+from ..errors import CommandFailure
 from .edition_world import Answer, EditionWalk, EditionWorld
 
 RUN_EACH_ALONE = True
@@ -27,7 +27,7 @@
     match answer:
         case Success(OrderOutcome() as outcome):
             return outcome.outcome
-        case Failure(NotDecided() as fault):
+        case Failure(CommandFailure() as fault):
             return fault.kind
     return "none"
 
@@ -68,7 +68,7 @@
         self.accept("c3", 9, 12)
         self.assert_nothing_lost()
 
-    def test_after_a_take_over(self) -> None:
+    def test_after_a_failover(self) -> None:
         self.control.world.kill("c1")
         self.accept("c2", 9, 10)
         self.control.world.restart("c1")
@@ -98,7 +98,7 @@
 
 
 class RaceTests(EditionCase):
-    """Of several changes on one base exactly one is accepted, also during a take-over."""
+    """Of several changes on one base exactly one is accepted, also during a failover."""
 
     def test_of_two_on_one_base_exactly_one_wins(self) -> None:
         for turn in range(6):
@@ -111,7 +111,7 @@
             self.sent.append(changes[outcomes.index("accepted")])
         self.assert_nothing_lost()
 
-    def test_a_race_during_a_take_over_has_one_winner_too(self) -> None:
+    def test_a_race_during_a_failover_has_one_winner_too(self) -> None:
         changes = [edition_change(9, 10, self.slices, name) for name in ("one", "two")]
         racing = [self.control.start_submit(*each) for each in zip(("c2", "c3"), changes, strict=True)]
         self.control.world.run(0.003)
@@ -131,11 +131,11 @@
     """A change whose answer was lost must be acknowledged, not refused by its own edition, when it is repeated."""
 
     def test_an_order_whose_answer_was_lost_is_acknowledged_when_it_comes_again(self) -> None:
-        cuts = [self.control.world.cut(name, "c3", both_ways=False) for name in ("c1", "c2")]
+        partitions = [self.control.world.cut(name, "c3", both_ways=False) for name in ("c1", "c2")]
         change = edition_change(9, 10, self.slices)
         first = outcome_of(self.control.submit("c3", change, timeout=8.0))
         self.assertIn(first, ("unknown", "not-leading", "none"))
-        for cut in cuts:
+        for cut in partitions:
             self.control.world.heal(cut)
         self.assertEqual(outcome_of(self.control.submit("c2", change)), "accepted")
         self.sent.append(change)
@@ -156,7 +156,7 @@
 
 
 class ReadingTests(EditionCase):
-    """A daemon without a proof from the primary must answer that it cannot read, and never give an older edition."""
+    """A daemon without a confirmation of the primary must answer that it cannot read, never with an older edition."""
 
     def test_a_daemon_that_is_cut_off_reads_nothing_back(self) -> None:
         for name in DAEMONS:
@@ -174,7 +174,7 @@
         for change in (self.sent[-1], edition_change(0, 1, self.slices, "stale")):
             self.assertIn(outcome_of(self.control.submit("c3", change)), ("unknown", "not-leading"))
 
-    def test_before_the_first_edition_there_is_proof_that_there_is_none(self) -> None:
+    def test_before_the_first_edition_it_is_confirmed_that_there_is_none(self) -> None:
         control = EditionWorld(2)
         self.addCleanup(control.close)
         self.assertTrue(control.world.wait_for(control.complete, 5.0))
@@ -240,14 +240,14 @@
         return decided
 
 
-class ReadsWithoutProof(EditionClient):
-    """Returns what this daemon holds as durable, without a proof from the primary."""
+class ReadsWithoutConfirmation(EditionClient):
+    """Returns what this daemon knows to be durable, without a confirmation from the primary."""
 
     def __init__(self, control: ControlClient, local: LocalBundleReader, context: Context) -> None:
         super().__init__(control, (local,), context.clock, Seconds(3.0))
         self._local = local
 
-    async def newest(self) -> Result[LatestEdition | None, NotReadable]:
+    async def latest(self) -> Result[LatestEdition | None, NotReadable]:
         answer = self._local.read_bundle(BundleVersion(0))
         if answer.view is None:
             return Failure(NotReadable("none"))
@@ -279,13 +279,13 @@
             answers = [outcome_of(control.submit("c2", change)) for change in (early, taken, early)]
             self.assertEqual(answers, ["conflict", "accepted", last])
 
-    def test_a_reader_without_proof(self) -> None:
-        def unproven(
+    def test_a_reader_without_confirmation(self) -> None:
+        def unconfirmed(
             control: ControlClient, local: LocalBundleReader, _: RemoteBundleReader, context: Context
         ) -> EditionClient:
-            return ReadsWithoutProof(control, local, context)
+            return ReadsWithoutConfirmation(control, local, context)
 
-        self.assert_caught(EditionWalk(1, make_client=unproven), "was acknowledged before")
+        self.assert_caught(EditionWalk(1, make_client=unconfirmed), "was acknowledged before")
 
 
 def signing() -> BundleState:
--- a/wingwood/forward/request_path.py
+++ b/wingwood/forward/request_path.py
@@ -201,7 +201,7 @@
 
     async def _abort_unfinished(self) -> None:
         """Rejects the calls whose callers have no response yet; nothing of them is sent to a worker after that."""
-        self._context.log.event("drain-timed-out", aborted_calls=len(self._calls))
+        self._context.log.event("unfinished-calls-aborted", calls=len(self._calls))
         unanswered = [call for call in self._calls.values() if not call.response.started]
         for call in unanswered:
             call.early_rejection = call.early_rejection or _ROUTER_STOPPING
--- a/wingwood/ledger/tests/test_core.py
+++ b/wingwood/ledger/tests/test_core.py
@@ -14,10 +14,12 @@
 
 from ...context.protocols import Context
 from ...control.client import ControlClient
+from ...control.control_options import ControlOptions, JournalOptions
 from ...control.core import ReplicatedCore
-from ...control.limits import ControlLimits
+from ...control.replicator import Replicator
 from ...control.store import Contents, ControlStore
 from ...control.tests.control_world import KEY, PORT, ControlWorld, Register
+from ...control.tests.mutants import core_with
 from ...identifiers import Address, DaemonName, Incarnation, Zone
 from ...transport.frames import Identity
 from ...transport.messenger import TcpMessenger
@@ -49,8 +51,8 @@
         seeds: Sequence[Address],
     ) -> ReplicatedCore:
         ledger = LedgerState(context.clock, RETENTION, self._is_member)
-        limits = ControlLimits(rewrite_bytes=50_000, chunk_bytes=16_384)
-        return self.core_type(context, messenger, store, contents, [ledger], seeds, limits=limits)
+        options = ControlOptions(chunk_bytes=16_384, journal=JournalOptions(rewrite_bytes=50_000))
+        return self.core_type(context, messenger, store, contents, [ledger], seeds, options=options)
 
     def _is_member(self, router: Incarnation) -> bool:
         return self.routers is not None and self.routers.is_member(router)
@@ -139,6 +141,11 @@
         self.assertTrue(any(any("twice" in fault for fault in faults(seed)) for seed in range(8)))
 
 
-class EarlyAcknowledgingCore(ReplicatedCore):
-    async def _replicate(self, *arguments: Any) -> bool:
+class EarlyReplicator(Replicator):
+    """Reports each batch as replicated without sending it."""
+
+    async def replicate(self, *arguments: Any) -> bool:
         return True
+
+
+EarlyAcknowledgingCore = core_with(replicator=EarlyReplicator)
