--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -15,7 +15,7 @@
 from ..control.client import ControlClient
 from ..distribution.applied_bundle import AppliedBundle
 from ..distribution.follower import BundleFollower
-from ..forward.limits import path_limits
+from ..forward.forward_options import options_from_settings
 from ..forward.metrics import RequestMetrics
 from ..forward.recording import CallRecorder
 from ..forward.request_path import RequestPath
@@ -103,7 +103,7 @@
             self.registry,
             DeadlineAdmission(),
             RequestMetrics(self.metrics),
-            limits=path_limits(settings),
+            options=options_from_settings(settings),
             recorder=None if self._record_file is None else CallRecorder(context.clock, self._record_file.write),
             formats=adapter.formats,
             outcomes=self.registry,
