--- a/wingwood/forward/tests/test_fuzzed_requests.py
+++ b/wingwood/forward/tests/test_fuzzed_requests.py
@@ -18,10 +18,17 @@
 from simulation import World
 
 from ..caller_connection import CallerConnection
-from ..limits import PathLimits
+from ..forward_options import CallerOptions, ForwardOptions, RequestLimits
 from .fakes import KEY, PathWorld, request, responds
 
-LIMITS = PathLimits(head_bytes=2048, body_bytes=10_000, max_held_body_bytes=25_000, max_in_flight=8, max_connections=20)
+OPTIONS = ForwardOptions(
+    caller=CallerOptions(
+        request_limits=RequestLimits(head_bytes=2048, body_bytes=10_000),
+        max_buffered_body_bytes=25_000,
+        max_connections=20,
+    ),
+    max_in_flight=8,
+)
 MAX_WAIT_SECONDS = 30.0
 """Time within which every connection that sends nothing more has been answered and closed."""
 
@@ -83,7 +90,7 @@
     bodies,
 )
 sent = st.lists(requests, min_size=1, max_size=2).map(b"".join)
-places = st.lists(st.integers(0, 600), max_size=5)
+split_offsets = st.lists(st.integers(0, 600), max_size=5)
 """Offsets at which the data is split; taken modulo its length."""
 
 
@@ -95,7 +102,7 @@
 def play(data: bytes, at: list[int]) -> tuple[list[bytes], list[bytes], list[str]]:
     """Returns the first lines of the answers, the bodies that the worker received, and uncaught exceptions."""
     with World(seed=31) as world:
-        path = PathWorld(world, LIMITS)
+        path = PathWorld(world, OPTIONS)
         worker = path.worker("w1", responds(b"ok"))
 
         async def run() -> bytes:
@@ -129,11 +136,11 @@
 
 class FuzzedRequests(unittest.TestCase):
     @settings(max_examples=40, deadline=None, derandomize=True)
-    @given(sent, places)
+    @given(sent, split_offsets)
     def test_splits_make_no_difference_and_nothing_escapes(self, data: bytes, at: list[int]) -> None:
-        split, whole = play(data, at), play(data, [])
+        split, unsplit = play(data, at), play(data, [])
         self.assertEqual(split[2], [])
-        self.assertEqual(split, whole)
+        self.assertEqual(split, unsplit)
 
     def test_check_finds_an_edge_that_seeks_the_end_of_a_head_in_new_bytes_only(self) -> None:
         """Such an edge misses an end that is split between two reads; it shows that the check above can fail."""
