--- a/bench/capacity/control.py
+++ b/bench/capacity/control.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
+from wingwood.bundle.commands import SubmitOrder
 from wingwood.bundle.state import BundleState
 from wingwood.control.client import ControlClient
-from wingwood.control.protocols import SubmitOrder
 from wingwood.daemons.process import real_context
 from wingwood.identifiers import DaemonName, Incarnation, Zone
 from wingwood.transport.frames import Identity
--- a/bench/capacity/daemons.py
+++ b/bench/capacity/daemons.py
@@ -11,10 +11,10 @@
 
 from returns.result import Success
 
+from wingwood.bundle.commands import SubmitOrder
 from wingwood.bundle.model import OrderOutcome, Tenant
 from wingwood.bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices, slice_of
 from wingwood.control.client import ControlClient
-from wingwood.control.protocols import SubmitOrder
 from wingwood.identifiers import (
     Address,
     BundleVersion,
--- a/bench/configuration_steps.py
+++ b/bench/configuration_steps.py
@@ -19,11 +19,11 @@
 from wingwood_platform.configuration import TranslatedChange, render_configuration, translate_complete, translate_patch
 from wingwood_platform.tests.configurations import SIGNING_KEY, large_configuration, route
 
+from wingwood.bundle.commands import SubmitEdition
 from wingwood.bundle.model import Bundle, EditionChange
 from wingwood.bundle.parse import apply_delta_gradually
 from wingwood.bundle.signing import public_hex
 from wingwood.bundle.state import BundleState
-from wingwood.control.protocols import SubmitEdition
 from wingwood.identifiers import BundleVersion, OrderId
 
 SIZES = (350, 2_000)
--- a/bench/control_bench.py
+++ b/bench/control_bench.py
@@ -21,13 +21,13 @@
 from returns.result import Failure, Success
 
 from wingwood.bundle.canonical import canonical_json
+from wingwood.bundle.commands import SubmitOrder
 from wingwood.bundle.model import Order, OrderOutcome, PriorityClass, Tenant
 from wingwood.bundle.orders import make_order
 from wingwood.bundle.signing import public_hex
 from wingwood.bundle.state import BundleState
 from wingwood.control.client import ControlClient
 from wingwood.control.core import ReplicatedCore
-from wingwood.control.protocols import SubmitOrder
 from wingwood.control.store import open_store
 from wingwood.daemons.process import real_context
 from wingwood.identifiers import (
--- a/bench/hollow_daemons.py
+++ b/bench/hollow_daemons.py
@@ -34,6 +34,7 @@
 import msgspec
 from returns.result import Success
 
+from wingwood.bundle.commands import SubmitOrder
 from wingwood.bundle.model import Bundle, OrderOutcome, Tenant
 from wingwood.bundle.state import BundleState
 from wingwood.bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices, slice_of
@@ -42,7 +43,6 @@
 from wingwood.control.bundle_source import CommittedBundles
 from wingwood.control.client import ControlClient
 from wingwood.control.core import ReplicatedCore
-from wingwood.control.protocols import SubmitOrder
 from wingwood.control.store import open_store
 from wingwood.distribution.follower import BundleFollower
 from wingwood.distribution.publisher import BundlePublisher
--- a/wingwood/bundle/edition_decisions.py
+++ b/wingwood/bundle/edition_decisions.py
@@ -7,8 +7,8 @@
 import msgspec
 from returns.result import Failure, Success
 
-from ..control.protocols import SubmitEdition
 from ..identifiers import OrderId
+from .commands import SubmitEdition
 from .editions import edition_fingerprint, signed_steps
 from .gradual import Steps, at_once, gradually_while
 from .model import Bundle, EditionChange, EditionStatus, OrderOutcome
--- a/wingwood/bundle/state.py
+++ b/wingwood/bundle/state.py
@@ -14,8 +14,8 @@
 import msgspec
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from ..control.protocols import BundleCommand, FindEdition, SubmitEdition, SubmitOrder
 from ..identifiers import WallTime
+from .commands import BundleCommand, FindEdition, SubmitEdition, SubmitOrder
 from .edition_decisions import EditionDecisions
 from .order_decisions import OrderDecisions
 from .parse import DEFAULT_MAX_BUNDLE_BYTES
--- a/wingwood/bundle/tests/samples.py
+++ b/wingwood/bundle/tests/samples.py
@@ -7,7 +7,6 @@
 import msgspec
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from ...control.protocols import SubmitEdition, SubmitOrder
 from ...identifiers import (
     BundleVersion,
     ClassName,
@@ -21,6 +20,7 @@
     WallTime,
 )
 from ..canonical import canonical_json
+from ..commands import SubmitEdition, SubmitOrder
 from ..model import CallerLimits, Edition, EditionChange, Order, OrderOutcome, Pool, PriorityClass, Service, Tenant
 from ..orders import make_order
 from ..route import Route
--- a/wingwood/bundle/tests/test_editions.py
+++ b/wingwood/bundle/tests/test_editions.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ...control.protocols import FindEdition, SubmitEdition
 from ...identifiers import BundleVersion, ClassName, OrderId, SliceName, WallTime
+from ..commands import FindEdition, SubmitEdition
 from ..editions import EDITION_SLICE
 from ..model import Bundle, Edition, EditionChange, EditionStatus, OrderOutcome, PriorityClass
 from ..parse import apply_delta
--- a/wingwood/bundle/tests/test_state.py
+++ b/wingwood/bundle/tests/test_state.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ...control.protocols import SubmitOrder
 from ...identifiers import BundleVersion, ClassName, OrderId, SliceName
 from ..canonical import canonical_json
+from ..commands import SubmitOrder
 from ..model import Bundle, PriorityClass
 from ..parse import apply_delta
 from ..signing import sign_manifest
--- a/wingwood/command_line/tests/fake_daemons.py
+++ b/wingwood/command_line/tests/fake_daemons.py
@@ -14,6 +14,7 @@
 from prometheus_client.registry import Collector
 from returns.result import Failure, Result, Success
 
+from ...bundle.commands import SubmitOrder
 from ...bundle.model import Order, OrderOutcome
 from ...bundle.parse import parse_bundle
 from ...bundle.reading import BundleAnswer, LocalBundleReader, NotReadable
@@ -22,7 +23,7 @@
 from ...context.protocols import Context
 from ...context.real import RealClock, RealDisk, RealNetwork, RealTasks
 from ...context.stream_client import StreamHttpClient
-from ...control.protocols import NotDecided, SubmitOrder, ViewReport
+from ...control.protocols import NotDecided, ViewReport
 from ...identifiers import (
     Address,
     BundleVersion,
--- a/wingwood/control/client.py
+++ b/wingwood/control/client.py
@@ -9,12 +9,13 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
+from ..bundle.commands import SubmitEdition, SubmitOrder
 from ..bundle.model import OrderOutcome
 from ..context.protocols import Context
 from ..identifiers import Address, Instant, Seconds
 from ..transport.messenger import Messenger
 from .messages import ControlCommand, ControlDecision, ControlLeader, ControlLeaderQuery
-from .protocols import NotDecided, SubmitEdition, SubmitOrder
+from .protocols import NotDecided
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 
--- a/wingwood/control/command_intake.py
+++ b/wingwood/control/command_intake.py
@@ -10,13 +10,14 @@
 from returns.result import Failure, Success
 from tornado.queues import Queue
 
+from ..bundle.commands import SubmitOrder
 from ..identifiers import Epoch, Instant, Seconds
 from ..transport.frames import Identity
 from .commands import Answer, DecidedCommand, PendingCommand, deliver_all, fail_all
 from .leadership import Leadership
 from .member import MemberSetup
 from .messages import ControlCommand, ControlDecision, StateRecord
-from .protocols import NotDecided, PreparingApplier, SubmitOrder
+from .protocols import NotDecided, PreparingApplier
 from .relay import forward_command
 from .replicator import Replicator
 from .store import encode_batch
--- a/wingwood/control/protocols.py
+++ b/wingwood/control/protocols.py
@@ -8,8 +8,8 @@
 import msgspec
 from returns.result import Result
 
-from ..bundle.model import BundleDelta, EditionChange, Manifest, Order, OrderOutcome
-from ..identifiers import Address, BundleVersion, Epoch, Incarnation, OrderId
+from ..bundle.model import BundleDelta, Manifest
+from ..identifiers import Address, BundleVersion, Epoch, Incarnation
 from ..transport.frames import Identity
 
 
@@ -120,43 +120,12 @@
     def on_committed(self, callback: Callable[[Manifest], None]) -> None: ...
 
 
-class SubmitOrder(msgspec.Struct, frozen=True, tag=True):
-    """Command with an operator's order, sent by any daemon. Its reply is an OrderOutcome."""
-
-    order: Order
-
-
-class SubmitEdition(msgspec.Struct, frozen=True, tag=True):
-    """Command with an order that uses the operator's own edition numbers. Its reply is an OrderOutcome."""
-
-    change: EditionChange
-
-
-class FindEdition(msgspec.Struct, frozen=True, tag=True):
-    """Command that asks for the latest edition and whether ``order`` was accepted (empty: no order is asked about).
-
-    Its reply is an EditionStanding. Like every command it is answered by a primary that its backups
-    confirm, so the reply misses nothing that was acknowledged earlier.
-    """
-
-    order: OrderId = OrderId("")
-
-
-BundleCommand = SubmitOrder | SubmitEdition | FindEdition
-"""The commands that the applier of kind ``bundle`` accepts."""
-
-
 __all__ = [
     "Applier",
-    "BundleCommand",
     "BundleSource",
     "ControlCore",
-    "FindEdition",
     "Identity",
     "NotDecided",
-    "OrderOutcome",
     "PreparingApplier",
-    "SubmitEdition",
-    "SubmitOrder",
     "ViewReport",
 ]
--- a/wingwood/control/tests/test_bundle_source.py
+++ b/wingwood/control/tests/test_bundle_source.py
@@ -7,6 +7,7 @@
 
 from returns.result import Success
 
+from ...bundle.commands import SubmitOrder
 from ...bundle.model import OrderOutcome
 from ...bundle.state import BundleState
 from ...bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices
@@ -15,7 +16,6 @@
 from ...transport.messenger import TcpMessenger
 from ..bundle_source import CommittedBundles
 from ..core import ReplicatedCore
-from ..protocols import SubmitOrder
 from ..store import Contents, ControlStore
 from .control_world import WALK_LIMITS, ControlWorld, Register
 
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -7,6 +7,7 @@
 from prometheus_client import CollectorRegistry, Gauge
 from returns.result import Failure, Result, Success
 
+from ..bundle.commands import SubmitOrder
 from ..bundle.model import Bundle, OrderOutcome
 from ..bundle.parse import parse_bundle
 from ..bundle.reading import BundleAnswer, HistoryAnswer, LocalBundleReader, NotReadable, RemoteBundleReader
@@ -15,7 +16,7 @@
 from ..control.bundle_source import CommittedBundles
 from ..control.client import ControlClient
 from ..control.core import ReplicatedCore
-from ..control.protocols import NotDecided, SubmitOrder
+from ..control.protocols import NotDecided
 from ..control.relay import RelayCore
 from ..control.store import Contents, ControlStore, open_store
 from ..distribution.publisher import BundlePublisher
--- a/wingwood/distribution/tests/small_fleet.py
+++ b/wingwood/distribution/tests/small_fleet.py
@@ -9,10 +9,10 @@
 
 from simulation import Process, World, address_of
 
+from ...bundle.commands import SubmitOrder
 from ...bundle.state import BundleState
 from ...bundle.tests.samples import OPERATOR_KEYS
 from ...context.protocols import Context
-from ...control.protocols import SubmitOrder
 from ...identifiers import Address, BundleVersion, DaemonName, Incarnation, Seconds, SliceName, Zone
 from ...membership.client import MembershipClient
 from ...membership.coordinator import MembershipCoordinator
--- a/wingwood/operator_api/editions.py
+++ b/wingwood/operator_api/editions.py
@@ -12,10 +12,11 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
+from ..bundle.commands import FindEdition, SubmitEdition
 from ..bundle.model import EditionChange, EditionStatus, OrderOutcome
 from ..bundle.reading import BundleReader, BundleView, NotReadable
 from ..context.protocols import Clock
-from ..control.protocols import FindEdition, NotDecided, SubmitEdition
+from ..control.protocols import NotDecided
 from ..identifiers import BundleVersion, Instant, OrderId, Seconds
 
 NO_ORDER = OrderId("")
--- a/wingwood/operator_api/orders.py
+++ b/wingwood/operator_api/orders.py
@@ -10,8 +10,9 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
+from ..bundle.commands import SubmitOrder
 from ..bundle.model import Order, OrderOutcome
-from ..control.protocols import NotDecided, SubmitOrder
+from ..control.protocols import NotDecided
 from ..identifiers import BundleVersion, Seconds
 from .protocols import OperatorReply, OperatorRequest, OperatorRoutes, error_reply
 
--- a/wingwood/operator_api/tests/test_routes.py
+++ b/wingwood/operator_api/tests/test_routes.py
@@ -10,12 +10,13 @@
 from prometheus_client import CollectorRegistry, Counter
 from returns.result import Failure, Result, Success
 
+from ...bundle.commands import SubmitOrder
 from ...bundle.model import Bundle, Order, OrderOutcome
 from ...bundle.parse import parse_bundle
 from ...bundle.reading import BundleAnswer, HistoryAnswer, LocalBundleReader, NotReadable
 from ...bundle.state import BundleState
 from ...bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices, submit
-from ...control.protocols import NotDecided, SubmitOrder
+from ...control.protocols import NotDecided
 from ...identifiers import Address, BundleVersion, DaemonName, Incarnation, Seconds, Zone
 from ..orders import OrderRoutes
 from ..protocols import OperatorHandler, OperatorReply, OperatorRequest
