--- a/bench/capacity/ledger.py
+++ b/bench/capacity/ledger.py
@@ -109,19 +109,19 @@
     number = 0
     rows = []
 
-    async def claim_and_settle(times: list[float]) -> bool:
+    async def claim_and_report(times: list[float]) -> bool:
         nonlocal number
         number += 1
         key = ledger_bench.call_key(number)
         started = time.perf_counter()
         answer = await ledger.claim(key, Seconds(5.0))
         if isinstance(answer, Claimed):
-            ledger.settle_soon(key, answer.ticket, "ran")
+            ledger.report_outcome_soon(key, answer.ticket, "ran")
             times.append(time.perf_counter() - started)
         return isinstance(answer, Claimed)
 
     for _ in range(200):
-        if await claim_and_settle([]):
+        if await claim_and_report([]):
             break
         await asyncio.sleep(0.1)
     for rate in RATES:
@@ -131,7 +131,7 @@
         tasks: list[asyncio.Task[bool]] = []
         while (passed := time.perf_counter() - started) < seconds:
             while len(tasks) < passed * rate:
-                tasks.append(asyncio.create_task(claim_and_settle(times)))
+                tasks.append(asyncio.create_task(claim_and_report(times)))
             await asyncio.sleep(0.005)
         failed = sum(not granted for granted in await asyncio.gather(*tasks))
         await asyncio.sleep(0.3)
--- a/bench/control_bench.py
+++ b/bench/control_bench.py
@@ -44,7 +44,8 @@
     WallTime,
     Zone,
 )
-from wingwood.ledger.state import ClaimKey, LedgerAnswers, LedgerBatch, LedgerState
+from wingwood.ledger.commands import ClaimRequest, LedgerAnswers, LedgerBatch
+from wingwood.ledger.state import LedgerState
 from wingwood.settings.model import DaemonSettings
 from wingwood.transport.frames import Identity
 from wingwood.transport.messenger import TcpMessenger
@@ -272,7 +273,7 @@
             claim += 1
             key = claim.to_bytes(8, "big") + number.to_bytes(4, "big") + clients.to_bytes(4, "big")
             started_at = time.monotonic()
-            batch = LedgerBatch(router, 0, claims=(ClaimKey(claim, key),))
+            batch = LedgerBatch(router, 0, claims=(ClaimRequest(claim, key),))
             match await client.decide("ledger", batch, LedgerAnswers, Seconds(5.0)):
                 case Success(_):
                     latencies.append(time.monotonic() - started_at)
--- a/bench/ledger_bench.py
+++ b/bench/ledger_bench.py
@@ -38,8 +38,9 @@
     Zone,
 )
 from wingwood.ledger.client import RouterLedger
+from wingwood.ledger.commands import ClaimRequest, LedgerBatch, OutcomeReport, call_digest
 from wingwood.ledger.protocols import CallKey, Claimed
-from wingwood.ledger.state import ClaimKey, LedgerBatch, LedgerState, SettleKey, call_digest
+from wingwood.ledger.state import LedgerState
 from wingwood.ledger.tests.test_core import CONTROLS, LedgerFleet
 from wingwood.transport.frames import Identity
 from wingwood.transport.messenger import TcpMessenger
@@ -153,7 +154,7 @@
         answer = await ledger.claim(key, Seconds(5.0))
         took = time.perf_counter() - started_at
         if isinstance(answer, Claimed):
-            ledger.settle_soon(key, answer.ticket, "ran")
+            ledger.report_outcome_soon(key, answer.ticket, "ran")
         return isinstance(answer, Claimed), took
 
     for _ in range(100):
@@ -255,7 +256,7 @@
         answer = await ledger.claim(call_key(number), Seconds(2.0))
         answers.append((isinstance(answer, Claimed), world.now - started_at))
         if isinstance(answer, Claimed):
-            ledger.settle_soon(call_key(number), answer.ticket, "ran")
+            ledger.report_outcome_soon(call_key(number), answer.ticket, "ran")
 
     async def load() -> None:
         for number in range(150):
@@ -284,14 +285,16 @@
 
 
 def _fill_ledger(state: LedgerState, size: int, settled: bool) -> None:
-    """Adds ``size`` entries, one claim in each batch; with ``settled`` each batch settles the previous call."""
-    previous_settle: tuple[SettleKey, ...] = ()
+    """Adds ``size`` entries, one claim in each batch; with ``settled`` each batch reports the previous call as ran."""
+    previous_outcome: tuple[OutcomeReport, ...] = ()
     for number in range(1, size + 1):
         key = call_digest(call_key(number))
-        record, _ = state.decide(LedgerBatch(Incarnation("bench"), number, (ClaimKey(number, key),), previous_settle))
+        record, _ = state.decide(
+            LedgerBatch(Incarnation("bench"), number, (ClaimRequest(number, key),), previous_outcome)
+        )
         assert record is not None
         state.apply(record)
-        previous_settle = (SettleKey(number, key, "ran"),) if settled else ()
+        previous_outcome = (OutcomeReport(number, key, "ran"),) if settled else ()
 
 
 if __name__ == "__main__":
--- a/emulator/router_fakes.py
+++ b/emulator/router_fakes.py
@@ -24,7 +24,7 @@
     WallTime,
     WorkerInstance,
 )
-from wingwood.ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
+from wingwood.ledger.protocols import AlreadyClaimed, CallKey, Claimed, ClaimError, Outcome
 from wingwood.limits.protocols import ShareRefused
 from wingwood.placement.protocols import Choice, NoWorker, Turn
 from wingwood.registry.protocols import Worker
@@ -102,10 +102,10 @@
 class GrantingLedger:
     """A ledger that grants every claim."""
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | ClaimError:
         return Claimed(TICKET)
 
-    async def settle(self, key: CallKey, ticket: str, state: Literal["ran", "unknown", "not-run"]) -> bool:
+    async def report_outcome(self, key: CallKey, ticket: str, outcome: Outcome) -> bool:
         return True
 
 
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -116,7 +116,9 @@
             metrics=self.metrics,
         ).add_to(self.operator_server)
         dialect.add_routes(self, self.operator_server)
-        RouterStateCollector(self.health, self._placement_counts, self.ledger.unsettled).add_to(self.metrics)
+        RouterStateCollector(self.health, self._placement_counts, self.ledger.unacknowledged_outcomes).add_to(
+            self.metrics
+        )
         self._stopping = False
         self._worker_lists_received = False
         """Once True it stays True, so that a pool added by a later bundle does not make the router not ready."""
--- a/wingwood/daemons/router_metrics.py
+++ b/wingwood/daemons/router_metrics.py
@@ -20,11 +20,11 @@
         self,
         health: Callable[[], HealthReport],
         placement_counts: Callable[[], Mapping[str, int]],
-        unsettled: Callable[[], int],
+        unacknowledged_outcomes: Callable[[], int],
     ) -> None:
         self._health = health
         self._placement_counts = placement_counts
-        self._unsettled = unsettled
+        self._unacknowledged_outcomes = unacknowledged_outcomes
 
     def add_to(self, registry: CollectorRegistry) -> None:
         registry.register(self)
@@ -45,7 +45,7 @@
             "session_age_seconds": ("Since control confirmed the session", report.session_age),
             "members": ("Daemons that are members", float(report.members)),
             "workers_ready": ("Workers announced as ready", float(report.workers_ready)),
-            "ledger_unsettled": ("Outcomes not yet durable in the ledger", float(self._unsettled())),
+            "ledger_unsettled": ("Outcomes not yet durable in the ledger", float(self._unacknowledged_outcomes())),
         }
         for name, (description, value) in gauges.items():
             if value is not None:
--- a/wingwood/forward/policies/at_most_once.py
+++ b/wingwood/forward/policies/at_most_once.py
@@ -4,7 +4,7 @@
 
 from ...context.protocols import Context
 from ...identifiers import Instant, Seconds, TenantName
-from ...ledger.protocols import AlreadyClaimed, CallKey, Ledger, Unreachable
+from ...ledger.protocols import AlreadyClaimed, CallKey, ClaimError, Ledger
 from ..formats import CallerFormat
 from ..limits import PathLimits
 from ..protocols import Answer, Forwarded, IncomingCall, Proceed, Refused, RunState
@@ -58,12 +58,12 @@
         self._next_probe = Instant(now + self._limits.ledger_probe_interval)
         timeout = self._limits.ledger_timeout_share * call.service.first_byte_patience
         claim = await self._ledger.claim(key, Seconds(min(self._limits.ledger_timeout, timeout)))
-        self._ledger_unreachable = isinstance(claim, Unreachable)
+        self._ledger_unreachable = isinstance(claim, ClaimError)
         match claim:
             case AlreadyClaimed(known):
                 reason, run, retry_after = _REFUSALS_BY_STATE[known]
                 return Refused(status=409, code=f"call-{known}", reason=reason, run=run, retry_after=retry_after)
-            case Unreachable():
+            case ClaimError():
                 return _LEDGER_UNREACHABLE
         call.claimed = True
         state: RunState = "unknown"
@@ -72,10 +72,10 @@
             state = run_state_of(call, answer)
             return answer
         finally:
-            self._context.tasks.spawn("settle", self._settle(key, claim.ticket, state))
+            self._context.tasks.spawn("report outcome", self._report_outcome(key, claim.ticket, state))
 
-    async def _settle(self, key: CallKey, ticket: str, state: RunState) -> None:
-        await self._ledger.settle(key, ticket, state)
+    async def _report_outcome(self, key: CallKey, ticket: str, outcome: RunState) -> None:
+        await self._ledger.report_outcome(key, ticket, outcome)
 
 
 def run_state_of(call: IncomingCall, answer: Answer) -> RunState:
--- a/wingwood/forward/tests/fakes.py
+++ b/wingwood/forward/tests/fakes.py
@@ -37,7 +37,7 @@
     WorkerInstance,
     Zone,
 )
-from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
+from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, ClaimError, Outcome
 from ...limits.protocols import ShareRefused
 from ...placement.protocols import Choice, NoWorker, Turn
 from ...registry.protocols import Worker
@@ -127,14 +127,14 @@
     """A ledger with one table, which a test can make slow or unreachable."""
 
     def __init__(self) -> None:
-        self.answer: Claimed | AlreadyClaimed | Unreachable | None = None
+        self.answer: Claimed | AlreadyClaimed | ClaimError | None = None
         """If set, the answer to every claim; the table is then not used."""
         self.table: dict[CallKey, str] = {}
         self.claims = 0
         self.delay = Seconds(0.0)
         """How long ``claim`` waits before it answers."""
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | ClaimError:
         self.claims += 1
         await asyncio.sleep(self.delay)
         if self.answer is not None:
@@ -145,12 +145,12 @@
         self.table[key] = "running"
         return Claimed(TICKET)
 
-    async def settle(self, key: CallKey, ticket: str, state: Literal["ran", "unknown", "not-run"]) -> bool:
+    async def report_outcome(self, key: CallKey, ticket: str, outcome: Outcome) -> bool:
         assert ticket == TICKET
-        if state == "not-run":
+        if outcome == "not-run":
             del self.table[key]
         else:
-            self.table[key] = state
+            self.table[key] = outcome
         return True
 
 
--- a/wingwood/forward/tests/test_forwarding.py
+++ b/wingwood/forward/tests/test_forwarding.py
@@ -15,7 +15,7 @@
 from simulation import World
 
 from ...identifiers import Seconds
-from ...ledger.protocols import Unreachable
+from ...ledger.protocols import ClaimTimeoutError
 from ..limits import PathLimits
 from .fakes import (
     CARDS,
@@ -530,7 +530,7 @@
 
     def test_unreachable_ledger(self) -> None:
         """The call is not sent, but ``not-run`` may not be reported: an earlier call with the key may have run."""
-        self.path.ledger.answer = Unreachable()
+        self.path.ledger.answer = ClaimTimeoutError()
         worker = self.worker(responds(b"card"))
         reply = self.path.call("/cards", Idempotency_Key="k")
         self.assertEqual(
--- a/wingwood/forward/tests/test_unreachable_ledger.py
+++ b/wingwood/forward/tests/test_unreachable_ledger.py
@@ -14,7 +14,7 @@
 from wingwood.context.protocols import Context
 
 from ...identifiers import Address, Instant, RequestId, Seconds
-from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
+from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, ClaimError, ClaimTimeoutError, Outcome
 from ..caller_format import DefaultCallerFormat
 from ..limits import PathLimits
 from ..policies.at_most_once import AtMostOncePolicy
@@ -32,14 +32,14 @@
         self.reachable = False
         self.claims = 0
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | ClaimError:
         self.claims += 1
         if self.reachable:
             return Claimed("ticket")
         await self.context.clock.sleep(timeout)
-        return Unreachable("away")
+        return ClaimTimeoutError()
 
-    async def settle(self, key: CallKey, ticket: str, state: str) -> bool:
+    async def report_outcome(self, key: CallKey, ticket: str, outcome: Outcome) -> bool:
         return True
 
 
--- a/wingwood/ledger/tests/ledger_world.py
+++ b/wingwood/ledger/tests/ledger_world.py
@@ -21,8 +21,9 @@
 from ...control.protocols import NotDecided
 from ...identifiers import IdempotencyKey, Incarnation, Instant, Seconds, ServiceName, TenantName, WallTime
 from ..client import DecideClient, RouterLedger
+from ..commands import LedgerBatch
 from ..protocols import AlreadyClaimed, CallKey, Claimed
-from ..state import LedgerBatch, LedgerState
+from ..state import LedgerState
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 MakeLedger = Callable[[Context, Incarnation, DecideClient], RouterLedger]
@@ -75,7 +76,7 @@
 
 
 class FaultyControl:
-    """Runs commands in one ``LedgerState`` at a time; acknowledged records survive ``take_over``."""
+    """Runs commands in one ``LedgerState`` at a time; acknowledged records survive ``fail_over``."""
 
     def __init__(self, world: World, make_state: Callable[[], LedgerState], acknowledges_early: bool = False) -> None:
         self._world = world
@@ -88,7 +89,7 @@
         self._term = 0
         self.faults_enabled = True
 
-    def take_over(self) -> None:
+    def fail_over(self) -> None:
         """Replaces the primary by one with all acknowledged records and a random part of the others."""
         self._term += 1
         retained = self._world.random.randint(self._durable, len(self._log))
@@ -109,12 +110,12 @@
         self, kind: str, command: msgspec.Struct, reply_type: type[Reply], timeout: Seconds
     ) -> Result[Reply, NotDecided]:
         random = self._world.random
-        fate = random.random() if self.faults_enabled else 1.0
+        fault_choice = random.random() if self.faults_enabled else 1.0
         lost = Failure(NotDecided("unknown", detail="no answer"))
-        if fate < 0.05:
+        if fault_choice < 0.05:
             await asyncio.sleep(timeout)
             return lost
-        if fate < 0.12:
+        if fault_choice < 0.12:
             self._world.at(self._world.now + random.uniform(0.0, 6.0), lambda: self._late(command))
             await asyncio.sleep(timeout)
             return lost
@@ -125,16 +126,16 @@
         if record is not None:
             self.state.apply(record)
             self._log.append(record)
-        place = len(self._log)
+        end = len(self._log)
         if not self._acknowledges_early:
             await asyncio.sleep(random.uniform(0.001, 0.02))
         if self._term != term:
             return lost
-        self._durable = max(self._durable, 0 if self._acknowledges_early else place)
-        if fate < 0.2:
+        self._durable = max(self._durable, 0 if self._acknowledges_early else end)
+        if fault_choice < 0.2:
             await asyncio.sleep(timeout)
             return lost
-        if fate < 0.25:
+        if fault_choice < 0.25:
             self._world.at(self._world.now + random.uniform(0.0, 6.0), lambda: self._late(command))
         return Success(msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=reply_type))
 
@@ -165,7 +166,7 @@
         self.keys = 0
         self.crashed_keys: set[int] = set()
         """Keys whose calls a router was serving when it was killed; their outcome may stay unknown."""
-        self._held: dict[str, set[tuple[int, int]]] = {}
+        self._open_attempts: dict[str, set[tuple[int, int]]] = {}
         self.names = [f"r{number}" for number in range(routers)]
         for name in self.names:
             world.start(name, self._main(name), zone="ab"[int(name[1:]) % 2])
@@ -175,7 +176,7 @@
         async def main(context: Context) -> None:
             incarnation = Incarnation(f"{name}-{context.random.randrange(1 << 30):x}")
             self.incarnations[name] = incarnation
-            self._held[name] = set()
+            self._open_attempts[name] = set()
             self.ledgers[name] = self.make_ledger(context, incarnation, self.control(context, name))
 
         return main
@@ -187,7 +188,7 @@
         )
 
     def kill_router(self, name: str) -> None:
-        self.crashed_keys |= {key for key, _ in self._held[name]}
+        self.crashed_keys |= {key for key, _ in self._open_attempts[name]}
         self.world.restart(name)
 
     async def _serve(self, name: str, key: int, attempt: int) -> str:
@@ -195,10 +196,10 @@
         process, ledger = self.world.processes[name], self.ledgers[name]
         context = self.world.context_for(process)
         deadline = context.clock.monotonic() + 3.0
-        self._held[name].add((key, attempt))
+        self._open_attempts[name].add((key, attempt))
         answer = await ledger.claim(call_key(key), Seconds(1.5))
         if isinstance(answer, AlreadyClaimed):
-            self._held[name].discard((key, attempt))
+            self._open_attempts[name].discard((key, attempt))
             return answer.state
         if not isinstance(answer, Claimed):
             return "not-run"
@@ -207,22 +208,22 @@
             if context.random.random() < 0.3:
                 await context.clock.sleep(Seconds(context.random.uniform(0.0, 1.0)))
         except asyncio.CancelledError:
-            ledger.settle_soon(call_key(key), answer.ticket, "not-run")
+            ledger.report_outcome_soon(call_key(key), answer.ticket, "not-run")
             raise
         if context.random.random() < 0.1 or context.clock.monotonic() >= deadline:
-            await ledger.settle(call_key(key), answer.ticket, "not-run")
+            await ledger.report_outcome(call_key(key), answer.ticket, "not-run")
             return "not-run"
         self.observer.run(self.world.now, key, attempt)
         try:
             await context.clock.sleep(Seconds(context.random.uniform(0.0, 0.5)))
         except asyncio.CancelledError:
-            ledger.settle_soon(call_key(key), answer.ticket, "unknown")
+            ledger.report_outcome_soon(call_key(key), answer.ticket, "unknown")
             raise
-        ledger.settle_soon(call_key(key), answer.ticket, "ran")
+        ledger.report_outcome_soon(call_key(key), answer.ticket, "ran")
         return "answered"
 
     async def call(self, key: int, attempt: int, name: str, timeout: float) -> str:
-        """Makes one try of a caller; returns its answer, or "gave-up"."""
+        """Makes one attempt of a caller; returns its answer, or "gave-up"."""
         answer: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         serving: list[VirtualTask] = []
 
@@ -263,7 +264,7 @@
             self.world.loop.create_task(self.caller(), name="caller")
 
     def blocked_keys(self) -> list[int]:
-        """Returns the keys that cannot be claimed although they never ran and no killed router held them.
+        """Returns the keys that cannot be claimed although they never ran and no killed router had claimed them.
 
         It is called after the faults have ended.
         """
--- a/wingwood/ledger/tests/test_client.py
+++ b/wingwood/ledger/tests/test_client.py
@@ -1,6 +1,6 @@
 """The routers' ledger client, over a control core with faults (docs/DESIGN.md section 13).
 
-Commands that are lost, delayed or duplicated, routers that freeze or restart, and callers that leave must
+Commands that are lost, delayed or duplicated, routers that freeze or restart, and callers that disconnect must
 neither make a call run twice nor leave a key blocked that nobody runs.
 """
 
@@ -20,9 +20,12 @@
 from ...context.protocols import Context
 from ...control.protocols import NotDecided
 from ...identifiers import Incarnation, Seconds
-from ..client import DecideClient, LedgerLimits, RouterLedger
-from ..protocols import AlreadyClaimed, Claimed, Unreachable
-from ..state import ClaimKey, HeldClaim, LedgerBatch, LedgerState
+from ..client import DecideClient, RouterLedger
+from ..commands import ClaimRequest, LedgerBatch
+from ..ledger_options import LedgerOptions
+from ..protocols import AlreadyClaimed, Claimed, ClaimError, ClaimRejectedError, ClaimTimeoutError
+from ..state import LedgerState
+from ..state_records import OpenClaim
 from .ledger_world import RETENTION, FaultyControl, LedgerRouters, MakeLedger, WorldClock, call_key
 
 CALM_SECONDS = 20.0
@@ -34,14 +37,14 @@
         self.world.__enter__()
         self.addCleanup(self.world.close)
 
-    def routers(self, limits: LedgerLimits | None = None) -> tuple[LedgerRouters, FaultyControl]:
+    def routers(self, options: LedgerOptions | None = None) -> tuple[LedgerRouters, FaultyControl]:
         control = FaultyControl(self.world, lambda: LedgerState(WorldClock(self.world), RETENTION))
         control.faults_enabled = False
         routers = LedgerRouters(
             self.world,
             2,
             lambda context, name: control,
-            lambda context, incarnation, decide: RouterLedger(context, incarnation, decide, limits),
+            lambda context, incarnation, decide: RouterLedger(context, incarnation, decide, options),
         )
         return routers, control
 
@@ -62,27 +65,27 @@
         self.fleet, _ = self.routers()
         claimed = self.on_router("r0", lambda ledger: ledger.claim(call_key(1), Seconds(1.0)))
         assert isinstance(claimed, Claimed)
-        self.world.spawn(self.world.processes["r0"], self._settle_later(0.5, claimed.ticket), "settle")
+        self.world.spawn(self.world.processes["r0"], self._report_later(0.5, claimed.ticket), "report outcome")
         started_at = self.world.now
         answer = self.on_router("r1", lambda ledger: ledger.claim(call_key(1), Seconds(2.0)))
         self.assertEqual(answer, AlreadyClaimed("ran"))
         self.assertLess(self.world.now - started_at, 1.0)
 
-    async def _settle_later(self, seconds: float, ticket: str) -> None:
+    async def _report_later(self, seconds: float, ticket: str) -> None:
         await asyncio.sleep(seconds)
-        self.assertTrue(await self.fleet.ledgers["r0"].settle(call_key(1), ticket, "ran"))
+        self.assertTrue(await self.fleet.ledgers["r0"].report_outcome(call_key(1), ticket, "ran"))
 
     def test_a_claim_without_an_answer_times_out_and_is_freed(self) -> None:
         self.fleet, control = self.routers()
-        with mock.patch.object(FaultyControl, "decide", _silent):
+        with mock.patch.object(FaultyControl, "decide", _never_answer):
             started_at = self.world.now
             answer = self.on_router("r0", lambda ledger: ledger.claim(call_key(1), Seconds(1.0)))
-            self.assertIsInstance(answer, Unreachable)
+            self.assertIsInstance(answer, ClaimTimeoutError)
             self.assertLess(self.world.now - started_at, 1.02)
-            self.assertEqual(self.fleet.ledgers["r0"].unsettled(), 1)
+            self.assertEqual(self.fleet.ledgers["r0"].unacknowledged_outcomes(), 1)
         self.world.run(3.0)
-        self.assertEqual(self.fleet.ledgers["r0"].unsettled(), 0)
-        late = LedgerBatch(self.fleet.incarnations["r0"], 1, (ClaimKey(1, b"k" * 16),))
+        self.assertEqual(self.fleet.ledgers["r0"].unacknowledged_outcomes(), 0)
+        late = LedgerBatch(self.fleet.incarnations["r0"], 1, (ClaimRequest(1, b"k" * 16),))
         self.assertEqual(control.state.decide(late)[1].claims, ("closed",))  # type: ignore[attr-defined]
 
     def test_a_cancelled_claim_is_freed(self) -> None:
@@ -113,7 +116,7 @@
         self.world.run(5.0)
         self.world.wake("r0")
         self.world.run(1.0)
-        self.assertIsInstance(answers[0], Unreachable)
+        self.assertIsInstance(answers[0], ClaimTimeoutError)
         self.assertEqual(control.state.entries(), 0)
 
     def test_simultaneous_claims_are_sent_in_few_batches(self) -> None:
@@ -127,34 +130,36 @@
         self.assertEqual(sum(isinstance(answer, Claimed) for answer in answers), 500)
         self.assertLess(decide.call_count, 10)
 
-    def test_waiting_claims_and_unsettled_outcomes_are_bounded(self) -> None:
-        self.fleet, _ = self.routers(LedgerLimits(max_waiting_claims=3, max_unsettled=5))
-        with mock.patch.object(FaultyControl, "decide", _silent):
+    def test_pending_claims_and_unacknowledged_outcomes_are_bounded(self) -> None:
+        self.fleet, _ = self.routers(LedgerOptions(max_pending_claims=3, max_unacknowledged_outcomes=5))
+        with mock.patch.object(FaultyControl, "decide", _never_answer):
 
             async def many(ledger: RouterLedger) -> list[object]:
                 return list(await asyncio.gather(*(ledger.claim(call_key(key), Seconds(0.3)) for key in range(1, 11))))
 
             for _ in range(4):
-                self.assertTrue(all(isinstance(answer, Unreachable) for answer in self.on_router("r0", many)))
-            self.assertLessEqual(self.fleet.ledgers["r0"].unsettled(), 5 + 3)
+                self.assertTrue(all(isinstance(answer, ClaimError) for answer in self.on_router("r0", many)))
+            self.assertLessEqual(self.fleet.ledgers["r0"].unacknowledged_outcomes(), 5 + 3)
 
-    def test_draining_waits_for_outcomes_and_refuses_claims(self) -> None:
+    def test_draining_waits_for_outcomes_and_rejects_claims(self) -> None:
         self.fleet, _ = self.routers()
         claimed = self.on_router("r0", lambda ledger: ledger.claim(call_key(1), Seconds(1.0)))
         assert isinstance(claimed, Claimed)
 
         async def stop(ledger: RouterLedger) -> int:
-            ledger.settle_soon(call_key(1), claimed.ticket, "ran")
+            ledger.report_outcome_soon(call_key(1), claimed.ticket, "ran")
             return await ledger.drain(Seconds(2.0))
 
         self.assertEqual(self.on_router("r0", stop), 0)
         answer = self.on_router("r0", lambda ledger: ledger.claim(call_key(2), Seconds(1.0)))
-        self.assertIsInstance(answer, Unreachable)
+        self.assertIsInstance(answer, ClaimRejectedError)
         answer = self.on_router("r1", lambda ledger: ledger.claim(call_key(1), Seconds(1.0)))
         self.assertEqual(answer, AlreadyClaimed("ran"))
 
 
-async def _silent(control: FaultyControl, kind: str, command: object, reply_type: type, timeout: Seconds) -> object:
+async def _never_answer(
+    control: FaultyControl, kind: str, command: object, reply_type: type, timeout: Seconds
+) -> object:
     await asyncio.sleep(timeout)
     return Failure(NotDecided("unknown"))
 
@@ -175,24 +180,9 @@
         control = FaultyControl(world, make_state, acknowledges_early)
         routers = LedgerRouters(world, 4, lambda context, name: control, make_ledger)
         routers.start_callers(12)
-        random = world.random
         while world.now < seconds:
-            world.run(random.uniform(0.1, 1.0))
-            choice = random.random()
-            name = random.choice(routers.names)
-            if choice < 0.4:
-                control.take_over()
-            elif choice < 0.6:
-                routers.kill_router(name)
-            elif choice < 0.8 and not world.processes[name].frozen:
-                world.freeze(name)
-                life = world.processes[name].incarnation_number
-
-                def wake(name: str = name, life: int = life) -> None:
-                    if world.processes[name].incarnation_number == life:
-                        world.wake(name)
-
-                world.at(world.now + random.uniform(0.5, 5.0), wake)
+            world.run(world.random.uniform(0.1, 1.0))
+            inject_fault(world, control, routers)
         control.faults_enabled = False
         for name in routers.names:
             world.wake(name)
@@ -206,6 +196,26 @@
         return routers, blocked
 
 
+def inject_fault(world: World, control: FaultyControl, routers: LedgerRouters) -> None:
+    """Injects one random fault or none: a failover, a killed router, or a router that is frozen for seconds."""
+    random = world.random
+    choice = random.random()
+    name = random.choice(routers.names)
+    if choice < 0.4:
+        control.fail_over()
+    elif choice < 0.6:
+        routers.kill_router(name)
+    elif choice < 0.8 and not world.processes[name].frozen:
+        world.freeze(name)
+        incarnation_number = world.processes[name].incarnation_number
+
+        def wake() -> None:
+            if world.processes[name].incarnation_number == incarnation_number:
+                world.wake(name)
+
+        world.at(world.now + random.uniform(0.5, 5.0), wake)
+
+
 class RandomFaultsTest(unittest.TestCase):
     def test_nothing_runs_twice_and_nothing_stays_blocked(self) -> None:
         for seed in range(4):
@@ -231,30 +241,30 @@
 
 
 class GrantsToAnyTicket(LedgerState):
-    def _find(self, key: bytes) -> HeldClaim | Any:
-        held = super()._find(key)
-        if isinstance(held, HeldClaim) and self._asker is not None and held.router == self._asker.router:
-            number = next((claim.number for claim in self._asker.claims if claim.key == key), held.number)
-            return msgspec.structs.replace(held, number=number)
-        return held
+    def _find(self, key: bytes) -> OpenClaim | Any:
+        claim = super()._find(key)
+        if isinstance(claim, OpenClaim) and self._command is not None and claim.router == self._command.router:
+            number = next((claim.number for claim in self._command.claims if claim.key == key), claim.number)
+            return msgspec.structs.replace(claim, number=number)
+        return claim
 
-    _asker: LedgerBatch | None = None
+    _command: LedgerBatch | None = None
 
     def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
         assert isinstance(command, LedgerBatch)
-        self._asker = command
+        self._command = command
         return super().decide(command)
 
 
 class GrantsFreedTickets(LedgerState):
     def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
         assert isinstance(command, LedgerBatch)
-        self._routers.clear()
+        self._closed_numbers.clear()
         return super().decide(msgspec.structs.replace(command, floor=0))
 
 
 class NeverFreesLateClaims(RouterLedger):
     def __init__(self, context: Context, incarnation: Incarnation, control: DecideClient) -> None:
         super().__init__(context, incarnation, control)
-        self._queue_settle = self._queue
-        self._queue = lambda settle: None if settle.state == "not-run" else self._queue_settle(settle)  # type: ignore[method-assign]
+        self._queue_outcome = self._queue
+        self._queue = lambda report: None if report.outcome == "not-run" else self._queue_outcome(report)  # type: ignore[method-assign]
--- a/wingwood/ledger/tests/test_core.py
+++ b/wingwood/ledger/tests/test_core.py
@@ -78,13 +78,13 @@
             for name in CONTROLS:
                 world.restart(name)
         elif choice < 0.6:
-            cut = world.cut(
+            partition = world.cut(
                 control, random.choice([name for name in CONTROLS if name != control]), random.random() < 0.5
             )
-            world.at(later, lambda: world.heal(cut))
+            world.at(later, lambda: world.heal(partition))
         elif choice < 0.75:
-            off = world.cut_off(random.choice([control, *self.routers.names]), inward=random.random() < 0.7)
-            world.at(later, lambda: world.heal(off))
+            isolation = world.cut_off(random.choice([control, *self.routers.names]), inward=random.random() < 0.7)
+            world.at(later, lambda: world.heal(isolation))
         elif choice < 0.85:
             self.routers.kill_router(random.choice(self.routers.names))
         else:
@@ -92,14 +92,14 @@
             world.freeze(router)
             world.at(later, lambda: world.wake(router))
 
-    def run_random_faults(self, seconds: float, pause: float = 4.0) -> list[int]:
+    def run_random_faults(self, seconds: float, max_interval: float = 4.0) -> list[int]:
         """Injects faults under load, then lets the fleet recover; returns the keys that stay blocked."""
         assert self.routers is not None
         world = self.world
         self.routers.start_callers(8)
         end = world.now + seconds
         while world.now < end:
-            world.run(world.random.uniform(0.1, pause))
+            world.run(world.random.uniform(0.1, max_interval))
             if all(machine.powered for machine in world.machines.values()):
                 self.inject_fault()
         world.run(4.1)
--- a/wingwood/ledger/tests/test_state.py
+++ b/wingwood/ledger/tests/test_state.py
@@ -1,6 +1,6 @@
 """The rules of the ledger's state, record by record (docs/DESIGN.md section 13).
 
-Resent, late or duplicated claims and settles must not grant a key twice, nor free the claim of another.
+Resent, late or duplicated claims and outcome reports must not grant a key twice, nor free the claim of another.
 """
 
 from __future__ import annotations
@@ -8,18 +8,9 @@
 import unittest
 
 from ...identifiers import IdempotencyKey, Incarnation, Instant, Seconds, ServiceName, TenantName, WallTime
-from ..protocols import CallKey
-from ..state import (
-    MAX_RUNNING_AGE_S,
-    ClaimAnswer,
-    ClaimKey,
-    LedgerAnswers,
-    LedgerBatch,
-    LedgerState,
-    SettledState,
-    SettleKey,
-    call_digest,
-)
+from ..commands import ClaimAnswer, ClaimRequest, LedgerAnswers, LedgerBatch, OutcomeReport, call_digest
+from ..protocols import CallKey, Outcome
+from ..state import MAX_RUNNING_AGE_S, LedgerState
 
 RETENTION = Seconds(1800.0)
 NORTH, SOUTH = Incarnation("north"), Incarnation("south")
@@ -62,42 +53,42 @@
         return record, reply.claims
 
     def claim(self, router: Incarnation, number: int, key: str = "a", floor: int = 0) -> ClaimAnswer:
-        return self.run_batch(LedgerBatch(router, floor, (ClaimKey(number, digest(key)),)))[1][0]
+        return self.run_batch(LedgerBatch(router, floor, (ClaimRequest(number, digest(key)),)))[1][0]
 
-    def settle(self, router: Incarnation, number: int, state: SettledState, key: str = "a", floor: int = 0) -> None:
-        record, _ = self.run_batch(LedgerBatch(router, floor, (), (SettleKey(number, digest(key), state),)))
-        self.assertIsNotNone(record, "a settle may be acknowledged only after a record")
+    def report(self, router: Incarnation, number: int, outcome: Outcome, key: str = "a", floor: int = 0) -> None:
+        record, _ = self.run_batch(LedgerBatch(router, floor, (), (OutcomeReport(number, digest(key), outcome),)))
+        self.assertIsNotNone(record, "an outcome may be acknowledged only after a record")
 
     def test_one_claim_is_granted_and_others_get_its_state(self) -> None:
         self.assertEqual(self.claim(NORTH, 1), "claimed")
         self.assertEqual(self.claim(SOUTH, 1), "running")
         self.assertEqual(self.claim(NORTH, 2), "running")
-        self.settle(NORTH, 1, "ran")
+        self.report(NORTH, 1, "ran")
         self.assertEqual(self.claim(SOUTH, 2), "ran")
         self.assertEqual(self.claim(SOUTH, 3, "b"), "claimed")
 
     def test_one_key_twice_in_one_batch_is_claimed_once(self) -> None:
-        claims = (ClaimKey(1, digest("a")), ClaimKey(2, digest("a")))
+        claims = (ClaimRequest(1, digest("a")), ClaimRequest(2, digest("a")))
         self.assertEqual(self.run_batch(LedgerBatch(NORTH, 1, claims))[1], ("claimed", "running"))
 
     def test_a_resent_claim_is_granted_again_only_after_a_record(self) -> None:
         self.claim(NORTH, 1)
-        record, answers = self.run_batch(LedgerBatch(NORTH, 1, (ClaimKey(1, digest("a")),)))
+        record, answers = self.run_batch(LedgerBatch(NORTH, 1, (ClaimRequest(1, digest("a")),)))
         self.assertEqual(answers, ("claimed",))
         self.assertIsNotNone(record, "without a record the answer could come before the claim is durable")
 
     def test_not_run_frees_the_key_except_for_the_freed_ticket(self) -> None:
         self.claim(NORTH, 1)
-        self.settle(NORTH, 1, "not-run")
+        self.report(NORTH, 1, "not-run")
         self.assertEqual(self.claim(NORTH, 1), "closed")
         self.assertEqual(self.claim(SOUTH, 1), "claimed")
-        self.settle(NORTH, 1, "not-run")
-        self.assertEqual(self.claim(NORTH, 2), "running", "a resent settle must not free another claim")
+        self.report(NORTH, 1, "not-run")
+        self.assertEqual(self.claim(NORTH, 2), "running", "a resent outcome must not free another claim")
 
-    def test_a_claim_that_arrives_after_its_not_run_settle_is_not_granted(self) -> None:
-        self.settle(NORTH, 7, "not-run")
+    def test_a_claim_that_arrives_after_its_not_run_outcome_is_not_granted(self) -> None:
+        self.report(NORTH, 7, "not-run")
         self.assertEqual(self.claim(NORTH, 7), "closed")
-        self.settle(NORTH, 8, "not-run", floor=9)
+        self.report(NORTH, 8, "not-run", floor=9)
         self.assertEqual(self.claim(NORTH, 7), "closed")
         self.assertEqual(self.claim(NORTH, 8, "other key"), "closed")
         self.assertEqual(self.claim(NORTH, 9), "claimed")
@@ -105,41 +96,41 @@
     def test_a_duplicate_of_an_answered_claim_is_not_granted(self) -> None:
         self.claim(NORTH, 1)
         self.assertEqual(self.claim(SOUTH, 5), "running")
-        self.settle(NORTH, 1, "not-run")
+        self.report(NORTH, 1, "not-run")
         self.assertEqual(self.claim(SOUTH, 5), "closed")
         self.assertEqual(self.claim(SOUTH, 6), "claimed")
 
-    def test_a_claim_and_its_not_run_settle_in_one_batch(self) -> None:
-        batch = LedgerBatch(NORTH, 1, (ClaimKey(1, digest("a")),), (SettleKey(1, digest("a"), "not-run"),))
+    def test_a_claim_and_its_not_run_outcome_in_one_batch(self) -> None:
+        batch = LedgerBatch(NORTH, 1, (ClaimRequest(1, digest("a")),), (OutcomeReport(1, digest("a"), "not-run"),))
         self.assertEqual(self.run_batch(batch)[1], ("closed",))
         self.assertEqual(self.claim(SOUTH, 1), "claimed")
 
-    def test_the_outcome_at_a_lost_router_is_unknown_and_may_still_be_settled(self) -> None:
+    def test_the_outcome_at_a_lost_router_is_unknown_and_may_still_be_reported(self) -> None:
         self.claim(NORTH, 1)
         self.members.remove(NORTH)
         self.assertEqual(self.claim(SOUTH, 1), "unknown")
-        self.settle(NORTH, 1, "not-run")
+        self.report(NORTH, 1, "not-run")
         self.assertEqual(self.claim(SOUTH, 2), "claimed")
 
     def test_ran_is_final(self) -> None:
         self.claim(NORTH, 1)
-        self.settle(NORTH, 1, "unknown")
+        self.report(NORTH, 1, "unknown")
         self.assertEqual(self.claim(NORTH, 1), "unknown")
-        self.settle(NORTH, 1, "ran")
-        self.settle(NORTH, 1, "not-run")
-        self.settle(NORTH, 1, "unknown")
+        self.report(NORTH, 1, "ran")
+        self.report(NORTH, 1, "not-run")
+        self.report(NORTH, 1, "unknown")
         self.assertEqual(self.claim(SOUTH, 1), "ran")
 
     def test_backup_and_restored_snapshot_give_the_same_answers(self) -> None:
         for number in range(1, 40):
             self.claim(NORTH, number, f"key {number}")
             if number % 3:
-                self.settle(NORTH, number, ("ran", "unknown", "not-run")[number % 3], f"key {number}", floor=number - 2)
+                self.report(NORTH, number, ("ran", "unknown", "not-run")[number % 3], f"key {number}", floor=number - 2)
         self.assertEqual(self.state.snapshot(), self.backup.snapshot())
         restored = self.make()
         restored.restore(self.state.snapshot())
         self.assertEqual(restored.snapshot(), self.state.snapshot())
-        claims = tuple(ClaimKey(number, digest(f"key {number}")) for number in range(1, 45))
+        claims = tuple(ClaimRequest(number, digest(f"key {number}")) for number in range(1, 45))
         expected = self.state.decide(LedgerBatch(NORTH, 0, claims))[1]
         self.assertEqual(restored.decide(LedgerBatch(NORTH, 0, claims))[1], expected)
         restored.restore(None)
@@ -147,9 +138,9 @@
 
     def test_outcomes_are_retained_for_the_retention_time_and_then_removed(self) -> None:
         self.claim(NORTH, 1)
-        self.settle(NORTH, 1, "ran")
+        self.report(NORTH, 1, "ran")
         self.claim(NORTH, 2, "b")
-        self.settle(NORTH, 2, "unknown", "b")
+        self.report(NORTH, 2, "unknown", "b")
         self.clock.now += RETENTION - 1
         self.claim(SOUTH, 1, "tick")
         self.assertEqual((self.claim(SOUTH, 2), self.claim(SOUTH, 3, "b")), ("ran", "unknown"))
@@ -158,7 +149,7 @@
         self.assertEqual((self.claim(SOUTH, 5), self.claim(SOUTH, 6, "b")), ("claimed", "claimed"))
         self.assertEqual(self.claim(SOUTH, 7, "tick"), "running", "a call that may still run must be retained")
 
-    def test_a_claim_that_is_never_settled_is_removed_after_a_day(self) -> None:
+    def test_a_claim_without_an_outcome_is_removed_after_a_day(self) -> None:
         self.claim(NORTH, 1)
         self.clock.now += MAX_RUNNING_AGE_S + 1
         self.claim(SOUTH, 1, "tick")
@@ -166,7 +157,7 @@
 
     def test_ledger_time_stops_while_no_daemon_runs(self) -> None:
         self.claim(NORTH, 1)
-        self.settle(NORTH, 1, "ran")
+        self.report(NORTH, 1, "ran")
         snapshot = self.state.snapshot()
         self.clock.now += 10 * RETENTION
         self.state = self.make()
