--- a/wingwood/control/journal_rewriting.py
+++ b/wingwood/control/journal_rewriting.py
@@ -9,7 +9,7 @@
 
 from ..context.protocols import Context
 from ..identifiers import Instant
-from ..journal import JournalFault
+from ..journal import JournalError
 from .limits import ControlLimits
 from .replica import Replica
 from .store import ControlStore
@@ -30,7 +30,7 @@
         store: ControlStore,
         replica: Replica,
         limits: ControlLimits,
-        on_fault: Callable[[JournalFault], None],
+        on_fault: Callable[[JournalError], None],
     ) -> None:
         self._context = context
         self._store = store
@@ -54,7 +54,7 @@
         store = self._store
         return store.journal.length > factor * max(self._limits.rewrite_bytes, 2 * store.rewritten_bytes)
 
-    async def _rewrite(self, compaction: Coroutine[Any, Any, Result[None, JournalFault]]) -> None:
+    async def _rewrite(self, compaction: Coroutine[Any, Any, Result[None, JournalError]]) -> None:
         clock, log, journal = self._context.clock, self._context.log, self._store.journal
         started, before = clock.monotonic(), journal.length
         match await compaction:
--- a/wingwood/control/store.py
+++ b/wingwood/control/store.py
@@ -10,7 +10,7 @@
 
 from ..context.protocols import Context
 from ..identifiers import Epoch, Incarnation, Seconds
-from ..journal import Journal, JournalFault
+from ..journal import Journal, JournalDamagedError, JournalError
 from .messages import (
     AcceptedEntry,
     BatchEntry,
@@ -66,7 +66,7 @@
         self.rewritten_bytes = 0
         """The length of the journal after its last rewrite."""
 
-    async def record_promise(self, promise: Promise, forming: bool) -> Result[None, JournalFault]:
+    async def record_promise(self, promise: Promise, forming: bool) -> Result[None, JournalError]:
         if promise.epoch <= self.promise.epoch:
             raise AssertionError(f"epoch {promise.epoch} promised after {self.promise.epoch}")
         match await self.journal.append(_encode(PromisedEntry(promise, forming))):
@@ -76,7 +76,7 @@
         self.ever_used = self.ever_used or not forming
         return Success(None)
 
-    async def record_view(self, view: View) -> Result[None, JournalFault]:
+    async def record_view(self, view: View) -> Result[None, JournalError]:
         if view.epoch < self.promise.epoch:
             raise AssertionError(f"view of epoch {view.epoch} accepted after promising {self.promise.epoch}")
         match await self.journal.append(_encode(AcceptedEntry(view))):
@@ -91,7 +91,7 @@
         if view.epoch > self.promise.epoch:
             self.promise = Promise(view.epoch, view.primary)
 
-    async def append_batch(self, encoded: bytes, sequence: int) -> Result[None, JournalFault]:
+    async def append_batch(self, encoded: bytes, sequence: int) -> Result[None, JournalError]:
         if sequence != self.sequence + 1:
             raise AssertionError(f"batch {sequence} after batch {self.sequence}")
         match await self.journal.append(encoded):
@@ -100,12 +100,12 @@
         self.sequence = sequence
         return Success(None)
 
-    async def probe(self) -> Result[None, JournalFault]:
+    async def probe(self) -> Result[None, JournalError]:
         return await self.journal.append(_encode(ProbeEntry()))
 
     async def rewrite(
         self, contents: Callable[[], Contents], timeout: Seconds, promise: Promise | None = None
-    ) -> Result[None, JournalFault]:
+    ) -> Result[None, JournalError]:
         """Replaces the journal by ``contents``. The sequence of its last batch becomes that of the store."""
         promise = promise or self.promise
         written = Contents()
@@ -135,17 +135,17 @@
         entries.extend(contents.batches)
         return [_encode(entry) for entry in entries]
 
-    def compact(self, contents: Contents) -> Coroutine[Any, Any, Result[None, JournalFault]]:
+    def compact(self, contents: Contents) -> Coroutine[Any, Any, Result[None, JournalError]]:
         """Shortens the journal. ``contents`` is the complete state up to ``sequence``; nothing else changes."""
         return self._compact(self.journal.compact(self._payloads(contents, self.promise)))
 
-    async def _compact(self, compaction: Coroutine[Any, Any, Result[None, JournalFault]]) -> Result[None, JournalFault]:
+    async def _compact(self, compaction: Coroutine[Any, Any, Result[None, JournalError]]) -> Result[None, JournalError]:
         outcome = await compaction
         if isinstance(outcome, Success):
             self.rewritten_bytes = self.journal.length
         return outcome
 
-    async def reload(self, timeout: Seconds) -> Result[Contents, JournalFault]:
+    async def reload(self, timeout: Seconds) -> Result[Contents, JournalError]:
         """Reads everything back from the disk; every failure of a write is recovered from in this way."""
         match await self.journal.open(timeout):
             case Failure(fault):
@@ -232,7 +232,7 @@
             return Success((store, contents))
         case Failure(problem):
             pass
-    if problem.kind == "damaged":
+    if isinstance(problem, JournalDamagedError):
         context.log.event("journal-damaged", journal=JOURNAL_NAME, offset=problem.offset, detail=problem.detail)
         if not start_empty_when_damaged:
             return Failure(
--- a/wingwood/control/store_guard.py
+++ b/wingwood/control/store_guard.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Result, Success
 
 from ..identifiers import Seconds
-from ..journal import JournalFault
+from ..journal import JournalDamagedError, JournalError
 from .journal_rewriting import JournalRewriter
 from .member import Member, MemberSetup
 
@@ -22,7 +22,7 @@
             self._context, self._store, self._replica, self._limits, self._mark_disk_faulty
         )
 
-    def _mark_disk_faulty(self, fault: JournalFault) -> None:
+    def _mark_disk_faulty(self, fault: JournalError) -> None:
         """Marks the store unusable: nothing is promised, accepted or acknowledged until the journal was read back."""
         if self._disk_fault is None:
             self._log("control-disk-sick", kind=fault.kind, detail=fault.detail)
@@ -32,7 +32,7 @@
             self._step_down(f"own disk: {fault.kind}")
         self._changed()
 
-    def _write_succeeded(self, outcome: Result[None, JournalFault]) -> bool:
+    def _write_succeeded(self, outcome: Result[None, JournalError]) -> bool:
         """Returns whether a write succeeded; after a failed one the store is marked as faulty."""
         match outcome:
             case Failure(fault):
@@ -64,11 +64,11 @@
         self._changed()
         return True
 
-    def _handle_unreadable(self, fault: JournalFault) -> None:
+    def _handle_unreadable(self, fault: JournalError) -> None:
         self._disk_fault = f"{fault.kind} {fault.detail}"
         if fault.kind == "missing":
             self._handle_data_loss()
-        elif fault.kind == "damaged":
+        elif isinstance(fault, JournalDamagedError):
             self._log("journal-damaged", offset=fault.offset, detail=fault.detail)
             self._context.tasks.stop_process(f"the control journal is damaged at byte {fault.offset}")
 
--- a/wingwood/control/tests/walk.py
+++ b/wingwood/control/tests/walk.py
@@ -16,7 +16,7 @@
 from simulation.network import Cut
 
 from ...journal import scan
-from ...journal.journal import FRAME_OVERHEAD_BYTES
+from ...journal.frames import FRAME_OVERHEAD_BYTES
 from ..messages import FoundedEntry, View
 from .control_world import ControlWorld, MakeCore, Put, make_core
 
--- a/wingwood/journal/journal.py
+++ b/wingwood/journal/journal.py
@@ -1,25 +1,18 @@
-"""Append-only file of checksummed, length-framed records (docs/DESIGN.md section 7.5)."""
+"""A journal file: create, open, append, rewrite, compact (docs/DESIGN.md section 7.5)."""
 
 from __future__ import annotations
 
 import asyncio
-import hashlib
 from collections.abc import Callable, Coroutine, Sequence
-from typing import Any, Literal, TypeVar
+from typing import Any
 
-import msgspec
 from returns.result import Failure, Result, Success
 
-from ..context.protocols import Context, DiskFault
+from ..context.protocols import Context
 from ..identifiers import Seconds
-
-MAGIC = b"WWJOURN2"
-SALT_BYTES = 16
-MARKER_BYTES = 4
-CHECKSUM_BYTES = 8
-HEADER_BYTES = len(MAGIC) + SALT_BYTES + 8 + CHECKSUM_BYTES
-FRAME_OVERHEAD_BYTES = MARKER_BYTES + 4 + CHECKSUM_BYTES
-"""Bytes that a frame adds to its payload."""
+from .disk_calls import DiskCall, DiskCalls, Value
+from .errors import JournalError, JournalMissingError, JournalTimeoutError, JournalUnusableError
+from .frames import SALT_BYTES, JournalContents, frame, frames, new_file, scan
 
 DEFAULT_TIMEOUT_S = Seconds(1.0)
 COMPACTION_CHUNK_BYTES = 256 * 1024
@@ -27,116 +20,13 @@
 MIN_DISK_RATE_BYTES_PER_S = 20e6
 """Lowest rate at which a healthy disk writes and syncs; the timeout of an append grows accordingly."""
 
-Value = TypeVar("Value")
-
-
-class JournalFault(msgspec.Struct, frozen=True):
-    """Reason why a journal operation failed.
-
-    ``missing``: there is no journal. ``damaged``: the bytes at ``offset`` are wrong. ``sick``: the journal must be
-    opened again before further use. ``full`` and ``failed``: the disk reported the fault. ``slow``: the disk did not
-    answer in time, so the outcome is unknown and the journal is unusable (``sick``) until it is opened again.
-    """
-
-    kind: Literal["missing", "damaged", "sick", "full", "failed", "locked", "slow"]
-    detail: str = ""
-    offset: int = 0
-
-
-class Scan(msgspec.Struct, frozen=True):
-    """Content of a journal file. ``valid_bytes`` is less than ``file_bytes`` when a torn tail follows."""
-
-    payloads: Sequence[bytes]
-    valid_bytes: int
-    file_bytes: int
-
-
-def header(salt: bytes, base: int) -> bytes:
-    """Returns the file header.
-
-    ``base`` is the number of bytes that were synced before the file got its name, so that they cannot be torn.
-    """
-    start = MAGIC + salt + base.to_bytes(8, "big")
-    return start + hashlib.blake2b(start, digest_size=CHECKSUM_BYTES).digest()
-
-
-def _marker(salt: bytes) -> bytes:
-    return hashlib.blake2b(salt, digest_size=MARKER_BYTES).digest()
-
-
-def _checksum(salt: bytes, offset: int, payload: bytes) -> bytes:
-    digest = hashlib.blake2b(
-        offset.to_bytes(8, "big") + len(payload).to_bytes(4, "big"), key=salt, digest_size=CHECKSUM_BYTES
-    )
-    digest.update(payload)
-    return digest.digest()
-
-
-def frame(salt: bytes, offset: int, payload: bytes) -> bytes:
-    """Returns the frame of a payload that is written at ``offset`` of its file."""
-    return b"".join(
-        (_marker(salt), len(payload).to_bytes(4, "big"), _checksum(salt, offset, payload), payload),
-    )
-
-
-def _frames(salt: bytes, start: int, payloads: Sequence[bytes]) -> bytes:
-    frames: list[bytes] = []
-    for payload in payloads:
-        frames.append(frame(salt, start, payload))
-        start += len(frames[-1])
-    return b"".join(frames)
-
-
-def _frame_at(salt: bytes, marker: bytes, data: bytes, offset: int) -> bytes | None:
-    if data[offset : offset + MARKER_BYTES] != marker:
-        return None
-    start = offset + FRAME_OVERHEAD_BYTES
-    length = int.from_bytes(data[offset + MARKER_BYTES : offset + MARKER_BYTES + 4], "big")
-    if start + length > len(data):
-        return None
-    payload = data[start : start + length]
-    if data[start - CHECKSUM_BYTES : start] != _checksum(salt, offset, payload):
-        return None
-    return payload
-
-
-def scan(data: bytes) -> Result[Scan, JournalFault]:
-    """Parses a complete journal file.
-
-    A bad frame counts as a torn tail only if it is after the first ``base`` bytes and no valid frame follows it.
-    """
-    if len(data) < HEADER_BYTES or not data.startswith(MAGIC):
-        return Failure(JournalFault("damaged", "no journal header", 0))
-    salt = data[len(MAGIC) : len(MAGIC) + SALT_BYTES]
-    base = int.from_bytes(data[len(MAGIC) + SALT_BYTES : HEADER_BYTES - CHECKSUM_BYTES], "big")
-    if data[:HEADER_BYTES] != header(salt, base):
-        return Failure(JournalFault("damaged", "bad header", 0))
-    marker = _marker(salt)
-    payloads: list[bytes] = []
-    offset = HEADER_BYTES
-    while offset < len(data):
-        payload = _frame_at(salt, marker, data, offset)
-        if payload is None:
-            break
-        payloads.append(payload)
-        offset += FRAME_OVERHEAD_BYTES + len(payload)
-    if offset < base:
-        return Failure(JournalFault("damaged", f"bad frame within the {base} bytes synced at creation", offset))
-    next_marker = data.find(marker, offset + 1)
-    while next_marker != -1:
-        if _frame_at(salt, marker, data, next_marker) is not None:
-            return Failure(
-                JournalFault("damaged", f"bad frame followed by a valid one at offset {next_marker}", offset)
-            )
-        next_marker = data.find(marker, next_marker + 1)
-    return Success(Scan(payloads, offset, len(data)))
-
 
 class Journal:
     """One journal file of a data folder. Operations run one at a time, in the order of the calls.
 
-    Each append is one frame. ``timeout`` limits the time of one operation, without its wait for earlier ones. After a
-    timeout the outcome is unknown (``slow``), and operations fail as ``sick`` until ``open`` succeeds.
+    Each append is one frame. ``timeout`` limits the time in seconds of one disk call, without its wait for earlier
+    operations. After a ``JournalTimeoutError`` the outcome is unknown, and operations fail with
+    ``JournalUnusableError`` until ``open`` succeeds.
     """
 
     def __init__(self, context: Context, name: str, timeout: Seconds = DEFAULT_TIMEOUT_S) -> None:
@@ -145,8 +35,7 @@
         self._new_name = f"{name}.new"
         self._timeout = timeout
         self._lock = asyncio.Lock()
-        self._pending_call: asyncio.Task[Any] | None = None
-        """A disk call that exceeded its time limit; the next disk call waits for it."""
+        self._disk_calls = DiskCalls(context.clock)
         self._salt = b""
         self._length = 0
         self._unusable_reason: str | None = "not opened"
@@ -165,190 +54,178 @@
         """Reason why the journal accepts no appends at present; None if it accepts them."""
         return self._unusable_reason
 
-    async def create(self, payloads: Sequence[bytes], timeout: Seconds | None = None) -> Result[None, JournalFault]:
+    async def create(self, payloads: Sequence[bytes], timeout: Seconds | None = None) -> Result[None, JournalError]:
         """Writes a file with these payloads; replaces an existing one."""
         async with self._lock:
             return await self._write_and_rename(payloads, timeout)
 
-    async def open(self, timeout: Seconds | None = None) -> Result[Sequence[bytes], JournalFault]:
+    async def open(self, timeout: Seconds | None = None) -> Result[Sequence[bytes], JournalError]:
         """Reads all payloads and truncates a torn tail; when it succeeds, the journal is usable again."""
         async with self._lock:
             self._unusable_reason = self._unusable_reason or "being opened"
-            match await self._disk(lambda: self._context.disk.read(self._name), timeout):
-                case Failure(fault):
-                    return Failure(fault)
+            match await self._on_disk(lambda: self._context.disk.read(self._name), timeout):
+                case Failure(error):
+                    return Failure(error)
                 case Success(data):
                     pass
             match scan(data):
-                case Failure(fault):
-                    return Failure(fault)
-                case Success(found):
+                case Failure(damage):
+                    return Failure(damage)
+                case Success(contents):
                     pass
-            if found.valid_bytes < found.file_bytes:
-                self._context.log.event(
-                    "journal-torn-tail-cut",
-                    journal=self._name,
-                    offset=found.valid_bytes,
-                    cut_bytes=found.file_bytes - found.valid_bytes,
-                )
-                match await self._disk(lambda: self._context.disk.truncate(self._name, found.valid_bytes), timeout):
-                    case Failure(fault):
-                        return Failure(fault)
-            self._salt = data[len(MAGIC) : len(MAGIC) + SALT_BYTES]
-            self._length = found.valid_bytes
+            match await self._truncate_torn_tail(contents, timeout):
+                case Failure(error):
+                    return Failure(error)
+            self._salt = contents.salt
+            self._length = contents.valid_bytes
             self._generation += 1
             self._unusable_reason = None
-            return Success(found.payloads)
-
-    async def append(self, payload: bytes) -> Result[None, JournalFault]:
+            return Success(contents.payloads)
+
+    async def _truncate_torn_tail(
+        self, contents: JournalContents, timeout: Seconds | None
+    ) -> Result[None, JournalError]:
+        if contents.valid_bytes == contents.file_bytes:
+            return Success(None)
+        self._context.log.event(
+            "journal-torn-tail-cut",
+            journal=self._name,
+            offset=contents.valid_bytes,
+            cut_bytes=contents.file_bytes - contents.valid_bytes,
+        )
+        return await self._on_disk(lambda: self._context.disk.truncate(self._name, contents.valid_bytes), timeout)
+
+    async def append(self, payload: bytes) -> Result[None, JournalError]:
         """Returns success once the payload is synced.
 
-        After a failure, either no part of the payload is left in the file or the journal is unusable (``sick``).
+        After a failure, either no part of the payload is left in the file or the journal is unusable.
         """
         async with self._lock:
             if self._unusable_reason is not None:
-                return Failure(JournalFault("sick", self._unusable_reason))
+                return Failure(JournalUnusableError(self._unusable_reason))
             data = frame(self._salt, self._length, payload)
             self._unusable_reason = "an append was cancelled before it completed"
             timeout = Seconds(self._timeout + len(data) / MIN_DISK_RATE_BYTES_PER_S)
-            match await self._disk(lambda: self._context.disk.append(self._name, data, self._length), timeout):
+            match await self._on_disk(lambda: self._context.disk.append(self._name, data, self._length), timeout):
                 case Success(_):
                     self._length += len(data)
                     self._unusable_reason = None
                     if self._appended_since_snapshot is not None:
                         self._appended_since_snapshot.append(payload)
                     return Success(None)
-                case Failure(fault):
-                    pass
-            if fault.kind in ("slow", "missing"):
-                self._unusable_reason = f"append: {fault.kind} {fault.detail}"
-                return Failure(fault)
-            match await self._disk(lambda: self._context.disk.truncate(self._name, self._length)):
-                case Success(_):
-                    self._unusable_reason = None
-                case Failure(truncate_fault):
-                    self._unusable_reason = (
-                        f"append: {fault.detail}; truncating the partial append failed: {truncate_fault.detail}"
-                    )
-            return Failure(fault)
+                case Failure(error):
+                    await self._undo_append(error)
+                    return Failure(error)
+            raise AssertionError("a result is a success or a failure")
+
+    async def _undo_append(self, error: JournalError) -> None:
+        """Truncates what a failed append may have written; when that cannot be done, the journal stays unusable."""
+        if isinstance(error, (JournalTimeoutError, JournalMissingError)):
+            self._unusable_reason = f"append: {error.kind} {error.detail}"
+            return
+        match await self._on_disk(lambda: self._context.disk.truncate(self._name, self._length)):
+            case Success(_):
+                self._unusable_reason = None
+            case Failure(truncate_error):
+                self._unusable_reason = (
+                    f"append: {error.detail}; truncating the partial append failed: {truncate_error.detail}"
+                )
 
-    async def check(self) -> Result[None, JournalFault]:
+    async def check(self) -> Result[None, JournalError]:
         """Checks that the file still exists; this detects a folder emptied while the process is running."""
         async with self._lock:
             if self._unusable_reason is not None:
-                return Failure(JournalFault("sick", self._unusable_reason))
-            match await self._disk(self._context.disk.names):
+                return Failure(JournalUnusableError(self._unusable_reason))
+            match await self._on_disk(self._context.disk.names):
                 case Success(names):
                     if self._name in names:
                         return Success(None)
                     self._unusable_reason = "the file is missing"
-                    return Failure(JournalFault("missing", self._name))
-                case Failure(fault):
-                    return Failure(fault)
+                    return Failure(JournalMissingError(self._name))
+                case Failure(error):
+                    return Failure(error)
             raise AssertionError("a result is a success or a failure")
 
     async def rewrite(
         self, payloads: Callable[[], Sequence[bytes]], timeout: Seconds | None = None
-    ) -> Result[None, JournalFault]:
+    ) -> Result[None, JournalError]:
         """Replaces the file; ``payloads`` is called when all earlier appends have completed."""
         async with self._lock:
             if self._unusable_reason is not None:
-                return Failure(JournalFault("sick", self._unusable_reason))
+                return Failure(JournalUnusableError(self._unusable_reason))
             return await self._write_and_rename(payloads(), timeout)
 
     async def _write_and_rename(
         self, payloads: Sequence[bytes], timeout: Seconds | None = None
-    ) -> Result[None, JournalFault]:
+    ) -> Result[None, JournalError]:
         salt = self._context.random.randbytes(SALT_BYTES)
-        frames = _frames(salt, HEADER_BYTES, payloads)
-        data = header(salt, HEADER_BYTES + len(frames)) + frames
+        data = new_file(salt, payloads)
         self._generation += 1
-        match await self._disk(lambda: self._context.disk.write_new(self._new_name, data), timeout):
-            case Failure(fault):
+        match await self._on_disk(lambda: self._context.disk.write_new(self._new_name, data), timeout):
+            case Failure(error):
                 # The file with the journal's name is unchanged.
-                return Failure(fault)
+                return Failure(error)
+        return await self._rename_new_file(salt, len(data), timeout)
+
+    async def _rename_new_file(
+        self, salt: bytes, length: int, timeout: Seconds | None = None
+    ) -> Result[None, JournalError]:
+        """Gives the completely written new file the journal's name."""
         self._unusable_reason = "a rename was cancelled before it completed"
-        match await self._disk(lambda: self._context.disk.rename(self._new_name, self._name), timeout):
-            case Failure(fault):
-                self._unusable_reason = f"rename: {fault.detail}"
-                return Failure(fault)
+        match await self._on_disk(lambda: self._context.disk.rename(self._new_name, self._name), timeout):
+            case Failure(error):
+                self._unusable_reason = f"rename: {error.detail}"
+                return Failure(error)
         self._salt = salt
-        self._length = len(data)
+        self._length = length
         self._unusable_reason = None
         return Success(None)
 
-    def compact(self, payloads: Sequence[bytes]) -> Coroutine[Any, Any, Result[None, JournalFault]]:
+    def compact(self, payloads: Sequence[bytes]) -> Coroutine[Any, Any, Result[None, JournalError]]:
         """Replaces the content with ``payloads``, which must be equivalent to all appends before this call.
 
         Appends continue meanwhile; each waits for at most one chunk. Await the result at once or in a task
-        of its own; only one compaction may run at a time. It fails as ``sick`` if the file is replaced or opened again
-        meanwhile.
+        of its own; only one compaction may run at a time. It fails with ``JournalUnusableError`` if the file is
+        replaced or opened again meanwhile.
         """
         self._appended_since_snapshot = []
         return self._compact(payloads, self._generation)
 
-    async def _compact(self, payloads: Sequence[bytes], generation: int) -> Result[None, JournalFault]:
+    async def _compact(self, payloads: Sequence[bytes], generation: int) -> Result[None, JournalError]:
         salt = self._context.random.randbytes(SALT_BYTES)
-        frames = _frames(salt, HEADER_BYTES, payloads)
-        data = header(salt, HEADER_BYTES + len(frames)) + frames
-        disk, name = self._context.disk, self._new_name
+        data = new_file(salt, payloads)
         try:
             for start in range(0, len(data), COMPACTION_CHUNK_BYTES):
                 async with self._lock:
-                    match await self._write_chunk(
-                        generation, name, start, data[start : start + COMPACTION_CHUNK_BYTES]
-                    ):
-                        case Failure(fault):
-                            return Failure(fault)
+                    match await self._write_chunk(generation, start, data[start : start + COMPACTION_CHUNK_BYTES]):
+                        case Failure(error):
+                            return Failure(error)
             async with self._lock:
-                tail = _frames(salt, len(data), self._appended_since_snapshot or ())
-                match await self._write_chunk(generation, name, len(data), tail):
-                    case Failure(fault):
-                        return Failure(fault)
-                self._unusable_reason = "a rename was cancelled before it completed"
-                match await self._disk(lambda: disk.rename(name, self._name)):
-                    case Failure(fault):
-                        self._unusable_reason = f"rename: {fault.detail}"
-                        return Failure(fault)
-                self._salt, self._length = salt, len(data) + len(tail)
-                self._generation += 1
-                self._unusable_reason = None
-                return Success(None)
+                return await self._complete_compaction(generation, salt, len(data))
         finally:
             self._appended_since_snapshot = None
 
-    async def _write_chunk(self, generation: int, name: str, start: int, data: bytes) -> Result[None, JournalFault]:
+    async def _complete_compaction(self, generation: int, salt: bytes, length: int) -> Result[None, JournalError]:
+        """Writes what was appended during the compaction and renames the file; the caller holds the lock."""
+        tail = frames(salt, length, self._appended_since_snapshot or ())
+        match await self._write_chunk(generation, length, tail):
+            case Failure(error):
+                return Failure(error)
+        renamed = await self._rename_new_file(salt, length + len(tail))
+        if isinstance(renamed, Success):
+            self._generation += 1
+        return renamed
+
+    async def _write_chunk(self, generation: int, start: int, data: bytes) -> Result[None, JournalError]:
         """Appends a chunk to the file that a compaction writes; the caller holds the lock."""
         if self._unusable_reason is not None or self._generation != generation:
             return Failure(
-                JournalFault("sick", self._unusable_reason or "the file was replaced or opened again meanwhile")
+                JournalUnusableError(self._unusable_reason or "the file was replaced or opened again meanwhile")
             )
-        disk = self._context.disk
+        disk, name = self._context.disk, self._new_name
         if start == 0:
-            return await self._disk(lambda: disk.write_new(name, data))
-        return await self._disk(lambda: disk.append(name, data, start)) if data else Success(None)
+            return await self._on_disk(lambda: disk.write_new(name, data))
+        return await self._on_disk(lambda: disk.append(name, data, start)) if data else Success(None)
 
-    async def _disk(
-        self, call: Callable[[], Coroutine[Any, Any, Result[Value, DiskFault]]], timeout: Seconds | None = None
-    ) -> Result[Value, JournalFault]:
-        """Runs one disk call. There is never more than one: a call that exceeds its limit is awaited by the next."""
-        limit = self._timeout if timeout is None else timeout
-        started_at = self._context.clock.monotonic()
-        if self._pending_call is not None:
-            await asyncio.wait((self._pending_call,), timeout=limit)
-            if not self._pending_call.done():
-                return Failure(JournalFault("slow", f"an earlier disk call did not return within {limit} s"))
-            self._pending_call = None
-        task = asyncio.get_running_loop().create_task(call())
-        self._pending_call = task
-        remaining = limit - (self._context.clock.monotonic() - started_at)
-        await asyncio.wait((task,), timeout=max(remaining, 0.0))
-        if not task.done():
-            return Failure(JournalFault("slow", f"the disk call did not return within {limit} s"))
-        self._pending_call = None
-        match task.result():
-            case Success(value):
-                return Success(value)
-            case Failure(fault):
-                return Failure(JournalFault(fault.kind, fault.detail))
-        raise AssertionError("a result is a success or a failure")
+    async def _on_disk(self, call: DiskCall[Value], timeout: Seconds | None = None) -> Result[Value, JournalError]:
+        return await self._disk_calls.run(call, self._timeout if timeout is None else timeout)
--- a/wingwood/journal/tests/test_journal.py
+++ b/wingwood/journal/tests/test_journal.py
@@ -15,7 +15,18 @@
 
 from ...context.protocols import Context, DiskFault
 from ...identifiers import Seconds
-from .. import Journal, scan
+from .. import (
+    DiskFailedError,
+    DiskFullError,
+    Journal,
+    JournalDamagedError,
+    JournalLockedError,
+    JournalMissingError,
+    JournalTimeoutError,
+    JournalUnusableError,
+    scan,
+)
+from ..errors import error_of
 from ..journal import COMPACTION_CHUNK_BYTES
 from .memory_disk import MemoryDisk, PowerLostError
 
@@ -73,8 +84,8 @@
 
     @on_simulated_time
     async def test_missing_journal_is_reported(self) -> None:
-        """Opening a journal that does not exist must fail as ``missing``."""
-        self.assertEqual((await self.journal().open()).failure().kind, "missing")
+        """Opening a journal that does not exist must fail with ``JournalMissingError``."""
+        self.assertIsInstance((await self.journal().open()).failure(), JournalMissingError)
 
     @on_simulated_time
     async def test_truncation_within_the_last_frame_loses_only_that_frame(self) -> None:
@@ -97,25 +108,25 @@
             damaged = bytearray(complete_file)
             damaged[position] ^= 0x40
             self.disk.files["control.journal"] = bytes(damaged)
-            fault = (await self.journal().open()).failure()
-            self.assertEqual(fault.kind, "damaged")
-            self.assertIn(fault.offset, (0, 40, 40 + 16 + 5))
-            self.assertLessEqual(fault.offset, position)
+            error = (await self.journal().open()).failure()
+            assert isinstance(error, JournalDamagedError), error
+            self.assertIn(error.offset, (0, 40, 40 + 16 + 5))
+            self.assertLessEqual(error.offset, position)
         self.disk.files["control.journal"] = b"X" + complete_file[1:]
-        self.assertEqual((await self.journal().open()).failure().kind, "damaged")
+        self.assertIsInstance((await self.journal().open()).failure(), JournalDamagedError)
 
     @on_simulated_time
     async def test_rewritten_file_is_never_treated_as_torn(self) -> None:
         """A rewritten file was synced before its rename, so any damage to it must be reported as damage."""
         journal = await self.create_journal(b"one")
-        await journal.rewrite(lambda: [b"first", b"the whole state"])
+        await journal.rewrite(lambda: [b"first", b"the complete state"])
         complete_file = self.disk.files["control.journal"]
         for position in range(len(complete_file)):
             damaged = bytearray(complete_file)
             damaged[position] ^= 0x40
             for data in (bytes(damaged), complete_file[:position]):
                 self.disk.files["control.journal"] = data
-                self.assertEqual((await self.journal().open()).failure().kind, "damaged")
+                self.assertIsInstance((await self.journal().open()).failure(), JournalDamagedError)
 
     @on_simulated_time
     async def test_torn_payload_that_contains_a_journal_is_no_damage(self) -> None:
@@ -134,7 +145,7 @@
         journal = await self.create_journal(b"one")
         for _ in range(20):
             self.disk.fault, self.disk.failing_operations = DiskFault("full"), ("append",)
-            self.assertEqual((await journal.append(b"lost" * 9)).failure().kind, "full")
+            self.assertIsInstance((await journal.append(b"lost" * 9)).failure(), DiskFullError)
             self.disk.fault = None
         self.assertEqual(await journal.append(b"two"), Success(None))
         self.assertEqual(await self.read_back(), [b"first", b"one", b"two"])
@@ -144,21 +155,21 @@
         """If a partial append cannot be truncated, later appends must fail until the journal is opened again."""
         journal = await self.create_journal(b"one")
         self.disk.fault, self.disk.failing_operations = DiskFault("failed"), ("append", "truncate")
-        self.assertEqual((await journal.append(b"lost" * 9)).failure().kind, "failed")
+        self.assertIsInstance((await journal.append(b"lost" * 9)).failure(), DiskFailedError)
         self.disk.fault = None
-        self.assertEqual((await journal.append(b"two")).failure().kind, "sick")
+        self.assertIsInstance((await journal.append(b"two")).failure(), JournalUnusableError)
         self.assertIsInstance(await journal.open(), Success)
         self.assertEqual(await journal.append(b"two"), Success(None))
         self.assertEqual((await self.read_back())[-1], b"two")
 
     @on_simulated_time
-    async def test_stalled_append_is_slow_and_never_overlaps_another_call(self) -> None:
+    async def test_stalled_append_times_out_and_never_overlaps_another_call(self) -> None:
         """A disk call that exceeds its time limit must never run together with another call on the file."""
         journal = await self.create_journal(b"one")
         self.disk.stall_event = asyncio.Event()
-        self.assertEqual((await journal.append(b"late")).failure().kind, "slow")
-        self.assertEqual((await journal.append(b"two")).failure().kind, "sick")
-        self.assertEqual((await journal.open()).failure().kind, "slow")
+        self.assertIsInstance((await journal.append(b"late")).failure(), JournalTimeoutError)
+        self.assertIsInstance((await journal.append(b"two")).failure(), JournalUnusableError)
+        self.assertIsInstance((await journal.open()).failure(), JournalTimeoutError)
         self.disk.stall_event.set()
         self.assertEqual((await journal.open()).unwrap(), [b"first", b"one", b"late"])
         self.assertEqual(await journal.append(b"two"), Success(None))
@@ -176,7 +187,7 @@
             self.assertEqual(await journal.append(b"more"), Success(None))
             calls.append(self.disk.calls - before)
         self.assertEqual(compacting.result(), Success(None))
-        self.assertEqual(max(calls[:-1]), 2, "its own call and one piece")
+        self.assertEqual(max(calls[:-1]), 2, "its own call and one chunk")
         self.assertEqual(await self.read_back(), [b"first", complete_file, *[b"more"] * len(calls)])
 
     @on_simulated_time
@@ -190,7 +201,7 @@
                 await journal.rewrite(lambda: [b"state of another"])
             else:
                 await journal.open()
-            self.assertEqual((await compacting).failure().kind, "sick")
+            self.assertIsInstance((await compacting).failure(), JournalUnusableError)
             await journal.append(b"two")
             expected = [b"state of another", b"two"] if replace else [b"first", b"one", b"two"]
             self.assertEqual(await self.read_back(), expected)
@@ -200,12 +211,12 @@
         """A compaction that fails must lose neither earlier records nor those appended meanwhile."""
         journal = await self.create_journal(b"one")
         self.disk.fault, self.disk.failing_operations = DiskFault("full"), ("write_new",)
-        self.assertEqual((await journal.compact([b"x"])).failure().kind, "full")
+        self.assertIsInstance((await journal.compact([b"x"])).failure(), DiskFullError)
         self.disk.fault = None
         compacting = asyncio.ensure_future(journal.compact([b"x" * COMPACTION_CHUNK_BYTES * 3]))
         await journal.append(b"two")
         self.disk.fault, self.disk.failing_operations = DiskFault("full"), ("append",)
-        self.assertEqual((await compacting).failure().kind, "full")
+        self.assertIsInstance((await compacting).failure(), DiskFullError)
         self.disk.fault = None
         self.assertEqual(await journal.append(b"three"), Success(None))
         self.assertEqual(await self.read_back(), [b"first", b"one", b"two", b"three"])
@@ -216,12 +227,12 @@
         journal = await self.create_journal(b"one")
         self.assertEqual(await journal.check(), Success(None))
         complete_file = self.disk.files.pop("control.journal")
-        self.assertEqual((await journal.check()).failure().kind, "missing")
+        self.assertIsInstance((await journal.check()).failure(), JournalMissingError)
         for remaining_files in ({}, {"control.journal": complete_file[:-1]}):
             journal = await self.create_journal(b"one")
             self.disk.files = dict(remaining_files)
-            self.assertEqual((await journal.append(b"two")).failure().kind, "missing")
-            self.assertEqual((await journal.append(b"two")).failure().kind, "sick")
+            self.assertIsInstance((await journal.append(b"two")).failure(), JournalMissingError)
+            self.assertIsInstance((await journal.append(b"two")).failure(), JournalUnusableError)
             self.assertEqual(self.disk.files, remaining_files)
 
     @on_simulated_time
@@ -234,7 +245,7 @@
         await asyncio.gather(*waiting, rewriting, after)
         self.assertEqual(await self.read_back(), [b"snapshot", b"after"])
         self.disk.fault, self.disk.failing_operations = DiskFault("full"), ("write_new",)
-        self.assertEqual((await journal.rewrite(lambda: [b"never"])).failure().kind, "full")
+        self.assertIsInstance((await journal.rewrite(lambda: [b"never"])).failure(), DiskFullError)
         self.assertEqual(await journal.append(b"two"), Success(None))
         self.assertEqual(await self.read_back(), [b"snapshot", b"after", b"two"])
 
@@ -281,10 +292,26 @@
             pass
         disk.power_loss_at_call = None
         match await Journal(context, "j", Seconds(1.0)).open():
-            case Success(found):
-                self.assertIn(list(found), (acknowledged, possible), f"seed {seed}")
-            case Failure(fault):
-                self.fail(f"seed {seed}: {fault}")
+            case Success(payloads):
+                self.assertIn(list(payloads), (acknowledged, possible), f"seed {seed}")
+            case Failure(error):
+                self.fail(f"seed {seed}: {error}")
+
+    def test_error_kinds_keep_the_names_that_log_entries_and_refusals_show(self) -> None:
+        """Daemons send these names to each other and operators search logs for them, so they outlive the classes."""
+        kinds = {
+            JournalMissingError: "missing",
+            JournalDamagedError: "damaged",
+            JournalUnusableError: "sick",
+            JournalTimeoutError: "slow",
+            DiskFullError: "full",
+            DiskFailedError: "failed",
+            JournalLockedError: "locked",
+        }
+        for error_type, kind in kinds.items():
+            self.assertEqual(error_type("detail").kind, kind)
+        for fault in (DiskFault("full"), DiskFault("failed"), DiskFault("locked"), DiskFault("missing")):
+            self.assertEqual(error_of(fault).kind, fault.kind)
 
 
 if __name__ == "__main__":
