--- a/wingwood/journal/journal.py
+++ b/wingwood/journal/journal.py
@@ -88,10 +88,10 @@
         if contents.valid_bytes == contents.file_bytes:
             return Success(None)
         self._context.log.event(
-            "journal-torn-tail-cut",
+            "journal-torn-tail-truncated",
             journal=self._name,
             offset=contents.valid_bytes,
-            cut_bytes=contents.file_bytes - contents.valid_bytes,
+            truncated_bytes=contents.file_bytes - contents.valid_bytes,
         )
         return await self._on_disk(lambda: self._context.disk.truncate(self._name, contents.valid_bytes), timeout)
 
--- a/wingwood/ledger/client.py
+++ b/wingwood/ledger/client.py
@@ -216,7 +216,7 @@
         while self._outcomes and self._context.clock.monotonic() < deadline:
             await self._context.clock.sleep(DRAIN_POLL_INTERVAL_S)
         if self._outcomes:
-            self._context.log.event("ledger-unsettled-at-stop", outcomes=len(self._outcomes))
+            self._context.log.event("ledger-outcomes-unacknowledged-at-stop", outcomes=len(self._outcomes))
         return len(self._outcomes)
 
     def _queue(self, report: _UnacknowledgedOutcome) -> None:
