--- a/bench/configuration_steps.py
+++ b/bench/configuration_steps.py
@@ -16,6 +16,7 @@
 from typing import TypeVar
 
 import msgspec
+from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from wingwood_platform.configuration import TranslatedChange, render_configuration, translate_complete, translate_patch
 from wingwood_platform.tests.configurations import SIGNING_KEY, large_configuration, route
 
@@ -58,7 +59,7 @@
 
     def __init__(self) -> None:
         self.state = BundleState((), signing_key=SIGNING_KEY)
-        self.signers = (public_hex(self.state._signing_key),) if self.state._signing_key else ()
+        self.signers = (public_hex(Ed25519PrivateKey.from_private_bytes(SIGNING_KEY)),)
         self.bundle: Bundle | None = None
 
     async def submit_change(self, title: str, change: EditionChange) -> None:
--- a/wingwood/bundle/editions.py
+++ b/wingwood/bundle/editions.py
@@ -12,11 +12,11 @@
 
 from ..identifiers import BundleVersion, Digest, SliceName, WallTime
 from .canonical import canonical_json
+from .errors import BundleCheckError, BundleError
 from .gradual import Steps
 from .model import Bundle, Edition, EditionChange, Manifest
-from .parse import Checked, change_steps, parse_slice
+from .parse import CheckedBundle, change_steps, parse_slice
 from .positions import with_retained_positions
-from .problem import BundleProblem, BundleProblemError
 from .signing import sign_manifest
 
 EDITION_SLICE: Final = SliceName("edition/operator")
@@ -39,50 +39,50 @@
 
 
 def signed_steps(
-    held: Bundle, change: EditionChange, key: Ed25519PrivateKey, signed_at: Callable[[], WallTime]
-) -> Steps[Checked]:
-    """Returns, in steps, the bundle that results from applying ``change`` to ``held``, checked and signed."""
-    edition = _edition_slice(held, change)
-    if isinstance(edition, BundleProblem):
+    base: Bundle, change: EditionChange, key: Ed25519PrivateKey, signed_at: Callable[[], WallTime]
+) -> Steps[CheckedBundle]:
+    """Returns, in steps, the bundle that results from applying ``change`` to ``base``, checked and signed."""
+    edition = _edition_slice(base, change)
+    if isinstance(edition, BundleError):
         return Failure(edition)
-    version = BundleVersion(held.version + 1)
+    version = BundleVersion(base.version + 1)
 
-    def sign(root: Digest) -> Result[Manifest, BundleProblem]:
+    def sign(root: Digest) -> Result[Manifest, BundleError]:
         manifest = Manifest(
-            version=version, base=held.version, root=root, order=change.order, signed_at=signed_at(), signer=""
+            version=version, base=base.version, root=root, order=change.order, signed_at=signed_at(), signer=""
         )
         return Success(sign_manifest(manifest, key))
 
-    given = (yield from with_retained_positions(held.slices, change.changed)) if change.replaces_all else change.changed
+    given = (yield from with_retained_positions(base.slices, change.changed)) if change.replaces_all else change.changed
     changed = {**given, EDITION_SLICE: edition}
-    return (yield from change_steps(held, sign, changed, removed_by(held.slices, changed, change)))
+    return (yield from change_steps(base, sign, changed, removed_by(base.slices, changed, change)))
 
 
 def removed_by(
-    held: Mapping[SliceName, bytes], changed: Mapping[SliceName, bytes], change: EditionChange
+    slices: Mapping[SliceName, bytes], changed: Mapping[SliceName, bytes], change: EditionChange
 ) -> Collection[SliceName]:
     """Returns the names of the slices that the change removes; those in ``changed`` are never among them."""
     if change.replaces_all:
-        return [name for name in held if name not in changed]
+        return [name for name in slices if name not in changed]
     return [name for name in change.removed if name not in changed]
 
 
-def _edition_slice(held: Bundle, change: EditionChange) -> bytes | BundleProblem:
-    """Returns the edition slice with the new number, or the problem with the one in the change.
+def _edition_slice(base: Bundle, change: EditionChange) -> bytes | BundleError:
+    """Returns the edition slice with the new number, or the error in the one that the change has.
 
-    The annotations are those of the change, if it has any. Otherwise those of the held edition stay, unless the change
-    replaces all slices.
+    The annotations are those of the change, if it has any. Otherwise those of the base's edition stay, unless the
+    change replaces all slices.
     """
     given = change.changed.get(EDITION_SLICE)
     if given is None:
-        annotations = {} if change.replaces_all or held.edition is None else held.edition.annotations
+        annotations = {} if change.replaces_all or base.edition is None else base.edition.annotations
         return canonical_json(Edition(number=change.number, annotations=annotations))
     try:
         edition = parse_slice(EDITION_SLICE, given)
-    except BundleProblemError as error:
-        return error.problem
+    except BundleCheckError as raised:
+        return raised.error
     if not isinstance(edition, Edition) or edition.number != change.number:
-        return BundleProblem(
+        return BundleError(
             code="field", slice=EDITION_SLICE, field="number", remedy=f"must be {change.number} as in the order"
         )
     return given
--- a/wingwood/bundle/gradual.py
+++ b/wingwood/bundle/gradual.py
@@ -33,9 +33,9 @@
         await asyncio.sleep(0)
 
 
-async def gradually_while(wanted: Callable[[], bool], steps: Steps[Value]) -> Value | None:
-    """Runs the steps as ``gradually`` does; stops and returns None as soon as ``wanted()`` is false."""
-    while wanted():
+async def gradually_while(still_needed: Callable[[], bool], steps: Steps[Value]) -> Value | None:
+    """Runs the steps as ``gradually`` does; stops and returns None as soon as ``still_needed()`` is false."""
+    while still_needed():
         try:
             next(steps)
         except StopIteration as done:
--- a/wingwood/bundle/model.py
+++ b/wingwood/bundle/model.py
@@ -225,6 +225,7 @@
 
     @property
     def version(self) -> BundleVersion:
+        """The fleet's version number of this bundle."""
         return self.manifest.version
 
     def find_route(self, host: str, path: str, method: str) -> Route | None:
@@ -235,8 +236,8 @@
         method, one of them is returned: its ``methods`` lack the method. A prefix matches only up to the end of a
         segment of the path.
         """
-        found = self.route_index.find(host, path)
-        return next((route for route in found if method in route.methods), found[0] if found else None)
+        routes = self.route_index.find(host, path)
+        return next((route for route in routes if method in route.methods), routes[0] if routes else None)
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
--- a/wingwood/bundle/positions.py
+++ b/wingwood/bundle/positions.py
@@ -1,8 +1,8 @@
 """Assigns positions to the items of an edition that replaces all slices (docs/DESIGN.md section 5.8).
 
 The translator of such an edition numbers its items from 0. If an item is left out, all items after it would differ
-from the held ones in their position only: thousands of slices in the journal record, in the history and in the
-updates sent to each router. Therefore unchanged items retain their held positions. New positions are assigned with
+from the current ones in their position only: thousands of slices in the journal record, in the history and in the
+updates sent to each router. Therefore unchanged items retain their current positions. New positions are assigned with
 gaps between them, so that an item may be inserted anywhere later without changing others.
 """
 
@@ -36,10 +36,10 @@
 _positioned = msgspec.json.Decoder(_Positioned)
 
 
-def with_retained_positions(held: Mapping[SliceName, bytes], changed: Mapping[SliceName, bytes]) -> Steps[Slices]:
+def with_retained_positions(current: Mapping[SliceName, bytes], changed: Mapping[SliceName, bytes]) -> Steps[Slices]:
     """Returns ``changed``, all slices of an edition, with new positions in the same order.
 
-    Most items that ``held`` has retain their position from there. Slices that can't be decoded are left as they are;
+    Most items that ``current`` has retain their position from there. Slices that can't be decoded are left as they are;
     the later checks refuse them.
     """
     result = dict(changed)
@@ -48,7 +48,7 @@
         given = yield from _positions(changed, names)
         if len(set(given.values())) < len(given):
             continue  # Two items have the same position, so the translator did not number them.
-        before = yield from _positions(held, [name for name in given if name in held])
+        before = yield from _positions(current, [name for name in given if name in current])
         in_order = sorted(given, key=given.__getitem__)
         written = 0
         for name, position in _assigned(in_order, before).items():
@@ -63,13 +63,13 @@
 
 def _positions(slices: Mapping[SliceName, bytes], names: Sequence[SliceName]) -> Steps[dict[SliceName, int]]:
     """Returns the positions of the named slices, without those that can't be decoded."""
-    found: dict[SliceName, int] = {}
+    positions: dict[SliceName, int] = {}
     for number, name in enumerate(names, 1):
         with contextlib.suppress(msgspec.MsgspecError, UnicodeError):
-            found[name] = _positioned.decode(slices[name]).position
+            positions[name] = _positioned.decode(slices[name]).position
         if number % SLICES_PER_STEP == 0:
             yield
-    return found
+    return positions
 
 
 def _assigned(in_order: Sequence[SliceName], before: Mapping[SliceName, int]) -> dict[SliceName, int]:
--- a/wingwood/bundle/reading.py
+++ b/wingwood/bundle/reading.py
@@ -11,6 +11,7 @@
 from ..identifiers import Address, BundleVersion, Seconds, SliceName
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
+from .errors import BundleReadError
 from .model import Bundle, Manifest
 from .state import BundleState
 from .state_records import HistoryEntry
@@ -65,20 +66,14 @@
     authoritative: bool = msgspec.field(name="sure", default=True)
 
 
-class NotReadable(msgspec.Struct, frozen=True):
-    """No control daemon gave an authoritative answer; ``reason`` says why for each daemon asked."""
-
-    reason: str
-
-
 class BundleReader(Protocol):
     """Source from which the operator API reads the bundles that control daemons store."""
 
-    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
+    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, BundleReadError]:
         """Reads the bundle of that version; 0 stands for the latest."""
         ...
 
-    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+    async def history(self, limit: int) -> Result[HistoryAnswer, BundleReadError]:
         """Reads up to ``limit`` versions of the history, the latest first."""
         ...
 
@@ -110,32 +105,36 @@
         return self._stores_bundles() and (self._durable_version() > 0 or self._state.version == 0)
 
     def read_bundle(self, version: BundleVersion) -> BundleAnswer:
+        """Returns the bundle of that version (0: the latest durable one) and whether the answer is authoritative."""
         latest = self._durable_version()
-        wanted = version or latest
-        manifest = self._state.manifest_at(wanted) if wanted <= latest else None
-        slices = self._state.slices_at(wanted) if manifest is not None else None
+        requested = version or latest
+        manifest = self._state.manifest_at(requested) if requested <= latest else None
+        slices = self._state.slices_at(requested) if manifest is not None else None
         if manifest is None or slices is None:
             return BundleAnswer(latest, None, self.is_authoritative())
         return BundleAnswer(latest, BundleView(manifest, slices), self.is_authoritative())
 
     def read_history(self, limit: int) -> HistoryAnswer:
+        """Returns up to ``limit`` durable versions and whether the answer is authoritative."""
         latest = self._durable_version()
         return HistoryAnswer(latest, self._state.history(latest, limit), self.is_authoritative())
 
-    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
+    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, BundleReadError]:
+        """See ``BundleReader``."""
         return Success(self.read_bundle(version))
 
-    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+    async def history(self, limit: int) -> Result[HistoryAnswer, BundleReadError]:
+        """See ``BundleReader``."""
         return Success(self.read_history(limit))
 
     def serve(self, messenger: Messenger) -> None:
         """Answers the requests that other daemons' ``RemoteBundleReader`` send."""
 
-        async def answer_bundle(_peer: Identity, question: BundleRequest) -> BundleAnswer:
-            return self.read_bundle(question.version)
+        async def answer_bundle(_peer: Identity, request: BundleRequest) -> BundleAnswer:
+            return self.read_bundle(request.version)
 
-        async def answer_history(_peer: Identity, question: HistoryRequest) -> HistoryAnswer:
-            return self.read_history(question.limit)
+        async def answer_history(_peer: Identity, request: HistoryRequest) -> HistoryAnswer:
+            return self.read_history(request.limit)
 
         messenger.on_call(BundleRequest, answer_bundle)
         messenger.on_call(HistoryRequest, answer_history)
@@ -154,23 +153,27 @@
         self._controls = controls
         self._timeout = timeout
 
-    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
+    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, BundleReadError]:
+        """See ``BundleReader``."""
         return await self._call_any(BundleRequest(version), BundleAnswer)
 
-    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+    async def history(self, limit: int) -> Result[HistoryAnswer, BundleReadError]:
+        """See ``BundleReader``."""
         return await self._call_any(HistoryRequest(limit), HistoryAnswer)
 
-    async def _call_any(self, question: msgspec.Struct, answer_type: type[ReplyType]) -> Result[ReplyType, NotReadable]:
+    async def _call_any(
+        self, request: msgspec.Struct, answer_type: type[ReplyType]
+    ) -> Result[ReplyType, BundleReadError]:
         reasons = []
         for address in self._controls():
-            match await self._messenger.call(address, question, answer_type, self._timeout):
+            match await self._messenger.call(address, request, answer_type, self._timeout):
                 case Success(answer) if answer.authoritative:
                     return Success(answer)
                 case Success():
                     reasons.append(f"{address} does not keep them")
                 case Failure(fault):
                     reasons.append(f"{address} {fault.kind}")
-        return Failure(NotReadable("no control daemon answered: " + (", ".join(reasons) or "none is known")))
+        return Failure(BundleReadError("no control daemon answered: " + (", ".join(reasons) or "none is known")))
 
 
 def view_of(bundle: Bundle) -> BundleView:
--- a/wingwood/bundle/rollouts.py
+++ b/wingwood/bundle/rollouts.py
@@ -11,8 +11,9 @@
 
 from ..identifiers import SliceName
 from .canonical import NAME_PATTERN, canonical_json
+from .errors import BundleCheckError, BundleError
+from .field_checks import FieldChecker
 from .model import Bundle, Rollout
-from .problem import BundleProblem, BundleProblemError
 from .variants import VARIANT_KINDS, is_selector
 
 ALL_ROUTERS_STAGE = "all"
@@ -25,6 +26,7 @@
 """Largest number of slices that all running roll-outs together change; they are checked with each change of the
 bundle."""
 MAX_WATCH_SECONDS = 86_400.0
+MAX_REASON_LETTERS = 500
 
 _PLAIN_SLICE_NAME = re.compile(rf"({'|'.join(VARIANT_KINDS)})/{NAME_PATTERN}")
 
@@ -42,32 +44,39 @@
 
 
 def check_rollouts(bundle: Bundle) -> None:
-    """Raises ``BundleProblemError`` when a running roll-out and the slices of the bundle disagree."""
+    """Raises ``BundleCheckError`` when a running roll-out and the slices of the bundle disagree."""
     rollout_of_slice: dict[SliceName, str] = {}
     running = [bundle.rollouts[name] for name in sorted(bundle.rollouts) if bundle.rollouts[name].state == "running"]
     for rollout in running:
         for change in rollout.changes:
             other = rollout_of_slice.setdefault(change.slice, rollout.name)
-            if other != rollout.name:
-                raise _problem(
-                    rollout, "changes", change.slice, f"rollout/{other} is changing it; finish that or roll it back"
-                )
+            FieldChecker(f"rollout/{rollout.name}").require(
+                other == rollout.name,
+                "changes",
+                change.slice,
+                f"rollout/{other} is changing it; finish that or roll it back",
+            )
     if len(rollout_of_slice) > MAX_RUNNING_CHANGES:
         size = f"{len(rollout_of_slice)} slices"
         remedy = f"keep to {MAX_RUNNING_CHANGES} slices in running roll-outs; finish some or roll them back"
-        raise BundleProblemError(BundleProblem(code="large", slice="rollout", value=size, remedy=remedy))
+        raise BundleCheckError(BundleError(code="large", slice="rollout", value=size, remedy=remedy))
     required = {name: data for rollout in running for name, data in required_slices(rollout).items()}
-    for name in sorted({*required, *(name for name in bundle.variants if name.partition("@")[0] in rollout_of_slice)}):
+    variants = {name for name in bundle.variants if _without_selector(name) in rollout_of_slice}
+    for name in sorted({*required, *variants}):
         if bundle.slices.get(name) != required.get(name):
-            raise _disagreement(bundle.rollouts[rollout_of_slice[SliceName(name.partition("@")[0])]], name, required)
+            raise _disagreement(bundle.rollouts[rollout_of_slice[_without_selector(name)]], name, required)
+
 
+def _without_selector(name: SliceName) -> SliceName:
+    return SliceName(name.partition("@")[0])
 
-def _disagreement(rollout: Rollout, name: SliceName, required: Mapping[SliceName, bytes]) -> BundleProblemError:
+
+def _disagreement(rollout: Rollout, name: SliceName, required: Mapping[SliceName, bytes]) -> BundleCheckError:
     requirement = (
         "must stand in the bundle as the roll-out says" if name in required else "must not stand in the bundle"
     )
-    return BundleProblemError(
-        BundleProblem(
+    return BundleCheckError(
+        BundleError(
             code="field",
             slice=name,
             remedy=f"rollout/{rollout.name} is running and at stage {rollout.stages[rollout.stage]}, "
@@ -77,41 +86,56 @@
 
 
 def check_rollout(rollout: Rollout) -> None:
-    """Checks the fields of a roll-out slice; raises ``BundleProblemError`` when one is invalid."""
-    if not 1 <= len(rollout.stages) <= MAX_STAGES or rollout.stages[-1] != ALL_ROUTERS_STAGE:
-        raise _problem(rollout, "stages", ", ".join(rollout.stages), f"1 to {MAX_STAGES} stages, the last one is all")
-    for selector in rollout.stages[:-1]:
-        if not is_selector(selector):
-            raise _problem(
-                rollout, "stages", selector, "a stage is zone=ZONE, share=PERCENT from 1 to 99, or all at the end"
-            )
-    if len(set(rollout.stages)) != len(rollout.stages):
-        raise _problem(rollout, "stages", ", ".join(rollout.stages), "name each stage once")
-    if not 0 <= rollout.stage < len(rollout.stages):
-        raise _problem(rollout, "stage", str(rollout.stage), f"from 0 to {len(rollout.stages) - 1}")
-    if rollout.reached < 0:
-        raise _problem(rollout, "reached", str(rollout.reached), "a number of routers")
-    if not 0 <= rollout.watch <= MAX_WATCH_SECONDS:
-        raise _problem(rollout, "watch", str(rollout.watch), f"seconds from 0 to {MAX_WATCH_SECONDS:.0f}")
-    for field in ("highest_failures", "highest_refusals"):
-        if not 0 <= getattr(rollout, field) <= 1:
-            raise _problem(rollout, field, str(getattr(rollout, field)), "a share from 0 to 1")
-    if len(rollout.reason) > 500:
-        raise _problem(rollout, "reason", rollout.reason, "up to 500 letters")
-    names = [change.slice for change in rollout.changes]
-    if not 1 <= len(names) <= MAX_CHANGES or names != sorted(set(names)):
-        raise _problem(rollout, "changes", f"{len(names)} slices", f"1 to {MAX_CHANGES}, sorted, each once")
-    for change in rollout.changes:
-        if not _PLAIN_SLICE_NAME.fullmatch(change.slice):
-            remedy = (
-                "only services, routes and classes are rolled out in stages; tenants and keys change everywhere at once"
-            )
-            raise _problem(rollout, "changes", change.slice, remedy)
-        if change.before == change.after:
-            raise _problem(rollout, "changes", change.slice, "before and after are the same")
+    """Checks the fields of a roll-out slice; raises ``BundleCheckError`` when one is invalid."""
+    checker = FieldChecker(f"rollout/{rollout.name}")
+    _check_stages(checker, rollout)
+    checker.require(rollout.reached >= 0, "reached", rollout.reached, "a number of routers")
+    checker.require(
+        0 <= rollout.watch <= MAX_WATCH_SECONDS, "watch", rollout.watch, f"seconds from 0 to {MAX_WATCH_SECONDS:.0f}"
+    )
+    for field, share in (
+        ("highest_failures", rollout.highest_failures),
+        ("highest_refusals", rollout.highest_refusals),
+    ):
+        checker.require(0 <= share <= 1, field, share, "a share from 0 to 1")
+    checker.require(
+        len(rollout.reason) <= MAX_REASON_LETTERS, "reason", rollout.reason, f"up to {MAX_REASON_LETTERS} letters"
+    )
+    _check_changes(checker, rollout)
+
+
+def _check_stages(checker: FieldChecker, rollout: Rollout) -> None:
+    stages = rollout.stages
+    checker.require(
+        1 <= len(stages) <= MAX_STAGES and stages[-1] == ALL_ROUTERS_STAGE,
+        "stages",
+        ", ".join(stages),
+        f"1 to {MAX_STAGES} stages, the last one is all",
+    )
+    for selector in stages[:-1]:
+        checker.require(
+            is_selector(selector),
+            "stages",
+            selector,
+            "a stage is zone=ZONE, share=PERCENT from 1 to 99, or all at the end",
+        )
+    checker.require(len(set(stages)) == len(stages), "stages", ", ".join(stages), "name each stage once")
+    checker.require(0 <= rollout.stage < len(stages), "stage", rollout.stage, f"from 0 to {len(stages) - 1}")
 
 
-def _problem(rollout: Rollout, field: str, value: str, remedy: str) -> BundleProblemError:
-    return BundleProblemError(
-        BundleProblem(code="field", slice=f"rollout/{rollout.name}", field=field, value=value[:80], remedy=remedy)
+def _check_changes(checker: FieldChecker, rollout: Rollout) -> None:
+    names = [change.slice for change in rollout.changes]
+    checker.require(
+        1 <= len(names) <= MAX_CHANGES and names == sorted(set(names)),
+        "changes",
+        f"{len(names)} slices",
+        f"1 to {MAX_CHANGES}, sorted, each once",
     )
+    for change in rollout.changes:
+        checker.require(
+            bool(_PLAIN_SLICE_NAME.fullmatch(change.slice)),
+            "changes",
+            change.slice,
+            "only services, routes and classes are rolled out in stages; tenants and keys change everywhere at once",
+        )
+        checker.require(change.before != change.after, "changes", change.slice, "before and after are the same")
--- a/wingwood/bundle/route_index.py
+++ b/wingwood/bundle/route_index.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
+from .errors import BundleCheckError, BundleError
 from .gradual import at_once
-from .problem import BundleProblem, BundleProblemError
 from .route import Route
 
 ROUTES_PER_STEP = 1_000
@@ -32,10 +32,11 @@
 
     @staticmethod
     def of(routes: Iterable[Route]) -> RouteIndex:
-        """Builds the index of these routes; raises ``BundleProblemError`` when two of them accept the same calls."""
+        """Builds the index of these routes; raises ``BundleCheckError`` when two of them accept the same calls."""
         return at_once(RouteIndex().changed((), list(routes)))
 
     def is_empty(self) -> bool:
+        """Returns whether the index has no routes."""
         return not self.hosts
 
     def find(self, host: str, path: str) -> tuple[Route, ...]:
@@ -56,7 +57,7 @@
     def changed(self, removed: Collection[Route], added: Collection[Route]) -> Generator[None, None, RouteIndex]:
         """Returns, in steps, a new index without the ``removed`` and with the ``added`` routes.
 
-        Raises ``BundleProblemError`` when an added route accepts the same calls as another one.
+        Raises ``BundleCheckError`` when an added route accepts the same calls as another one.
         """
         hosts = dict(self.hosts)
         copies: dict[str, dict[str, tuple[Route, ...]]] = {}
@@ -103,13 +104,13 @@
 
 
 def _check_no_overlap(route: Route, others: Collection[Route]) -> None:
-    """Raises ``BundleProblemError`` when another route of the same host and prefix accepts a method of ``route``."""
+    """Raises ``BundleCheckError`` when another route of the same host and prefix accepts a method of ``route``."""
     for other in others:
         shared = sorted(set(route.methods) & set(other.methods))
         if shared:
             at = f" at {route.host}" if route.host else ""
-            raise BundleProblemError(
-                BundleProblem(
+            raise BundleCheckError(
+                BundleError(
                     code="double",
                     slice=f"route/{route.name}",
                     field="path_prefix",
--- a/wingwood/bundle/slice_history.py
+++ b/wingwood/bundle/slice_history.py
@@ -15,10 +15,10 @@
     def __init__(
         self,
         past: dict[SliceName, list[SliceVersion]] | None = None,
-        forgotten_removal: BundleVersion = BundleVersion(0),  # noqa: B008
+        dropped_removal: BundleVersion = BundleVersion(0),  # noqa: B008
     ) -> None:
         self.past = past if past is not None else {}
-        self.forgotten_removal = forgotten_removal
+        self.dropped_removal = dropped_removal
         """Latest version with a removal that is no longer recorded in ``past``."""
         self.superseded_bytes = sum(_bytes_of(entries[:-1]) for entries in self.past.values())
         """Total size of the contents that a later version has replaced; the latest contents don't count."""
@@ -59,7 +59,7 @@
         del past[:keep]
         version, data = past[0]
         if data is None and version <= oldest:
-            self.forgotten_removal = max(self.forgotten_removal, version)
+            self.dropped_removal = max(self.dropped_removal, version)
             del past[0]
             if not past:
                 del self.past[name]
--- a/wingwood/bundle/state_records.py
+++ b/wingwood/bundle/state_records.py
@@ -1,4 +1,4 @@
-"""Journal records and snapshots of the bundle state, and the orders in its memory (docs/DESIGN.md section 5.4)."""
+"""Journal records and snapshots of the bundle state, and its decided orders (docs/DESIGN.md section 5.4)."""
 
 from __future__ import annotations
 
@@ -35,10 +35,12 @@
     signed_at: WallTime
 
 
-record_decoder = msgspec.msgpack.Decoder(AcceptedRecord | RefusedRecord)
+record_decoder: msgspec.msgpack.Decoder[AcceptedRecord | RefusedRecord] = msgspec.msgpack.Decoder(
+    AcceptedRecord | RefusedRecord
+)
 
 
-class RememberedOrder(msgspec.Struct, array_like=True, gc=False):
+class DecidedOrder(msgspec.Struct, array_like=True, gc=False):
     """First outcome of an order; for an accepted order also its entry in the history."""
 
     order: OrderId
@@ -52,9 +54,14 @@
     removed: tuple[SliceName, ...] = ()
 
     def as_outcome(self) -> OrderOutcome:
+        """Returns the outcome in the form in which it is sent to the operator."""
         return OrderOutcome(order=self.order, outcome=self.outcome, version=self.version, reason=self.reason)
 
 
+PackedOrder = tuple[OrderId, bytes, int, BundleVersion, str, int, WallTime, list[int], list[int]]
+"""A ``DecidedOrder`` in a snapshot: its fields in order, with the index in ``OUTCOMES``, ``signers`` and ``names``."""
+
+
 class HistoryEntry(msgspec.Struct, frozen=True, kw_only=True):
     """Entry of the history that operators read: one version and the slices that it changed."""
 
@@ -67,12 +74,13 @@
 
 
 class StateSnapshot(msgspec.Struct, array_like=True):
-    """The complete bundle state. Remembered orders refer to ``signers`` and slice ``names`` by index."""
+    """The complete bundle state. Decided orders refer to ``signers`` and slice ``names`` by index."""
 
     version: BundleVersion
     manifests: list[Manifest]
     past: dict[SliceName, list[SliceVersion]]
-    forgotten_removal: BundleVersion
+    dropped_removal: BundleVersion = msgspec.field(name="forgotten_removal")
+    """See ``SliceHistory.dropped_removal``."""
     signers: list[str]
     names: list[SliceName]
-    remembered: list[tuple[OrderId, bytes, int, BundleVersion, str, int, WallTime, list[int], list[int]]]
+    decided: list[PackedOrder] = msgspec.field(name="remembered")
--- a/wingwood/bundle/stored_bundles.py
+++ b/wingwood/bundle/stored_bundles.py
@@ -1,28 +1,28 @@
 """Stores the bundles and orders of the bundle state: applies records and reads past versions (docs/DESIGN.md 5.4).
 
-``OrderDecisions`` and ``EditionDecisions`` decide on top of it; together they are ``BundleState``.
+``OrderDecisions`` and ``EditionDecisions`` decide against it and change nothing here; see ``BundleState``.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 
 import msgspec
-from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from ..identifiers import BundleVersion, OrderId, SliceName, WallTime
+from ..identifiers import BundleVersion, OrderId, SliceName
 from .editions import EDITION_SLICE, edition_number_in
+from .gradual import gradually_while
 from .model import Bundle, BundleDelta, Manifest, OrderOutcome
 from .orders import difference
-from .parse import empty_bundle, parse_bundle
+from .parse import empty_bundle, parse_bundle, parse_steps
 from .slice_history import SliceHistory
 from .state_records import (
     OUTCOMES,
     AcceptedRecord,
+    DecidedOrder,
     HistoryEntry,
     RefusedRecord,
-    RememberedOrder,
     StateSnapshot,
     record_decoder,
 )
@@ -32,22 +32,15 @@
 MIN_HISTORY_VERSIONS = 10
 """Number of past versions that are retained even above ``MAX_HISTORY_BYTES``."""
 MAX_WALKED_VERSIONS = 1_000
-"""For a holder that is more versions behind than this, all slices are searched instead of walking the history."""
-
-
-class StateOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Options of ``BundleState``; see there."""
-
-    operator_keys: frozenset[str]
-    outcome_retention: int
-    history_versions: int
-    bundle_bytes: int
-    signing_key: Ed25519PrivateKey | None
-    wall_clock: Callable[[], WallTime]
+"""For a reader that is more versions behind than this, all slices are searched instead of walking the history."""
 
 
 class StoredBundles:
-    """The part of the bundle state that records and snapshots define; it is the same on every control daemon."""
+    """The part of the bundle state that records and snapshots define; it is the same on every control daemon.
+
+    It owns the versions with their slices and manifests, and the decided orders. ``outcome_retention`` is the number
+    of orders whose outcome is stored, ``history_versions`` the number of past versions that are retained.
+    """
 
     _version: BundleVersion
     _parsed: Bundle | None
@@ -57,20 +50,19 @@
     _manifests: dict[BundleVersion, Manifest]
     """Manifests of the latest version and of the retained past versions."""
     _slices: SliceHistory
-    _remembered: dict[OrderId, RememberedOrder]
-    _remembered_order: deque[RememberedOrder]
-    """The remembered orders, the oldest first."""
-    _history: dict[BundleVersion, RememberedOrder]
+    _decided: dict[OrderId, DecidedOrder]
+    _decided_in_sequence: deque[DecidedOrder]
+    """The decided orders whose outcome is stored, the oldest first."""
+    _history: dict[BundleVersion, DecidedOrder]
     """Accepted orders by the version that they made."""
     _interned_signers: dict[str, str]
     _interned_names: dict[SliceName, SliceName]
-    """One shared string object per signer and per slice name; remembered orders refer to them."""
+    """One shared string object per signer and per slice name; decided orders refer to them."""
 
-    def __init__(self, options: StateOptions) -> None:
-        self._outcome_retention = options.outcome_retention
-        self._history_versions = options.history_versions
-        self._bundle_bytes = options.bundle_bytes
-        self.restore(None)
+    def __init__(self, outcome_retention: int, history_versions: int) -> None:
+        self._outcome_retention = outcome_retention
+        self._history_versions = history_versions
+        self._clear()
 
     @property
     def version(self) -> BundleVersion:
@@ -79,11 +71,19 @@
 
     # used by decisions
 
-    def _edition_number(self) -> int:
+    def edition_number(self) -> int:
         """Returns the operator's number of the latest edition; 0 when there is none."""
         return edition_number_in(self._slices.latest_of(EDITION_SLICE))
 
-    def _parsed_bundle(self) -> Bundle:
+    def decided_order(self, order: OrderId) -> DecidedOrder | None:
+        """Returns an order with its first outcome; None when it is not decided, or no longer."""
+        return self._decided.get(order)
+
+    def order_of_version(self, version: BundleVersion) -> DecidedOrder | None:
+        """Returns the accepted order that made this version; None when it is no longer stored."""
+        return self._history.get(version)
+
+    def latest_bundle(self) -> Bundle:
         """Returns the latest bundle; parses it when its record was applied without having been decided here."""
         bundle = self._parsed
         if bundle is None:
@@ -93,21 +93,27 @@
             self._parsed = bundle
         return bundle
 
-    def _record_acceptance(self, held: Bundle, bundle: Bundle, order_fingerprint: bytes) -> bytes:
-        """Returns the journal record of an accepted order, and holds its bundle ready for ``apply``."""
-        changed, removed = difference(held.slices, bundle.slices)
+    async def latest_bundle_gradually(self) -> Bundle | None:
+        """Does the work of ``latest_bundle`` in steps; returns None when another version was applied meanwhile."""
+        if self._parsed is None and self._version > 0:
+            manifest = self._manifests[self._version]
+            steps = parse_steps(manifest, self._slices.latest())
+            parsed = await gradually_while(lambda: self._manifests.get(self._version) is manifest, steps)
+            if parsed is None or self._manifests.get(self._version) is not manifest:
+                return None
+            self._parsed = parsed.unwrap()
+        return self.latest_bundle()
+
+    def is_latest(self, bundle: Bundle) -> bool:
+        """Returns whether this object is what ``latest_bundle`` returned and no other version was applied since."""
+        return self._parsed is bundle
+
+    def acceptance_record(self, base: Bundle, bundle: Bundle, order_fingerprint: bytes) -> bytes:
+        """Returns the journal record of an accepted order, and stores its parsed bundle for ``apply``."""
+        changed, removed = difference(base.slices, bundle.slices)
         self._candidate = bundle
         return msgspec.msgpack.encode(AcceptedRecord(bundle.manifest, changed, removed, order_fingerprint))
 
-    def _bundle_size_refusal(self, bundle: Bundle) -> str | None:
-        """Returns the reason for refusing a bundle that is too large; None when it is not."""
-        return self._size_refusal("bundle", sum(map(len, bundle.slices.values())))
-
-    def _size_refusal(self, what: str, size: int) -> str | None:
-        if size <= self._bundle_bytes:
-            return None
-        return f"the {what} has {size} bytes: keep it to {self._bundle_bytes} (bundle_bytes in settings)"
-
     # applying records
 
     def apply(self, record: bytes) -> None:
@@ -120,8 +126,8 @@
 
     def _apply_refusal(self, refused: RefusedRecord) -> None:
         outcome = refused.outcome
-        self._remember(
-            RememberedOrder(
+        self._add_decided(
+            DecidedOrder(
                 outcome.order,
                 refused.fingerprint,
                 "conflict" if outcome.outcome == "conflict" else "invalid",
@@ -143,8 +149,8 @@
         changed = {self._interned_name(name): data for name, data in accepted.changed.items()}
         removed = tuple(map(self._interned_name, accepted.removed))
         self._slices.add(manifest.version, changed, removed)
-        self._remember(
-            RememberedOrder(
+        self._add_decided(
+            DecidedOrder(
                 manifest.order,
                 accepted.fingerprint,
                 "accepted",
@@ -159,18 +165,18 @@
         self._drop_old_versions()
 
     def _interned_name(self, name: SliceName) -> SliceName:
-        """Returns one shared string object per slice name, so that remembered orders don't each store a copy."""
+        """Returns one shared string object per slice name, so that decided orders don't each store a copy."""
         return self._interned_names.setdefault(name, name)
 
-    def _remember(self, entry: RememberedOrder) -> None:
+    def _add_decided(self, entry: DecidedOrder) -> None:
         """Stores the outcome of an order, and drops the oldest outcomes above ``outcome_retention``."""
-        self._remembered[entry.order] = entry
+        self._decided[entry.order] = entry
         if entry.outcome == "accepted":
             self._history[entry.version] = entry
-        self._remembered_order.append(entry)
-        while len(self._remembered_order) > self._outcome_retention:
-            oldest = self._remembered_order.popleft()
-            self._remembered.pop(oldest.order, None)
+        self._decided_in_sequence.append(entry)
+        while len(self._decided_in_sequence) > self._outcome_retention:
+            oldest = self._decided_in_sequence.popleft()
+            self._decided.pop(oldest.order, None)
             if oldest.outcome == "accepted":
                 self._history.pop(oldest.version, None)
 
@@ -201,14 +207,14 @@
         """Returns the difference between versions ``since`` and ``up_to``, without the versions in between.
 
         ``up_to`` is the latest durable version; later decisions don't show. ``since`` of the delta is 0 when the
-        holder has no bundle, or is so far behind that removals it has not seen are no longer recorded; the delta then
-        holds all slices. Returns None when ``up_to`` is not newer than ``since``, or is no longer stored (more than
+        reader has no bundle, or is so far behind that removals it has not seen are no longer recorded; the delta then
+        has all slices. Returns None when ``up_to`` is not newer than ``since``, or is no longer stored (more than
         ``history_versions`` behind).
         """
         manifest = self._manifests.get(up_to)
         if manifest is None or since >= up_to:
             return None
-        if since < self._slices.forgotten_removal:
+        if since < self._slices.dropped_removal:
             since = BundleVersion(0)
         changed: dict[SliceName, bytes] = {}
         removed: list[SliceName] = []
@@ -224,11 +230,11 @@
         """Returns the sorted names of slices that changed after ``since`` and up to ``up_to``."""
         entries = range(since + 1, up_to + 1)
         if since and len(entries) <= MAX_WALKED_VERSIONS and BundleVersion(since + 1) in self._history:
-            names = {name for version in entries for name in self._touched(BundleVersion(version))}
+            names = {name for version in entries for name in self._names_changed_in(BundleVersion(version))}
             return sorted(name for name in names if name in self._slices.past)
         return self._slices.changed_between(since, up_to)
 
-    def _touched(self, version: BundleVersion) -> tuple[SliceName, ...]:
+    def _names_changed_in(self, version: BundleVersion) -> tuple[SliceName, ...]:
         """Returns the names of the slices that this version changed or removed."""
         entry = self._history[version]
         return (*entry.changed, *entry.removed)
@@ -261,9 +267,9 @@
         ]
 
     def outcome(self, order: OrderId) -> OrderOutcome | None:
-        """Returns the outcome of an order, which may not be durable yet; None when it is not remembered."""
-        known = self._remembered.get(order)
-        return None if known is None else known.as_outcome()
+        """Returns the outcome of an order, which may not be durable yet; None when it is not stored."""
+        decided = self._decided.get(order)
+        return None if decided is None else decided.as_outcome()
 
     # snapshots
 
@@ -271,7 +277,7 @@
         """Returns the complete state as an encoded ``StateSnapshot``."""
         signers: dict[str, int] = {}
         names: dict[SliceName, int] = {}
-        remembered = [
+        decided = [
             (
                 entry.order,
                 entry.fingerprint,
@@ -283,17 +289,17 @@
                 [names.setdefault(name, len(names)) for name in entry.changed],
                 [names.setdefault(name, len(names)) for name in entry.removed],
             )
-            for entry in self._remembered_order
+            for entry in self._decided_in_sequence
         ]
         return msgspec.msgpack.encode(
             StateSnapshot(
                 self._version,
                 [self._manifests[version] for version in sorted(self._manifests)],
                 self._slices.past,
-                self._slices.forgotten_removal,
+                self._slices.dropped_removal,
                 list(signers),
                 list(names),
-                remembered,
+                decided,
             )
         )
 
@@ -309,31 +315,31 @@
         self._candidate = None
         self._manifests = {}
         self._slices = SliceHistory()
-        self._remembered = {}
-        self._remembered_order = deque()
+        self._decided = {}
+        self._decided_in_sequence = deque()
         self._history = {}
         self._interned_signers = {}
         self._interned_names = {}
 
-    def _load(self, read: StateSnapshot) -> None:
-        self._version = read.version
-        self._slices = SliceHistory(read.past, read.forgotten_removal)
-        self._interned_signers = {signer: signer for signer in read.signers}
-        self._interned_names = {name: name for name in read.names}
-        for order, order_fingerprint, outcome, version, reason, signer, signed_at, changed, removed in read.remembered:
-            self._remember(
-                RememberedOrder(
+    def _load(self, snapshot: StateSnapshot) -> None:
+        self._version = snapshot.version
+        self._slices = SliceHistory(snapshot.past, snapshot.dropped_removal)
+        self._interned_signers = {signer: signer for signer in snapshot.signers}
+        self._interned_names = {name: name for name in snapshot.names}
+        for order, order_fingerprint, outcome, version, reason, signer, signed_at, changed, removed in snapshot.decided:
+            self._add_decided(
+                DecidedOrder(
                     order,
                     order_fingerprint,
                     OUTCOMES[outcome],
                     version,
                     reason,
-                    read.signers[signer],
+                    snapshot.signers[signer],
                     signed_at,
-                    tuple(read.names[index] for index in changed),
-                    tuple(read.names[index] for index in removed),
+                    tuple(snapshot.names[index] for index in changed),
+                    tuple(snapshot.names[index] for index in removed),
                 )
             )
         oldest = self._version - self._history_versions
-        self._manifests = {manifest.version: manifest for manifest in read.manifests if manifest.version >= oldest}
+        self._manifests = {manifest.version: manifest for manifest in snapshot.manifests if manifest.version >= oldest}
         self._drop_old_versions()
--- a/wingwood/bundle/tests/samples.py
+++ b/wingwood/bundle/tests/samples.py
@@ -28,7 +28,7 @@
 from ..state import BundleState
 
 OPERATOR = Ed25519PrivateKey.from_private_bytes(b"\x01" * 32)
-STRANGER = Ed25519PrivateKey.from_private_bytes(b"\x02" * 32)
+UNKNOWN_OPERATOR = Ed25519PrivateKey.from_private_bytes(b"\x02" * 32)
 OPERATOR_KEYS = (public_hex(OPERATOR),)
 SIGNING_KEY = b"\x03" * 32
 SIGNER = public_hex(Ed25519PrivateKey.from_private_bytes(SIGNING_KEY))
@@ -111,13 +111,13 @@
 
 
 def edition_change(
-    base: int, number: int, changed: dict[SliceName, bytes], order: str = "", whole: bool = True
+    base: int, number: int, changed: dict[SliceName, bytes], order: str = "", replaces_all: bool = True
 ) -> EditionChange:
-    """Returns an order with the operator's own edition numbers; ``whole`` means that it replaces all slices."""
+    """Returns an order with the operator's own edition numbers; ``replaces_all`` as in ``EditionChange``."""
     return EditionChange(
         order=OrderId(order or f"edition-{base}-{number}"),
         base=base,
         number=number,
         changed=changed,
-        replaces_all=whole,
+        replaces_all=replaces_all,
     )
--- a/wingwood/bundle/tests/test_editions.py
+++ b/wingwood/bundle/tests/test_editions.py
@@ -54,7 +54,7 @@
     return slices
 
 
-def standing(state: BundleState, order: str = "") -> EditionStatus:
+def edition_status(state: BundleState, order: str = "") -> EditionStatus:
     """Returns the reply to ``FindEdition``."""
     record, answer = state.decide(FindEdition(OrderId(order)))
     assert record is None and isinstance(answer, EditionStatus)
@@ -87,9 +87,9 @@
         )
         delta = self.state.delta_since(BundleVersion(0), BundleVersion(1))
         assert delta is not None
-        held: Bundle = apply_delta(None, delta, (SIGNER,)).unwrap()
-        assert held.edition is not None
-        self.assertEqual(held.edition.number, 7)
+        before: Bundle = apply_delta(None, delta, (SIGNER,)).unwrap()
+        assert before.edition is not None
+        self.assertEqual(before.edition.number, 7)
 
     def test_base_and_number_decide_the_outcome(self) -> None:
         for base, number, outcome in (
@@ -103,12 +103,12 @@
             (7, 10, "conflict"),
             (9, 12, "accepted"),
         ):
-            change = edition_change(base, number, CHANGED_CLASS, whole=False)
+            change = edition_change(base, number, CHANGED_CLASS, replaces_all=False)
             self.assertEqual(submit_edition(self.state, change).outcome, outcome, (base, number))
-        self.assertEqual((standing(self.state).number, standing(self.state).version), (12, 3))
+        self.assertEqual((edition_status(self.state).number, edition_status(self.state).version), (12, 3))
 
     def test_resent_accepted_order_gets_its_first_outcome(self) -> None:
-        second = edition_change(7, 9, CHANGED_CLASS, whole=False)
+        second = edition_change(7, 9, CHANGED_CLASS, replaces_all=False)
         submit_edition(self.state, second)
         backup = new_state()
         primary = new_state()
@@ -121,31 +121,33 @@
             self.assertEqual(state.decide(SubmitEdition(self.first)), (None, self.accepted))
             again = msgspec.structs.replace(self.first, changed={**self.slices, **CHANGED_CLASS})
             self.assertEqual(state.decide(SubmitEdition(again)), (None, self.accepted))
-            found = standing(state, self.first.order).outcome
-            assert found is not None
-            self.assertEqual((found.outcome, found.version), ("accepted", 1))
-            self.assertIsNone(standing(state, "other").outcome)
+            outcome = edition_status(state, self.first.order).outcome
+            assert outcome is not None
+            self.assertEqual((outcome.outcome, outcome.version), ("accepted", 1))
+            self.assertIsNone(edition_status(state, "other").outcome)
         self.assertEqual(primary.snapshot(), backup.snapshot())
 
     def test_refused_edition_orders_are_not_remembered(self) -> None:
-        early = edition_change(9, 12, CHANGED_CLASS, "early", whole=False)
+        early = edition_change(9, 12, CHANGED_CLASS, "early", replaces_all=False)
         self.assertEqual(submit_edition(self.state, early).outcome, "conflict")
-        submit_edition(self.state, edition_change(7, 9, CHANGED_CLASS, whole=False))
+        submit_edition(self.state, edition_change(7, 9, CHANGED_CLASS, replaces_all=False))
         self.assertEqual(submit_edition(self.state, early).outcome, "accepted")
         before = self.state.snapshot()
-        submit_edition(self.state, edition_change(12, 13, {SliceName("class/gold"): b"{}"}, "bad", whole=False))
+        submit_edition(self.state, edition_change(12, 13, {SliceName("class/gold"): b"{}"}, "bad", replaces_all=False))
         self.assertEqual(self.state.snapshot(), before)
 
     def test_order_id_of_another_order_is_invalid(self) -> None:
         for base, number in ((7, 9), (0, 9)):
             outcome = submit_edition(
-                self.state, edition_change(base, number, CHANGED_CLASS, self.first.order, whole=False)
+                self.state, edition_change(base, number, CHANGED_CLASS, self.first.order, replaces_all=False)
             )
             self.assertEqual(outcome.outcome, "invalid")
             self.assertIn("used before", outcome.reason)
         signed = order_between(1, latest_slices(self.state), {**latest_slices(self.state), **CHANGED_CLASS}, "mine")
         self.assertEqual(submit(self.state, signed).outcome, "accepted")
-        self.assertEqual(submit_edition(self.state, edition_change(7, 9, {}, "mine", whole=False)).outcome, "invalid")
+        self.assertEqual(
+            submit_edition(self.state, edition_change(7, 9, {}, "mine", replaces_all=False)).outcome, "invalid"
+        )
 
     def test_invalid_edition_is_refused_with_the_reason(self) -> None:
         for changed, reason in (
@@ -153,7 +155,7 @@
             ({SliceName("odd/x"): b"{}"}, "are called"),
             ({EDITION_SLICE: b'{"annotations":{},"name":"operator","number":8}'}, "must be 9"),
         ):
-            outcome = submit_edition(self.state, edition_change(7, 9, changed, whole=False))
+            outcome = submit_edition(self.state, edition_change(7, 9, changed, replaces_all=False))
             self.assertEqual(outcome.outcome, "invalid")
             self.assertIn(reason, outcome.reason)
         self.assertIn("without spaces", submit_edition(self.state, edition_change(7, 9, {}, "a b")).reason)
@@ -166,7 +168,7 @@
     def test_change_removes_named_slices_or_replaces_all(self) -> None:
         gone = SliceName("tenant/tenant-4")
         change = msgspec.structs.replace(
-            edition_change(7, 9, CHANGED_CLASS, whole=False), removed=(gone, SliceName("tenant/none"))
+            edition_change(7, 9, CHANGED_CLASS, replaces_all=False), removed=(gone, SliceName("tenant/none"))
         )
         self.assertEqual(submit_edition(self.state, change).outcome, "accepted")
         after = {name: data for name, data in {**self.slices, **CHANGED_CLASS}.items() if name != gone}
@@ -179,23 +181,23 @@
             return msgspec.json.decode(latest_slices(self.state)[EDITION_SLICE], type=Edition).annotations
 
         name, data = slice_of(Edition(number=8, annotations={"a": [1, None]}))
-        submit_edition(self.state, edition_change(7, 8, {name: data}, whole=False))
+        submit_edition(self.state, edition_change(7, 8, {name: data}, replaces_all=False))
         self.assertEqual(notes(), {"a": [1, None]})
-        submit_edition(self.state, edition_change(8, 9, CHANGED_CLASS, whole=False))
+        submit_edition(self.state, edition_change(8, 9, CHANGED_CLASS, replaces_all=False))
         self.assertEqual(notes(), {"a": [1, None]})
         submit_edition(self.state, edition_change(9, 10, CHANGED_CLASS))
         self.assertEqual(notes(), {})
 
     def test_signed_orders_must_not_decrease_the_edition_number(self) -> None:
-        held = latest_slices(self.state)
-        for number, after in enumerate((self.slices, {**held, **dict([slice_of(Edition(number=6))])})):
-            outcome = submit(self.state, order_between(1, held, after, f"back-{number}"))
+        before = latest_slices(self.state)
+        for number, after in enumerate((self.slices, {**before, **dict([slice_of(Edition(number=6))])})):
+            outcome = submit(self.state, order_between(1, before, after, f"back-{number}"))
             self.assertEqual(outcome.outcome, "invalid")
             self.assertIn("never goes back", outcome.reason)
         self.assertEqual(
-            submit(self.state, order_between(1, held, {**held, **CHANGED_CLASS}, "on")).outcome, "accepted"
+            submit(self.state, order_between(1, before, {**before, **CHANGED_CLASS}, "on")).outcome, "accepted"
         )
-        self.assertEqual(standing(self.state).number, 7)
+        self.assertEqual(edition_status(self.state).number, 7)
 
     def test_outcomes_are_retained_for_the_configured_number_of_orders(self) -> None:
         state = new_state(outcome_retention=2)
@@ -214,7 +216,7 @@
         won: dict[int, EditionChange] = {}
         for base, number, writer in tries:
             weight = dict([slice_of(PriorityClass(name=ClassName("gold"), weight=1.0 + writer))])
-            change = edition_change(base, number, weight, f"{base}-{number}-{writer}", whole=False)
+            change = edition_change(base, number, weight, f"{base}-{number}-{writer}", replaces_all=False)
             outcome = submit_edition(state, change)
             if outcome.outcome == "accepted":
                 self.assertEqual(won.setdefault(base, change), change)
@@ -226,7 +228,7 @@
             self.assertEqual(submit_edition(state, change).outcome, "accepted")
         numbers = [change.number for _, change in sorted(won.items())]
         self.assertEqual(numbers, sorted(set(numbers)))
-        self.assertEqual(standing(state).number, max(numbers, default=0))
+        self.assertEqual(edition_status(state).number, max(numbers, default=0))
 
 
 class PreparationTest(unittest.TestCase):
@@ -247,14 +249,14 @@
     def test_preparation_for_an_older_version_is_not_used(self) -> None:
         state = new_state()
         submit_edition(state, edition_change(0, 1, sample_slices()))
-        rest = edition_change(1, 2, CHANGED_CLASS, "rest", whole=False)
+        rest = edition_change(1, 2, CHANGED_CLASS, "rest", replaces_all=False)
 
         async def overtaken() -> None:
             preparing = asyncio.create_task(state.prepare(SubmitEdition(rest)))
             await asyncio.sleep(0)
-            held = latest_slices(state)
-            fewer = {name: data for name, data in held.items() if name != "tenant/tenant-4"}
-            self.assertEqual(submit(state, order_between(1, held, fewer, "between")).outcome, "accepted")
+            before = latest_slices(state)
+            fewer = {name: data for name, data in before.items() if name != "tenant/tenant-4"}
+            self.assertEqual(submit(state, order_between(1, before, fewer, "between")).outcome, "accepted")
             await preparing
 
         asyncio.run(overtaken())
@@ -277,8 +279,7 @@
 
         asyncio.run(run())
         self.assertGreater(len(turns), 20)
-        prepared = state._prepared
-        self.assertEqual(len(prepared), 1)
+        self.assertEqual(len(state._editions._prepared), 1)
         started = time.perf_counter()
         _, outcome = state.decide(SubmitEdition(change))
         took = time.perf_counter() - started
--- a/wingwood/bundle/tests/test_fuzzed_slices.py
+++ b/wingwood/bundle/tests/test_fuzzed_slices.py
@@ -1,4 +1,4 @@
-"""Fuzz test: arbitrary bytes as slices are either parsed or refused with a problem, and never raise an exception.
+"""Fuzz test: arbitrary bytes as slices are either parsed or refused with an error, and never raise an exception.
 
 See docs/DESIGN.md section 5.1.
 """
@@ -15,8 +15,8 @@
 
 from ...identifiers import SliceName
 from ..canonical import canonical_json
+from ..errors import BundleError
 from ..parse import parse_bundle
-from ..problem import BundleProblem
 from .samples import order_between, sample_slices
 
 SAMPLES = sample_slices(2)
@@ -68,8 +68,8 @@
         match parse_bundle(manifest, given_slices):
             case Success(bundle):
                 self.assertEqual(set(bundle.slices), set(given_slices))
-            case Failure(problem):
-                self.assertIsInstance(problem, BundleProblem)
+            case Failure(error):
+                self.assertIsInstance(error, BundleError)
             case other:
                 self.fail(str(other))
 
--- a/wingwood/bundle/tests/test_parse.py
+++ b/wingwood/bundle/tests/test_parse.py
@@ -13,16 +13,16 @@
 
 from ...identifiers import BundleVersion, ClassName, PoolName, Seconds, ServiceName, SliceName, TenantName
 from ..canonical import root_digest, slice_digest
+from ..errors import BundleError
 from ..model import Bundle, BundleDelta, CallerLimits, Edition, Engine, Pool, PoolShare, PriorityClass, Service, Tenant
 from ..orders import difference
 from ..parse import apply_delta, apply_delta_gradually, parse_bundle
-from ..problem import BundleProblem
 from ..route import Route
 from ..signing import sign_manifest, verify_manifest
 from .samples import (
     OPERATOR,
     OPERATOR_KEYS,
-    STRANGER,
+    UNKNOWN_OPERATOR,
     SlicePart,
     key_digest,
     order_between,
@@ -33,7 +33,7 @@
 Slices = dict[SliceName, bytes]
 
 
-def whole(slices: Slices, version: int = 1) -> BundleDelta:
+def complete_delta(slices: Slices, version: int = 1) -> BundleDelta:
     """Returns a delta that carries all slices."""
     manifest = order_between(version - 1, {}, slices).manifest
     return BundleDelta(since=BundleVersion(0), manifest=manifest, changed=slices, removed=())
@@ -46,13 +46,13 @@
     return BundleDelta(since=BundleVersion(since), manifest=manifest, changed=changed, removed=removed)
 
 
-def accepted(held: Bundle | None, delta: BundleDelta) -> Bundle:
+def accepted(current: Bundle | None, delta: BundleDelta) -> Bundle:
     """Returns the bundle after applying the delta, which must be valid."""
-    return apply_delta(held, delta, OPERATOR_KEYS).unwrap()
+    return apply_delta(current, delta, OPERATOR_KEYS).unwrap()
 
 
-def problem_of(slices: Slices) -> BundleProblem:
-    """Returns the problem for which a bundle of these slices is refused."""
+def error_of(slices: Slices) -> BundleError:
+    """Returns the error for which a bundle of these slices is refused."""
     return parse_bundle(order_between(0, {}, slices).manifest, slices).failure()
 
 
@@ -72,7 +72,7 @@
             self.assertIn("does not fit", verify_manifest(forged, OPERATOR_KEYS) or "", field)
 
     def test_unknown_and_malformed_signers_are_refused(self) -> None:
-        manifest = order_between(0, {}, sample_slices(), key=STRANGER).manifest
+        manifest = order_between(0, {}, sample_slices(), key=UNKNOWN_OPERATOR).manifest
         self.assertIn("not one of", verify_manifest(manifest, OPERATOR_KEYS) or "")
         odd = msgspec.structs.replace(manifest, signer="zz")
         self.assertIn("not an Ed25519", verify_manifest(odd, ("zz",)) or "")
@@ -135,9 +135,9 @@
         ]
         for part, field, value, remedy in cases:
             name, data = slice_of(part)
-            problem = problem_of({**sample_slices(), name: data})
-            self.assertEqual((problem.slice, problem.field, problem.value), (name, field, value))
-            self.assertIn(remedy, problem.remedy)
+            error = error_of({**sample_slices(), name: data})
+            self.assertEqual((error.slice, error.field, error.value), (name, field, value))
+            self.assertIn(remedy, error.remedy)
 
     def test_limits_of_fields_in_bundles_with_pools(self) -> None:
         chat: dict[str, Any] = {"name": ServiceName("chat"), "pool": PoolName("model")}
@@ -172,9 +172,9 @@
         ]
         for part, field, remedy in cases:
             name, data = slice_of(part)
-            problem = problem_of({**sample_slices(), name: data})
-            self.assertEqual((problem.code, problem.slice, problem.field), ("field", name, field))
-            self.assertIn(remedy, problem.remedy)
+            error = error_of({**sample_slices(), name: data})
+            self.assertEqual((error.code, error.slice, error.field), ("field", name, field))
+            self.assertIn(remedy, error.remedy)
         for fine in (
             Tenant(**tenant, paid_rate=1e10, burst=Seconds(0), unit="tokens"),
             Service(**chat, split=(shares[0], PoolShare(pool=PoolName("spare"), weight=1))),
@@ -188,44 +188,44 @@
 
     def test_a_bundle_declares_all_of_its_pools_or_none(self) -> None:
         model, plain = (slice_of(Pool(name=PoolName(name))) for name in ("model", "plain"))
-        problem = problem_of({**sample_slices(), **dict([model])})
+        error = error_of({**sample_slices(), **dict([model])})
         self.assertEqual(
-            (problem.code, problem.slice, problem.field, problem.value),
+            (error.code, error.slice, error.field, error.value),
             ("reference", "service/cards", "pool", "plain"),
         )
         both = {**sample_slices(), **dict([model, plain])}
         split = (PoolShare(pool=PoolName("model"), weight=1), PoolShare(pool=PoolName("spare"), weight=0))
         name, data = slice_of(Service(name=ServiceName("chat"), pool=PoolName("model"), split=split))
-        self.assertEqual(problem_of({**both, name: data}).field, "split")
-        held = accepted(None, whole(both))
-        self.assertEqual(sorted(held.pools), ["model", "plain"])
+        self.assertEqual(error_of({**both, name: data}).field, "split")
+        current = accepted(None, complete_delta(both))
+        self.assertEqual(sorted(current.pools), ["model", "plain"])
         lacking = {key: value for key, value in both.items() if key != "pool/model"}
-        problem = apply_delta(held, step(both, lacking, 1, 2), OPERATOR_KEYS).failure()
-        self.assertEqual((problem.code, problem.value), ("reference", "model"))
-        self.assertEqual(accepted(held, step(both, sample_slices(), 1, 2)).pools, {})
+        error = apply_delta(current, step(both, lacking, 1, 2), OPERATOR_KEYS).failure()
+        self.assertEqual((error.code, error.value), ("reference", "model"))
+        self.assertEqual(accepted(current, step(both, sample_slices(), 1, 2)).pools, {})
 
     def test_caller_limits_and_edition_are_parsed_and_removed(self) -> None:
         extra = dict([slice_of(CallerLimits(idle=Seconds(15.0))), slice_of(Edition(number=7, annotations={"a": [1]}))])
         slices = {**sample_slices(), **extra}
-        held = accepted(None, whole(slices))
-        assert held.caller_limits is not None and held.edition is not None
-        self.assertEqual((held.caller_limits.idle, held.edition.number), (15.0, 7))
-        bare = accepted(held, step(slices, sample_slices(), 1, 2))
+        current = accepted(None, complete_delta(slices))
+        assert current.caller_limits is not None and current.edition is not None
+        self.assertEqual((current.caller_limits.idle, current.edition.number), (15.0, 7))
+        bare = accepted(current, step(slices, sample_slices(), 1, 2))
         self.assertEqual((bare.caller_limits, bare.edition), (None, None))
 
     def test_routes_must_not_overlap(self) -> None:
         name, data = slice_of(Route(name="other", path_prefix="/v1/chat", service=ServiceName("chat")))
-        self.assertEqual(problem_of({**sample_slices(), name: data}).code, "double")
+        self.assertEqual(error_of({**sample_slices(), name: data}).code, "double")
         apart = [
             Route(name="other", path_prefix="/v1/chat", service=ServiceName("chat"), methods=("GET",)),
             Route(name="third", path_prefix="/v1/chat", service=ServiceName("chat"), host="chat.example"),
         ]
         slices = {**sample_slices(), **dict(slice_of(route) for route in apart)}
-        held = accepted(None, whole(slices))
-        self.assertEqual([route.name for route in held.route_index.find("", "/v1/chat")], ["chat", "other"])
+        current = accepted(None, complete_delta(slices))
+        self.assertEqual([route.name for route in current.route_index.find("", "/v1/chat")], ["chat", "other"])
         name, data = slice_of(msgspec.structs.replace(apart[1], host=""))
-        problem = apply_delta(held, step(slices, {**slices, name: data}, 1, 2), OPERATOR_KEYS).failure()
-        self.assertEqual((problem.code, problem.slice, problem.field), ("double", "route/third", "path_prefix"))
+        error = apply_delta(current, step(slices, {**slices, name: data}, 1, 2), OPERATOR_KEYS).failure()
+        self.assertEqual((error.code, error.slice, error.field), ("double", "route/third", "path_prefix"))
 
     def test_malformed_slices_are_refused(self) -> None:
         name = SliceName("class/gold")
@@ -238,8 +238,8 @@
             (b"[" * 100_000, ""),
             (b'{"name":"gold","weight":' + b" " * 300_000 + b"1}", "keep below"),
         ):
-            self.assertIn(remedy, problem_of({**sample_slices(), name: data}).remedy)
-        self.assertIn("are called", problem_of({**sample_slices(), SliceName("odd/x"): b"{}"}).remedy)
+            self.assertIn(remedy, error_of({**sample_slices(), name: data}).remedy)
+        self.assertIn("are called", error_of({**sample_slices(), SliceName("odd/x"): b"{}"}).remedy)
 
 
 class DeltaTest(unittest.TestCase):
@@ -247,7 +247,7 @@
 
     def test_tampered_missing_and_extra_slices_break_the_root(self) -> None:
         slices = sample_slices()
-        delta = whole(slices)
+        delta = complete_delta(slices)
         name = SliceName("tenant/tenant-1")
         rich = slices[name].replace(b"11.0", b"99.0")
         self.assertNotEqual(rich, slices[name])
@@ -259,30 +259,30 @@
 
     def test_older_versions_and_gaps_are_refused(self) -> None:
         slices = sample_slices()
-        held = accepted(None, whole(slices, 3))
-        self.assertEqual(apply_delta(held, whole(slices, 3), OPERATOR_KEYS).failure().code, "stale")
-        self.assertEqual(apply_delta(held, whole(slices, 2), OPERATOR_KEYS).failure().code, "stale")
-        self.assertEqual(apply_delta(held, step(slices, slices, 5, 6), OPERATOR_KEYS).failure().code, "gap")
-        self.assertEqual(accepted(held, step(slices, slices, 2, 6)).version, 6)
+        current = accepted(None, complete_delta(slices, 3))
+        self.assertEqual(apply_delta(current, complete_delta(slices, 3), OPERATOR_KEYS).failure().code, "stale")
+        self.assertEqual(apply_delta(current, complete_delta(slices, 2), OPERATOR_KEYS).failure().code, "stale")
+        self.assertEqual(apply_delta(current, step(slices, slices, 5, 6), OPERATOR_KEYS).failure().code, "gap")
+        self.assertEqual(accepted(current, step(slices, slices, 2, 6)).version, 6)
 
     def test_keys_may_move_between_tenants_in_one_change(self) -> None:
         slices = sample_slices()
-        held = accepted(None, whole(slices))
+        current = accepted(None, complete_delta(slices))
         moved = dict(slices)
         for number, keys in ((1, (key_digest("key-0"),)), (0, (key_digest("key-1"),))):
-            tenant = msgspec.structs.replace(held.tenants[TenantName(f"tenant-{number}")], keys=keys)
+            tenant = msgspec.structs.replace(current.tenants[TenantName(f"tenant-{number}")], keys=keys)
             moved.update([slice_of(tenant)])
-        bundle = accepted(held, step(slices, moved, 1, 2))
+        bundle = accepted(current, step(slices, moved, 1, 2))
         self.assertEqual(bundle.keys[key_digest("key-0")], "tenant-1")
-        self.assertEqual(held.keys[key_digest("key-0")], "tenant-0")
+        self.assertEqual(current.keys[key_digest("key-0")], "tenant-0")
 
     def test_removing_a_referenced_slice_is_refused(self) -> None:
         slices = sample_slices()
-        held = accepted(None, whole(slices))
+        current = accepted(None, complete_delta(slices))
         for name, field in (("service/chat", "service"), ("class/gold", "priority_class")):
             after = {key: data for key, data in slices.items() if key != name}
-            problem = apply_delta(held, step(slices, after, 1, 2), OPERATOR_KEYS).failure()
-            self.assertEqual((problem.code, problem.field), ("reference", field))
+            error = apply_delta(current, step(slices, after, 1, 2), OPERATOR_KEYS).failure()
+            self.assertEqual((error.code, error.field), ("reference", field))
 
 
 names = st.sampled_from(["a", "b", "c", "d"])
@@ -332,10 +332,10 @@
     ) -> None:
         before = {**base, **first}
         after = {name: data for name, data in {**base, **second}.items() if name not in dropped}
-        held = apply_delta(None, whole(before), OPERATOR_KEYS).value_or(None)
-        known = before if held is not None else {}
-        delta = step(known, after, 1 if held is not None else 0, 2)
-        by_change = apply_delta(held, delta, OPERATOR_KEYS)
+        current = apply_delta(None, complete_delta(before), OPERATOR_KEYS).value_or(None)
+        known = before if current is not None else {}
+        delta = step(known, after, 1 if current is not None else 0, 2)
+        by_change = apply_delta(current, delta, OPERATOR_KEYS)
         match by_change, parse_bundle(delta.manifest, after):
             case Success(changed), Success(read):
                 self.assertEqual(changed, read)
@@ -352,7 +352,7 @@
 
     def test_other_tasks_run_while_a_large_bundle_is_parsed(self) -> None:
         slices = sample_slices(3_000)
-        delta = whole(slices)
+        delta = complete_delta(slices)
         turns: list[int] = []
 
         async def count() -> None:
@@ -369,5 +369,5 @@
         self.assertEqual(asyncio.run(run()), accepted(None, delta))
         self.assertGreater(len(turns), 20)
         forged = msgspec.structs.replace(delta, changed=sample_slices(2_999))
-        problem = asyncio.run(apply_delta_gradually(None, forged, OPERATOR_KEYS)).failure()
-        self.assertEqual(problem.code, "root")
+        error = asyncio.run(apply_delta_gradually(None, forged, OPERATOR_KEYS)).failure()
+        self.assertEqual(error.code, "root")
--- a/wingwood/bundle/tests/test_route_index.py
+++ b/wingwood/bundle/tests/test_route_index.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from ...identifiers import ServiceName
+from ..errors import BundleCheckError
 from ..gradual import at_once
 from ..parse import empty_bundle
-from ..problem import BundleProblemError
 from ..route import Route
 from ..route_index import RouteIndex, plain_host
 
@@ -82,11 +82,11 @@
         self.assertEqual(self.index.find("c.example", "/x"), ())
 
     def test_routes_that_accept_the_same_calls_are_refused(self) -> None:
-        with self.assertRaises(BundleProblemError) as refused:
+        with self.assertRaises(BundleCheckError) as refused:
             at_once(self.index.changed([], [route("other", "a.example", "/v1/chat", ("PUT", "GET"))]))
-        problem = refused.exception.problem
-        self.assertEqual((problem.code, problem.slice), ("double", "route/other"))
-        self.assertIn("route/bare takes GET", problem.remedy)
+        error = refused.exception.error
+        self.assertEqual((error.code, error.slice), ("double", "route/other"))
+        self.assertIn("route/bare takes GET", error.remedy)
 
     def test_search_time_does_not_grow_with_the_number_of_routes(self) -> None:
         few = RouteIndex.of([route(f"r{number}", "a.example", f"/p{number}/") for number in range(10)])
@@ -119,11 +119,11 @@
 
 def scanned(routes: Sequence[Route], host: str, path: str) -> list[str]:
     """Returns the names of the routes found by a linear search, as the reference for the index."""
-    for wanted in dict.fromkeys((host, "")):
+    for route_host in dict.fromkeys((host, "")):
         fitting = [
             each
             for each in routes
-            if each.host == wanted
+            if each.host == route_host
             and (
                 path == each.path_prefix
                 or path.startswith(each.path_prefix if each.path_prefix.endswith("/") else each.path_prefix + "/")
@@ -142,14 +142,15 @@
     def test_found_as_by_a_scan_and_the_same_by_change_as_whole(
         self, before: dict[str, tuple[str, str]], after: dict[str, tuple[str, str]], host: str, path: str
     ) -> None:
-        held, wanted = apart(before), apart(after)
+        current, target_routes = apart(before), apart(after)
         index = at_once(
-            RouteIndex.of(held).changed(
-                [each for each in held if each not in wanted], [each for each in wanted if each not in held]
+            RouteIndex.of(current).changed(
+                [each for each in current if each not in target_routes],
+                [each for each in target_routes if each not in current],
             )
         )
-        self.assertEqual(index, RouteIndex.of(wanted))
-        self.assertEqual(names(index.find(host, path)), scanned(wanted, host, path))
+        self.assertEqual(index, RouteIndex.of(target_routes))
+        self.assertEqual(names(index.find(host, path)), scanned(target_routes, host, path))
 
 
 if __name__ == "__main__":
--- a/wingwood/bundle/tests/test_state.py
+++ b/wingwood/bundle/tests/test_state.py
@@ -17,7 +17,7 @@
 from ..parse import apply_delta
 from ..signing import sign_manifest
 from ..state import BundleState
-from .samples import OPERATOR, OPERATOR_KEYS, STRANGER, order_between, sample_slices, slice_of, submit
+from .samples import OPERATOR, OPERATOR_KEYS, UNKNOWN_OPERATOR, order_between, sample_slices, slice_of, submit
 
 Slices = dict[SliceName, bytes]
 
@@ -91,7 +91,7 @@
         unsigned = msgspec.structs.replace(
             true_order, manifest=msgspec.structs.replace(true_order.manifest, signature=b"\0" * 64)
         )
-        for order in (tampered, unsigned, order_between(1, self.slices, after, "mine", STRANGER)):
+        for order in (tampered, unsigned, order_between(1, self.slices, after, "mine", UNKNOWN_OPERATOR)):
             record, outcome = self.state.decide(SubmitOrder(order))
             self.assertIsNone(record)
             self.assertEqual(getattr(outcome, "outcome", ""), "invalid")
@@ -123,8 +123,8 @@
         state = BundleState(OPERATOR_KEYS, outcome_retention=2)
         for number in range(4):
             submit(state, order_between(number, self.slices if number else {}, self.slices))
-        kept = [state.outcome(OrderId(f"order-{number}")) is not None for number in range(1, 5)]
-        self.assertEqual(kept, [False, False, True, True])
+        stored = [state.outcome(OrderId(f"order-{number}")) is not None for number in range(1, 5)]
+        self.assertEqual(stored, [False, False, True, True])
         self.assertEqual(submit(state, self.first).outcome, "conflict")
 
     def test_backup_that_only_applied_records_decides_the_same(self) -> None:
@@ -195,29 +195,29 @@
     @given(st.lists(st.tuples(st.integers(0, 5), st.sampled_from([0.0, 1.0, 2.0])), min_size=1, max_size=25), st.data())
     def test_any_holder_reaches_any_kept_version(self, steps: list[tuple[int, float]], data: st.DataObject) -> None:
         state = BundleState(OPERATOR_KEYS, history_versions=6)
-        kept: list[Slices] = [{}]
-        held: list[Bundle | None] = [None]
+        slices_by_version: list[Slices] = [{}]
+        bundle_by_version: list[Bundle | None] = [None]
         for number, (letter, weight) in enumerate(steps):
-            after = dict(kept[-1])
+            after = dict(slices_by_version[-1])
             name, content = slice_of(PriorityClass(name=ClassName(f"c{letter}"), weight=weight))
             if weight:
                 after[name] = content
             else:
                 after.pop(name, None)
-            self.assertEqual(submit(state, order_between(number, kept[-1], after)).outcome, "accepted")
-            kept.append(after)
+            self.assertEqual(submit(state, order_between(number, slices_by_version[-1], after)).outcome, "accepted")
+            slices_by_version.append(after)
             if data.draw(st.integers(0, 3)) == 0:
                 state = restarted(state, history_versions=6)
             delta = state.delta_since(BundleVersion(number), BundleVersion(number + 1))
             assert delta is not None
-            held.append(apply_delta(held[-1], delta, OPERATOR_KEYS).unwrap())
+            bundle_by_version.append(apply_delta(bundle_by_version[-1], delta, OPERATOR_KEYS).unwrap())
         for upto in range(max(1, len(steps) - 6), len(steps) + 1):
-            self.assertEqual(state.slices_at(BundleVersion(upto)), kept[upto])
+            self.assertEqual(state.slices_at(BundleVersion(upto)), slices_by_version[upto])
             for since in range(upto):
                 delta = state.delta_since(BundleVersion(since), BundleVersion(upto))
                 assert delta is not None
-                bundle = apply_delta(held[since], delta, OPERATOR_KEYS).unwrap()
-                self.assertEqual(bundle.slices, kept[upto])
+                bundle = apply_delta(bundle_by_version[since], delta, OPERATOR_KEYS).unwrap()
+                self.assertEqual(bundle.slices, slices_by_version[upto])
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(st.integers(0, 6), st.integers(0, 3)), min_size=1, max_size=30))
--- a/wingwood/bundle/tests/test_variants.py
+++ b/wingwood/bundle/tests/test_variants.py
@@ -11,10 +11,10 @@
 
 from ...identifiers import BundleVersion, ClassName, DaemonName, PoolName, Seconds, ServiceName, SliceName, Zone
 from ..canonical import canonical_json
+from ..errors import BundleError
 from ..model import Bundle, BundleDelta, PriorityClass, Rollout, RolloutChange, Service
 from ..orders import difference
 from ..parse import apply_delta, parse_bundle
-from ..problem import BundleProblem
 from ..rollouts import required_slices
 from ..route import Route
 from ..variants import VariantTarget, choose_variants, selects, share_bucket
@@ -24,7 +24,10 @@
 CHAT = SliceName("service/chat")
 A = VariantTarget(Zone("a"), DaemonName("router-1"))
 B = VariantTarget(Zone("b"), DaemonName("router-2"))
-PLACES = (None, *(VariantTarget(Zone(zone), DaemonName(f"router-{number}")) for number in range(1, 5) for zone in "ab"))
+TARGETS = (
+    None,
+    *(VariantTarget(Zone(zone), DaemonName(f"router-{number}")) for number in range(1, 5) for zone in "ab"),
+)
 
 
 def changed(name: SliceName, /, **fields: object) -> bytes:
@@ -32,11 +35,11 @@
     return canonical_json({**msgspec.json.decode(sample_slices()[name]), **fields})
 
 
-def read(slices: Slices, place: VariantTarget | None = None) -> Bundle:
-    return parse_bundle(order_between(0, {}, slices).manifest, slices, place).unwrap()
+def read(slices: Slices, target: VariantTarget | None = None) -> Bundle:
+    return parse_bundle(order_between(0, {}, slices).manifest, slices, target).unwrap()
 
 
-def problem_of(slices: Slices) -> BundleProblem:
+def error_of(slices: Slices) -> BundleError:
     return parse_bundle(order_between(0, {}, slices).manifest, slices).failure()
 
 
@@ -73,7 +76,7 @@
 
     def test_variant_applies_to_routers_of_its_zone_only(self) -> None:
         slices = {**sample_slices(), SliceName(f"{CHAT}@zone=a"): changed(CHAT, pool="large")}
-        pools = [read(slices, place).services[ServiceName("chat")].pool for place in (A, B, None)]
+        pools = [read(slices, target).services[ServiceName("chat")].pool for target in (A, B, None)]
         self.assertEqual(pools, ["large", "model", "model"])
         self.assertEqual(read(slices, A).slices, read(slices, B).slices)
 
@@ -90,14 +93,14 @@
         self.assertEqual([view.classes[ClassName("gold")].weight for view in (here, there)], [9.0, 4.0])
 
     def test_shares_include_smaller_shares_and_zones_take_precedence(self) -> None:
-        places = [VariantTarget(Zone("a"), DaemonName(f"router-{number}")) for number in range(1000)]
-        insides = [{place.name for place in places if selects(f"share={share}", place)} for share in (10, 25, 99)]
+        targets = [VariantTarget(Zone("a"), DaemonName(f"router-{number}")) for number in range(1000)]
+        insides = [{target.name for target in targets if selects(f"share={share}", target)} for share in (10, 25, 99)]
         self.assertTrue(insides[0] < insides[1] < insides[2])
-        self.assertEqual(insides[0], {place.name for place in places if share_bucket(place.name) in range(10)})
+        self.assertEqual(insides[0], {target.name for target in targets if share_bucket(target.name) in range(10)})
         for share, inside in zip((10, 25, 99), insides, strict=True):
             self.assertAlmostEqual(len(inside) / 1000, share / 100, delta=0.03)
         names = [SliceName(f"{CHAT}@{whom}") for whom in ("share=50", "share=99", "zone=a", "zone=b")]
-        early = next(place for place in places if share_bucket(place.name) < 50)
+        early = next(target for target in targets if share_bucket(target.name) < 50)
         self.assertEqual(choose_variants(names, early), {CHAT: f"{CHAT}@zone=a"})
         self.assertEqual(choose_variants(names[:2], early), {CHAT: f"{CHAT}@share=50"})
 
@@ -122,30 +125,30 @@
             ("route/chat@zone=a", changed(SliceName("route/chat"), service="cards"), "would run again"),
             ("route/cards@zone=a", changed(SliceName("route/cards"), service="chat"), "would run again"),
         ):
-            problem = problem_of({**sample_slices(), SliceName(name): data})
-            self.assertIn(expected_text, str(problem), name)
-            self.assertEqual(problem.slice.partition("@")[0], name.partition("@")[0])
+            error = error_of({**sample_slices(), SliceName(name): data})
+            self.assertIn(expected_text, str(error), name)
+            self.assertEqual(error.slice.partition("@")[0], name.partition("@")[0])
 
     def test_plain_slice_must_not_change_against_its_variant(self) -> None:
         variant = SliceName(f"{CHAT}@zone=a")
         before = {**sample_slices(), variant: changed(CHAT, pool="large")}
-        held = apply_delta(None, whole(before, 1), OPERATOR_KEYS, A).unwrap()
+        current = apply_delta(None, complete_delta(before, 1), OPERATOR_KEYS, A).unwrap()
         after = {**before, CHAT: changed(CHAT, repeatable=False)}
-        self.assertIn("must be False", str(apply_delta(held, step(before, after, 2), OPERATOR_KEYS, A).failure()))
+        self.assertIn("must be False", str(apply_delta(current, step(before, after, 2), OPERATOR_KEYS, A).failure()))
 
     def test_removed_key_is_gone_for_all_routers_during_a_rollout(self) -> None:
         before = bundle_during(rollout_of())
         tenant = SliceName("tenant/tenant-1")
         after = {**before, tenant: changed(tenant, keys=[])}
-        for place in PLACES:
-            held = apply_delta(None, whole(before, 1), OPERATOR_KEYS, place).unwrap()
-            self.assertIn(key_digest("key-1"), held.keys)
+        for target in TARGETS:
+            current = apply_delta(None, complete_delta(before, 1), OPERATOR_KEYS, target).unwrap()
+            self.assertIn(key_digest("key-1"), current.keys)
             self.assertNotIn(
-                key_digest("key-1"), apply_delta(held, step(before, after, 2), OPERATOR_KEYS, place).unwrap().keys
+                key_digest("key-1"), apply_delta(current, step(before, after, 2), OPERATOR_KEYS, target).unwrap().keys
             )
 
 
-def whole(slices: Slices, version: int) -> BundleDelta:
+def complete_delta(slices: Slices, version: int) -> BundleDelta:
     manifest = order_between(version - 1, {}, slices).manifest
     return BundleDelta(since=BundleVersion(0), manifest=manifest, changed=slices, removed=())
 
@@ -173,14 +176,14 @@
             ({**slices, SliceName(f"{CHAT}@zone=b"): changed(CHAT)}, "must not stand"),
             ({name: data for name, data in slices.items() if name != variant}, "must stand"),
         ):
-            self.assertIn(expected_text, str(problem_of(altered)))
+            self.assertIn(expected_text, str(error_of(altered)))
         # After the roll-back any order may change the slices.
         done = rollout_of(state="rolled-back")
         read({**sample_slices(), SliceName("rollout/bigger"): canonical_json(done), CHAT: changed(CHAT, deadline=9.0)})
 
     def test_two_rollouts_must_not_change_one_slice(self) -> None:
         slices = {**bundle_during(rollout_of()), **bundle_during(rollout_of(name="other"))}
-        self.assertIn("rollout/bigger is changing it", str(problem_of(slices)))
+        self.assertIn("rollout/bigger is changing it", str(error_of(slices)))
 
     def test_changes_of_all_running_rollouts_are_limited(self) -> None:
         slices = sample_slices()
@@ -196,7 +199,7 @@
             rollout = rollout_of(name=f"r{number}", changes=changes)
             more = {SliceName(f"rollout/r{number}"): canonical_json(rollout), **required_slices(rollout)}
             if number == 5:
-                self.assertIn("keep to 500 slices", str(problem_of({**slices, **more})))
+                self.assertIn("keep to 500 slices", str(error_of({**slices, **more})))
             slices.update(more)
             if number == 4:
                 read(slices)
@@ -216,7 +219,7 @@
             ({"changes": ()}, "1 to 100"),
         ):
             slices = {**sample_slices(), SliceName("rollout/bigger"): canonical_json(rollout_of(**fields))}
-            self.assertIn(expected_text, str(problem_of(slices)))
+            self.assertIn(expected_text, str(error_of(slices)))
 
 
 letters = st.sampled_from(["a", "b"])
@@ -257,13 +260,13 @@
         @given(contents, contents)
         def compare(first: Slices, second: Slices) -> None:
             before, after = {**base, **first}, {**base, **second}
-            for place in PLACES:
-                held = apply_delta(None, whole(before, 1), OPERATOR_KEYS, place).value_or(None)
-                delta = step(before, after, 2) if held is not None else whole(after, 2)
-                match apply_delta(held, delta, OPERATOR_KEYS, place), parse_bundle(delta.manifest, after, place):
+            for target in TARGETS:
+                current = apply_delta(None, complete_delta(before, 1), OPERATOR_KEYS, target).value_or(None)
+                delta = step(before, after, 2) if current is not None else complete_delta(after, 2)
+                match apply_delta(current, delta, OPERATOR_KEYS, target), parse_bundle(delta.manifest, after, target):
                     case Success(by_change), Success(by_whole):
                         self.assertEqual(by_change, by_whole)
-                        self.both += held is not None and by_whole.plain is not None
+                        self.both += current is not None and by_whole.plain is not None
                     case Failure(), Failure():
                         pass
                     case other:
--- a/wingwood/bundle/variants.py
+++ b/wingwood/bundle/variants.py
@@ -9,10 +9,11 @@
 import msgspec
 
 from ..identifiers import ClassName, DaemonName, ServiceName, SliceName, Zone
-from .draft import check_pools
+from .draft import check_pools, missing_reference
+from .errors import BundleCheckError, BundleError
+from .field_checks import FieldChecker
 from .gradual import at_once
 from .model import Bundle, PriorityClass, Service
-from .problem import BundleProblem, BundleProblemError
 from .route import Route
 
 MAX_VARIANTS = 1_000
@@ -57,35 +58,35 @@
 def plain_name(variant: SliceName) -> SliceName:
     """Returns the plain name of a variant, such as ``service/chat`` for ``service/chat@zone=a``.
 
-    Raises ``BundleProblemError`` when slices of this kind have no variants, or the selector is malformed.
+    Raises ``BundleCheckError`` when slices of this kind have no variants, or the selector is malformed.
     """
     name, _, selector = variant.partition("@")
     kind = name.partition("/")[0]
     if kind not in VARIANT_KINDS:
-        raise BundleProblemError(
-            BundleProblem(
+        raise BundleCheckError(
+            BundleError(
                 code="slice",
                 slice=variant,
                 remedy=f"only services, routes and classes have variants; a {kind} counts for the whole fleet",
             )
         )
     if not is_selector(selector):
-        raise BundleProblemError(
-            BundleProblem(code="slice", slice=variant, remedy="after @ stands zone=ZONE or share=PERCENT from 1 to 99")
+        raise BundleCheckError(
+            BundleError(code="slice", slice=variant, remedy="after @ stands zone=ZONE or share=PERCENT from 1 to 99")
         )
     return SliceName(name)
 
 
 def choose_variants(names: Iterable[SliceName], target: VariantTarget) -> dict[SliceName, SliceName]:
     """Returns the variant that applies to the router by plain name: that of its zone, else of the smallest share."""
-    found: dict[SliceName, tuple[int, SliceName]] = {}
+    best: dict[SliceName, tuple[int, SliceName]] = {}
     for name in names:
         plain, _, selector = name.partition("@")
         if selects(selector, target):
             kind, _, value = selector.partition("=")
             rank = 0 if kind == "zone" else int(value)
-            found[SliceName(plain)] = min(found.get(SliceName(plain), (100, name)), (rank, name))
-    return {plain: name for plain, (_, name) in found.items()}
+            best[SliceName(plain)] = min(best.get(SliceName(plain), (100, name)), (rank, name))
+    return {plain: name for plain, (_, name) in best.items()}
 
 
 def apply_variants(plain: Bundle, target: VariantTarget) -> Bundle:
@@ -109,14 +110,14 @@
 
 
 def check_variants(bundle: Bundle) -> None:
-    """Checks each variant against its plain slice; raises ``BundleProblemError`` when they don't fit together.
+    """Checks each variant against its plain slice; raises ``BundleCheckError`` when they don't fit together.
 
     The fields that decide whether a call may run again, and under which key it is recorded in the ledger, must not
     differ between variants, since a caller may retry at a router that has another variant.
     """
     if len(bundle.variants) > MAX_VARIANTS:
         count = f"{len(bundle.variants)} variants"
-        raise BundleProblemError(BundleProblem(code="large", value=count, remedy=f"keep to {MAX_VARIANTS}"))
+        raise BundleCheckError(BundleError(code="large", value=count, remedy=f"keep to {MAX_VARIANTS}"))
     routes = {route.name: route for route in bundle.routes}
     for name in sorted(bundle.variants):
         match bundle.variants[name]:
@@ -141,24 +142,22 @@
 ) -> None:
     """Raises when there is no plain slice, or when the variant differs from it in one of the fields."""
     if plain is None:
-        raise BundleProblemError(
-            BundleProblem(
+        raise BundleCheckError(
+            BundleError(
                 code="reference",
                 slice=name,
                 remedy=f"there is no {name.partition('@')[0]}; a variant needs the plain one",
             )
         )
+    checker = FieldChecker(name)
     for field in fields:
-        if getattr(variant, field) != getattr(plain, field):
-            raise BundleProblemError(
-                BundleProblem(
-                    code="field",
-                    slice=name,
-                    field=field,
-                    value=str(getattr(variant, field))[:80],
-                    remedy=f"must be {getattr(plain, field)} as in the plain one; a variant may not change it",
-                )
-            )
+        value, plain_value = getattr(variant, field), getattr(plain, field)
+        checker.require(
+            value == plain_value,
+            field,
+            value,
+            f"must be {plain_value} as in the plain one; a variant may not change it",
+        )
 
 
 def _check_target(name: SliceName, route: Route, plain: Route, services: Mapping[ServiceName, Service]) -> None:
@@ -167,19 +166,11 @@
         return
     target = services.get(route.service)
     if target is None:
-        known = ", ".join(sorted(services)[:8])
-        remedy = f"there is no service/{route.service} in the bundle; add it or use one of: {known}"
-        raise BundleProblemError(
-            BundleProblem(code="reference", slice=name, field="service", value=route.service, remedy=remedy)
-        )
-    if not target.repeatable or not services[plain.service].repeatable:
-        raise BundleProblemError(
-            BundleProblem(
-                code="field",
-                slice=name,
-                field="service",
-                value=route.service,
-                remedy="a variant may not lead calls to or from a service that is not repeatable: "
-                "a retry at another router would run again",
-            )
-        )
+        raise missing_reference(name, "service", route.service, "service", services)
+    FieldChecker(name).require(
+        target.repeatable and services[plain.service].repeatable,
+        "service",
+        route.service,
+        "a variant may not lead calls to or from a service that is not repeatable: "
+        "a retry at another router would run again",
+    )
--- a/wingwood/command_line/tests/fake_daemons.py
+++ b/wingwood/command_line/tests/fake_daemons.py
@@ -15,9 +15,10 @@
 from returns.result import Failure, Result, Success
 
 from ...bundle.commands import SubmitOrder
+from ...bundle.errors import BundleReadError
 from ...bundle.model import Order, OrderOutcome
 from ...bundle.parse import parse_bundle
-from ...bundle.reading import BundleAnswer, LocalBundleReader, NotReadable
+from ...bundle.reading import BundleAnswer, LocalBundleReader
 from ...bundle.state import BundleState
 from ...bundle.tests.samples import submit
 from ...context.protocols import Context
@@ -105,9 +106,9 @@
             self._daemons = daemons
             self._address = address
 
-        async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
+        async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, BundleReadError]:
             if self._address in self._daemons.without_control:
-                return Failure(NotReadable("no control daemon answered"))
+                return Failure(BundleReadError("no control daemon answered"))
             return await super().bundle(version)
 
     @property
--- a/wingwood/control/tests/test_editions.py
+++ b/wingwood/control/tests/test_editions.py
@@ -4,13 +4,16 @@
 
 import unittest
 
+import msgspec
 from returns.result import Failure, Result, Success
 
+from ...bundle.commands import SubmitEdition
 from ...bundle.editions import EDITION_SLICE, edition_number_in
+from ...bundle.errors import BundleReadError
 from ...bundle.model import EditionChange, OrderOutcome
-from ...bundle.reading import LocalBundleReader, NotReadable, RemoteBundleReader
+from ...bundle.reading import LocalBundleReader, RemoteBundleReader
 from ...bundle.state import BundleState
-from ...bundle.state_records import RememberedOrder as _Remembered
+from ...bundle.state_records import DecidedOrder
 from ...bundle.tests.samples import OPERATOR_KEYS, SIGNING_KEY, edition_change, sample_slices
 from ...context.protocols import Context
 from ...identifiers import BundleVersion, OrderId, Seconds
@@ -204,9 +207,9 @@
 class ForgetsEditions(BundleState):
     """Stores no accepted order, so that a repeated order conflicts with its own edition."""
 
-    def _remember(self, entry: _Remembered) -> None:
-        super()._remember(entry)
-        self._remembered.pop(entry.order, None)
+    def _add_decided(self, entry: DecidedOrder) -> None:
+        super()._add_decided(entry)
+        self._decided.pop(entry.order, None)
 
 
 class KeepsRefusals(BundleState):
@@ -216,12 +219,16 @@
         super().__init__(OPERATOR_KEYS, signing_key=SIGNING_KEY)
         self.refused: dict[OrderId, OrderOutcome] = {}
 
-    def _decide_edition(self, change: EditionChange) -> tuple[bytes | None, OrderOutcome]:
-        if change.order in self.refused:
-            return None, self.refused[change.order]
-        record, outcome = super()._decide_edition(change)
+    def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
+        if not isinstance(command, SubmitEdition):
+            return super().decide(command)
+        order = command.change.order
+        if order in self.refused:
+            return None, self.refused[order]
+        record, outcome = super().decide(command)
+        assert isinstance(outcome, OrderOutcome)
         if outcome.outcome != "accepted":
-            self.refused[change.order] = outcome
+            self.refused[order] = outcome
         return record, outcome
 
 
@@ -230,12 +237,14 @@
 
     _asked: int | None = None
 
-    def _edition_number(self) -> int:
-        return super()._edition_number() if self._asked is None else self._asked
+    def edition_number(self) -> int:
+        return super().edition_number() if self._asked is None else self._asked
 
-    def _decide_edition(self, change: EditionChange) -> tuple[bytes | None, OrderOutcome]:
-        self._asked = change.base
-        decided = super()._decide_edition(change)
+    def decide(self, command: msgspec.Struct) -> tuple[bytes | None, msgspec.Struct]:
+        if not isinstance(command, SubmitEdition):
+            return super().decide(command)
+        self._asked = command.change.base
+        decided = super().decide(command)
         self._asked = None
         return decided
 
@@ -247,10 +256,10 @@
         super().__init__(control, (local,), context.clock, Seconds(3.0))
         self._local = local
 
-    async def latest(self) -> Result[LatestEdition | None, NotReadable]:
+    async def latest(self) -> Result[LatestEdition | None, BundleReadError]:
         answer = self._local.read_bundle(BundleVersion(0))
         if answer.view is None:
-            return Failure(NotReadable("none"))
+            return Failure(BundleReadError("none"))
         return Success(LatestEdition(edition_number_in(answer.view.slices[EDITION_SLICE]), answer.view))
 
 
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -8,9 +8,10 @@
 from returns.result import Failure, Result, Success
 
 from ..bundle.commands import SubmitOrder
+from ..bundle.errors import BundleReadError
 from ..bundle.model import Bundle, OrderOutcome
 from ..bundle.parse import parse_bundle
-from ..bundle.reading import BundleAnswer, HistoryAnswer, LocalBundleReader, NotReadable, RemoteBundleReader
+from ..bundle.reading import BundleAnswer, HistoryAnswer, LocalBundleReader, RemoteBundleReader
 from ..bundle.state import BundleState
 from ..context.protocols import Context
 from ..control.bundle_source import CommittedBundles
@@ -231,11 +232,11 @@
 
     # -- BundleReader: reads the own state where bundles are stored, and asks the primary elsewhere
 
-    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
+    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, BundleReadError]:
         """Returns a version of the bundle; 0 stands for the latest one."""
         return await self._reader().bundle(version)
 
-    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
+    async def history(self, limit: int) -> Result[HistoryAnswer, BundleReadError]:
         """Returns the latest ``limit`` entries of the history."""
         return await self._reader().history(limit)
 
--- a/wingwood/operator_api/editions.py
+++ b/wingwood/operator_api/editions.py
@@ -13,8 +13,9 @@
 from returns.result import Failure, Result, Success
 
 from ..bundle.commands import FindEdition, SubmitEdition
+from ..bundle.errors import BundleReadError
 from ..bundle.model import EditionChange, EditionStatus, OrderOutcome
-from ..bundle.reading import BundleReader, BundleView, NotReadable
+from ..bundle.reading import BundleReader, BundleView
 from ..context.protocols import Clock
 from ..control.protocols import NotDecided
 from ..identifiers import BundleVersion, Instant, OrderId, Seconds
@@ -76,14 +77,16 @@
         """
         return await self._control.decide("bundle", FindEdition(order), EditionStatus, self._within)
 
-    async def latest(self) -> Result[LatestEdition | None, NotReadable]:
+    async def latest(self) -> Result[LatestEdition | None, BundleReadError]:
         """Returns the latest edition, which is never older than one acknowledged before the call.
 
         None means that there is proof that nothing had been acknowledged.
         """
         match await self.status():
             case Failure(fault):
-                return Failure(NotReadable(f"no primary proves what is newest: {fault.kind} {fault.detail}".rstrip()))
+                return Failure(
+                    BundleReadError(f"no primary proves what is newest: {fault.kind} {fault.detail}".rstrip())
+                )
             case Success(status) if status.version == 0:
                 return Success(None)
             case Success(status):
@@ -91,7 +94,7 @@
                 return content.map(lambda view: LatestEdition(status.number, view))
         raise AssertionError("a result is a success or a failure")
 
-    async def content(self, version: BundleVersion) -> Result[BundleView, NotReadable]:
+    async def content(self, version: BundleVersion) -> Result[BundleView, BundleReadError]:
         """Returns the content of exactly ``version``, which must be known to be durable.
 
         A durable version has the same content everywhere, so any reader may answer.
@@ -108,5 +111,5 @@
                     case Failure(fault):
                         reason = fault.reason
             if self._clock.monotonic() + POLL_INTERVAL_S >= deadline:
-                return Failure(NotReadable(reason))
+                return Failure(BundleReadError(reason))
             await self._clock.sleep(POLL_INTERVAL_S)
--- a/wingwood/operator_api/reading.py
+++ b/wingwood/operator_api/reading.py
@@ -12,8 +12,9 @@
 from prometheus_client import CollectorRegistry, generate_latest
 from returns.result import Failure, Success
 
+from ..bundle.errors import BundleReadError
 from ..bundle.model import Bundle, Manifest
-from ..bundle.reading import BundleReader, BundleView, HistoryAnswer, NotReadable, view_of
+from ..bundle.reading import BundleReader, BundleView, HistoryAnswer, view_of
 from ..control.protocols import ViewReport
 from ..identifiers import BundleVersion, DaemonName, Incarnation, Seconds, SliceName, Zone
 from ..transport.frames import Identity
@@ -138,7 +139,7 @@
                     "not-kept",
                     f"version {version} is not kept; the newest is {answer.latest}, see history_versions",
                 )
-            case Failure(NotReadable(reason)):
+            case Failure(BundleReadError(reason)):
                 return _unreachable(reason) if version or required else None
         raise AssertionError("a result is a success or a failure")
 
@@ -152,7 +153,7 @@
         match await self._reader.history(most):
             case Success(HistoryAnswer() as answer):
                 return OperatorReply(body=answer)
-            case Failure(NotReadable(reason)):
+            case Failure(BundleReadError(reason)):
                 return _unreachable(reason)
         raise AssertionError("a result is a success or a failure")
 
--- a/wingwood/operator_api/tests/test_editions.py
+++ b/wingwood/operator_api/tests/test_editions.py
@@ -13,7 +13,8 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from ...bundle.reading import BundleAnswer, HistoryAnswer, LocalBundleReader, NotReadable
+from ...bundle.errors import BundleReadError
+from ...bundle.reading import BundleAnswer, HistoryAnswer, LocalBundleReader
 from ...bundle.state import BundleState
 from ...bundle.tests.samples import OPERATOR_KEYS, SIGNING_KEY, edition_change, sample_slices
 from ...control.protocols import NotDecided
@@ -62,11 +63,11 @@
 class UnreachableReader:
     """A bundle reader whose calls all fail."""
 
-    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-        return Failure(NotReadable("cut off"))
+    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, BundleReadError]:
+        return Failure(BundleReadError("cut off"))
 
-    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
-        return Failure(NotReadable("cut off"))
+    async def history(self, limit: int) -> Result[HistoryAnswer, BundleReadError]:
+        return Failure(BundleReadError("cut off"))
 
 
 def run(work: Coroutine[Any, Any, Value]) -> Value:
--- a/wingwood/operator_api/tests/test_routes.py
+++ b/wingwood/operator_api/tests/test_routes.py
@@ -11,9 +11,10 @@
 from returns.result import Failure, Result, Success
 
 from ...bundle.commands import SubmitOrder
+from ...bundle.errors import BundleReadError
 from ...bundle.model import Bundle, Order, OrderOutcome
 from ...bundle.parse import parse_bundle
-from ...bundle.reading import BundleAnswer, HistoryAnswer, LocalBundleReader, NotReadable
+from ...bundle.reading import BundleAnswer, HistoryAnswer, LocalBundleReader
 from ...bundle.state import BundleState
 from ...bundle.tests.samples import OPERATOR_KEYS, order_between, sample_slices, submit
 from ...control.protocols import NotDecided
@@ -89,11 +90,11 @@
 class UnreachableReader:
     """A bundle reader whose calls all fail."""
 
-    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, NotReadable]:
-        return Failure(NotReadable("cut off"))
+    async def bundle(self, version: BundleVersion) -> Result[BundleAnswer, BundleReadError]:
+        return Failure(BundleReadError("cut off"))
 
-    async def history(self, limit: int) -> Result[HistoryAnswer, NotReadable]:
-        return Failure(NotReadable("cut off"))
+    async def history(self, limit: int) -> Result[HistoryAnswer, BundleReadError]:
+        return Failure(BundleReadError("cut off"))
 
 
 class ReadingTest(unittest.TestCase):
