--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -352,7 +352,7 @@
             "hit_later": _hit(later),
             "p50": _quantile(firsts, 0.5),
             "p95": _quantile(firsts, 0.95),
-            "late": sum(first > SERVICE.first_byte_patience for first in firsts) / max(1, len(firsts)),
+            "late": sum(first > SERVICE.first_byte_timeout for first in firsts) / max(1, len(firsts)),
             "off": statistics.fmean(abs(figure.predicted - figure.first_token) for figure in figures),
             "p95_paid": _quantile(sorted(figure.first_token for figure in figures if figure.weight > 1), 0.95),
             "p95_free": _quantile(sorted(figure.first_token for figure in figures if figure.weight == 1), 0.95),
--- a/bench/told_placement_bench.py
+++ b/bench/told_placement_bench.py
@@ -58,16 +58,16 @@
     name=ServiceName("summary"),
     pool=POOL,
     latency_objective=Seconds(0.2),
-    longest_pause=Seconds(0.2),
-    first_byte_patience=Seconds(2.0),
+    max_chunk_gap=Seconds(0.2),
+    first_byte_timeout=Seconds(2.0),
     urgency=6,
 )
 CHAT = Service(
     name=ServiceName("chat"),
     pool=POOL,
     latency_objective=Seconds(0.15),
-    longest_pause=Seconds(0.2),
-    first_byte_patience=Seconds(2.0),
+    max_chunk_gap=Seconds(0.2),
+    first_byte_timeout=Seconds(2.0),
     urgency=4,
 )
 CALLER_ROUND_TRIP_SECONDS = 0.01
@@ -386,7 +386,7 @@
             report[f"{service.name}_in_time"] = sum(first <= objective for first in firsts) / max(1, len(firsts))
             for share in (50, 95):
                 report[f"{service.name}_p{share}"] = min(9.9, firsts[int(share / 100 * len(firsts))])
-            pause = service.longest_pause or 0.0
+            pause = service.max_chunk_gap or 0.0
             paused = sum(each.longest_pause > pause for each in served)
             report[f"{service.name}_paused"] = paused / max(1, len(served))
             report[f"{service.name}_lost"] = sum(each.first > 9.0 for each in served) / max(1, len(served))
--- a/simulation/fleet.py
+++ b/simulation/fleet.py
@@ -341,7 +341,7 @@
                     repeatable=service.repeatable,
                     streaming=service.streaming,
                     deadline=Seconds(service.deadline),
-                    first_byte_patience=Seconds(service.first_byte_patience),
+                    first_byte_timeout=Seconds(service.first_byte_patience),
                     retry_share=service.retry_share,
                 )
             )
--- a/wingwood/bundle/field_checks.py
+++ b/wingwood/bundle/field_checks.py
@@ -19,7 +19,7 @@
 LEAST_URGENT = 9
 """Largest urgency number; urgency 0 is served first."""
 MAX_DEADLINE_SECONDS = 3600.0
-MAX_SILENCE_SECONDS = 600.0
+MAX_CHUNK_GAP_SECONDS = 600.0
 MAX_IDLE_SECONDS = 86_400.0
 MAX_COUNT = 2**53
 
@@ -101,15 +101,15 @@
         f"seconds above 0 and up to {MAX_DEADLINE_SECONDS:.0f}",
     )
     checker.require(
-        0 < content.first_byte_patience <= content.deadline,
+        0 < content.first_byte_timeout <= content.deadline,
         "first_byte_patience",
-        content.first_byte_patience,
+        content.first_byte_timeout,
         f"seconds above 0 and up to deadline {content.deadline}",
     )
     for field, value, most in (
-        ("silence_patience", content.silence_patience, MAX_SILENCE_SECONDS),
+        ("silence_patience", content.chunk_timeout, MAX_CHUNK_GAP_SECONDS),
         ("latency_objective", content.latency_objective, MAX_DEADLINE_SECONDS),
-        ("longest_pause", content.longest_pause, MAX_SILENCE_SECONDS),
+        ("longest_pause", content.max_chunk_gap, MAX_CHUNK_GAP_SECONDS),
     ):
         checker.require(value is None or 0 < value <= most, field, value, f"seconds above 0 and up to {most:.0f}")
     checker.require(
--- a/wingwood/bundle/model.py
+++ b/wingwood/bundle/model.py
@@ -47,18 +47,18 @@
     streaming: bool = True
     deadline: Seconds = Seconds(60.0)
     """Longest total duration of a call."""
-    first_byte_patience: Seconds = Seconds(4.0)
+    first_byte_timeout: Seconds = msgspec.field(default=Seconds(4.0), name="first_byte_patience")
     """How long callers of this service wait for the first byte of the answer before they give up."""
-    silence_patience: Seconds = Seconds(10.0)
-    """Longest pause between two chunks of an answer; after it the worker counts as unresponsive."""
+    chunk_timeout: Seconds = msgspec.field(default=Seconds(10.0), name="silence_patience")
+    """Longest gap between two chunks of an answer; after it the worker counts as unresponsive."""
     retry_share: float = 0.15
     """Largest number of retries, as a share of the service's calls."""
     split: tuple[PoolShare, ...] = ()
     """Pools that share the calls in proportion to their weights. Empty: all calls go to ``pool``."""
     latency_objective: Seconds | None = None
     """Time within which the first chunk of a stream, or a complete answer, is on time. None: there is no objective."""
-    longest_pause: Seconds | None = None
-    """Longest pause between two chunks of a stream that is on time. None: there is no objective."""
+    max_chunk_gap: Seconds | None = msgspec.field(default=None, name="longest_pause")
+    """Longest gap between two chunks of a stream that is on time. None: there is no objective."""
     attempts: int = 4
     """Largest number of workers to which one call may be sent."""
     urgency: int = 5
--- a/wingwood/bundle/tests/samples.py
+++ b/wingwood/bundle/tests/samples.py
@@ -44,7 +44,7 @@
     """Returns three services with a route each, two priority classes, and tenants with one key each."""
     parts: list[Service | Route | PriorityClass | Tenant] = [
         Service(name=ServiceName("summaries"), pool=PoolName("model")),
-        Service(name=ServiceName("chat"), pool=PoolName("model"), first_byte_patience=Seconds(3.0)),
+        Service(name=ServiceName("chat"), pool=PoolName("model"), first_byte_timeout=Seconds(3.0)),
         Service(name=ServiceName("cards"), pool=PoolName("plain"), kind="plain", repeatable=False, streaming=False),
         *(PriorityClass(name=ClassName(name), weight=weight) for name, weight in (("gold", 4.0), ("iron", 1.0))),
     ]
--- a/wingwood/bundle/tests/test_parse.py
+++ b/wingwood/bundle/tests/test_parse.py
@@ -153,7 +153,7 @@
             (Service(**chat, attempts=0), "attempts", "from 1"),
             (Service(**chat, urgency=10), "urgency", "9"),
             (Service(**chat, latency_objective=Seconds(0)), "latency_objective", "above 0"),
-            (Service(**chat, longest_pause=Seconds(-1)), "longest_pause", "above 0"),
+            (Service(**chat, max_chunk_gap=Seconds(-1)), "longest_pause", "above 0"),
             (Route(**route, host="Chat.Example"), "host", "lower case"),
             (Route(**route, host="chat.example:80"), "host", "without a port"),
             (Route(**route, position=-1), "position", "from 0"),
--- a/wingwood/command_line/source.py
+++ b/wingwood/command_line/source.py
@@ -157,12 +157,16 @@
 
 
 def _schema(kind: str) -> voluptuous.Schema:
-    required = {each.name for each in msgspec.structs.fields(KINDS[kind]) if each.required}
+    required = {each.encode_name for each in msgspec.structs.fields(KINDS[kind]) if each.required}
     marks = {name: voluptuous.Required if name in required else voluptuous.Optional for name in FIELDS[kind]}
     return voluptuous.Schema({marks[name](name): check for name, check in FIELDS[kind].items()})
 
 
 _SCHEMAS = {kind: _schema(kind) for kind in FIELDS}
+_ATTRIBUTES = {
+    kind: {each.encode_name: each.name for each in msgspec.structs.fields(part)} for kind, part in KINDS.items()
+}
+"""For each kind, the attribute of its struct by the name of the field in a slice."""
 
 
 def slice_from(kind: str, fields: Mapping[str, object], where: str) -> tuple[SliceName, bytes]:
@@ -186,7 +190,7 @@
         if field not in fields:
             raise CommandError(f"{where}: {field} is missing") from None
         raise CommandError(f"{where}: {field} is {fields[field]!r}: {first.msg}") from None
-    part = KINDS[kind](**checked)
+    part = KINDS[kind](**{_ATTRIBUTES[kind][field]: value for field, value in checked.items()})
     return SliceName(f"{kind}/{part.name}{placement_suffix}"), canonical_json(part)
 
 
--- a/wingwood/forward/policies/at_most_once.py
+++ b/wingwood/forward/policies/at_most_once.py
@@ -56,7 +56,7 @@
         if self._ledger_unreachable and now < self._next_probe:
             return _LEDGER_UNREACHABLE
         self._next_probe = Instant(now + self._limits.ledger_probe_interval)
-        timeout = self._limits.ledger_timeout_share * call.service.first_byte_patience
+        timeout = self._limits.ledger_timeout_share * call.service.first_byte_timeout
         claim = await self._ledger.claim(key, Seconds(min(self._limits.ledger_timeout, timeout)))
         self._ledger_unreachable = isinstance(claim, ClaimError)
         match claim:
--- a/wingwood/forward/policies/first_byte_deadline.py
+++ b/wingwood/forward/policies/first_byte_deadline.py
@@ -15,7 +15,7 @@
     assert call.service is not None
     if not limits.wait_limits_end_calls:
         return call.deadline
-    return Instant(min(call.received_at + call.service.first_byte_patience - limits.answer_margin, call.deadline))
+    return Instant(min(call.received_at + call.service.first_byte_timeout - limits.answer_margin, call.deadline))
 
 
 class FirstByteDeadlinePolicy:
--- a/wingwood/forward/policies/forwarding.py
+++ b/wingwood/forward/policies/forwarding.py
@@ -139,7 +139,7 @@
         """Whether the head of the worker's answer was received."""
         self._head: HttpHead
         self._last_chunk_at = self._started_at
-        self._silence_limit = call.service.silence_patience
+        self._silence_limit = call.service.chunk_timeout
         """Longest silence of the worker within its answer; shorter once the end marker was received."""
         self._writing = False
         """Whether a chunk is being written that the caller's connection has not yet taken."""
@@ -238,7 +238,7 @@
         if not self._resumes:
             callers_give_up_at = min(
                 callers_give_up_at,
-                self._call.received_at + self._service.first_byte_patience,
+                self._call.received_at + self._service.first_byte_timeout,
                 self._first_byte_deadline,
             )
         time_left = callers_give_up_at - self._started_at
@@ -256,7 +256,7 @@
         if stopped is None:
             return self._failed(fault, run)
         waited = self._now() - self._started_at
-        if stopped in _WORKER_UNRESPONSIVE and (sent or waited > 0.5 * self._service.first_byte_patience):
+        if stopped in _WORKER_UNRESPONSIVE and (sent or waited > 0.5 * self._service.first_byte_timeout):
             self._report.unresponsive()
         elif stopped == "deadline" and sent and waited > _TOO_SLOW_FACTOR * self._choice.first_token:
             self._report.failed()
--- a/wingwood/forward/tests/test_caller_edge.py
+++ b/wingwood/forward/tests/test_caller_edge.py
@@ -355,7 +355,7 @@
 
     def test_call_without_answer_is_refused_when_the_router_stops(self) -> None:
         self.worker.script = sends(keep_open=True)
-        self.path.bundle.bundle = bundle_of([msgspec.structs.replace(PLAIN, first_byte_patience=Seconds(20.0))])
+        self.path.bundle.bundle = bundle_of([msgspec.structs.replace(PLAIN, first_byte_timeout=Seconds(20.0))])
 
         async def run() -> Reply:
             running = await self.path.send(request("/plain"))
--- a/wingwood/forward/tests/test_forwarding.py
+++ b/wingwood/forward/tests/test_forwarding.py
@@ -214,7 +214,7 @@
     def test_silence_after_the_first_chunk(self) -> None:
         self.assert_truncated(sends(CHUNKED, chunk(EVENT), keep_open=True))
         self.assertEqual(self.path.placement.suspects, ["w1-1"])
-        self.assertAlmostEqual(self.world.now, CHAT.silence_patience, delta=0.5)
+        self.assertAlmostEqual(self.world.now, CHAT.chunk_timeout, delta=0.5)
 
     def test_deadline_aborts_a_long_stream(self) -> None:
         self.path.bundle.bundle = bundle_of([msgspec.structs.replace(CHAT, deadline=Seconds(2.0))])
@@ -238,7 +238,7 @@
             (reply.status, reply.json()["run"], reply.headers["wingwood-answer"]), (504, "unknown", "router")
         )
         self.assertEqual(reply.json()["sent"], True)
-        self.assertTrue(CHAT.first_byte_patience - 0.3 < reply.at < CHAT.first_byte_patience)
+        self.assertTrue(CHAT.first_byte_timeout - 0.3 < reply.at < CHAT.first_byte_timeout)
         self.assertEqual(self.path.placement.suspects, ["w1-1"])
 
 
@@ -274,7 +274,7 @@
     def test_silent_worker_is_given_up_while_there_is_time_for_another(self) -> None:
         one, _, status, by = self.call_with_two_workers(sends(keep_open=True))
         self.assertEqual((status, by, len(one.requests)), (200, "w2-1", 1))
-        self.assertLess(self.world.now, CHAT.first_byte_patience)
+        self.assertLess(self.world.now, CHAT.first_byte_timeout)
         self.assertEqual((len(one.closed_by_router), self.path.limits.budget), (1, 9))
 
     def test_unreachable_worker_costs_no_budget(self) -> None:
@@ -406,7 +406,7 @@
         self.assertEqual(self.freeze_before_sending(0.5, disconnect=True).requests, [])
 
     def test_wait_limit_passed(self) -> None:
-        self.assertEqual(self.freeze_before_sending(CHAT.first_byte_patience + 1, disconnect=False).requests, [])
+        self.assertEqual(self.freeze_before_sending(CHAT.first_byte_timeout + 1, disconnect=False).requests, [])
         self.assertEqual(self.path.log_lines()[0]["run"], "not-run")
 
     def test_key_removed(self) -> None:
--- a/wingwood/forward/tests/test_unreachable_ledger.py
+++ b/wingwood/forward/tests/test_unreachable_ledger.py
@@ -21,7 +21,7 @@
 from ..protocols import Answer, Forwarded, IncomingCall, Refused
 from .fakes import CARDS, bundle_of
 
-SHORT_WAIT = msgspec.structs.replace(CARDS, first_byte_patience=Seconds(2.0))
+SHORT_WAIT = msgspec.structs.replace(CARDS, first_byte_timeout=Seconds(2.0))
 
 
 class UnreachableLedger:
--- a/wingwood/limits/admission.py
+++ b/wingwood/limits/admission.py
@@ -10,7 +10,7 @@
 
 
 class DeadlineAdmission:
-    """An ``Admission`` that refuses a call predicted to miss the service's ``first_byte_patience`` less a margin.
+    """An ``Admission`` that refuses a call predicted to miss the service's ``first_byte_timeout`` less a margin.
 
     ``margin`` is the fraction of that time limit that is subtracted from it.
     """
@@ -19,7 +19,7 @@
         self._usable_fraction = 1.0 - margin
 
     def refuse(self, service: Service, predicted_first_token: Seconds) -> ShareRefused | None:
-        late = predicted_first_token - self._usable_fraction * service.first_byte_patience
+        late = predicted_first_token - self._usable_fraction * service.first_byte_timeout
         if not late > 0.0:
             return None
         # Retry-after is capped at 30 s: an infinite prediction means that no estimate exists,
--- a/wingwood/limits/tests/test_share_components.py
+++ b/wingwood/limits/tests/test_share_components.py
@@ -29,7 +29,7 @@
         name=ServiceName("chat"),
         pool=PoolName("model"),
         retry_share=retry_share,
-        first_byte_patience=Seconds(patience),
+        first_byte_timeout=Seconds(patience),
     )
 
 
--- a/wingwood/placement/award_placement.py
+++ b/wingwood/placement/award_placement.py
@@ -231,7 +231,7 @@
         """
         bidder = self._bidder(turn)
         first_token = bidder.forecast(turn, entry, winner).first_token
-        if first_token > turn.service.first_byte_patience * self._settings.timeout_share:
+        if first_token > turn.service.first_byte_timeout * self._settings.timeout_share:
             return False
         objective = turn.service.latency_objective
         if objective is None or not turn.parts:
--- a/wingwood/placement/reported_size_bids.py
+++ b/wingwood/placement/reported_size_bids.py
@@ -302,7 +302,7 @@
     def _risk_threshold(self, turn: Turn, worker: Worker) -> Seconds:
         """Returns the seconds of wait and prefill that put the latency objective or the pauses of streams at risk."""
         risk_threshold = NO_RISK_THRESHOLD_S
-        objective, pause = turn.service.latency_objective, turn.service.longest_pause
+        objective, pause = turn.service.latency_objective, turn.service.max_chunk_gap
         if objective is not None:
             risk_threshold = min(
                 risk_threshold, objective * self._settings.objective_risk_share - self._queues.base_latency(worker)
--- a/wingwood/rollout/tests/test_rollout_on_fleet.py
+++ b/wingwood/rollout/tests/test_rollout_on_fleet.py
@@ -191,10 +191,10 @@
         self.start(self.change(first_byte_patience=3.5), f"zone={self.zone}", "share=50", "all")
         self.run_by("operator-1")
         self.fleet.run(2.0)
-        self.assertEqual(self.acting("first_byte_patience", 3.5), self.in_zone())
+        self.assertEqual(self.acting("first_byte_timeout", 3.5), self.in_zone())
         self.fleet.kill("router-4", 3.0)
         self.fleet.kill("router-5", 3.0)
-        self.wait(lambda: self.acting("first_byte_patience", 3.5) == self.in_zone() | half, 60.0)
+        self.wait(lambda: self.acting("first_byte_timeout", 3.5) == self.in_zone() | half, 60.0)
         # The client of the first operator is lost for good, and the zone of the stage is partitioned for 9 s.
         self.world.kill("operator-1")
         here = {self.fleet.world.processes[name].machine.name for name in self.in_zone()}
@@ -211,12 +211,12 @@
         self.wait(lambda: "operator-2" in self.ended, 120.0)
         self.assertEqual(self.ended["operator-2"].result, "finished", "\n".join(self.messages))
         self.assertIn("away or not ready", "\n".join(self.messages))
-        self.assertEqual(self.acting("first_byte_patience", 3.5), routers)
+        self.assertEqual(self.acting("first_byte_timeout", 3.5), routers)
         # A finished roll-out can be rolled back too, as a new version.
         latest = max(version.version for version in self.fleet.history.versions)
         self.take("operator-2", roll_back("trial", "by hand"))
         self.fleet.run(3.0)
-        self.assertEqual(self.acting("first_byte_patience", 3.5), set())
+        self.assertEqual(self.acting("first_byte_timeout", 3.5), set())
         self.assertGreater(max(version.version for version in self.fleet.history.versions), latest)
         self.world.restart("operator-1")
         self.fleet.run(1.0)
