--- a/wingwood/command_line/fleet_access.py
+++ b/wingwood/command_line/fleet_access.py
@@ -13,9 +13,9 @@
 from ..bundle.model import OrderOutcome
 from ..identifiers import Address, BundleVersion, DaemonName, Seconds
 from ..operator_api.reading import HealthReport
+from ..rollout.errors import FleetUnavailableError
+from ..rollout.fleet_status import FleetStatus, RouterStatus, read_counts
 from ..rollout.plan import Slices
-from ..rollout.runner import Unavailable
-from ..rollout.watch import FleetStatus, RouterStatus, read_counts
 from ..transport.frames import Identity
 from .client import OperatorClient
 from .errors import CommandError
@@ -36,14 +36,16 @@
         self._client = client
         self._private = private
 
-    async def latest(self) -> Result[tuple[BundleVersion, Slices], Unavailable]:
+    async def latest(self) -> Result[tuple[BundleVersion, Slices], FleetUnavailableError]:
         """Returns the latest version and its slices."""
         try:
             return Success(await asyncio.to_thread(latest_slices, self._client))
         except CommandError as problem:
-            return Failure(Unavailable(problem.message))
+            return Failure(FleetUnavailableError(problem.message))
 
-    async def submit(self, base: BundleVersion, before: Slices, after: Slices) -> Result[OrderOutcome, Unavailable]:
+    async def submit(
+        self, base: BundleVersion, before: Slices, after: Slices
+    ) -> Result[OrderOutcome, FleetUnavailableError]:
         """Checks, signs and submits the change from ``before`` to ``after``."""
         assert self._private is not None
         check_bundle(after)
@@ -51,14 +53,14 @@
         try:
             return Success(await asyncio.to_thread(submit, self._client, order, None))
         except CommandError as problem:
-            return Failure(Unavailable(problem.message))
+            return Failure(FleetUnavailableError(problem.message))
 
-    async def observe(self) -> Result[FleetStatus, Unavailable]:
+    async def observe(self) -> Result[FleetStatus, FleetUnavailableError]:
         """Returns the members and the status of each router; None for a router that doesn't answer."""
         try:
             members = await asyncio.to_thread(members_of, self._client)
         except CommandError as problem:
-            return Failure(Unavailable(problem.message))
+            return Failure(FleetUnavailableError(problem.message))
         client = SimpleAsyncHTTPClient(force_instance=True, max_clients=MAX_CONCURRENT_STATUS_CALLS)
         try:
             routers = [member for member in members if member.role == "router"]
--- a/wingwood/command_line/rollout.py
+++ b/wingwood/command_line/rollout.py
@@ -13,19 +13,11 @@
 
 from ..bundle.model import OrderOutcome, Rollout
 from ..identifiers import Address, DaemonName, Seconds
-from ..rollout.plan import (
-    Slices,
-    Step,
-    StepRefused,
-    advance,
-    begin_rollout,
-    forget,
-    read_rollouts,
-    read_stages,
-    roll_back,
-)
-from ..rollout.runner import RolloutRunner, Unavailable, take_step
-from ..rollout.watch import count_stage_routers, in_stage
+from ..rollout.errors import FleetUnavailableError, StepRejectedError
+from ..rollout.plan import Slices, Step, advance, parse_stages, read_rollouts, remove_record, roll_back
+from ..rollout.runner import RolloutRunner, take_step
+from ..rollout.stage_routers import count_stage_routers, in_stage
+from ..rollout.start import start_rollout
 from ..transport.frames import Identity
 from .change import changed_slices
 from .client import OperatorClient
@@ -46,11 +38,11 @@
     match asyncio.run(take_step(HttpFleetAccess(client, private), step)):
         case Success(OrderOutcome() as outcome):
             return outcome
-        case Failure(StepRefused(kind="conflict", reason=reason)):
+        case Failure(StepRejectedError(kind="conflict", reason=reason)):
             raise ConflictError(reason)
-        case Failure(StepRefused(reason=reason)):
+        case Failure(StepRejectedError(reason=reason)):
             raise CommandError(reason)
-        case Failure(Unavailable(reason=reason)):
+        case Failure(FleetUnavailableError(reason=reason)):
             raise OutcomeUnknownError(f"{reason}. `wingwood rollout status` says where it stands")
     raise AssertionError("a result is a success or a failure")
 
@@ -102,19 +94,19 @@
     """Puts the first stage of a change in place, as roll-out NAME. `rollout run NAME` takes it on from there."""
     if not sets and not files:
         raise CommandError("nothing to change: use --set or --file")
-    match read_stages(stages):
+    match parse_stages(stages):
         case Success(read):
             pass
-        case Failure(StepRefused(reason=reason)):
+        case Failure(StepRejectedError(reason=reason)):
             raise CommandError(f"--stages: {reason}")
     client = operator_client(addresses, retry_timeout)
     private = private_key(key_file)
     reached = _check_stages(client, read)
 
-    def change(slices: Slices) -> Result[Slices, StepRefused]:
+    def change(slices: Slices) -> Result[Slices, StepRejectedError]:
         return Success(changed_slices(slices, files=files, sets=sets))
 
-    step = begin_rollout(name, change, read, Seconds(watch), highest_failures, highest_refusals, reached)
+    step = start_rollout(name, change, read, Seconds(watch), highest_failures, highest_refusals, reached)
     outcome = _take_step(client, private, step)
     _report(outcome, as_json, f"stage {read[0]} of {', '.join(read)}; next: wingwood rollout run {name}")
 
@@ -262,7 +254,7 @@
     """Takes the record of a finished or rolled back roll-out out of the bundle; the history keeps it."""
     client = operator_client(addresses, retry_timeout)
     _existing(client, name)
-    _report(_take_step(client, private_key(key_file), forget(name)), as_json, "forgotten")
+    _report(_take_step(client, private_key(key_file), remove_record(name)), as_json, "forgotten")
 
 
 @rollout.command()
--- a/wingwood/rollout/tests/test_rollout_on_fleet.py
+++ b/wingwood/rollout/tests/test_rollout_on_fleet.py
@@ -21,9 +21,11 @@
 from ...identifiers import Address, BundleVersion, DaemonName, Seconds, SliceName
 from ...operator_api.reading import HealthReport
 from ...transport.frames import Identity
-from ..plan import Slices, Step, StepRefused, begin_rollout, read_rollouts, roll_back
-from ..runner import Ended, RolloutRunner, Unavailable, take_step
-from ..watch import FleetStatus, RouterStatus, read_counts
+from ..errors import FleetUnavailableError, StepRejectedError
+from ..fleet_status import FleetStatus, RouterStatus, read_counts
+from ..plan import Slices, Step, read_rollouts, roll_back
+from ..runner import RolloutEnd, RolloutRunner, take_step
+from ..start import start_rollout
 
 RUN_EACH_ALONE = True
 
@@ -34,18 +36,24 @@
     def __init__(self, operator: Operator) -> None:
         self._operator = operator
 
-    async def latest(self) -> Result[tuple[BundleVersion, Slices], Unavailable]:
+    async def latest(self) -> Result[tuple[BundleVersion, Slices], FleetUnavailableError]:
         try:
             version, slices = await self._operator.latest()
-            return Success((version, slices)) if version else Failure(Unavailable("that daemon knows of no bundle"))
+            return (
+                Success((version, slices))
+                if version
+                else Failure(FleetUnavailableError("that daemon knows of no bundle"))
+            )
         except TimeoutError as late:
-            return Failure(Unavailable(str(late)))
+            return Failure(FleetUnavailableError(str(late)))
 
-    async def submit(self, base: BundleVersion, before: Slices, after: Slices) -> Result[OrderOutcome, Unavailable]:
+    async def submit(
+        self, base: BundleVersion, before: Slices, after: Slices
+    ) -> Result[OrderOutcome, FleetUnavailableError]:
         seen, order = self._operator.prepare(base, before, after, "roll-out")
         await self._operator.send(seen, order)
         if not seen.answers or seen.answers[-1].outcome not in ("accepted", "conflict", "invalid"):
-            return Failure(Unavailable("no daemon said what became of it"))
+            return Failure(FleetUnavailableError("no daemon said what became of it"))
         answer = seen.answers[-1]
         return Success(
             OrderOutcome(
@@ -56,14 +64,14 @@
             )
         )
 
-    async def observe(self) -> Result[FleetStatus, Unavailable]:
+    async def observe(self) -> Result[FleetStatus, FleetUnavailableError]:
         found: tuple[Identity, ...] = ()
         for endpoint in self._operator.operator_endpoints()[:5]:
             answer = await self._get(endpoint.address, "/control/v1/members")
             members = () if answer is None else tuple(msgspec.json.decode(answer, type=list[Identity]))
             found = max(found, members, key=len)
         if not found:
-            return Failure(Unavailable("no daemon answered"))
+            return Failure(FleetUnavailableError("no daemon answered"))
         router_statuses: dict[DaemonName, RouterStatus | None] = {}
         for member in found:
             if member.role == "router" and member.operator is not None:
@@ -97,18 +105,18 @@
         self.fleet.set_traffic(0.25)
         self.zone = shape.zones[0]
         self.summary = SliceName("service/order-summary")
-        self.ended: dict[str, Ended] = {}
+        self.ended: dict[str, RolloutEnd] = {}
         self.messages: list[str] = []
 
     def change(self, **fields: object) -> Step:
-        def change(slices: Slices) -> Result[Slices, StepRefused]:
+        def change(slices: Slices) -> Result[Slices, StepRejectedError]:
             held = msgspec.json.decode(slices[self.summary])
             return Success({**slices, self.summary: canonical_json({**held, **fields})})
 
         return change
 
     def start(self, change: Step, *stages: str) -> None:
-        step = begin_rollout("trial", change, stages, Seconds(6.0), 0.02, 0.05, len(self.in_zone()))
+        step = start_rollout("trial", change, stages, Seconds(6.0), 0.02, 0.05, len(self.in_zone()))
         self.take("operator-1", step)
 
     def take(self, name: str, step: Step) -> None:
