--- a/wingwood/command_line/tests/fake_daemons.py
+++ b/wingwood/command_line/tests/fake_daemons.py
@@ -24,7 +24,8 @@
 from ...context.protocols import Context
 from ...context.real import RealClock, RealDisk, RealNetwork, RealTasks
 from ...context.stream_client import StreamHttpClient
-from ...control.protocols import NotDecided, ViewReport
+from ...control.errors import CommandFailure
+from ...control.protocols import ViewReport
 from ...identifiers import (
     Address,
     BundleVersion,
@@ -138,7 +139,7 @@
         await asyncio.sleep(0)
 
     def _add_routes(self, server: OperatorServer, address: Address, number: int) -> None:
-        async def decide(command: SubmitOrder, _within: Seconds) -> Result[OrderOutcome, NotDecided]:
+        async def decide(command: SubmitOrder, _within: Seconds) -> Result[OrderOutcome, CommandFailure]:
             self.orders.append((address, command.order))
             if self.competing_order is not None:
                 submit(self.state, self.competing_order)
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -17,7 +17,7 @@
 from ..control.bundle_source import CommittedBundles
 from ..control.client import ControlClient
 from ..control.core import ReplicatedCore
-from ..control.protocols import NotDecided
+from ..control.errors import CommandFailure
 from ..control.relay import RelayCore
 from ..control.store import Contents, ControlStore, open_store
 from ..distribution.publisher import BundlePublisher
@@ -61,7 +61,7 @@
             self._parts = ControlParts(self._context, self._settings, None, self._adapter)
             return self._parts.start()
         match await open_store(
-            self._context, self._settings.begin_empty_when_damaged, retry_pause=DISK_RETRY_BACKOFF_S
+            self._context, self._settings.begin_empty_when_damaged, retry_backoff=DISK_RETRY_BACKOFF_S
         ):
             case Success(opened):
                 self._parts = ControlParts(self._context, self._settings, opened, self._adapter)
@@ -162,7 +162,7 @@
             seeds,
             self.coordinator.knows_of_history,
             self.coordinator.known_controls,
-            losses_borne=self._settings.losses_borne,
+            failures_tolerated=self._settings.losses_borne,
         )
 
     def start(self) -> Result[None, StartFailure]:
@@ -186,7 +186,7 @@
         self.operator_server.stop()
         self.messenger.stop()
 
-    async def _submit(self, command: SubmitOrder, within: Seconds) -> Result[OrderOutcome, NotDecided]:
+    async def _submit(self, command: SubmitOrder, within: Seconds) -> Result[OrderOutcome, CommandFailure]:
         return await self.client.submit(command, within)
 
     def current(self) -> Bundle | None:
--- a/wingwood/ledger/tests/test_client.py
+++ b/wingwood/ledger/tests/test_client.py
@@ -18,7 +18,7 @@
 from simulation import World
 
 from ...context.protocols import Context
-from ...control.protocols import NotDecided
+from ...control.errors import CommandFailure
 from ...identifiers import Incarnation, Seconds
 from ..client import DecideClient, RouterLedger
 from ..commands import ClaimRequest, LedgerBatch
@@ -161,7 +161,7 @@
     control: FaultyControl, kind: str, command: object, reply_type: type, timeout: Seconds
 ) -> object:
     await asyncio.sleep(timeout)
-    return Failure(NotDecided("unknown"))
+    return Failure(CommandFailure("unknown"))
 
 
 def run_random_faults(
