--- a/wingwood/bundle/model.py
+++ b/wingwood/bundle/model.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any, Literal
+from typing import Literal
 
 import msgspec
 
@@ -26,7 +26,7 @@
     TenantName,
     WallTime,
 )
-from .route import Route
+from .route import JsonObject, Route
 from .route_index import RouteIndex
 
 
@@ -93,7 +93,7 @@
     health_path: str = "/health"
     engine: Engine | None = None
     position: int = 0
-    annotations: dict[str, Any] = {}
+    annotations: JsonObject = {}
 
 
 class CallerLimits(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -104,7 +104,7 @@
     body_bytes: int = 4 * 1024 * 1024
     head_time: Seconds = Seconds(10.0)
     idle: Seconds = Seconds(75.0)
-    annotations: dict[str, Any] = {}
+    annotations: JsonObject = {}
 
 
 class Edition(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -112,7 +112,7 @@
 
     name: str = "operator"
     number: int = 0
-    annotations: dict[str, Any] = {}
+    annotations: JsonObject = {}
 
 
 class PriorityClass(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -143,15 +143,15 @@
     plain_tokens: int = 1
     """Cost in tokens of a call that states no token counts, when ``unit`` is ``tokens``."""
     position: int = 0
-    annotations: dict[str, Any] = {}
+    annotations: JsonObject = {}
 
 
 class RolloutChange(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """The fields of one slice before and after a roll-out. The canonical JSON of either is the content of the slice."""
 
     slice: SliceName
-    before: dict[str, Any]
-    after: dict[str, Any]
+    before: JsonObject
+    after: JsonObject
 
 
 class Rollout(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/wingwood/bundle/route.py
+++ b/wingwood/bundle/route.py
@@ -8,6 +8,9 @@
 
 from ..identifiers import ServiceName
 
+JsonObject = dict[str, Any]
+"""A JSON object of an operator, whose values are stored and returned without being interpreted."""
+
 
 class Route(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """Slice ``route/NAME``: assigns calls whose path starts with ``path_prefix`` to ``service``.
@@ -25,5 +28,5 @@
     """False: calls without a key are accepted too; they belong to no tenant."""
     position: int = 0
     """Sort position among the operator's routes; it lets the routes be read back in the order they were given in."""
-    annotations: dict[str, Any] = {}
+    annotations: JsonObject = {}
     """Data of the operator's own tools; daemons store and return it without interpreting it."""
--- a/wingwood/bundle/stored_bundles.py
+++ b/wingwood/bundle/stored_bundles.py
@@ -1,6 +1,6 @@
 """Stores the bundles and orders of the bundle state: applies records and reads past versions (docs/DESIGN.md 5.4).
 
-``OrderDecisions`` and ``EditionDecisions`` decide against it and change nothing here; see ``BundleState``.
+``OrderDecisions`` and ``EditionDecisions`` decide against its public interface; see ``BundleState``.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
         return edition_number_in(self._slices.latest_of(EDITION_SLICE))
 
     def decided_order(self, order: OrderId) -> DecidedOrder | None:
-        """Returns an order with its first outcome; None when it is not decided, or no longer."""
+        """Returns an order with its first outcome; None when it was not decided, or its outcome is no longer stored."""
         return self._decided.get(order)
 
     def order_of_version(self, version: BundleVersion) -> DecidedOrder | None:
