--- a/wingwood/bundle/model.py
+++ b/wingwood/bundle/model.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any, Literal
+from typing import Literal
 
 import msgspec
 
@@ -26,7 +26,7 @@
     TenantName,
     WallTime,
 )
-from .route import Route
+from .route import JsonObject, Route
 from .route_index import RouteIndex
 
 
@@ -47,18 +47,18 @@
     streaming: bool = True
     deadline: Seconds = Seconds(60.0)
     """Longest total duration of a call."""
-    first_byte_patience: Seconds = Seconds(4.0)
+    first_byte_timeout: Seconds = msgspec.field(default=Seconds(4.0), name="first_byte_patience")
     """How long callers of this service wait for the first byte of the answer before they give up."""
-    silence_patience: Seconds = Seconds(10.0)
-    """Longest pause between two chunks of an answer; after it the worker counts as unresponsive."""
+    chunk_timeout: Seconds = msgspec.field(default=Seconds(10.0), name="silence_patience")
+    """Longest gap between two chunks of an answer; after it the worker counts as unresponsive."""
     retry_share: float = 0.15
     """Largest number of retries, as a share of the service's calls."""
     split: tuple[PoolShare, ...] = ()
     """Pools that share the calls in proportion to their weights. Empty: all calls go to ``pool``."""
     latency_objective: Seconds | None = None
     """Time within which the first chunk of a stream, or a complete answer, is on time. None: there is no objective."""
-    longest_pause: Seconds | None = None
-    """Longest pause between two chunks of a stream that is on time. None: there is no objective."""
+    max_chunk_gap: Seconds | None = msgspec.field(default=None, name="longest_pause")
+    """Longest gap between two chunks of a stream that is on time. None: there is no objective."""
     attempts: int = 4
     """Largest number of workers to which one call may be sent."""
     urgency: int = 5
@@ -93,7 +93,7 @@
     health_path: str = "/health"
     engine: Engine | None = None
     position: int = 0
-    annotations: dict[str, Any] = {}
+    annotations: JsonObject = {}
 
 
 class CallerLimits(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -104,7 +104,7 @@
     body_bytes: int = 4 * 1024 * 1024
     head_time: Seconds = Seconds(10.0)
     idle: Seconds = Seconds(75.0)
-    annotations: dict[str, Any] = {}
+    annotations: JsonObject = {}
 
 
 class Edition(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -112,7 +112,7 @@
 
     name: str = "operator"
     number: int = 0
-    annotations: dict[str, Any] = {}
+    annotations: JsonObject = {}
 
 
 class PriorityClass(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -143,15 +143,15 @@
     plain_tokens: int = 1
     """Cost in tokens of a call that states no token counts, when ``unit`` is ``tokens``."""
     position: int = 0
-    annotations: dict[str, Any] = {}
+    annotations: JsonObject = {}
 
 
 class RolloutChange(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """The fields of one slice before and after a roll-out. The canonical JSON of either is the content of the slice."""
 
     slice: SliceName
-    before: dict[str, Any]
-    after: dict[str, Any]
+    before: JsonObject
+    after: JsonObject
 
 
 class Rollout(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -225,6 +225,7 @@
 
     @property
     def version(self) -> BundleVersion:
+        """The fleet's version number of this bundle."""
         return self.manifest.version
 
     def find_route(self, host: str, path: str, method: str) -> Route | None:
@@ -235,8 +236,8 @@
         method, one of them is returned: its ``methods`` lack the method. A prefix matches only up to the end of a
         segment of the path.
         """
-        found = self.route_index.find(host, path)
-        return next((route for route in found if method in route.methods), found[0] if found else None)
+        routes = self.route_index.find(host, path)
+        return next((route for route in routes if method in route.methods), routes[0] if routes else None)
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
--- a/wingwood/control/journal_rewriting.py
+++ b/wingwood/control/journal_rewriting.py
@@ -9,7 +9,7 @@
 
 from ..context.protocols import Context
 from ..identifiers import Instant
-from ..journal import JournalFault
+from ..journal import JournalError, JournalTimeoutError, JournalUnusableError
 from .control_options import JournalOptions
 from .replica import Replica
 from .store import ControlStore
@@ -30,7 +30,7 @@
         store: ControlStore,
         replica: Replica,
         options: JournalOptions,
-        on_fault: Callable[[JournalFault], None],
+        on_fault: Callable[[JournalError], None],
     ) -> None:
         self._context = context
         self._store = store
@@ -54,7 +54,7 @@
         store = self._store
         return store.journal.length > factor * max(self._options.rewrite_bytes, 2 * store.rewritten_bytes)
 
-    async def _rewrite(self, compaction: Coroutine[Any, Any, Result[None, JournalFault]]) -> None:
+    async def _rewrite(self, compaction: Coroutine[Any, Any, Result[None, JournalError]]) -> None:
         clock, log, journal = self._context.clock, self._context.log, self._store.journal
         started, before = clock.monotonic(), journal.length
         match await compaction:
@@ -64,6 +64,8 @@
             case Failure(fault):
                 log.event("journal-rewrite-failed", kind=fault.kind, detail=fault.detail)
                 self._no_rewrite_before = Instant(clock.monotonic() + BACKOFF_AFTER_FAILURE_S)
-                if fault.kind == "slow" or (fault.kind != "sick" and journal.unusable_reason is not None):
+                if isinstance(fault, JournalTimeoutError) or (
+                    not isinstance(fault, JournalUnusableError) and journal.unusable_reason is not None
+                ):
                     self._on_fault(fault)
         self._rewriting = False
