--- a/bench/capacity/common.py
+++ b/bench/capacity/common.py
@@ -82,7 +82,7 @@
     def is_member(self, incarnation: Incarnation) -> bool:
         return True
 
-    def session_proven_at(self) -> Instant | None:
+    def session_confirmed_at(self) -> Instant | None:
         return RealClock().monotonic()
 
     def on_change(self, callback: Callable[[], None]) -> None:
--- a/bench/hollow_daemons.py
+++ b/bench/hollow_daemons.py
@@ -163,7 +163,7 @@
             contents,
             [state],
             SEEDS,
-            knows_of_history=coordinator.knows_of_history,
+            knows_of_history=coordinator.core_may_exist,
             other_controls=coordinator.known_controls,
         )
         publisher = BundlePublisher(context, messenger, core, CommittedBundles(core, state), coordinator)
--- a/wingwood/daemons/control.py
+++ b/wingwood/daemons/control.py
@@ -21,7 +21,7 @@
 from ..distribution.publisher import BundlePublisher
 from ..identifiers import Address, BundleVersion, Incarnation, Seconds
 from ..ledger.state import LedgerState
-from ..membership.address_book import AddressBook
+from ..membership.address_file import AddressFile
 from ..membership.coordinator import MembershipCoordinator
 from ..operator_api.editions import EditionClient
 from ..operator_api.orders import OrderRoutes
@@ -113,7 +113,7 @@
         self.source = CommittedBundles(self.core, self.state)
         self.publisher = BundlePublisher(context, self.messenger, self.core, self.source, self.coordinator)
         self.coordinator.set_update_source(self.publisher.membership_update)
-        self.address_book = AddressBook(context, self.messenger, self.coordinator)
+        self.address_file = AddressFile(context, self.messenger, self.coordinator)
         self.registry = WorkerRegistry(context, self.messenger, self.coordinator, settings, dialect.announcements)
         self.client = ControlClient(context, self.messenger, self.core.control_addresses)
         self.local_reader = LocalBundleReader(self.state, lambda: self.source.version, self._stores_bundles)
@@ -148,7 +148,7 @@
             contents,
             (self.state, self.ledger),
             seeds,
-            self.coordinator.knows_of_history,
+            self.coordinator.core_may_exist,
             self.coordinator.known_controls,
             losses_borne=self._settings.losses_borne,
         )
@@ -159,7 +159,7 @@
         if isinstance(listening := self.operator_server.start(self._settings.operator), Failure):
             return Failure(StartFailure(f"operator address: {listening.failure().detail}"))
         self.coordinator.start()
-        self.address_book.start()
+        self.address_file.start()
         self.core.start()
         self.publisher.start()
         self.registry.start()
@@ -167,7 +167,7 @@
 
     def stop(self) -> None:
         self.publisher.stop()
-        self.address_book.stop()
+        self.address_file.stop()
         self.coordinator.stop()
         self.operator_server.stop()
         self.messenger.stop()
@@ -189,10 +189,10 @@
     def health(self) -> HealthReport:
         now = self._context.clock.monotonic()
         report = self.core.report()
-        session = self.coordinator.session_proven_at()
+        session = self.coordinator.session_confirmed_at()
         update = self.publisher.membership_update()
         in_view = report.own_role in ("primary", "backup", "witness", "relay") and report.primary is not None
-        primary_proven = update.proof_age is not None and update.proof_age <= MAX_PRIMARY_PROOF_AGE_S
+        primary_proven = update.confirmation_age is not None and update.confirmation_age <= MAX_PRIMARY_PROOF_AGE_S
         reasons = [report.detail] if report.detail else []
         if not in_view:
             relay = report.own_role == "relay"
@@ -207,8 +207,8 @@
             incarnation=self._identity.incarnation,
             ready=in_view and primary_proven,
             reasons=tuple(reasons),
-            version=BundleVersion(max(self.source.version, update.proof_version)),
-            bundle_proven_age=update.proof_age,
+            version=BundleVersion(max(self.source.version, update.confirmed_version)),
+            bundle_proven_age=update.confirmation_age,
             session_age=None if session is None else Seconds(now - session),
             members=len(self.coordinator.members()),
             workers_ready=sum(worker.state == "ready" for worker in self.registry.all_workers()),
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -168,14 +168,14 @@
             reasons.append("no bundle yet")
         elif not self.follower.may_serve():
             reasons.append("the bundle in force cannot be proven to be the newest")
-        if self.membership.session_proven_at() is None:
+        if self.membership.session_confirmed_at() is None:
             reasons.append("no session with a control daemon yet")
         if not (worker_lists_received := self._has_received_worker_lists()):
             reasons.append("not heard of the workers yet")
         if isolated := self._is_isolated():
             reasons.append("neither a control daemon nor a worker can be reached")
         now = self._context.clock.monotonic()
-        proven, session = self.follower.proven_latest_at(), self.membership.session_proven_at()
+        proven, session = self.follower.proven_latest_at(), self.membership.session_confirmed_at()
         return HealthReport(
             name=self._settings.name,
             role="router",
@@ -227,7 +227,7 @@
         return self._has_lost_control() and not self._ready_workers()
 
     def _has_lost_control(self) -> bool:
-        session = self.membership.session_proven_at()
+        session = self.membership.session_confirmed_at()
         return session is not None and self._context.clock.monotonic() - session > CONTROL_SILENCE_LIMIT_S
 
     def _ready_workers(self) -> list[Worker]:
--- a/wingwood/distribution/follower.py
+++ b/wingwood/distribution/follower.py
@@ -14,8 +14,8 @@
 from ..context.protocols import Context, Task
 from ..identifiers import Address, BundleVersion, Epoch, Instant, Seconds
 from ..membership.client import MembershipClient
-from ..membership.duties import EpochGate
 from ..membership.messages import ClusterUpdate
+from ..membership.singleton_roles import EpochGate
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
 from .deltas import DeltaChain, join_deltas, slice_bytes
@@ -94,7 +94,7 @@
         messenger.on_call(Subscribe, self._on_subscribe)
         messenger.on_call(FetchBundle, self._on_fetch)
         membership.on_update(self._on_membership_update)
-        membership.report_version(self.version)
+        membership.set_version_source(self.version)
 
     def start(self) -> None:
         self._started = self._context.clock.monotonic()
@@ -134,10 +134,10 @@
     # -- announcements and proofs
 
     def _on_membership_update(self, update: ClusterUpdate, asked: Instant) -> None:
-        if update.proof_age is not None:
-            self._record_proof(update.proof_version, Instant(asked - update.proof_age))
+        if update.confirmation_age is not None:
+            self._record_proof(update.confirmed_version, Instant(asked - update.confirmation_age))
         self._gate.admit(update.epoch)
-        self._raise_target(max(update.latest_version, update.proof_version))
+        self._raise_target(max(update.latest_version, update.confirmed_version))
 
     def _record_proof(self, version: BundleVersion, proven: Instant) -> None:
         """Records that ``version`` was the latest at ``proven``.
--- a/wingwood/distribution/freshness.py
+++ b/wingwood/distribution/freshness.py
@@ -70,8 +70,8 @@
             epoch=self._core.epoch(),
             primary=self._core.primary_address(),
             latest_version=max(self._announced_version, self._proven_version, self._own_latest_version()),
-            proof_version=self._proven_version,
-            proof_age=age,
+            confirmed_version=self._proven_version,
+            confirmation_age=age,
         )
 
     def _own_latest_version(self) -> BundleVersion:
--- a/wingwood/distribution/tests/small_fleet.py
+++ b/wingwood/distribution/tests/small_fleet.py
@@ -16,7 +16,7 @@
 from ...identifiers import Address, BundleVersion, DaemonName, Incarnation, Seconds, SliceName, Zone
 from ...membership.client import MembershipClient
 from ...membership.coordinator import MembershipCoordinator
-from ...membership.limits import SessionTimes
+from ...membership.membership_options import MembershipOptions
 from ...transport.frames import Identity
 from ...transport.messenger import TcpMessenger
 from ..follower import BundleFollower
@@ -34,14 +34,14 @@
 
     coordinator_class = MembershipCoordinator
     publisher_class = BundlePublisher
-    times = SessionTimes()
+    membership_options = MembershipOptions()
     limits = DistributionLimits()
 
     def __init__(self, context: Context, identity: Identity, seeds: Sequence[Address], disk: BundleState) -> None:
         self.messenger = TcpMessenger(context, identity, KEY)
         self.core = FakeControlCore(self.messenger, tuple(seeds))
         self.source = FakeBundleSource(disk)
-        self.coordinator = self.coordinator_class(context, self.messenger, seeds, self.times)
+        self.coordinator = self.coordinator_class(context, self.messenger, seeds, self.membership_options)
         self.publisher = self.publisher_class(
             context, self.messenger, self.core, self.source, self.coordinator, self.limits
         )
@@ -53,12 +53,12 @@
 
     client_class = MembershipClient
     follower_class = BundleFollower
-    times = SessionTimes()
+    membership_options = MembershipOptions()
     limits = DistributionLimits()
 
     def __init__(self, context: Context, identity: Identity, seeds: Sequence[Address], bound: Seconds | None) -> None:
         self.messenger = TcpMessenger(context, identity, KEY)
-        self.client = self.client_class(context, self.messenger, seeds, self.times)
+        self.client = self.client_class(context, self.messenger, seeds, self.membership_options)
         self.follower = self.follower_class(context, self.messenger, self.client, OPERATOR_KEYS, bound, self.limits)
 
 
--- a/wingwood/distribution/tests/test_broken_variants.py
+++ b/wingwood/distribution/tests/test_broken_variants.py
@@ -13,9 +13,13 @@
 
 from ...identifiers import Address, BundleVersion, Instant, Seconds
 from ...membership.coordinator import MembershipCoordinator
-from ...membership.coordinator_peer import CoordinatorPeer as _Peer
-from ...membership.limits import SessionTimes
+from ...membership.coordinator_peer import CoordinatorPeer
+from ...membership.isolation import IsolationDetector
+from ...membership.local_sessions import LocalSessions
+from ...membership.membership_options import MembershipOptions
 from ...membership.messages import ClusterUpdate, Heartbeat, SessionsReport, UnreachableCoordinator
+from ...membership.peer_reports import PeerReports
+from ...membership.session_reports import SessionsReporter
 from ...membership.tests import test_sessions as sessions
 from ...transport.frames import Identity
 from ..follower import BundleFollower
@@ -37,7 +41,7 @@
     """Reports each proof with age 0."""
 
     def membership_update(self) -> ClusterUpdate:
-        return msgspec.structs.replace(super().membership_update(), proof_age=Seconds(0.0))
+        return msgspec.structs.replace(super().membership_update(), confirmation_age=Seconds(0.0))
 
 
 class PrimaryOnlyProver(FreshnessProver):
@@ -69,39 +73,55 @@
         return proven is not None and self._context.clock.monotonic() - proven <= 6.0
 
 
-class UnconditionalRenewalCoordinator(MembershipCoordinator):
+class UnconditionalSessions(LocalSessions):
     """Renews a session even when its daemon receives no answers."""
 
-    def _renew(self, peer: Identity, message: Heartbeat, now: Instant, was_member: bool) -> bool:
-        return super()._renew(peer, msgspec.structs.replace(message, last_answer_age=Seconds(0.0)), now, was_member)
+    def renew(self, peer: Identity, heartbeat: Heartbeat, now: Instant, was_member: bool) -> bool:
+        return super().renew(peer, msgspec.structs.replace(heartbeat, last_answer_age=Seconds(0.0)), now, was_member)
 
 
-class SessionForgettingCoordinator(MembershipCoordinator):
+class UnconditionalRenewalCoordinator(MembershipCoordinator):
+    sessions_class = UnconditionalSessions
+
+
+class TrustingReports(PeerReports):
     """Trusts a coordinator that has just restarted when it reports no sessions."""
 
-    def _apply_report(self, peer: _Peer, report: SessionsReport, reported_at: Instant) -> None:
-        super()._apply_report(peer, msgspec.structs.replace(report, settling=False), reported_at)
+    def _apply(self, peer: CoordinatorPeer, report: SessionsReport, reported_at: Instant) -> None:
+        super()._apply(peer, msgspec.structs.replace(report, warming_up=False), reported_at)
+
+
+class SessionForgettingCoordinator(MembershipCoordinator):
+    reports_class = TrustingReports
 
 
-class NeverAloneCoordinator(MembershipCoordinator):
+class NoIsolationDetector(IsolationDetector):
     """Considers all other coordinators failed rather than itself cut off."""
 
-    def _check_isolation(self, now: Instant) -> None:
+    def check(self, now: Instant) -> None:
         pass
 
 
-class CoordinatorWithoutRelay(MembershipCoordinator):
+class NeverIsolatedCoordinator(MembershipCoordinator):
+    isolation_class = NoIsolationDetector
+
+
+class ReporterWithoutRelay(SessionsReporter):
     """Does not forward the sessions that other coordinators report."""
 
     def _relay(self, unreachable: Sequence[UnreachableCoordinator]) -> list[SessionsReport]:
         return []
 
 
+class CoordinatorWithoutRelay(MembershipCoordinator):
+    reporter_class = ReporterWithoutRelay
+
+
 def fleet_of(
     coordinator: type[MembershipCoordinator] = MembershipCoordinator,
     prover: type[FreshnessProver] = FreshnessProver,
     follower: type[BundleFollower] = BundleFollower,
-    times: SessionTimes | None = None,
+    membership: MembershipOptions | None = None,
     limits: DistributionLimits | None = None,
 ) -> type[SmallFleet]:
     class Publisher(BundlePublisher):
@@ -114,7 +134,7 @@
     class Router(RouterParts):
         follower_class = follower
 
-    Control.times = Router.times = times or SessionTimes()
+    Control.membership_options = Router.membership_options = membership or MembershipOptions()
     Control.limits = Router.limits = limits or DistributionLimits()
 
     class Fleet(SmallFleet):
@@ -144,12 +164,11 @@
 
     def test_counting(self) -> None:
         """The short timeout for an answer hides a wrong age, so it is made long here."""
-        buffered, patient = (
-            "frozen_router_does_not_serve_on_a_buffered_answer",
-            SessionTimes(answer_timeout=Seconds(30.0)),
-        )
-        type("Patient", (distribution.FreshnessTest,), {"fleet": fleet_of(times=patient)})(f"test_{buffered}").debug()
-        self.assert_rejected(fleet_of(follower=LateProofFollower, times=patient), distribution.FreshnessTest, buffered)
+        buffered = "frozen_router_does_not_serve_on_a_buffered_answer"
+        patient = MembershipOptions(answer_timeout_s=Seconds(30.0))
+        correct, late = fleet_of(membership=patient), fleet_of(follower=LateProofFollower, membership=patient)
+        type("Patient", (distribution.FreshnessTest,), {"fleet": correct})(f"test_{buffered}").debug()
+        self.assert_rejected(late, distribution.FreshnessTest, buffered)
         unable = "router_that_cannot_fetch_an_announced_version_stops_serving"
         self.assert_rejected(fleet_of(follower=UncheckedProofFollower), distribution.FreshnessTest, unable)
         clocks = "slow_and_fast_clocks_stay_within_the_margin"
@@ -170,12 +189,12 @@
         restarted = "control_daemon_restarted_at_once_loses_no_member"
         self.assert_rejected(fleet_of(SessionForgettingCoordinator), sessions.SessionsTest, restarted)
         isolated = "routers_move_away_from_an_isolated_coordinator"
-        self.assert_rejected(fleet_of(NeverAloneCoordinator), sessions.SessionsTest, isolated)
-        graceless = SessionTimes(grace_period=Seconds(0.3), session_timeout=Seconds(0.3))
+        self.assert_rejected(fleet_of(NeverIsolatedCoordinator), sessions.SessionsTest, isolated)
+        graceless = MembershipOptions(grace_period_s=Seconds(0.3), session_timeout_s=Seconds(0.3))
         self.assert_rejected(
-            fleet_of(times=graceless), sessions.SessionsTest, "no_member_flaps_when_a_control_daemon_fails"
+            fleet_of(membership=graceless), sessions.SessionsTest, "no_member_flaps_when_a_control_daemon_fails"
         )
-        hasty = SessionTimes(settling_period=Seconds(0.0))
+        hasty = MembershipOptions(warm_up_period_s=Seconds(0.0))
         self.assert_rejected(
-            fleet_of(times=hasty), sessions.SessionsTest, "no_member_is_lost_when_all_control_daemons_restart"
+            fleet_of(membership=hasty), sessions.SessionsTest, "no_member_is_lost_when_all_control_daemons_restart"
         )
--- a/wingwood/limits/allocator_status.py
+++ b/wingwood/limits/allocator_status.py
@@ -94,5 +94,5 @@
         return MembershipReply(self._membership.is_member(peer.incarnation))
 
     def _session_fresh(self, now: Instant, within: float) -> bool:
-        proven = self._membership.session_proven_at()
+        proven = self._membership.session_confirmed_at()
         return proven is not None and now - proven <= within
--- a/wingwood/limits/tests/share_fleet.py
+++ b/wingwood/limits/tests/share_fleet.py
@@ -50,7 +50,7 @@
     def is_member(self, incarnation: Incarnation) -> bool:
         return any(member.incarnation == incarnation for member in self._members)
 
-    def session_proven_at(self) -> Instant | None:
+    def session_confirmed_at(self) -> Instant | None:
         return self._proven
 
     def on_change(self, callback: Callable[[], None]) -> None:
--- a/wingwood/membership/address_book.py
+++ b/wingwood/membership/address_file.py
@@ -22,7 +22,7 @@
 WRITE_INTERVAL_S = Seconds(5.0)
 ANNOUNCE_INTERVAL_S = Seconds(1.0)
 ANNOUNCE_DURATION_S = Seconds(120.0)
-MAX_ADDRESSES_PER_ROUND = 64
+MAX_ANNOUNCED_PER_INTERVAL = 64
 
 
 class SavedAddresses(msgspec.Struct, frozen=True):
@@ -32,21 +32,25 @@
     routers: tuple[Address, ...]
 
 
-class CoordinatorMembership(Membership, Protocol):
-    """The functions of this control daemon's coordinator that the address book uses."""
+class AddressSource(Membership, Protocol):
+    """This control daemon's coordinator, as the address file uses it."""
 
-    def add_controls(self, controls: tuple[Address, ...]) -> None: ...
+    def add_controls(self, controls: tuple[Address, ...]) -> None:
+        """Starts polling control daemons that may exist at these addresses."""
+        ...
 
-    def settling(self) -> bool: ...
+    def warming_up(self) -> bool:
+        """Returns whether the list may still lack live members."""
+        ...
 
 
-class AddressBook:
+class AddressFile:
     """Keeps the file up to date with the current members.
 
     The file only helps daemons to find each other; correctness does not depend on its content.
     """
 
-    def __init__(self, context: Context, messenger: Messenger, coordinator: CoordinatorMembership) -> None:
+    def __init__(self, context: Context, messenger: Messenger, coordinator: AddressSource) -> None:
         self._context = context
         self._messenger = messenger
         self._coordinator = coordinator
@@ -54,9 +58,11 @@
         self._tasks: list[Task] = []
 
     def start(self) -> None:
-        self._tasks = [self._context.tasks.spawn("address book", self._run())]
+        """Reads the file, announces this daemon to the saved routers, and writes the file after changes."""
+        self._tasks = [self._context.tasks.spawn("address file", self._run())]
 
     def stop(self) -> None:
+        """Stops the announcements and writes."""
         for task in self._tasks:
             task.cancel()
 
@@ -65,7 +71,7 @@
         if saved is not None:
             self._written = saved
             self._coordinator.add_controls(saved.controls)
-            self._tasks.append(self._context.tasks.spawn("tell addresses", self._announce(saved)))
+            self._tasks.append(self._context.tasks.spawn("announce addresses", self._announce(saved)))
         while True:
             await self._context.clock.sleep(WRITE_INTERVAL_S)
             await self._write()
@@ -86,7 +92,7 @@
         While most of the saved routers are not members and nobody has joined, the file stays as it is, since it may
         still be needed to find them.
         """
-        if self._coordinator.settling():
+        if self._coordinator.warming_up():
             return
         current = SavedAddresses(
             tuple(sorted(member.internal for member in self._coordinator.controls())),
@@ -96,22 +102,23 @@
         many_removed = len(self._written.routers) > 2 * len(current.routers)
         if current == self._written or not current.routers or (many_removed and not added):
             return
-        disk = self._context.disk
-        if isinstance(await disk.write_new(NEW_FILE_NAME, msgspec.json.encode(current)), Success) and isinstance(
-            await disk.rename(NEW_FILE_NAME, FILE_NAME), Success
-        ):
-            self._written = current
+        written = await self._context.disk.write_new(NEW_FILE_NAME, msgspec.json.encode(current))
+        if isinstance(written, Success):
+            renamed = await self._context.disk.rename(NEW_FILE_NAME, FILE_NAME)
+            if isinstance(renamed, Success):
+                self._written = current
 
     async def _announce(self, saved: SavedAddresses) -> None:
         """Announces the control daemons to routers that have no session yet."""
         own = self._messenger.identity.internal
-        announcement = KnownControls((own, *saved.controls[:MAX_ADDRESSES_PER_ROUND]), (), Epoch(0), BundleVersion(0))
+        controls = (own, *saved.controls[:MAX_ANNOUNCED_PER_INTERVAL])
+        announcement = KnownControls(controls, (), Epoch(0), BundleVersion(0))
         end = self._context.clock.monotonic() + ANNOUNCE_DURATION_S
         start = 0
         while self._context.clock.monotonic() < end:
             members = {member.internal for member in self._coordinator.members()}
             absent = [address for address in saved.routers if address not in members]
-            for offset in range(min(MAX_ADDRESSES_PER_ROUND, len(absent))):
+            for offset in range(min(MAX_ANNOUNCED_PER_INTERVAL, len(absent))):
                 self._messenger.post(absent[(start + offset) % len(absent)], announcement)
-            start += MAX_ADDRESSES_PER_ROUND
+            start += MAX_ANNOUNCED_PER_INTERVAL
             await self._context.clock.sleep(ANNOUNCE_INTERVAL_S)
--- a/wingwood/membership/coordinator_peer.py
+++ b/wingwood/membership/coordinator_peer.py
@@ -25,7 +25,7 @@
     def __init__(self, address: Address, known_since: Instant) -> None:
         self.address = address
         self.known_since = known_since
-        self.settling = False
+        self.warming_up = False
         self.identity: Identity | None = None
         self.run_id = ""
         """Process run of the sessions; empty if they are not exact, so that the complete list is requested."""
@@ -34,23 +34,27 @@
         self.last_report_at: Instant | None = None
         """Local time before the request whose answer, direct or relayed, is the latest one."""
         self.last_direct_at: Instant | None = None
+        """Local time before the latest request that the coordinator itself answered."""
         self.inquired_at: Instant | None = None
+        """Local time at which other coordinators were last asked for this one."""
         self.orphans: dict[Incarnation, Orphan] = {}
 
     def position(self) -> Position | None:
+        """Returns the state of the copied sessions; None if the complete list must be requested."""
         return Position(self.run_id, self.sequence) if self.run_id else None
 
     def identity_of_session(self, incarnation: Incarnation) -> Identity | None:
+        """Returns the daemon's identity if it has a session here, or had one in the coordinator's previous run."""
         identity = self.sessions.get(incarnation)
         if identity is None and incarnation in self.orphans:
             identity = self.orphans[incarnation].identity
         return identity
 
-    def silence_s(self, now: Instant) -> float:
+    def report_age_s(self, now: Instant) -> float:
         """Returns the time since its latest report, direct or relayed, or since it became known."""
         return now - (self.known_since if self.last_report_at is None else self.last_report_at)
 
-    def direct_silence_s(self, now: Instant) -> float:
+    def direct_answer_age_s(self, now: Instant) -> float:
         """Returns the time since its latest direct answer, or since it became known."""
         return now - (self.known_since if self.last_direct_at is None else self.last_direct_at)
 
@@ -66,7 +70,8 @@
         """Applies the report; returns the daemons whose sessions at the coordinator changed."""
         changed = self._apply_complete(report, orphans_until) if report.complete else self.drop(report.left)
         changed += [member.incarnation for member in report.joined if self.sessions.put(identity_of(member))]
-        self.run_id, self.sequence, self.settling = report.position.run_id, report.position.sequence, report.settling
+        self.run_id, self.sequence = report.position.run_id, report.position.sequence
+        self.warming_up = report.warming_up
         if self.sessions.digest != report.digest:
             self.run_id = ""
         return changed
@@ -74,12 +79,12 @@
     def _apply_complete(self, report: SessionsReport, orphans_until: Instant) -> list[Incarnation]:
         """Drops the sessions that are not reported.
 
-        While the coordinator is settling after a start, they become orphans, since they may still move to it.
+        While the coordinator is warming up after a start, they become orphans, since they may still move to it.
         """
         reported = {member.incarnation for member in report.joined}
         missing = [identity for identity in self.sessions.identities() if identity.incarnation not in reported]
         changed = self.drop([identity.incarnation for identity in missing])
-        if report.settling:
+        if report.warming_up:
             self.orphans |= {identity.incarnation: Orphan(identity, orphans_until) for identity in missing}
         return changed
 
--- a/wingwood/membership/member_list.py
+++ b/wingwood/membership/member_list.py
@@ -13,9 +13,11 @@
 from ..transport.frames import Identity
 
 DIGEST_MODULUS = 1 << 64
+UNLIMITED_CHANGES = 1 << 30
 
 
 def fingerprint(identity: Identity) -> int:
+    """Returns 64 bits of a hash over the complete identity."""
     return int.from_bytes(hashlib.blake2b(msgspec.msgpack.encode(identity), digest_size=8).digest(), "big")
 
 
@@ -27,6 +29,13 @@
     left: tuple[Incarnation, ...]
 
 
+class _BucketDigests(msgspec.Struct, frozen=True):
+    """Digests of the list's buckets as of one sequence number."""
+
+    sequence: int
+    digests: tuple[int, ...]
+
+
 class MemberList:
     """Identities by incarnation. Changes are numbered, and the last ``max_retained_changes`` of them are retained."""
 
@@ -36,7 +45,7 @@
         self._members: dict[Incarnation, Identity] = {}
         self._fingerprints: dict[Incarnation, int] = {}
         self._changes: deque[tuple[int, Incarnation]] = deque(maxlen=max_retained_changes)
-        self._buckets: tuple[int, int, tuple[int, ...]] | None = None
+        self._bucket_cache: _BucketDigests | None = None
 
     def __len__(self) -> int:
         return len(self._members)
@@ -45,6 +54,7 @@
         return incarnation in self._members
 
     def get(self, incarnation: Incarnation) -> Identity | None:
+        """Returns the identity of a member; None if the daemon is not on the list."""
         return self._members.get(incarnation)
 
     def incarnations(self) -> list[Incarnation]:
@@ -56,7 +66,7 @@
         return list(self._members.values())
 
     def put(self, identity: Identity) -> bool:
-        """Returns whether this changed the list."""
+        """Adds or replaces the member; returns whether this changed the list."""
         incarnation = identity.incarnation
         if self._members.get(incarnation) == identity:
             return False
@@ -68,6 +78,7 @@
         return True
 
     def drop(self, incarnation: Incarnation) -> bool:
+        """Removes the member; returns whether it was on the list."""
         if self._members.pop(incarnation, None) is None:
             return False
         self.digest = (self.digest - self._fingerprints.pop(incarnation)) % DIGEST_MODULUS
@@ -78,7 +89,7 @@
         self.sequence += 1
         self._changes.append((self.sequence, incarnation))
 
-    def changes_since(self, sequence: int, limit: int = 1 << 30) -> Changes | None:
+    def changes_since(self, sequence: int, limit: int = UNLIMITED_CHANGES) -> Changes | None:
         """Returns the changes after ``sequence``, or None if they are not retained or ``sequence`` is of another list.
 
         If there are more than ``limit`` changes, the oldest ones are returned.
@@ -96,50 +107,23 @@
 
     def buckets(self, count: int) -> tuple[int, ...]:
         """Returns the digests of ``count`` buckets; a member's bucket follows from its fingerprint."""
-        if self._buckets is not None and self._buckets[:2] == (self.sequence, count):
-            return self._buckets[2]
+        cached = self._bucket_cache
+        if cached is not None and (cached.sequence, len(cached.digests)) == (self.sequence, count):
+            return cached.digests
         sums = [0] * count
         for value in self._fingerprints.values():
             sums[value % count] = (sums[value % count] + value) % DIGEST_MODULUS
-        self._buckets = (self.sequence, count, tuple(sums))
-        return self._buckets[2]
+        self._bucket_cache = _BucketDigests(self.sequence, tuple(sums))
+        return self._bucket_cache.digests
 
-    def in_buckets(self, wanted: Iterable[int], count: int) -> Sequence[Identity]:
-        chosen = frozenset(wanted)
+    def in_buckets(self, buckets: Iterable[int], count: int) -> Sequence[Identity]:
+        """Returns the members in these of ``count`` buckets."""
+        included = frozenset(buckets)
         return [
-            self._members[incarnation] for incarnation, value in self._fingerprints.items() if value % count in chosen
+            self._members[incarnation] for incarnation, value in self._fingerprints.items() if value % count in included
         ]
 
 
-class NamedView:
-    """The list sorted by name, complete and by role, recomputed only after a change."""
-
-    def __init__(self, members: MemberList) -> None:
-        self._list = members
-        self._sequence = -1
-        self._all: tuple[Identity, ...] = ()
-        self._by_role: dict[str, tuple[Identity, ...]] = {}
-
-    def members(self) -> tuple[Identity, ...]:
-        if self._sequence != self._list.sequence:
-            self._sequence = self._list.sequence
-            self._all = by_name(self._list.identities())
-            self._by_role = {}
-        return self._all
-
-    def of_role(self, role: str) -> tuple[Identity, ...]:
-        members = self.members()
-        if role not in self._by_role:
-            self._by_role[role] = tuple(member for member in members if member.role == role)
-        return self._by_role[role]
-
-
-def by_name(identities: Sequence[Identity]) -> tuple[Identity, ...]:
-    """Sorts the identities by name; of several incarnations with one name, the last one in the list is used."""
-    latest = {identity.name: identity for identity in identities}
-    return tuple(latest[name] for name in sorted(latest))
-
-
 def bucket_count(members: int) -> int:
     """Returns a number of buckets with about four members each, so that few changes affect few buckets."""
     return min(1024, max(16, 1 << (max(1, members // 4) - 1).bit_length()))
--- a/wingwood/membership/messages.py
+++ b/wingwood/membership/messages.py
@@ -26,6 +26,7 @@
 
 
 def member_of(identity: Identity) -> Member:
+    """Returns the identity in its form without field names."""
     return Member(
         identity.name,
         identity.incarnation,
@@ -38,6 +39,7 @@
 
 
 def identity_of(member: Member) -> Identity:
+    """Returns the identity that ``member_of`` encoded."""
     return Identity(
         member.name,
         member.incarnation,
@@ -68,10 +70,10 @@
     primary: Address | None = None
     """Internal address of the presumed primary."""
     latest_version: BundleVersion = msgspec.field(name="newest", default=BundleVersion(0))
-    """Latest bundle version that was reported to the sender; may be later than ``proof_version``."""
-    proof_version: BundleVersion = BundleVersion(0)
-    proof_age: Seconds | None = None
-    """Time since ``proof_version`` was proven to be the latest acknowledged version; None if it never was."""
+    """Latest bundle version that was reported to the sender; may be later than ``confirmed_version``."""
+    confirmed_version: BundleVersion = msgspec.field(name="proof_version", default=BundleVersion(0))
+    confirmation_age: Seconds | None = msgspec.field(name="proof_age", default=None)
+    """Time since ``confirmed_version`` was confirmed as the latest acknowledged version; None if it never was."""
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
@@ -88,6 +90,8 @@
 
 
 class HeartbeatAnswer(msgspec.Struct, frozen=True, array_like=True):
+    """A coordinator's answer: whether the session is renewed, and the changes of the members since the position."""
+
     position: Position
     """State of the coordinator's member list after the changes in this answer."""
     size: int
@@ -98,7 +102,7 @@
     """False if other daemons may have seen the sender leave."""
     admitted: bool
     """False if the sender has not yet shown that answers reach it; its session starts with its next heartbeat."""
-    settling: bool
+    warming_up: bool = msgspec.field(name="settling")
     """Whether the list may lack live members: the coordinator has just started or resumed, or is isolated."""
     isolated: bool = msgspec.field(name="alone")
     """Whether the coordinator reaches few other coordinators, so that another one may have a better list."""
@@ -123,7 +127,8 @@
     """The complete content of buckets that differ."""
 
     position: Position
-    settling: bool
+    warming_up: bool = msgspec.field(name="settling")
+    """Whether the list may lack live members, so that ``members`` may only be added."""
     more: bool
     """Whether further buckets differ, so that the daemon must compare again."""
     buckets: tuple[int, ...]
@@ -137,6 +142,8 @@
 
 
 class KnownControls(msgspec.Struct, frozen=True, array_like=True):
+    """Control daemons known to the sender: the answer to ``KnownControlsRequest``, or a post to saved addresses."""
+
     controls: tuple[Address, ...]
     peers: tuple[Address, ...] = msgspec.field(name="fellows")
     """Some other daemons that may know further control daemons."""
@@ -171,7 +178,7 @@
 
 
 class SessionsReport(msgspec.Struct, frozen=True, array_like=True):
-    """Sessions held by one coordinator, without the sessions that other coordinators reported to it."""
+    """Sessions with one coordinator, without the sessions that other coordinators reported to it."""
 
     WIRE_NAME: ClassVar[str] = "SessionsTold"
 
@@ -182,7 +189,7 @@
     """Whether ``joined`` is the complete list; otherwise it contains the changes since the requested position."""
     joined: tuple[Member, ...]
     left: tuple[Incarnation, ...]
-    settling: bool = False
+    warming_up: bool = msgspec.field(name="settling", default=False)
     """Whether the coordinator has just started, so that the sessions of its previous run may still move to it."""
     age: Seconds = Seconds(0.0)
     """Time since the coordinator reported this; 0 when the coordinator itself sends the report."""
--- a/wingwood/membership/rendezvous.py
+++ b/wingwood/membership/rendezvous.py
@@ -10,6 +10,7 @@
 
 
 def weight(key: str, candidate: str) -> int:
+    """Returns the candidate's weight for the key: the same number on every daemon."""
     digest = hashlib.blake2b(
         candidate.encode(), key=hashlib.blake2b(key.encode(), digest_size=32).digest(), digest_size=8
     )
--- a/wingwood/membership/duties.py
+++ b/wingwood/membership/singleton_roles.py
@@ -1,4 +1,4 @@
-"""Duties that one daemon at a time performs: the first live one in an agreed order (docs/DESIGN.md section 8.6)."""
+"""Roles that one daemon at a time performs: the first live one in an agreed order (docs/DESIGN.md section 8.6)."""
 
 from __future__ import annotations
 
@@ -10,19 +10,22 @@
 
 
 def first_live(order: Sequence[DaemonName], membership: Membership) -> Identity | None:
-    """Returns the daemon that performs the duty according to this view; two views may differ for a moment."""
+    """Returns the daemon that performs the role according to this view; two views may differ for a moment."""
     live = {member.name: member for member in membership.members()}
     return next((live[name] for name in order if name in live), None)
 
 
 class EpochGate:
-    """Protects a duty while views differ: the receiver of commands refuses epochs below the highest it has seen."""
+    """Protects a role while views differ: the receiver of commands rejects epochs below the highest it has seen.
+
+    Owns that highest epoch, which serves as the fencing token.
+    """
 
     def __init__(self) -> None:
         self._highest = Epoch(0)
 
     def admit(self, epoch: Epoch) -> bool:
-        """Returns False if a holder with a later epoch has sent commands; refuse, and report ``highest``."""
+        """Returns False if a daemon with a later epoch has sent commands; reject, and report ``highest``."""
         if epoch < self._highest:
             return False
         self._highest = epoch
@@ -30,4 +33,5 @@
 
     @property
     def highest(self) -> Epoch:
+        """The highest epoch of any command so far."""
         return self._highest
--- a/wingwood/membership/tests/test_sessions.py
+++ b/wingwood/membership/tests/test_sessions.py
@@ -8,8 +8,8 @@
 
 from ...distribution.tests.small_fleet import ControlParts, SmallFleet
 from ...identifiers import Address, DaemonName, Epoch
-from ..duties import EpochGate, first_live
-from ..limits import SessionTimes
+from ..membership_options import MembershipOptions
+from ..singleton_roles import EpochGate, first_live
 
 
 class SessionsTest(unittest.TestCase):
@@ -53,7 +53,7 @@
             ids = {parts.client.members() for name, parts in fleet.routers.items()}
             self.assertEqual(len(ids), 1)
             self.assert_all_seen(fleet, 0.1)
-            self.assertTrue(all(len(parts.client._list) == 14 for parts in fleet.routers.values()))
+            self.assertTrue(all(len(parts.client.member_list) == 14 for parts in fleet.routers.values()))
 
     def test_suspended_router_leaves_and_learns_that_its_session_was_lost(self) -> None:
         """A router that resumes after a suspension must learn exactly once, and soon, that others saw it leave."""
@@ -138,8 +138,8 @@
                     world.kill(name)
                 world.run(20.0)
                 self.assertEqual(seen, [], "without control daemons the last list is retained")
-                for name, pause in (("c3", 0.0), ("c1", 1.0), ("c2", 4.0)):
-                    world.run(pause)
+                for name, delay in (("c3", 0.0), ("c1", 1.0), ("c2", 4.0)):
+                    world.run(delay)
                     world.restart(name)
                 self.assert_all_seen(fleet, 4.0)
                 world.run(5.0)
@@ -198,7 +198,7 @@
         """Returns a fleet whose coordinators send at most three members in one answer."""
 
         class Control(ControlParts):
-            times = SessionTimes(max_members_per_answer=3)
+            membership_options = MembershipOptions(max_members_per_answer=3)
 
         class Fleet(self.fleet):  # type: ignore[name-defined,misc]
             control_parts = Control
@@ -316,15 +316,15 @@
     def test_wiped_coordinators_learn_that_a_core_was_formed(self) -> None:
         """Coordinators that lost their disks must learn from routers that a core was formed; in a new fleet none was.
 
-        While settling they must not decide that none was.
+        While warming up they must not decide that none was.
         """
         with World(seed=7) as world:
             fleet = self.fleet(world)
             fleet.epoch = 0
             world.run(1.0)
-            knows = {name: parts.coordinator.knows_of_history for name, parts in fleet.controls.items()}
+            knows = {name: parts.coordinator.core_may_exist for name, parts in fleet.controls.items()}
             self.assertTrue(
-                all(fleet.inside(name, knows[name]) for name in knows), "while settling, a former core is assumed"
+                all(fleet.inside(name, knows[name]) for name in knows), "while warming up, a former core is assumed"
             )
             world.run(3.0)
             self.assertFalse(any(fleet.inside(name, knows[name]) for name in knows))
@@ -334,7 +334,7 @@
                 world.wipe(name)
                 world.restart(name)
             world.run(4.0)
-            knows = {name: parts.coordinator.knows_of_history for name, parts in fleet.controls.items()}
+            knows = {name: parts.coordinator.core_may_exist for name, parts in fleet.controls.items()}
             self.assertTrue(any(fleet.inside(name, knows[name]) for name in knows))
 
     def test_duty_is_performed_by_first_live_daemon_under_an_epoch(self) -> None:
--- a/wingwood/registry/announcement_handler.py
+++ b/wingwood/registry/announcement_handler.py
@@ -221,7 +221,7 @@
         Routers never count as cut off: they retain their last known members, so unreachable owners are noticed. A
         control daemon alone forgets its members after a time, so it would not notice which owners are missing.
         """
-        proven = self._membership.session_proven_at()
+        proven = self._membership.session_confirmed_at()
         return self._is_control and proven is not None and self._now() - proven > CONTACT_MAX_AGE_S
 
     async def _deliver(self, delivery: _Delivery, worker: Worker, sequence: int) -> None:
--- a/wingwood/registry/feed_answers.py
+++ b/wingwood/registry/feed_answers.py
@@ -44,7 +44,7 @@
 
     async def answer(self, peer: Identity, message: FeedQuestion) -> FeedAnswer:
         now = self._now()
-        proven = self._membership.session_proven_at()
+        proven = self._membership.session_confirmed_at()
         answers = tuple(self._answer_pool(peer, question, now) for question in message.pools)
         known = () if message.pools else tuple(self._directory.pools())
         age = Seconds(float("inf") if proven is None else now - proven)
--- a/wingwood/registry/pool_ownership.py
+++ b/wingwood/registry/pool_ownership.py
@@ -124,7 +124,7 @@
         """
         owned = self._owned.get(pool)
         now = self._now()
-        session = self._membership.session_proven_at()
+        session = self._membership.session_confirmed_at()
         if owned is None or not owned.synced or session is None or now - session > SESSION_PROOF_MAX_AGE_S:
             return UNKNOWN_AGE
         others = self._other_owners(pool)
--- a/wingwood/registry/tests/fleet.py
+++ b/wingwood/registry/tests/fleet.py
@@ -64,7 +64,7 @@
     def is_member(self, incarnation: Incarnation) -> bool:
         return any(identity.incarnation == incarnation for identity in self.members())
 
-    def session_proven_at(self) -> Instant | None:
+    def session_confirmed_at(self) -> Instant | None:
         return self.context.clock.monotonic() if self.cut_off_at is None else self.cut_off_at
 
     def on_change(self, callback: Callable[[], None]) -> None:
--- a/wingwood/registry/worker_registry.py
+++ b/wingwood/registry/worker_registry.py
@@ -282,7 +282,7 @@
         last = self._now()
         while True:
             now = self._now()
-            session = self._membership.session_proven_at()
+            session = self._membership.session_confirmed_at()
             if now - last > SESSION_PROOF_MAX_AGE_S or session is None or now - session > SESSION_PROOF_MAX_AGE_S:
                 self._ownership.mark_unsynced()
             last = now
--- a/wingwood/tests/outer_names.py
+++ b/wingwood/tests/outer_names.py
@@ -152,7 +152,7 @@
     "ledger RouterFence": "wingwood.ledger.state:RouterFence",
     "ledger LedgerSnapshot": "wingwood.ledger.state:LedgerSnapshot",
     "call key": "wingwood.ledger.protocols:CallKey",
-    "address file": "wingwood.membership.address_book:SavedAddresses",
+    "address file": "wingwood.membership.address_file:SavedAddresses",
     "operator error": "wingwood.operator_api.protocols:OperatorError",
     "shown bundle": "wingwood.operator_api.reading:BundleDocument",
     "health": "wingwood.operator_api.reading:HealthReport",
