--- a/wingwood/membership/address_file.py
+++ b/wingwood/membership/address_file.py
@@ -83,7 +83,7 @@
         try:
             return msgspec.json.decode(outcome.unwrap(), type=SavedAddresses)
         except msgspec.MsgspecError as malformed:
-            self._context.log.event("address-book-unreadable", detail=str(malformed))
+            self._context.log.event("address-file-unreadable", detail=str(malformed))
             return None
 
     async def _write(self) -> None:
--- a/wingwood/membership/coordinator_session.py
+++ b/wingwood/membership/coordinator_session.py
@@ -145,19 +145,19 @@
         if late and fault.kind == "timeout":
             return False  # This process was paused; the coordinator may be well.
         if self._selection.record_failure(address):
-            self._context.log.event("session-keeper-silent", keeper=address, kind=fault.kind)
+            self._context.log.event("coordinator-unresponsive", coordinator=address, kind=fault.kind)
         return True
 
     async def _apply_answer(self, address: Address, answer: HeartbeatAnswer, sent_at: Instant) -> None:
         changed_coordinator = self._selection.record_answer(address, answer.isolated)
         self._directory.record(address)
         if not answer.was_member and answer.admitted and self._was_admitted and not answer.warming_up:
-            self._context.log.event("session-lost", keeper=address)
+            self._context.log.event("session-lost", coordinator=address)
             for lost in self._lost_callbacks:
                 lost()
         self._was_admitted |= answer.admitted
         if changed_coordinator:
-            self._context.log.event("session-held", keeper=address, was_member=answer.was_member)
+            self._context.log.event("coordinator-selected", coordinator=address, was_member=answer.was_member)
         self._answered_at = sent_at
         if answer.admitted:
             self._confirmed_at = sent_at
--- a/wingwood/membership/coordinator_sweep.py
+++ b/wingwood/membership/coordinator_sweep.py
@@ -61,7 +61,7 @@
 
         Nobody could reach the process, so its data is old; the missing messages of daemons and peers are not counted.
         """
-        self._context.log.event("keeper-stood-still", seconds=pause_s)
+        self._context.log.event("coordinator-paused", seconds=pause_s)
         self._warm_up.restart()
         self._sessions.extend(pause_s)
         self._reports.extend(pause_s)
--- a/wingwood/membership/isolation.py
+++ b/wingwood/membership/isolation.py
@@ -33,6 +33,7 @@
             self._warm_up.restart()
         if isolated != self.isolated:
             self.isolated = isolated
-            self._log.event(
-                "keeper-alone" if isolated else "keeper-together", heard=reporting, lately=recently_reporting
-            )
+            if isolated:
+                self._log.event("coordinator-isolated", reporting=reporting, recently_reporting=recently_reporting)
+            else:
+                self._log.event("coordinator-reconnected", reporting=reporting, recently_reporting=recently_reporting)
--- a/wingwood/membership/local_sessions.py
+++ b/wingwood/membership/local_sessions.py
@@ -56,7 +56,7 @@
         renewed_at = Instant(now - unanswered_for_s)
         if session is None:
             session = self._sessions[peer.incarnation] = Session(peer, renewed_at)
-            self._context.log.event("session-begun", member=peer.name, was_member=was_member)
+            self._context.log.event("session-started", member=peer.name, was_member=was_member)
             self._end_superseded(peer)
         session.identity = peer
         session.renewed_at = max(session.renewed_at, renewed_at)
--- a/wingwood/membership/peer_reports.py
+++ b/wingwood/membership/peer_reports.py
@@ -53,7 +53,7 @@
         if report_age_s > self._options.grace_period_s:
             self._drop_sessions(peer, peer.sessions.incarnations())
             peer.run_id = ""
-            self._log.event("keeper-sessions-dropped", keeper=peer.address)
+            self._log.event("coordinator-sessions-expired", coordinator=peer.address)
         elif report_age_s > self._options.session_timeout_s and peer.identity is not None:
             self._drop_sessions(peer, [peer.identity.incarnation])
 
