--- a/bench/capacity/shares.py
+++ b/bench/capacity/shares.py
@@ -69,7 +69,7 @@
         number = 0
         for name in names:
             number += 1
-            await shares._answer_lease_request(
+            await shares.answer_lease_request(
                 members[1], LeaseRequest(name, 1e6, tenants[0].burst, "calls", number, (1,))
             )
         lease_requests = 5_000
@@ -77,7 +77,7 @@
         for step in range(lease_requests):
             number += 1
             lease_request = LeaseRequest(names[step % count], 1e6, tenants[0].burst, "calls", number, (1,))
-            assert (await shares._answer_lease_request(members[1], lease_request)).granted == (True,)
+            assert (await shares.answer_lease_request(members[1], lease_request)).granted == (True,)
         rows.append({"tenants": count, "grant_us": (time.process_time() - started) / lease_requests * 1e6})
     return rows
 
--- a/bench/limits_bench.py
+++ b/bench/limits_bench.py
@@ -78,9 +78,9 @@
     world.at(11.0, lambda: world.heal(links))
 
 
-def cut_from_deputy(world: World, fleet: ShareFleet, allocator: str) -> None:
-    """Cuts only the link between the allocator and its deputy, the next router in order; both remain members."""
-    links = world.cut(allocator, fleet.deputy())
+def cut_from_standby(world: World, fleet: ShareFleet, allocator: str) -> None:
+    """Cuts only the link between the allocator and its standby, the next router in order; both remain members."""
+    links = world.cut(allocator, fleet.standby())
     world.at(11.0, lambda: world.heal(links))
 
 
@@ -115,8 +115,8 @@
     ("keeper frozen 6 s, 0.9", 100, even(90), at_five_seconds(freeze)),
     ("keeper cut off 6 s, 2 x", 100, even(200), at_five_seconds(cut)),
     ("keeper cut off 6 s, 0.9", 100, even(90), at_five_seconds(cut)),
-    ("keeper cut from its deputy, 2 x", 100, even(200), at_five_seconds(cut_from_deputy)),
-    ("keeper cut from its deputy, 0.9", 100, even(90), at_five_seconds(cut_from_deputy)),
+    ("keeper cut from its deputy, 2 x", 100, even(200), at_five_seconds(cut_from_standby)),
+    ("keeper cut from its deputy, 0.9", 100, even(90), at_five_seconds(cut_from_standby)),
     ("small, keeper killed, 4 of 8/s", 8, even(4), at_five_seconds(kill)),
     ("small, keeper frozen, 4 of 8/s", 8, even(4), at_five_seconds(freeze)),
     ("small, keeper killed, 16 of 8/s", 8, even(16), at_five_seconds(kill)),
--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -371,7 +371,7 @@
 
 
 def is_refused(shape: Shape, choice: Choice) -> bool:
-    return shape.admission and DeadlineAdmission().refuse(SERVICE, choice.first_token) is not None
+    return shape.admission and DeadlineAdmission().check(SERVICE, choice.first_token) is not None
 
 
 def _geometric(random: Random, mean: float) -> int:
--- a/emulator/router_fakes.py
+++ b/emulator/router_fakes.py
@@ -25,7 +25,7 @@
     WorkerInstance,
 )
 from wingwood.ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
-from wingwood.limits.protocols import ShareRefused
+from wingwood.limits.protocols import CallRejection
 from wingwood.placement.protocols import Choice, NoWorker, Turn
 from wingwood.registry.protocols import Worker
 
@@ -83,7 +83,7 @@
 class UnlimitedShares:
     """Paid shares without a limit."""
 
-    async def take(self, tenant: Tenant, cost: int = 1) -> ShareRefused | None:
+    async def take(self, tenant: Tenant, cost: int = 1) -> CallRejection | None:
         return None
 
 
@@ -93,10 +93,10 @@
     def take(self, service: Service, pool: PoolName | None = None) -> bool:
         return False
 
-    def refuse(self, service: Service, predicted_first_token: Seconds) -> ShareRefused | None:
+    def check(self, service: Service, predicted_first_token: Seconds) -> CallRejection | None:
         return None
 
-    def note_call(self, service: Service, pool: PoolName | None = None) -> None: ...
+    def record_call(self, service: Service, pool: PoolName | None = None) -> None: ...
 
 
 class GrantingLedger:
--- a/simulation/broken.py
+++ b/simulation/broken.py
@@ -26,7 +26,7 @@
     HttpRequest,
 )
 from wingwood.identifiers import Seconds
-from wingwood.limits.protocols import ShareRefused
+from wingwood.limits.protocols import CallRejection
 from wingwood.settings.model import DaemonSettings
 
 from .fleet import Daemon, DaemonFactories, DaemonFactory
@@ -435,7 +435,7 @@
     async def refuse_every_other(tenant: Any, cost: int = 1) -> Any:
         nonlocal calls
         calls += 1
-        return ShareRefused(Seconds(0.5)) if calls % 2 else await take(tenant, cost)
+        return CallRejection(Seconds(0.5)) if calls % 2 else await take(tenant, cost)
 
     router.shares.take = refuse_every_other
 
--- a/wingwood/forward/policies/limits.py
+++ b/wingwood/forward/policies/limits.py
@@ -20,7 +20,7 @@
 
     async def apply(self, call: IncomingCall, proceed: Proceed) -> Answer:
         assert call.service is not None
-        self._retry_budget.note_call(call.service)
+        self._retry_budget.record_call(call.service)
         refusal = None if call.tenant is None else await self._shares.take(call.tenant, call.quota_cost)
         if refusal is None:
             return await proceed(call)
--- a/wingwood/forward/policies/placement.py
+++ b/wingwood/forward/policies/placement.py
@@ -58,7 +58,7 @@
 
     async def _send(self, call: IncomingCall, choice: Choice, proceed: Proceed) -> Answer:
         assert call.service is not None
-        refusal = self._admission.refuse(call.service, choice.first_token)
+        refusal = self._admission.check(call.service, choice.first_token)
         if refusal is not None:
             return Refused(
                 status=503,
--- a/wingwood/forward/tests/fakes.py
+++ b/wingwood/forward/tests/fakes.py
@@ -38,7 +38,7 @@
     Zone,
 )
 from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
-from ...limits.protocols import ShareRefused
+from ...limits.protocols import CallRejection
 from ...placement.protocols import Choice, NoWorker, Turn
 from ...registry.protocols import Worker
 from ...settings.model import DaemonSettings
@@ -87,8 +87,8 @@
     """Paid shares, retry budget and admission; a test sets what they refuse and reads what they were asked."""
 
     def __init__(self) -> None:
-        self.share_refused: ShareRefused | None = None
-        self.too_late: ShareRefused | None = None
+        self.share_refused: CallRejection | None = None
+        self.too_late: CallRejection | None = None
         self.budget = 10
         self.earned_by: list[str] = []
         self.shares_taken = 0
@@ -96,20 +96,20 @@
         self.delay = Seconds(0.0)
         """How long ``take_share`` waits before it answers."""
 
-    async def take_share(self, tenant: Tenant, cost: int) -> ShareRefused | None:
+    async def take_share(self, tenant: Tenant, cost: int) -> CallRejection | None:
         self.shares_taken += 1
         self.costs.append(cost)
         await asyncio.sleep(self.delay)
         return self.share_refused
 
-    def note_call(self, service: Service, pool: PoolName | None = None) -> None:
+    def record_call(self, service: Service, pool: PoolName | None = None) -> None:
         self.earned_by.append(service.name)
 
     def take(self, service: Service, pool: PoolName | None = None) -> bool:
         self.budget -= 1
         return self.budget >= 0
 
-    def refuse(self, service: Service, predicted_first_token: Seconds) -> ShareRefused | None:
+    def check(self, service: Service, predicted_first_token: Seconds) -> CallRejection | None:
         return self.too_late
 
 
@@ -119,7 +119,7 @@
     def __init__(self, limits: FakeLimits) -> None:
         self._limits = limits
 
-    async def take(self, tenant: Tenant, cost: int = 1) -> ShareRefused | None:
+    async def take(self, tenant: Tenant, cost: int = 1) -> CallRejection | None:
         return await self._limits.take_share(tenant, cost)
 
 
--- a/wingwood/forward/tests/test_caller_edge.py
+++ b/wingwood/forward/tests/test_caller_edge.py
@@ -15,7 +15,7 @@
 from simulation import World
 
 from ...identifiers import Seconds, ServiceName
-from ...limits.protocols import ShareRefused
+from ...limits.protocols import CallRejection
 from ..limits import PathLimits
 from .fakes import (
     CHUNKED,
@@ -176,7 +176,7 @@
 
     def test_run_is_unknown_for_a_key_that_the_ledger_was_not_asked_about(self) -> None:
         """An earlier call with this idempotency key may have run on another router."""
-        self.path.limits.share_refused = ShareRefused(Seconds(2.5))
+        self.path.limits.share_refused = CallRejection(Seconds(2.5))
         reply = self.path.call("/cards", b"{}", Idempotency_Key="k")
         self.assertEqual((reply.status, reply.json()["run"], reply.headers["retry-after"]), (429, "unknown", "3"))
         self.assertEqual(reply.json()["retry_after"], 2.5)
@@ -184,7 +184,7 @@
         self.assertEqual(self.path.call("/chat").json()["run"], "not-run")
 
     def test_call_with_a_late_predicted_first_token_is_refused(self) -> None:
-        self.path.limits.too_late = ShareRefused(Seconds(1.0))
+        self.path.limits.too_late = CallRejection(Seconds(1.0))
         reply = self.path.call()
         self.assertEqual((reply.status, reply.json()["code"]), (503, "too-late"))
         self.assertEqual((self.worker.connections, self.path.placement.running), (0, 0))
--- a/wingwood/forward/tests/test_paid_share.py
+++ b/wingwood/forward/tests/test_paid_share.py
@@ -11,7 +11,7 @@
 
 from ...bundle.model import Service, Tenant
 from ...identifiers import ClassName, PoolName, Seconds, ServiceName, TenantName
-from ...limits.protocols import ShareRefused
+from ...limits.protocols import CallRejection
 from ..policies.limits import PaidSharePolicy
 from ..protocols import Answer, Forwarded, IncomingCall, Refused
 from .fakes import FakeLimits, FakeShares
@@ -47,13 +47,13 @@
 
     def test_a_call_without_a_tenant_is_charged_nothing(self) -> None:
         limits = FakeLimits()
-        limits.share_refused = ShareRefused(Seconds(1.0))
+        limits.share_refused = CallRejection(Seconds(1.0))
         self.assertEqual(self.apply(limits), Forwarded(200))
         self.assertEqual((limits.shares_taken, limits.earned_by), (0, ["chat"]))
 
     def test_a_refused_call_gets_a_retry_time_and_adds_to_the_retry_budget(self) -> None:
         limits = FakeLimits()
-        limits.share_refused = ShareRefused(Seconds(0.3))
+        limits.share_refused = CallRejection(Seconds(0.3))
         answer = self.apply(limits, tenant=TENANT, quota_cost=40_000)
         assert isinstance(answer, Refused)
         self.assertEqual((answer.status, answer.run, answer.retry_after), (429, "not-run", 0.3))
--- a/wingwood/limits/allocator_selector.py
+++ b/wingwood/limits/allocator_selector.py
@@ -4,6 +4,8 @@
 
 from collections.abc import Sequence
 
+import msgspec
+
 from ..context.protocols import Clock
 from ..identifiers import Instant, Seconds, TenantName
 from ..membership.protocols import Membership
@@ -11,8 +13,22 @@
 from ..transport.frames import Identity
 
 
+class _WeightedRouter(msgspec.Struct, frozen=True):
+    """A tenant's allocator, with its weight in the rendezvous hashing."""
+
+    weight: int
+    router: Identity
+
+
+class _Departure(msgspec.Struct, frozen=True):
+    """A router that left the membership."""
+
+    router: Identity
+    left_at: Instant
+
+
 class AllocatorSelector:
-    """Selects each tenant's share allocator and deputy among the routers by rendezvous hashing.
+    """Selects each tenant's share allocator and its standby among the routers by rendezvous hashing.
 
     Selections are updated incrementally: a router that joins or leaves costs one hash per known
     tenant, not one per tenant and router.
@@ -21,11 +37,12 @@
     def __init__(self, membership: Membership, clock: Clock | None = None) -> None:
         self._membership = membership
         self._clock = clock
-        self._departed: dict[str, tuple[Identity, Instant]] = {}
-        """Routers, by name, that left the membership and have not returned, with the time at which they left."""
+        self._departures: dict[str, _Departure] = {}
+        """Routers, by name, that left the membership and have not returned."""
         self._routers: dict[str, Identity] = {}
-        self._allocators: dict[TenantName, tuple[int, Identity]] = {}
-        self._deputies: dict[TenantName, Identity | None] = {}
+        """The routers by ``_key``."""
+        self._allocators: dict[TenantName, _WeightedRouter] = {}
+        self._standbys: dict[TenantName, Identity | None] = {}
         self._stale = True
         membership.on_change(self._mark_stale)
 
@@ -35,27 +52,24 @@
     def allocator(self, tenant: TenantName) -> Identity | None:
         """Returns the router that allocates the tenant's share, or None while no router is known."""
         self._refresh()
-        found = self._allocators.get(tenant)
-        if found is None:
+        selected = self._allocators.get(tenant)
+        if selected is None:
             if not self._routers:
                 return None
-            found = max(
-                ((weight(tenant, key), router) for key, router in sorted(self._routers.items())),
-                key=lambda candidate: candidate[0],
-            )
-            self._allocators[tenant] = found
-        return found[1]
-
-    def deputy(self, tenant: TenantName) -> Identity | None:
+            candidates = (_WeightedRouter(weight(tenant, key), router) for key, router in sorted(self._routers.items()))
+            selected = self._allocators[tenant] = max(candidates, key=_weight_of)
+        return selected.router
+
+    def standby(self, tenant: TenantName) -> Identity | None:
         """Returns the router that becomes allocator when the present one leaves; None without another router."""
         self._refresh()
-        if tenant not in self._deputies:
+        if tenant not in self._standbys:
             allocator = self.allocator(tenant)
             others = [
                 (weight(tenant, key), key) for key, router in sorted(self._routers.items()) if router != allocator
             ]
-            self._deputies[tenant] = self._routers[max(others)[1]] if others else None
-        return self._deputies[tenant]
+            self._standbys[tenant] = self._routers[max(others)[1]] if others else None
+        return self._standbys[tenant]
 
     def routers(self) -> list[Identity]:
         """Returns the routers in sorted order; while this daemon's membership view is empty, the last known ones."""
@@ -73,17 +87,17 @@
         if self._clock is None:
             return []
         now = self._clock.monotonic()
-        for name in [name for name, (_, since) in self._departed.items() if now - since > within]:
-            del self._departed[name]
-        return [router for router, _ in self._departed.values()]
+        for name in [name for name, departure in self._departures.items() if now - departure.left_at > within]:
+            del self._departures[name]
+        return [departure.router for departure in self._departures.values()]
 
     def may_have_been_allocator(self, tenant: TenantName, missing: Sequence[Identity]) -> bool:
         """Returns whether a ``missing`` router may have been the allocator: it would be, if it were a member."""
         allocator = self.allocator(tenant)
         if allocator is None:
             return bool(missing)
-        own = weight(tenant, f"{allocator.name}/{allocator.incarnation}")
-        return any(weight(tenant, f"{router.name}/{router.incarnation}") >= own for router in missing)
+        own = weight(tenant, _key(allocator))
+        return any(weight(tenant, _key(router)) >= own for router in missing)
 
     def _record_departures(self, before: dict[str, Identity], now: dict[str, Identity]) -> None:
         present = {router.name for router in now.values()}
@@ -91,27 +105,39 @@
             return
         for router in before.values():
             if router.name not in present:
-                self._departed.setdefault(router.name, (router, self._clock.monotonic()))
+                self._departures.setdefault(router.name, _Departure(router, self._clock.monotonic()))
         for name in present:
-            self._departed.pop(name, None)
+            self._departures.pop(name, None)
 
     def _refresh(self) -> None:
         if not self._stale:
             return
         self._stale = False
-        now = {f"{router.name}/{router.incarnation}": router for router in self._membership.routers()}
+        now = {_key(router): router for router in self._membership.routers()}
         if not now:
             return
-        self._deputies.clear()
-        before = self._routers
-        self._routers = now
+        self._standbys.clear()
+        before, self._routers = self._routers, now
         self._record_departures(before, now)
-        added = sorted(key for key in now if key not in before)
-        departed = {key for key in before if key not in now}
-        for tenant, (best, router) in list(self._allocators.items()):
-            if f"{router.name}/{router.incarnation}" in departed:
+        self._update_allocators(before, now)
+
+    def _update_allocators(self, before: dict[str, Identity], now: dict[str, Identity]) -> None:
+        """Replaces allocators that left, at their next use, and those with less weight than a router that joined."""
+        joined = sorted(key for key in now if key not in before)
+        left = {key for key in before if key not in now}
+        for tenant, selected in list(self._allocators.items()):
+            if _key(selected.router) in left:
                 del self._allocators[tenant]
                 continue
-            rival = max(((weight(tenant, key), key) for key in added), default=None)
-            if rival is not None and rival[0] > best:
-                self._allocators[tenant] = (rival[0], now[rival[1]])
+            candidates = (_WeightedRouter(weight(tenant, key), now[key]) for key in joined)
+            rival = max(candidates, key=_weight_of, default=None)
+            if rival is not None and rival.weight > selected.weight:
+                self._allocators[tenant] = rival
+
+
+def _key(router: Identity) -> str:
+    return f"{router.name}/{router.incarnation}"
+
+
+def _weight_of(candidate: _WeightedRouter) -> int:
+    return candidate.weight
--- a/wingwood/limits/takeover.py
+++ b/wingwood/limits/inherited_usage.py
@@ -9,9 +9,7 @@
 
 from ..identifiers import Seconds
 from .messages import AllocatorView, UsageReport
-
-REPORT_STEP_S = Seconds(0.5)
-"""Length of the time steps in reports of past use."""
+from .share_options import REPORT_STEP_S
 
 
 class InheritedUsage(msgspec.Struct, frozen=True):
@@ -27,7 +25,7 @@
     """Level of the previous allocator's bucket, reported by that allocator itself; None without such a report."""
     reported_allowed_rate: float
     """Rate per second that the reporting routers may continue to use on their own."""
-    promised_rate: float
+    total_allowed_rate: float
     """Rate per second that the previous allocator had allowed all routers together."""
     viewed_level: float | None
     """Level of the previous allocator's bucket according to its latest view; None without a view."""
@@ -35,7 +33,7 @@
     """Seconds since a router received that view."""
 
     def level(self, rate: float, capacity: float) -> float:
-        """Returns the level that a bucket with these parameters holds at least.
+        """Returns the level that a bucket with these parameters has at least.
 
         The bucket may have started at any level from zero, and unreported use is spread evenly over the span.
         """
@@ -53,26 +51,26 @@
         return max(0.0, level)
 
 
-def merge_reports(reports: Sequence[UsageReport], window: Seconds) -> InheritedUsage:
+def merge_reports(reports: Sequence[UsageReport], window_s: Seconds) -> InheritedUsage:
     """Combines the routers' usage reports and the latest view of the previous allocator among them."""
     steps = _sum_steps([report.used for report in reports])
     handed_over_levels = [report.level for report in reports if report.level is not None]
     span = min((report.covered_span for report in reports), default=Seconds(0.0))
     latest = min((report for report in reports if report.view is not None), key=_view_age, default=None)
-    unreported = promised_rate = 0.0
+    unreported = total_allowed_rate = 0.0
     viewed_level, view_age = None, Seconds(0.0)
-    if latest is not None and latest.view is not None and latest.view_age < window:
+    if latest is not None and latest.view is not None and latest.view_age < window_s:
         viewed_level, view_age = latest.view.level, latest.view_age
-        unreported = _unreported(latest.view, latest.view_age, steps, window)
-        promised_rate = latest.view.promised_rate
-        span = max(span, Seconds(min(window, latest.view.covered_span + latest.view_age)))
+        unreported = _unreported(latest.view, latest.view_age, steps, window_s)
+        total_allowed_rate = latest.view.total_allowed_rate
+        span = max(span, Seconds(min(window_s, latest.view.covered_span + latest.view_age)))
     return InheritedUsage(
         steps=steps,
         unreported=0.0 if handed_over_levels else unreported,
-        span=Seconds(min(span, window)),
+        span=Seconds(min(span, window_s)),
         handed_over_level=min(handed_over_levels, default=None),
         reported_allowed_rate=sum(report.allowed_rate for report in reports),
-        promised_rate=promised_rate,
+        total_allowed_rate=total_allowed_rate,
         viewed_level=viewed_level,
         view_age=view_age,
     )
@@ -90,7 +88,7 @@
     return tuple(steps)
 
 
-def _unreported(view: AllocatorView, ago: Seconds, steps: Sequence[int], window: Seconds) -> float:
+def _unreported(view: AllocatorView, age_s: Seconds, steps: Sequence[int], window_s: Seconds) -> float:
     """Returns the use in the view that still falls into the window, less the use that was reported for that time."""
-    older = sum(steps[int(ago / REPORT_STEP_S) :])
-    return max(0.0, view.used * (1.0 - ago / window) - older)
+    older = sum(steps[int(age_s / REPORT_STEP_S) :])
+    return max(0.0, view.used * (1.0 - age_s / window_s) - older)
--- a/wingwood/limits/messages.py
+++ b/wingwood/limits/messages.py
@@ -8,12 +8,9 @@
 
 from ..identifiers import Address, Seconds, TenantName
 
-RECENT_WINDOW_S = Seconds(4.0)
-"""Time over which a router averages its own use to report its needed rate."""
-
 
 class LeaseRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Request of a router to a tenant's share allocator, or to its deputy; the reply is a LeaseGrant.
+    """Request of a router to a tenant's share allocator, or to its standby; the reply is a LeaseGrant.
 
     Amounts are in the tenant's unit (calls or tokens).
     """
@@ -33,20 +30,20 @@
     """Amount used without a grant of this allocator since the last request that it answered."""
     needed_rate: float = msgspec.field(name="need", default=0.0)
     """Rate per second that the router expects to use on its own until its next request."""
-    saved: float = 0.0
+    accrued: float = msgspec.field(name="saved", default=0.0)
     """Unused part of the allowance that the router has accumulated so far."""
     transferred: float = msgspec.field(name="poured", default=0.0)
-    """Unused allowance from the allocator that the router transfers to the deputy's account."""
+    """Unused allowance from the allocator that the router transfers to the standby's account."""
 
 
 class AllocatorView(msgspec.Struct, frozen=True, array_like=True):
-    """An allocator's knowledge of a tenant's use, for the allocator that takes over from it."""
+    """An allocator's knowledge of a tenant's use, for the allocator that replaces it."""
 
     WIRE_NAME: ClassVar[str] = "KeeperView"
 
     used: float
     """Amount used by all routers in the last window."""
-    promised_rate: float = msgspec.field(name="promised")
+    total_allowed_rate: float = msgspec.field(name="promised")
     """Rate per second that all routers together may use on their own."""
     covered_span: Seconds = msgspec.field(name="known")
     """How far back this knowledge reaches, in seconds."""
@@ -58,19 +55,19 @@
     """Reply to a LeaseRequest."""
 
     is_allocator: bool = msgspec.field(name="keeper")
-    """False when this router is neither the allocator of the tenant's share nor its acting deputy."""
-    from_deputy: bool = msgspec.field(name="stands_in", default=False)
-    """True when the grant comes from the deputy's account, so that its use must be reported to the allocator."""
+    """False when this router is neither the allocator of the tenant's share nor its acting standby."""
+    from_standby: bool = msgspec.field(name="stands_in", default=False)
+    """True when the grant comes from the standby's account, so that its use must be reported to the allocator."""
     granted: tuple[bool, ...] = ()
     """For each requested call, in the order of ``costs``, whether it was granted."""
     wait: Seconds = Seconds(0.0)
     """When a call was not granted, the seconds until it could be."""
     allowed_rate: float = msgspec.field(name="allowed", default=0.0)
-    """Rate per second that the router may use on its own from now on, for ``share_account.AUTONOMY_S``."""
+    """Rate per second that the router may use on its own from now on, for ``share_options.AUTONOMY_S``."""
     credit_available: bool = msgspec.field(name="plenty", default=False)
-    """True when the bucket holds enough for the routers to use credit."""
+    """True when the bucket has enough for the routers to use credit."""
     view: AllocatorView | None = None
-    """None while the allocator is still collecting reports after a takeover."""
+    """None while the allocator is still collecting usage reports after its start."""
 
 
 class UsageRequest(msgspec.Struct, frozen=True, array_like=True):
@@ -98,7 +95,7 @@
     """Number of the sender's latest lease request; earlier ones are outdated, as this report includes their use."""
     allowed_rate: float = msgspec.field(name="allowed", default=0.0)
     """Rate per second that the router may continue to use on its own; see LeaseGrant."""
-    saved: float = 0.0
+    accrued: float = msgspec.field(name="saved", default=0.0)
     """Unused part of the allowance that the router has accumulated; see LeaseRequest."""
     view: AllocatorView | None = None
     """The latest view that an allocator sent to this router."""
--- a/wingwood/limits/shares.py
+++ b/wingwood/limits/shares.py
@@ -1,4 +1,4 @@
-"""Paid shares over the whole fleet: one token bucket and window per tenant (docs/DESIGN.md section 14.1)."""
+"""Paid shares over the entire fleet: one token bucket and window per tenant (docs/DESIGN.md section 14.1)."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 from ..transport.messenger import Messenger
 from .allocator_selector import AllocatorSelector
 from .allocator_status import AllocatorStatus
-from .messages import LeaseGrant, LeaseRequest, MembershipRequest, UsageReport, UsageRequest
-from .protocols import ShareRefused
+from .lease_requester import MAX_RETRY_AFTER_S, LeaseRequester
+from .messages import LeaseGrant, LeaseRequest, UsageReport, UsageRequest
+from .protocols import CallRejection
 from .router_probes import RouterProbes
+from .router_shares import RouterShares
 from .share_allocator import ShareAllocator, TenantInForce
-from .share_client import MAX_RETRY_AFTER_S, ShareClient
-from .share_limits import ShareLimits
+from .share_client import ShareClient
+from .share_options import ShareOptions
 from .tolerance import QuotaTolerance
 
 SWEEP_INTERVAL_S = Seconds(0.5)
@@ -25,6 +27,7 @@
     """A ``Shares`` over all routers, each of which is also the allocator of some tenants' shares.
 
     ``tenant_in_force`` returns a tenant according to the allocator's own bundle (None: the bundle lacks it).
+    Builds the parts and owns the periodic task; ``RouterShares`` and ``ShareAllocator`` own the state.
     """
 
     def __init__(
@@ -33,29 +36,33 @@
         messenger: Messenger,
         membership: Membership,
         tenant_in_force: TenantInForce | None = None,
-        limits: ShareLimits | None = None,
+        options: ShareOptions | None = None,
         tolerance: QuotaTolerance | None = None,
     ) -> None:
-        limits, tolerance = limits or ShareLimits(), tolerance or QuotaTolerance()
+        options, tolerance = options or ShareOptions(), tolerance or QuotaTolerance()
         self._context = context
-        self._selector = AllocatorSelector(membership, context.clock)
-        self._status = AllocatorStatus(context, messenger, membership, self._selector, limits)
-        self._client = ShareClient(context, messenger, self._selector, self._answer_lease_request, limits, tolerance)
+        clock = context.clock
+        self._selector = AllocatorSelector(membership, clock)
+        self._status = AllocatorStatus(context, messenger, membership, self._selector, options)
+        self._router_shares = RouterShares(clock, self._selector, options, tolerance)
         self._allocator = ShareAllocator(
             context,
             messenger,
             self._selector,
             self._status,
-            RouterProbes(context, messenger, self._selector, limits),
+            RouterProbes(context, messenger, self._selector, options),
             tenant_in_force or (lambda _: None),
-            self._report_usage,
-            limits,
+            self._router_shares.report_usage,
+            options,
             tolerance,
         )
+        requester = LeaseRequester(
+            context, messenger, self._selector, self._router_shares, self.answer_lease_request, options
+        )
+        self._client = ShareClient(clock, self._router_shares, requester, options)
         self._started = False
-        messenger.on_call(LeaseRequest, self._answer_lease_request)
-        messenger.on_call(UsageRequest, self._answer_usage_request)
-        messenger.on_call(MembershipRequest, self._status.answer_membership_request)
+        messenger.on_call(LeaseRequest, self.answer_lease_request)
+        messenger.on_call(UsageRequest, self._on_usage_request)
 
     def start(self) -> None:
         """Starts the periodic task that reports use and removes old state; ``take`` starts it too."""
@@ -64,13 +71,13 @@
             self._status.start()
             self._context.tasks.spawn("shares sweep", self._sweep())
 
-    async def take(self, tenant: Tenant, cost: int = 1) -> ShareRefused | None:
-        """See ``Shares``; waits only for what exceeds the allowance, see ``ShareClient.take``."""
+    async def take(self, tenant: Tenant, cost: int = 1) -> CallRejection | None:
+        """See ``Shares``; waits only for what exceeds the lease, see ``ShareClient.take``."""
         self.start()
         if not tenant.limited or cost <= 0:
             return None
         if tenant.paid_rate <= 0:
-            return ShareRefused(MAX_RETRY_AFTER_S)
+            return CallRejection(MAX_RETRY_AFTER_S)
         return await self._client.take(tenant, cost)
 
     def return_allowances(self) -> None:
@@ -81,9 +88,9 @@
         """Returns the allocator of the tenant's share according to this router's membership view."""
         return self._selector.allocator(tenant)
 
-    def deputy_of(self, tenant: TenantName) -> Identity | None:
-        """Returns the deputy of that allocator according to this router's membership view."""
-        return self._selector.deputy(tenant)
+    def standby_of(self, tenant: TenantName) -> Identity | None:
+        """Returns the standby of that allocator according to this router's membership view."""
+        return self._selector.standby(tenant)
 
     async def _sweep(self) -> None:
         while True:
@@ -96,12 +103,10 @@
 
     # Messages
 
-    async def _answer_lease_request(self, requester: Identity, request: LeaseRequest) -> LeaseGrant:
+    async def answer_lease_request(self, requester: Identity, request: LeaseRequest) -> LeaseGrant:
+        """Answers a router's lease request as the allocator of the share, or as its standby."""
         self.start()
         return await self._allocator.answer(requester, request)
 
-    async def _answer_usage_request(self, peer: Identity, request: UsageRequest) -> UsageReport:
-        return self._allocator.hand_over(request.tenant, self._report_usage(request))
-
-    def _report_usage(self, request: UsageRequest) -> UsageReport:
-        return self._client.report_usage(request)
+    async def _on_usage_request(self, _peer: Identity, request: UsageRequest) -> UsageReport:
+        return self._allocator.hand_over(request.tenant, self._router_shares.report_usage(request))
--- a/wingwood/limits/deputy_account.py
+++ b/wingwood/limits/standby_account.py
@@ -1,4 +1,4 @@
-"""The account from which a deputy grants while a share's allocator is silent (docs/DESIGN.md section 14.1)."""
+"""The account from which a standby grants while a share's allocator is unresponsive (docs/DESIGN.md section 14.1)."""
 
 from __future__ import annotations
 
@@ -8,12 +8,14 @@
 from .bucket import TokenBucket
 from .tolerance import QuotaPlan
 
+ROUNDING_TOLERANCE = 1e-6
 
-class DeputyAccount:
-    """Holds the reserve of the quota plan, plus the unused allowances that requesting routers transfer.
+
+class StandbyAccount:
+    """Owns the reserve of the quota plan, plus the unused allowances that requesting routers transfer.
 
     The allocator has already allowed the routers what they transfer, so that the allocator and the
-    deputy together never grant more than the allocator's own limit plus the reserve.
+    standby together never grant more than the allocator's own limit plus the reserve.
     """
 
     TRANSFER_LIFETIME_S = Seconds(2.0)
@@ -21,8 +23,8 @@
     IMMEDIATE_FRACTION = 0.8
     """Fraction of the reserve that may be granted immediately; the rest becomes available over one window."""
 
-    def __init__(self, plan: QuotaPlan, window: Seconds, now: Instant) -> None:
-        refill = (1.0 - self.IMMEDIATE_FRACTION) * plan.reserve / window
+    def __init__(self, plan: QuotaPlan, window_s: Seconds, now: Instant) -> None:
+        refill = (1.0 - self.IMMEDIATE_FRACTION) * plan.reserve / window_s
         self._reserve = TokenBucket(refill, self.IMMEDIATE_FRACTION * plan.reserve, plan.reserve, now)
         self._transferred = 0.0
         self._last_request_at = now
@@ -36,7 +38,7 @@
         self._transferred += max(0.0, transferred)
         granted: list[bool] = []
         for cost in costs:
-            fits = self._transferred + self._reserve.level >= cost - 1e-6
+            fits = self._transferred + self._reserve.level >= cost - ROUNDING_TOLERANCE
             granted.append(fits)
             if fits:
                 own = min(self._transferred, cost)
--- a/wingwood/limits/tests/share_fleet.py
+++ b/wingwood/limits/tests/share_fleet.py
@@ -9,7 +9,7 @@
 from wingwood.bundle.model import Tenant
 from wingwood.context.protocols import Context
 from wingwood.identifiers import ClassName, DaemonName, Incarnation, Instant, Seconds, TenantName, Zone
-from wingwood.limits.share_limits import ShareLimits
+from wingwood.limits.share_options import ShareOptions
 from wingwood.limits.shares import FleetShares
 from wingwood.limits.tolerance import QuotaTolerance
 from wingwood.transport.frames import Identity
@@ -29,12 +29,12 @@
 
     def __init__(self) -> None:
         self._members: list[Identity] = []
-        self._proven: Instant | None = None
+        self._confirmed_at: Instant | None = None
         self._callbacks: list[Callable[[], None]] = []
 
     def learn(self, members: Sequence[Identity], now: Instant) -> None:
         changed = list(members) != self._members
-        self._members, self._proven = list(members), now
+        self._members, self._confirmed_at = list(members), now
         for callback in self._callbacks if changed else ():
             callback()
 
@@ -51,7 +51,7 @@
         return any(member.incarnation == incarnation for member in self._members)
 
     def session_confirmed_at(self) -> Instant | None:
-        return self._proven
+        return self._confirmed_at
 
     def on_change(self, callback: Callable[[], None]) -> None:
         self._callbacks.append(callback)
@@ -70,11 +70,11 @@
         tenant: Tenant,
         load: Load,
         max_rate: float,
-        limits: ShareLimits | None = None,
+        options: ShareOptions | None = None,
         tolerance: QuotaTolerance | None = None,
         cost: CallCost = lambda _: 1,
     ) -> None:
-        self.limits = limits
+        self.options = options
         self.tolerance = tolerance
         self.cost = cost
         self.uses: list[tuple[float, int]] = []
@@ -113,7 +113,7 @@
             self.messengers[name] = messenger
             membership = FakeMembership()
             self.shares[name] = FleetShares(
-                context, messenger, membership, lambda _: self.tenant, self.limits, self.tolerance
+                context, messenger, membership, lambda _: self.tenant, self.options, self.tolerance
             )
             self.unreachable_since.pop(name, None)
             self.identities[name] = identity
@@ -129,10 +129,10 @@
         assert found is not None
         return found.name
 
-    def deputy(self) -> str:
-        """Returns the name of the allocator's deputy according to a healthy router."""
+    def standby(self) -> str:
+        """Returns the name of the allocator's standby according to a healthy router."""
         healthy = next(name for name in sorted(self.shares) if name not in self.unreachable_since)
-        found = self.shares[healthy].deputy_of(self.tenant.name)
+        found = self.shares[healthy].standby_of(self.tenant.name)
         assert found is not None
         return found.name
 
--- a/wingwood/limits/tests/test_retry_budget.py
+++ b/wingwood/limits/tests/test_retry_budget.py
@@ -14,7 +14,7 @@
 
 from ...bundle.model import PoolShare, Service
 from ...identifiers import Instant, PoolName, Seconds, ServiceName, WallTime
-from ..retry_budget import MAX_RETRY_RATIO, MAX_SAVED_RETRIES, RetryLimits, ServiceRetryBudget
+from ..retry_budget import MAX_ACCRUED_RETRIES, MAX_RETRY_RATIO, RetryLimits, ServiceRetryBudget
 
 RATIO = 0.2
 WINDOW = 10.0
@@ -48,19 +48,19 @@
 
     def test_retries_always_stay_below_a_fifth_of_the_calls(self) -> None:
         for share in (0.15, 0.9):
-            budget, tries = self.budget(), 0
+            budget, retries = self.budget(), 0
             for calls in range(1, 500):
-                budget.note_call(service(share))
-                tries += budget.take(service(share))
-                self.assertLess(tries, calls / 5)
-            self.assertGreater(tries, 450 * min(share, MAX_RETRY_RATIO))
+                budget.record_call(service(share))
+                retries += budget.take(service(share))
+                self.assertLess(retries, calls / 5)
+            self.assertGreater(retries, 450 * min(share, MAX_RETRY_RATIO))
 
     def test_a_long_calm_accumulates_few_retries_and_pools_have_separate_accounts(self) -> None:
         budget = self.budget()
         for _ in range(10_000):
-            budget.note_call(service())
+            budget.record_call(service())
         self.assertFalse(budget.take(service(pool="cards")))
-        self.assertEqual(sum(budget.take(service()) for _ in range(100)), int(MAX_SAVED_RETRIES))
+        self.assertEqual(sum(budget.take(service()) for _ in range(100)), int(MAX_ACCRUED_RETRIES))
 
     def test_the_slack_accumulates_without_any_call(self) -> None:
         budget = self.budget(slack=62.0)
@@ -77,11 +77,11 @@
         split = service(split=(PoolShare(PoolName("a"), 90), PoolShare(PoolName("b"), 10)))
         budget = self.budget()
         for _ in range(60):
-            budget.note_call(split)
+            budget.record_call(split)
         self.assertFalse(budget.take(split, PoolName("b")))
         self.assertTrue(budget.take(split, PoolName("a")))
         for _ in range(10):
-            budget.note_call(split, PoolName("b"))
+            budget.record_call(split, PoolName("b"))
         self.assertTrue(budget.take(split, PoolName("b")))
 
 
@@ -94,26 +94,26 @@
         self.members = routers
         self.budgets = [self.new_budget() for _ in range(routers)]
         self.calls: list[float] = []
-        self.tries: list[float] = []
+        self.retries: list[float] = []
 
     def new_budget(self) -> ServiceRetryBudget:
         return ServiceRetryBudget(self.clock, lambda: self.members, self.limits)
 
     def offer(self, number: int) -> None:
-        """Offers a call of which all tries fail."""
+        """Offers a call of which all retries fail."""
         budgeted = service(retry_share=RATIO)
-        self.budgets[number].note_call(budgeted)
+        self.budgets[number].record_call(budgeted)
         self.calls.append(self.clock.now)
         for _ in range(3):
             if self.budgets[number].take(budgeted):
-                self.tries.append(self.clock.now)
+                self.retries.append(self.clock.now)
 
     def worst(self) -> float:
         """Returns the most retries beyond the ratio in any window, counting only that window's calls."""
         worst = 0.0
-        for end, last in enumerate(self.tries):
+        for end, last in enumerate(self.retries):
             start = last - WINDOW
-            tried = sum(1 for at in self.tries[: end + 1] if at >= start)
+            tried = sum(1 for at in self.retries[: end + 1] if at >= start)
             called = sum(1 for at in self.calls if start <= at <= last)
             worst = max(worst, tried - RATIO * called)
         return worst
--- a/wingwood/limits/tests/test_share_account.py
+++ b/wingwood/limits/tests/test_share_account.py
@@ -1,4 +1,4 @@
-"""An allocator's bucket and window, usage taken over from its predecessor, and a deputy's account.
+"""An allocator's bucket and window, usage inherited from its predecessor, and a standby's account.
 
 A mistake here lets a tenant exceed its quota or refuses calls below it (docs/DESIGN.md section 14.1).
 """
@@ -11,10 +11,12 @@
 
 from ...identifiers import Address, DaemonName, Incarnation, Instant, Seconds, TenantName, Zone
 from ...transport.frames import Identity
-from ..deputy_account import DeputyAccount
+from ..inherited_usage import merge_reports
 from ..messages import AllocatorView, LeaseRequest, UsageReport
-from ..share_account import AUTONOMY_S, REQUEST_LAG_S, TOTALS_MAX_AGE_S, ShareAccount, _RouterRecord
-from ..takeover import merge_reports
+from ..router_records import REQUEST_LAG_S, TOTALS_MAX_AGE_S, RouterRecord
+from ..share_account import ShareAccount
+from ..share_options import AUTONOMY_S
+from ..standby_account import StandbyAccount
 from ..tolerance import CREDIT_FRACTION, LAG_FRACTION, QuotaPlan, QuotaTolerance, make_plan
 
 WINDOW = Seconds(8.0)
@@ -32,8 +34,8 @@
     )
 
 
-def request(number: int, *costs: int, used: int = 0, needed_rate: float = 0.0, saved: float = 0.0) -> LeaseRequest:
-    return LeaseRequest(TenantName("estate"), RATE, Seconds(1.0), "tokens", number, costs, used, needed_rate, saved)
+def request(number: int, *costs: int, used: int = 0, needed_rate: float = 0.0, accrued: float = 0.0) -> LeaseRequest:
+    return LeaseRequest(TenantName("estate"), RATE, Seconds(1.0), "tokens", number, costs, used, needed_rate, accrued)
 
 
 def at(seconds: float) -> Instant:
@@ -72,43 +74,43 @@
             number = random.randrange(self.ROUTERS)
             numbers[number] += 1
             may_rise = random.random() < 0.95
-            account.settle(
+            account.renew_lease(
                 router(number),
                 request(
                     numbers[number],
                     used=random.randrange(50),
                     needed_rate=random.choice((0.0, RATE / 100)),
-                    saved=random.choice((0.0, 30.0)),
+                    accrued=random.choice((0.0, 30.0)),
                 ),
                 at(now),
                 may_rise,
             )
-            account.grant((random.randrange(100),), at(now), unproven=not may_rise)
+            account.grant((random.randrange(100),), at(now), unconfirmed=not may_rise)
             now += random.choice((0.0, 0.004))
-            unproven = random.random() < 0.1
-            in_bucket, in_window = account.available(at(now), unproven)
-            promised_rate = account.promised_rate(at(now))
-            account._totals = None
-            exact_bucket, exact_window = account.available(at(now), unproven)
-            exact_promised = account.promised_rate(at(now))
-            self.assertLessEqual(in_bucket, exact_bucket + 1e-6)
-            self.assertLessEqual(in_window, exact_window + 1e-6)
-            self.assertLessEqual(exact_promised, promised_rate + 1e-6)
+            unconfirmed = random.random() < 0.1
+            available = account.available(at(now), unconfirmed)
+            total_allowed_rate = account.routers.total_allowed_rate(at(now))
+            account.routers.invalidate_totals()
+            exact = account.available(at(now), unconfirmed)
+            exact_allowed_rate = account.routers.total_allowed_rate(at(now))
+            self.assertLessEqual(available.in_bucket, exact.in_bucket + 1e-6)
+            self.assertLessEqual(available.in_window, exact.in_window + 1e-6)
+            self.assertLessEqual(exact_allowed_rate, total_allowed_rate + 1e-6)
             slack = RATE * (TOTALS_MAX_AGE_S + REQUEST_LAG_S)
-            self.assertGreaterEqual(in_bucket, exact_bucket - slack)
-            self.assertGreaterEqual(in_window, exact_window - slack)
+            self.assertGreaterEqual(available.in_bucket, exact.in_bucket - slack)
+            self.assertGreaterEqual(available.in_window, exact.in_window - slack)
 
     def test_a_request_does_not_visit_each_of_a_thousand_routers(self) -> None:
         account = ShareAccount(plan(), WINDOW, plan().bucket, at(0.0))
         account.reports_requested = True
         for number in range(1000):
-            account.settle(router(number), request(1, needed_rate=100.0), at(0.0), True)
-        original = _RouterRecord.may_have_used
-        with mock.patch.object(_RouterRecord, "may_have_used", autospec=True, side_effect=original) as counted:
+            account.renew_lease(router(number), request(1, needed_rate=100.0), at(0.0), True)
+        original = RouterRecord.may_have_used
+        with mock.patch.object(RouterRecord, "may_have_used", autospec=True, side_effect=original) as counted:
             for number in range(100):
-                account.settle(router(number), request(2, 50, needed_rate=100.0), at(0.001), True)
-                account.grant((50,), at(0.001), unproven=False)
-                account.available(at(0.001), unproven=False)
+                account.renew_lease(router(number), request(2, 50, needed_rate=100.0), at(0.001), True)
+                account.grant((50,), at(0.001), unconfirmed=False)
+                account.available(at(0.001), unconfirmed=False)
         self.assertLess(counted.call_count, 5000)
 
 
@@ -118,46 +120,51 @@
         self.account.reports_requested = True
 
     def test_calls_are_granted_completely_or_not_at_all(self) -> None:
-        granted, wait = self.account.grant((40_000, 200_000, 200), at(0.0), unproven=False)
-        self.assertEqual(granted, (True, False, True))
-        self.assertGreater(wait, 0.0)
+        result = self.account.grant((40_000, 200_000, 200), at(0.0), unconfirmed=False)
+        self.assertEqual(result.granted, (True, False, True))
+        self.assertGreater(result.wait, 0.0)
 
     def test_a_call_larger_than_the_bucket_is_granted_from_a_nearly_full_bucket(self) -> None:
-        self.assertEqual(self.account.grant((int(plan().bucket) + 10_000,), at(0.0), unproven=False)[0], (True,))
-        self.assertEqual(self.account.grant((int(plan().bucket) + 10_000,), at(0.1), unproven=False)[0], (False,))
+        self.assertEqual(
+            self.account.grant((int(plan().bucket) + 10_000,), at(0.0), unconfirmed=False).granted, (True,)
+        )
+        self.assertEqual(
+            self.account.grant((int(plan().bucket) + 10_000,), at(0.1), unconfirmed=False).granted, (False,)
+        )
 
     def test_allowances_together_never_exceed_the_rate(self) -> None:
         allowed_rate = [
-            self.account.settle(router(number), request(1, needed_rate=30_000.0), at(0.0), True) for number in range(5)
+            self.account.renew_lease(router(number), request(1, needed_rate=30_000.0), at(0.0), True)
+            for number in range(5)
         ]
         self.assertEqual(allowed_rate, [30_000.0, 30_000.0, 30_000.0, 10_000.0, 0.0])
-        self.account.settle(router(0), request(2, needed_rate=0.0), at(0.1), True)
-        self.assertEqual(self.account.settle(router(4), request(2, needed_rate=30_000.0), at(0.2), True), 30_000.0)
+        self.account.renew_lease(router(0), request(2, needed_rate=0.0), at(0.1), True)
+        self.assertEqual(self.account.renew_lease(router(4), request(2, needed_rate=30_000.0), at(0.2), True), 30_000.0)
 
-    def test_without_a_proven_session_allowances_do_not_rise(self) -> None:
-        self.assertEqual(self.account.settle(router(1), request(1, needed_rate=30_000.0), at(0.0), False), 0.0)
+    def test_without_a_confirmed_session_allowances_do_not_rise(self) -> None:
+        self.assertEqual(self.account.renew_lease(router(1), request(1, needed_rate=30_000.0), at(0.0), False), 0.0)
 
-    def test_a_silent_router_is_counted_in_the_window_until_its_allowance_expires(self) -> None:
-        self.account.settle(router(1), request(1, needed_rate=50_000.0), at(0.0), True)
+    def test_an_unresponsive_router_is_counted_in_the_window_until_its_allowance_expires(self) -> None:
+        self.account.renew_lease(router(1), request(1, needed_rate=50_000.0), at(0.0), True)
         empty = plan().max_window_use
-        self.assertAlmostEqual(self.account.available(at(4.0), unproven=False)[1], empty - 200_000.0)
-        self.assertAlmostEqual(self.account.available(at(AUTONOMY_S), unproven=False)[1], empty - 400_000.0)
-        self.assertAlmostEqual(self.account.available(at(AUTONOMY_S + 8.0), unproven=False)[1], empty)
-        self.account.settle(router(1), request(2, used=10_000, needed_rate=0.0), at(20.0), True)
-        self.assertAlmostEqual(self.account.available(at(20.0), unproven=False)[1], empty - 10_000.0)
+        self.assertAlmostEqual(self.account.available(at(4.0), unconfirmed=False).in_window, empty - 200_000.0)
+        self.assertAlmostEqual(self.account.available(at(AUTONOMY_S), unconfirmed=False).in_window, empty - 400_000.0)
+        self.assertAlmostEqual(self.account.available(at(AUTONOMY_S + 8.0), unconfirmed=False).in_window, empty)
+        self.account.renew_lease(router(1), request(2, used=10_000, needed_rate=0.0), at(20.0), True)
+        self.assertAlmostEqual(self.account.available(at(20.0), unconfirmed=False).in_window, empty - 10_000.0)
 
     def test_a_full_window_reduces_allowances_to_zero(self) -> None:
         self.account.charge(plan().max_window_use - 1_000, at(0.0))
-        self.assertLess(self.account.settle(router(1), request(1, needed_rate=50_000.0), at(0.0), True), 2_000.0)
+        self.assertLess(self.account.renew_lease(router(1), request(1, needed_rate=50_000.0), at(0.0), True), 2_000.0)
         self.account.charge(1_000, at(0.0))
-        self.assertEqual(self.account.settle(router(1), request(2, needed_rate=50_000.0), at(0.1), True), 0.0)
+        self.assertEqual(self.account.renew_lease(router(1), request(2, needed_rate=50_000.0), at(0.1), True), 0.0)
 
     def test_a_late_request_is_outdated_and_a_restart_replaces_the_record(self) -> None:
-        self.account.settle(router(1), request(5, needed_rate=50_000.0), at(0.0), True)
+        self.account.renew_lease(router(1), request(5, needed_rate=50_000.0), at(0.0), True)
         self.assertTrue(self.account.is_outdated(router(1), request(5)))
         self.assertFalse(self.account.is_outdated(router(1), request(6)))
         again = Identity(DaemonName("r1"), Incarnation("later"), "router", Zone("a"), Address("127.0.0.1", 1))
-        self.assertEqual(self.account.settle(again, request(1, needed_rate=RATE), at(1.0), True), RATE)
+        self.assertEqual(self.account.renew_lease(again, request(1, needed_rate=RATE), at(1.0), True), RATE)
 
     def test_only_a_lowered_limit_starts_with_an_empty_window(self) -> None:
         self.account.charge(300_000, at(0.0))
@@ -179,10 +186,10 @@
         self.assertEqual((inherited.unreported, inherited.span), (0.0, 8.0))
 
     def test_use_at_an_ended_allocator_is_derived_from_its_view(self) -> None:
-        view = AllocatorView(used=500_000.0, promised_rate=RATE, covered_span=Seconds(30.0), level=20_000.0)
+        view = AllocatorView(used=500_000.0, total_allowed_rate=RATE, covered_span=Seconds(30.0), level=20_000.0)
         inherited = merge_reports([self.report(0, 100_000, 200_000, view=view)], WINDOW)
         self.assertEqual(inherited.unreported, 200_000.0)
-        self.assertEqual(inherited.promised_rate, RATE)
+        self.assertEqual(inherited.total_allowed_rate, RATE)
 
     def test_the_bucket_level_follows_from_the_time_that_reports_cover(self) -> None:
         recent = merge_reports([self.report(covered_span=0.5), self.report(covered_span=3.0)], WINDOW)
@@ -190,14 +197,14 @@
         self.assertAlmostEqual(merge_reports([self.report()], WINDOW).level(RATE, 150_000.0), 150_000.0)
 
     def test_a_report_of_a_recently_started_router_does_not_shorten_a_longer_view(self) -> None:
-        view = AllocatorView(used=0.0, promised_rate=0.0, covered_span=Seconds(30.0), level=90_000.0)
+        view = AllocatorView(used=0.0, total_allowed_rate=0.0, covered_span=Seconds(30.0), level=90_000.0)
         inherited = merge_reports([self.report(covered_span=0.5), self.report(view=view, ago=0.2)], WINDOW)
         self.assertAlmostEqual(inherited.level(RATE, 150_000.0), 150_000.0)
 
 
-class DeputyAccountTest(unittest.TestCase):
+class StandbyAccountTest(unittest.TestCase):
     def test_grants_the_reserve_and_transferred_allowances(self) -> None:
-        account = DeputyAccount(plan(), WINDOW, at(0.0))
+        account = StandbyAccount(plan(), WINDOW, at(0.0))
         at_once = int(0.8 * plan().reserve)
         self.assertEqual(account.grant((at_once, 1_000), 0.0, at(0.0)), (True, False))
         self.assertEqual(account.grant((1_000, 1_000), 1_500.0, at(0.0)), (True, False))
@@ -206,7 +213,7 @@
         self.assertGreater(total, 0.15 * plan().reserve)
 
     def test_transferred_allowances_expire_without_requests(self) -> None:
-        account = DeputyAccount(plan(), WINDOW, at(0.0))
+        account = StandbyAccount(plan(), WINDOW, at(0.0))
         account.grant((int(0.8 * plan().reserve),), 0.0, at(0.0))
         account.grant((), 50_000.0, at(0.0))
         self.assertEqual(account.grant((30_000,), 0.0, at(2.5)), (False,))
--- a/wingwood/limits/tests/test_share_components.py
+++ b/wingwood/limits/tests/test_share_components.py
@@ -24,12 +24,12 @@
 from .share_fleet import FakeMembership
 
 
-def service(retry_share: float = 0.15, patience: float = 4.0) -> Service:
+def service(retry_share: float = 0.15, first_byte_timeout: float = 4.0) -> Service:
     return Service(
         name=ServiceName("chat"),
         pool=PoolName("model"),
         retry_share=retry_share,
-        first_byte_patience=Seconds(patience),
+        first_byte_patience=Seconds(first_byte_timeout),
     )
 
 
@@ -73,7 +73,7 @@
             for name in tenants:
                 expected = ranked(name, routers, lambda each: f"{each.name}/{each.incarnation}")
                 self.assertEqual(selector.allocator(name), expected[0])
-                self.assertEqual(selector.deputy(name), expected[1] if len(expected) > 1 else None)
+                self.assertEqual(selector.standby(name), expected[1] if len(expected) > 1 else None)
 
 
 def router(number: int) -> Identity:
@@ -81,12 +81,12 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    def test_refuses_calls_whose_first_token_would_come_too_late(self) -> None:
+    def test_rejects_calls_whose_first_token_would_come_too_late(self) -> None:
         admission = DeadlineAdmission()
-        self.assertIsNone(admission.refuse(service(patience=4.0), Seconds(3.5)))
-        refused = admission.refuse(service(patience=4.0), Seconds(9.6))
-        assert refused is not None
-        self.assertAlmostEqual(refused.retry_after, 6.0)
-        endless = admission.refuse(service(), Seconds(float("inf")))
+        self.assertIsNone(admission.check(service(first_byte_timeout=4.0), Seconds(3.5)))
+        rejection = admission.check(service(first_byte_timeout=4.0), Seconds(9.6))
+        assert rejection is not None
+        self.assertAlmostEqual(rejection.retry_after, 6.0)
+        endless = admission.check(service(), Seconds(float("inf")))
         assert endless is not None
         self.assertEqual(endless.retry_after, 30.0)
--- a/wingwood/limits/tests/test_shares.py
+++ b/wingwood/limits/tests/test_shares.py
@@ -15,10 +15,10 @@
 from simulation import NetworkShape, World
 
 from ...identifiers import Instant
-from ..deputy_account import DeputyAccount
 from ..messages import UsageReport, UsageRequest
-from ..share_limits import ShareLimits
-from ..shares import FleetShares
+from ..router_shares import RouterShares
+from ..share_options import ShareOptions
+from ..standby_account import StandbyAccount
 from .share_fleet import Load, ShareFleet, tenant
 
 ROUTERS = 11
@@ -45,11 +45,11 @@
         most: float,
         fault: Callable[[World, ShareFleet, str], None] | None = None,
         paid: float = PAID,
-        limits: ShareLimits | None = None,
+        options: ShareOptions | None = None,
     ) -> ShareFleet:
         """Runs a fleet and injects the fault into the tenant's allocator at 5.0 s."""
         with World(seed=4) as world:
-            fleet = ShareFleet(world, ROUTERS, tenant(paid), load, most, limits)
+            fleet = ShareFleet(world, ROUTERS, tenant(paid), load, most, options)
             world.run(5.0)
             if fault is not None:
                 fault(world, fleet, fleet.allocator())
@@ -102,15 +102,15 @@
         self.assertLess(self.run_fleet(even(4), 1, kill, paid=8.0).refused_fraction(5.0, RUN_SECONDS), 0.02)
         self.assertLess(self.run_fleet(even(16), 2, kill, paid=8.0).max_paid_ratio(4.0, RUN_SECONDS, 3.0), 1.2)
 
-    def test_a_deputy_grants_little_while_other_routers_reach_the_allocator(self) -> None:
+    def test_a_standby_grants_little_while_other_routers_reach_the_allocator(self) -> None:
         def cut(world: World, fleet: ShareFleet, allocator: str) -> None:
-            """Partitions the allocator from its deputy and four of the other nine routers; all remain members."""
-            others = [name for name in sorted(fleet.shares) if name not in (allocator, fleet.deputy())]
-            for name in (fleet.deputy(), *others[:4]):
+            """Partitions the allocator from its standby and four of the other nine routers; all remain members."""
+            others = [name for name in sorted(fleet.shares) if name not in (allocator, fleet.standby())]
+            for name in (fleet.standby(), *others[:4]):
                 world.cut(allocator, name)
 
         self.assertLess(self.run_fleet(even(200), 20, cut).max_paid_ratio(5.0, RUN_SECONDS, 3.0), 1.6)
-        with mock.patch.object(DeputyAccount, "grant", _all_granted):
+        with mock.patch.object(StandbyAccount, "grant", _all_granted):
             self.assertGreater(self.run_fleet(even(200), 20, cut).max_paid_ratio(5.0, RUN_SECONDS, 3.0), 1.6)
 
     def test_a_killed_allocator_in_a_fleet_too_large_for_usage_requests(self) -> None:
@@ -118,9 +118,11 @@
             fleet.mark_unreachable(allocator)
             world.kill(allocator)
 
-        limits = ShareLimits(max_gathering_routers=3)
-        self.assertLess(self.run_fleet(even(90), 9, kill, limits=limits).refused_fraction(5.0, RUN_SECONDS), 0.03)
-        self.assertLess(self.run_fleet(even(200), 20, kill, limits=limits).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.15)
+        options = ShareOptions(max_reporting_routers=3)
+        self.assertLess(self.run_fleet(even(90), 9, kill, options=options).refused_fraction(5.0, RUN_SECONDS), 0.03)
+        self.assertLess(
+            self.run_fleet(even(200), 20, kill, options=options).max_paid_ratio(3.0, RUN_SECONDS, 3.0), 1.15
+        )
 
     def test_a_frozen_allocator_that_resumes(self) -> None:
         def freeze(world: World, fleet: ShareFleet, allocator: str) -> None:
@@ -178,11 +180,11 @@
             world.kill(allocator)
 
         self.assertLess(self.run_fleet(even(200), 20, kill).max_paid_ratio(4.0, RUN_SECONDS, 1.0), 1.25)
-        with mock.patch.object(FleetShares, "_report_usage", _report_nothing_used):
+        with mock.patch.object(RouterShares, "report_usage", _report_nothing_used):
             fleet = self.run_fleet(even(200), 20, kill)
         self.assertGreater(fleet.max_paid_ratio(4.0, RUN_SECONDS, 1.0), 1.25)
 
-    def test_calls_wait_for_a_silent_allocator_at_most_a_tenth_of_a_second(self) -> None:
+    def test_calls_wait_for_an_unresponsive_allocator_at_most_a_tenth_of_a_second(self) -> None:
         def freeze(world: World, fleet: ShareFleet, allocator: str) -> None:
             fleet.mark_unreachable(allocator)
             world.freeze(allocator)
@@ -191,12 +193,12 @@
         self.assertLess(max(call[3] for call in fleet.calls), 0.11)
 
 
-def _all_granted(account: DeputyAccount, costs: Sequence[int], transferred: float, now: Instant) -> tuple[bool, ...]:
+def _all_granted(account: StandbyAccount, costs: Sequence[int], transferred: float, now: Instant) -> tuple[bool, ...]:
     return tuple(True for _ in costs)
 
 
-_report_usage = FleetShares._report_usage
+_report_usage = RouterShares.report_usage
 
 
-def _report_nothing_used(shares: FleetShares, request: UsageRequest) -> UsageReport:
+def _report_nothing_used(shares: RouterShares, request: UsageRequest) -> UsageReport:
     return msgspec.structs.replace(_report_usage(shares, request), used=(), view=None)
--- a/wingwood/limits/tests/test_sparse_calls.py
+++ b/wingwood/limits/tests/test_sparse_calls.py
@@ -29,10 +29,10 @@
         with World(seed=4) as world:
             fleet = ShareFleet(world, 11, tenant(25.0), lambda router, now: 0.0, 1.0)
             world.run(3.0)
-            allocator, deputy = fleet.allocator(), fleet.deputy()
-            caller = next(name for name in sorted(fleet.shares) if name not in (allocator, deputy))
+            allocator, standby = fleet.allocator(), fleet.standby()
+            caller = next(name for name in sorted(fleet.shares) if name not in (allocator, standby))
             # Only this router loses both, as after a partition that left dead connections.
-            cuts = [world.cut(caller, other) for other in (allocator, deputy)]
+            cuts = [world.cut(caller, other) for other in (allocator, standby)]
             self.accepted_at(fleet, caller)
             for cut in cuts:
                 world.heal(cut)
@@ -44,9 +44,9 @@
         with World(seed=4) as world:
             fleet = ShareFleet(world, 11, tenant(25.0), lambda router, now: 0.0, 1.0)
             world.run(3.0)
-            allocator, deputy = fleet.allocator(), fleet.deputy()
-            caller = next(name for name in sorted(fleet.shares) if name not in (allocator, deputy))
-            for other in (allocator, deputy):
+            allocator, standby = fleet.allocator(), fleet.standby()
+            caller = next(name for name in sorted(fleet.shares) if name not in (allocator, standby))
+            for other in (allocator, standby):
                 world.cut(caller, other)
             self.accepted_at(fleet, caller)
             for _ in range(3):
--- a/wingwood/limits/tests/test_token_quota.py
+++ b/wingwood/limits/tests/test_token_quota.py
@@ -12,8 +12,9 @@
 
 import msgspec
 
-from ..share_account import ShareAccount, _MissingRouters, _RouterRecord
-from ..takeover import InheritedUsage
+from ..inherited_usage import InheritedUsage
+from ..router_records import MissingRouters, RouterRecord
+from ..share_account import ShareAccount
 from .token_quota import Case, Outcome, run_case
 
 RUN_EACH_ALONE = True
@@ -61,12 +62,12 @@
     def refused(self, fault: str, rate: float) -> float:
         return run_case(faulted(fault, CALM, rate=rate), 21).refused
 
-    def test_an_ended_allocator_or_deputy_causes_few_refusals(self) -> None:
+    def test_an_ended_allocator_or_standby_causes_few_refusals(self) -> None:
         for rate in (30_000.0, 430_000.0):
             self.assertLess(self.refused("allocator killed", rate), 0.01)
-            self.assertLess(self.refused("deputy killed", rate), 0.01)
+            self.assertLess(self.refused("standby killed", rate), 0.01)
 
-    def test_a_silent_allocator_causes_few_refusals(self) -> None:
+    def test_an_unresponsive_allocator_causes_few_refusals(self) -> None:
         for fault in ("allocator frozen", "allocator without power", "allocator cut off"):
             self.assertLess(self.refused(fault, 430_000.0), 0.03, fault)
 
@@ -108,7 +109,7 @@
         self.check("split 8 to 3, the fewer with control", 30_000.0)
 
     def test_frozen_or_powered_off_allocator(self) -> None:
-        for fault in ("allocator and deputy frozen", "allocator frozen briefly", "allocator without power"):
+        for fault in ("allocator and standby frozen", "allocator frozen briefly", "allocator without power"):
             self.check(fault)
 
     def test_restarts_of_all_routers(self) -> None:
@@ -122,32 +123,32 @@
 class BrokenTest(unittest.TestCase):
     """Each test removes one part of the arithmetic; the check of the bound must detect that."""
 
-    def test_an_allocator_that_ignores_silent_routers_is_detected(self) -> None:
-        def nothing(requester: _RouterRecord, now: float, window: float, longest: float) -> float:
+    def test_an_allocator_that_ignores_unresponsive_routers_is_detected(self) -> None:
+        def nothing(record: RouterRecord, now: float, window_s: float, max_duration_s: float) -> float:
             return 0.0
 
         case = faulted("allocator cut from some", flood_from=12.0)
-        with mock.patch.object(_RouterRecord, "may_have_used", nothing):
+        with mock.patch.object(RouterRecord, "may_have_used", nothing):
             self.assertGreater(run_case(case, 41).fraction_of_bound, 1.0)
         self.assertLess(run_case(case, 41).fraction_of_bound, 1.0)
 
     def test_a_new_allocator_that_ignores_missing_routers_is_detected(self) -> None:
         case = faulted("split 8 to 3, the fewer with control")
-        with mock.patch.object(_MissingRouters, "may_have_used", lambda *_: 0.0):
+        with mock.patch.object(MissingRouters, "may_have_used", lambda *_: 0.0):
             self.assertGreater(run_case(case, 42).fraction_of_bound, 1.0)
         self.assertLess(run_case(case, 42).fraction_of_bound, 1.0)
 
     def test_a_new_allocator_that_starts_full_and_ignores_past_use_is_detected(self) -> None:
-        take_over = ShareAccount.take_over
+        inherit = ShareAccount.inherit
 
         def forgetful(account: ShareAccount, *given: Any) -> None:
-            take_over(account, *given)
+            inherit(account, *given)
             account.used.clear()
 
         case = faulted("restarts in turn")
         with (
             mock.patch.object(InheritedUsage, "level", lambda inherited, rate, most: most),
-            mock.patch.object(ShareAccount, "take_over", forgetful),
+            mock.patch.object(ShareAccount, "inherit", forgetful),
         ):
             self.assertGreater(run_case(case, 43).fraction_of_bound, 1.0)
         self.assertLess(run_case(case, 43).fraction_of_bound, 1.0)
--- a/wingwood/limits/tests/token_quota.py
+++ b/wingwood/limits/tests/token_quota.py
@@ -210,21 +210,21 @@
 
 
 def cut_from_some(world: World, fleet: ShareFleet) -> None:
-    """Partitions the allocator from its deputy and four other routers; all remain members."""
-    allocator, deputy = fleet.allocator(), fleet.deputy()
-    others = [name for name in sorted(fleet.shares) if name not in (allocator, deputy)]
-    cuts = [world.cut(allocator, name) for name in (deputy, *others[:4])]
+    """Partitions the allocator from its standby and four other routers; all remain members."""
+    allocator, standby = fleet.allocator(), fleet.standby()
+    others = [name for name in sorted(fleet.shares) if name not in (allocator, standby)]
+    cuts = [world.cut(allocator, name) for name in (standby, *others[:4])]
     for wires in cuts:
         world.at(world.now + 8.0, lambda wires=wires: world.heal(wires))  # type: ignore[misc]
 
 
 def refused_at_some(world: World, fleet: ShareFleet) -> None:
-    """Makes the allocator refuse connections from its deputy and one other router, as a partition with resets does."""
-    allocator, deputy = fleet.allocator(), fleet.deputy()
-    other = next(name for name in sorted(fleet.shares) if name not in (allocator, deputy))
+    """Makes the allocator refuse connections from its standby and one other router, as a partition with resets does."""
+    allocator, standby = fleet.allocator(), fleet.standby()
+    other = next(name for name in sorted(fleet.shares) if name not in (allocator, standby))
     address = fleet.identities[allocator].internal
     until = world.now + 5.5
-    for name in (deputy, other):
+    for name in (standby, other):
         messenger: Any = fleet.messengers[name]
         usual = messenger.call
 
@@ -263,7 +263,8 @@
 
 
 def _named(fleet: ShareFleet, name: str) -> str:
-    return {"allocator": fleet.allocator, "deputy": fleet.deputy}[name]() if name in ("allocator", "deputy") else name
+    roles = {"allocator": fleet.allocator, "standby": fleet.standby}
+    return roles[name]() if name in roles else name
 
 
 def _wake(world: World, fleet: ShareFleet, router: str) -> None:
@@ -279,11 +280,11 @@
 FAULTS: dict[str, Fault] = {
     "none": nothing,
     "allocator killed": kill("allocator"),
-    "deputy killed": kill("deputy"),
+    "standby killed": kill("standby"),
     "allocator without power": power_off("allocator"),
     "allocator frozen": freeze("allocator"),
     "allocator frozen briefly": freeze("allocator", frozen=0.6),
-    "allocator and deputy frozen": freeze("allocator", "deputy"),
+    "allocator and standby frozen": freeze("allocator", "standby"),
     "allocator cut off": cut_off("allocator"),
     "allocator and another cut off for long": cut_off("allocator", "r1", cut=10.0),
     "two others cut off": cut_off("r4", "r8", cut=10.0),
--- a/wingwood/membership/coordinator_selection.py
+++ b/wingwood/membership/coordinator_selection.py
@@ -13,6 +13,8 @@
 from .rendezvous import ranked
 
 COORDINATORS_TRIED_PER_HEARTBEAT = 6
+RANKING_KEY_PREFIX = "keeper/"
+"""Part of the hashed key: a change of it would move almost every daemon to another coordinator."""
 
 
 class CoordinatorSelection:
@@ -76,7 +78,7 @@
         ranking = [
             address
             for group in (near, far, others)
-            for address in ranked(f"keeper/{self._identity.name}", dict.fromkeys(group), str)
+            for address in ranked(f"{RANKING_KEY_PREFIX}{self._identity.name}", dict.fromkeys(group), str)
             if address != self._identity.internal
         ]
         now = self._context.clock.monotonic()
--- a/wingwood/membership/isolation.py
+++ b/wingwood/membership/isolation.py
@@ -1,4 +1,4 @@
-"""Detection that a coordinator is itself cut off from the others (docs/DESIGN.md section 8.3)."""
+"""Detection that a coordinator is itself partitioned from the others (docs/DESIGN.md section 8.3)."""
 
 from __future__ import annotations
 
