--- a/wingwood/limits/lease_requester.py
+++ b/wingwood/limits/lease_requester.py
@@ -170,8 +170,10 @@
     def _handle_grant(self, sent: SentRequest, grant: LeaseGrant) -> None:
         share, now = sent.share, self._now()
         if share.failover.record_grant(grant.from_standby):
-            name, allocator = share.tenant.name, sent.allocator.name
-            self._context.log.event("share-keeper-answers", tenant=name, keeper=allocator, by_deputy=sent.to_standby)
+            tenant, allocator = share.tenant.name, sent.allocator.name
+            self._context.log.event(
+                "allocator-reachable", tenant=tenant, allocator=allocator, by_standby=sent.to_standby
+            )
         if grant.from_standby:
             share.lease.restore_outstanding(sent.request.used, sent.usage_reports)
         else:
@@ -241,7 +243,7 @@
         share.lease.mark_allocator_unresponsive(now)
         if share.failover.record_unreachable(now):
             share.next_probe_at = Instant(now + self._options.probe_interval_s)
-            self._context.log.event("share-keeper-unreachable", tenant=share.tenant.name)
+            self._context.log.event("allocator-unreachable", tenant=share.tenant.name)
         while share.waiters:
             share.waiters.popleft().resolve(WaitResult.FALL_BACK)
 
--- a/wingwood/limits/share_allocator.py
+++ b/wingwood/limits/share_allocator.py
@@ -195,7 +195,7 @@
         missing = self._probes.missing() + unresponsive
         allocator_missing = self._selector.may_have_been_allocator(tenant, missing)
         account.inherit(reports, len(missing), allocator_missing, self._now())
-        self._context.log.event("share-keeper-began", tenant=tenant, level=account.bucket.level)
+        self._context.log.event("allocator-started", tenant=tenant, level=account.bucket.level)
 
     async def _request_usage(self, router: Identity, request: UsageRequest) -> UsageReport | None:
         if router.incarnation == self._messenger.identity.incarnation:
