--- a/wingwood/control/commands.py
+++ b/wingwood/control/commands.py
@@ -1,4 +1,4 @@
-"""Commands in the primary: waiting, decided, answered (docs/DESIGN.md section 7.7)."""
+"""Commands in the primary: pending, decided, answered (docs/DESIGN.md section 7.7)."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from returns.result import Failure, Result, Success
 
 from ..identifiers import Instant
-from .protocols import NotDecided
+from .errors import CommandFailure
 
-Answer = Result[msgspec.Struct, NotDecided]
+Answer = Result[msgspec.Struct, CommandFailure]
 """The reply of the applier, or why there is none."""
 
 EXPIRED = Instant(float("-inf"))
 
 
 class PendingCommand:
-    """A command that waits in the queue, then for its batch to become durable."""
+    """A command that is in the queue, or in a batch that is not durable yet."""
 
     __slots__ = ("answer", "command", "deadline", "decided", "kind")
 
@@ -41,9 +41,9 @@
         A command that was not decided by then is never run.
         """
         if self.decided:
-            return Failure(NotDecided("unknown", detail=detail))
+            return Failure(CommandFailure("unknown", detail=detail))
         self.deadline = EXPIRED
-        return Failure(NotDecided("busy", detail=detail))
+        return Failure(CommandFailure("busy", detail=detail))
 
 
 class DecidedCommand(msgspec.Struct, frozen=True):
@@ -57,15 +57,16 @@
         if now <= self.command.deadline:
             self.command.resolve(Success(self.reply))
         else:
-            self.command.resolve(Failure(NotDecided("unknown", detail="decided too late")))
+            self.command.resolve(Failure(CommandFailure("unknown", detail="decided too late")))
 
 
 def deliver_all(decided: Sequence[DecidedCommand], now: Instant) -> None:
-    for one in decided:
-        one.deliver(now)
+    """Sends the replies of a batch that has become durable."""
+    for command in decided:
+        command.deliver(now)
 
 
 def fail_all(decided: Sequence[DecidedCommand], detail: str) -> None:
     """Answers all commands with ``unknown``, since their batch may or may not become durable."""
-    for one in decided:
-        one.command.resolve(Failure(NotDecided("unknown", detail=detail)))
+    for command in decided:
+        command.command.resolve(Failure(CommandFailure("unknown", detail=detail)))
