--- a/wingwood/limits/tests/test_share_account.py
+++ b/wingwood/limits/tests/test_share_account.py
@@ -1,4 +1,4 @@
-"""An allocator's bucket and window, usage inherited from its predecessor, and a standby's account.
+"""An allocator's bucket and window.
 
 A mistake here lets a tenant exceed its quota or refuses calls below it (docs/DESIGN.md section 14.1).
 """
@@ -9,54 +9,12 @@
 from random import Random
 from unittest import mock
 
-from ...identifiers import Address, DaemonName, Incarnation, Instant, Seconds, TenantName, Zone
+from ...identifiers import Address, DaemonName, Incarnation, Zone
 from ...transport.frames import Identity
-from ..inherited_usage import merge_reports
-from ..messages import AllocatorView, LeaseRequest, UsageReport
 from ..router_records import REQUEST_LAG_S, TOTALS_MAX_AGE_S, RouterRecord
 from ..share_account import ShareAccount
 from ..share_options import AUTONOMY_S
-from ..standby_account import StandbyAccount
-from ..tolerance import CREDIT_FRACTION, LAG_FRACTION, QuotaPlan, QuotaTolerance, make_plan
-
-WINDOW = Seconds(8.0)
-TOLERANCE = QuotaTolerance(window=WINDOW, over=0.1, slack=72_000.0)
-RATE = 100_000.0
-
-
-def plan(rate: float = RATE, tolerance: QuotaTolerance = TOLERANCE) -> QuotaPlan:
-    return make_plan(rate, Seconds(1.0), "tokens", tolerance)
-
-
-def router(number: int) -> Identity:
-    return Identity(
-        DaemonName(f"r{number}"), Incarnation(f"i{number}"), "router", Zone("a"), Address("127.0.0.1", number)
-    )
-
-
-def request(number: int, *costs: int, used: int = 0, needed_rate: float = 0.0, accrued: float = 0.0) -> LeaseRequest:
-    return LeaseRequest(TenantName("estate"), RATE, Seconds(1.0), "tokens", number, costs, used, needed_rate, accrued)
-
-
-def at(seconds: float) -> Instant:
-    return Instant(seconds)
-
-
-class PlanTest(unittest.TestCase):
-    def test_the_parts_add_up_to_the_bound(self) -> None:
-        for rate in (29_000.0, RATE, 436_000.0):
-            for slack in (72_000.0, 110_000.0):
-                parts = plan(rate, QuotaTolerance(window=WINDOW, over=0.1, slack=slack))
-                bound = (rate * WINDOW + rate) * 1.1 + slack
-                total = parts.max_window_use + parts.credit + parts.reserve + LAG_FRACTION * (bound - 9.0 * rate)
-                self.assertLessEqual(total, bound + 1e-6)
-                self.assertGreater(total, 0.99 * bound, "a reserve above the bucket's capacity would be wasted")
-                self.assertGreaterEqual(parts.bucket, max(rate, 45_000.0), "a large call must fit into the bucket")
-                self.assertAlmostEqual(parts.credit, CREDIT_FRACTION * (bound - 9.0 * rate))
-
-    def test_without_tolerance_the_bucket_is_the_burst(self) -> None:
-        self.assertEqual(make_plan(100.0, Seconds(1.0), "calls", QuotaTolerance()).bucket, 100.0)
-        self.assertEqual(make_plan(2.0, Seconds(1.0), "calls", QuotaTolerance()).bucket, 5.0)
+from .account_samples import RATE, WINDOW, at, plan, request, router
 
 
 class ManyRoutersTest(unittest.TestCase):
@@ -172,48 +130,3 @@
         self.assertEqual(self.account.used.count(at(1.0)), 300_000)
         self.account.change_plan(plan(RATE / 2), at(2.0))
         self.assertEqual(self.account.used.count(at(2.0)), 0)
-
-
-class InheritedUsageTest(unittest.TestCase):
-    def report(
-        self, *used: int, covered_span: float = 8.0, view: AllocatorView | None = None, ago: float = 0.0
-    ) -> UsageReport:
-        return UsageReport(used, Seconds(covered_span), None, 1, view=view, view_age=Seconds(ago))
-
-    def test_reports_are_summed_by_age(self) -> None:
-        inherited = merge_reports([self.report(1, 2), self.report(10, 0, 30)], WINDOW)
-        self.assertEqual(inherited.steps, (11, 2, 30))
-        self.assertEqual((inherited.unreported, inherited.span), (0.0, 8.0))
-
-    def test_use_at_an_ended_allocator_is_derived_from_its_view(self) -> None:
-        view = AllocatorView(used=500_000.0, total_allowed_rate=RATE, covered_span=Seconds(30.0), level=20_000.0)
-        inherited = merge_reports([self.report(0, 100_000, 200_000, view=view)], WINDOW)
-        self.assertEqual(inherited.unreported, 200_000.0)
-        self.assertEqual(inherited.total_allowed_rate, RATE)
-
-    def test_the_bucket_level_follows_from_the_time_that_reports_cover(self) -> None:
-        recent = merge_reports([self.report(covered_span=0.5), self.report(covered_span=3.0)], WINDOW)
-        self.assertAlmostEqual(recent.level(RATE, 150_000.0), 50_000.0)
-        self.assertAlmostEqual(merge_reports([self.report()], WINDOW).level(RATE, 150_000.0), 150_000.0)
-
-    def test_a_report_of_a_recently_started_router_does_not_shorten_a_longer_view(self) -> None:
-        view = AllocatorView(used=0.0, total_allowed_rate=0.0, covered_span=Seconds(30.0), level=90_000.0)
-        inherited = merge_reports([self.report(covered_span=0.5), self.report(view=view, ago=0.2)], WINDOW)
-        self.assertAlmostEqual(inherited.level(RATE, 150_000.0), 150_000.0)
-
-
-class StandbyAccountTest(unittest.TestCase):
-    def test_grants_the_reserve_and_transferred_allowances(self) -> None:
-        account = StandbyAccount(plan(), WINDOW, at(0.0))
-        at_once = int(0.8 * plan().reserve)
-        self.assertEqual(account.grant((at_once, 1_000), 0.0, at(0.0)), (True, False))
-        self.assertEqual(account.grant((1_000, 1_000), 1_500.0, at(0.0)), (True, False))
-        total = sum(sum(account.grant((100,), 0.0, at(step / 100))) * 100 for step in range(1, 800))
-        self.assertLess(at_once + 1_000 + total, plan().reserve + 1_500)
-        self.assertGreater(total, 0.15 * plan().reserve)
-
-    def test_transferred_allowances_expire_without_requests(self) -> None:
-        account = StandbyAccount(plan(), WINDOW, at(0.0))
-        account.grant((int(0.8 * plan().reserve),), 0.0, at(0.0))
-        account.grant((), 50_000.0, at(0.0))
-        self.assertEqual(account.grant((30_000,), 0.0, at(2.5)), (False,))
