--- a/wingwood/limits/router_records.py
+++ b/wingwood/limits/router_records.py
@@ -30,10 +30,6 @@
     accrued: float = 0.0
     """Unused part of its allowance that it has accumulated."""
 
-    def max_rate(self) -> float:
-        """Returns the highest rate per second that it may use on its own at present."""
-        return max(self.allowed_rate, self.previous_allowed_rate)
-
     def may_have_used(self, now: Instant, window_s: Seconds, max_duration_s: Seconds) -> float:
         """Returns the most that it can have used on its own in the last ``window_s``.
 
@@ -42,7 +38,7 @@
         end = min(now, self.last_request_at + max_duration_s)
         age = max(0.0, end - max(self.last_request_at, now - window_s))
         accrued = self.accrued if now - self.last_request_at <= window_s else 0.0
-        return accrued + self.max_rate() * age
+        return accrued + max(self.allowed_rate, self.previous_allowed_rate) * age
 
 
 class RouterTotals(msgspec.Struct):
@@ -61,30 +57,25 @@
     growth_rate: float = 0.0
     """Per second: what ``bucket_part`` and ``window_part`` grow by at most."""
 
-    def add(self, record: RouterRecord) -> None:
-        """Adds the router's part."""
-        self._add(record, 1.0)
-
-    def subtract(self, record: RouterRecord) -> None:
-        """Subtracts the router's part, before a change of its record."""
-        self._add(record, -1.0)
-
     def allowed_to_others(self, record: RouterRecord) -> float:
         """Returns the rate per second that all other routers may use on their own."""
-        return self.allowed_rate - (record.allowed_rate if self._is_autonomous(record) else 0.0)
+        autonomous = self.at <= record.last_request_at + AUTONOMY_S
+        return self.allowed_rate - (record.allowed_rate if autonomous else 0.0)
 
-    def _is_autonomous(self, record: RouterRecord) -> bool:
-        return self.at <= record.last_request_at + AUTONOMY_S
+    def subtract(self, record: RouterRecord) -> None:
+        """Subtracts the router's part, before a change of its record."""
+        self.add(record, sign=-1.0)
 
-    def _add(self, record: RouterRecord, sign: float) -> None:
+    def add(self, record: RouterRecord, sign: float = 1.0) -> None:
+        """Adds the router's part, or subtracts it when ``sign`` is -1; called for each router at each request."""
         max_duration_s = UNLIMITED_S if self.unconfirmed else AUTONOMY_S
-        if self._is_autonomous(record):
+        if self.at <= record.last_request_at + AUTONOMY_S:
             self.allowed_rate += sign * record.allowed_rate
         if not (record.allowed_rate or record.previous_allowed_rate or record.accrued):
             return
         self.bucket_part += sign * record.may_have_used(self.at, self.window_s, ACCRUAL_LIMIT_S)
         self.window_part += sign * record.may_have_used(self.at, self.window_s, max_duration_s)
-        self.growth_rate += sign * record.max_rate()
+        self.growth_rate += sign * max(record.allowed_rate, record.previous_allowed_rate)
         if self.at - record.last_request_at <= ACCRUAL_LIMIT_S:
             self.bucket_part += sign * REQUEST_LAG_S * record.allowed_rate
 
--- a/wingwood/limits/share_account.py
+++ b/wingwood/limits/share_account.py
@@ -136,7 +136,8 @@
 
         What a router used while it was partitioned off is counted in the window only.
         """
-        max_use = record.accrued + record.max_rate() * CONTACT_INTERVAL_S + self.plan.credit
+        max_rate = max(record.allowed_rate, record.previous_allowed_rate)
+        max_use = record.accrued + max_rate * CONTACT_INTERVAL_S + self.plan.credit
         return min(request.used, max_use)
 
     def clear_missing(self) -> None:
