--- a/bench/limits_bench.py
+++ b/bench/limits_bench.py
@@ -115,8 +115,8 @@
     ("keeper frozen 6 s, 0.9", 100, even(90), at_five_seconds(freeze)),
     ("keeper cut off 6 s, 2 x", 100, even(200), at_five_seconds(cut)),
     ("keeper cut off 6 s, 0.9", 100, even(90), at_five_seconds(cut)),
-    ("keeper cut from its deputy, 2 x", 100, even(200), at_five_seconds(cut_from_standby)),
-    ("keeper cut from its deputy, 0.9", 100, even(90), at_five_seconds(cut_from_standby)),
+    ("keeper cut from its standby, 2 x", 100, even(200), at_five_seconds(cut_from_standby)),
+    ("keeper cut from its standby, 0.9", 100, even(90), at_five_seconds(cut_from_standby)),
     ("small, keeper killed, 4 of 8/s", 8, even(4), at_five_seconds(kill)),
     ("small, keeper frozen, 4 of 8/s", 8, even(4), at_five_seconds(freeze)),
     ("small, keeper killed, 16 of 8/s", 8, even(16), at_five_seconds(kill)),
@@ -224,12 +224,12 @@
             await asyncio.sleep(0.01)
 
     async def timed(name: str, count: int, work: Callable[[int], Awaitable[object]]) -> None:
-        before = sum(messenger.bytes_in + messenger.bytes_out for messenger in messengers)
+        before = sum(messenger.traffic.bytes_in + messenger.traffic.bytes_out for messenger in messengers)
         started_at = time.process_time()
         for number in range(count):
             await work(number)
         cpu_seconds = time.process_time() - started_at
-        bytes_moved = sum(messenger.bytes_in + messenger.bytes_out for messenger in messengers) - before
+        bytes_moved = sum(messenger.traffic.bytes_in + messenger.traffic.bytes_out for messenger in messengers) - before
         click.echo(
             f"{name:44} {cpu_seconds / count * 1e6:8.1f} µs  {bytes_moved / count:7.1f} bytes counted by the messengers"
         )
--- a/wingwood/control/client.py
+++ b/wingwood/control/client.py
@@ -11,7 +11,8 @@
 from ..bundle.model import OrderOutcome
 from ..context.protocols import Context
 from ..identifiers import Address, Instant, Seconds
-from ..transport.messenger import Messenger, TransportFault
+from ..transport.errors import TransportFailure
+from ..transport.messenger import Messenger
 from .errors import CommandFailure
 from .leader_finder import LeaderFinder
 from .messages import ControlCommand, ControlDecision
@@ -47,7 +48,7 @@
         self._latest = CommandFailure("not-leading", detail="no control daemon answers")
         self._may_have_run = False
 
-    def record_fault(self, fault: TransportFault) -> None:
+    def record_fault(self, fault: TransportFailure) -> None:
         """Records an attempt without an answer."""
         kind: Literal["unknown", "not-leading"] = "unknown" if fault.sent else "not-leading"
         self.record_failure(CommandFailure(kind, None, f"{fault.kind} {fault.detail}"))
--- a/wingwood/distribution/tests/fakes.py
+++ b/wingwood/distribution/tests/fakes.py
@@ -32,7 +32,7 @@
 
 
 class FakeControlCore:
-    """Has the epoch and the primary that the test sets; ``prove_lead`` really asks the other control daemons."""
+    """Has the epoch and the primary that the test sets; ``confirm_leadership`` really asks the other daemons."""
 
     def __init__(self, messenger: Messenger, others: tuple[Address, ...]) -> None:
         self._messenger = messenger
--- a/wingwood/forward/tests/test_starting.py
+++ b/wingwood/forward/tests/test_starting.py
@@ -13,14 +13,14 @@
 
 from ...identifiers import Seconds
 from ..caller_format import DefaultCallerFormat
+from ..calls import CallerRequest
 from ..formats import CallerFormat, Formats
-from ..limits import PathLimits
+from ..forward_options import ForwardOptions
 from ..policies.starting import SERVING_RESERVE_SECONDS, STARTUP_SECONDS
-from ..protocols import IncomingCall
 from ..worker_format import DefaultWorkerFormat
 from .fakes import Caller, PathWorld, Reply, request, responds
 
-WAIT = PathLimits().startup_wait
+WAIT = ForwardOptions().startup_wait
 
 
 class CallersWithTimeout(DefaultCallerFormat):
@@ -29,17 +29,17 @@
     def __init__(self, timeout: Seconds) -> None:
         self._timeout = timeout
 
-    def caller_timeout(self, call: IncomingCall) -> Seconds | None:
+    def caller_timeout(self, request: CallerRequest) -> Seconds | None:
         return self._timeout
 
 
 class StartingTest(unittest.TestCase):
     def start(self, caller_format: CallerFormat | None = None) -> PathWorld:
-        """Starts a router whose bundle is not proven, and a worker that answers."""
+        """Starts a router whose bundle is not confirmed, and a worker that answers."""
         world = World(seed=21).__enter__()
         self.addCleanup(world.close)
         formats = Formats(caller=caller_format or DefaultCallerFormat(), worker=DefaultWorkerFormat())
-        path = PathWorld(world, PathLimits(), formats=formats)
+        path = PathWorld(world, ForwardOptions(), formats=formats)
         path.bundle.serving = False
         path.worker("w1", responds(b"answer"))
         return path
@@ -58,7 +58,7 @@
 
         return world.complete(run())
 
-    def test_a_call_is_served_once_the_bundle_is_proven(self) -> None:
+    def test_a_call_is_served_once_the_bundle_is_confirmed(self) -> None:
         reply, seconds = self.reply_and_time(self.start(), serves_after=0.8)
         self.assertEqual((reply.status, reply.body()), (200, b"answer"))
         self.assertLess(seconds, 0.9)
@@ -96,7 +96,7 @@
         self.assertEqual(reply.status, 503)
         self.assertLess(seconds, 0.05)
 
-    def test_a_proof_that_is_lost_later_is_not_waited_for(self) -> None:
+    def test_a_confirmation_that_is_lost_later_is_not_waited_for(self) -> None:
         path = self.start()
         path.bundle.serving = True
         self.assertEqual(path.call().status, 200)
--- a/wingwood/limits/lease_requester.py
+++ b/wingwood/limits/lease_requester.py
@@ -10,8 +10,9 @@
 
 from ..context.protocols import Context
 from ..identifiers import Instant, Seconds
+from ..transport.errors import TransportFailure
 from ..transport.frames import Identity
-from ..transport.messenger import Messenger, TransportFault
+from ..transport.messenger import Messenger
 from .allocator_selector import AllocatorSelector
 from .messages import LeaseGrant, LeaseRequest
 from .protocols import CallRejection
@@ -181,7 +182,7 @@
             share.lease.apply_grant(grant, sent.sent_at, sent.credit_used, now)
         self._resolve_waiters(sent, grant, now)
 
-    def _handle_late_grant(self, sent: SentRequest, call: asyncio.Task[Result[LeaseGrant, TransportFault]]) -> None:
+    def _handle_late_grant(self, sent: SentRequest, call: asyncio.Task[Result[LeaseGrant, TransportFailure]]) -> None:
         if call.cancelled() or not isinstance(outcome := call.result(), Success):
             return
         grant: LeaseGrant = outcome.unwrap()
--- a/wingwood/limits/router_probes.py
+++ b/wingwood/limits/router_probes.py
@@ -9,8 +9,9 @@
 
 from ..context.protocols import Context
 from ..identifiers import Incarnation, Instant, Seconds, TenantName
+from ..transport.errors import TransportFailure
 from ..transport.frames import Identity
-from ..transport.messenger import Messenger, TransportFault
+from ..transport.messenger import Messenger
 from .allocator_selector import AllocatorSelector
 from .messages import MembershipReply, MembershipRequest, ReachabilityReply, ReachabilityRequest
 from .share_options import AUTONOMY_S, ShareOptions
@@ -54,7 +55,7 @@
         """Returns whether the router's process is known to have ended."""
         return router.incarnation in self._ended
 
-    def check_ended(self, router: Identity, outcome: Result[msgspec.Struct, TransportFault]) -> None:
+    def check_ended(self, router: Identity, outcome: Result[msgspec.Struct, TransportFailure]) -> None:
         """Starts to confirm that a router has ended if ``outcome`` is a refused connection.
 
         Either the machine no longer runs the process, or a network partition resets connections to it.
--- a/wingwood/membership/coordinator_session.py
+++ b/wingwood/membership/coordinator_session.py
@@ -8,7 +8,8 @@
 
 from ..context.protocols import Context, Task
 from ..identifiers import Address, BundleVersion, Instant, Seconds
-from ..transport.messenger import Messenger, TransportFault
+from ..transport.errors import TransportFailure
+from ..transport.messenger import Messenger
 from .control_directory import ControlDirectory
 from .coordinator_selection import CoordinatorSelection
 from .member_list_replica import MemberListReplica
@@ -137,7 +138,7 @@
             return True
         return last_answer_age > self._options.session_timeout_s / 2
 
-    async def _handle_no_answer(self, address: Address, fault: TransportFault, sent_at: Instant) -> bool:
+    async def _handle_no_answer(self, address: Address, fault: TransportFailure, sent_at: Instant) -> bool:
         """Records the failure of the coordinator; returns whether another one is to be tried now."""
         if fault.kind == "rejected":
             await self._directory.ask(address)
--- a/wingwood/membership/peer_polling.py
+++ b/wingwood/membership/peer_polling.py
@@ -8,7 +8,8 @@
 
 from ..context.protocols import Context, Task
 from ..identifiers import Address, Instant, Seconds
-from ..transport.messenger import Messenger, TransportFault
+from ..transport.errors import TransportFailure
+from ..transport.messenger import Messenger
 from .coordinator_peer import CoordinatorPeer
 from .coordinator_peers import CoordinatorPeers, checksum
 from .known_controls import request_known_controls
@@ -121,7 +122,9 @@
         for relayed in report.relayed:
             self._reports.apply_relayed(relayed, requested_at)
 
-    def _handle_no_answer(self, peer: CoordinatorPeer, fault: TransportFault, requested_at: Instant) -> Seconds | None:
+    def _handle_no_answer(
+        self, peer: CoordinatorPeer, fault: TransportFailure, requested_at: Instant
+    ) -> Seconds | None:
         """Returns the time until the next request, or None if the peer was evicted.
 
         Seeds that are not coordinators are evicted, as are other peers that have been unresponsive for very long.
