--- a/wingwood/distribution/follower.py
+++ b/wingwood/distribution/follower.py
@@ -6,8 +6,8 @@
 from ..context.protocols import Context, Task
 from ..identifiers import Epoch, Instant, Seconds
 from ..membership.client import MembershipClient
-from ..membership.duties import EpochGate
 from ..membership.messages import ClusterUpdate
+from ..membership.singleton_roles import EpochGate
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
 from .applied_bundle import AppliedBundle
@@ -68,7 +68,7 @@
         messenger.on_post(BundlePosted, self._on_posted)
         messenger.on_post(BundleAnnounced, self._on_announced)
         membership.on_update(self._on_membership_update)
-        membership.report_version(applied.version)
+        membership.set_version_source(applied.version)
 
     def start(self) -> None:
         """Starts the loops; ``stop`` ends them."""
@@ -86,10 +86,10 @@
 
     def _on_membership_update(self, update: ClusterUpdate, asked_at: Instant) -> None:
         """Records what a heartbeat answer states; ``asked_at`` is the own time just before the heartbeat was sent."""
-        if update.proof_age is not None:
-            self._applied.record_confirmation(update.proof_version, Instant(asked_at - update.proof_age))
+        if update.confirmation_age is not None:
+            self._applied.record_confirmation(update.confirmed_version, Instant(asked_at - update.confirmation_age))
         self._gate.admit(update.epoch)
-        self._target.raise_to(max(update.latest_version, update.proof_version))
+        self._target.raise_to(max(update.latest_version, update.confirmed_version))
 
     def _on_posted(self, peer: Identity, message: BundlePosted) -> None:
         version = message.delta.manifest.version
--- a/wingwood/distribution/freshness_confirmation.py
+++ b/wingwood/distribution/freshness_confirmation.py
@@ -84,8 +84,8 @@
             epoch=self._core.epoch(),
             primary=self._core.primary_address(),
             latest_version=max(self._announced_version, self._confirmed_version, self._own_latest_version()),
-            proof_version=self._confirmed_version,
-            proof_age=age,
+            confirmed_version=self._confirmed_version,
+            confirmation_age=age,
         )
 
     def _own_latest_version(self) -> BundleVersion:
--- a/wingwood/distribution/tests/small_fleet.py
+++ b/wingwood/distribution/tests/small_fleet.py
@@ -17,7 +17,7 @@
 from ...identifiers import Address, BundleVersion, DaemonName, Incarnation, Seconds, SliceName, Zone
 from ...membership.client import MembershipClient
 from ...membership.coordinator import MembershipCoordinator
-from ...membership.limits import SessionTimes
+from ...membership.membership_options import MembershipOptions
 from ...transport.frames import Identity
 from ...transport.messenger import TcpMessenger
 from ..applied_bundle import AppliedBundle
@@ -37,14 +37,14 @@
 
     coordinator_class = MembershipCoordinator
     confirmer_class = FreshnessConfirmer
-    times = SessionTimes()
+    membership_options = MembershipOptions()
     options = DistributionOptions()
 
     def __init__(self, context: Context, identity: Identity, seeds: Sequence[Address], disk: BundleState) -> None:
         self.messenger = TcpMessenger(context, identity, KEY)
         self.core = FakeControlCore(self.messenger, tuple(seeds))
         self.source = FakeBundleSource(disk)
-        self.coordinator = self.coordinator_class(context, self.messenger, seeds, self.times)
+        self.coordinator = self.coordinator_class(context, self.messenger, seeds, self.membership_options)
         self.freshness = self.confirmer_class(
             context, self.messenger, self.core, self.source, self.coordinator, self.options
         )
@@ -60,12 +60,12 @@
     client_class = MembershipClient
     bundle_class = AppliedBundle
     follower_class = BundleFollower
-    times = SessionTimes()
+    membership_options = MembershipOptions()
     options = DistributionOptions()
 
     def __init__(self, context: Context, identity: Identity, seeds: Sequence[Address], bound: Seconds | None) -> None:
         self.messenger = TcpMessenger(context, identity, KEY)
-        self.client = self.client_class(context, self.messenger, seeds, self.times)
+        self.client = self.client_class(context, self.messenger, seeds, self.membership_options)
         place = VariantTarget(identity.zone, identity.name)
         self.bundle = self.bundle_class(context, place, OPERATOR_KEYS, bound, self.options)
         self.follower = self.follower_class(context, self.messenger, self.client, self.bundle, self.options)
--- a/wingwood/forward/policies/paid_share.py
+++ b/wingwood/forward/policies/paid_share.py
@@ -22,7 +22,7 @@
 
     async def apply(self, call: IncomingCall, proceed: Proceed) -> CallResult:
         """Charges the call to its tenant's paid share; a call beyond it ends with 429."""
-        self._retry_budget.note_call(call.service)
+        self._retry_budget.record_call(call.service)
         tenant = call.attributes.tenant
         refusal = None if tenant is None else await self._shares.take(tenant, call.attributes.quota_cost)
         if refusal is None:
--- a/wingwood/forward/tests/test_paid_share.py
+++ b/wingwood/forward/tests/test_paid_share.py
@@ -20,7 +20,7 @@
     ServiceName,
     TenantName,
 )
-from ...limits.protocols import ShareRefused
+from ...limits.protocols import CallRejection
 from ..calls import CallAttributes, CallerRequest, IncomingCall
 from ..policies.paid_share import PaidSharePolicy
 from ..results import CallResult, Forwarded, Rejection
@@ -58,13 +58,13 @@
 
     def test_a_call_without_a_tenant_is_charged_nothing(self) -> None:
         limits = FakeLimits()
-        limits.share_refused = ShareRefused(Seconds(1.0))
+        limits.share_refused = CallRejection(Seconds(1.0))
         self.assertEqual(self.apply(limits), Forwarded(200))
         self.assertEqual((limits.shares_taken, limits.earned_by), (0, ["chat"]))
 
     def test_a_refused_call_gets_a_retry_time_and_adds_to_the_retry_budget(self) -> None:
         limits = FakeLimits()
-        limits.share_refused = ShareRefused(Seconds(0.3))
+        limits.share_refused = CallRejection(Seconds(0.3))
         answer = self.apply(limits, tenant=TENANT, quota_cost=40_000)
         assert isinstance(answer, Rejection)
         self.assertEqual((answer.status, answer.run, answer.retry_after), (429, "not-run", 0.3))
--- a/wingwood/registry/announcement_handler.py
+++ b/wingwood/registry/announcement_handler.py
@@ -161,7 +161,7 @@
         """
         if self._messenger.identity.role == "router":
             return False
-        confirmed_at = self._membership.session_proven_at()
+        confirmed_at = self._membership.session_confirmed_at()
         return confirmed_at is not None and self._context.clock.monotonic() - confirmed_at > CONTACT_MAX_AGE_S
 
     def _acknowledge(self, worker: Worker) -> None:
--- a/wingwood/registry/feed_server.py
+++ b/wingwood/registry/feed_server.py
@@ -41,7 +41,7 @@
 
     async def _on_request(self, peer: Identity, message: FeedRequest) -> FeedReply:
         now = self._now()
-        confirmed_at = self._membership.session_proven_at()
+        confirmed_at = self._membership.session_confirmed_at()
         replies = tuple(self._pool_reply(peer, request, now) for request in message.pools)
         known = () if message.pools else tuple(self._directory.pools())
         session_age = Seconds(float("inf") if confirmed_at is None else now - confirmed_at)
--- a/wingwood/registry/pool_ownership.py
+++ b/wingwood/registry/pool_ownership.py
@@ -144,7 +144,7 @@
         """
         owned = self._owned.get(pool)
         now = self._now()
-        confirmed_at = self._membership.session_proven_at()
+        confirmed_at = self._membership.session_confirmed_at()
         if confirmed_at is None or now - confirmed_at > SESSION_CONFIRMATION_MAX_AGE_S:
             return UNKNOWN_AGE
         if owned is None or not owned.synced:
--- a/wingwood/registry/worker_registry.py
+++ b/wingwood/registry/worker_registry.py
@@ -239,7 +239,7 @@
         last = self._now()
         while True:
             now = self._now()
-            confirmed_at = self._membership.session_proven_at()
+            confirmed_at = self._membership.session_confirmed_at()
             was_paused = now - last > SESSION_CONFIRMATION_MAX_AGE_S
             if was_paused or confirmed_at is None or now - confirmed_at > SESSION_CONFIRMATION_MAX_AGE_S:
                 self._ownership.reset_sync()
