--- a/emulator/router_fakes.py
+++ b/emulator/router_fakes.py
@@ -1,6 +1,7 @@
 """Minimal fakes of the other components of a router, for tests and benchmarks of its request path.
 
-The fakes refuse nothing and record nothing. Tests that inspect calls to a component, or make it refuse, use subclasses.
+The fakes reject nothing and record nothing. Tests that inspect calls to a component, or make it reject calls, use
+subclasses. The protocols of the components name arguments that the fakes do not need.
 """
 
 from __future__ import annotations
@@ -69,43 +70,53 @@
         self.serving = True
 
     def current(self) -> Bundle | None:
+        """Returns the fixed bundle, whether or not it may be served."""
         return self.bundle
 
     def confirmed_latest_at(self) -> Instant | None:
+        """Returns None: no control daemon has confirmed the bundle."""
         return None
 
     def may_serve(self) -> bool:
+        """Returns ``serving``."""
         return self.serving
 
-    def on_change(self, callback: Callable[[Bundle], None]) -> None: ...
+    def on_change(self, callback: Callable[[Bundle], None]) -> None:
+        """Ignores the callback: the bundle never changes."""
 
 
 class UnlimitedShares:
     """Paid shares without a limit."""
 
-    async def take(self, tenant: Tenant, cost: int = 1) -> CallRejection | None:
+    async def take(self, tenant: Tenant, cost: int = 1) -> CallRejection | None:  # noqa: ARG002
+        """Admits the call."""
         return None
 
 
 class OpenAdmission:
-    """Admission that refuses nothing, and a retry budget that is always empty."""
+    """Admission that rejects nothing, and a retry budget that is always empty."""
 
-    def take(self, service: Service, pool: PoolName | None = None) -> bool:
+    def take(self, service: Service, pool: PoolName | None = None) -> bool:  # noqa: ARG002
+        """Denies the retry: the budget is empty."""
         return False
 
-    def check(self, service: Service, predicted_first_token: Seconds) -> CallRejection | None:
+    def check(self, service: Service, predicted_first_token: Seconds) -> CallRejection | None:  # noqa: ARG002
+        """Admits the call."""
         return None
 
-    def record_call(self, service: Service, pool: PoolName | None = None) -> None: ...
+    def record_call(self, service: Service, pool: PoolName | None = None) -> None:
+        """Ignores the call."""
 
 
 class GrantingLedger:
     """A ledger that grants every claim."""
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | ClaimError:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | ClaimError:  # noqa: ARG002
+        """Grants the claim with the same ticket for every key."""
         return Claimed(TICKET)
 
-    async def report_outcome(self, key: CallKey, ticket: str, outcome: Outcome) -> bool:
+    async def report_outcome(self, key: CallKey, ticket: str, outcome: Outcome) -> bool:  # noqa: ARG002
+        """Acknowledges the outcome without storing it."""
         return True
 
 
@@ -116,13 +127,15 @@
         self.workers = [*workers]
         self.first_token = Seconds(0.01)
 
-    async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
+    async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:  # noqa: ARG002
+        """Chooses the first worker that is not excluded; fails when there is none."""
         for worker in self.workers:
             if worker.instance not in excluded:
                 return Success(Choice(worker=worker, method="award", first_token=self.first_token))
         return Failure(NoWorker("none-ready", Seconds(2.0)))
 
-    def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None: ...
+    def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
+        """Ignores the report."""
 
     def finished(
         self,
@@ -131,17 +144,23 @@
         outcome: Literal["whole", "refused", "broken", "cancelled"],
         generated_tokens: int,
         first_token_after: Seconds | None,
-    ) -> None: ...
+    ) -> None:
+        """Ignores the report."""
 
-    def ready(self, pool: PoolName) -> Sequence[Worker]:
+    def ready(self, pool: PoolName) -> Sequence[Worker]:  # noqa: ARG002
+        """Returns all workers, whatever their pool."""
         return self.workers
 
-    def find(self, instance: WorkerInstance) -> Worker | None:
+    def find(self, instance: WorkerInstance) -> Worker | None:  # noqa: ARG002
+        """Returns None: no worker is found by its instance."""
         return None
 
-    async def confirm(self, worker: Worker) -> bool:
+    async def confirm(self, worker: Worker) -> bool:  # noqa: ARG002
+        """Confirms every worker."""
         return True
 
-    def suspect(self, instance: WorkerInstance) -> None: ...
+    def suspect(self, instance: WorkerInstance) -> None:
+        """Ignores the suspicion."""
 
-    def on_change(self, callback: Callable[[Worker], None]) -> None: ...
+    def on_change(self, callback: Callable[[Worker], None]) -> None:
+        """Ignores the callback: the workers never change."""
--- a/emulator/worker.py
+++ b/emulator/worker.py
@@ -19,10 +19,11 @@
 import asyncio
 from collections import deque
 from collections.abc import Callable, Sequence
-from typing import Any
+from typing import cast
 
 import msgspec
 from returns.result import Failure, Result, Success
+from tornado.http1connection import HTTP1Connection
 from tornado.httpserver import HTTPServer
 from tornado.httputil import HTTPHeaders, HTTPServerRequest, ResponseStartLine
 from tornado.iostream import BaseIOStream, StreamClosedError
@@ -207,14 +208,16 @@
         self._server.handle_stream(stream, (address.host, address.port))  # type: ignore[arg-type]
 
     def _take(self, request: HTTPServerRequest) -> None:
-        connection: Any = request.connection
+        # Tornado's server makes all its requests on connections of this class.
+        connection = cast(HTTP1Connection, request.connection)
         self._call_number += 1
         number = self._call_number
         task = self.context.tasks.spawn("call", self._serve(request, connection, number))
         self._calls[number] = (task, connection.stream)
-        connection.set_close_callback(task.cancel)
+        # Tornado ignores what the callback returns.
+        connection.set_close_callback(cast(Callable[[], None], task.cancel))
 
-    async def _serve(self, request: HTTPServerRequest, connection: Any, number: int) -> None:
+    async def _serve(self, request: HTTPServerRequest, connection: HTTP1Connection, number: int) -> None:
         try:
             if request.path == "/faults":
                 self._apply_fault(request, connection)
@@ -226,7 +229,7 @@
         finally:
             self._calls.pop(number, None)
 
-    async def _answer(self, request: HTTPServerRequest, connection: Any) -> None:
+    async def _answer(self, request: HTTPServerRequest, connection: HTTP1Connection) -> None:
         if request.path == "/health":
             health = {"instance": self.instance, "state": self.state, **self.load()}
             _reply(connection, 200, health)
@@ -239,7 +242,7 @@
         else:
             await self._call(request, connection)
 
-    def _apply_fault(self, request: HTTPServerRequest, connection: Any) -> None:
+    def _apply_fault(self, request: HTTPServerRequest, connection: HTTP1Connection) -> None:
         try:
             fault = msgspec.json.decode(request.body, type=Fault)
         except msgspec.MsgspecError as malformed:
@@ -262,7 +265,7 @@
                 self._responsive.set()
         self.announcer.changed()
 
-    async def _call(self, request: HTTPServerRequest, connection: Any) -> None:
+    async def _call(self, request: HTTPServerRequest, connection: HTTP1Connection) -> None:
         arrived = self.context.clock.monotonic()
         expected = request.headers.get("Expect-Instance")
         if expected is not None and expected != self.instance:
@@ -317,7 +320,9 @@
         if not self.running:
             self.idle.set()
 
-    async def _run(self, request: HTTPServerRequest, connection: Any, body: CallBody, arrived: float) -> None:
+    async def _run(
+        self, request: HTTPServerRequest, connection: HTTP1Connection, body: CallBody, arrived: float
+    ) -> None:
         parts = prompt_parts(request.headers.get("Prefix"), body, len(request.body))
         run = Run(
             number=len(self.runs) + 1,
@@ -351,7 +356,7 @@
         if self.on_run is not None:
             self.on_run(run)
 
-    async def _plain(self, connection: Any, body: CallBody, run: Run) -> None:
+    async def _plain(self, connection: HTTP1Connection, body: CallBody, run: Run) -> None:
         await asyncio.sleep(self.options.plain_seconds)
         answer: dict[str, object] = {
             "request": run.request,
@@ -361,7 +366,7 @@
         }
         self._finish_plain(connection, run, answer)
 
-    async def _model(self, connection: Any, body: CallBody, run: Run, parts: Sequence[PromptPart]) -> None:
+    async def _model(self, connection: HTTP1Connection, body: CallBody, run: Run, parts: Sequence[PromptPart]) -> None:
         async with self._prefill:
             run.cached_tokens = self.cache.cached_tokens(parts)
             await asyncio.sleep((run.prompt_tokens - run.cached_tokens) * self.options.prefill_per_token)
@@ -438,7 +443,7 @@
         session = parts[-1]
         self.cache.store([*parts[:-1], PromptPart(session.name, session.tokens + generated)])
 
-    def _finish_plain(self, connection: Any, run: Run, answer: dict[str, object]) -> None:
+    def _finish_plain(self, connection: HTTP1Connection, run: Run, answer: dict[str, object]) -> None:
         if self._closes_without_answer(connection, run):
             return
         if self.active_faults.take("break-mid-event"):
@@ -452,14 +457,14 @@
         _reply(connection, 200, {**answer, "seconds": self.context.clock.monotonic() - run.arrived})
         self._send_stray_bytes(connection)
 
-    def _closes_without_answer(self, connection: Any, run: Run) -> bool:
+    def _closes_without_answer(self, connection: HTTP1Connection, run: Run) -> bool:
         if not self.active_faults.take("close-without-answer"):
             return False
         run.outcome = "broken"
         connection.stream.close()
         return True
 
-    def _send_stray_bytes(self, connection: Any) -> None:
+    def _send_stray_bytes(self, connection: HTTP1Connection) -> None:
         stream = connection.stream
         if self.active_faults.take("stray-bytes") and stream is not None and not stream.closed():
             stream.write(STRAY_BYTES).add_done_callback(_ignore_closed)
@@ -470,7 +475,7 @@
         future.exception()
 
 
-def _reply(connection: Any, status: int, answer: object, not_run: bool = False) -> None:
+def _reply(connection: HTTP1Connection, status: int, answer: object, not_run: bool = False) -> None:
     payload = msgspec.json.encode(answer)
     headers = HTTPHeaders({"Content-Type": "application/json", "Content-Length": str(len(payload))})
     if not_run:
