--- a/fleet/caller.py
+++ b/fleet/caller.py
@@ -8,7 +8,6 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 from returns.result import Success
@@ -16,6 +15,8 @@
 from wingwood.context.protocols import Clock, HttpClient, HttpExchange, HttpHead, HttpRequest
 from wingwood.identifiers import Address, Seconds
 
+from .json_values import JsonObject, JsonValue
+
 END_MARKER = b"[DONE]"
 
 
@@ -71,7 +72,7 @@
     clocks of two machines differ."""
     worker_duration: float | None = None
     """Seconds from the arrival of the call at the worker to its first event or its answer, as the worker reports."""
-    body: Any = None
+    body: JsonValue = None
     """Decoded body of an answer that is not a stream."""
 
     def integer_header(self, header: str) -> int | None:
@@ -81,6 +82,7 @@
 
 
 def build_http_request(plan: CallPlan, address: Address) -> HttpRequest:
+    """Returns the request of one attempt; the connection must be made within a second."""
     body = {
         "messages": [{"content": content} for content in plan.messages],
         "max_tokens": plan.max_tokens,
@@ -103,12 +105,14 @@
 
 
 class Caller:
+    """Makes calls as a client of the fleet does, and records what it sees of the answers."""
+
     def __init__(self, http: HttpClient, clock: Clock) -> None:
         self._http = http
         self._clock = clock
 
     async def call(
-        self, plan: CallPlan, address: Address, on_event: Callable[[dict[str, Any]], None] | None = None
+        self, plan: CallPlan, address: Address, on_event: Callable[[JsonObject], None] | None = None
     ) -> CallOutcome:
         """Makes one attempt at one router, or directly at one worker. ``on_event`` receives each decoded event."""
         outcome = CallOutcome(call_id=plan.call_id, started_at=self._clock.monotonic())
@@ -125,7 +129,7 @@
         plan: CallPlan,
         exchange: HttpExchange,
         outcome: CallOutcome,
-        on_event: Callable[[dict[str, Any]], None] | None,
+        on_event: Callable[[JsonObject], None] | None,
     ) -> None:
         timeout = plan.first_byte_timeout
         try:
@@ -194,7 +198,7 @@
         plan: CallPlan,
         outcome: CallOutcome,
         clock: Clock,
-        on_event: Callable[[dict[str, Any]], None] | None,
+        on_event: Callable[[JsonObject], None] | None,
     ) -> None:
         self.done = False
         self._plan = plan
--- a/fleet/children.py
+++ b/fleet/children.py
@@ -30,6 +30,7 @@
 
     @property
     def process_id(self) -> int | None:
+        """The id of the latest process, even if it has ended; None before the first start."""
         return self._process.pid if self._process is not None else None
 
     def start(self) -> None:
@@ -51,9 +52,11 @@
         self.expected_to_run = True
 
     def running(self) -> bool:
+        """Returns whether the process was started and has not ended."""
         return self._process is not None and self._process.poll() is None
 
     def exit_code(self) -> int | None:
+        """Returns the exit code; None while the process runs or when it was never started."""
         return None if self._process is None else self._process.poll()
 
     def kill(self) -> None:
@@ -69,6 +72,7 @@
         self.frozen = True
 
     def resume(self) -> None:
+        """Continues the suspended process with SIGCONT."""
         self._signal(signal.SIGCONT)
         self.frozen = False
 
@@ -86,6 +90,7 @@
             self.kill()
 
     def log_tail(self, lines: int = 12) -> str:
+        """Returns the last ``lines`` lines of the log file; empty when it can't be read."""
         try:
             text = self.log_file.read_text(errors="replace")
         except OSError:
@@ -116,6 +121,7 @@
 
 
 def python_module_command(module: str, *arguments: str) -> list[str]:
+    """Returns the command that runs a module with the Python interpreter of this process."""
     return [sys.executable, "-m", module, *arguments]
 
 
--- a/fleet/demo.py
+++ b/fleet/demo.py
@@ -9,7 +9,6 @@
 import time
 from collections.abc import Sequence
 from pathlib import Path
-from typing import Any
 
 import click
 
@@ -18,6 +17,7 @@
 from wingwood.identifiers import parse_address
 
 from .caller import Caller, CallOutcome, CallPlan, prompt_text
+from .json_values import JsonValue
 from .launcher import CommandResult, Fleet, open_shape
 from .plan import DaemonPlan, WorkerPlan
 from .shape import ServiceShape, Shape
@@ -47,10 +47,12 @@
     # Output
 
     def step(self, title: str) -> None:
+        """Prints the heading of the next step."""
         self.steps += 1
         click.echo(f"\n{self.steps}. {title}")
 
     def verified(self, text: str) -> None:
+        """Prints a fact that was verified."""
         click.echo(f"   ok  {text}")
 
     def verify(self, condition: bool, text: str, observed: object) -> None:
@@ -74,6 +76,7 @@
     # Steps
 
     async def run(self) -> None:
+        """Takes all steps; raises FleetError at the first that can't be verified."""
         await self.start_fleet()
         version = await self.push()
         await self.read_back(version)
@@ -84,6 +87,7 @@
         await self.stop()
 
     async def start_fleet(self) -> None:
+        """Starts the fleet and waits until all workers are known to the routers."""
         shape = self.fleet.shape
         self.step(
             f"A fleet of {shape.routers} routers, {shape.controls} control daemons and "
@@ -96,10 +100,12 @@
         self.verified(f"all live, control complete, all workers announced, after {time.monotonic() - started_at:.1f} s")
 
     async def control_complete(self) -> bool:
+        """Returns whether the control daemons tolerate the loss of one; raises FleetError if a child has ended."""
         self.fleet.check_children()
         return await self.fleet.control_complete()
 
     async def workers_known(self) -> bool:
+        """Returns whether every router lists all workers; raises FleetError if a child has ended."""
         self.fleet.check_children()
         for router in self.fleet.routers():
             reply = await self.fleet.http.get(router.operator, "/control/v1/workers")
@@ -110,6 +116,7 @@
         return True
 
     async def push(self) -> int:
+        """Checks, signs and pushes the first bundle; returns its version."""
         self.step("An operator checks, signs and pushes the first bundle")
         signed = self.fleet.folder / "bundle.signed"
         await self.command("bundle", "check", str(self.fleet.bundle_file))
@@ -126,6 +133,8 @@
         return version
 
     async def wait_until_in_force(self, version: int) -> None:
+        """Waits until all routers use the version or a later one."""
+
         async def condition() -> bool:
             self.fleet.check_children()
             versions = [await self.fleet.version_on(router.name) for router in self.fleet.routers()]
@@ -134,6 +143,7 @@
         await wait_until(f"version {version} in force on all routers", condition)
 
     async def read_back(self, version: int) -> None:
+        """Verifies that all routers use the version with the same root digest."""
         self.step("The bundle in force is read back")
         router = self.fleet.routers()[-1]
         await self.command("bundle", "show", *self.to_options([router]))
@@ -149,6 +159,7 @@
         await self.command("health", *self.to_options(list(self.fleet.daemons.values())))
 
     async def two_turns(self) -> None:
+        """Verifies that a session's second turn, sent to another router, reaches the worker with its KV cache."""
         self.step("A chat streams piece by piece; its second turn comes to another router")
         routers = self.fleet.routers()
         shared, own = prompt_text(300, "house-rules"), prompt_text(200, "When does my order come?")
@@ -164,6 +175,7 @@
         self.verify(cached > prompt // 2, f"{cached} of its {prompt} prompt tokens were still in the KV cache", cached)
 
     async def turn(self, router: DaemonPlan, prefix: str, messages: tuple[str, ...], tokens: int) -> CallOutcome:
+        """Makes one turn of a chat, prints its events as they arrive and verifies that the answer is complete."""
         click.echo(f"   {router.name} ({router.zone}): ", nl=False)
         call_plan = self.call_plan(
             self.chat, f"{prefix}-{tokens}-{router.name}", prefix=prefix, messages=messages, tokens=tokens
@@ -179,6 +191,7 @@
         return outcome
 
     async def at_most_once(self) -> None:
+        """Verifies that a call that is not idempotent, sent twice with the same key, runs once."""
         self.step(f"A call of {self.plain.name}, which may not be repeated, is sent twice")
         routers = self.fleet.routers()
         call_plan = self.call_plan(self.plain, "demo-card", key="demo-card-1")
@@ -195,6 +208,7 @@
         self.verify(len(runs) == 1, "the workers ran it once", runs)
 
     async def drain(self) -> None:
+        """Verifies that a worker which is drained under load finishes its calls."""
         self.step("A worker is drained under load")
         load = asyncio.create_task(self.run_chats(rate=6.0, seconds=8.0))
         victim = await wait_until("a worker runs at least one chat", self.find_busy_worker)
@@ -243,6 +257,7 @@
         return list(await asyncio.gather(*calls))
 
     async def remove_key(self) -> None:
+        """Verifies that all routers reject a removed key within ``KEY_REMOVAL_BOUND_S``."""
         tenant = self.tenants[-1]
         self.step(f"The key of {tenant} is removed")
         digest = hashlib.sha256(self.fleet.keys.by_tenant[tenant].encode()).hexdigest()
@@ -267,10 +282,12 @@
         self.verified(f"{other} is still served by all routers")
 
     async def ask(self, router: DaemonPlan, tenant: str) -> CallOutcome:
+        """Makes one short chat call with a tenant's key."""
         call_plan = self.call_plan(self.chat, f"key-{tenant}", messages=("hello",), tokens=1, tenant=tenant)
         return await self.caller.call(call_plan, parse_address(str(router.caller)))
 
     async def stop(self) -> None:
+        """Stops the fleet and verifies that every process ended with exit code 0."""
         self.step("The fleet is stopped")
         self.curl.close()
         await self.fleet.stop()
@@ -280,6 +297,7 @@
     # Helpers
 
     def to_options(self, daemons: Sequence[DaemonPlan]) -> list[str]:
+        """Returns the command line's options that name the daemons to ask."""
         return [word for daemon in daemons for word in ("--to", daemon.operator)]
 
     def call_plan(
@@ -293,6 +311,7 @@
         tenant: str | None = None,
         key: str | None = None,
     ) -> CallPlan:
+        """Returns the plan of a call; the tenant is the first one unless it is given."""
         return CallPlan(
             path=service.path,
             key=self.fleet.keys.by_tenant[tenant or self.tenants[0]],
@@ -308,7 +327,7 @@
     def expect_complete(self, outcome: CallOutcome) -> None:
         """Raises FleetError unless the call got a complete answer without a violation."""
         if not outcome.looks_complete or outcome.problem:
-            seen: Any = outcome.body if outcome.status else outcome.fault
+            seen: JsonValue = outcome.body if outcome.status else outcome.fault
             raise FleetError(
                 f"call {outcome.call_id} was not answered completely: status {outcome.status} {seen} {outcome.problem}"
             )
--- a/fleet/http.py
+++ b/fleet/http.py
@@ -2,21 +2,24 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
+from .json_values import JsonValue
+
 
 class JsonReply(msgspec.Struct, frozen=True):
+    """The answer to a request, or the reason why none arrived."""
+
     status: int
     """HTTP status; 0 when no answer arrived."""
-    body: Any
+    body: JsonValue
     """Decoded JSON, or the text of an answer that is not JSON, or the reason why no answer arrived."""
 
     @property
     def succeeded(self) -> bool:
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
 
@@ -27,12 +30,15 @@
         self._client: AsyncHTTPClient = SimpleAsyncHTTPClient(force_instance=True, max_clients=200)
 
     async def get(self, address: str, path: str, timeout: float = 2.0) -> JsonReply:
+        """Sends a GET request."""
         return await self.ask("GET", address, path, None, timeout)
 
     async def post(self, address: str, path: str, body: object, timeout: float = 5.0) -> JsonReply:
+        """Sends ``body`` as JSON in a POST request."""
         return await self.ask("POST", address, path, msgspec.json.encode(body), timeout)
 
     async def ask(self, method: str, address: str, path: str, body: bytes | None, timeout: float) -> JsonReply:
+        """Sends a request whose ``body`` is already encoded; redirects are not followed."""
         request = HTTPRequest(
             f"http://{address}{path}",
             method=method,
@@ -54,4 +60,5 @@
             return JsonReply(response.code, response.body.decode(errors="replace"))
 
     def close(self) -> None:
+        """Closes the connections; requests in flight fail."""
         self._client.close()
--- a/fleet/launcher.py
+++ b/fleet/launcher.py
@@ -16,7 +16,6 @@
 from collections.abc import Iterable, Sequence
 from pathlib import Path
 from types import TracebackType
-from typing import Any
 
 import click
 import msgspec
@@ -24,6 +23,7 @@
 
 from .children import Child, python_module_command, stop_all
 from .http import JsonClient
+from .json_values import JsonObject, JsonValue
 from .plan import (
     CallerKeys,
     DaemonPlan,
@@ -50,7 +50,8 @@
     output: str
     errors: str
 
-    def json(self) -> Any:
+    def json(self) -> JsonValue:
+        """Returns the output as decoded JSON; raises ``json.JSONDecodeError`` when it is not JSON."""
         return json.loads(self.output)
 
 
@@ -95,10 +96,12 @@
 
     @property
     def bundle_file(self) -> Path:
+        """The operator's bundle file."""
         return self.folder / "bundle.toml"
 
     @property
     def operator_key_file(self) -> Path:
+        """The file of the key with which bundles are signed."""
         return self.folder / "keys" / "operator.key"
 
     def _make_keys(self) -> None:
@@ -144,10 +147,12 @@
     # Processes
 
     def start_daemons(self) -> None:
+        """Starts all daemons without waiting for them."""
         for daemon in self.daemons.values():
             self._start_daemon(daemon)
 
     def start_workers(self) -> None:
+        """Starts all workers without waiting for them."""
         for worker in self.workers.values():
             self._start_worker(worker)
 
@@ -188,6 +193,7 @@
         child.start()
 
     def runs_file(self, worker: str) -> Path:
+        """Returns the file to which a worker writes its runs."""
         return self.folder / "runs" / f"{worker}.jsonl"
 
     async def start(self) -> None:
@@ -247,12 +253,15 @@
     # Faults, by name
 
     def kill(self, name: str) -> None:
+        """Kills a process with SIGKILL."""
         self.children[name].kill()
 
     def freeze(self, name: str) -> None:
+        """Suspends a process with SIGSTOP until ``resume``."""
         self.children[name].freeze()
 
     def resume(self, name: str) -> None:
+        """Continues a suspended process."""
         self.children[name].resume()
 
     def restart(self, name: str) -> None:
@@ -313,9 +322,11 @@
         return {name: number for name, number in ids.items() if number is not None}
 
     def routers(self) -> list[DaemonPlan]:
+        """Returns the routers that were not replaced."""
         return [daemon for daemon in self.daemons.values() if daemon.role == "router"]
 
     def controls(self) -> list[DaemonPlan]:
+        """Returns the control daemons that were not replaced."""
         return [daemon for daemon in self.daemons.values() if daemon.role == "control"]
 
     async def version_on(self, name: str) -> int:
@@ -323,7 +334,7 @@
         reply = await self.http.get(self.daemons[name].operator, "/control/v1/bundle")
         return int(reply.body["version"]) if reply.succeeded else 0
 
-    async def control_reports(self) -> dict[str, Any]:
+    async def control_reports(self) -> JsonObject:
         """Returns the control status that each answering control daemon reports, with the daemon's own incarnation."""
         reports = {}
         for daemon in self.controls():
@@ -351,12 +362,12 @@
                 return name
         return None
 
-    async def runs(self) -> list[dict[str, Any]]:
+    async def runs(self) -> list[JsonObject]:
         """Returns all runs of all workers so far from their run files, including the runs of killed workers."""
         return await asyncio.to_thread(self._read_runs)
 
-    def _read_runs(self) -> list[dict[str, Any]]:
-        latest: dict[tuple[str, int], dict[str, Any]] = {}
+    def _read_runs(self) -> list[JsonObject]:
+        latest: dict[tuple[str, int], JsonObject] = {}
         for file in sorted((self.folder / "runs").glob("*.jsonl")):
             for line in file.read_text().splitlines():
                 run = json.loads(line)
@@ -376,6 +387,7 @@
         return CommandResult(done.returncode, done.stdout, done.stderr)
 
     async def run_command(self, *arguments: str) -> CommandResult:
+        """Runs the operators' command line once, without blocking the event loop."""
         return await asyncio.to_thread(self.command, *arguments)
 
 
--- a/fleet/plan.py
+++ b/fleet/plan.py
@@ -26,14 +26,17 @@
 
     @property
     def internal(self) -> str:
+        """Address for the other daemons of the fleet."""
         return f"{HOST}:{self.first_port}"
 
     @property
     def operator(self) -> str:
+        """Address for operators."""
         return f"{HOST}:{self.first_port + 1}"
 
     @property
     def caller(self) -> str | None:
+        """Address for callers; None on control daemons."""
         return f"{HOST}:{self.first_port + 2}" if self.role == "router" else None
 
 
@@ -47,6 +50,7 @@
 
     @property
     def address(self) -> str:
+        """Address at which the worker accepts calls."""
         return f"{HOST}:{self.port}"
 
 
@@ -68,6 +72,7 @@
 
 
 def plan_fleet(shape: Shape) -> Plan:
+    """Returns the plan of a shape: control daemons, routers and workers in the order of their ports."""
     port = shape.first_port
     daemons: list[DaemonPlan] = []
     roles: list[tuple[Literal["control", "router"], int]] = [("control", shape.controls), ("router", shape.routers)]
