--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -47,7 +47,11 @@
 
 def sample_entry(now: Instant) -> Entry:
     return Entry(
-        pool=PoolName("p"), holder=WorkerInstance("model-00001-1234"), tokens=3000, own_tokens=1000, last_used_at=now
+        pool=PoolName("p"),
+        cache_worker=WorkerInstance("model-00001-1234"),
+        tokens=3000,
+        own_tokens=1000,
+        last_used_at=now,
     )
 
 
--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -40,10 +40,10 @@
     Zone,
 )
 from wingwood.limits.admission import DeadlineAdmission
-from wingwood.placement.award_placement import AwardPlacement
 from wingwood.placement.protocols import Choice, Placement, Turn
+from wingwood.placement.reservation_placement import ReservationPlacement
 from wingwood.placement.session_map import DistributedMap, Entry, LocalMap, session_key
-from wingwood.placement.settings import AwardSettings
+from wingwood.placement.settings import ReservationSettings
 from wingwood.registry.protocols import Worker, WorkerLoad
 from wingwood.registry.tests.fleet import POOL as FEED_POOL
 from wingwood.registry.tests.fleet import Fleet
@@ -92,7 +92,7 @@
     admission: bool = True
     """Whether turns are refused, as by routers, whose predicted first token is later than callers wait."""
     wire_delay: float = 0.001
-    settings: AwardSettings = AwardSettings()
+    settings: ReservationSettings = ReservationSettings()
 
 
 class ModelWorker:
@@ -147,14 +147,14 @@
         await asyncio.sleep(tokens * (self.DECODE_PER_TOKEN + self.DECODE_PER_OTHER * (self.running - 1)))
 
 
-class HintDroppingPlacement(AwardPlacement):
+class HintDroppingPlacement(ReservationPlacement):
     """Ignores a share of the hints that the ends of turns give."""
 
     dropped_share = 0.0
 
-    def hint(self, turn: Turn, holder: Worker, tokens: int) -> None:
+    def hint(self, turn: Turn, cache_worker: Worker, tokens: int) -> None:
         if self._context.random.random() >= self.dropped_share:
-            super().hint(turn, holder, tokens)
+            super().hint(turn, cache_worker, tokens)
 
 
 class TurnFigures(msgspec.Struct, frozen=True):
@@ -362,7 +362,7 @@
             "imbalance_p95": _quantile(sorted(self.imbalance), 0.95),
             "map_bytes_per_turn": self.network.bytes / max(1, self.requests),
         }
-        report |= self.award_figures(self.requests)
+        report |= self.reservation_figures(self.requests)
         return report
 
 
@@ -409,11 +409,11 @@
         },
         "small-cache": {name: change(shape, cache_tokens=40_000) for name, shape in policies.items()},
         "expect": {
-            f"for {window:.0f} s": change(base, settings=AwardSettings(expected_turn_lifetime=Seconds(window)))
+            f"for {window:.0f} s": change(base, settings=ReservationSettings(expected_turn_lifetime=Seconds(window)))
             for window in (5.0, 10.0, 20.0, 40.0)
         },
         "ahead": {
-            f"cost {cost} {name}": change(shape, settings=AwardSettings(next_turn_wait_weight=cost))
+            f"cost {cost} {name}": change(shape, settings=ReservationSettings(next_turn_wait_weight=cost))
             for name, shape in (
                 ("today", base),
                 (
@@ -425,14 +425,14 @@
         },
         "first": {
             f"crowd {crowd} drawn {drawn}": change(
-                base, settings=AwardSettings(mean_wait_weight=crowd, candidates=drawn)
+                base, settings=ReservationSettings(mean_wait_weight=crowd, candidates=drawn)
             )
             for crowd in (0.1, 0.5, 2.0)
             for drawn in (2, 3, 6)
         },
         "spread": {
             f"slots {share} bound {bound}": change(
-                base, hot_share=0.9, settings=AwardSettings(prefix_slot_share=share, load_bound=bound)
+                base, hot_share=0.9, settings=ReservationSettings(prefix_slot_share=share, load_bound=bound)
             )
             for share in (0.25, 0.5, 1.0)
             for bound in (1.1, 1.25, 1.6)
@@ -486,12 +486,14 @@
     loop = VirtualTimeLoop(Random(1))
     asyncio.set_event_loop(loop)
     run = Run(Shape(routers=2, workers=2, cache_tokens=10**12), 1)
-    placement = cast(AwardPlacement, run.placements[0])
+    placement = cast(ReservationPlacement, run.placements[0])
     gc.collect()
     tracemalloc.start()
     for number in range(sessions):
         key = session_key(POOL, SessionId(f"session-{number}"))
-        entry = Entry(pool=POOL, holder=WorkerInstance("w0"), tokens=3000, own_tokens=1000, last_used_at=Instant(0.0))
+        entry = Entry(
+            pool=POOL, cache_worker=WorkerInstance("w0"), tokens=3000, own_tokens=1000, last_used_at=Instant(0.0)
+        )
         cast(DistributedMap, placement._map)._store(key, entry)
     gc.collect()
     used, _ = tracemalloc.get_traced_memory()
--- a/bench/placement_parts.py
+++ b/bench/placement_parts.py
@@ -239,8 +239,8 @@
         self.loop.on_unhandled = None
         self.loop.close()
 
-    def award_figures(self, calls: int) -> dict[str, float]:
-        """Returns the share of calls that were placed by an award, and the share of awards that were moved."""
+    def reservation_figures(self, calls: int) -> dict[str, float]:
+        """Returns the share of calls that were placed by a reservation, and the share of reservations moved."""
         counts: Counter[str] = Counter()
         for placement in self.placements:
             counts.update(getattr(placement, "counts", {}))
--- a/bench/told_placement_bench.py
+++ b/bench/told_placement_bench.py
@@ -31,11 +31,11 @@
     ServiceName,
     TenantName,
 )
-from wingwood.placement.award_placement import AwardPlacement
 from wingwood.placement.protocols import Choice, Placement, PromptPart, Turn
 from wingwood.placement.queue_owners import RouterQueueOwners
+from wingwood.placement.reservation_placement import ReservationPlacement
 from wingwood.placement.session_map import DistributedMap, LocalMap
-from wingwood.placement.settings import AwardSettings
+from wingwood.placement.settings import ReservationSettings
 from wingwood.registry.protocols import Worker
 from wingwood.transport.frames import Identity
 
@@ -119,7 +119,7 @@
     """Number of workers that are frozen at once during the trouble, for 5 s at a time with pauses of 3 s."""
     slow_workers: int = 0
     """Number of workers that run 3 times slower during the trouble."""
-    settings: AwardSettings = AwardSettings()
+    settings: ReservationSettings = ReservationSettings()
 
 
 class ServedCall(msgspec.Struct, frozen=True):
@@ -233,7 +233,7 @@
             case _:
                 session_map = DistributedMap(context, messenger, membership)
         without_owners = self.shape.policy == "award-alone"
-        placement = AwardPlacement(
+        placement = ReservationPlacement(
             context,
             membership,
             cast(Any, registry),
@@ -400,7 +400,7 @@
         report["parts_read_per_s"] = (parts - self.prefilled_before[1]) / seconds
         report["use"] = report["read_per_s"] * self.shape.engine.prefill_seconds_per_token / self.shape.workers
         report["bytes_per_call"] = self.network.bytes / max(1, self.calls)
-        report |= self.award_figures(self.calls)
+        report |= self.reservation_figures(self.calls)
         return report
 
 
@@ -450,7 +450,7 @@
     "no session map: each router's own records": ("award-local", {}),
     "no session map and no records": ("award-no-map", {}),
     "sizes not told": ("award-guessed", {}),
-    "long streams not kept apart": ("award", {"max_reserved_share": 0.0}),
+    "long streams not kept apart": ("award", {"max_dedicated_share": 0.0}),
     "no cost of reading shared parts again": ("award", {"repeated_prefill_weight": 0.0}),
     "no cost of risked objectives and pauses": ("award", {"risk_cost": 0.0}),
     "no harm to streams beside": ("award", {"stream_delay_weight": 0.0}),
@@ -529,7 +529,7 @@
 @click.option("--table", "names", multiple=True, help="Which tables (also: processor); else all.")
 @click.option("--policy", "policies", multiple=True, help="Which policies; else all.")
 @click.option("--seeds", default=3, show_default=True)
-@click.option("--set", "changes", multiple=True, help="NAME=VALUE of AwardSettings.")
+@click.option("--set", "changes", multiple=True, help="NAME=VALUE of ReservationSettings.")
 @click.option("--ablation", is_flag=True, help="Each mechanism switched off alone, instead of the policies.")
 @click.option("--json", "json_file", type=click.Path(path_type=Path), help="Writes all figures there.")
 def main(
@@ -548,7 +548,7 @@
             click.echo(f"{workers} workers: p50 {middle * 1e3:.3f} ms, p95 {high * 1e3:.3f} ms")
     found = tables()
     changed: dict[str, Any] = {name: json.loads(value) for name, value in (change.split("=") for change in changes)}
-    settings = msgspec.structs.replace(AwardSettings(), **changed)
+    settings = msgspec.structs.replace(ReservationSettings(), **changed)
     table = Table(COLUMNS, seeds)
     for name in [name for name in names if name != "processor"] or ([] if names else list(found)):
         if ablation:
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -29,8 +29,8 @@
 from ..operator_api.orders import OrderRoutes
 from ..operator_api.reading import HealthReport, ReadRoutes
 from ..operator_api.server import OperatorServer
-from ..placement.award_placement import AwardPlacement
 from ..placement.policies import create_placement
+from ..placement.reservation_placement import ReservationPlacement
 from ..registry.protocols import Worker
 from ..registry.worker_registry import WorkerRegistry
 from ..settings.model import DaemonSettings
@@ -273,7 +273,7 @@
         return max(1, len(self.membership.routers()))
 
     def _placement_counts(self) -> Mapping[str, int]:
-        return self.placement.counts if isinstance(self.placement, AwardPlacement) else {}
+        return self.placement.counts if isinstance(self.placement, ReservationPlacement) else {}
 
     def _workers(self) -> Sequence[Worker]:
         return self.registry.all_workers()
--- a/wingwood/placement/cached_prefixes.py
+++ b/wingwood/placement/cached_prefixes.py
@@ -56,7 +56,7 @@
             part.rate = self._rate(part, now) + 0.693 / self._half_life
             part.rated_at = now
 
-    def forget(self, instance: WorkerInstance) -> None:
+    def remove_worker(self, instance: WorkerInstance) -> None:
         for part in self._parts.values():
             part.sent_at.pop(instance, None)
 
--- a/wingwood/placement/bids.py
+++ b/wingwood/placement/cost_model.py
@@ -1,4 +1,4 @@
-"""Interface and costs by which the award policy compares workers (docs/DESIGN.md section 11.5)."""
+"""Interface and costs by which the reservation policy compares workers (docs/DESIGN.md section 11.5)."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """Seconds until the first token of the answer."""
 
 
-class Bidder(Protocol):
+class CostModel(Protocol):
     """Compares workers by costs in seconds: a turn's wait and prefill, and the delay that it causes to other turns."""
 
     def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
@@ -41,19 +41,19 @@
         """Predicts the prefill and the first token of the turn at the worker."""
         ...
 
-    def bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
+    def cheapest_worker(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
         """Returns the best worker for a turn that has arrived.
 
-        ``entry`` is given only if its holder is ready and caches a part of the prompt.
+        ``entry`` is given only if its cache worker is ready and caches a part of the prompt.
         """
         ...
 
-    def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
+    def cheapest_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
         """Returns the best worker for the session's next turn."""
         ...
 
     def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
-        """Returns the shortest time to the first token among the workers that a bid would compare."""
+        """Returns the shortest time to the first token among the workers that ``cheapest_worker`` would compare."""
         ...
 
     def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
@@ -76,7 +76,7 @@
         """Records that the turn left the worker, with any outcome."""
         ...
 
-    def forget(self, instance: WorkerInstance) -> None:
+    def remove_worker(self, instance: WorkerInstance) -> None:
         """Drops all records of a worker that was removed."""
         ...
 
@@ -107,10 +107,10 @@
     return wait * pressure + prefill + other_cost + risk_cost * risk_excess
 
 
-def cheapest(bids: Sequence[tuple[float, Worker]], holder: WorkerInstance | None, margin: Seconds) -> Worker:
-    """Returns the cheapest worker, or the holder if no other worker is cheaper by more than ``margin`` seconds."""
-    best_cost, best = min(bids, key=lambda pair: (pair[0], pair[1].instance))
-    for cost, worker in bids:
-        if worker.instance == holder and cost - best_cost <= margin:
+def cheapest(costs: Sequence[tuple[float, Worker]], cache_worker: WorkerInstance | None, margin: Seconds) -> Worker:
+    """Returns the cheapest worker, or the cache worker if no other one is cheaper by more than ``margin`` seconds."""
+    best_cost, best = min(costs, key=lambda pair: (pair[0], pair[1].instance))
+    for cost, worker in costs:
+        if worker.instance == cache_worker and cost - best_cost <= margin:
             return worker
     return best
--- a/wingwood/placement/estimated_size_bids.py
+++ b/wingwood/placement/estimated_size_cost_model.py
@@ -1,4 +1,4 @@
-"""Bids where callers report no sizes: sizes of prompts and shared prefixes are estimated from observed turns."""
+"""Costs of workers where callers report no sizes: prompts and shared prefixes are estimated from observed turns."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from ..identifiers import Instant, PoolName, RequestId, Seconds, WorkerInstance
 from ..membership.protocols import Membership
 from ..registry.protocols import Worker
-from .bids import Forecast, Pressure, cheapest
 from .cached_prefixes import EvictionModel, SharedPrefixes
+from .cost_model import Forecast, Pressure, cheapest
 from .prefix_order import PrefixOrders
 from .protocols import Turn
 from .session_map import Entry
-from .settings import AwardSettings
+from .settings import ReservationSettings
 from .worker_estimates import Workload
 
 
-class EstimatedSizeBids:
-    """A ``Bidder`` that estimates sizes (docs/DESIGN.md sections 11.3 to 11.5)."""
+class EstimatedSizeCostModel:
+    """A ``CostModel`` that estimates sizes (docs/DESIGN.md sections 11.3 to 11.5)."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         workload: Workload,
         pressure: Pressure,
         orders: PrefixOrders,
-        settings: AwardSettings,
+        settings: ReservationSettings,
     ) -> None:
         self._context = context
         self._membership = membership
@@ -46,7 +46,7 @@
 
     def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
         since = self._evictions.cached_since(worker.pool)
-        if entry is not None and entry.holder == worker.instance and entry.last_used_at >= since:
+        if entry is not None and entry.cache_worker == worker.instance and entry.last_used_at >= since:
             return min(entry.tokens, turn.prompt_tokens)
         return min(turn.prompt_tokens, self._shared.cached_tokens(worker.pool, turn.prefix, worker.instance, since))
 
@@ -60,10 +60,10 @@
         uncached = self._uncached(turn, entry, worker)
         return Forecast(uncached, self._workload.first_token(worker, uncached))
 
-    def bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
+    def cheapest_worker(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
         candidates = self._candidates(turn, entry, ready)
-        bids = [(self._cost_now(turn, entry, worker), worker) for worker in candidates]
-        return cheapest(bids, None if entry is None else entry.holder, self._settings.min_move_gain)
+        costs = [(self._cost_now(turn, entry, worker), worker) for worker in candidates]
+        return cheapest(costs, None if entry is None else entry.cache_worker, self._settings.min_move_gain)
 
     def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
         return min(self.forecast(turn, entry, worker).first_token for worker in ready)
@@ -100,17 +100,17 @@
             turn, entry, worker, self._workload.wait(worker) + self._settings.mean_wait_weight * mean_wait
         )
 
-    def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
-        """Compares the holder with a few workers drawn at random, so that routers do not all move to the same one."""
-        others = [worker for worker in ready if worker.instance != entry.holder]
+    def cheapest_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
+        """Compares the cache worker with a few workers drawn at random; so routers do not all move to the same one."""
+        others = [worker for worker in ready if worker.instance != entry.cache_worker]
         candidates = self._context.random.sample(others, min(self._settings.candidates, len(others)))
-        candidates.extend(worker for worker in ready if worker.instance == entry.holder)
+        candidates.extend(worker for worker in ready if worker.instance == entry.cache_worker)
         active_share = self._workload.active_share(ready)
-        bids = []
+        costs = []
         for worker in candidates:
             mean_wait = self._workload.mean_wait(worker, self._workload.expected_load(worker, active_share))
-            bids.append((self._cost(turn, entry, worker, self._settings.next_turn_wait_weight * mean_wait), worker))
-        return cheapest(bids, entry.holder, self._settings.min_move_gain)
+            costs.append((self._cost(turn, entry, worker, self._settings.next_turn_wait_weight * mean_wait), worker))
+        return cheapest(costs, entry.cache_worker, self._settings.min_move_gain)
 
     def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
         now = self._context.clock.monotonic()
@@ -130,8 +130,8 @@
     def turn_left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
         pass
 
-    def forget(self, instance: WorkerInstance) -> None:
-        self._shared.forget(instance)
+    def remove_worker(self, instance: WorkerInstance) -> None:
+        self._shared.remove_worker(instance)
 
     def cached_since(self, pool: PoolName) -> Instant:
         return self._evictions.cached_since(pool)
--- a/wingwood/placement/long_streams.py
+++ b/wingwood/placement/long_streams.py
@@ -1,7 +1,7 @@
 """Separates long streams from long prompts (docs/DESIGN.md section 11.11).
 
 An engine prefills prompts in chunks between the tokens of its running streams, so a stream on a worker with a steady
-flow of long prompts pauses longer than its callers accept, whatever the bids say. Long streams therefore share a few
+flow of long prompts has gaps longer than its callers accept, whatever the costs say. Long streams therefore share a few
 workers, in an order on which all routers agree, and other turns avoid these workers while the rest can take them. The
 number of shared workers follows from the number of long streams. Each long stream takes the less full of two workers
 drawn at random, because the counts of other routers are outdated when they are read.
@@ -32,9 +32,9 @@
 SAMPLED_WORKERS = 2
 """Number of workers drawn at random for a long stream."""
 RESERVATION_PERIOD_S = Seconds(10.0)
-"""Time after a pool's last long stream during which its first worker stays reserved."""
+"""Time after a pool's last long stream during which its first worker stays dedicated."""
 OVERFLOW_WAIT_S = Seconds(0.12)
-"""Other turns may also use the reserved workers when they would wait longer than this at every other worker."""
+"""Other turns may also use the dedicated workers when they would wait longer than this at every other worker."""
 
 
 class LongStreams:
@@ -47,15 +47,15 @@
         exchange: ObservedLoadExchange,
         orders: PrefixOrders,
         queues: PrefillQueues,
-        max_reserved_share: float,
+        max_dedicated_share: float,
     ) -> None:
-        """``max_reserved_share``: largest share of a pool's workers that other turns avoid."""
+        """``max_dedicated_share``: largest share of a pool's workers that other turns avoid."""
         self._clock = clock
         self._random = random
         self._exchange = exchange
         self._orders = orders
         self._queues = queues
-        self._max_reserved_share = max_reserved_share
+        self._max_dedicated_share = max_dedicated_share
         self._running: dict[RequestId, WorkerInstance] = {}
         self._own: Counter[WorkerInstance] = Counter()
         self._last_seen: dict[PoolName, Instant] = {}
@@ -63,7 +63,7 @@
     def is_long(self, turn: Turn) -> bool:
         """Returns whether the turn is a long stream; False where the caller reports no sizes."""
         if (
-            not (turn.parts and self._max_reserved_share)
+            not (turn.parts and self._max_dedicated_share)
             or turn.generate_tokens < LONG_STREAM_MIN_TOKENS
             or not turn.service.streaming
         ):
@@ -101,20 +101,20 @@
         order = self._orders.order(pool, ("long streams",), ready)
         if self.is_long(turn):
             self._last_seen[pool] = now
-            return self._with_room(turn, order) or ready
-        return self._unreserved(order, now) or ready
+            return self._with_capacity(turn, order) or ready
+        return self._without_dedicated(order, now) or ready
 
     def pick(self, candidates: Sequence[Worker]) -> Worker:
         """Returns the worker for a long stream: the one with fewer long streams of two drawn at random."""
         drawn = self._random.sample(list(candidates), min(SAMPLED_WORKERS, len(candidates)))
         return min(drawn, key=self.stream_count)
 
-    def _with_room(self, turn: Turn, order: Sequence[Worker]) -> Sequence[Worker]:
+    def _with_capacity(self, turn: Turn, order: Sequence[Worker]) -> Sequence[Worker]:
         """Returns the shared workers that can take one more long stream, or else the next worker that can."""
         shared = self._shared_worker_count(order)
         found: list[Worker] = []
-        for place, worker in enumerate(order):
-            if found and place >= shared:
+        for rank, worker in enumerate(order):
+            if found and rank >= shared:
                 break
             if self._can_take(turn, worker):
                 found.append(worker)
@@ -126,29 +126,29 @@
         return math.ceil(streams / (TARGET_STREAM_SLOT_SHARE * order[0].slots))
 
     def _can_take(self, turn: Turn, worker: Worker) -> bool:
-        """Returns whether the worker has room for the stream and its prefill queue meets the latency objective."""
+        """Returns whether the worker has capacity for the stream and its prefill queue meets the latency objective."""
         if self.stream_count(worker) >= MAX_STREAM_SLOT_SHARE * worker.slots:
             return False
         objective = turn.service.latency_objective
         return objective is None or self._queues.first_token(worker, turn.prompt_tokens) <= objective
 
-    def _unreserved(self, order: Sequence[Worker], now: Instant) -> Sequence[Worker]:
-        """Returns the workers that are not reserved; none if each of them has a long wait."""
-        reserved = self._reserved_workers(order, now)
-        others = [worker for worker in order if worker.instance not in reserved]
+    def _without_dedicated(self, order: Sequence[Worker], now: Instant) -> Sequence[Worker]:
+        """Returns the workers that are not dedicated; none if each of them has a long wait."""
+        dedicated = self._dedicated_workers(order, now)
+        others = [worker for worker in order if worker.instance not in dedicated]
         if others and min(self._queues.wait(worker) for worker in others) <= OVERFLOW_WAIT_S:
             return others
         return []
 
-    def _reserved_workers(self, order: Sequence[Worker], now: Instant) -> set[WorkerInstance]:
-        """Returns the reserved workers: the first workers of the order that run long streams, up to the largest share.
+    def _dedicated_workers(self, order: Sequence[Worker], now: Instant) -> set[WorkerInstance]:
+        """Returns the dedicated workers: the first workers of the order that run long streams, up to the largest share.
 
-        The first worker stays reserved for a while after the pool's last long stream.
+        The first worker stays dedicated for a while after the pool's last long stream.
         """
-        max_reserved = int(self._max_reserved_share * len(order))
+        max_dedicated = int(self._max_dedicated_share * len(order))
         recently_seen = now - self._last_seen.get(order[0].pool, Instant(float("-inf"))) <= RESERVATION_PERIOD_S
-        reserved: set[WorkerInstance] = set()
-        for place, worker in enumerate(order[:max_reserved]):
-            if self.stream_count(worker) >= 1.0 or (place == 0 and recently_seen):
-                reserved.add(worker.instance)
-        return reserved
+        dedicated: set[WorkerInstance] = set()
+        for rank, worker in enumerate(order[:max_dedicated]):
+            if self.stream_count(worker) >= 1.0 or (rank == 0 and recently_seen):
+                dedicated.add(worker.instance)
+        return dedicated
--- a/wingwood/placement/messages.py
+++ b/wingwood/placement/messages.py
@@ -10,7 +10,7 @@
 
 
 class SessionRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Names the worker that probably caches a session's prefix (claim) and the winner of its next turn (award).
+    """Names the worker that probably caches a session's prefix (claim) and the worker reserved for its next turn.
 
     Times are ages and remaining seconds, because instants of one process's clock mean nothing to another process.
     """
@@ -20,18 +20,18 @@
     key: int
     """64 bits of the digest over pool and session id. A collision only misplaces a turn."""
     pool: PoolName
-    holder: WorkerInstance
+    cache_worker: WorkerInstance = msgspec.field(name="holder")
     """The worker that last ran a turn of the session."""
     tokens: int
-    """Number of tokens that the holder caches, including shared parts; 0 when nothing is known."""
+    """Number of tokens that the cache worker caches, including shared parts; 0 when nothing is known."""
     own_tokens: int
     """Number of cached tokens that belong to this session alone, without the shared parts."""
     age: Seconds
-    """Seconds since the holder last ran a turn of the session."""
-    winner: WorkerInstance = WorkerInstance("")
-    """The worker that won the award; empty when there is no award."""
-    award_left: Seconds = Seconds(0.0)
-    """Seconds until the award expires."""
+    """Seconds since the cache worker last ran a turn of the session."""
+    reserved_worker: WorkerInstance = msgspec.field(name="winner", default=WorkerInstance(""))
+    """The worker reserved for the next turn; empty when there is no reservation."""
+    reservation_left: Seconds = msgspec.field(name="award_left", default=Seconds(0.0))
+    """Seconds until the reservation expires."""
     weight: float = 1.0
     """Weight of the priority class of the session's tenant."""
 
@@ -80,10 +80,10 @@
     """The part of wait and prefill that exceeds this many seconds counts an additional ``risk_cost`` times."""
     risk_cost: float
     """Weight of each second beyond ``risk_threshold``."""
-    awarded: bool = False
-    """Whether the first offer is the award's winner.
+    first_is_reserved: bool = msgspec.field(name="awarded", default=False)
+    """Whether the first offer is the reserved worker.
 
-    The winner takes the turn unless its wait and prefill exceed ``risk_threshold``.
+    The reserved worker takes the turn unless its wait and prefill exceed ``risk_threshold``.
     """
 
 
--- a/wingwood/placement/plain_policies.py
+++ b/wingwood/placement/plain_policies.py
@@ -1,4 +1,4 @@
-"""Balancing policies without awards, for comparison, behind the same interface (docs/DESIGN.md section 11.6)."""
+"""Balancing policies without reservations, for comparison, behind the same interface (docs/DESIGN.md section 11.6)."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from ..identifiers import Instant, PoolName, RequestId, Seconds, WorkerInstance
 from ..membership.rendezvous import ranked
 from ..registry.protocols import ObservedLoadExchange, Registry, Worker
-from .award_placement import Outcome
 from .pool_choice import pool_order
 from .protocols import Choice, NoWorker, Turn
+from .reservation_placement import Outcome
 from .worker_estimates import Workload
 
 
@@ -54,7 +54,7 @@
                     Choice(worker=worker, method="policy", first_token=first_token, uncached_tokens=turn.prompt_tokens)
                 )
         if ready and not open_workers:
-            return Failure(NoWorker("all-full", min(self._workload.time_until_room(worker) for worker in ready)))
+            return Failure(NoWorker("all-full", min(self._workload.time_until_capacity(worker) for worker in ready)))
         return Failure(NoWorker("none-ready", Seconds(1.0)))
 
     def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
--- a/wingwood/placement/policies.py
+++ b/wingwood/placement/policies.py
@@ -7,10 +7,10 @@
 from ..registry.worker_registry import WorkerRegistry
 from ..settings.model import DaemonSettings
 from ..transport.messenger import Messenger
-from .award_placement import AwardPlacement
 from .plain_policies import LeastLoaded, RoundRobin, StickyByHash
 from .protocols import Placement
 from .queue_owners import RouterQueueOwners
+from .reservation_placement import ReservationPlacement
 from .session_map import DistributedMap
 
 
@@ -31,7 +31,7 @@
             return StickyByHash(context, registry, registry)
         case "award":
             session_map = DistributedMap(context, messenger, membership)
-            placement = AwardPlacement(
+            placement = ReservationPlacement(
                 context,
                 membership,
                 registry,
--- a/wingwood/placement/prefill_estimates.py
+++ b/wingwood/placement/prefill_estimates.py
@@ -14,7 +14,7 @@
 from ..context.protocols import Clock
 from ..identifiers import Instant, PoolName, RequestId, Seconds, WorkerInstance
 from ..registry.protocols import ObservedLoadExchange, Worker
-from .bids import Forecast
+from .cost_model import Forecast
 from .decaying_rate import DecayingRate
 from .worker_estimates import MAX_WORKER_ESTIMATES
 
@@ -88,8 +88,8 @@
     mean_square_tokens: float = 4000.0**2 * 2
     parts_share: float = 0.5
     """Share of the uncached tokens that belong to reported parts, which stay cached for other turns."""
-    held_tokens: float = 6000.0
-    """Mean number of tokens that a running turn holds in the cache."""
+    resident_tokens: float = 6000.0
+    """Mean number of tokens that a running turn occupies in the cache."""
 
 
 class PrefillQueues:
@@ -104,11 +104,13 @@
 
     # --- counting -----------------------------------------------------------------------------
 
-    def sent(self, request: RequestId, worker: Worker, forecast: Forecast, part_tokens: int, held_tokens: int) -> None:
+    def sent(
+        self, request: RequestId, worker: Worker, forecast: Forecast, part_tokens: int, resident_tokens: int
+    ) -> None:
         """Records that a turn is sent to a worker.
 
-        ``part_tokens``: number of uncached tokens that belong to parts with a reported size. ``held_tokens``: number
-        of tokens that the turn holds in the worker's cache in all.
+        ``part_tokens``: number of uncached tokens that belong to parts with a reported size. ``resident_tokens``:
+        number of tokens that the turn occupies in the worker's cache in all.
         """
         now = self._clock.monotonic()
         uncached = forecast.uncached
@@ -119,7 +121,7 @@
         pool = self._pool(worker.pool)
         pool.mean_tokens += SIZE_SAMPLE_WEIGHT * (uncached - pool.mean_tokens)
         pool.mean_square_tokens += SIZE_SAMPLE_WEIGHT * (uncached * uncached - pool.mean_square_tokens)
-        pool.held_tokens += SIZE_SAMPLE_WEIGHT * (held_tokens - pool.held_tokens)
+        pool.resident_tokens += SIZE_SAMPLE_WEIGHT * (resident_tokens - pool.resident_tokens)
         if uncached > 0:
             pool.parts_share += SIZE_SAMPLE_WEIGHT * (part_tokens / uncached - pool.parts_share)
 
@@ -143,7 +145,7 @@
             prefill.pending_tokens = max(0.0, prefill.pending_tokens - pending.tokens) if prefill.pending else 0.0
         return pending
 
-    def forget(self, instance: WorkerInstance) -> None:
+    def remove_worker(self, instance: WorkerInstance) -> None:
         self._workers.pop(instance, None)
 
     def flow(self, instance: WorkerInstance) -> float:
@@ -205,7 +207,7 @@
         if now - prefill.cache_retention_at >= CACHE_RETENTION_UPDATE_S:
             pool = self._pool(worker.pool)
             elsewhere = self._exchange.observed_load_of_others(worker.instance)
-            free = worker.cache_tokens - (elsewhere.running + len(prefill.pending)) * pool.held_tokens
+            free = worker.cache_tokens - (elsewhere.running + len(prefill.pending)) * pool.resident_tokens
             flow = (elsewhere.prefill + self.flow(worker.instance)) * pool.parts_share
             prefill.cache_retention = Seconds(max(MIN_FREE_CACHE_SHARE * worker.cache_tokens, free) / max(1.0, flow))
             prefill.cache_retention_at = now
--- a/wingwood/placement/protocols.py
+++ b/wingwood/placement/protocols.py
@@ -53,8 +53,8 @@
     method: Literal["award", "claim", "bid", "hash", "policy"] = msgspec.field(name="how")
     """The kind of decision that led to the worker.
 
-    award: an award recorded at an earlier hint; claim: the worker probably caches the prefix; bid: the worker won
-    a new bid; hash: the fallback on which all routers agree; policy: a policy that ignores sessions.
+    award: a reservation recorded at an earlier hint; claim: the worker probably caches the prefix; bid: the cheapest
+    worker of a new comparison; hash: the fallback on which all routers agree; policy: a policy that ignores sessions.
     """
     first_token: Seconds
     """Predicted seconds until the first token of the answer."""
@@ -93,7 +93,7 @@
     ) -> None:
         """Reports that the turn left its worker.
 
-        A complete answer (``whole``) is the hint of the session's next turn: placement bids for that turn and
-        records the award.
+        A complete answer (``whole``) is the hint of the session's next turn: placement compares the
+        workers for that turn and reserves the cheapest.
         """
         ...
--- a/wingwood/placement/queue_owners.py
+++ b/wingwood/placement/queue_owners.py
@@ -24,7 +24,7 @@
 from ..registry.protocols import Worker
 from ..transport.frames import Identity
 from ..transport.messenger import Messenger
-from .bids import queued_cost
+from .cost_model import queued_cost
 from .messages import JoinQueue, QueueEntry, QueueJoined, QueueOffer
 from .unresponsive_routers import UnresponsiveRouters
 
@@ -87,16 +87,19 @@
             self._free_at.popitem(last=False)
 
     def join(self, question: JoinQueue) -> QueueJoined:
-        """Picks the award's winner if its queue is short enough, else the cheapest offer, and adds the turn there."""
-        chosen = 0 if self._award_stands(question) else self._cheapest(question)
+        """Picks the reserved worker if its queue is short enough, else the cheapest offer, and adds the turn there."""
+        chosen = 0 if self._reservation_stands(question) else self._cheapest(question)
         offer = question.offers[chosen]
         wait = self.wait(offer.worker)
         self.enter(QueueEntry(question.pool, offer.worker, offer.prefill))
         return QueueJoined(chosen, wait)
 
-    def _award_stands(self, question: JoinQueue) -> bool:
-        winner = question.offers[0]
-        return question.awarded and self.wait(winner.worker) + winner.prefill <= question.risk_threshold
+    def _reservation_stands(self, question: JoinQueue) -> bool:
+        reserved_worker = question.offers[0]
+        return (
+            question.first_is_reserved
+            and self.wait(reserved_worker.worker) + reserved_worker.prefill <= question.risk_threshold
+        )
 
     def _cheapest(self, question: JoinQueue) -> int:
         costs = [self._cost(question, offer) for offer in question.offers]
--- a/wingwood/placement/reported_size_bids.py
+++ b/wingwood/placement/reported_size_cost_model.py
@@ -1,4 +1,4 @@
-"""Bids where callers report the sizes of their prompt's parts (docs/DESIGN.md sections 11.3 to 11.5)."""
+"""Costs of workers where callers report the sizes of their prompt's parts (docs/DESIGN.md sections 11.3 to 11.5)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ..identifiers import PoolName, RequestId, Seconds, WorkerInstance, Zone
 from ..membership.protocols import Membership
 from ..registry.protocols import Worker
-from .bids import Forecast, Pressure, cheapest, queued_cost
+from .cost_model import Forecast, Pressure, cheapest, queued_cost
 from .messages import JoinQueue, QueueEntry, QueueOffer
 from .prefill_estimates import PrefillQueues
 from .prefix_order import PrefixOrders
@@ -20,16 +20,16 @@
 from .sent_chains import KnownChains, SentChains
 from .session_map import Entry
 from .session_recurrence import SessionRecurrence
-from .settings import AwardSettings
+from .settings import ReservationSettings
 from .worker_estimates import Workload
 
 MIN_AFFINITY_PREFILL_S = Seconds(0.002)
-"""A prefix whose prefill takes less than this is not worth a particular worker."""
+"""A prefix whose prefill takes less than this does not justify preferring a worker."""
 MIN_QUEUED_PREFILL_S = Seconds(0.003)
 """A turn whose prefill takes less than this is placed without asking the queue owner."""
 MAX_ENTERED_TURNS = 20_000
 NO_RISK_THRESHOLD_S = 1e6
-"""Threshold for turns whose wait risks neither a latency objective nor a pause; longer than any wait."""
+"""Threshold for turns whose wait risks neither a latency objective nor a gap in a stream; longer than any wait."""
 
 
 class QueueChoice(msgspec.Struct, frozen=True):
@@ -70,8 +70,8 @@
         return msgspec.structs.replace(self, workers=workers)
 
 
-class ReportedSizeBids:
-    """A ``Bidder`` that counts prompts by the parts and sizes that callers report."""
+class ReportedSizeCostModel:
+    """A ``CostModel`` that counts prompts by the parts and sizes that callers report."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         pressure: Pressure,
         orders: PrefixOrders,
         zone: Zone | None,
-        settings: AwardSettings,
+        settings: ReservationSettings,
         queue_owners: QueueOwners,
     ) -> None:
         self._context = context
@@ -115,7 +115,11 @@
         cached = known.cached_tokens(
             worker.instance, cache_retention, (routers - 1) / self._workers.get(worker.pool, 1)
         )
-        if entry is not None and entry.holder == worker.instance and known.now - entry.last_used_at <= cache_retention:
+        if (
+            entry is not None
+            and entry.cache_worker == worker.instance
+            and known.now - entry.last_used_at <= cache_retention
+        ):
             cached = max(cached, min(entry.tokens, _total_tokens(turn.parts)))
         return min(turn.prompt_tokens, int(cached))
 
@@ -152,32 +156,33 @@
         is_common = len(before) < 2 or self._prefill_share(turn, before, worker) > self._settings.prefix_prefill_share
         return turn.parts if is_common else before
 
-    # --- bids ---------------------------------------------------------------------------------
+    # --- costs --------------------------------------------------------------------------------
 
     def forecast(self, turn: Turn, entry: Entry | None, worker: Worker) -> Forecast:
         uncached = turn.prompt_tokens - self.cached_tokens(turn, entry, worker)
         first_token = self._workload.wait(worker) + self._queues.first_token(worker, uncached)
         return Forecast(uncached, Seconds(first_token))
 
-    def bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
+    def cheapest_worker(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
         """Returns the cheapest worker by this router's own estimates of the prefill queues."""
         offers = self._offers(turn, entry, self._find_prefix_workers(turn, entry, ready), ready)
-        bids = [(self._offer_cost(turn, offer), offer.worker) for offer in offers]
-        return cheapest(bids, None if entry is None else entry.holder, self._settings.min_move_gain_with_sizes)
+        costs = [(self._offer_cost(turn, offer), offer.worker) for offer in offers]
+        return cheapest(costs, None if entry is None else entry.cache_worker, self._settings.min_move_gain_with_sizes)
 
     async def join(
-        self, turn: Turn, entry: Entry | None, ready: Sequence[Worker], winner: Worker | None = None
+        self, turn: Turn, entry: Entry | None, ready: Sequence[Worker], reserved_worker: Worker | None = None
     ) -> QueueChoice | None:
         """Asks the queue owner to pick a worker; returns None if there is little to prefill or no owner answers.
 
-        ``winner``: the winner of an unexpired award; it takes the turn unless its queue risks the objective.
+        ``reserved_worker``: the worker of an unexpired reservation; it takes the turn unless its queue risks the
+        objective.
         """
         if self._queues.prefill(ready[0], turn.prompt_tokens) < MIN_QUEUED_PREFILL_S:
             return None
         prefix_workers = self._find_prefix_workers(turn, entry, ready)
         first = (
-            winner
-            or _holder(entry, ready)
+            reserved_worker
+            or _cache_worker(entry, ready)
             or next(iter(prefix_workers.workers), None)
             or self._context.random.choice(ready)
         )
@@ -190,7 +195,7 @@
             pressure=self._pressure.of(pool, turn.weight),
             risk_threshold=self._risk_threshold(turn, ready[0]),
             risk_cost=self._settings.risk_cost,
-            awarded=winner is not None,
+            first_is_reserved=reserved_worker is not None,
         )
         queue_choice = await self._queue_owners.join(question)
         if queue_choice is None:
@@ -215,7 +220,7 @@
         ready: Sequence[Worker],
         first: Worker | None = None,
     ) -> list[_Offer]:
-        """Returns the offers of the first worker, the prefix's workers, the holder and some workers drawn at random."""
+        """Returns the offers of the first, the prefix's and the cache worker, and of some workers drawn at random."""
         drawn = self._settings.extra_candidates if prefix_workers.workers else self._settings.candidates_with_sizes
         candidates = self._candidates(entry, prefix_workers.workers, drawn, ready)
         if first is not None:
@@ -251,7 +256,7 @@
         candidates = self._candidates(entry, prefix_workers, self._settings.candidates_with_sizes, ready)
         return min(self.forecast(turn, entry, worker).first_token for worker in candidates)
 
-    def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
+    def cheapest_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
         """Compares workers by the flow of prompts, because the current queues are gone when the next turn arrives.
 
         A prefix whose demand needs several workers alternates among them.
@@ -259,26 +264,26 @@
         prefix_workers = self._prefix_workers(turn, self._reused(turn), ready, 0)
         drawn = 0 if len(prefix_workers) > 1 else self._settings.extra_candidates
         candidates = self._candidates(entry, prefix_workers, drawn, ready)
-        holder = entry.holder if drawn else None
+        cache_worker = entry.cache_worker if drawn else None
         if not drawn:
             candidates = self._context.random.sample(candidates, 2)
         known = self._known(ready[0].pool, turn)
-        bids = []
+        costs = []
         for worker in candidates:
             load = self._workload.load(worker)
             uncached = turn.prompt_tokens - self._cached_tokens(turn, entry, worker, known)
             wait = self._workload.mean_wait(worker, load) + self._queues.mean_wait(worker)
-            bids.append((self._cost(turn, worker, uncached, wait, load), worker))
-        return cheapest(bids, holder, self._settings.min_move_gain_with_sizes)
+            costs.append((self._cost(turn, worker, uncached, wait, load), worker))
+        return cheapest(costs, cache_worker, self._settings.min_move_gain_with_sizes)
 
     def _candidates(
         self, entry: Entry | None, prefix_workers: Sequence[Worker], drawn: int, ready: Sequence[Worker]
     ) -> list[Worker]:
-        """Returns the prefix's workers, the holder and some workers drawn at random, each once."""
+        """Returns the prefix's workers, the cache worker and some workers drawn at random, each once."""
         found = list(prefix_workers)
-        holder = _holder(entry, ready)
-        if holder is not None:
-            found.append(holder)
+        cache_worker = _cache_worker(entry, ready)
+        if cache_worker is not None:
+            found.append(cache_worker)
         found.extend(self._context.random.sample(list(ready), min(drawn, len(ready))))
         return list({worker.instance: worker for worker in found}.values())
 
@@ -300,15 +305,15 @@
         return self._settings.stream_delay_weight * prefill * load + zone_cost
 
     def _risk_threshold(self, turn: Turn, worker: Worker) -> Seconds:
-        """Returns the seconds of wait and prefill that put the latency objective or the pauses of streams at risk."""
+        """Returns the seconds of wait and prefill that put the latency objective or the gaps in streams at risk."""
         risk_threshold = NO_RISK_THRESHOLD_S
-        objective, pause = turn.service.latency_objective, turn.service.longest_pause
+        objective, longest_gap = turn.service.latency_objective, turn.service.longest_pause
         if objective is not None:
             risk_threshold = min(
                 risk_threshold, objective * self._settings.objective_risk_share - self._queues.base_latency(worker)
             )
-        if pause is not None and turn.service.streaming:
-            risk_threshold = min(risk_threshold, pause * self._settings.pause_risk_share)
+        if longest_gap is not None and turn.service.streaming:
+            risk_threshold = min(risk_threshold, longest_gap * self._settings.gap_risk_share)
         return Seconds(max(0.0, risk_threshold))
 
     def _repeated_prefill_cost(self, turn: Turn, worker: Worker, tokens: float) -> float:
@@ -348,8 +353,8 @@
 
     def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
         part_tokens = max(0, forecast.uncached - max(0, turn.prompt_tokens - _total_tokens(turn.parts)))
-        held_tokens = turn.prompt_tokens + turn.generate_tokens
-        self._queues.sent(turn.request, worker, forecast, part_tokens, held_tokens)
+        resident_tokens = turn.prompt_tokens + turn.generate_tokens
+        self._queues.sent(turn.request, worker, forecast, part_tokens, resident_tokens)
         self._parts.sent(worker.pool, self._reused(turn), worker.instance, self._context.clock.monotonic())
 
     def ended(
@@ -387,15 +392,15 @@
         if len(self._entered) > MAX_ENTERED_TURNS:
             del self._entered[next(iter(self._entered))]
 
-    def forget(self, instance: WorkerInstance) -> None:
-        self._parts.forget(instance)
-        self._queues.forget(instance)
+    def remove_worker(self, instance: WorkerInstance) -> None:
+        self._parts.remove_worker(instance)
+        self._queues.remove_worker(instance)
 
 
-def _holder(entry: Entry | None, ready: Sequence[Worker]) -> Worker | None:
+def _cache_worker(entry: Entry | None, ready: Sequence[Worker]) -> Worker | None:
     if entry is None:
         return None
-    return next((worker for worker in ready if worker.instance == entry.holder), None)
+    return next((worker for worker in ready if worker.instance == entry.cache_worker), None)
 
 
 def _total_tokens(parts: Sequence[PromptPart]) -> int:
--- a/wingwood/placement/award_placement.py
+++ b/wingwood/placement/reservation_placement.py
@@ -1,7 +1,7 @@
-"""The award policy: it places turns by awards, claims and bids (docs/DESIGN.md section 11).
+"""The reservation policy: it places turns by reservations, claims and costs (docs/DESIGN.md section 11).
 
-The end of a turn is the hint of the session's next turn: the router bids for that turn at once and records the winner
-as the award.
+The end of a turn is the hint of the session's next turn: the router compares the workers for that turn at once
+and records a reservation of the cheapest.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from ..membership.protocols import Membership
 from ..membership.rendezvous import ranked
 from ..registry.protocols import ObservedLoadExchange, Registry, Worker
-from .bids import Bidder, Forecast, Pressure
-from .estimated_size_bids import EstimatedSizeBids
+from .cost_model import CostModel, Forecast, Pressure
+from .estimated_size_cost_model import EstimatedSizeCostModel
 from .long_streams import LongStreams
 from .pool_choice import pool_order
 from .prefill_estimates import PrefillQueues
 from .prefix_order import PrefixOrders
 from .protocols import Choice, NoWorker, Turn
 from .queue_owners import NoQueueOwners, QueueOwners
-from .reported_size_bids import ReportedSizeBids
+from .reported_size_cost_model import ReportedSizeCostModel
 from .session_map import Entry, SessionMap, Unreachable, session_key
 from .session_recurrence import SessionRecurrence
-from .settings import AwardSettings
-from .urgency import UrgentPlaces
+from .settings import ReservationSettings
+from .urgency import UrgentCapacity
 from .worker_estimates import Workload
 
 Method = Literal["award", "claim", "bid", "hash", "policy"]
@@ -51,13 +51,13 @@
     since: Instant
     predicted_wait: float
     claimed: bool
-    """Whether placing the turn recorded this worker as the session's holder in the map."""
+    """Whether placing the turn recorded this worker as the session's cache worker in the map."""
     known: Entry | None
-    """The entry that the map held before the turn was placed."""
+    """The entry that the map stored before the turn was placed."""
 
 
-class AwardPlacement:
-    """A ``Placement`` that uses awards, claims and bids. There is one per router."""
+class ReservationPlacement:
+    """A ``Placement`` that uses reservations, claims and costs. There is one per router."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         registry: Registry,
         exchange: ObservedLoadExchange,
         session_map: SessionMap,
-        settings: AwardSettings | None = None,
+        settings: ReservationSettings | None = None,
         zone: Zone | None = None,
         queue_owners: QueueOwners | None = None,
     ) -> None:
@@ -78,23 +78,23 @@
         self._membership = membership
         self._registry = registry
         self._map = session_map
-        self._settings = settings or AwardSettings()
+        self._settings = settings or ReservationSettings()
         self._zone = zone
         self._workload = Workload(registry, exchange, context.clock, self._settings.expected_turn_lifetime)
         self._queues = PrefillQueues(context.clock, exchange)
         self._workload.prefill_flow = self._queues.flow
         self._recurrence = SessionRecurrence()
         self._pressure = Pressure(self._settings.max_pressure)
-        self._urgent = UrgentPlaces(self._settings.less_urgent_share)
+        self._urgent = UrgentCapacity(self._settings.less_urgent_share)
         orders = PrefixOrders()
         self._long_streams = LongStreams(
-            context.clock, context.random, exchange, orders, self._queues, self._settings.max_reserved_share
+            context.clock, context.random, exchange, orders, self._queues, self._settings.max_dedicated_share
         )
         self._workload.long_streams = self._long_streams.own
-        self._estimated_bids = EstimatedSizeBids(
+        self._estimated_size_costs = EstimatedSizeCostModel(
             context, membership, self._workload, self._pressure, orders, self._settings
         )
-        self._reported_bids = ReportedSizeBids(
+        self._reported_size_costs = ReportedSizeCostModel(
             context,
             membership,
             self._workload,
@@ -108,16 +108,16 @@
         )
         self._placed: dict[tuple[RequestId, WorkerInstance], _Placed] = {}
         self.counts: Counter[str] = Counter()
-        """Counts of choices by method, recorded awards, moves and lookups that no owner answered; for metrics."""
+        """Counts of choices by method, recorded reservations, moves and lookups that no owner answered; for metrics."""
         registry.on_change(self._worker_changed)
 
     def entry_stored(self, key: int, entry: Entry) -> None:
         """Callback of the session map for each entry stored at this router: an even sample for the eviction model."""
         if self._map.owns(key):
-            self._workload.expect(key, entry.winner or entry.holder, entry.last_used_at)
+            self._workload.expect(key, entry.reserved_worker or entry.cache_worker, entry.last_used_at)
         capacity = sum(worker.cache_tokens for worker in self._registry.ready(entry.pool))
         if capacity:
-            self._estimated_bids.session_stored(key, entry, capacity)
+            self._estimated_size_costs.session_stored(key, entry, capacity)
 
     # --- placing a turn -----------------------------------------------------------------------
 
@@ -145,12 +145,12 @@
             candidates = self._long_streams.candidates(turn, self._workload.accepting(ready))
             choice = await self._choose_among(turn, key, entry, candidates)
             if self._misses_deadline(turn, choice, ready):
-                self._reported_bids.unsent(turn.request)
+                self._reported_size_costs.unsent(turn.request)
                 return Failure(self._all_full(ready))
             if await self._registry.confirm(choice.worker):
                 self._place(turn, key, entry, choice)
                 return Success(choice)
-            self._reported_bids.unsent(turn.request)
+            self._reported_size_costs.unsent(turn.request)
             tried.add(choice.worker.instance)
 
     async def _find(self, turn: Turn, key: int) -> Entry | Unreachable | None:
@@ -163,8 +163,8 @@
             self._recurrence.observe(turn.service.name, entry is not None)
         return entry
 
-    def _bidder(self, turn: Turn) -> Bidder:
-        return self._reported_bids if turn.parts else self._estimated_bids
+    def _cost_model(self, turn: Turn) -> CostModel:
+        return self._reported_size_costs if turn.parts else self._estimated_size_costs
 
     async def _choose_among(
         self, turn: Turn, key: int | None, entry: Entry | Unreachable | None, ready: Sequence[Worker]
@@ -173,12 +173,12 @@
             return self._choice(turn, entry, self._least_loaded(ready), "policy")
         if isinstance(entry, Unreachable):
             return self._choice(turn, entry, self._agreed_worker(key, ready), "hash")
-        winner = self._winner(turn, entry, ready)
-        if winner is None:
-            return await self._bid(turn, entry, ready)
-        queue_choice = await self._reported_bids.join(turn, entry, ready, winner) if turn.parts else None
+        reserved_worker = self._reserved_worker(turn, entry, ready)
+        if reserved_worker is None:
+            return await self._choose_cheapest(turn, entry, ready)
+        queue_choice = await self._reported_size_costs.join(turn, entry, ready, reserved_worker) if turn.parts else None
         if queue_choice is not None:
-            method: Method = "award" if queue_choice.worker is winner else "bid"
+            method: Method = "award" if queue_choice.worker is reserved_worker else "bid"
             forecast = queue_choice.forecast
             return Choice(
                 worker=queue_choice.worker,
@@ -186,51 +186,62 @@
                 first_token=forecast.first_token,
                 uncached_tokens=forecast.uncached,
             )
-        choice = self._choice(turn, entry, winner, "award")
+        choice = self._choice(turn, entry, reserved_worker, "award")
         if turn.parts:
-            self._reported_bids.enter(turn, winner, choice.uncached_tokens)
+            self._reported_size_costs.enter(turn, reserved_worker, choice.uncached_tokens)
         return choice
 
-    def _winner(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker | None:
-        """Returns the winner of the unexpired award if it is ready and not too crowded."""
-        if entry is None or entry.award_until <= self._context.clock.monotonic():
+    def _reserved_worker(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker | None:
+        """Returns the worker of the unexpired reservation if it is ready and not too crowded."""
+        if entry is None or entry.reserved_until <= self._context.clock.monotonic():
             return None
-        winner = next((worker for worker in ready if worker.instance == entry.winner), None)
-        return winner if winner is not None and self._winner_in_time(turn, entry, winner, ready) else None
+        reserved_worker = next((worker for worker in ready if worker.instance == entry.reserved_worker), None)
+        return (
+            reserved_worker
+            if reserved_worker is not None and self._reserved_worker_in_time(turn, entry, reserved_worker, ready)
+            else None
+        )
+
+    async def _choose_cheapest(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Choice:
+        """Chooses the cheapest worker.
 
-    async def _bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Choice:
-        """Bids for the turn; the session's holder counts only if it is ready and caches a part of the prompt."""
+        The session's cache worker counts only if it is ready and caches a part of the prompt.
+        """
         if self._long_streams.is_long(turn):
             return self._stream_choice(turn, entry, self._long_streams.pick(ready))
-        bidder = self._bidder(turn)
-        holder = None if entry is None else next((one for one in ready if one.instance == entry.holder), None)
-        if holder is None or bidder.cached_tokens(turn, entry, holder) <= 0:
-            holder = entry = None
-        queue_choice = await self._reported_bids.join(turn, entry, ready) if turn.parts else None
-        worker = bidder.bid(turn, entry, ready) if queue_choice is None else queue_choice.worker
-        if holder is None:
-            method: Method = "claim" if bidder.cached_tokens(turn, None, worker) > 0 else "bid"
+        cost_model = self._cost_model(turn)
+        cache_worker = (
+            None if entry is None else next((worker for worker in ready if worker.instance == entry.cache_worker), None)
+        )
+        if cache_worker is None or cost_model.cached_tokens(turn, entry, cache_worker) <= 0:
+            cache_worker = entry = None
+        queue_choice = await self._reported_size_costs.join(turn, entry, ready) if turn.parts else None
+        worker = cost_model.cheapest_worker(turn, entry, ready) if queue_choice is None else queue_choice.worker
+        if cache_worker is None:
+            method: Method = "claim" if cost_model.cached_tokens(turn, None, worker) > 0 else "bid"
         else:
-            method = "claim" if worker is holder else "bid"
-        forecast = bidder.forecast(turn, entry, worker) if queue_choice is None else queue_choice.forecast
+            method = "claim" if worker is cache_worker else "bid"
+        forecast = cost_model.forecast(turn, entry, worker) if queue_choice is None else queue_choice.forecast
         return Choice(worker=worker, method=method, first_token=forecast.first_token, uncached_tokens=forecast.uncached)
 
     def _stream_choice(self, turn: Turn, entry: Entry | None, worker: Worker) -> Choice:
         """Returns the choice of a long stream's worker, which depends on the streams there and not on the prompt."""
-        method: Method = "claim" if entry is not None and entry.holder == worker.instance else "bid"
+        method: Method = "claim" if entry is not None and entry.cache_worker == worker.instance else "bid"
         choice = self._choice(turn, entry, worker, method)
-        self._reported_bids.enter(turn, worker, choice.uncached_tokens)
+        self._reported_size_costs.enter(turn, worker, choice.uncached_tokens)
         return choice
 
-    def _winner_in_time(self, turn: Turn, entry: Entry | None, winner: Worker, ready: Sequence[Worker]) -> bool:
-        """Returns whether the award's winner takes the turn even though it may be crowded.
+    def _reserved_worker_in_time(
+        self, turn: Turn, entry: Entry | None, reserved_worker: Worker, ready: Sequence[Worker]
+    ) -> bool:
+        """Returns whether the reserved worker takes the turn even though it may be crowded.
 
         It does not where its first token would exceed the callers' timeout: admission would then refuse a turn that
         other workers could run. Where sizes are reported, it does not either if it would probably miss a latency
         objective that another worker would meet; forecasts from estimated sizes are too rough for that.
         """
-        bidder = self._bidder(turn)
-        first_token = bidder.forecast(turn, entry, winner).first_token
+        cost_model = self._cost_model(turn)
+        first_token = cost_model.forecast(turn, entry, reserved_worker).first_token
         if first_token > turn.service.first_byte_patience * self._settings.timeout_share:
             return False
         objective = turn.service.latency_objective
@@ -238,11 +249,11 @@
             return True
         if first_token <= objective * self._settings.objective_risk_share:
             return True
-        return bidder.earliest_first_token(turn, entry, ready) > objective * self._settings.objective_met_share
+        return cost_model.earliest_first_token(turn, entry, ready) > objective * self._settings.objective_met_share
 
     def _choice(self, turn: Turn, entry: Entry | Unreachable | None, worker: Worker, method: Method) -> Choice:
         known = entry if isinstance(entry, Entry) else None
-        forecast = self._bidder(turn).forecast(turn, known, worker)
+        forecast = self._cost_model(turn).forecast(turn, known, worker)
         return Choice(worker=worker, method=method, first_token=forecast.first_token, uncached_tokens=forecast.uncached)
 
     def _misses_deadline(self, turn: Turn, choice: Choice, ready: Sequence[Worker]) -> bool:
@@ -252,7 +263,7 @@
         return self._workload.is_busy(ready)
 
     def _all_full(self, ready: Sequence[Worker]) -> NoWorker:
-        return NoWorker("all-full", min(self._workload.time_until_room(worker) for worker in ready))
+        return NoWorker("all-full", min(self._workload.time_until_capacity(worker) for worker in ready))
 
     def _place(self, turn: Turn, key: int | None, entry: Entry | Unreachable | None, choice: Choice) -> None:
         now = self._context.clock.monotonic()
@@ -263,22 +274,22 @@
         placed = _Placed(now, self._workload.wait(worker), claimed, known)
         self._placed[(turn.request, worker.instance)] = placed
         if key is not None and worker.cache_tokens:
-            bidder = self._bidder(turn)
-            bidder.sent(turn, worker, key, Forecast(choice.uncached_tokens, choice.first_token))
+            cost_model = self._cost_model(turn)
+            cost_model.sent(turn, worker, key, Forecast(choice.uncached_tokens, choice.first_token))
             if claimed:
-                tokens = bidder.session_tokens(turn, turn.prompt_tokens)
+                tokens = cost_model.session_tokens(turn, turn.prompt_tokens)
                 self._record(turn, key, self._entry(turn, worker, tokens, now))
             self._long_streams.started(turn, worker)
         self._workload.begin(worker.instance)
 
     def _is_claim(self, turn: Turn, known: Entry | None, choice: Choice) -> bool:
-        """Returns whether the placement records the chosen worker as the session's holder.
+        """Returns whether the placement records the chosen worker as the session's cache worker.
 
-        Where sizes are reported, a turn placed by the award leaves the award unchanged, so that several turns of a
-        session can run concurrently under it.
+        Where sizes are reported, a turn placed by the reservation leaves the reservation unchanged, so that several
+        turns of a session can run concurrently under it.
         """
         if known is None or not (turn.parts and choice.method == "award"):
-            return known is None or known.holder != choice.worker.instance
+            return known is None or known.cache_worker != choice.worker.instance
         return False
 
     # --- end of a turn, and its hint ----------------------------------------------------------
@@ -300,14 +311,14 @@
         if placed is None:
             return
         worker = choice.worker
-        bidder = self._bidder(turn)
+        cost_model = self._cost_model(turn)
         self._workload.end(worker.instance)
         self._long_streams.ended(turn.request)
         now = self._context.clock.monotonic()
         unsent = outcome == "cancelled" and now - placed.since <= UNSENT_WITHIN_S
         if unsent or outcome == "refused":
-            self._reported_bids.unsent(turn.request)
-        bidder.turn_left(turn.request, worker, first_token_after)
+            self._reported_size_costs.unsent(turn.request)
+        cost_model.turn_left(turn.request, worker, first_token_after)
         if outcome == "refused":
             self._workload.refused(worker.instance)
         if placed.claimed and (unsent or outcome == "refused"):
@@ -315,9 +326,9 @@
         if outcome != "whole":
             return
         duration = Seconds(now - placed.since)
-        bidder.ended(turn, worker, choice.uncached_tokens, placed.predicted_wait, first_token_after, duration)
+        cost_model.ended(turn, worker, choice.uncached_tokens, placed.predicted_wait, first_token_after, duration)
         if turn.session is not None and worker.cache_tokens:
-            self.hint(turn, worker, bidder.session_tokens(turn, turn.prompt_tokens + generated_tokens))
+            self.hint(turn, worker, cost_model.session_tokens(turn, turn.prompt_tokens + generated_tokens))
 
     def _unclaim(self, turn: Turn, worker: Worker, known: Entry | None) -> None:
         """Restores the entry that was known before, because the worker never received the turn."""
@@ -326,24 +337,24 @@
         entry = self._entry(turn, worker, 0, now) if known is None else msgspec.structs.replace(known, last_used_at=now)
         self._record(turn, session_key(worker.pool, turn.session), entry)
 
-    def hint(self, turn: Turn, holder: Worker, tokens: int) -> None:
-        """Bids for the session's next turn, which is expected soon, and records the award."""
+    def hint(self, turn: Turn, cache_worker: Worker, tokens: int) -> None:
+        """Reserves the cheapest worker for the session's next turn, which is expected soon."""
         assert turn.session is not None
         now = self._context.clock.monotonic()
-        key = session_key(holder.pool, turn.session)
-        entry = self._entry(turn, holder, tokens, now)
+        key = session_key(cache_worker.pool, turn.session)
+        entry = self._entry(turn, cache_worker, tokens, now)
         next_turn = turn if turn.parts else msgspec.structs.replace(turn, prompt_tokens=tokens)
-        ready = self._registry.ready(holder.pool)
+        ready = self._registry.ready(cache_worker.pool)
         if ready:
             candidates = self._long_streams.candidates(next_turn, ready)
             if self._long_streams.is_long(next_turn):
-                winner = self._long_streams.pick(candidates)
+                reserved_worker = self._long_streams.pick(candidates)
             else:
-                winner = self._bidder(turn).bid_for_next_turn(next_turn, entry, candidates)
-            entry.winner = winner.instance
-            entry.award_until = Instant(now + self._settings.award_lifetime)
+                reserved_worker = self._cost_model(turn).cheapest_for_next_turn(next_turn, entry, candidates)
+            entry.reserved_worker = reserved_worker.instance
+            entry.reserved_until = Instant(now + self._settings.reservation_lifetime)
             self.counts["awards"] += 1
-            self.counts["moves"] += winner.instance != holder.instance
+            self.counts["moves"] += reserved_worker.instance != cache_worker.instance
         self._record(turn, key, entry)
 
     def _record(self, turn: Turn, key: int, entry: Entry) -> None:
@@ -352,12 +363,12 @@
         else:
             self._map.record_local(key, entry)
 
-    def _entry(self, turn: Turn, holder: Worker, tokens: int, now: Instant) -> Entry:
+    def _entry(self, turn: Turn, cache_worker: Worker, tokens: int, now: Instant) -> Entry:
         return Entry(
-            pool=holder.pool,
-            holder=holder.instance,
+            pool=cache_worker.pool,
+            cache_worker=cache_worker.instance,
             tokens=tokens,
-            own_tokens=self._bidder(turn).own_tokens(holder.pool, turn, tokens),
+            own_tokens=self._cost_model(turn).own_tokens(cache_worker.pool, turn, tokens),
             last_used_at=now,
             weight=turn.weight,
         )
@@ -390,9 +401,9 @@
 
     def _worker_changed(self, worker: Worker) -> None:
         if worker.state == "gone":
-            self._estimated_bids.forget(worker.instance)
-            self._reported_bids.forget(worker.instance)
-            self._workload.forget(worker.instance)
+            self._estimated_size_costs.remove_worker(worker.instance)
+            self._reported_size_costs.remove_worker(worker.instance)
+            self._workload.remove_worker(worker.instance)
 
 
 def _more_informative(first: NoWorker | None, second: NoWorker) -> NoWorker:
--- a/wingwood/placement/sent_chains.py
+++ b/wingwood/placement/sent_chains.py
@@ -55,7 +55,7 @@
             sent.sent_at[instance] = now
             sent.demand.add(1.0, now)
 
-    def forget(self, instance: WorkerInstance) -> None:
+    def remove_worker(self, instance: WorkerInstance) -> None:
         """Drops the records of a worker that was removed."""
         for sent in self._chains.values():
             sent.sent_at.pop(instance, None)
--- a/wingwood/placement/session_map.py
+++ b/wingwood/placement/session_map.py
@@ -35,8 +35,8 @@
 CLAIM_RETENTION_S = Seconds(3600.0)
 """A prefix that was not used for this long is no longer in any KV cache."""
 HANDOVER_BATCH_SIZE = 200
-"""Number of records that a handover sends before it pauses."""
-HANDOVER_PAUSE_S = Seconds(0.05)
+"""Number of records that a handover sends at once."""
+HANDOVER_BATCH_INTERVAL_S = Seconds(0.05)
 
 
 def session_key(pool: PoolName, session: SessionId) -> int:
@@ -47,12 +47,12 @@
     """A ``SessionRecord`` whose times are instants of this process's clock."""
 
     pool: PoolName
-    holder: WorkerInstance
+    cache_worker: WorkerInstance
     tokens: int
     own_tokens: int
     last_used_at: Instant
-    winner: WorkerInstance = WorkerInstance("")
-    award_until: Instant = Instant(0.0)
+    reserved_worker: WorkerInstance = WorkerInstance("")
+    reserved_until: Instant = Instant(0.0)
     weight: float = 1.0
 
 
@@ -152,9 +152,9 @@
                 self._insert(name)
         else:
             self._numbers = {name: number for number, name in enumerate(added)}
-            marks = sorted((point, number) for number, name in enumerate(added) for point in _points(name))
-            self._points = array("Q", (point for point, _ in marks))
-            self._owners = array("L", (number for _, number in marks))
+            points = sorted((point, number) for number, name in enumerate(added) for point in _points(name))
+            self._points = array("Q", (point for point, _ in points))
+            self._owners = array("L", (number for _, number in points))
         self._by_number = {self._numbers[router.name]: router for router in routers}
 
     def _insert(self, name: str) -> None:
@@ -291,12 +291,12 @@
         return SessionRecord(
             key=key,
             pool=entry.pool,
-            holder=entry.holder,
+            cache_worker=entry.cache_worker,
             tokens=entry.tokens,
             own_tokens=entry.own_tokens,
             age=Seconds(max(0.0, now - entry.last_used_at)),
-            winner=entry.winner if entry.award_until > now else WorkerInstance(""),
-            award_left=Seconds(max(0.0, entry.award_until - now)),
+            reserved_worker=entry.reserved_worker if entry.reserved_until > now else WorkerInstance(""),
+            reservation_left=Seconds(max(0.0, entry.reserved_until - now)),
             weight=entry.weight,
         )
 
@@ -304,12 +304,12 @@
         now = self._context.clock.monotonic()
         return Entry(
             pool=record.pool,
-            holder=WorkerInstance(sys.intern(record.holder)),
+            cache_worker=WorkerInstance(sys.intern(record.cache_worker)),
             tokens=record.tokens,
             own_tokens=record.own_tokens,
             last_used_at=Instant(now - record.age),
-            winner=WorkerInstance(sys.intern(record.winner)),
-            award_until=Instant(now + record.award_left),
+            reserved_worker=WorkerInstance(sys.intern(record.reserved_worker)),
+            reserved_until=Instant(now + record.reservation_left),
             weight=record.weight,
         )
 
@@ -355,5 +355,5 @@
                     batches.setdefault(address, []).append(self._to_record(key, entry))
             for address, records in sorted(batches.items()):
                 self._messenger.post(address, StoreSessionRecords(tuple(records)))
-            await self._context.clock.sleep(HANDOVER_PAUSE_S)
+            await self._context.clock.sleep(HANDOVER_BATCH_INTERVAL_S)
         self._handover_running = False
--- a/wingwood/placement/settings.py
+++ b/wingwood/placement/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the award policy, with defaults chosen on the bench (docs/DESIGN.md section 11.7)."""
+"""Settings of the reservation policy (docs/DESIGN.md section 11.7)."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 from ..identifiers import Seconds
 
 
-class AwardSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Weights, limits and lifetimes of the award policy."""
+class ReservationSettings(msgspec.Struct, frozen=True, kw_only=True):
+    """Weights, limits and lifetimes of the reservation policy."""
 
-    award_lifetime: Seconds = Seconds(300.0)
-    """Seconds after which an award expires; the entry is then only a claim."""
+    reservation_lifetime: Seconds = Seconds(300.0)
+    """Seconds after which a reservation expires; the entry is then only a claim."""
     expected_turn_lifetime: Seconds = Seconds(20.0)
-    """Seconds after its last turn during which a session counts as returning to its award's winner."""
+    """Seconds after its last turn during which a session counts as returning to its reserved worker."""
     next_turn_wait_weight: float = 0.03
     """Weight of the mean wait predicted for a session's next turn, against the prefill that is saved."""
     mean_wait_weight: float = 0.1
     """Weight of the mean wait for a turn that has arrived, besides the wait for a free slot, which counts in full."""
     timeout_share: float = 0.8
-    """An award is passed over when its winner's first token would take more than this share of the callers' timeout."""
+    """A reservation is passed over when its first token would take more than this share of the callers' timeout."""
     objective_risk_share: float = 0.5
-    """An award may be passed over when its winner's first token takes more than this share of the latency objective.
+    """A reservation may be passed over when its first token takes more than this share of the latency objective.
 
     Forecasts are means: an objective of which the forecast takes half is often missed.
     """
     objective_met_share: float = 0.35
-    """The award is then passed over if another worker's first token takes at most this share of the objective."""
+    """The reservation is then passed over if another worker's first token takes at most this share of the objective."""
     max_pressure: float = 4.0
     """Upper bound of the factor by which waiting costs more for the class that pays least."""
     min_move_gain: Seconds = Seconds(0.1)
@@ -43,16 +43,16 @@
     """Probability that the first worker in a prefix's rendezvous order caches it when no worker is known to do so."""
     repeated_prefill_weight: float = 8.0
     """Weight of prefilling shared parts that another worker probably caches, beyond the time that the prefill takes."""
-    pause_risk_share: float = 0.35
-    """Share of a service's longest pause; a longer prefill queue risks such a pause in the streams that run there."""
+    gap_risk_share: float = 0.35
+    """Share of a service's longest gap between events; a longer prefill queue risks such a gap in the streams there."""
     risk_cost: float = 8.0
-    """Weight of the seconds by which wait and prefill exceed the threshold that risks the objective or a pause."""
+    """Weight of the seconds by which wait and prefill exceed the threshold that risks the objective or a gap."""
     stream_delay_weight: float = 0.2
     """Weight of the seconds by which a prefill delays each stream that runs on the same worker."""
     other_zone_cost: Seconds = Seconds(0.003)
     """Cost in seconds of a worker in another zone: the round trip and the transfer of its bytes."""
-    max_reserved_share: float = 0.34
-    """Largest share of a pool's workers that is reserved for long streams; 0 turns the reservation off."""
+    max_dedicated_share: float = 0.34
+    """Largest share of a pool's workers that is dedicated to long streams; 0 dedicates none."""
     candidates: int = 3
     """Number of workers drawn at random for a session without a shared prefix."""
     candidates_with_sizes: int = 5
@@ -60,4 +60,4 @@
     extra_candidates: int = 2
     """Number of workers drawn at random in addition to those that probably cache the prompt."""
     less_urgent_share: float = 0.85
-    """Share of a pool's places that is open to turns less urgent than the most urgent recent ones."""
+    """Share of a pool's capacity that is open to turns less urgent than the most urgent recent ones."""
--- a/wingwood/placement/tests/one_router.py
+++ b/wingwood/placement/tests/one_router.py
@@ -23,10 +23,10 @@
     WorkerInstance,
     Zone,
 )
-from wingwood.placement.award_placement import AwardPlacement
 from wingwood.placement.protocols import Choice, NoWorker, PromptPart, Turn
+from wingwood.placement.reservation_placement import ReservationPlacement
 from wingwood.placement.session_map import LocalMap, SessionMap
-from wingwood.placement.settings import AwardSettings
+from wingwood.placement.settings import ReservationSettings
 from wingwood.registry.protocols import ObservedLoad, Worker
 from wingwood.transport.frames import Identity
 
@@ -83,7 +83,7 @@
     def __init__(
         self,
         workers: int = 9,
-        settings: AwardSettings | None = None,
+        settings: ReservationSettings | None = None,
         seed: int = 5,
         zone: str = "a",
         cache_tokens: int = 232_000,
@@ -113,7 +113,7 @@
             tasks=cast(Any, None),
         )
         self.map = session_map or LocalMap()
-        self.placement = AwardPlacement(
+        self.placement = ReservationPlacement(
             context, cast(Any, self), cast(Any, self), cast(Any, self), self.map, settings, Zone(zone)
         )
 
@@ -160,13 +160,13 @@
         self.end(turn, choice, first_token)
         return choice
 
-    def engage(self, instance: WorkerInstance, running: float = 0.0, prefill: float = 0.0) -> None:
+    def set_observed_load(self, instance: WorkerInstance, running: float = 0.0, prefill: float = 0.0) -> None:
         """Sets the load that the other routers observe for the worker."""
         self.reported[instance] = ObservedLoad(running, 0.0, prefill)
 
-    def engage_all(self, running: float = 0.0, prefill: float = 0.0) -> None:
+    def set_observed_load_everywhere(self, running: float = 0.0, prefill: float = 0.0) -> None:
         for worker in self.workers:
-            self.engage(worker.instance, running, prefill)
+            self.set_observed_load(worker.instance, running, prefill)
 
     def teach(self, per_token: float = 1 / 300_000, base: float = 0.03) -> None:
         """Runs turns from whose first tokens the placement learns the speed of the engines."""
--- a/wingwood/placement/tests/test_cached_prefixes.py
+++ b/wingwood/placement/tests/test_cached_prefixes.py
@@ -31,7 +31,7 @@
         self.assertEqual(shared.cached_tokens(POOL, ("root", "x", "c"), WORKER, LONG_AGO), 3000)
         self.assertEqual(shared.cached_tokens(POOL, ("root", "lease", "c"), OTHER, LONG_AGO), 0)
         self.assertEqual(shared.cached_tokens(POOL, ("root", "lease", "c"), WORKER, Instant(6.0)), 0)
-        shared.forget(WORKER)
+        shared.remove_worker(WORKER)
         self.assertEqual(shared.cached_tokens(POOL, ("root", "lease", "c"), WORKER, LONG_AGO), 0)
 
     def test_demand_decays(self) -> None:
--- a/wingwood/placement/tests/test_long_streams.py
+++ b/wingwood/placement/tests/test_long_streams.py
@@ -8,7 +8,7 @@
 from wingwood.identifiers import Seconds, WorkerInstance
 from wingwood.placement.long_streams import MAX_STREAM_SLOT_SHARE, RESERVATION_PERIOD_S, TARGET_STREAM_SLOT_SHARE
 from wingwood.placement.protocols import Choice, Turn
-from wingwood.placement.settings import AwardSettings
+from wingwood.placement.settings import ReservationSettings
 from wingwood.registry.protocols import ObservedLoad
 
 from .one_router import POOL, OneRouter, sized_turn
@@ -39,10 +39,10 @@
         return started
 
     def test_long_streams_share_as_few_workers_as_they_need(self) -> None:
-        room = int(MAX_STREAM_SLOT_SHARE * SLOTS)
-        workers = Counter(choice.worker.instance for _, choice in self.start(room + 3))
+        capacity = int(MAX_STREAM_SLOT_SHARE * SLOTS)
+        workers = Counter(choice.worker.instance for _, choice in self.start(capacity + 3))
         self.assertEqual(len(workers), 2)
-        self.assertLessEqual(max(workers.values()), room)
+        self.assertLessEqual(max(workers.values()), capacity)
         few = OneRouter()
         self.assertEqual(
             len({few.choose(chat(number)).worker.instance for number in range(int(TARGET_STREAM_SLOT_SHARE * SLOTS))}),
@@ -52,7 +52,7 @@
     def test_concurrent_streams_from_many_routers_exceed_no_workers_slots(self) -> None:
         """Counts of other routers are outdated when they are read.
 
-        If each router filled the first worker that has room, thirty streams that start at once would all go there.
+        If each router filled the first worker that has capacity, thirty streams that start at once would all go there.
         """
         routers = [OneRouter(workers=30, seed=seed) for seed in range(30)]
         order = routers[0].placement._long_streams._orders.order(POOL, ("long streams",), routers[0].workers)
@@ -64,27 +64,27 @@
         self.assertEqual(len(streams), 5)
         self.assertLessEqual(max(streams.values()), SLOTS)
 
-    def test_award_of_a_long_stream_holds_while_its_winner_has_room(self) -> None:
+    def test_reservation_of_a_long_stream_holds_while_its_worker_has_capacity(self) -> None:
         for worker in self.router.workers:
             self.router.reported[worker.instance] = ObservedLoad(9.0, 0.0, 0.0, 9.0)
         first = chat(1)
         self.router.end(first, self.router.choose(first))
-        winner = self.router.choose(chat(1))
-        self.assertEqual(winner.method, "award")
-        self.router.reported[winner.worker.instance] = ObservedLoad(24.0, 0.0, 0.0, 24.0)
-        self.assertNotEqual(self.router.choose(chat(1)).worker, winner.worker)
+        reserved_worker = self.router.choose(chat(1))
+        self.assertEqual(reserved_worker.method, "award")
+        self.router.reported[reserved_worker.worker.instance] = ObservedLoad(24.0, 0.0, 0.0, 24.0)
+        self.assertNotEqual(self.router.choose(chat(1)).worker, reserved_worker.worker)
 
     def test_all_routers_fill_the_same_worker_first(self) -> None:
         chosen = {OneRouter(seed=seed).choose(chat(1)).worker.instance for seed in range(8)}
         self.assertEqual(len(chosen), 1)
 
     def test_long_prompts_avoid_the_workers_of_long_streams(self) -> None:
-        """A steady flow of long prompts makes the streams on the same worker pause longer than callers accept."""
+        """A steady flow of long prompts makes the streams on the same worker stall longer than callers accept."""
         streaming = {choice.worker.instance for _, choice in self.start(int(MAX_STREAM_SLOT_SHARE * SLOTS) + 3)}
         for worker in self.router.workers:
             if worker.instance not in streaming:
                 # With equal load, prompts do not avoid the workers of long streams because of their load.
-                self.router.engage(worker.instance, 26.0)
+                self.router.set_observed_load(worker.instance, 26.0)
         taken = {self.router.take(summary(number)).worker.instance for number in range(120)}
         self.assertEqual(taken & streaming, set())
         self.assertEqual(len(taken), 9 - len(streaming))
@@ -101,12 +101,12 @@
         taken = {self.router.take(summary(number)).worker.instance for number in range(120)}
         self.assertIn(choice.worker.instance, taken)
 
-    def test_overload_of_all_other_workers_opens_the_reserved_workers(self) -> None:
+    def test_overload_of_all_other_workers_opens_the_dedicated_workers(self) -> None:
         """Reserved workers must not stay idle while long prompts wait everywhere else."""
         streaming = self.start(3)[0][1].worker.instance
         for worker in self.router.workers:
             if worker.instance != streaming:
-                self.router.engage(worker.instance, 30.0, 400_000.0)
+                self.router.set_observed_load(worker.instance, 30.0, 400_000.0)
         chosen = Counter(self.router.choose(summary(number)).worker.instance for number in range(60))
         self.assertGreater(chosen[streaming], 10)
 
@@ -116,11 +116,11 @@
             self.router.reported[worker.instance] = ObservedLoad(2.0, 0.0, 0.0, 2.0)
         self.start(1)
         taken = {self.router.take(summary(number)).worker.instance for number in range(200)}
-        self.assertGreaterEqual(len(taken), 9 - int(AwardSettings().max_reserved_share * 9))
+        self.assertGreaterEqual(len(taken), 9 - int(ReservationSettings().max_dedicated_share * 9))
 
     def test_worker_with_a_long_prefill_queue_gets_no_long_stream(self) -> None:
         first = self.router.choose(chat(1)).worker.instance
-        self.router.engage(first, 8.0, 350_000.0)
+        self.router.set_observed_load(first, 8.0, 350_000.0)
         self.assertNotEqual(self.router.choose(chat(2)).worker.instance, first)
 
     def test_excluded_and_missing_workers_are_skipped_in_the_same_order(self) -> None:
--- a/wingwood/placement/tests/test_plain_policies.py
+++ b/wingwood/placement/tests/test_plain_policies.py
@@ -1,4 +1,4 @@
-"""The balancing policies without awards, and the choice of the policy by settings (docs/DESIGN.md section 11.6)."""
+"""Balancing policies without reservations, and the choice of the policy by settings (docs/DESIGN.md section 11.6)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from wingwood.registry.tests.fleet import POOL, Fleet
 from wingwood.settings.model import DaemonSettings
 
-from .test_award_placement import turn_of
+from .test_reservation_placement import turn_of
 
 
 class PlainPoliciesTest(unittest.TestCase):
@@ -110,7 +110,7 @@
         none = fleet.inside("r0", lambda: placements["r0"].choose(turn_of("s"), everyone)).failure()
         self.assertEqual(none, NoWorker("none-ready", Seconds(1.0)))
 
-    def test_award_policy_places_turns_of_pools_without_caches_by_load(self) -> None:
+    def test_reservation_policy_places_turns_of_pools_without_caches_by_load(self) -> None:
         """There is no cached prefix in such a pool, so turns with a session must not stick to one worker."""
         fleet, placements = self.placements("award")
         for worker in self.workers:
--- a/wingwood/placement/tests/test_prefill_estimates.py
+++ b/wingwood/placement/tests/test_prefill_estimates.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 from wingwood.identifiers import Address, PoolName, RequestId, Seconds, WorkerInstance, Zone
-from wingwood.placement.bids import Forecast
+from wingwood.placement.cost_model import Forecast
 from wingwood.placement.prefill_estimates import PrefillQueues
 from wingwood.registry.protocols import ObservedLoad, Worker
 
--- a/wingwood/placement/tests/test_queue_owners.py
+++ b/wingwood/placement/tests/test_queue_owners.py
@@ -55,13 +55,17 @@
         taken = [self.times.join(question((FIRST, 0.0), (SECOND, 0.1), risk_threshold=1e6)).offer for _ in range(5)]
         self.assertEqual(taken, [0, 0, 0, 0, 1])
 
-    def test_award_holds_against_a_cheaper_worker_until_its_queue_is_a_risk(self) -> None:
-        asked = msgspec.structs.replace(question((FIRST, 0.01), (SECOND, 0.0), risk_threshold=0.07), awarded=True)
+    def test_reservation_holds_against_a_cheaper_worker_until_its_queue_is_a_risk(self) -> None:
+        asked = msgspec.structs.replace(
+            question((FIRST, 0.01), (SECOND, 0.0), risk_threshold=0.07), first_is_reserved=True
+        )
         taken = [self.times.join(asked).offer for _ in range(4)]
         self.assertEqual(taken, [0, 0, 1, 1])
 
-    def test_award_whose_queue_is_a_risk_still_wins_where_all_others_cost_more(self) -> None:
-        asked = msgspec.structs.replace(question((FIRST, 0.0), (SECOND, 9.0), risk_threshold=0.0), awarded=True)
+    def test_reservation_whose_queue_is_a_risk_still_wins_where_all_others_cost_more(self) -> None:
+        asked = msgspec.structs.replace(
+            question((FIRST, 0.0), (SECOND, 9.0), risk_threshold=0.0), first_is_reserved=True
+        )
         self.assertEqual(self.times.join(asked).offer, 0)
 
     def test_queue_shrinks_as_time_passes(self) -> None:
@@ -179,7 +183,7 @@
         """An owner knows only the queues of its own group, so offers of another group would look idle."""
         router = OneRouter(workers=20)
         router.teach()
-        owners = router.placement._reported_bids._queue_owners = ParityGroups()
+        owners = router.placement._reported_size_costs._queue_owners = ParityGroups()
         for number in range(20):
             router.choose(sized_turn(f"kind:2500 subject{number}:3800 own{number}:2900", 0))
         for question in owners.asked:
@@ -205,7 +209,7 @@
         self.router = OneRouter()
         self.router.teach()
         self.owner = LocalQueueOwner(self.router.clock)
-        self.router.placement._reported_bids._queue_owners = self.owner
+        self.router.placement._reported_size_costs._queue_owners = self.owner
         self.turn = sized_turn("kind:2500 subject:3800 own:2900", 0)
         self.first_choice = self.router.choose(self.turn)
 
@@ -230,8 +234,8 @@
         self.router.placement.finished(self.turn, self.first_choice, "refused", 0, None)
         self.assertAlmostEqual(self.owner.times.wait(self.first_choice.worker.instance), 0.0)
 
-    def test_turn_placed_by_award_is_counted_by_the_owner(self) -> None:
-        """Otherwise turns placed by award would be missing in the shared queue."""
+    def test_turn_placed_by_reservation_is_counted_by_the_owner(self) -> None:
+        """Otherwise turns placed by reservation would be missing in the shared queue."""
         service = msgspec.structs.replace(SUMMARY, latency_objective=None)
         first = self.router.take(sized_turn("kind:2500 chat:3800", 2900, service=service))
         self.router.clock.now += 1.0
@@ -239,7 +243,7 @@
         self.assertEqual((again.method, again.worker), ("award", first.worker))
         self.assertGreater(self.owner.times.wait(first.worker.instance), 0.005)
 
-    def test_award_is_passed_over_for_a_queue_that_only_the_owner_sees(self) -> None:
+    def test_reservation_is_passed_over_for_a_queue_that_only_the_owner_sees(self) -> None:
         first = self.router.take(sized_turn("kind:2500 chat:3800", 2900))
         self.router.clock.now += 1.0
         self.owner.entered(QueueEntry(POOL, first.worker.instance, Seconds(0.3)))
@@ -248,7 +252,7 @@
         self.assertEqual(again.method, "bid")
         self.assertLess(again.first_token, 0.1)
 
-    def test_award_holds_despite_a_short_queue(self) -> None:
+    def test_reservation_holds_despite_a_short_queue(self) -> None:
         first = self.router.take(sized_turn("kind:2500 chat:3800", 2900))
         self.router.clock.now += 1.0
         self.owner.entered(QueueEntry(POOL, first.worker.instance, Seconds(0.02)))
@@ -257,4 +261,4 @@
 
     def test_short_prompts_are_placed_without_the_owner(self) -> None:
         self.router.choose(sized_turn("chat:47 t:30", 140))
-        self.assertEqual(len(self.router.placement._reported_bids._entered), 1)
+        self.assertEqual(len(self.router.placement._reported_size_costs._entered), 1)
--- a/wingwood/placement/tests/test_reported_sizes.py
+++ b/wingwood/placement/tests/test_reported_sizes.py
@@ -1,4 +1,4 @@
-"""The award policy with reported prompt parts, splits, urgency and deadlines; one router on a manual clock."""
+"""The reservation policy with reported prompt parts, splits, urgency and deadlines; one router on a manual clock."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
         super().record(key, entry)
 
 
-class AwardsTest(unittest.TestCase):
+class ReservationsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.router = OneRouter()
         self.router.teach()
 
-    def test_next_turn_goes_to_the_award_winner_and_prefills_only_new_tokens(self) -> None:
+    def test_next_turn_goes_to_the_reserved_worker_and_prefills_only_new_tokens(self) -> None:
         first = self.router.take(sized_turn("kind:2500 subject:3800", 3000))
         again = self.router.take(sized_turn("kind:2500 subject:3800", 1700))
         self.assertEqual((again.method, again.worker), ("award", first.worker))
@@ -66,47 +66,49 @@
         self.assertEqual(len(counts), 9)
         self.assertLess(max(counts.values()), 45)
 
-    def test_award_is_passed_over_if_another_worker_meets_the_objective(self) -> None:
-        winner = self.router.take(sized_turn("kind:2500 subject:3800")).worker
-        self.router.engage(winner.instance, 8.0, HEAVY_PREFILL_FLOW)
+    def test_reservation_is_passed_over_if_another_worker_meets_the_objective(self) -> None:
+        reserved_worker = self.router.take(sized_turn("kind:2500 subject:3800")).worker
+        self.router.set_observed_load(reserved_worker.instance, 8.0, HEAVY_PREFILL_FLOW)
         choice_elsewhere = self.router.choose(sized_turn("kind:2500 subject:3800"))
-        self.assertNotEqual((choice_elsewhere.method, choice_elsewhere.worker), ("award", winner))
+        self.assertNotEqual((choice_elsewhere.method, choice_elsewhere.worker), ("award", reserved_worker))
         self.assertLess(choice_elsewhere.first_token, 0.1)
 
-    def test_crowded_winner_gets_the_turn_if_all_workers_are_crowded_or_there_is_no_objective(self) -> None:
-        winner = self.router.take(sized_turn("kind:2500 subject:3800")).worker
-        self.router.engage_all(8.0, HEAVY_PREFILL_FLOW)
-        choice_at_winner = self.router.choose(sized_turn("kind:2500 subject:3800"))
-        self.assertEqual((choice_at_winner.method, choice_at_winner.worker), ("award", winner))
-        self.router.engage_all()
-        self.router.engage(winner.instance, 8.0, HEAVY_PREFILL_FLOW)
+    def test_crowded_reserved_worker_gets_the_turn_if_all_workers_are_crowded_or_there_is_no_objective(self) -> None:
+        reserved_worker = self.router.take(sized_turn("kind:2500 subject:3800")).worker
+        self.router.set_observed_load_everywhere(8.0, HEAVY_PREFILL_FLOW)
+        choice_at_reserved_worker = self.router.choose(sized_turn("kind:2500 subject:3800"))
+        self.assertEqual(
+            (choice_at_reserved_worker.method, choice_at_reserved_worker.worker), ("award", reserved_worker)
+        )
+        self.router.set_observed_load_everywhere()
+        self.router.set_observed_load(reserved_worker.instance, 8.0, HEAVY_PREFILL_FLOW)
         service = msgspec.structs.replace(SUMMARY, latency_objective=None)
         without_objective = self.router.choose(sized_turn("kind:2500 subject:3800", service=service))
-        self.assertEqual((without_objective.method, without_objective.worker), ("award", winner))
+        self.assertEqual((without_objective.method, without_objective.worker), ("award", reserved_worker))
 
-    def test_award_goes_to_another_worker_if_the_holder_is_crowded_at_the_hint(self) -> None:
-        """The bid at the hint moves the session before its next turn arrives."""
+    def test_reservation_goes_to_another_worker_if_the_cache_worker_is_crowded_at_the_hint(self) -> None:
+        """The comparison at the hint moves the session before its next turn arrives."""
         turn = sized_turn("kind:2500 subject:3800")
         choice = self.router.choose(turn)
-        self.router.engage(choice.worker.instance, 8.0, HEAVY_PREFILL_FLOW)
+        self.router.set_observed_load(choice.worker.instance, 8.0, HEAVY_PREFILL_FLOW)
         self.router.end(turn, choice)
-        self.router.engage(choice.worker.instance)
+        self.router.set_observed_load(choice.worker.instance)
         again = self.router.choose(sized_turn("kind:2500 subject:3800"))
         self.assertEqual(again.method, "award")
         self.assertNotEqual(again.worker, choice.worker)
 
-    def test_award_stays_with_the_holder_for_a_small_gain(self) -> None:
+    def test_reservation_stays_with_the_cache_worker_for_a_small_gain(self) -> None:
         """Moving for every small difference would prefill prompts again at each move."""
         for number in range(8):
             turn = sized_turn(f"kind:2500 subject{number}:3800")
             choice = self.router.choose(turn)
-            self.router.engage(choice.worker.instance, 2.0, 60_000.0)
+            self.router.set_observed_load(choice.worker.instance, 2.0, 60_000.0)
             self.router.end(turn, choice)
             next_turn = sized_turn(f"kind:2500 subject{number}:3800")
             again = self.router.choose(next_turn)
             self.assertEqual((again.method, again.worker), ("award", choice.worker))
             self.router.end(next_turn, again)
-            self.router.engage_all()
+            self.router.set_observed_load_everywhere()
 
     def test_subject_in_high_demand_spreads_over_several_workers_and_is_prefilled_once_at_each(self) -> None:
         uncached: Counter[WorkerInstance] = Counter()
@@ -121,24 +123,24 @@
         self.assertLessEqual(len(counts), 6)
         self.assertLessEqual(max(uncached.values()), 1)
 
-    def test_concurrent_turns_of_a_session_leave_its_award_unchanged(self) -> None:
-        """Otherwise the first of several concurrent turns would void the award that the others need."""
+    def test_concurrent_turns_of_a_session_leave_its_reservation_unchanged(self) -> None:
+        """Otherwise the first of several concurrent turns would void the reservation that the others need."""
         turn = sized_turn("kind:2500 subject:3800")
-        holder = self.router.choose(turn)
-        self.router.engage(holder.worker.instance, 8.0, HEAVY_PREFILL_FLOW)
-        self.router.end(turn, holder)
-        self.router.engage(holder.worker.instance)
+        cache_worker = self.router.choose(turn)
+        self.router.set_observed_load(cache_worker.worker.instance, 8.0, HEAVY_PREFILL_FLOW)
+        self.router.end(turn, cache_worker)
+        self.router.set_observed_load(cache_worker.worker.instance)
         choices = [self.router.choose(sized_turn("kind:2500 subject:3800")) for _ in range(3)]
         self.assertEqual([choice.method for choice in choices], ["award"] * 3)
-        self.assertEqual(len({choice.worker.instance for choice in choices} - {holder.worker.instance}), 1)
+        self.assertEqual(len({choice.worker.instance for choice in choices} - {cache_worker.worker.instance}), 1)
 
     def test_part_that_the_engine_evicted_counts_as_uncached(self) -> None:
         turn = sized_turn("kind:2500 subject:3800")
-        winner = self.router.take(turn).worker
-        self.router.engage_all(2.0, 90_000.0)
+        reserved_worker = self.router.take(turn).worker
+        self.router.set_observed_load_everywhere(2.0, 90_000.0)
         self.router.clock.now += 30.0
         again = self.router.choose(sized_turn("kind:2500 subject:3800"))
-        self.assertEqual(again.worker, winner)
+        self.assertEqual(again.worker, reserved_worker)
         self.assertGreater(again.uncached_tokens, 2900 + 3700)
 
     def test_short_prompts_prefer_workers_of_the_own_zone(self) -> None:
@@ -148,14 +150,14 @@
     def test_short_prompts_avoid_crowded_workers(self) -> None:
         busy = {f"w{number}" for number in range(0, 9, 2)}
         for name in busy:
-            self.router.engage(WorkerInstance(name), 6.0, HEAVY_PREFILL_FLOW)
+            self.router.set_observed_load(WorkerInstance(name), 6.0, HEAVY_PREFILL_FLOW)
         chosen = [self.router.choose(sized_turn(f"chat:47 t{n}:30", 140)).worker.instance for n in range(30)]
         self.assertLessEqual(sum(instance in busy for instance in chosen), 3)
 
     def test_removed_worker_is_forgotten(self) -> None:
-        winner = self.router.take(sized_turn("kind:2500 subject:3800")).worker
-        self.router.workers.remove(winner)
-        self.router.changed(msgspec.structs.replace(winner, state="gone"))
+        reserved_worker = self.router.take(sized_turn("kind:2500 subject:3800")).worker
+        self.router.workers.remove(reserved_worker)
+        self.router.changed(msgspec.structs.replace(reserved_worker, state="gone"))
         again = self.router.take(sized_turn("kind:2500 subject:3800"))
         self.assertEqual(again.uncached_tokens, 2900 + 6300)
         self.assertEqual(self.router.choose(sized_turn("kind:2500 subject:3800")).method, "award")
@@ -209,7 +211,7 @@
             router = OneRouter(seed=seed)
             router.teach()
             first_choice = router.choose(sized_turn("kind:2500 subject:3800 own:2900", 0)).worker
-            router.engage(first_choice.instance, 2.0, LIGHT_PREFILL_FLOW)
+            router.set_observed_load(first_choice.instance, 2.0, LIGHT_PREFILL_FLOW)
             workers.add(router.choose(sized_turn("kind:2500 subject:3800 other:2900", 0)).worker.instance)
         self.assertEqual(len(workers), 1)
 
@@ -250,7 +252,7 @@
     def test_full_pool_is_skipped_and_the_refusal_says_full_rather_than_none_ready(self) -> None:
         """A refusal for a pool without ready workers would hide when it is worth retrying."""
         for worker in self.router.workers[:6]:
-            self.router.engage(worker.instance, FULL_TURNS_PER_SLOT * worker.slots)
+            self.router.set_observed_load(worker.instance, FULL_TURNS_PER_SLOT * worker.slots)
         for number in range(20):
             choice = self.router.choose(sized_turn(self.turn(number), service=self.service))
             self.assertEqual(choice.worker.pool, OTHER_POOL)
@@ -287,32 +289,32 @@
         return Instant(self.router.clock.now + seconds)
 
     def test_turn_that_cannot_meet_its_deadline_is_refused_when_workers_are_busy(self) -> None:
-        self.router.engage_all(120.0, 900_000.0)
+        self.router.set_observed_load_everywhere(120.0, 900_000.0)
         refusal = self.router.refusal(sized_turn("kind:2500 s:3800", deadline=self.deadline_in(0.5)))
         self.assertEqual(refusal.reason, "all-full")
         self.assertGreater(refusal.retry_after, 0.1)
 
     def test_turn_that_only_misses_its_objective_is_served(self) -> None:
-        self.router.engage_all(20.0, 400_000.0)
+        self.router.set_observed_load_everywhere(20.0, 400_000.0)
         choice = self.router.choose(sized_turn("kind:2500 s:3800", deadline=self.deadline_in(2.0)))
         self.assertGreater(choice.first_token, 0.2)
 
     def test_nothing_is_refused_while_less_than_half_of_the_slots_are_taken(self) -> None:
-        self.router.engage_all(10.0, 900_000.0)
+        self.router.set_observed_load_everywhere(10.0, 900_000.0)
         choice = self.router.choose(sized_turn("kind:2500 s:3800", deadline=self.deadline_in(0.1)))
         self.assertGreater(choice.first_token, 0.1)
 
     def test_less_urgent_turns_are_refused_first(self) -> None:
         chat = Service(name=ServiceName("chat"), pool=POOL, latency_objective=Seconds(0.15))
-        self.router.engage_all(0.9 * FULL_TURNS_PER_SLOT * 32)
+        self.router.set_observed_load_everywhere(0.9 * FULL_TURNS_PER_SLOT * 32)
         self.assertIn("w", self.router.choose(sized_turn("c:47 t:30", 140, chat, urgency=2)).worker.instance)
         self.assertEqual(self.router.refusal(sized_turn("kind:2500 s:3800", urgency=6)).reason, "all-full")
-        self.router.engage_all(FULL_TURNS_PER_SLOT * 32)
+        self.router.set_observed_load_everywhere(FULL_TURNS_PER_SLOT * 32)
         self.assertEqual(self.router.refusal(sized_turn("c:47 t:30", 140, chat, urgency=2)).reason, "all-full")
 
-    def test_turns_of_a_single_urgency_may_use_all_places(self) -> None:
-        """Places are reserved only while more urgent turns occur."""
-        self.router.engage_all(0.9 * FULL_TURNS_PER_SLOT * 32)
+    def test_turns_of_a_single_urgency_may_use_all_capacity(self) -> None:
+        """Capacity is reserved only while more urgent turns occur."""
+        self.router.set_observed_load_everywhere(0.9 * FULL_TURNS_PER_SLOT * 32)
         self.router.choose(sized_turn("kind:2500 s:3800"))
 
 
@@ -331,10 +333,10 @@
         counts = Counter(self.choose() for _ in range(9))
         self.assertEqual(counts, {"w0": 3, "w1": 3, "w2": 3})
 
-    def test_full_worker_gets_no_turn_while_another_has_room(self) -> None:
+    def test_full_worker_gets_no_turn_while_another_has_capacity(self) -> None:
         self.router = OneRouter(workers=8, cache_tokens=0)
         for number in range(7):
-            self.router.engage(WorkerInstance(f"w{number}"), 6.0)
+            self.router.set_observed_load(WorkerInstance(f"w{number}"), 6.0)
         self.assertEqual([self.choose() for _ in range(6)], ["w7"] * 6)
 
     def test_excluded_worker_is_never_chosen(self) -> None:
--- a/wingwood/placement/tests/test_award_placement.py
+++ b/wingwood/placement/tests/test_reservation_placement.py
@@ -1,4 +1,4 @@
-"""The award policy over several simulated routers (docs/DESIGN.md section 11)."""
+"""The reservation policy over several simulated routers (docs/DESIGN.md section 11)."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from simulation.world import World
 from wingwood.bundle.model import Service
 from wingwood.identifiers import PoolName, RequestId, Seconds, ServiceName, SessionId, TenantName, WorkerInstance
-from wingwood.placement.award_placement import AwardPlacement
 from wingwood.placement.messages import SessionRecord, StoreSessionRecords
 from wingwood.placement.protocols import Choice, NoWorker, Turn
+from wingwood.placement.reservation_placement import ReservationPlacement
 from wingwood.placement.session_map import DistributedMap, Entry, session_key
-from wingwood.placement.settings import AwardSettings
+from wingwood.placement.settings import ReservationSettings
 from wingwood.registry.protocols import ObservedLoad
 from wingwood.registry.tests.fleet import POOL, Fleet
 
@@ -38,11 +38,13 @@
 
 
 class PlacementFleet(Fleet):
-    """Routers with the award policy over their registries; workers renew each second until they are stopped."""
+    """Routers with the reservation policy over their registries; workers renew each second until they are stopped."""
 
-    def __init__(self, world: World, count: int = 6, workers: int = 4, settings: AwardSettings | None = None) -> None:
+    def __init__(
+        self, world: World, count: int = 6, workers: int = 4, settings: ReservationSettings | None = None
+    ) -> None:
         super().__init__(world, count)
-        self.placements: dict[str, AwardPlacement] = {}
+        self.placements: dict[str, ReservationPlacement] = {}
         self.maps: dict[str, DistributedMap] = {}
         self.renewing: dict[str, EmulatedWorker] = {}
         for name, router in sorted(self.routers.items()):
@@ -52,12 +54,12 @@
             self.renewing[f"w{number}"] = self.start_worker(f"w{number}")
         self.run(1.0)
 
-    def place(self, name: str, settings: AwardSettings | None) -> None:
+    def place(self, name: str, settings: ReservationSettings | None) -> None:
         router = self.routers[name]
 
         async def make() -> bool:
             session_map = self.maps[name] = DistributedMap(router.context, router.messenger, router.membership)
-            self.placements[name] = AwardPlacement(
+            self.placements[name] = ReservationPlacement(
                 router.context, router.membership, router.registry, router.registry, session_map, settings
             )
             session_map.on_entry_stored = self.placements[name].entry_stored
@@ -100,7 +102,7 @@
         return [str(identity.name) for identity in session_map._owners_of(key)]
 
     def expect_sessions(self, router: str, instance: WorkerInstance, count: int) -> None:
-        """Counts this many more sessions as awarded to the worker; the next call moves them to its worker."""
+        """Counts this many more sessions as reserved at the worker; the next call moves them to its worker."""
         workload = self.placements[router]._workload
 
         async def expect() -> bool:
@@ -122,15 +124,15 @@
         self.roster.remove(name)
 
 
-class AwardPlacementTest(unittest.TestCase):
+class ReservationPlacementTest(unittest.TestCase):
     def fleet(self, **settings: Any) -> PlacementFleet:
         world = World(11)
         world.__enter__()
         self.addCleanup(world.close)
         self.addCleanup(lambda: self.assertEqual(world.broken_invariants, []))
-        return PlacementFleet(world, settings=AwardSettings(**settings))
+        return PlacementFleet(world, settings=ReservationSettings(**settings))
 
-    def test_next_turn_goes_to_the_award_winner_at_any_router(self) -> None:
+    def test_next_turn_goes_to_the_reserved_worker_at_any_router(self) -> None:
         fleet = self.fleet()
         for session in range(6):
             first = fleet.take("r0", f"s{session}")
@@ -140,44 +142,44 @@
                 self.assertEqual((again.method, again.worker.instance), ("award", first.worker.instance))
             self.assertLess(again.uncached_tokens, 200)
 
-    def test_award_is_void_when_its_worker_drains_restarts_or_is_excluded(self) -> None:
-        """A restarted worker has an empty cache, although it may win a new bid."""
+    def test_reservation_is_void_when_its_worker_drains_restarts_or_is_excluded(self) -> None:
+        """A restarted worker has an empty cache, although it may be the cheapest again."""
         for change in ("drain", "restart", "exclude"):
             with self.subTest(change):
                 fleet = self.fleet()
-                winner = fleet.take("r0", "s").worker
-                worker = next(w for w in fleet.workers.values() if w.instance == winner.instance)
+                reserved_worker = fleet.take("r0", "s").worker
+                worker = next(w for w in fleet.workers.values() if w.instance == reserved_worker.instance)
                 if change == "drain":
                     worker.state = "draining"
                 elif change == "restart":
                     worker.restart_empty()
                 fleet.run(0.5)
                 turn = turn_of("s", 2100)
-                choice = fleet.choose("r3", turn, (winner.instance,) if change == "exclude" else ())
+                choice = fleet.choose("r3", turn, (reserved_worker.instance,) if change == "exclude" else ())
                 assert isinstance(choice, Choice)
-                self.assertNotEqual((choice.method, choice.worker.instance), ("award", winner.instance))
+                self.assertNotEqual((choice.method, choice.worker.instance), ("award", reserved_worker.instance))
                 self.assertGreater(choice.uncached_tokens, 2000)
                 if change != "restart":
-                    self.assertNotEqual(choice.worker.instance, winner.instance)
+                    self.assertNotEqual(choice.worker.instance, reserved_worker.instance)
 
-    def test_award_expires_and_leaves_a_claim(self) -> None:
-        """The worker may still cache the prefix after the award has expired."""
-        fleet = self.fleet(award_lifetime=Seconds(5.0))
-        winner = fleet.take("r0", "s").worker
+    def test_reservation_expires_and_leaves_a_claim(self) -> None:
+        """The worker may still cache the prefix after the reservation has expired."""
+        fleet = self.fleet(reservation_lifetime=Seconds(5.0))
+        reserved_worker = fleet.take("r0", "s").worker
         fleet.run(6.3)
         for router in fleet.others_than():
             again = fleet.choose(router, turn_of("s", 2100))
             assert isinstance(again, Choice)
-            self.assertEqual((again.method, again.worker.instance), ("claim", winner.instance))
+            self.assertEqual((again.method, again.worker.instance), ("claim", reserved_worker.instance))
 
     def test_session_moves_only_for_a_gain_above_the_margin(self) -> None:
         for gain, stays in ((0.5, True), (0.0, False)):
             fleet = self.fleet(min_move_gain=Seconds(gain), next_turn_wait_weight=1.0)
             first = fleet.take("r0", "s", 200).worker.instance
-            held = fleet.choose("r0", turn := turn_of("s", 300))
-            assert isinstance(held, Choice)
-            fleet.expect_sessions("r0", held.worker.instance, 20)
-            fleet.finish("r0", turn, held, generated=1)
+            first_choice = fleet.choose("r0", turn := turn_of("s", 300))
+            assert isinstance(first_choice, Choice)
+            fleet.expect_sessions("r0", first_choice.worker.instance, 20)
+            fleet.finish("r0", turn, first_choice, generated=1)
             fleet.world.run(0.02)
             after = fleet.choose("r1", turn_of("s", 400))
             assert isinstance(after, Choice)
@@ -185,12 +187,14 @@
 
     def test_worker_that_refused_a_turn_is_avoided_for_a_moment(self) -> None:
         fleet = self.fleet()
-        winner = fleet.take("r0", "s").worker.instance
+        reserved_worker = fleet.take("r0", "s").worker.instance
         fleet.take("r1", "s", 2100, outcome="refused")
-        self.assertNotEqual(fleet.take("r1", "s", 2100, outcome="refused").worker.instance, winner)
+        self.assertNotEqual(fleet.take("r1", "s", 2100, outcome="refused").worker.instance, reserved_worker)
         at_other = fleet.take("r2", "s", 2100)
         self.assertEqual(
-            (at_other.method, at_other.worker.instance), ("award", winner), "a refused turn must not change the award"
+            (at_other.method, at_other.worker.instance),
+            ("award", reserved_worker),
+            "a refused turn must not change the reservation",
         )
         for _ in fleet.renewing:
             fleet.take("r3", "t", outcome="refused")
@@ -212,15 +216,15 @@
         assert isinstance(choice, Choice)
         self.assertEqual((choice.method, choice.uncached_tokens), ("bid", 2000))
 
-    def test_award_is_passed_over_when_its_winner_would_exceed_the_callers_timeout(self) -> None:
+    def test_reservation_is_passed_over_when_its_worker_would_exceed_the_callers_timeout(self) -> None:
         fleet = self.fleet()
-        winner = fleet.take("r0", "s").worker.instance
+        reserved_worker = fleet.take("r0", "s").worker.instance
         for turns, method in ((10, "award"), (21, "bid")):
             for _ in range(turns):
-                fleet.placements["r1"]._workload.begin(winner)
+                fleet.placements["r1"]._workload.begin(reserved_worker)
             choice = fleet.choose("r1", turn_of("s", 2100))
             assert isinstance(choice, Choice)
-            self.assertEqual((choice.method, choice.worker.instance == winner), (method, method == "award"))
+            self.assertEqual((choice.method, choice.worker.instance == reserved_worker), (method, method == "award"))
 
     def test_prefix_that_the_model_counts_as_evicted_is_uncached(self) -> None:
         fleet = self.fleet()
@@ -232,7 +236,7 @@
             now = fleet.routers["r1"].context.clock.monotonic()
             for key in range(100):
                 placement.entry_stored(
-                    key, Entry(pool=POOL, holder=WorkerInstance("x"), tokens=0, own_tokens=4000, last_used_at=now)
+                    key, Entry(pool=POOL, cache_worker=WorkerInstance("x"), tokens=0, own_tokens=4000, last_used_at=now)
                 )
             return True
 
@@ -244,7 +248,7 @@
     def test_older_record_never_replaces_a_newer_one(self) -> None:
         """Records of several routers may arrive out of order."""
         fleet = self.fleet()
-        winner = fleet.take("r0", "s").worker.instance
+        reserved_worker = fleet.take("r0", "s").worker.instance
         key = session_key(POOL, SessionId("s"))
         old = SessionRecord(
             key, POOL, WorkerInstance("old"), 100, 100, Seconds(9.0), WorkerInstance("old"), Seconds(99.0)
@@ -253,16 +257,16 @@
             fleet.maps[name]._on_store_records(fleet.routers["r0"].identity, StoreSessionRecords((old,)))
         choice = fleet.choose("r2", turn_of("s", 2100))
         assert isinstance(choice, Choice)
-        self.assertEqual((choice.method, choice.worker.instance), ("award", winner))
+        self.assertEqual((choice.method, choice.worker.instance), ("award", reserved_worker))
 
     def test_newer_local_record_takes_precedence_over_the_owners(self) -> None:
-        """The post to the owners may be lost, so that they answer with an older award."""
+        """The post to the owners may be lost, so that they answer with an older reservation."""
         fleet = self.fleet()
-        winner = fleet.take("r0", "s").worker.instance
+        reserved_worker = fleet.take("r0", "s").worker.instance
         router = fleet.others_than(*fleet.owners("s"))[0]
         fleet.routers[router].messenger.post = lambda *_: None  # type: ignore[method-assign]
         turn = turn_of("s", 2100)
-        moved = fleet.choose(router, turn, (winner,))
+        moved = fleet.choose(router, turn, (reserved_worker,))
         assert isinstance(moved, Choice)
         fleet.finish(router, turn, moved)
         again = fleet.choose(router, turn_of("s", 2200))
@@ -270,7 +274,7 @@
         self.assertEqual((again.method, again.worker.instance), ("award", moved.worker.instance))
 
     def test_turn_without_a_hint_follows_the_claim(self) -> None:
-        """A broken answer gives no hint and therefore no award, but the prefix was sent to the worker."""
+        """A broken answer gives no hint and therefore no reservation, but the prefix was sent to the worker."""
         fleet = self.fleet()
         first = fleet.take("r0", "s", outcome="broken")
         again = fleet.take("r1", "s", 2100)
@@ -278,13 +282,13 @@
 
     def test_replica_answers_for_a_frozen_owner(self) -> None:
         fleet = self.fleet()
-        winner = fleet.take("r0", "s").worker
+        reserved_worker = fleet.take("r0", "s").worker
         owner, replica = fleet.owners("s")
         fleet.world.freeze(owner)
         asker = fleet.others_than(owner, replica)[0]
         before = fleet.world.now
         again = fleet.take(asker, "s", 2100)
-        self.assertEqual((again.method, again.worker.instance), ("award", winner.instance))
+        self.assertEqual((again.method, again.worker.instance), ("award", reserved_worker.instance))
         self.assertLess(fleet.world.now - before, 0.1)
 
     def test_all_routers_agree_when_no_owner_answers(self) -> None:
@@ -312,24 +316,26 @@
         self.assertLess(times[0], 0.041)
         self.assertLess(times[1], 0.011, "owners that did not answer must be skipped")
 
-    def test_awards_survive_the_loss_of_owner_after_owner(self) -> None:
+    def test_reservations_survive_the_loss_of_owner_after_owner(self) -> None:
         """Each remaining owner hands its records over to the new one."""
         fleet = self.fleet()
-        winners = {f"s{number}": fleet.take(f"r{number % 6}", f"s{number}").worker.instance for number in range(12)}
+        reserved_workers = {
+            f"s{number}": fleet.take(f"r{number % 6}", f"s{number}").worker.instance for number in range(12)
+        }
         for _ in range(3):
             lost = fleet.owners("s0")[0]
             fleet.lose(lost)
             fleet.run(1.0)
-        for session, winner in winners.items():
+        for session, reserved_worker in reserved_workers.items():
             for router in fleet.others_than():
                 choice = fleet.choose(router, turn_of(session, 2100))
                 assert isinstance(choice, Choice)
-                self.assertEqual((choice.method, choice.worker.instance), ("award", winner))
+                self.assertEqual((choice.method, choice.worker.instance), ("award", reserved_worker))
 
-    def test_restarted_owner_without_records_does_not_hide_known_awards(self) -> None:
+    def test_restarted_owner_without_records_does_not_hide_known_reservations(self) -> None:
         """The restarted owner answers that it has no record; the lookup must go on to the replica."""
         fleet = self.fleet()
-        winner = fleet.take("r0", "s").worker.instance
+        reserved_worker = fleet.take("r0", "s").worker.instance
         owner, replica = fleet.owners("s")
         fleet.world.restart(owner)
         fleet.world.run(0.01)
@@ -338,24 +344,24 @@
         for router in fleet.others_than(owner, replica):
             choice = fleet.choose(router, turn_of("s", 2100))
             assert isinstance(choice, Choice)
-            self.assertEqual((choice.method, choice.worker.instance), ("award", winner))
+            self.assertEqual((choice.method, choice.worker.instance), ("award", reserved_worker))
 
     def test_class_that_pays_less_leaves_a_crowded_worker_first(self) -> None:
-        """The same crowd at the holder moves the session of the lower class only."""
+        """The same crowd at the cache worker moves the session of the lower class only."""
         fleet = self.fleet()
-        winners = {}
+        stayed = {}
         for name, weight in (("paid", 4.0), ("free", 1.0)):
             fleet.take("r0", name, 3000, weight)
-            held = fleet.choose("r0", turn := turn_of(name, 3100, weight))
-            assert isinstance(held, Choice)
-            fleet.expect_sessions("r0", held.worker.instance, 200)
-            fleet.finish("r0", turn, held)
+            first_choice = fleet.choose("r0", turn := turn_of(name, 3100, weight))
+            assert isinstance(first_choice, Choice)
+            fleet.expect_sessions("r0", first_choice.worker.instance, 200)
+            fleet.finish("r0", turn, first_choice)
             fleet.expect_sessions("r0", WorkerInstance("nobody"), 200)
             fleet.world.run(0.02)
             after = fleet.choose("r1", turn_of(name, 3200, weight))
             assert isinstance(after, Choice)
-            winners[name] = after.worker.instance == held.worker.instance
-        self.assertEqual(winners, {"paid": True, "free": False})
+            stayed[name] = after.worker.instance == first_choice.worker.instance
+        self.assertEqual(stayed, {"paid": True, "free": False})
 
     def test_shared_prefix_in_high_demand_spreads_over_several_workers(self) -> None:
         fleet = self.fleet()
@@ -372,15 +378,15 @@
     def test_prefix_in_demand_gets_more_workers_before_they_are_full(self) -> None:
         fleet = self.fleet()
         sizes = []
-        for pause in (5.0, 0.05):
+        for interval_s in (5.0, 0.05):
             for number in range(12):
-                fleet.take("r0", f"lease/{pause}-{number}", 3000, outcome="broken")
-                fleet.run(pause)
+                fleet.take("r0", f"lease/{interval_s}-{number}", 3000, outcome="broken")
+                fleet.run(interval_s)
             placement = fleet.placements["r0"]
             ready = fleet.routers["r0"].registry.ready(POOL)
 
             async def candidates() -> list[object]:
-                return list(placement._estimated_bids.prefix_candidates(turn_of("lease/new"), ready))  # noqa: B023
+                return list(placement._estimated_size_costs.prefix_candidates(turn_of("lease/new"), ready))  # noqa: B023
 
             sizes.append(len(fleet.inside("r0", candidates)))
         self.assertEqual(sizes, [2, 4])
@@ -410,22 +416,24 @@
         )
         self.assertEqual(missing, NoWorker("none-ready", Seconds(1.0)))
 
-    def test_awarded_sessions_count_at_the_winner_until_their_next_award_or_expiry(self) -> None:
+    def test_reserved_sessions_count_at_the_reserved_worker_until_their_next_reservation_or_expiry(self) -> None:
         """Counting a session at several routers or for ever would make its worker look loaded."""
         fleet = self.fleet(expected_turn_lifetime=Seconds(5.0))
         owner = fleet.owners("s")[0]
-        winner = fleet.take("r0", "s").worker.instance
-        self.assertEqual(fleet.placements[owner]._workload.own(winner).expected, 1.0)
+        reserved_worker = fleet.take("r0", "s").worker.instance
+        self.assertEqual(fleet.placements[owner]._workload.own(reserved_worker).expected, 1.0)
         fleet.take("r1", "s", 2100)
         fleet.run(1.5)
-        expected = [fleet.placements[name]._workload.own(winner).expected for name in fleet.others_than()]
+        expected = [fleet.placements[name]._workload.own(reserved_worker).expected for name in fleet.others_than()]
         self.assertEqual(sum(expected), 1.0)
         other = fleet.others_than(owner)[0]
-        self.assertEqual(fleet.inside(other, lambda: fleet.elsewhere(other, winner)).expected, 1.0)
+        self.assertEqual(fleet.inside(other, lambda: fleet.elsewhere(other, reserved_worker)).expected, 1.0)
         fleet.run(4.0)
         number = next(n for n in range(999) if fleet.owners(f"t{n}")[0] == owner)
         gone = fleet.take("r0", f"t{number}").worker.instance
-        self.assertEqual(fleet.placements[owner]._workload.own(winner).expected, float(gone == winner))
+        self.assertEqual(
+            fleet.placements[owner]._workload.own(reserved_worker).expected, float(gone == reserved_worker)
+        )
 
     def test_other_routers_see_the_counts_of_a_router(self) -> None:
         fleet = self.fleet()
--- a/wingwood/placement/tests/test_sent_chains.py
+++ b/wingwood/placement/tests/test_sent_chains.py
@@ -57,7 +57,7 @@
     def test_removed_worker_caches_nothing(self) -> None:
         sent_chains = SentChains()
         sent_chains.sent(POOL, FULL_PROMPT, WORKER, Instant(10.0))
-        sent_chains.forget(WORKER)
+        sent_chains.remove_worker(WORKER)
         self.assertEqual(self.cached(sent_chains, "kind:2500 subject:3800", WORKER, 10.1), 0)
 
     def test_least_recently_sent_chains_are_dropped_first(self) -> None:
--- a/wingwood/placement/urgency.py
+++ b/wingwood/placement/urgency.py
@@ -1,4 +1,4 @@
-"""Places reserved for the most urgent turns of a pool (docs/DESIGN.md section 11.9)."""
+"""Capacity reserved for the most urgent turns of a pool (docs/DESIGN.md section 11.9)."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     at: Instant
 
 
-class UrgentPlaces:
-    """Opens fewer places to turns that are less urgent than the most urgent recent ones, so they are refused first."""
+class UrgentCapacity:
+    """Opens less capacity to turns that are less urgent than the most urgent recent ones, so they are refused first."""
 
     def __init__(self, less_urgent_share: float) -> None:
-        self._less_urgent_places = less_urgent_share
+        self._less_urgent_share = less_urgent_share
         self._most_urgent: dict[PoolName, _MostUrgent] = {}
 
     def observe(self, pool: PoolName, urgency: int, now: Instant) -> None:
@@ -30,6 +30,6 @@
             self._most_urgent[pool] = _MostUrgent(urgency, now)
 
     def share(self, pool: PoolName, urgency: int) -> float:
-        """Returns the share of the pool's places that is open to a turn of this urgency."""
+        """Returns the share of the pool's capacity that is open to a turn of this urgency."""
         most = self._most_urgent.get(pool)
-        return 1.0 if most is None or urgency <= most.urgency else self._less_urgent_places
+        return 1.0 if most is None or urgency <= most.urgency else self._less_urgent_share
--- a/wingwood/placement/worker_estimates.py
+++ b/wingwood/placement/worker_estimates.py
@@ -15,7 +15,7 @@
 ACTIVE_SHARE_UPDATE_S = Seconds(0.2)
 """Interval at which the active share of a pool is updated."""
 MAX_WORKER_ESTIMATES = 5_000
-REFUSAL_PAUSE_S = Seconds(0.5)
+REFUSAL_BACKOFF_S = Seconds(0.5)
 """Time during which a worker that refused a turn is avoided."""
 NEW_SAMPLE_WEIGHT = 0.1
 """Weight of one new sample in the moving averages."""
@@ -54,14 +54,14 @@
 
 
 class _Expected(msgspec.Struct, frozen=True):
-    """A session whose next turn is awarded to a worker."""
+    """A session whose next turn is reserved at a worker."""
 
     instance: WorkerInstance
     since: Instant
 
 
 class Workload:
-    """Running turns, sessions whose next turn is awarded, and the estimates learned per worker."""
+    """Running turns, sessions whose next turn is reserved, and the estimates learned per worker."""
 
     def __init__(
         self, registry: Registry, exchange: ObservedLoadExchange, clock: Clock, expected_turn_lifetime: Seconds
@@ -104,12 +104,12 @@
         """Returns the workers that have not just refused a turn, or all if there are none."""
         if not self._refused_at:
             return ready
-        since = self._clock.monotonic() - REFUSAL_PAUSE_S
+        since = self._clock.monotonic() - REFUSAL_BACKOFF_S
         self._refused_at = {instance: at for instance, at in self._refused_at.items() if at > since}
         return [worker for worker in ready if worker.instance not in self._refused_at] or ready
 
     def expect(self, key: int, instance: WorkerInstance, since: Instant) -> None:
-        """Counts a session whose next turn is awarded to the worker, until its next award or its expiry."""
+        """Counts a session whose next turn is reserved at the worker, until its next reservation or its expiry."""
         self._drop(key)
         self._expected[key] = _Expected(instance, since)
         self._expected_at[instance] += 1
@@ -149,7 +149,7 @@
         return max(counted, REPORTED_LOAD_WEIGHT * reported)
 
     def expected_load(self, worker: Worker, active_share: float) -> float:
-        """Returns the load that the sessions awarded to the worker will cause, for a turn that arrives seconds later.
+        """Returns the load that the sessions reserved at the worker will cause, for a turn that arrives seconds later.
 
         The turns that run now say little about that time.
         """
@@ -158,7 +158,7 @@
         )
 
     def active_share(self, ready: Sequence[Worker]) -> float:
-        """Returns the mean share of awarded sessions that run a turn; it is the same for all workers of a pool."""
+        """Returns the mean share of sessions with a reservation that run a turn, the same for all workers of a pool."""
         self._drop_old()
         pool, now = ready[0].pool, self._clock.monotonic()
         at, share = self._active_shares.get(pool, (Instant(float("-inf")), 0.3))
@@ -176,9 +176,9 @@
         return len(self._registry.ready(pool))
 
     def is_full(self, worker: Worker, open_share: float = 1.0) -> bool:
-        """Returns whether the worker has no place for another turn.
+        """Returns whether the worker has no capacity for another turn.
 
-        ``open_share``: the share of its places that is open to the turn.
+        ``open_share``: the share of its capacity that is open to the turn.
         """
         return self.load(worker) >= open_share * FULL_TURNS_PER_SLOT * worker.slots
 
@@ -218,8 +218,8 @@
         estimates = self.estimates(worker)
         return Seconds(self.wait(worker) + estimates.base_latency + uncached * estimates.seconds_per_token)
 
-    def time_until_room(self, worker: Worker) -> Seconds:
-        """Returns the approximate seconds until a full worker has a place again."""
+    def time_until_capacity(self, worker: Worker) -> Seconds:
+        """Returns the approximate seconds until a full worker has capacity again."""
         over = self.load(worker) - FULL_TURNS_PER_SLOT * worker.slots + 1
         return Seconds(min(30.0, max(0.2, over * self.estimates(worker).turn_duration / worker.slots)))
 
@@ -265,5 +265,5 @@
         ):
             estimates.turn_duration += NEW_SAMPLE_WEIGHT * (turn_duration - estimates.turn_duration)
 
-    def forget(self, instance: WorkerInstance) -> None:
+    def remove_worker(self, instance: WorkerInstance) -> None:
         self._estimates.pop(instance, None)
--- a/wingwood/registry/protocols.py
+++ b/wingwood/registry/protocols.py
@@ -115,7 +115,7 @@
     running: float = 0.0
     """Turns that run or wait at the worker now."""
     expected: float = 0.0
-    """Sessions whose next turn is awarded to the worker and whose last turn was recent."""
+    """Sessions whose next turn is reserved at the worker and whose last turn was recent."""
     prefill: float = 0.0
     """Prompt tokens per second that the worker has to prefill."""
     streams: float = 0.0
