--- a/wingwood/placement/cached_prefixes.py
+++ b/wingwood/placement/cached_prefixes.py
@@ -57,6 +57,7 @@
             part.rated_at = now
 
     def remove_worker(self, instance: WorkerInstance) -> None:
+        """Drops the records of a worker that was removed."""
         for part in self._parts.values():
             part.sent_at.pop(instance, None)
 
--- a/wingwood/placement/cost_model.py
+++ b/wingwood/placement/cost_model.py
@@ -89,9 +89,11 @@
         self._highest_weight: dict[PoolName, float] = {}
 
     def observe(self, pool: PoolName, weight: float) -> None:
+        """Records the weight of a turn's priority class. The highest weight seen in a pool decays with each turn."""
         self._highest_weight[pool] = max(weight, 0.999 * self._highest_weight.get(pool, 0.0))
 
     def of(self, pool: PoolName, weight: float) -> float:
+        """Returns the cost of one second of waiting in the pool, in seconds, for a turn of this weight."""
         return min(self._max_pressure, max(1.0, self._highest_weight.get(pool, weight) / max(weight, 1e-9)))
 
 
--- a/wingwood/placement/decaying_rate.py
+++ b/wingwood/placement/decaying_rate.py
@@ -19,10 +19,12 @@
     at: Instant = Instant(0.0)
 
     def add(self, amount: float, now: Instant) -> None:
+        """Adds an amount at the instant ``now``."""
         self.rate = self.read(now) + amount * LN_2 / self.half_life
         self.at = now
 
     def read(self, now: Instant) -> float:
+        """Returns the amount per second at the instant ``now``."""
         if self.rate == 0.0:
             return 0.0
         return float(self.rate * 0.5 ** (max(0.0, now - self.at) / self.half_life))
--- a/wingwood/placement/estimated_size_cost_model.py
+++ b/wingwood/placement/estimated_size_cost_model.py
@@ -45,27 +45,33 @@
         self._evictions.record_use(entry.pool, key, entry.own_tokens, entry.last_used_at, capacity * 2 / routers)
 
     def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
+        """See ``CostModel.cached_tokens``."""
         since = self._evictions.cached_since(worker.pool)
         if entry is not None and entry.cache_worker == worker.instance and entry.last_used_at >= since:
             return min(entry.tokens, turn.prompt_tokens)
         return min(turn.prompt_tokens, self._shared.cached_tokens(worker.pool, turn.prefix, worker.instance, since))
 
-    def session_tokens(self, turn: Turn, tokens: int) -> int:
+    def session_tokens(self, _turn: Turn, tokens: int) -> int:
+        """Returns all ``tokens``: without reported sizes the next prompt counts as containing the full last turn."""
         return tokens
 
     def own_tokens(self, pool: PoolName, turn: Turn, tokens: int) -> int:
+        """Returns the tokens without the longest shared part of the turn's prefix."""
         return max(0, tokens - self._shared.tokens(pool, turn.prefix))
 
     def forecast(self, turn: Turn, entry: Entry | None, worker: Worker) -> Forecast:
+        """See ``CostModel.forecast``."""
         uncached = self._uncached(turn, entry, worker)
         return Forecast(uncached, self._workload.first_token(worker, uncached))
 
     def cheapest_worker(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
+        """See ``CostModel.cheapest_worker``."""
         candidates = self._candidates(turn, entry, ready)
         costs = [(self._cost_now(turn, entry, worker), worker) for worker in candidates]
         return cheapest(costs, None if entry is None else entry.cache_worker, self._settings.min_move_gain)
 
     def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
+        """Returns the shortest time to the first token among all ready workers."""
         return min(self.forecast(turn, entry, worker).first_token for worker in ready)
 
     def _candidates(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Sequence[Worker]:
@@ -112,28 +118,32 @@
             costs.append((self._cost(turn, entry, worker, self._settings.next_turn_wait_weight * mean_wait), worker))
         return cheapest(costs, entry.cache_worker, self._settings.min_move_gain)
 
-    def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
+    def sent(self, turn: Turn, worker: Worker, key: int, _forecast: Forecast) -> None:
+        """Records the turn's prefix, so that its shared parts count as cached at the worker."""
         now = self._context.clock.monotonic()
         self._shared.sent(worker.pool, turn.prefix, key, turn.prompt_tokens, worker.instance, now)
 
     def ended(
         self,
-        turn: Turn,
+        _turn: Turn,
         worker: Worker,
         uncached: int,
         predicted_wait: float,
         first_token: Seconds | None,
         duration: Seconds,
     ) -> None:
+        """See ``CostModel.ended``."""
         self._workload.learn(worker, uncached, predicted_wait, first_token, duration)
 
     def turn_left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
-        pass
+        """Does nothing: the prompts that wait at a worker are not counted where no sizes are reported."""
 
     def remove_worker(self, instance: WorkerInstance) -> None:
+        """See ``CostModel.remove_worker``."""
         self._shared.remove_worker(instance)
 
     def cached_since(self, pool: PoolName) -> Instant:
+        """Returns the instant before which a last use means that the pool's workers evicted a prefix."""
         return self._evictions.cached_since(pool)
 
     def _uncached(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
--- a/wingwood/placement/long_streams.py
+++ b/wingwood/placement/long_streams.py
@@ -31,7 +31,7 @@
 """Mean share of slots that long streams take at the workers that they share."""
 SAMPLED_WORKERS = 2
 """Number of workers drawn at random for a long stream."""
-RESERVATION_PERIOD_S = Seconds(10.0)
+DEDICATION_PERIOD_S = Seconds(10.0)
 """Time after a pool's last long stream during which its first worker stays dedicated."""
 OVERFLOW_WAIT_S = Seconds(0.12)
 """Other turns may also use the dedicated workers when they would wait longer than this at every other worker."""
@@ -146,7 +146,7 @@
         The first worker stays dedicated for a while after the pool's last long stream.
         """
         max_dedicated = int(self._max_dedicated_share * len(order))
-        recently_seen = now - self._last_seen.get(order[0].pool, Instant(float("-inf"))) <= RESERVATION_PERIOD_S
+        recently_seen = now - self._last_seen.get(order[0].pool, Instant(float("-inf"))) <= DEDICATION_PERIOD_S
         dedicated: set[WorkerInstance] = set()
         for rank, worker in enumerate(order[:max_dedicated]):
             if self.stream_count(worker) >= 1.0 or (rank == 0 and recently_seen):
--- a/wingwood/placement/plain_policies.py
+++ b/wingwood/placement/plain_policies.py
@@ -30,6 +30,7 @@
         raise NotImplementedError
 
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
+        """Tries the pools of the service's split in their order. See ``Placement.choose``."""
         refusal: Result[Choice, NoWorker] = Failure(NoWorker("none-ready", Seconds(1.0)))
         for pool in pool_order(turn, len(excluded)):
             chosen = await self._choose_in(pool, turn, excluded)
@@ -58,16 +59,17 @@
         return Failure(NoWorker("none-ready", Seconds(1.0)))
 
     def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
-        pass
+        """Does nothing: the first token is learned when the turn finishes."""
 
     def finished(
         self,
         turn: Turn,
         choice: Choice,
         outcome: Outcome,
-        generated_tokens: int,
+        _generated_tokens: int,
         first_token_after: Seconds | None,
     ) -> None:
+        """Learns from the turn if its answer was complete. See ``Placement.finished``."""
         placed = self._placed.pop((turn.request, choice.worker.instance), None)
         if placed is None:
             return
@@ -87,7 +89,7 @@
         super().__init__(context, registry, exchange)
         self._turns: dict[PoolName, int] = {}
 
-    def _order(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
+    def _order(self, _turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         pool = ready[0].pool
         start = self._turns.get(pool)
         if start is None:
@@ -99,7 +101,7 @@
 class LeastLoaded(_PlainPlacement):
     """Tries the workers by load per slot, equal ones in random order."""
 
-    def _order(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
+    def _order(self, _turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         shuffled = self._context.random.sample(list(ready), len(ready))
         return sorted(shuffled, key=lambda worker: self._workload.load(worker) / worker.slots)
 
--- a/wingwood/placement/prefill_estimates.py
+++ b/wingwood/placement/prefill_estimates.py
@@ -146,6 +146,7 @@
         return pending
 
     def remove_worker(self, instance: WorkerInstance) -> None:
+        """Drops all records of a worker that was removed."""
         self._workers.pop(instance, None)
 
     def flow(self, instance: WorkerInstance) -> float:
--- a/wingwood/placement/protocols.py
+++ b/wingwood/placement/protocols.py
@@ -43,6 +43,7 @@
 
     @property
     def session(self) -> SessionId | None:
+        """The session's id, which is the full prefix; None for a call without a ``Prefix`` header."""
         return SessionId("/".join(self.prefix)) if self.prefix else None
 
 
--- a/wingwood/placement/queue_owners.py
+++ b/wingwood/placement/queue_owners.py
@@ -59,14 +59,15 @@
 class NoQueueOwners:
     """A ``QueueOwners`` without owners: each router uses only its own estimates."""
 
-    def group(self, worker: Worker, ready: Sequence[Worker], pool_size: int) -> Sequence[Worker]:
+    def group(self, _worker: Worker, ready: Sequence[Worker], _pool_size: int) -> Sequence[Worker]:
+        """Returns all ready workers."""
         return ready
 
-    async def join(self, question: JoinQueue) -> QueueJoined | None:
-        return None
+    async def join(self, _question: JoinQueue) -> QueueJoined | None:
+        """Returns None, as if no owner answered."""
 
     def entered(self, entry: QueueEntry) -> None:
-        return None
+        """Does nothing: there is no owner to notify."""
 
 
 class PrefillQueueTimes:
@@ -77,9 +78,11 @@
         self._free_at: OrderedDict[WorkerInstance, Instant] = OrderedDict()
 
     def wait(self, worker: WorkerInstance) -> Seconds:
+        """Returns the seconds until the worker has prefilled the prompts sent to it."""
         return Seconds(max(0.0, self._free_at.get(worker, Instant(0.0)) - self._clock.monotonic()))
 
     def enter(self, entry: QueueEntry) -> None:
+        """Adds the entry's prefill to its worker's queue, or removes it where it is negative."""
         free_at = self._clock.monotonic() + self.wait(entry.worker) + entry.prefill
         self._free_at[entry.worker] = Instant(free_at)
         self._free_at.move_to_end(entry.worker)
@@ -132,6 +135,7 @@
         membership.on_change(self._owners.clear)
 
     def group(self, worker: Worker, ready: Sequence[Worker], pool_size: int) -> Sequence[Worker]:
+        """See ``QueueOwners.group``."""
         pool = worker.pool
         group_count = self._group_counts[pool] = max(1, -(-pool_size // WORKERS_PER_GROUP))
         if group_count == 1:
@@ -140,6 +144,7 @@
         return [other for other in ready if self._group_of(pool, other.instance) == number]
 
     async def join(self, question: JoinQueue) -> QueueJoined | None:
+        """Asks the owner, then its replica; a router that does not answer in time is skipped for a while."""
         for owner in self._owners_of(question.pool, question.offers[0].worker):
             if self._is_self(owner):
                 return self._times.join(question)
@@ -154,6 +159,7 @@
         return None
 
     def entered(self, entry: QueueEntry) -> None:
+        """Posts the entry to the queue owner; a lost post only makes the owner's estimate less accurate."""
         owner = next(iter(self._owners_of(entry.pool, entry.worker)), None)
         if owner is None:
             return
--- a/wingwood/placement/reported_size_cost_model.py
+++ b/wingwood/placement/reported_size_cost_model.py
@@ -104,6 +104,7 @@
     # --- cached tokens ------------------------------------------------------------------------
 
     def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
+        """See ``CostModel.cached_tokens``."""
         return self._cached_tokens(turn, entry, worker, self._known(worker.pool, turn))
 
     def _known(self, pool: PoolName, turn: Turn) -> KnownChains:
@@ -136,7 +137,8 @@
         """Returns the tokens of the reported parts; text outside the parts never occurs in another prompt."""
         return min(tokens, _total_tokens(turn.parts))
 
-    def own_tokens(self, pool: PoolName, turn: Turn, tokens: int) -> int:
+    def own_tokens(self, _pool: PoolName, turn: Turn, _tokens: int) -> int:
+        """Returns the size of the last part, the only one that other sessions do not share."""
         return turn.parts[-1].tokens
 
     def _reused(self, turn: Turn) -> tuple[PromptPart, ...]:
@@ -159,6 +161,7 @@
     # --- costs --------------------------------------------------------------------------------
 
     def forecast(self, turn: Turn, entry: Entry | None, worker: Worker) -> Forecast:
+        """See ``CostModel.forecast``."""
         uncached = turn.prompt_tokens - self.cached_tokens(turn, entry, worker)
         first_token = self._workload.wait(worker) + self._queues.first_token(worker, uncached)
         return Forecast(uncached, Seconds(first_token))
@@ -252,6 +255,7 @@
         return self._cost(turn, offer.worker, offer.uncached, wait, offer.load) + offer.repeated_prefill_cost
 
     def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
+        """Returns the shortest time to the first token among the workers that a comparison would include."""
         prefix_workers = self._prefix_workers(turn, self._reused(turn), ready, 1)
         candidates = self._candidates(entry, prefix_workers, self._settings.candidates_with_sizes, ready)
         return min(self.forecast(turn, entry, worker).first_token for worker in candidates)
@@ -351,7 +355,8 @@
 
     # --- events of turns ----------------------------------------------------------------------
 
-    def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
+    def sent(self, turn: Turn, worker: Worker, _key: int, forecast: Forecast) -> None:
+        """Adds the turn's prompt to the worker's prefill queue, and records that its parts were sent there."""
         part_tokens = max(0, forecast.uncached - max(0, turn.prompt_tokens - _total_tokens(turn.parts)))
         resident_tokens = turn.prompt_tokens + turn.generate_tokens
         self._queues.sent(turn.request, worker, forecast, part_tokens, resident_tokens)
@@ -359,16 +364,18 @@
 
     def ended(
         self,
-        turn: Turn,
+        _turn: Turn,
         worker: Worker,
-        uncached: int,
-        predicted_wait: float,
-        first_token: Seconds | None,
+        _uncached: int,
+        _predicted_wait: float,
+        _first_token: Seconds | None,
         duration: Seconds,
     ) -> None:
+        """Learns the duration of the turn; the prefill estimates learn from its first token."""
         self._workload.learn_turn(worker, duration)
 
     def turn_left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
+        """Removes the turn's prompt from the worker's prefill queue if it had no first token yet."""
         self._queues.ended(request, worker, first_token)
         self._entered.pop(request, None)
 
@@ -393,6 +400,7 @@
             del self._entered[next(iter(self._entered))]
 
     def remove_worker(self, instance: WorkerInstance) -> None:
+        """See ``CostModel.remove_worker``."""
         self._parts.remove_worker(instance)
         self._queues.remove_worker(instance)
 
--- a/wingwood/placement/reservation_placement.py
+++ b/wingwood/placement/reservation_placement.py
@@ -122,6 +122,7 @@
     # --- placing a turn -----------------------------------------------------------------------
 
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
+        """Tries the pools of the service's split in their order. See ``Placement.choose``."""
         refusal: NoWorker | None = None
         for pool in pool_order(turn, len(excluded)):
             chosen = await self._choose_in(pool, turn, set(excluded))
@@ -307,6 +308,7 @@
         generated_tokens: int,
         first_token_after: Seconds | None,
     ) -> None:
+        """Learns from the turn, and reserves a worker for the session's next turn if the answer was complete."""
         placed = self._placed.pop((turn.request, choice.worker.instance), None)
         if placed is None:
             return
--- a/wingwood/placement/session_map.py
+++ b/wingwood/placement/session_map.py
@@ -40,6 +40,7 @@
 
 
 def session_key(pool: PoolName, session: SessionId) -> int:
+    """Returns the key of a session in a pool: 64 bits of a digest."""
     return int.from_bytes(hashlib.blake2b(f"{pool}\n{session}".encode(), digest_size=8).digest(), "big")
 
 
@@ -93,6 +94,7 @@
         self.by_key: OrderedDict[int, Entry] = OrderedDict()
 
     def put(self, key: int, entry: Entry) -> None:
+        """Stores the entry as the latest, and evicts entries beyond the bounds."""
         self.by_key[key] = entry
         self.by_key.move_to_end(key)
         oldest = entry.last_used_at - self._retention
@@ -100,6 +102,7 @@
             self.by_key.popitem(last=False)
 
     def get(self, key: int) -> Entry | None:
+        """Returns the entry of the key, or None."""
         return self.by_key.get(key)
 
 
@@ -108,22 +111,27 @@
 
     def __init__(self) -> None:
         self._entries = RecentEntries(MAX_ENTRIES, CLAIM_RETENTION_S)
-        self.on_entry_stored: Callable[[int, Entry], None] = lambda key, entry: None
+        self.on_entry_stored: Callable[[int, Entry], None] = lambda _key, _entry: None
 
     async def find(self, key: int) -> Entry | Unreachable | None:
+        """See ``SessionMap.find``."""
         return self._entries.get(key)
 
     def record(self, key: int, entry: Entry) -> None:
+        """See ``SessionMap.record``."""
         self._entries.put(key, entry)
         self.on_entry_stored(key, entry)
 
     def find_local(self, key: int) -> Entry | None:
+        """See ``SessionMap.find_local``."""
         return self._entries.get(key)
 
     def record_local(self, key: int, entry: Entry) -> None:
+        """See ``SessionMap.record_local``."""
         self._entries.put(key, entry)
 
-    def owns(self, key: int) -> bool:
+    def owns(self, _key: int) -> bool:
+        """Returns True, because no other router shares the map."""
         return True
 
 
@@ -208,7 +216,7 @@
         self._unresponsive = UnresponsiveRouters(context.clock)
         self._handover_running = False
         self._pending_handover: OrderedDict[tuple[int, Address], None] = OrderedDict()
-        self.on_entry_stored: Callable[[int, Entry], None] = lambda key, entry: None
+        self.on_entry_stored: Callable[[int, Entry], None] = lambda _key, _entry: None
         messenger.on_post(StoreSessionRecords, self._on_store_records)
         messenger.on_call(LookUpSession, self._on_look_up)
         membership.on_change(self._members_changed)
@@ -217,6 +225,12 @@
     # --- lookup and recording -----------------------------------------------------------------
 
     async def find(self, key: int) -> Entry | Unreachable | None:
+        """Asks the owner, then the replica, unless this router is one of them itself.
+
+        A newer entry that this router recorded replaces the stored one. A new owner's answer that it has no entry does
+        not count, because the entry may not have been handed over yet: the replica is asked, and then the entry that
+        this router recorded itself is used.
+        """
         answered = sure = False
         for owner in self._owners_of(key):
             if owner.incarnation == self._messenger.identity.incarnation:
@@ -244,6 +258,7 @@
         return None if answered else Unreachable()
 
     def record(self, key: int, entry: Entry) -> None:
+        """See ``SessionMap.record``."""
         self._recent.put(key, entry)
         for owner in self._owners_of(key):
             if owner.incarnation == self._messenger.identity.incarnation:
@@ -252,12 +267,15 @@
                 self._messenger.post(owner.internal, StoreSessionRecords((self._to_record(key, entry),)))
 
     def find_local(self, key: int) -> Entry | None:
+        """See ``SessionMap.find_local``."""
         return self._recent.get(key)
 
     def record_local(self, key: int, entry: Entry) -> None:
+        """See ``SessionMap.record_local``."""
         self._recent.put(key, entry)
 
     def owns(self, key: int) -> bool:
+        """See ``SessionMap.owns``."""
         pair = self._owners_of(key)
         return bool(pair) and pair[0].incarnation == self._messenger.identity.incarnation
 
@@ -269,11 +287,11 @@
             self._stored.put(key, entry)
             self.on_entry_stored(key, entry)
 
-    def _on_store_records(self, peer: Identity, message: StoreSessionRecords) -> None:
+    def _on_store_records(self, _peer: Identity, message: StoreSessionRecords) -> None:
         for record in message.records:
             self._store(record.key, self._to_entry(record))
 
-    async def _on_look_up(self, peer: Identity, question: LookUpSession) -> SessionFound:
+    async def _on_look_up(self, _peer: Identity, question: LookUpSession) -> SessionFound:
         entry = self._stored.get(question.key)
         record = None if entry is None else self._to_record(question.key, entry)
         return SessionFound(record, self._is_new_owner(question.key))
--- a/wingwood/placement/tests/test_long_streams.py
+++ b/wingwood/placement/tests/test_long_streams.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 from wingwood.identifiers import Seconds, WorkerInstance
-from wingwood.placement.long_streams import MAX_STREAM_SLOT_SHARE, RESERVATION_PERIOD_S, TARGET_STREAM_SLOT_SHARE
+from wingwood.placement.long_streams import DEDICATION_PERIOD_S, MAX_STREAM_SLOT_SHARE, TARGET_STREAM_SLOT_SHARE
 from wingwood.placement.protocols import Choice, Turn
 from wingwood.placement.settings import ReservationSettings
 from wingwood.registry.protocols import ObservedLoad
@@ -97,7 +97,7 @@
     def test_long_prompts_return_some_time_after_the_last_long_stream(self) -> None:
         (turn, choice), *_ = self.start(1)
         self.router.end(turn, choice)
-        self.router.clock.now += RESERVATION_PERIOD_S + 1.0
+        self.router.clock.now += DEDICATION_PERIOD_S + 1.0
         taken = {self.router.take(summary(number)).worker.instance for number in range(120)}
         self.assertIn(choice.worker.instance, taken)
 
--- a/wingwood/placement/unresponsive_routers.py
+++ b/wingwood/placement/unresponsive_routers.py
@@ -16,9 +16,11 @@
         self._until: dict[Incarnation, Instant] = {}
 
     def contains(self, router: Incarnation) -> bool:
+        """Returns whether the router is to be skipped now."""
         return self._until.get(router, Instant(0.0)) > self._clock.monotonic()
 
     def add(self, router: Incarnation) -> None:
+        """Records that a call to the router timed out."""
         now = self._clock.monotonic()
         self._until = {known: until for known, until in self._until.items() if until > now}
         self._until[router] = Instant(now + SKIP_PERIOD_S)
--- a/wingwood/placement/urgency.py
+++ b/wingwood/placement/urgency.py
@@ -25,6 +25,7 @@
         self._most_urgent: dict[PoolName, _MostUrgent] = {}
 
     def observe(self, pool: PoolName, urgency: int, now: Instant) -> None:
+        """Records the urgency of a turn that arrived for the pool."""
         most = self._most_urgent.get(pool)
         if most is None or urgency <= most.urgency or now - most.at > URGENCY_RETENTION_S:
             self._most_urgent[pool] = _MostUrgent(urgency, now)
--- a/wingwood/placement/worker_estimates.py
+++ b/wingwood/placement/worker_estimates.py
@@ -77,18 +77,20 @@
         self._active_shares: dict[PoolName, tuple[Instant, float]] = {}
         self._estimates: dict[WorkerInstance, WorkerEstimates] = {}
         self._pool_estimates: dict[PoolName, WorkerEstimates] = {}
-        self.prefill_flow: Callable[[WorkerInstance], float] = lambda instance: 0.0
+        self.prefill_flow: Callable[[WorkerInstance], float] = lambda _instance: 0.0
         """Returns the uncached tokens per second that this router sends to a worker; set where they are counted."""
-        self.long_streams: Callable[[WorkerInstance], int] = lambda instance: 0
+        self.long_streams: Callable[[WorkerInstance], int] = lambda _instance: 0
         """Returns the number of this router's long streams at a worker; set where they are counted."""
         exchange.register_counter(self._count)
 
     # --- counting -----------------------------------------------------------------------------
 
     def begin(self, instance: WorkerInstance) -> None:
+        """Counts a turn that is sent to the worker."""
         self._running[instance] += 1
 
     def end(self, instance: WorkerInstance) -> None:
+        """Stops counting a turn that left the worker."""
         self._running[instance] -= 1
         if self._running[instance] <= 0:
             del self._running[instance]
@@ -189,6 +191,7 @@
     # --- predicting ---------------------------------------------------------------------------
 
     def estimates(self, worker: Worker) -> WorkerEstimates:
+        """Returns the worker's estimates, else those of its pool, else the initial ones."""
         return self._estimates.get(worker.instance) or self._pool_estimates.get(worker.pool) or WorkerEstimates()
 
     def wait(self, worker: Worker) -> float:
@@ -215,6 +218,7 @@
         return step * (busy / (1.0 - use) + max(0.0, load - 0.9 * worker.slots))
 
     def first_token(self, worker: Worker, uncached: int) -> Seconds:
+        """Returns the seconds to the first token, with the wait for a slot. ``uncached``: tokens to prefill."""
         estimates = self.estimates(worker)
         return Seconds(self.wait(worker) + estimates.base_latency + uncached * estimates.seconds_per_token)
 
@@ -228,6 +232,11 @@
     def learn(
         self, worker: Worker, uncached: int, predicted_wait: float, first_token: Seconds | None, turn_duration: float
     ) -> None:
+        """Updates the estimates of the worker and of its pool from a complete turn.
+
+        All times are in seconds. ``predicted_wait``: wait for a slot as predicted when the turn was sent.
+        ``first_token`` (None without one) and ``turn_duration`` are counted from the sending of the turn.
+        """
         while len(self._estimates) > MAX_WORKER_ESTIMATES:
             del self._estimates[next(iter(self._estimates))]
         for estimates in (
@@ -266,4 +275,5 @@
             estimates.turn_duration += NEW_SAMPLE_WEIGHT * (turn_duration - estimates.turn_duration)
 
     def remove_worker(self, instance: WorkerInstance) -> None:
+        """Drops the estimates of a worker that was removed."""
         self._estimates.pop(instance, None)
