--- a/wingwood/placement/cost_model.py
+++ b/wingwood/placement/cost_model.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from typing import Protocol
 
 import msgspec
@@ -109,10 +109,26 @@
     return wait * pressure + prefill + other_cost + risk_cost * risk_excess
 
 
-def cheapest(costs: Sequence[tuple[float, Worker]], cache_worker: WorkerInstance | None, margin: Seconds) -> Worker:
-    """Returns the cheapest worker, or the cache worker if no other one is cheaper by more than ``margin`` seconds."""
+def cheapest(
+    candidates: Sequence[Worker],
+    cost_of: Callable[[Worker], float],
+    cache_worker: WorkerInstance | None,
+    margin: Seconds,
+) -> Worker:
+    """Returns the cheapest worker, or the cache worker if no other one is cheaper by more than ``margin`` seconds.
+
+    ``cost_of`` returns the cost of a worker in seconds; it is called once for each candidate, in their order.
+    """
+    costs = [(cost_of(worker), worker) for worker in candidates]
     best_cost, best = min(costs, key=lambda pair: (pair[0], pair[1].instance))
     for cost, worker in costs:
         if worker.instance == cache_worker and cost - best_cost <= margin:
             return worker
     return best
+
+
+def cache_worker_among(entry: Entry | None, ready: Sequence[Worker]) -> Worker | None:
+    """Returns the worker that caches the session's prefix, or None if it is unknown or not in ``ready``."""
+    if entry is None:
+        return None
+    return next((worker for worker in ready if worker.instance == entry.cache_worker), None)
--- a/wingwood/placement/estimated_size_cost_model.py
+++ b/wingwood/placement/estimated_size_cost_model.py
@@ -67,8 +67,12 @@
     def cheapest_worker(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
         """See ``CostModel.cheapest_worker``."""
         candidates = self._candidates(turn, entry, ready)
-        costs = [(self._cost_now(turn, entry, worker), worker) for worker in candidates]
-        return cheapest(costs, None if entry is None else entry.cache_worker, self._settings.min_move_gain)
+        return cheapest(
+            candidates,
+            lambda worker: self._cost_now(turn, entry, worker),
+            None if entry is None else entry.cache_worker,
+            self._settings.min_move_gain,
+        )
 
     def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
         """Returns the shortest time to the first token among all ready workers."""
@@ -94,7 +98,7 @@
         turn_seconds = self._workload.estimates(order[0]).turn_duration
         concurrent_turns = self._shared.demand(pool, turn.prefix, now) * routers * turn_seconds
         count = min(len(order), max(2, math.ceil(concurrent_turns / (self._settings.prefix_slot_share * slots))))
-        load_per_slot = [self._workload.load(worker) / worker.slots for worker in order]
+        load_per_slot = [self._workload.load_per_slot(worker) for worker in order]
         bound = max(self._settings.load_bound * sum(load_per_slot) / len(load_per_slot), 1.0 / slots)
         while count < len(order) and all(full > bound for full in load_per_slot[:count]):
             count += 1
@@ -112,11 +116,16 @@
         candidates = self._context.random.sample(others, min(self._settings.candidates, len(others)))
         candidates.extend(worker for worker in ready if worker.instance == entry.cache_worker)
         active_share = self._workload.active_share(ready)
-        costs = []
-        for worker in candidates:
-            mean_wait = self._workload.mean_wait(worker, self._workload.expected_load(worker, active_share))
-            costs.append((self._cost(turn, entry, worker, self._settings.next_turn_wait_weight * mean_wait), worker))
-        return cheapest(costs, entry.cache_worker, self._settings.min_move_gain)
+        return cheapest(
+            candidates,
+            lambda worker: self._next_turn_cost(turn, entry, worker, active_share),
+            entry.cache_worker,
+            self._settings.min_move_gain,
+        )
+
+    def _next_turn_cost(self, turn: Turn, entry: Entry, worker: Worker, active_share: float) -> float:
+        mean_wait = self._workload.mean_wait(worker, self._workload.expected_load(worker, active_share))
+        return self._cost(turn, entry, worker, self._settings.next_turn_wait_weight * mean_wait)
 
     def sent(self, turn: Turn, worker: Worker, key: int, _forecast: Forecast) -> None:
         """Records the turn's prefix, so that its shared parts count as cached at the worker."""
--- a/wingwood/placement/plain_policies.py
+++ b/wingwood/placement/plain_policies.py
@@ -4,17 +4,32 @@
 
 from collections.abc import Sequence
 
+import msgspec
 from returns.result import Failure, Result, Success
 
 from ..context.protocols import Context
 from ..identifiers import Instant, PoolName, RequestId, Seconds, WorkerInstance
 from ..membership.rendezvous import ranked
 from ..registry.protocols import ObservedLoadExchange, Registry, Worker
-from .pool_choice import pool_order
-from .protocols import Choice, NoWorker, Turn
-from .reservation_placement import Outcome
+from .pool_choice import NONE_READY, choose_among_pools, pool_order
+from .protocols import Choice, NoWorker, Turn, TurnOutcome
 from .worker_estimates import Workload
 
+EXPECTED_TURN_LIFETIME_S = Seconds(20.0)
+
+
+class _PlacedTurn(msgspec.Struct, frozen=True):
+    """A turn that was placed and has not finished."""
+
+    since: Instant
+    predicted_wait: float
+    """Predicted wait for a free slot, in seconds."""
+
+
+def _last_full(first: NoWorker, second: NoWorker) -> NoWorker:
+    """Returns the refusal of the last pool whose workers are full; only that of a pool with ready workers says more."""
+    return second if second.reason == "all-full" else first
+
 
 class _PlainPlacement:
     """Counts turns and learns their durations; a subclass decides the order of workers."""
@@ -22,8 +37,8 @@
     def __init__(self, context: Context, registry: Registry, exchange: ObservedLoadExchange) -> None:
         self._context = context
         self._registry = registry
-        self._workload = Workload(registry, exchange, context.clock, Seconds(20.0))
-        self._placed: dict[tuple[RequestId, WorkerInstance], tuple[Instant, float]] = {}
+        self._workload = Workload(registry, exchange, context.clock, EXPECTED_TURN_LIFETIME_S)
+        self._placed: dict[tuple[RequestId, WorkerInstance], _PlacedTurn] = {}
 
     def _order(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         """Returns the workers to try, the best first."""
@@ -31,14 +46,9 @@
 
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
         """Tries the pools of the service's split in their order. See ``Placement.choose``."""
-        refusal: Result[Choice, NoWorker] = Failure(NoWorker("none-ready", Seconds(1.0)))
-        for pool in pool_order(turn, len(excluded)):
-            chosen = await self._choose_in(pool, turn, excluded)
-            if isinstance(chosen, Success):
-                return chosen
-            if chosen.failure().reason == "all-full":
-                refusal = chosen
-        return refusal
+        return await choose_among_pools(
+            pool_order(turn, len(excluded)), lambda pool: self._choose_in(pool, turn, excluded), _last_full
+        )
 
     async def _choose_in(
         self, pool: PoolName, turn: Turn, excluded: Sequence[WorkerInstance]
@@ -49,14 +59,16 @@
             if await self._registry.confirm(worker):
                 first_token = self._workload.first_token(worker, turn.prompt_tokens)
                 predicted_wait = self._workload.wait(worker)
-                self._placed[(turn.request, worker.instance)] = (self._context.clock.monotonic(), predicted_wait)
+                self._placed[(turn.request, worker.instance)] = _PlacedTurn(
+                    self._context.clock.monotonic(), predicted_wait
+                )
                 self._workload.begin(worker.instance)
                 return Success(
                     Choice(worker=worker, method="policy", first_token=first_token, uncached_tokens=turn.prompt_tokens)
                 )
         if ready and not open_workers:
-            return Failure(NoWorker("all-full", min(self._workload.time_until_capacity(worker) for worker in ready)))
-        return Failure(NoWorker("none-ready", Seconds(1.0)))
+            return Failure(self._workload.all_full(ready))
+        return Failure(NONE_READY)
 
     def first_token_received(self, turn: Turn, choice: Choice, first_token_after: Seconds) -> None:
         """Does nothing: the first token is learned when the turn finishes."""
@@ -65,7 +77,7 @@
         self,
         turn: Turn,
         choice: Choice,
-        outcome: Outcome,
+        outcome: TurnOutcome,
         _generated_tokens: int,
         first_token_after: Seconds | None,
     ) -> None:
@@ -73,13 +85,14 @@
         placed = self._placed.pop((turn.request, choice.worker.instance), None)
         if placed is None:
             return
-        since, predicted_wait = placed
         self._workload.end(choice.worker.instance)
         if outcome == "refused":
             self._workload.refused(choice.worker.instance)
         elif outcome == "whole":
-            seconds = self._context.clock.monotonic() - since
-            self._workload.learn(choice.worker, choice.uncached_tokens, predicted_wait, first_token_after, seconds)
+            seconds = self._context.clock.monotonic() - placed.since
+            self._workload.learn(
+                choice.worker, choice.uncached_tokens, placed.predicted_wait, first_token_after, seconds
+            )
 
 
 class RoundRobin(_PlainPlacement):
@@ -103,7 +116,7 @@
 
     def _order(self, _turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         shuffled = self._context.random.sample(list(ready), len(ready))
-        return sorted(shuffled, key=lambda worker: self._workload.load(worker) / worker.slots)
+        return sorted(shuffled, key=self._workload.load_per_slot)
 
 
 class StickyByHash(_PlainPlacement):
@@ -111,5 +124,5 @@
 
     def _order(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         if turn.session is None:
-            return sorted(ready, key=lambda worker: (self._workload.load(worker) / worker.slots, worker.instance))
+            return sorted(ready, key=lambda worker: (self._workload.load_per_slot(worker), worker.instance))
         return ranked(turn.session, ready, lambda worker: worker.instance)
--- a/wingwood/placement/pool_choice.py
+++ b/wingwood/placement/pool_choice.py
@@ -1,15 +1,20 @@
-"""The pools that may take a call of a service, in the order to try them (docs/DESIGN.md section 11.9)."""
+"""The pools that may take a call of a service, and the choice of a worker among them (docs/DESIGN.md section 11.9)."""
 
 from __future__ import annotations
 
 import hashlib
 import math
+from collections.abc import Awaitable, Callable, Sequence
+
+from returns.result import Failure, Result, Success
 
 from ..bundle.model import PoolShare, Service
-from ..identifiers import PoolName
-from .protocols import Turn
+from ..identifiers import PoolName, Seconds
+from .protocols import Choice, NoWorker, Turn
 
 _HASH_RANGE = 2**64
+NONE_READY = NoWorker("none-ready", Seconds(1.0))
+"""The refusal of a pool without ready workers."""
 
 
 def pool_order(turn: Turn, attempt: int) -> tuple[PoolName, ...]:
@@ -35,3 +40,21 @@
     """
     digest = hashlib.blake2b(f"{service.name}\n{share.pool}\n{draw}".encode(), digest_size=8).digest()
     return -math.log((int.from_bytes(digest, "big") + 1) / (_HASH_RANGE + 1)) / share.weight
+
+
+async def choose_among_pools(
+    pools: Sequence[PoolName],
+    choose_in: Callable[[PoolName], Awaitable[Result[Choice, NoWorker]]],
+    more_informative: Callable[[NoWorker, NoWorker], NoWorker],
+) -> Result[Choice, NoWorker]:
+    """Returns the choice of the first pool that has a worker for the turn, else one of the pools' refusals.
+
+    ``more_informative`` returns which of two refusals, of an earlier and a later pool, the caller gets.
+    """
+    refusal = NONE_READY
+    for pool in pools:
+        chosen = await choose_in(pool)
+        if isinstance(chosen, Success):
+            return chosen
+        refusal = more_informative(refusal, chosen.failure())
+    return Failure(refusal)
--- a/wingwood/placement/protocols.py
+++ b/wingwood/placement/protocols.py
@@ -12,6 +12,11 @@
 from ..identifiers import Instant, RequestId, Seconds, SessionId, TenantName, WorkerInstance
 from ..registry.protocols import Worker
 
+PlacementMethod = Literal["award", "claim", "bid", "hash", "policy"]
+"""The kind of decision that led to a worker. See ``Choice.method``."""
+TurnOutcome = Literal["whole", "refused", "broken", "cancelled"]
+"""How a turn left its worker; ``whole``: with a complete answer."""
+
 
 class PromptPart(msgspec.Struct, frozen=True):
     """One part of a prompt. Equal ids stand for equal text only where all preceding parts are equal too."""
@@ -51,7 +56,7 @@
     """The worker that was chosen for a turn."""
 
     worker: Worker
-    method: Literal["award", "claim", "bid", "hash", "policy"] = msgspec.field(name="how")
+    method: PlacementMethod = msgspec.field(name="how")
     """The kind of decision that led to the worker.
 
     award: a reservation recorded at an earlier hint; claim: the worker probably caches the prefix; bid: the cheapest
@@ -88,7 +93,7 @@
         self,
         turn: Turn,
         choice: Choice,
-        outcome: Literal["whole", "refused", "broken", "cancelled"],
+        outcome: TurnOutcome,
         generated_tokens: int,
         first_token_after: Seconds | None,
     ) -> None:
--- a/wingwood/placement/reported_size_cost_model.py
+++ b/wingwood/placement/reported_size_cost_model.py
@@ -11,7 +11,7 @@
 from ..identifiers import PoolName, RequestId, Seconds, WorkerInstance, Zone
 from ..membership.protocols import Membership
 from ..registry.protocols import Worker
-from .cost_model import Forecast, Pressure, cheapest, queued_cost
+from .cost_model import Forecast, Pressure, cache_worker_among, cheapest, queued_cost
 from .messages import JoinQueue, QueueEntry, QueueOffer
 from .prefill_estimates import PrefillQueues
 from .prefix_order import PrefixOrders
@@ -168,9 +168,16 @@
 
     def cheapest_worker(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
         """Returns the cheapest worker by this router's own estimates of the prefill queues."""
-        offers = self._offers(turn, entry, self._find_prefix_workers(turn, entry, ready), ready)
-        costs = [(self._offer_cost(turn, offer), offer.worker) for offer in offers]
-        return cheapest(costs, None if entry is None else entry.cache_worker, self._settings.min_move_gain_with_sizes)
+        offers = {
+            offer.worker.instance: offer
+            for offer in self._offers(turn, entry, self._find_prefix_workers(turn, entry, ready), ready)
+        }
+        return cheapest(
+            [offer.worker for offer in offers.values()],
+            lambda worker: self._offer_cost(turn, offers[worker.instance]),
+            None if entry is None else entry.cache_worker,
+            self._settings.min_move_gain_with_sizes,
+        )
 
     async def join(
         self, turn: Turn, entry: Entry | None, ready: Sequence[Worker], reserved_worker: Worker | None = None
@@ -185,7 +192,7 @@
         prefix_workers = self._find_prefix_workers(turn, entry, ready)
         first = (
             reserved_worker
-            or _cache_worker(entry, ready)
+            or cache_worker_among(entry, ready)
             or next(iter(prefix_workers.workers), None)
             or self._context.random.choice(ready)
         )
@@ -272,20 +279,25 @@
         if not drawn:
             candidates = self._context.random.sample(candidates, 2)
         known = self._known(ready[0].pool, turn)
-        costs = []
-        for worker in candidates:
-            load = self._workload.load(worker)
-            uncached = turn.prompt_tokens - self._cached_tokens(turn, entry, worker, known)
-            wait = self._workload.mean_wait(worker, load) + self._queues.mean_wait(worker)
-            costs.append((self._cost(turn, worker, uncached, wait, load), worker))
-        return cheapest(costs, cache_worker, self._settings.min_move_gain_with_sizes)
+        return cheapest(
+            candidates,
+            lambda worker: self._next_turn_cost(turn, entry, worker, known),
+            cache_worker,
+            self._settings.min_move_gain_with_sizes,
+        )
+
+    def _next_turn_cost(self, turn: Turn, entry: Entry, worker: Worker, known: KnownChains) -> float:
+        load = self._workload.load(worker)
+        uncached = turn.prompt_tokens - self._cached_tokens(turn, entry, worker, known)
+        wait = self._workload.mean_wait(worker, load) + self._queues.mean_wait(worker)
+        return self._cost(turn, worker, uncached, wait, load)
 
     def _candidates(
         self, entry: Entry | None, prefix_workers: Sequence[Worker], drawn: int, ready: Sequence[Worker]
     ) -> list[Worker]:
         """Returns the prefix's workers, the cache worker and some workers drawn at random, each once."""
         found = list(prefix_workers)
-        cache_worker = _cache_worker(entry, ready)
+        cache_worker = cache_worker_among(entry, ready)
         if cache_worker is not None:
             found.append(cache_worker)
         found.extend(self._context.random.sample(list(ready), min(drawn, len(ready))))
@@ -405,11 +417,5 @@
         self._queues.remove_worker(instance)
 
 
-def _cache_worker(entry: Entry | None, ready: Sequence[Worker]) -> Worker | None:
-    if entry is None:
-        return None
-    return next((worker for worker in ready if worker.instance == entry.cache_worker), None)
-
-
 def _total_tokens(parts: Sequence[PromptPart]) -> int:
     return sum(part.tokens for part in parts)
--- a/wingwood/placement/reservation_placement.py
+++ b/wingwood/placement/reservation_placement.py
@@ -8,7 +8,6 @@
 
 from collections import Counter
 from collections.abc import Sequence
-from typing import Literal
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -18,13 +17,13 @@
 from ..membership.protocols import Membership
 from ..membership.rendezvous import ranked
 from ..registry.protocols import ObservedLoadExchange, Registry, Worker
-from .cost_model import CostModel, Forecast, Pressure
+from .cost_model import CostModel, Forecast, Pressure, cache_worker_among
 from .estimated_size_cost_model import EstimatedSizeCostModel
 from .long_streams import LongStreams
-from .pool_choice import pool_order
+from .pool_choice import NONE_READY, choose_among_pools, pool_order
 from .prefill_estimates import PrefillQueues
 from .prefix_order import PrefixOrders
-from .protocols import Choice, NoWorker, Turn
+from .protocols import Choice, NoWorker, PlacementMethod, Turn, TurnOutcome
 from .queue_owners import NoQueueOwners, QueueOwners
 from .reported_size_cost_model import ReportedSizeCostModel
 from .session_map import Entry, SessionMap, Unreachable, session_key
@@ -33,16 +32,13 @@
 from .urgency import UrgentCapacity
 from .worker_estimates import Workload
 
-Method = Literal["award", "claim", "bid", "hash", "policy"]
 UNSENT_WITHIN_S = Seconds(0.002)
 """A turn cancelled within this time never reached its worker: admission refuses a turn as soon as it is placed."""
-NONE_READY_RETRY_S = Seconds(1.0)
 OTHER_ZONE_TURNS = 0.5
 """Number of turns added to the load of a worker in another zone, in pools without sessions.
 
 Half a turn prefers the worker of the router's own zone only between equal loads.
 """
-Outcome = Literal["whole", "refused", "broken", "cancelled"]
 
 
 class _Placed(msgspec.Struct, frozen=True):
@@ -123,13 +119,9 @@
 
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
         """Tries the pools of the service's split in their order. See ``Placement.choose``."""
-        refusal: NoWorker | None = None
-        for pool in pool_order(turn, len(excluded)):
-            chosen = await self._choose_in(pool, turn, set(excluded))
-            if isinstance(chosen, Success):
-                return chosen
-            refusal = _more_informative(refusal, chosen.failure())
-        return Failure(refusal or NoWorker("none-ready", NONE_READY_RETRY_S))
+        return await choose_among_pools(
+            pool_order(turn, len(excluded)), lambda pool: self._choose_in(pool, turn, set(excluded)), _more_informative
+        )
 
     async def _choose_in(self, pool: PoolName, turn: Turn, tried: set[WorkerInstance]) -> Result[Choice, NoWorker]:
         self._pressure.observe(pool, turn.weight)
@@ -140,14 +132,14 @@
         while True:
             ready = [worker for worker in self._registry.ready(pool) if worker.instance not in tried]
             if not ready:
-                return Failure(NoWorker("none-ready", NONE_READY_RETRY_S))
+                return Failure(NONE_READY)
             if all(self._workload.is_full(worker, open_share) for worker in ready):
-                return Failure(self._all_full(ready))
+                return Failure(self._workload.all_full(ready))
             candidates = self._long_streams.candidates(turn, self._workload.accepting(ready))
             choice = await self._choose_among(turn, key, entry, candidates)
             if self._misses_deadline(turn, choice, ready):
                 self._reported_size_costs.unsent(turn.request)
-                return Failure(self._all_full(ready))
+                return Failure(self._workload.all_full(ready))
             if await self._registry.confirm(choice.worker):
                 self._place(turn, key, entry, choice)
                 return Success(choice)
@@ -179,7 +171,7 @@
             return await self._choose_cheapest(turn, entry, ready)
         queue_choice = await self._reported_size_costs.join(turn, entry, ready, reserved_worker) if turn.parts else None
         if queue_choice is not None:
-            method: Method = "award" if queue_choice.worker is reserved_worker else "bid"
+            method: PlacementMethod = "award" if queue_choice.worker is reserved_worker else "bid"
             forecast = queue_choice.forecast
             return Choice(
                 worker=queue_choice.worker,
@@ -211,15 +203,13 @@
         if self._long_streams.is_long(turn):
             return self._stream_choice(turn, entry, self._long_streams.pick(ready))
         cost_model = self._cost_model(turn)
-        cache_worker = (
-            None if entry is None else next((worker for worker in ready if worker.instance == entry.cache_worker), None)
-        )
+        cache_worker = cache_worker_among(entry, ready)
         if cache_worker is None or cost_model.cached_tokens(turn, entry, cache_worker) <= 0:
             cache_worker = entry = None
         queue_choice = await self._reported_size_costs.join(turn, entry, ready) if turn.parts else None
         worker = cost_model.cheapest_worker(turn, entry, ready) if queue_choice is None else queue_choice.worker
         if cache_worker is None:
-            method: Method = "claim" if cost_model.cached_tokens(turn, None, worker) > 0 else "bid"
+            method: PlacementMethod = "claim" if cost_model.cached_tokens(turn, None, worker) > 0 else "bid"
         else:
             method = "claim" if worker is cache_worker else "bid"
         forecast = cost_model.forecast(turn, entry, worker) if queue_choice is None else queue_choice.forecast
@@ -227,7 +217,7 @@
 
     def _stream_choice(self, turn: Turn, entry: Entry | None, worker: Worker) -> Choice:
         """Returns the choice of a long stream's worker, which depends on the streams there and not on the prompt."""
-        method: Method = "claim" if entry is not None and entry.cache_worker == worker.instance else "bid"
+        method: PlacementMethod = "claim" if entry is not None and entry.cache_worker == worker.instance else "bid"
         choice = self._choice(turn, entry, worker, method)
         self._reported_size_costs.enter(turn, worker, choice.uncached_tokens)
         return choice
@@ -252,7 +242,7 @@
             return True
         return cost_model.earliest_first_token(turn, entry, ready) > objective * self._settings.objective_met_share
 
-    def _choice(self, turn: Turn, entry: Entry | Unreachable | None, worker: Worker, method: Method) -> Choice:
+    def _choice(self, turn: Turn, entry: Entry | Unreachable | None, worker: Worker, method: PlacementMethod) -> Choice:
         known = entry if isinstance(entry, Entry) else None
         forecast = self._cost_model(turn).forecast(turn, known, worker)
         return Choice(worker=worker, method=method, first_token=forecast.first_token, uncached_tokens=forecast.uncached)
@@ -263,9 +253,6 @@
             return False
         return self._workload.is_busy(ready)
 
-    def _all_full(self, ready: Sequence[Worker]) -> NoWorker:
-        return NoWorker("all-full", min(self._workload.time_until_capacity(worker) for worker in ready))
-
     def _place(self, turn: Turn, key: int | None, entry: Entry | Unreachable | None, choice: Choice) -> None:
         now = self._context.clock.monotonic()
         worker = choice.worker
@@ -304,7 +291,7 @@
         self,
         turn: Turn,
         choice: Choice,
-        outcome: Outcome,
+        outcome: TurnOutcome,
         generated_tokens: int,
         first_token_after: Seconds | None,
     ) -> None:
@@ -408,8 +395,8 @@
             self._workload.remove_worker(worker.instance)
 
 
-def _more_informative(first: NoWorker | None, second: NoWorker) -> NoWorker:
+def _more_informative(first: NoWorker, second: NoWorker) -> NoWorker:
     """Returns the refusal that says more: one from a pool with ready workers, and the one with the shorter wait."""
-    if first is None or first.reason == "none-ready":
+    if first.reason == "none-ready":
         return second
     return first if second.reason == "none-ready" or first.retry_after <= second.retry_after else second
--- a/wingwood/placement/worker_estimates.py
+++ b/wingwood/placement/worker_estimates.py
@@ -11,6 +11,7 @@
 from ..context.protocols import Clock
 from ..identifiers import Instant, PoolName, Seconds, WorkerInstance
 from ..registry.protocols import ObservedLoad, ObservedLoadExchange, Registry, Worker
+from .protocols import NoWorker
 
 ACTIVE_SHARE_UPDATE_S = Seconds(0.2)
 """Interval at which the active share of a pool is updated."""
@@ -150,6 +151,10 @@
         reported = 0 if worker.load is None else worker.load.running + worker.load.waiting
         return max(counted, REPORTED_LOAD_WEIGHT * reported)
 
+    def load_per_slot(self, worker: Worker) -> float:
+        """Returns the load of the worker per slot."""
+        return self.load(worker) / worker.slots
+
     def expected_load(self, worker: Worker, active_share: float) -> float:
         """Returns the load that the sessions reserved at the worker will cause, for a turn that arrives seconds later.
 
@@ -227,6 +232,10 @@
         over = self.load(worker) - FULL_TURNS_PER_SLOT * worker.slots + 1
         return Seconds(min(30.0, max(0.2, over * self.estimates(worker).turn_duration / worker.slots)))
 
+    def all_full(self, workers: Sequence[Worker]) -> NoWorker:
+        """Returns the refusal of a pool whose workers are all full."""
+        return NoWorker("all-full", min(self.time_until_capacity(worker) for worker in workers))
+
     # --- learning -----------------------------------------------------------------------------
 
     def learn(
