--- a/bench/placement_bench.py
+++ b/bench/placement_bench.py
@@ -43,7 +43,13 @@
 from wingwood.placement.protocols import Choice, Placement, Turn
 from wingwood.placement.reservation_placement import ReservationPlacement
 from wingwood.placement.session_map import DistributedMap, Entry, LocalMap, session_key
-from wingwood.placement.settings import ReservationSettings
+from wingwood.placement.settings import (
+    CandidateSettings,
+    CostSettings,
+    PlacementSettings,
+    PrefixSettings,
+    ReservationSettings,
+)
 from wingwood.registry.protocols import Worker, WorkerLoad
 from wingwood.registry.tests.fleet import POOL as FEED_POOL
 from wingwood.registry.tests.fleet import Fleet
@@ -92,7 +98,7 @@
     admission: bool = True
     """Whether turns are refused, as by routers, whose predicted first token is later than callers wait."""
     wire_delay: float = 0.001
-    settings: ReservationSettings = ReservationSettings()
+    settings: PlacementSettings = PlacementSettings()
 
 
 class ModelWorker:
@@ -409,11 +415,16 @@
         },
         "small-cache": {name: change(shape, cache_tokens=40_000) for name, shape in policies.items()},
         "expect": {
-            f"for {window:.0f} s": change(base, settings=ReservationSettings(expected_turn_lifetime=Seconds(window)))
+            f"for {window:.0f} s": change(
+                base,
+                settings=PlacementSettings(reservations=ReservationSettings(expected_turn_lifetime=Seconds(window))),
+            )
             for window in (5.0, 10.0, 20.0, 40.0)
         },
         "ahead": {
-            f"cost {cost} {name}": change(shape, settings=ReservationSettings(next_turn_wait_weight=cost))
+            f"cost {cost} {name}": change(
+                shape, settings=PlacementSettings(costs=CostSettings(next_turn_wait_weight=cost))
+            )
             for name, shape in (
                 ("today", base),
                 (
@@ -425,14 +436,19 @@
         },
         "first": {
             f"crowd {crowd} drawn {drawn}": change(
-                base, settings=ReservationSettings(mean_wait_weight=crowd, candidates=drawn)
+                base,
+                settings=PlacementSettings(
+                    costs=CostSettings(mean_wait_weight=crowd), candidates=CandidateSettings(drawn=drawn)
+                ),
             )
             for crowd in (0.1, 0.5, 2.0)
             for drawn in (2, 3, 6)
         },
         "spread": {
             f"slots {share} bound {bound}": change(
-                base, hot_share=0.9, settings=ReservationSettings(prefix_slot_share=share, load_bound=bound)
+                base,
+                hot_share=0.9,
+                settings=PlacementSettings(prefixes=PrefixSettings(slot_share=share, load_bound=bound)),
             )
             for share in (0.25, 0.5, 1.0)
             for bound in (1.1, 1.25, 1.6)
--- a/bench/told_placement_bench.py
+++ b/bench/told_placement_bench.py
@@ -13,7 +13,7 @@
 import json
 import statistics
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from functools import partial
 from pathlib import Path
 from random import Random
@@ -35,7 +35,7 @@
 from wingwood.placement.queue_owners import RouterQueueOwners
 from wingwood.placement.reservation_placement import ReservationPlacement
 from wingwood.placement.session_map import DistributedMap, LocalMap
-from wingwood.placement.settings import ReservationSettings
+from wingwood.placement.settings import PlacementSettings
 from wingwood.registry.protocols import Worker
 from wingwood.transport.frames import Identity
 
@@ -119,7 +119,7 @@
     """Number of workers that are frozen at once during the trouble, for 5 s at a time with pauses of 3 s."""
     slow_workers: int = 0
     """Number of workers that run 3 times slower during the trouble."""
-    settings: ReservationSettings = ReservationSettings()
+    settings: PlacementSettings = PlacementSettings()
 
 
 class ServedCall(msgspec.Struct, frozen=True):
@@ -450,25 +450,34 @@
     "no session map: each router's own records": ("award-local", {}),
     "no session map and no records": ("award-no-map", {}),
     "sizes not told": ("award-guessed", {}),
-    "long streams not kept apart": ("award", {"max_dedicated_share": 0.0}),
-    "no cost of reading shared parts again": ("award", {"repeated_prefill_weight": 0.0}),
-    "no cost of risked objectives and pauses": ("award", {"risk_cost": 0.0}),
-    "no harm to streams beside": ("award", {"stream_delay_weight": 0.0}),
-    "no trust in a prefix's first worker": ("award", {"first_worker_cache_probability": 0.0}),
-    "a prefix never spreads": ("award", {"prefix_prefill_share": 1e6}),
-    "no margin for the holder": ("award", {"min_move_gain_with_sizes": 0.0}),
-    "one worker drawn beside": ("award", {"extra_candidates": 1}),
-    "other zones cost nothing": ("award", {"other_zone_cost": 0.0}),
+    "long streams not kept apart": ("award", {"capacity.max_dedicated_share": 0.0}),
+    "no cost of reading shared parts again": ("award", {"costs.repeated_prefill_weight": 0.0}),
+    "no cost of risked objectives and pauses": ("award", {"risk.weight": 0.0}),
+    "no harm to streams beside": ("award", {"costs.stream_delay_weight": 0.0}),
+    "no trust in a prefix's first worker": ("award", {"prefixes.first_worker_cache_probability": 0.0}),
+    "a prefix never spreads": ("award", {"prefixes.prefill_share": 1e6}),
+    "no margin for the holder": ("award", {"candidates.min_move_gain_with_sizes": 0.0}),
+    "one worker drawn beside": ("award", {"candidates.extra_drawn": 1}),
+    "other zones cost nothing": ("award", {"costs.other_zone_cost": 0.0}),
 }
 """For each mechanism the policy and the settings that switch off this mechanism alone."""
 
 
+def changed_settings(settings: PlacementSettings, changes: Mapping[str, Any]) -> PlacementSettings:
+    """Returns the settings with some values replaced, by ``GROUP.NAME``."""
+    for name, value in changes.items():
+        group, field = name.split(".")
+        changed_group = msgspec.structs.replace(getattr(settings, group), **{field: value})
+        settings = msgspec.structs.replace(settings, **{group: changed_group})
+    return settings
+
+
 def ablation_rows(shape: Shape) -> dict[str, Callable[[int], dict[str, float]]]:
     """Returns one row for each mechanism that is switched off, under the trouble of the shape."""
     return {
         name: partial(
             figures_of,
-            msgspec.structs.replace(shape, policy=policy, settings=msgspec.structs.replace(shape.settings, **changes)),
+            msgspec.structs.replace(shape, policy=policy, settings=changed_settings(shape.settings, changes)),
         )
         for name, (policy, changes) in ABLATIONS.items()
     }
@@ -529,7 +538,7 @@
 @click.option("--table", "names", multiple=True, help="Which tables (also: processor); else all.")
 @click.option("--policy", "policies", multiple=True, help="Which policies; else all.")
 @click.option("--seeds", default=3, show_default=True)
-@click.option("--set", "changes", multiple=True, help="NAME=VALUE of ReservationSettings.")
+@click.option("--set", "changes", multiple=True, help="GROUP.NAME=VALUE of PlacementSettings.")
 @click.option("--ablation", is_flag=True, help="Each mechanism switched off alone, instead of the policies.")
 @click.option("--json", "json_file", type=click.Path(path_type=Path), help="Writes all figures there.")
 def main(
@@ -548,7 +557,7 @@
             click.echo(f"{workers} workers: p50 {middle * 1e3:.3f} ms, p95 {high * 1e3:.3f} ms")
     found = tables()
     changed: dict[str, Any] = {name: json.loads(value) for name, value in (change.split("=") for change in changes)}
-    settings = msgspec.structs.replace(ReservationSettings(), **changed)
+    settings = changed_settings(PlacementSettings(), changed)
     table = Table(COLUMNS, seeds)
     for name in [name for name in names if name != "processor"] or ([] if names else list(found)):
         if ablation:
--- a/wingwood/placement/estimated_size_cost_model.py
+++ b/wingwood/placement/estimated_size_cost_model.py
@@ -14,7 +14,7 @@
 from .prefix_order import PrefixOrders
 from .protocols import Turn
 from .session_map import Entry
-from .settings import ReservationSettings
+from .settings import PlacementSettings
 from .worker_estimates import Workload
 
 
@@ -28,7 +28,7 @@
         workload: Workload,
         pressure: Pressure,
         orders: PrefixOrders,
-        settings: ReservationSettings,
+        settings: PlacementSettings,
     ) -> None:
         self._context = context
         self._membership = membership
@@ -71,7 +71,7 @@
             candidates,
             lambda worker: self._cost_now(turn, entry, worker),
             None if entry is None else entry.cache_worker,
-            self._settings.min_move_gain,
+            self._settings.candidates.min_move_gain,
         )
 
     def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
@@ -83,7 +83,7 @@
             return ready
         if len(turn.prefix) > 1:
             return self.prefix_candidates(turn, ready)
-        return self._context.random.sample(list(ready), min(self._settings.candidates, len(ready)))
+        return self._context.random.sample(list(ready), min(self._settings.candidates.drawn, len(ready)))
 
     def prefix_candidates(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         """Returns the first workers in the prefix's rendezvous order: at least two and as many as its demand needs.
@@ -97,9 +97,9 @@
         slots = sum(worker.slots for worker in ready) / len(ready)
         turn_seconds = self._workload.estimates(order[0]).turn_duration
         concurrent_turns = self._shared.demand(pool, turn.prefix, now) * routers * turn_seconds
-        count = min(len(order), max(2, math.ceil(concurrent_turns / (self._settings.prefix_slot_share * slots))))
+        count = min(len(order), max(2, math.ceil(concurrent_turns / (self._settings.prefixes.slot_share * slots))))
         load_per_slot = [self._workload.load_per_slot(worker) for worker in order]
-        bound = max(self._settings.load_bound * sum(load_per_slot) / len(load_per_slot), 1.0 / slots)
+        bound = max(self._settings.prefixes.load_bound * sum(load_per_slot) / len(load_per_slot), 1.0 / slots)
         while count < len(order) and all(full > bound for full in load_per_slot[:count]):
             count += 1
         return order[:count]
@@ -107,25 +107,25 @@
     def _cost_now(self, turn: Turn, entry: Entry | None, worker: Worker) -> float:
         mean_wait = self._workload.mean_wait(worker, self._workload.load(worker))
         return self._cost(
-            turn, entry, worker, self._workload.wait(worker) + self._settings.mean_wait_weight * mean_wait
+            turn, entry, worker, self._workload.wait(worker) + self._settings.costs.mean_wait_weight * mean_wait
         )
 
     def cheapest_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
         """Compares the cache worker with a few workers drawn at random; so routers do not all move to the same one."""
         others = [worker for worker in ready if worker.instance != entry.cache_worker]
-        candidates = self._context.random.sample(others, min(self._settings.candidates, len(others)))
+        candidates = self._context.random.sample(others, min(self._settings.candidates.drawn, len(others)))
         candidates.extend(worker for worker in ready if worker.instance == entry.cache_worker)
         active_share = self._workload.active_share(ready)
         return cheapest(
             candidates,
             lambda worker: self._next_turn_cost(turn, entry, worker, active_share),
             entry.cache_worker,
-            self._settings.min_move_gain,
+            self._settings.candidates.min_move_gain,
         )
 
     def _next_turn_cost(self, turn: Turn, entry: Entry, worker: Worker, active_share: float) -> float:
         mean_wait = self._workload.mean_wait(worker, self._workload.expected_load(worker, active_share))
-        return self._cost(turn, entry, worker, self._settings.next_turn_wait_weight * mean_wait)
+        return self._cost(turn, entry, worker, self._settings.costs.next_turn_wait_weight * mean_wait)
 
     def sent(self, turn: Turn, worker: Worker, key: int, _forecast: Forecast) -> None:
         """Records the turn's prefix, so that its shared parts count as cached at the worker."""
--- a/wingwood/placement/reported_size_cost_model.py
+++ b/wingwood/placement/reported_size_cost_model.py
@@ -20,7 +20,7 @@
 from .sent_chains import KnownChains, SentChains
 from .session_map import Entry
 from .session_recurrence import SessionRecurrence
-from .settings import ReservationSettings
+from .settings import PlacementSettings
 from .worker_estimates import Workload
 
 MIN_AFFINITY_PREFILL_S = Seconds(0.002)
@@ -83,7 +83,7 @@
         pressure: Pressure,
         orders: PrefixOrders,
         zone: Zone | None,
-        settings: ReservationSettings,
+        settings: PlacementSettings,
         queue_owners: QueueOwners,
     ) -> None:
         self._context = context
@@ -131,7 +131,9 @@
         reason to send the next prompt elsewhere. Other routers may have sent the rest of the prefix there before.
         """
         tokens_in_use = known.tokens()
-        return tokens_in_use + self._settings.first_worker_cache_probability * max(0, shared_tokens - tokens_in_use)
+        return tokens_in_use + self._settings.prefixes.first_worker_cache_probability * max(
+            0, shared_tokens - tokens_in_use
+        )
 
     def session_tokens(self, turn: Turn, tokens: int) -> int:
         """Returns the tokens of the reported parts; text outside the parts never occurs in another prompt."""
@@ -155,7 +157,7 @@
         if self._recurrence.has_enough_turns(turn.service.name):
             return self._reused(turn)
         before = turn.parts[:-1]
-        is_common = len(before) < 2 or self._prefill_share(turn, before, worker) > self._settings.prefix_prefill_share
+        is_common = len(before) < 2 or self._prefill_share(turn, before, worker) > self._settings.prefixes.prefill_share
         return turn.parts if is_common else before
 
     # --- costs --------------------------------------------------------------------------------
@@ -176,7 +178,7 @@
             [offer.worker for offer in offers.values()],
             lambda worker: self._offer_cost(turn, offers[worker.instance]),
             None if entry is None else entry.cache_worker,
-            self._settings.min_move_gain_with_sizes,
+            self._settings.candidates.min_move_gain_with_sizes,
         )
 
     async def join(
@@ -204,7 +206,7 @@
             offers=tuple(self._queue_offer(turn, offer) for offer in offers),
             pressure=self._pressure.of(pool, turn.weight),
             risk_threshold=self._risk_threshold(turn, ready[0]),
-            risk_cost=self._settings.risk_cost,
+            risk_cost=self._settings.risk.weight,
             first_is_reserved=reserved_worker is not None,
         )
         queue_choice = await self._queue_owners.join(question)
@@ -231,7 +233,11 @@
         first: Worker | None = None,
     ) -> list[_Offer]:
         """Returns the offers of the first, the prefix's and the cache worker, and of some workers drawn at random."""
-        drawn = self._settings.extra_candidates if prefix_workers.workers else self._settings.candidates_with_sizes
+        drawn = (
+            self._settings.candidates.extra_drawn
+            if prefix_workers.workers
+            else self._settings.candidates.drawn_with_sizes
+        )
         candidates = self._candidates(entry, prefix_workers.workers, drawn, ready)
         if first is not None:
             candidates = [first, *(worker for worker in candidates if worker.instance != first.instance)]
@@ -264,7 +270,7 @@
     def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
         """Returns the shortest time to the first token among the workers that a comparison would include."""
         prefix_workers = self._prefix_workers(turn, self._reused(turn), ready, 1)
-        candidates = self._candidates(entry, prefix_workers, self._settings.candidates_with_sizes, ready)
+        candidates = self._candidates(entry, prefix_workers, self._settings.candidates.drawn_with_sizes, ready)
         return min(self.forecast(turn, entry, worker).first_token for worker in candidates)
 
     def cheapest_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
@@ -273,7 +279,7 @@
         A prefix whose demand needs several workers alternates among them.
         """
         prefix_workers = self._prefix_workers(turn, self._reused(turn), ready, 0)
-        drawn = 0 if len(prefix_workers) > 1 else self._settings.extra_candidates
+        drawn = 0 if len(prefix_workers) > 1 else self._settings.candidates.extra_drawn
         candidates = self._candidates(entry, prefix_workers, drawn, ready)
         cache_worker = entry.cache_worker if drawn else None
         if not drawn:
@@ -283,7 +289,7 @@
             candidates,
             lambda worker: self._next_turn_cost(turn, entry, worker, known),
             cache_worker,
-            self._settings.min_move_gain_with_sizes,
+            self._settings.candidates.min_move_gain_with_sizes,
         )
 
     def _next_turn_cost(self, turn: Turn, entry: Entry, worker: Worker, known: KnownChains) -> float:
@@ -312,13 +318,13 @@
             self._other_cost(worker, prefill, load),
             pressure=self._pressure.of(worker.pool, turn.weight),
             risk_threshold=self._risk_threshold(turn, worker),
-            risk_cost=self._settings.risk_cost,
+            risk_cost=self._settings.risk.weight,
         )
 
     def _other_cost(self, worker: Worker, prefill: float, load: float) -> float:
         """Returns the cost in seconds of the streams that the prefill delays and of a worker in another zone."""
-        zone_cost = 0.0 if self._zone is None or worker.zone == self._zone else self._settings.other_zone_cost
-        return self._settings.stream_delay_weight * prefill * load + zone_cost
+        zone_cost = 0.0 if self._zone is None or worker.zone == self._zone else self._settings.costs.other_zone_cost
+        return self._settings.costs.stream_delay_weight * prefill * load + zone_cost
 
     def _risk_threshold(self, turn: Turn, worker: Worker) -> Seconds:
         """Returns the seconds of wait and prefill that put the latency objective or the gaps in streams at risk."""
@@ -326,10 +332,10 @@
         objective, longest_gap = turn.service.latency_objective, turn.service.longest_pause
         if objective is not None:
             risk_threshold = min(
-                risk_threshold, objective * self._settings.objective_risk_share - self._queues.base_latency(worker)
+                risk_threshold, objective * self._settings.risk.objective_share - self._queues.base_latency(worker)
             )
         if longest_gap is not None and turn.service.streaming:
-            risk_threshold = min(risk_threshold, longest_gap * self._settings.gap_risk_share)
+            risk_threshold = min(risk_threshold, longest_gap * self._settings.risk.gap_share)
         return Seconds(max(0.0, risk_threshold))
 
     def _repeated_prefill_cost(self, turn: Turn, worker: Worker, tokens: float) -> float:
@@ -338,9 +344,9 @@
         Other turns wait behind the prefill, and the parts evict other parts from the worker's cache. The cost is
         bounded, because avoiding a repeated prefill does not justify missing the latency objective.
         """
-        cost = self._settings.repeated_prefill_weight * self._queues.prefill(worker, max(0.0, tokens))
+        cost = self._settings.costs.repeated_prefill_weight * self._queues.prefill(worker, max(0.0, tokens))
         objective = turn.service.latency_objective
-        return cost if objective is None else min(cost, objective * self._settings.objective_risk_share)
+        return cost if objective is None else min(cost, objective * self._settings.risk.objective_share)
 
     def _prefix_workers(
         self, turn: Turn, parts: tuple[PromptPart, ...], ready: Sequence[Worker], extra: int
@@ -355,7 +361,7 @@
             return []
         order = self._orders.order(pool, tuple(part.part for part in parts), ready)
         return order[
-            : max(1, math.ceil(self._prefill_share(turn, parts, order[0]) / self._settings.prefix_prefill_share))
+            : max(1, math.ceil(self._prefill_share(turn, parts, order[0]) / self._settings.prefixes.prefill_share))
             + extra
         ]
 
--- a/wingwood/placement/reservation_placement.py
+++ b/wingwood/placement/reservation_placement.py
@@ -28,7 +28,7 @@
 from .reported_size_cost_model import ReportedSizeCostModel
 from .session_map import Entry, SessionMap, Unreachable, session_key
 from .session_recurrence import SessionRecurrence
-from .settings import ReservationSettings
+from .settings import PlacementSettings
 from .urgency import UrgentCapacity
 from .worker_estimates import Workload
 
@@ -62,7 +62,7 @@
         registry: Registry,
         exchange: ObservedLoadExchange,
         session_map: SessionMap,
-        settings: ReservationSettings | None = None,
+        settings: PlacementSettings | None = None,
         zone: Zone | None = None,
         queue_owners: QueueOwners | None = None,
     ) -> None:
@@ -74,17 +74,17 @@
         self._membership = membership
         self._registry = registry
         self._map = session_map
-        self._settings = settings or ReservationSettings()
+        self._settings = settings or PlacementSettings()
         self._zone = zone
-        self._workload = Workload(registry, exchange, context.clock, self._settings.expected_turn_lifetime)
+        self._workload = Workload(registry, exchange, context.clock, self._settings.reservations.expected_turn_lifetime)
         self._queues = PrefillQueues(context.clock, exchange)
         self._workload.prefill_flow = self._queues.flow
         self._recurrence = SessionRecurrence()
-        self._pressure = Pressure(self._settings.max_pressure)
-        self._urgent = UrgentCapacity(self._settings.less_urgent_share)
+        self._pressure = Pressure(self._settings.costs.max_pressure)
+        self._urgent = UrgentCapacity(self._settings.capacity.less_urgent_share)
         orders = PrefixOrders()
         self._long_streams = LongStreams(
-            context.clock, context.random, exchange, orders, self._queues, self._settings.max_dedicated_share
+            context.clock, context.random, exchange, orders, self._queues, self._settings.capacity.max_dedicated_share
         )
         self._workload.long_streams = self._long_streams.own
         self._estimated_size_costs = EstimatedSizeCostModel(
@@ -233,14 +233,17 @@
         """
         cost_model = self._cost_model(turn)
         first_token = cost_model.forecast(turn, entry, reserved_worker).first_token
-        if first_token > turn.service.first_byte_patience * self._settings.timeout_share:
+        if first_token > turn.service.first_byte_patience * self._settings.reservations.timeout_share:
             return False
         objective = turn.service.latency_objective
         if objective is None or not turn.parts:
             return True
-        if first_token <= objective * self._settings.objective_risk_share:
+        if first_token <= objective * self._settings.risk.objective_share:
             return True
-        return cost_model.earliest_first_token(turn, entry, ready) > objective * self._settings.objective_met_share
+        return (
+            cost_model.earliest_first_token(turn, entry, ready)
+            > objective * self._settings.reservations.objective_met_share
+        )
 
     def _choice(self, turn: Turn, entry: Entry | Unreachable | None, worker: Worker, method: PlacementMethod) -> Choice:
         known = entry if isinstance(entry, Entry) else None
@@ -341,7 +344,7 @@
             else:
                 reserved_worker = self._cost_model(turn).cheapest_for_next_turn(next_turn, entry, candidates)
             entry.reserved_worker = reserved_worker.instance
-            entry.reserved_until = Instant(now + self._settings.reservation_lifetime)
+            entry.reserved_until = Instant(now + self._settings.reservations.lifetime)
             self.counts["awards"] += 1
             self.counts["moves"] += reserved_worker.instance != cache_worker.instance
         self._record(turn, key, entry)
@@ -377,7 +380,7 @@
 
         Ties go to the worker drawn first, so that idle workers share the calls regardless of their names.
         """
-        drawn = self._context.random.sample(list(ready), min(self._settings.candidates, len(ready)))
+        drawn = self._context.random.sample(list(ready), min(self._settings.candidates.drawn, len(ready)))
         best = min(drawn, key=self._load_per_slot)
         if self._workload.load(best) < best.slots:
             return best
--- a/wingwood/placement/tests/one_router.py
+++ b/wingwood/placement/tests/one_router.py
@@ -26,7 +26,7 @@
 from wingwood.placement.protocols import Choice, NoWorker, PromptPart, Turn
 from wingwood.placement.reservation_placement import ReservationPlacement
 from wingwood.placement.session_map import LocalMap, SessionMap
-from wingwood.placement.settings import ReservationSettings
+from wingwood.placement.settings import PlacementSettings
 from wingwood.registry.protocols import ObservedLoad, Worker
 from wingwood.transport.frames import Identity
 
@@ -83,7 +83,7 @@
     def __init__(
         self,
         workers: int = 9,
-        settings: ReservationSettings | None = None,
+        settings: PlacementSettings | None = None,
         seed: int = 5,
         zone: str = "a",
         cache_tokens: int = 232_000,
--- a/wingwood/placement/tests/test_long_streams.py
+++ b/wingwood/placement/tests/test_long_streams.py
@@ -8,7 +8,7 @@
 from wingwood.identifiers import Seconds, WorkerInstance
 from wingwood.placement.long_streams import DEDICATION_PERIOD_S, MAX_STREAM_SLOT_SHARE, TARGET_STREAM_SLOT_SHARE
 from wingwood.placement.protocols import Choice, Turn
-from wingwood.placement.settings import ReservationSettings
+from wingwood.placement.settings import PlacementSettings
 from wingwood.registry.protocols import ObservedLoad
 
 from .one_router import POOL, OneRouter, sized_turn
@@ -116,7 +116,7 @@
             self.router.reported[worker.instance] = ObservedLoad(2.0, 0.0, 0.0, 2.0)
         self.start(1)
         taken = {self.router.take(summary(number)).worker.instance for number in range(200)}
-        self.assertGreaterEqual(len(taken), 9 - int(ReservationSettings().max_dedicated_share * 9))
+        self.assertGreaterEqual(len(taken), 9 - int(PlacementSettings().capacity.max_dedicated_share * 9))
 
     def test_worker_with_a_long_prefill_queue_gets_no_long_stream(self) -> None:
         first = self.router.choose(chat(1)).worker.instance
--- a/wingwood/placement/tests/test_reservation_placement.py
+++ b/wingwood/placement/tests/test_reservation_placement.py
@@ -18,7 +18,7 @@
 from wingwood.placement.protocols import Choice, NoWorker, Turn
 from wingwood.placement.reservation_placement import ReservationPlacement
 from wingwood.placement.session_map import DistributedMap, Entry, session_key
-from wingwood.placement.settings import ReservationSettings
+from wingwood.placement.settings import CandidateSettings, CostSettings, PlacementSettings, ReservationSettings
 from wingwood.registry.protocols import ObservedLoad
 from wingwood.registry.tests.fleet import POOL, Fleet
 
@@ -41,7 +41,7 @@
     """Routers with the reservation policy over their registries; workers renew each second until they are stopped."""
 
     def __init__(
-        self, world: World, count: int = 6, workers: int = 4, settings: ReservationSettings | None = None
+        self, world: World, count: int = 6, workers: int = 4, settings: PlacementSettings | None = None
     ) -> None:
         super().__init__(world, count)
         self.placements: dict[str, ReservationPlacement] = {}
@@ -54,7 +54,7 @@
             self.renewing[f"w{number}"] = self.start_worker(f"w{number}")
         self.run(1.0)
 
-    def place(self, name: str, settings: ReservationSettings | None) -> None:
+    def place(self, name: str, settings: PlacementSettings | None) -> None:
         router = self.routers[name]
 
         async def make() -> bool:
@@ -125,12 +125,12 @@
 
 
 class ReservationPlacementTest(unittest.TestCase):
-    def fleet(self, **settings: Any) -> PlacementFleet:
+    def fleet(self, settings: PlacementSettings | None = None) -> PlacementFleet:
         world = World(11)
         world.__enter__()
         self.addCleanup(world.close)
         self.addCleanup(lambda: self.assertEqual(world.broken_invariants, []))
-        return PlacementFleet(world, settings=ReservationSettings(**settings))
+        return PlacementFleet(world, settings=settings)
 
     def test_next_turn_goes_to_the_reserved_worker_at_any_router(self) -> None:
         fleet = self.fleet()
@@ -164,7 +164,7 @@
 
     def test_reservation_expires_and_leaves_a_claim(self) -> None:
         """The worker may still cache the prefix after the reservation has expired."""
-        fleet = self.fleet(reservation_lifetime=Seconds(5.0))
+        fleet = self.fleet(PlacementSettings(reservations=ReservationSettings(lifetime=Seconds(5.0))))
         reserved_worker = fleet.take("r0", "s").worker
         fleet.run(6.3)
         for router in fleet.others_than():
@@ -174,7 +174,10 @@
 
     def test_session_moves_only_for_a_gain_above_the_margin(self) -> None:
         for gain, stays in ((0.5, True), (0.0, False)):
-            fleet = self.fleet(min_move_gain=Seconds(gain), next_turn_wait_weight=1.0)
+            settings = PlacementSettings(
+                candidates=CandidateSettings(min_move_gain=Seconds(gain)), costs=CostSettings(next_turn_wait_weight=1.0)
+            )
+            fleet = self.fleet(settings)
             first = fleet.take("r0", "s", 200).worker.instance
             first_choice = fleet.choose("r0", turn := turn_of("s", 300))
             assert isinstance(first_choice, Choice)
@@ -418,7 +421,7 @@
 
     def test_reserved_sessions_count_at_the_reserved_worker_until_their_next_reservation_or_expiry(self) -> None:
         """Counting a session at several routers or for ever would make its worker look loaded."""
-        fleet = self.fleet(expected_turn_lifetime=Seconds(5.0))
+        fleet = self.fleet(PlacementSettings(reservations=ReservationSettings(expected_turn_lifetime=Seconds(5.0))))
         owner = fleet.owners("s")[0]
         reserved_worker = fleet.take("r0", "s").worker.instance
         self.assertEqual(fleet.placements[owner]._workload.own(reserved_worker).expected, 1.0)
