--- a/bench/control_bench.py
+++ b/bench/control_bench.py
@@ -21,13 +21,13 @@
 from returns.result import Failure, Success
 
 from wingwood.bundle.canonical import canonical_json
+from wingwood.bundle.commands import SubmitOrder
 from wingwood.bundle.model import Order, OrderOutcome, PriorityClass, Tenant
 from wingwood.bundle.orders import make_order
 from wingwood.bundle.signing import public_hex
 from wingwood.bundle.state import BundleState
 from wingwood.control.client import ControlClient
 from wingwood.control.core import ReplicatedCore
-from wingwood.control.protocols import SubmitOrder
 from wingwood.control.store import open_store
 from wingwood.daemons.process import real_context
 from wingwood.identifiers import (
@@ -44,7 +44,8 @@
     WallTime,
     Zone,
 )
-from wingwood.ledger.state import ClaimKey, LedgerAnswers, LedgerBatch, LedgerState
+from wingwood.ledger.commands import ClaimRequest, LedgerAnswers, LedgerBatch
+from wingwood.ledger.state import LedgerState
 from wingwood.settings.model import DaemonSettings
 from wingwood.transport.frames import Identity
 from wingwood.transport.messenger import TcpMessenger
@@ -272,7 +273,7 @@
             claim += 1
             key = claim.to_bytes(8, "big") + number.to_bytes(4, "big") + clients.to_bytes(4, "big")
             started_at = time.monotonic()
-            batch = LedgerBatch(router, 0, claims=(ClaimKey(claim, key),))
+            batch = LedgerBatch(router, 0, claims=(ClaimRequest(claim, key),))
             match await client.decide("ledger", batch, LedgerAnswers, Seconds(5.0)):
                 case Success(_):
                     latencies.append(time.monotonic() - started_at)
--- a/emulator/router_fakes.py
+++ b/emulator/router_fakes.py
@@ -24,8 +24,8 @@
     WallTime,
     WorkerInstance,
 )
-from wingwood.ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
-from wingwood.limits.protocols import ShareRefused
+from wingwood.ledger.protocols import AlreadyClaimed, CallKey, Claimed, ClaimError, Outcome
+from wingwood.limits.protocols import CallRejection
 from wingwood.placement.protocols import Choice, NoWorker, Turn
 from wingwood.registry.protocols import Worker
 
@@ -83,7 +83,7 @@
 class UnlimitedShares:
     """Paid shares without a limit."""
 
-    async def take(self, tenant: Tenant, cost: int = 1) -> ShareRefused | None:
+    async def take(self, tenant: Tenant, cost: int = 1) -> CallRejection | None:
         return None
 
 
@@ -93,19 +93,19 @@
     def take(self, service: Service, pool: PoolName | None = None) -> bool:
         return False
 
-    def refuse(self, service: Service, predicted_first_token: Seconds) -> ShareRefused | None:
+    def check(self, service: Service, predicted_first_token: Seconds) -> CallRejection | None:
         return None
 
-    def note_call(self, service: Service, pool: PoolName | None = None) -> None: ...
+    def record_call(self, service: Service, pool: PoolName | None = None) -> None: ...
 
 
 class GrantingLedger:
     """A ledger that grants every claim."""
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | ClaimError:
         return Claimed(TICKET)
 
-    async def settle(self, key: CallKey, ticket: str, state: Literal["ran", "unknown", "not-run"]) -> bool:
+    async def report_outcome(self, key: CallKey, ticket: str, outcome: Outcome) -> bool:
         return True
 
 
--- a/wingwood/bundle/tests/samples.py
+++ b/wingwood/bundle/tests/samples.py
@@ -7,7 +7,6 @@
 import msgspec
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from ...control.protocols import SubmitEdition, SubmitOrder
 from ...identifiers import (
     BundleVersion,
     ClassName,
@@ -21,6 +20,7 @@
     WallTime,
 )
 from ..canonical import canonical_json
+from ..commands import SubmitEdition, SubmitOrder
 from ..model import CallerLimits, Edition, EditionChange, Order, OrderOutcome, Pool, PriorityClass, Service, Tenant
 from ..orders import make_order
 from ..route import Route
@@ -28,7 +28,7 @@
 from ..state import BundleState
 
 OPERATOR = Ed25519PrivateKey.from_private_bytes(b"\x01" * 32)
-STRANGER = Ed25519PrivateKey.from_private_bytes(b"\x02" * 32)
+UNKNOWN_OPERATOR = Ed25519PrivateKey.from_private_bytes(b"\x02" * 32)
 OPERATOR_KEYS = (public_hex(OPERATOR),)
 SIGNING_KEY = b"\x03" * 32
 SIGNER = public_hex(Ed25519PrivateKey.from_private_bytes(SIGNING_KEY))
@@ -44,7 +44,7 @@
     """Returns three services with a route each, two priority classes, and tenants with one key each."""
     parts: list[Service | Route | PriorityClass | Tenant] = [
         Service(name=ServiceName("summaries"), pool=PoolName("model")),
-        Service(name=ServiceName("chat"), pool=PoolName("model"), first_byte_patience=Seconds(3.0)),
+        Service(name=ServiceName("chat"), pool=PoolName("model"), first_byte_timeout=Seconds(3.0)),
         Service(name=ServiceName("cards"), pool=PoolName("plain"), kind="plain", repeatable=False, streaming=False),
         *(PriorityClass(name=ClassName(name), weight=weight) for name, weight in (("gold", 4.0), ("iron", 1.0))),
     ]
@@ -111,13 +111,13 @@
 
 
 def edition_change(
-    base: int, number: int, changed: dict[SliceName, bytes], order: str = "", whole: bool = True
+    base: int, number: int, changed: dict[SliceName, bytes], order: str = "", replaces_all: bool = True
 ) -> EditionChange:
-    """Returns an order with the operator's own edition numbers; ``whole`` means that it replaces all slices."""
+    """Returns an order with the operator's own edition numbers; ``replaces_all`` as in ``EditionChange``."""
     return EditionChange(
         order=OrderId(order or f"edition-{base}-{number}"),
         base=base,
         number=number,
         changed=changed,
-        replaces_all=whole,
+        replaces_all=replaces_all,
     )
--- a/wingwood/control/client.py
+++ b/wingwood/control/client.py
@@ -8,6 +8,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
+from ..bundle.commands import SubmitEdition, SubmitOrder
 from ..bundle.model import OrderOutcome
 from ..context.protocols import Context
 from ..identifiers import Address, Instant, Seconds
@@ -16,7 +17,6 @@
 from .errors import CommandFailure
 from .leader_finder import LeaderFinder
 from .messages import ControlCommand, ControlDecision
-from .protocols import SubmitEdition, SubmitOrder
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 
--- a/wingwood/control/guarded_store.py
+++ b/wingwood/control/guarded_store.py
@@ -9,7 +9,7 @@
 
 from ..context.protocols import Context
 from ..identifiers import Seconds
-from ..journal import JournalFault
+from ..journal import JournalDamagedError, JournalError, JournalMissingError
 from .changes import ChangeSignal
 from .control_options import ControlOptions
 from .member_state import MemberState
@@ -55,7 +55,7 @@
         """Why the store may not be used; None when it may. Cleared once the journal was read back."""
         return self._fault
 
-    def mark_faulty(self, fault: JournalFault) -> None:
+    def mark_faulty(self, fault: JournalError) -> None:
         """Marks the store unusable: nothing is prepared, accepted or acknowledged until the journal was read back."""
         if self._fault is None:
             self._context.log.event("disk-fault-detected", kind=fault.kind, detail=fault.detail)
@@ -64,10 +64,10 @@
         self._leadership.step_down(f"own disk: {fault.kind}")
         self._changes.notify()
 
-    def _record_fault(self, fault: JournalFault) -> None:
+    def _record_fault(self, fault: JournalError) -> None:
         self._fault = f"{fault.kind} {fault.detail}"
 
-    def write_succeeded(self, outcome: Result[None, JournalFault]) -> bool:
+    def write_succeeded(self, outcome: Result[None, JournalError]) -> bool:
         """Returns whether a write succeeded; after a failed one the store is marked as faulty."""
         match outcome:
             case Failure(fault):
@@ -100,11 +100,11 @@
         self._fault = None
         self._changes.notify()
 
-    def _handle_unreadable(self, fault: JournalFault) -> None:
+    def _handle_unreadable(self, fault: JournalError) -> None:
         self._record_fault(fault)
-        if fault.kind == "missing":
+        if isinstance(fault, JournalMissingError):
             self._handle_data_loss()
-        elif fault.kind == "damaged":
+        elif isinstance(fault, JournalDamagedError):
             self._context.log.event("journal-damaged", offset=fault.offset, detail=fault.detail)
             self._context.tasks.stop_process(f"the control journal is damaged at byte {fault.offset}")
 
@@ -130,5 +130,5 @@
         match await self.store.journal.check():
             case Failure(fault):
                 self.mark_faulty(fault)
-                if fault.kind == "missing":
+                if isinstance(fault, JournalMissingError):
                     self._handle_unreadable(fault)
--- a/wingwood/control/store.py
+++ b/wingwood/control/store.py
@@ -10,7 +10,7 @@
 
 from ..context.protocols import Context
 from ..identifiers import Epoch, Incarnation, Seconds
-from ..journal import Journal, JournalFault
+from ..journal import Journal, JournalDamagedError, JournalError, JournalMissingError
 from .errors import InvariantError, StoreFailure
 from .journal_entries import (
     AcceptedEntry,
@@ -65,7 +65,7 @@
         self.rewritten_bytes = 0
         """The length of the journal after its last rewrite."""
 
-    async def record_prepared(self, prepared: PreparedEpoch, forming: bool) -> Result[None, JournalFault]:
+    async def record_prepared(self, prepared: PreparedEpoch, forming: bool) -> Result[None, JournalError]:
         """Journals that an epoch is prepared; ``forming`` when the candidate forms the first view."""
         if prepared.epoch <= self.prepared.epoch:
             raise InvariantError(f"epoch {prepared.epoch} prepared after {self.prepared.epoch}")
@@ -76,7 +76,7 @@
         self.ever_used = self.ever_used or not forming
         return Success(None)
 
-    async def record_view(self, view: View) -> Result[None, JournalFault]:
+    async def record_view(self, view: View) -> Result[None, JournalError]:
         """Journals an accepted view, which also prepares its epoch for its primary."""
         if view.epoch < self.prepared.epoch:
             raise InvariantError(f"view of epoch {view.epoch} accepted after preparing {self.prepared.epoch}")
@@ -92,7 +92,7 @@
         if view.epoch > self.prepared.epoch:
             self.prepared = PreparedEpoch(view.epoch, view.primary)
 
-    async def append_batch(self, encoded: bytes, sequence: int) -> Result[None, JournalFault]:
+    async def append_batch(self, encoded: bytes, sequence: int) -> Result[None, JournalError]:
         """Journals an encoded batch, which must be the next one."""
         if sequence != self.sequence + 1:
             raise InvariantError(f"batch {sequence} after batch {self.sequence}")
@@ -102,13 +102,13 @@
         self.sequence = sequence
         return Success(None)
 
-    async def probe(self) -> Result[None, JournalFault]:
+    async def probe(self) -> Result[None, JournalError]:
         """Journals an entry without content, which shows that the disk accepts writes."""
         return await self.journal.append(_encode(ProbeEntry()))
 
     async def rewrite(
         self, contents: Contents, timeout: Seconds, prepared: PreparedEpoch
-    ) -> Result[None, JournalFault]:
+    ) -> Result[None, JournalError]:
         """Replaces the journal by ``contents`` and the prepared epoch under which they were received.
 
         The sequence of the last batch in ``contents`` becomes that of the store.
@@ -131,17 +131,17 @@
         entries.extend(contents.batches)
         return [_encode(entry) for entry in entries]
 
-    def compact(self, contents: Contents) -> Coroutine[Any, Any, Result[None, JournalFault]]:
+    def compact(self, contents: Contents) -> Coroutine[Any, Any, Result[None, JournalError]]:
         """Shortens the journal. ``contents`` is the complete state up to ``sequence``; nothing else changes."""
         return self._compact(self.journal.compact(self._payloads(contents, self.prepared)))
 
-    async def _compact(self, compaction: Coroutine[Any, Any, Result[None, JournalFault]]) -> Result[None, JournalFault]:
+    async def _compact(self, compaction: Coroutine[Any, Any, Result[None, JournalError]]) -> Result[None, JournalError]:
         outcome = await compaction
         if isinstance(outcome, Success):
             self.rewritten_bytes = self.journal.length
         return outcome
 
-    async def reload(self, timeout: Seconds) -> Result[Contents, JournalFault]:
+    async def reload(self, timeout: Seconds) -> Result[Contents, JournalError]:
         """Reads everything back from the disk; every failure of a write is recovered from in this way."""
         match await self.journal.open(timeout):
             case Failure(fault):
@@ -237,12 +237,12 @@
 
 
 async def _prepare_to_create(
-    context: Context, fault: JournalFault, start_empty_when_damaged: bool
+    context: Context, fault: JournalError, start_empty_when_damaged: bool
 ) -> StoreFailure | None:
     """Returns why no journal may be created in place of one that cannot be read, or None when one may."""
-    if fault.kind == "missing":
+    if isinstance(fault, JournalMissingError):
         return None
-    if fault.kind != "damaged":
+    if not isinstance(fault, JournalDamagedError):
         return StoreFailure("disk", f"{JOURNAL_NAME} cannot be read: {fault.kind} {fault.detail}")
     context.log.event("journal-damaged", journal=JOURNAL_NAME, offset=fault.offset, detail=fault.detail)
     if not start_empty_when_damaged:
--- a/wingwood/daemons/router.py
+++ b/wingwood/daemons/router.py
@@ -122,7 +122,9 @@
             metrics=self.metrics,
         ).add_to(self.operator_server)
         adapter.add_routes(self, self.operator_server)
-        RouterStateCollector(self.health, self._placement_counts, self.ledger.unsettled).add_to(self.metrics)
+        RouterStateCollector(self.health, self._placement_counts, self.ledger.unacknowledged_outcomes).add_to(
+            self.metrics
+        )
         self._stopping = False
         self._worker_lists_received = False
         """Once True it stays True, so that a pool added by a later bundle does not make the router not ready."""
@@ -179,14 +181,14 @@
             reasons.append("no bundle yet")
         elif not self.bundle.may_serve():
             reasons.append("the bundle in force cannot be proven to be the newest")
-        if self.membership.session_proven_at() is None:
+        if self.membership.session_confirmed_at() is None:
             reasons.append("no session with a control daemon yet")
         if not (worker_lists_received := self._has_received_worker_lists()):
             reasons.append("not heard of the workers yet")
         if isolated := self._is_isolated():
             reasons.append("neither a control daemon nor a worker can be reached")
         now = self._context.clock.monotonic()
-        confirmed, session = self.bundle.confirmed_latest_at(), self.membership.session_proven_at()
+        confirmed, session = self.bundle.confirmed_latest_at(), self.membership.session_confirmed_at()
         return HealthReport(
             name=self._settings.name,
             role="router",
@@ -238,7 +240,7 @@
         return self._has_lost_control() and not self._ready_workers()
 
     def _has_lost_control(self) -> bool:
-        session = self.membership.session_proven_at()
+        session = self.membership.session_confirmed_at()
         return session is not None and self._context.clock.monotonic() - session > CONTROL_SILENCE_LIMIT_S
 
     def _ready_workers(self) -> list[Worker]:
--- a/wingwood/forward/attempt/classifier.py
+++ b/wingwood/forward/attempt/classifier.py
@@ -141,7 +141,7 @@
     def _report_wait(self, stopped: StopReason, sent: bool) -> None:
         """Reports a worker that did not respond for too long."""
         waited = self._clock.monotonic() - self._parameters.started_at
-        connect_limit = _UNRESPONSIVE_CONNECT_FRACTION * self._parameters.service.first_byte_patience
+        connect_limit = _UNRESPONSIVE_CONNECT_FRACTION * self._parameters.service.first_byte_timeout
         if stopped in WORKER_UNRESPONSIVE and (sent or waited > connect_limit):
             self._reporter.unresponsive()
         elif stopped is StopReason.DEADLINE and sent and waited > self._too_slow_after():
--- a/wingwood/forward/attempt/timers.py
+++ b/wingwood/forward/attempt/timers.py
@@ -63,7 +63,7 @@
         """When the worker is reported as failed if its response has not started by then."""
         self._move_at: Instant | None = None
         """When the call moves to another worker if this one sends nothing until then."""
-        self._chunk_timeout = parameters.service.silence_patience
+        self._chunk_timeout = parameters.service.chunk_timeout
         """Longest time between two chunks of the worker; shorter once the end marker was received."""
 
     def prepare(self) -> None:
@@ -114,7 +114,7 @@
         if not parameters.resumes:
             callers_give_up_at = min(
                 callers_give_up_at,
-                received_at + parameters.service.first_byte_patience,
+                received_at + parameters.service.first_byte_timeout,
                 parameters.first_byte_deadline,
             )
         time_left = callers_give_up_at - parameters.started_at
--- a/wingwood/forward/policies/at_most_once.py
+++ b/wingwood/forward/policies/at_most_once.py
@@ -6,7 +6,7 @@
 
 from ...context.protocols import Context
 from ...identifiers import Instant, Seconds, TenantName
-from ...ledger.protocols import AlreadyClaimed, CallKey, Ledger, Unreachable
+from ...ledger.protocols import AlreadyClaimed, CallKey, ClaimError, Ledger
 from ..calls import IncomingCall
 from ..formats import CallerFormat
 from ..forward_options import LedgerOptions
@@ -78,13 +78,13 @@
         if self._ledger_unreachable and now < self._next_probe:
             return _LEDGER_UNREACHABLE
         self._next_probe = Instant(now + self._options.probe_interval)
-        timeout = self._options.claim_timeout_fraction * call.service.first_byte_patience
+        timeout = self._options.claim_timeout_fraction * call.service.first_byte_timeout
         claim = await self._ledger.claim(key, Seconds(min(self._options.claim_timeout, timeout)))
-        self._ledger_unreachable = isinstance(claim, Unreachable)
+        self._ledger_unreachable = isinstance(claim, ClaimError)
         match claim:
             case AlreadyClaimed(state):
                 return _REJECTIONS_BY_STATE[state]
-            case Unreachable():
+            case ClaimError():
                 return _LEDGER_UNREACHABLE
         call.key_claimed = True
         run: RunState = "unknown"
@@ -96,4 +96,4 @@
             self._context.tasks.spawn("report call outcome", self._report_outcome(key, claim.ticket, run))
 
     async def _report_outcome(self, key: CallKey, ticket: str, run: RunState) -> None:
-        await self._ledger.settle(key, ticket, run)
+        await self._ledger.report_outcome(key, ticket, run)
--- a/wingwood/forward/policies/first_byte_deadline.py
+++ b/wingwood/forward/policies/first_byte_deadline.py
@@ -16,7 +16,7 @@
     """Returns by when a caller that was sent nothing must be answered."""
     if not options.wait_timeouts_end_calls:
         return call.attributes.deadline
-    first_byte_by = call.request.received_at + call.service.first_byte_patience - options.first_byte_margin
+    first_byte_by = call.request.received_at + call.service.first_byte_timeout - options.first_byte_margin
     return Instant(min(first_byte_by, call.attributes.deadline))
 
 
--- a/wingwood/forward/policies/placement.py
+++ b/wingwood/forward/policies/placement.py
@@ -59,7 +59,7 @@
             self._placement.finished(turn, choice, attempt.outcome, generated, attempt.first_chunk_after)
 
     async def _proceed(self, call: IncomingCall, attempt: AttemptState, proceed: Proceed) -> CallResult:
-        refusal = self._admission.refuse(call.service, attempt.choice.first_token)
+        refusal = self._admission.check(call.service, attempt.choice.first_token)
         if refusal is not None:
             return Rejection(
                 status=503,
--- a/wingwood/forward/tests/fakes.py
+++ b/wingwood/forward/tests/fakes.py
@@ -37,8 +37,8 @@
     WorkerInstance,
     Zone,
 )
-from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
-from ...limits.protocols import ShareRefused
+from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, ClaimError, Outcome
+from ...limits.protocols import CallRejection
 from ...placement.protocols import Choice, NoWorker, Turn
 from ...registry.protocols import Worker
 from ...settings.model import DaemonSettings
@@ -87,8 +87,8 @@
     """Paid shares, retry budget and admission; a test sets what they refuse and reads what they were asked."""
 
     def __init__(self) -> None:
-        self.share_refused: ShareRefused | None = None
-        self.too_late: ShareRefused | None = None
+        self.share_refused: CallRejection | None = None
+        self.too_late: CallRejection | None = None
         self.budget = 10
         self.earned_by: list[str] = []
         self.shares_taken = 0
@@ -96,20 +96,20 @@
         self.delay = Seconds(0.0)
         """How long ``take_share`` waits before it answers."""
 
-    async def take_share(self, tenant: Tenant, cost: int) -> ShareRefused | None:
+    async def take_share(self, tenant: Tenant, cost: int) -> CallRejection | None:
         self.shares_taken += 1
         self.costs.append(cost)
         await asyncio.sleep(self.delay)
         return self.share_refused
 
-    def note_call(self, service: Service, pool: PoolName | None = None) -> None:
+    def record_call(self, service: Service, pool: PoolName | None = None) -> None:
         self.earned_by.append(service.name)
 
     def take(self, service: Service, pool: PoolName | None = None) -> bool:
         self.budget -= 1
         return self.budget >= 0
 
-    def refuse(self, service: Service, predicted_first_token: Seconds) -> ShareRefused | None:
+    def check(self, service: Service, predicted_first_token: Seconds) -> CallRejection | None:
         return self.too_late
 
 
@@ -119,7 +119,7 @@
     def __init__(self, limits: FakeLimits) -> None:
         self._limits = limits
 
-    async def take(self, tenant: Tenant, cost: int = 1) -> ShareRefused | None:
+    async def take(self, tenant: Tenant, cost: int = 1) -> CallRejection | None:
         return await self._limits.take_share(tenant, cost)
 
 
@@ -127,14 +127,14 @@
     """A ledger with one table, which a test can make slow or unreachable."""
 
     def __init__(self) -> None:
-        self.answer: Claimed | AlreadyClaimed | Unreachable | None = None
+        self.answer: Claimed | AlreadyClaimed | ClaimError | None = None
         """If set, the answer to every claim; the table is then not used."""
         self.table: dict[CallKey, str] = {}
         self.claims = 0
         self.delay = Seconds(0.0)
         """How long ``claim`` waits before it answers."""
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | ClaimError:
         self.claims += 1
         await asyncio.sleep(self.delay)
         if self.answer is not None:
@@ -145,12 +145,12 @@
         self.table[key] = "running"
         return Claimed(TICKET)
 
-    async def settle(self, key: CallKey, ticket: str, state: Literal["ran", "unknown", "not-run"]) -> bool:
+    async def report_outcome(self, key: CallKey, ticket: str, outcome: Outcome) -> bool:
         assert ticket == TICKET
-        if state == "not-run":
+        if outcome == "not-run":
             del self.table[key]
         else:
-            self.table[key] = state
+            self.table[key] = outcome
         return True
 
 
--- a/wingwood/forward/tests/test_unreachable_ledger.py
+++ b/wingwood/forward/tests/test_unreachable_ledger.py
@@ -14,7 +14,7 @@
 from wingwood.context.protocols import Context
 
 from ...identifiers import Address, Instant, RequestId, Seconds
-from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, Unreachable
+from ...ledger.protocols import AlreadyClaimed, CallKey, Claimed, ClaimError, ClaimTimeoutError, Outcome
 from ..caller_format import DefaultCallerFormat
 from ..calls import CallAttributes, CallerRequest, IncomingCall
 from ..forward_options import LedgerOptions
@@ -22,7 +22,7 @@
 from ..results import CallResult, Forwarded, Rejection
 from .fakes import CARDS, bundle_of
 
-SHORT_WAIT = msgspec.structs.replace(CARDS, first_byte_patience=Seconds(2.0))
+SHORT_WAIT = msgspec.structs.replace(CARDS, first_byte_timeout=Seconds(2.0))
 
 
 class UnreachableLedger:
@@ -33,14 +33,14 @@
         self.reachable = False
         self.claims = 0
 
-    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | Unreachable:
+    async def claim(self, key: CallKey, timeout: Seconds) -> Claimed | AlreadyClaimed | ClaimError:
         self.claims += 1
         if self.reachable:
             return Claimed("ticket")
         await self.context.clock.sleep(timeout)
-        return Unreachable("away")
+        return ClaimTimeoutError()
 
-    async def settle(self, key: CallKey, ticket: str, state: str) -> bool:
+    async def report_outcome(self, key: CallKey, ticket: str, outcome: Outcome) -> bool:
         return True
 
 
--- a/wingwood/placement/reported_size_cost_model.py
+++ b/wingwood/placement/reported_size_cost_model.py
@@ -329,13 +329,13 @@
     def _risk_threshold(self, turn: Turn, worker: Worker) -> Seconds:
         """Returns the seconds of wait and prefill that put the latency objective or the gaps in streams at risk."""
         risk_threshold = NO_RISK_THRESHOLD_S
-        objective, longest_gap = turn.service.latency_objective, turn.service.longest_pause
+        objective, max_chunk_gap = turn.service.latency_objective, turn.service.max_chunk_gap
         if objective is not None:
             risk_threshold = min(
                 risk_threshold, objective * self._settings.risk.objective_share - self._queues.base_latency(worker)
             )
-        if longest_gap is not None and turn.service.streaming:
-            risk_threshold = min(risk_threshold, longest_gap * self._settings.risk.gap_share)
+        if max_chunk_gap is not None and turn.service.streaming:
+            risk_threshold = min(risk_threshold, max_chunk_gap * self._settings.risk.gap_share)
         return Seconds(max(0.0, risk_threshold))
 
     def _repeated_prefill_cost(self, turn: Turn, worker: Worker, tokens: float) -> float:
--- a/wingwood/placement/reservation_placement.py
+++ b/wingwood/placement/reservation_placement.py
@@ -233,7 +233,7 @@
         """
         cost_model = self._cost_model(turn)
         first_token = cost_model.forecast(turn, entry, reserved_worker).first_token
-        if first_token > turn.service.first_byte_patience * self._settings.reservations.timeout_share:
+        if first_token > turn.service.first_byte_timeout * self._settings.reservations.timeout_share:
             return False
         objective = turn.service.latency_objective
         if objective is None or not turn.parts:
--- a/wingwood/registry/worker_registry.py
+++ b/wingwood/registry/worker_registry.py
@@ -91,9 +91,8 @@
             self._feeds,
             self._receiver,
         )
-        self._feed_server = FeedServer(
-            context, messenger, membership, directory, self._ownership, self._sums, self._ejections
-        )
+        # Registers itself at the messenger.
+        FeedServer(context, messenger, membership, directory, self._ownership, self._sums, self._ejections)
         self._check: WorkerCheck = (
             TrialCalls(context, directory, self._ejections, self._outcomes, unrenewed_after)
             if uses_trial_calls
@@ -240,7 +239,7 @@
         last = self._now()
         while True:
             now = self._now()
-            confirmed_at = self._membership.session_proven_at()
+            confirmed_at = self._membership.session_confirmed_at()
             was_paused = now - last > SESSION_CONFIRMATION_MAX_AGE_S
             if was_paused or confirmed_at is None or now - confirmed_at > SESSION_CONFIRMATION_MAX_AGE_S:
                 self._ownership.reset_sync()
