--- a/wingwood/placement/estimated_size_cost_model.py
+++ b/wingwood/placement/estimated_size_cost_model.py
@@ -40,7 +40,7 @@
         self._evictions = EvictionModel()
 
     def session_stored(self, key: int, entry: Entry, capacity: int) -> None:
-        """Samples the entry of a session that this router stores. ``capacity``: KV cache tokens of the whole pool."""
+        """Samples the entry of a session that this router stores. ``capacity``: KV cache tokens of the entire pool."""
         routers = max(2, len(self._membership.routers()))
         self._evictions.record_use(entry.pool, key, entry.own_tokens, entry.last_used_at, capacity * 2 / routers)
 
--- a/wingwood/placement/plain_policies.py
+++ b/wingwood/placement/plain_policies.py
@@ -45,7 +45,7 @@
         raise NotImplementedError
 
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
-        """Tries the pools of the service's split in their order. See ``Placement.choose``."""
+        """Returns the choice of the first pool of the service's split that has a worker. See ``Placement.choose``."""
         return await choose_among_pools(
             pool_order(turn, len(excluded)), lambda pool: self._choose_in(pool, turn, excluded), _last_full
         )
@@ -96,7 +96,7 @@
 
 
 class RoundRobin(_PlainPlacement):
-    """Tries the ready workers of a pool in turn, from a random start."""
+    """Orders the ready workers of a pool in turn, from a random start."""
 
     def __init__(self, context: Context, registry: Registry, exchange: ObservedLoadExchange) -> None:
         super().__init__(context, registry, exchange)
@@ -112,7 +112,7 @@
 
 
 class LeastLoaded(_PlainPlacement):
-    """Tries the workers by load per slot, equal ones in random order."""
+    """Orders the workers by load per slot, equal ones in random order."""
 
     def _order(self, _turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         shuffled = self._context.random.sample(list(ready), len(ready))
@@ -120,7 +120,7 @@
 
 
 class StickyByHash(_PlainPlacement):
-    """Tries the workers in a rendezvous order by session; without a session, by load per slot."""
+    """Orders the workers in a rendezvous order by session; without a session, by load per slot."""
 
     def _order(self, turn: Turn, ready: Sequence[Worker]) -> Sequence[Worker]:
         if turn.session is None:
--- a/wingwood/placement/reservation_placement.py
+++ b/wingwood/placement/reservation_placement.py
@@ -118,7 +118,7 @@
     # --- placing a turn -----------------------------------------------------------------------
 
     async def choose(self, turn: Turn, excluded: Sequence[WorkerInstance]) -> Result[Choice, NoWorker]:
-        """Tries the pools of the service's split in their order. See ``Placement.choose``."""
+        """Returns the choice of the first pool of the service's split that has a worker. See ``Placement.choose``."""
         return await choose_among_pools(
             pool_order(turn, len(excluded)), lambda pool: self._choose_in(pool, turn, set(excluded)), _more_informative
         )
