--- a/wingwood/placement/bids.py
+++ b/wingwood/placement/cost_model.py
@@ -1,8 +1,8 @@
-"""Interface and costs by which the award policy compares workers (docs/DESIGN.md section 11.5)."""
+"""Interface and costs by which the reservation policy compares workers (docs/DESIGN.md section 11.5)."""
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from typing import Protocol
 
 import msgspec
@@ -22,7 +22,7 @@
     """Seconds until the first token of the answer."""
 
 
-class Bidder(Protocol):
+class CostModel(Protocol):
     """Compares workers by costs in seconds: a turn's wait and prefill, and the delay that it causes to other turns."""
 
     def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
@@ -41,19 +41,19 @@
         """Predicts the prefill and the first token of the turn at the worker."""
         ...
 
-    def bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
+    def cheapest_worker(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
         """Returns the best worker for a turn that has arrived.
 
-        ``entry`` is given only if its holder is ready and caches a part of the prompt.
+        ``entry`` is given only if its cache worker is ready and caches a part of the prompt.
         """
         ...
 
-    def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
+    def cheapest_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
         """Returns the best worker for the session's next turn."""
         ...
 
     def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
-        """Returns the shortest time to the first token among the workers that a bid would compare."""
+        """Returns the shortest time to the first token among the workers that ``cheapest_worker`` would compare."""
         ...
 
     def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
@@ -76,7 +76,7 @@
         """Records that the turn left the worker, with any outcome."""
         ...
 
-    def forget(self, instance: WorkerInstance) -> None:
+    def remove_worker(self, instance: WorkerInstance) -> None:
         """Drops all records of a worker that was removed."""
         ...
 
@@ -89,9 +89,11 @@
         self._highest_weight: dict[PoolName, float] = {}
 
     def observe(self, pool: PoolName, weight: float) -> None:
+        """Records the weight of a turn's priority class. The highest weight seen in a pool decays with each turn."""
         self._highest_weight[pool] = max(weight, 0.999 * self._highest_weight.get(pool, 0.0))
 
     def of(self, pool: PoolName, weight: float) -> float:
+        """Returns the cost of one second of waiting in the pool, in seconds, for a turn of this weight."""
         return min(self._max_pressure, max(1.0, self._highest_weight.get(pool, weight) / max(weight, 1e-9)))
 
 
@@ -107,10 +109,26 @@
     return wait * pressure + prefill + other_cost + risk_cost * risk_excess
 
 
-def cheapest(bids: Sequence[tuple[float, Worker]], holder: WorkerInstance | None, margin: Seconds) -> Worker:
-    """Returns the cheapest worker, or the holder if no other worker is cheaper by more than ``margin`` seconds."""
-    best_cost, best = min(bids, key=lambda pair: (pair[0], pair[1].instance))
-    for cost, worker in bids:
-        if worker.instance == holder and cost - best_cost <= margin:
+def cheapest(
+    candidates: Sequence[Worker],
+    cost_of: Callable[[Worker], float],
+    cache_worker: WorkerInstance | None,
+    margin: Seconds,
+) -> Worker:
+    """Returns the cheapest worker, or the cache worker if no other one is cheaper by more than ``margin`` seconds.
+
+    ``cost_of`` returns the cost of a worker in seconds; it is called once for each candidate, in their order.
+    """
+    costs = [(cost_of(worker), worker) for worker in candidates]
+    best_cost, best = min(costs, key=lambda pair: (pair[0], pair[1].instance))
+    for cost, worker in costs:
+        if worker.instance == cache_worker and cost - best_cost <= margin:
             return worker
     return best
+
+
+def cache_worker_among(entry: Entry | None, ready: Sequence[Worker]) -> Worker | None:
+    """Returns the worker that caches the session's prefix, or None if it is unknown or not in ``ready``."""
+    if entry is None:
+        return None
+    return next((worker for worker in ready if worker.instance == entry.cache_worker), None)
--- a/wingwood/placement/protocols.py
+++ b/wingwood/placement/protocols.py
@@ -12,6 +12,11 @@
 from ..identifiers import Instant, RequestId, Seconds, SessionId, TenantName, WorkerInstance
 from ..registry.protocols import Worker
 
+PlacementMethod = Literal["award", "claim", "bid", "hash", "policy"]
+"""The kind of decision that led to a worker. See ``Choice.method``."""
+TurnOutcome = Literal["whole", "refused", "broken", "cancelled"]
+"""How a turn left its worker; ``whole``: with a complete answer."""
+
 
 class PromptPart(msgspec.Struct, frozen=True):
     """One part of a prompt. Equal ids stand for equal text only where all preceding parts are equal too."""
@@ -43,6 +48,7 @@
 
     @property
     def session(self) -> SessionId | None:
+        """The session's id, which is the full prefix; None for a call without a ``Prefix`` header."""
         return SessionId("/".join(self.prefix)) if self.prefix else None
 
 
@@ -50,11 +56,11 @@
     """The worker that was chosen for a turn."""
 
     worker: Worker
-    method: Literal["award", "claim", "bid", "hash", "policy"] = msgspec.field(name="how")
+    method: PlacementMethod = msgspec.field(name="how")
     """The kind of decision that led to the worker.
 
-    award: an award recorded at an earlier hint; claim: the worker probably caches the prefix; bid: the worker won
-    a new bid; hash: the fallback on which all routers agree; policy: a policy that ignores sessions.
+    award: a reservation recorded at an earlier hint; claim: the worker probably caches the prefix; bid: the cheapest
+    worker of a new comparison; hash: the fallback on which all routers agree; policy: a policy that ignores sessions.
     """
     first_token: Seconds
     """Predicted seconds until the first token of the answer."""
@@ -87,13 +93,13 @@
         self,
         turn: Turn,
         choice: Choice,
-        outcome: Literal["whole", "refused", "broken", "cancelled"],
+        outcome: TurnOutcome,
         generated_tokens: int,
         first_token_after: Seconds | None,
     ) -> None:
         """Reports that the turn left its worker.
 
-        A complete answer (``whole``) is the hint of the session's next turn: placement bids for that turn and
-        records the award.
+        A complete answer (``whole``) is the hint of the session's next turn: placement compares the
+        workers for that turn and reserves the cheapest.
         """
         ...
--- a/wingwood/placement/reported_size_bids.py
+++ b/wingwood/placement/reported_size_cost_model.py
@@ -1,4 +1,4 @@
-"""Bids where callers report the sizes of their prompt's parts (docs/DESIGN.md sections 11.3 to 11.5)."""
+"""Costs of workers where callers report the sizes of their prompt's parts (docs/DESIGN.md sections 11.3 to 11.5)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ..identifiers import PoolName, RequestId, Seconds, WorkerInstance, Zone
 from ..membership.protocols import Membership
 from ..registry.protocols import Worker
-from .bids import Forecast, Pressure, cheapest, queued_cost
+from .cost_model import Forecast, Pressure, cache_worker_among, cheapest, queued_cost
 from .messages import JoinQueue, QueueEntry, QueueOffer
 from .prefill_estimates import PrefillQueues
 from .prefix_order import PrefixOrders
@@ -20,16 +20,16 @@
 from .sent_chains import KnownChains, SentChains
 from .session_map import Entry
 from .session_recurrence import SessionRecurrence
-from .settings import AwardSettings
+from .settings import PlacementSettings
 from .worker_estimates import Workload
 
 MIN_AFFINITY_PREFILL_S = Seconds(0.002)
-"""A prefix whose prefill takes less than this is not worth a particular worker."""
+"""A prefix whose prefill takes less than this does not justify preferring a worker."""
 MIN_QUEUED_PREFILL_S = Seconds(0.003)
 """A turn whose prefill takes less than this is placed without asking the queue owner."""
 MAX_ENTERED_TURNS = 20_000
 NO_RISK_THRESHOLD_S = 1e6
-"""Threshold for turns whose wait risks neither a latency objective nor a pause; longer than any wait."""
+"""Threshold for turns whose wait risks neither a latency objective nor a gap in a stream; longer than any wait."""
 
 
 class QueueChoice(msgspec.Struct, frozen=True):
@@ -70,8 +70,8 @@
         return msgspec.structs.replace(self, workers=workers)
 
 
-class ReportedSizeBids:
-    """A ``Bidder`` that counts prompts by the parts and sizes that callers report."""
+class ReportedSizeCostModel:
+    """A ``CostModel`` that counts prompts by the parts and sizes that callers report."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         pressure: Pressure,
         orders: PrefixOrders,
         zone: Zone | None,
-        settings: AwardSettings,
+        settings: PlacementSettings,
         queue_owners: QueueOwners,
     ) -> None:
         self._context = context
@@ -104,6 +104,7 @@
     # --- cached tokens ------------------------------------------------------------------------
 
     def cached_tokens(self, turn: Turn, entry: Entry | None, worker: Worker) -> int:
+        """See ``CostModel.cached_tokens``."""
         return self._cached_tokens(turn, entry, worker, self._known(worker.pool, turn))
 
     def _known(self, pool: PoolName, turn: Turn) -> KnownChains:
@@ -115,7 +116,11 @@
         cached = known.cached_tokens(
             worker.instance, cache_retention, (routers - 1) / self._workers.get(worker.pool, 1)
         )
-        if entry is not None and entry.holder == worker.instance and known.now - entry.last_used_at <= cache_retention:
+        if (
+            entry is not None
+            and entry.cache_worker == worker.instance
+            and known.now - entry.last_used_at <= cache_retention
+        ):
             cached = max(cached, min(entry.tokens, _total_tokens(turn.parts)))
         return min(turn.prompt_tokens, int(cached))
 
@@ -126,13 +131,16 @@
         reason to send the next prompt elsewhere. Other routers may have sent the rest of the prefix there before.
         """
         tokens_in_use = known.tokens()
-        return tokens_in_use + self._settings.first_worker_cache_probability * max(0, shared_tokens - tokens_in_use)
+        return tokens_in_use + self._settings.prefixes.first_worker_cache_probability * max(
+            0, shared_tokens - tokens_in_use
+        )
 
     def session_tokens(self, turn: Turn, tokens: int) -> int:
         """Returns the tokens of the reported parts; text outside the parts never occurs in another prompt."""
         return min(tokens, _total_tokens(turn.parts))
 
-    def own_tokens(self, pool: PoolName, turn: Turn, tokens: int) -> int:
+    def own_tokens(self, _pool: PoolName, turn: Turn, _tokens: int) -> int:
+        """Returns the size of the last part, the only one that other sessions do not share."""
         return turn.parts[-1].tokens
 
     def _reused(self, turn: Turn) -> tuple[PromptPart, ...]:
@@ -149,35 +157,44 @@
         if self._recurrence.has_enough_turns(turn.service.name):
             return self._reused(turn)
         before = turn.parts[:-1]
-        is_common = len(before) < 2 or self._prefill_share(turn, before, worker) > self._settings.prefix_prefill_share
+        is_common = len(before) < 2 or self._prefill_share(turn, before, worker) > self._settings.prefixes.prefill_share
         return turn.parts if is_common else before
 
-    # --- bids ---------------------------------------------------------------------------------
+    # --- costs --------------------------------------------------------------------------------
 
     def forecast(self, turn: Turn, entry: Entry | None, worker: Worker) -> Forecast:
+        """See ``CostModel.forecast``."""
         uncached = turn.prompt_tokens - self.cached_tokens(turn, entry, worker)
         first_token = self._workload.wait(worker) + self._queues.first_token(worker, uncached)
         return Forecast(uncached, Seconds(first_token))
 
-    def bid(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
+    def cheapest_worker(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Worker:
         """Returns the cheapest worker by this router's own estimates of the prefill queues."""
-        offers = self._offers(turn, entry, self._find_prefix_workers(turn, entry, ready), ready)
-        bids = [(self._offer_cost(turn, offer), offer.worker) for offer in offers]
-        return cheapest(bids, None if entry is None else entry.holder, self._settings.min_move_gain_with_sizes)
+        offers = {
+            offer.worker.instance: offer
+            for offer in self._offers(turn, entry, self._find_prefix_workers(turn, entry, ready), ready)
+        }
+        return cheapest(
+            [offer.worker for offer in offers.values()],
+            lambda worker: self._offer_cost(turn, offers[worker.instance]),
+            None if entry is None else entry.cache_worker,
+            self._settings.candidates.min_move_gain_with_sizes,
+        )
 
     async def join(
-        self, turn: Turn, entry: Entry | None, ready: Sequence[Worker], winner: Worker | None = None
+        self, turn: Turn, entry: Entry | None, ready: Sequence[Worker], reserved_worker: Worker | None = None
     ) -> QueueChoice | None:
         """Asks the queue owner to pick a worker; returns None if there is little to prefill or no owner answers.
 
-        ``winner``: the winner of an unexpired award; it takes the turn unless its queue risks the objective.
+        ``reserved_worker``: the worker of an unexpired reservation; it takes the turn unless its queue risks the
+        objective.
         """
         if self._queues.prefill(ready[0], turn.prompt_tokens) < MIN_QUEUED_PREFILL_S:
             return None
         prefix_workers = self._find_prefix_workers(turn, entry, ready)
         first = (
-            winner
-            or _holder(entry, ready)
+            reserved_worker
+            or cache_worker_among(entry, ready)
             or next(iter(prefix_workers.workers), None)
             or self._context.random.choice(ready)
         )
@@ -189,8 +206,8 @@
             offers=tuple(self._queue_offer(turn, offer) for offer in offers),
             pressure=self._pressure.of(pool, turn.weight),
             risk_threshold=self._risk_threshold(turn, ready[0]),
-            risk_cost=self._settings.risk_cost,
-            awarded=winner is not None,
+            risk_cost=self._settings.risk.weight,
+            first_is_reserved=reserved_worker is not None,
         )
         queue_choice = await self._queue_owners.join(question)
         if queue_choice is None:
@@ -215,8 +232,12 @@
         ready: Sequence[Worker],
         first: Worker | None = None,
     ) -> list[_Offer]:
-        """Returns the offers of the first worker, the prefix's workers, the holder and some workers drawn at random."""
-        drawn = self._settings.extra_candidates if prefix_workers.workers else self._settings.candidates_with_sizes
+        """Returns the offers of the first, the prefix's and the cache worker, and of some workers drawn at random."""
+        drawn = (
+            self._settings.candidates.extra_drawn
+            if prefix_workers.workers
+            else self._settings.candidates.drawn_with_sizes
+        )
         candidates = self._candidates(entry, prefix_workers.workers, drawn, ready)
         if first is not None:
             candidates = [first, *(worker for worker in candidates if worker.instance != first.instance)]
@@ -247,38 +268,44 @@
         return self._cost(turn, offer.worker, offer.uncached, wait, offer.load) + offer.repeated_prefill_cost
 
     def earliest_first_token(self, turn: Turn, entry: Entry | None, ready: Sequence[Worker]) -> Seconds:
+        """Returns the shortest time to the first token among the workers that a comparison would include."""
         prefix_workers = self._prefix_workers(turn, self._reused(turn), ready, 1)
-        candidates = self._candidates(entry, prefix_workers, self._settings.candidates_with_sizes, ready)
+        candidates = self._candidates(entry, prefix_workers, self._settings.candidates.drawn_with_sizes, ready)
         return min(self.forecast(turn, entry, worker).first_token for worker in candidates)
 
-    def bid_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
+    def cheapest_for_next_turn(self, turn: Turn, entry: Entry, ready: Sequence[Worker]) -> Worker:
         """Compares workers by the flow of prompts, because the current queues are gone when the next turn arrives.
 
         A prefix whose demand needs several workers alternates among them.
         """
         prefix_workers = self._prefix_workers(turn, self._reused(turn), ready, 0)
-        drawn = 0 if len(prefix_workers) > 1 else self._settings.extra_candidates
+        drawn = 0 if len(prefix_workers) > 1 else self._settings.candidates.extra_drawn
         candidates = self._candidates(entry, prefix_workers, drawn, ready)
-        holder = entry.holder if drawn else None
+        cache_worker = entry.cache_worker if drawn else None
         if not drawn:
             candidates = self._context.random.sample(candidates, 2)
         known = self._known(ready[0].pool, turn)
-        bids = []
-        for worker in candidates:
-            load = self._workload.load(worker)
-            uncached = turn.prompt_tokens - self._cached_tokens(turn, entry, worker, known)
-            wait = self._workload.mean_wait(worker, load) + self._queues.mean_wait(worker)
-            bids.append((self._cost(turn, worker, uncached, wait, load), worker))
-        return cheapest(bids, holder, self._settings.min_move_gain_with_sizes)
+        return cheapest(
+            candidates,
+            lambda worker: self._next_turn_cost(turn, entry, worker, known),
+            cache_worker,
+            self._settings.candidates.min_move_gain_with_sizes,
+        )
+
+    def _next_turn_cost(self, turn: Turn, entry: Entry, worker: Worker, known: KnownChains) -> float:
+        load = self._workload.load(worker)
+        uncached = turn.prompt_tokens - self._cached_tokens(turn, entry, worker, known)
+        wait = self._workload.mean_wait(worker, load) + self._queues.mean_wait(worker)
+        return self._cost(turn, worker, uncached, wait, load)
 
     def _candidates(
         self, entry: Entry | None, prefix_workers: Sequence[Worker], drawn: int, ready: Sequence[Worker]
     ) -> list[Worker]:
-        """Returns the prefix's workers, the holder and some workers drawn at random, each once."""
+        """Returns the prefix's workers, the cache worker and some workers drawn at random, each once."""
         found = list(prefix_workers)
-        holder = _holder(entry, ready)
-        if holder is not None:
-            found.append(holder)
+        cache_worker = cache_worker_among(entry, ready)
+        if cache_worker is not None:
+            found.append(cache_worker)
         found.extend(self._context.random.sample(list(ready), min(drawn, len(ready))))
         return list({worker.instance: worker for worker in found}.values())
 
@@ -291,24 +318,24 @@
             self._other_cost(worker, prefill, load),
             pressure=self._pressure.of(worker.pool, turn.weight),
             risk_threshold=self._risk_threshold(turn, worker),
-            risk_cost=self._settings.risk_cost,
+            risk_cost=self._settings.risk.weight,
         )
 
     def _other_cost(self, worker: Worker, prefill: float, load: float) -> float:
         """Returns the cost in seconds of the streams that the prefill delays and of a worker in another zone."""
-        zone_cost = 0.0 if self._zone is None or worker.zone == self._zone else self._settings.other_zone_cost
-        return self._settings.stream_delay_weight * prefill * load + zone_cost
+        zone_cost = 0.0 if self._zone is None or worker.zone == self._zone else self._settings.costs.other_zone_cost
+        return self._settings.costs.stream_delay_weight * prefill * load + zone_cost
 
     def _risk_threshold(self, turn: Turn, worker: Worker) -> Seconds:
-        """Returns the seconds of wait and prefill that put the latency objective or the pauses of streams at risk."""
+        """Returns the seconds of wait and prefill that put the latency objective or the gaps in streams at risk."""
         risk_threshold = NO_RISK_THRESHOLD_S
-        objective, pause = turn.service.latency_objective, turn.service.max_chunk_gap
+        objective, max_chunk_gap = turn.service.latency_objective, turn.service.max_chunk_gap
         if objective is not None:
             risk_threshold = min(
-                risk_threshold, objective * self._settings.objective_risk_share - self._queues.base_latency(worker)
+                risk_threshold, objective * self._settings.risk.objective_share - self._queues.base_latency(worker)
             )
-        if pause is not None and turn.service.streaming:
-            risk_threshold = min(risk_threshold, pause * self._settings.pause_risk_share)
+        if max_chunk_gap is not None and turn.service.streaming:
+            risk_threshold = min(risk_threshold, max_chunk_gap * self._settings.risk.gap_share)
         return Seconds(max(0.0, risk_threshold))
 
     def _repeated_prefill_cost(self, turn: Turn, worker: Worker, tokens: float) -> float:
@@ -317,9 +344,9 @@
         Other turns wait behind the prefill, and the parts evict other parts from the worker's cache. The cost is
         bounded, because avoiding a repeated prefill does not justify missing the latency objective.
         """
-        cost = self._settings.repeated_prefill_weight * self._queues.prefill(worker, max(0.0, tokens))
+        cost = self._settings.costs.repeated_prefill_weight * self._queues.prefill(worker, max(0.0, tokens))
         objective = turn.service.latency_objective
-        return cost if objective is None else min(cost, objective * self._settings.objective_risk_share)
+        return cost if objective is None else min(cost, objective * self._settings.risk.objective_share)
 
     def _prefix_workers(
         self, turn: Turn, parts: tuple[PromptPart, ...], ready: Sequence[Worker], extra: int
@@ -334,7 +361,7 @@
             return []
         order = self._orders.order(pool, tuple(part.part for part in parts), ready)
         return order[
-            : max(1, math.ceil(self._prefill_share(turn, parts, order[0]) / self._settings.prefix_prefill_share))
+            : max(1, math.ceil(self._prefill_share(turn, parts, order[0]) / self._settings.prefixes.prefill_share))
             + extra
         ]
 
@@ -346,24 +373,27 @@
 
     # --- events of turns ----------------------------------------------------------------------
 
-    def sent(self, turn: Turn, worker: Worker, key: int, forecast: Forecast) -> None:
+    def sent(self, turn: Turn, worker: Worker, _key: int, forecast: Forecast) -> None:
+        """Adds the turn's prompt to the worker's prefill queue, and records that its parts were sent there."""
         part_tokens = max(0, forecast.uncached - max(0, turn.prompt_tokens - _total_tokens(turn.parts)))
-        held_tokens = turn.prompt_tokens + turn.generate_tokens
-        self._queues.sent(turn.request, worker, forecast, part_tokens, held_tokens)
+        resident_tokens = turn.prompt_tokens + turn.generate_tokens
+        self._queues.sent(turn.request, worker, forecast, part_tokens, resident_tokens)
         self._parts.sent(worker.pool, self._reused(turn), worker.instance, self._context.clock.monotonic())
 
     def ended(
         self,
-        turn: Turn,
+        _turn: Turn,
         worker: Worker,
-        uncached: int,
-        predicted_wait: float,
-        first_token: Seconds | None,
+        _uncached: int,
+        _predicted_wait: float,
+        _first_token: Seconds | None,
         duration: Seconds,
     ) -> None:
+        """Learns the duration of the turn; the prefill estimates learn from its first token."""
         self._workload.learn_turn(worker, duration)
 
     def turn_left(self, request: RequestId, worker: Worker, first_token: Seconds | None) -> None:
+        """Removes the turn's prompt from the worker's prefill queue if it had no first token yet."""
         self._queues.ended(request, worker, first_token)
         self._entered.pop(request, None)
 
@@ -387,15 +417,10 @@
         if len(self._entered) > MAX_ENTERED_TURNS:
             del self._entered[next(iter(self._entered))]
 
-    def forget(self, instance: WorkerInstance) -> None:
-        self._parts.forget(instance)
-        self._queues.forget(instance)
-
-
-def _holder(entry: Entry | None, ready: Sequence[Worker]) -> Worker | None:
-    if entry is None:
-        return None
-    return next((worker for worker in ready if worker.instance == entry.holder), None)
+    def remove_worker(self, instance: WorkerInstance) -> None:
+        """See ``CostModel.remove_worker``."""
+        self._parts.remove_worker(instance)
+        self._queues.remove_worker(instance)
 
 
 def _total_tokens(parts: Sequence[PromptPart]) -> int:
