--- a/wingwood/placement/cached_prefixes.py
+++ b/wingwood/placement/cached_prefixes.py
@@ -56,7 +56,8 @@
             part.rate = self._rate(part, now) + 0.693 / self._half_life
             part.rated_at = now
 
-    def forget(self, instance: WorkerInstance) -> None:
+    def remove_worker(self, instance: WorkerInstance) -> None:
+        """Drops the records of a worker that was removed."""
         for part in self._parts.values():
             part.sent_at.pop(instance, None)
 
