--- a/fleet/http.py
+++ b/fleet/http.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import msgspec
-from tornado.httpclient import AsyncHTTPClient, HTTPRequest
+from tornado.httpclient import AsyncHTTPClient, HTTPError, HTTPRequest
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
 from .json_values import JsonValue
@@ -50,10 +50,11 @@
         )
         try:
             response = await self._client.fetch(request, raise_error=False)
-        except OSError as problem:
+        except (
+            HTTPError,
+            OSError,
+        ) as problem:  # HTTPError is raised for time-outs only, whatever ``raise_error`` says.
             return JsonReply(0, str(problem))
-        if response.code == 599:
-            return JsonReply(0, str(response.error))
         try:
             return JsonReply(response.code, msgspec.json.decode(response.body))
         except msgspec.MsgspecError:
