--- a/wingwood/command_line/tests/test_replay.py
+++ b/wingwood/command_line/tests/test_replay.py
@@ -17,7 +17,7 @@
     made = ReplayReport(name=name, speed=1.0, calls=2)
     service = made.service("chat")
     service.calls, service.complete, service.outcomes = 2, 1, {"whole": 1, "refused all-full": 1}
-    service.awards = {"award": 3, "bid": 1}
+    service.placement_methods = {"award": 3, "bid": 1}
     service.first_chunk.add(0.001)
     return made
 
--- a/wingwood/daemons/router_metrics.py
+++ b/wingwood/daemons/router_metrics.py
@@ -13,7 +13,7 @@
 class RouterStateCollector:
     """A Prometheus collector that reads the router's state at each scrape and stores nothing itself.
 
-    ``placement_counts`` returns the decision counts of the award policy, and an empty mapping for other policies.
+    ``placement_counts`` returns the decision counts of the reservation policy, and an empty mapping for other policies.
     """
 
     def __init__(
--- a/wingwood/daemons/tests/test_router_metrics.py
+++ b/wingwood/daemons/tests/test_router_metrics.py
@@ -1,4 +1,4 @@
-"""Tests that a router's metrics contain its state and the award policy's decisions (docs/DESIGN.md section 15.4)."""
+"""Tests that a router's metrics contain its state and its placement decisions (docs/DESIGN.md section 15.4)."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RouterMetricsTest(unittest.TestCase):
-    def test_scrape_contains_the_state_and_the_awards(self) -> None:
+    def test_scrape_contains_the_state_and_the_placements(self) -> None:
         shape = shape_named("demo")
         with World(2, network_shape(shape)) as world:
             fleet = Fleet(world, shape)
--- a/wingwood/replay/player.py
+++ b/wingwood/replay/player.py
@@ -139,8 +139,8 @@
             recorded = day_call.call.outcome or "?"
             service.recorded_outcomes[recorded] = service.recorded_outcomes.get(recorded, 0) + 1
             if day_call.call.prefix and day_call.call.placement_method:
-                award = day_call.call.placement_method
-                service.recorded_awards[award] = service.recorded_awards.get(award, 0) + 1
+                method = day_call.call.placement_method
+                service.recorded_placement_methods[method] = service.recorded_placement_methods.get(method, 0) + 1
         finally:
             self._call_slots.release()
 
@@ -187,8 +187,8 @@
                     fault = answered.failure()
                     return "cut" if fault.request_sent else "no-connection"
                 head: HttpHead = answered.unwrap()
-                if call.prefix and (award := head.header(AWARD)) is not None:
-                    service.awards[award] = service.awards.get(award, 0) + 1
+                if call.prefix and (method := head.header(AWARD)) is not None:
+                    service.placement_methods[method] = service.placement_methods.get(method, 0) + 1
                 service.prompt_tokens += _number(head, PROMPT_TOKENS)
                 service.cached_tokens += _number(head, CACHED_TOKENS)
                 return await self._read_body(call, exchange, head, began)
--- a/wingwood/replay/report.py
+++ b/wingwood/replay/report.py
@@ -8,7 +8,7 @@
 
 from .timing import Timing
 
-PREFIX_HIT_AWARDS = ("award", "claim")
+PREFIX_HIT_METHODS = ("award", "claim")
 """Values of ``Wingwood-Award`` for turns that were sent to a worker believed to have their prefix cached."""
 
 
@@ -23,9 +23,9 @@
     Outcomes are whole, refused CODE, status NNN, cut, silent, no-connection and too-long.
     """
     recorded_outcomes: dict[str, int] = msgspec.field(default_factory=dict)
-    awards: dict[str, int] = msgspec.field(default_factory=dict)
+    placement_methods: dict[str, int] = msgspec.field(name="awards", default_factory=dict)
     """Number of turns with a prefix, by the value of ``Wingwood-Award`` in the answer."""
-    recorded_awards: dict[str, int] = msgspec.field(default_factory=dict)
+    recorded_placement_methods: dict[str, int] = msgspec.field(name="recorded_awards", default_factory=dict)
     first_chunk: Timing = msgspec.field(name="first_piece", default_factory=Timing)
     between_chunks: Timing = msgspec.field(name="between_pieces", default_factory=Timing)
     total: Timing = msgspec.field(default_factory=Timing)
@@ -35,11 +35,11 @@
 
     def hit_rate(self) -> float | None:
         """Returns the share of turns sent to their prefix in the replay; None without such turns."""
-        return _hit_share(self.awards)
+        return _hit_share(self.placement_methods)
 
     def recorded_hit_rate(self) -> float | None:
         """Returns the share of turns sent to their prefix on the recorded day; None without such turns."""
-        return _hit_share(self.recorded_awards)
+        return _hit_share(self.recorded_placement_methods)
 
 
 class ReplayReport(msgspec.Struct, kw_only=True):
@@ -77,9 +77,9 @@
     return msgspec.json.format(msgspec.json.encode(report), indent=1) + b"\n"
 
 
-def _hit_share(awards: dict[str, int]) -> float | None:
-    total = sum(awards.values())
-    return sum(awards.get(award, 0) for award in PREFIX_HIT_AWARDS) / total if total else None
+def _hit_share(counts: dict[str, int]) -> float | None:
+    total = sum(counts.values())
+    return sum(counts.get(method, 0) for method in PREFIX_HIT_METHODS) / total if total else None
 
 
 def _refused(service: ServiceReport) -> float | None:
--- a/wingwood/replay/tests/test_replay.py
+++ b/wingwood/replay/tests/test_replay.py
@@ -191,7 +191,7 @@
         report = ReplayReport(name=name, speed=1.0, calls=2)
         service = report.service("chat")
         service.calls, service.complete, service.outcomes = 2, 1, {"whole": 1, "refused all-full": 1}
-        service.awards = {"award": 3, "bid": 1}
+        service.placement_methods = {"award": 3, "bid": 1}
         service.first_chunk.add(milliseconds / 1000)
         return report
 
